--- a/daemons/front/caller-connection.c
+++ b/daemons/front/caller-connection.c
@@ -7,7 +7,7 @@
 #include "caller-connection.h"
 
 #include "runtime/log.h"
-#include "runtime/task.h"
+#include "runtime/clock.h"
 
 #include "caller-request.h"
 #include "platform.h"
--- a/daemons/front/caller-request.c
+++ b/daemons/front/caller-request.c
@@ -11,7 +11,7 @@
 #include "forward/stream.h"
 #include "runtime/log.h"
 #include "runtime/metrics.h"
-#include "runtime/task.h"
+#include "runtime/clock.h"
 
 #include "residency-check.h"
 #include "platform.h"
--- a/daemons/front/front.c
+++ b/daemons/front/front.c
@@ -11,7 +11,7 @@
 #include "runtime/metrics.h"
 #include "forward/policy-entry.h"
 #include "runtime/program.h"
-#include "runtime/task.h"
+#include "runtime/clock.h"
 
 #include "caller-connection.h"
 #include "residency-check.h"
--- a/daemons/front/leader-search.c
+++ b/daemons/front/leader-search.c
@@ -6,7 +6,7 @@
 
 #include "runtime/link.h"
 #include "runtime/log.h"
-#include "runtime/task.h"
+#include "runtime/clock.h"
 
 /* Members elect another leader after 1 s of silence; there is nothing to find sooner.  A leader beats each
  * 0.25 s. */
--- a/daemons/front/ledger-caller.c
+++ b/daemons/front/ledger-caller.c
@@ -6,7 +6,7 @@
 
 #include "runtime/link.h"
 #include "runtime/log.h"
-#include "runtime/task.h"
+#include "runtime/clock.h"
 
 #define RECONNECT_MS 150
 #define CONNECT_MS 1200
--- a/daemons/front/quarantine-client.c
+++ b/daemons/front/quarantine-client.c
@@ -8,7 +8,7 @@
 #include "forward/suspect-entry.h"
 #include "forward/suspect-list.h"
 #include "forward/suspect-message.h"
-#include "runtime/task.h"
+#include "runtime/clock.h"
 
 #include "suspect-notice.h"
 
--- a/daemons/front/suspect-notice.c
+++ b/daemons/front/suspect-notice.c
@@ -5,7 +5,7 @@
 
 #include "observer/observer.h"
 #include "forward/suspect-list.h"
-#include "runtime/task.h"
+#include "runtime/clock.h"
 
 /* What was met so shortly before a link counted as lost may not have reached the leader: a link counts as
  * lost 0.9 s after the last message on it, and whoever was asked is waited for 0.5 s. */
--- a/daemons/front/usage-reporter.c
+++ b/daemons/front/usage-reporter.c
@@ -5,7 +5,7 @@
 
 #include "runtime/log.h"
 #include "runtime/metrics.h"
-#include "runtime/task.h"
+#include "runtime/clock.h"
 
 /* Requests that are kept while no leader acknowledges them: some minutes of a busy front (60 requests a
  * second), about 100 bytes each.  The oldest are dropped, their windows are over. */
--- a/daemons/front/warmup-client.c
+++ b/daemons/front/warmup-client.c
@@ -3,7 +3,7 @@
  */
 #include "warmup-client.h"
 
-#include "runtime/task.h"
+#include "runtime/clock.h"
 
 /* Chosen: how often what is over is freed, so that workers that are gone keep no memory. */
 #define EXPIRE_MS 5000
--- a/daemons/replica/batch-answers.c
+++ b/daemons/replica/batch-answers.c
@@ -4,7 +4,7 @@
 #include "batch-answers.h"
 
 #include "runtime/log.h"
-#include "runtime/task.h"
+#include "runtime/clock.h"
 
 #include "platform.h"
 
--- a/daemons/replica/batch-calls.c
+++ b/daemons/replica/batch-calls.c
@@ -9,7 +9,7 @@
 #include <string.h>
 
 #include "runtime/log.h"
-#include "runtime/task.h"
+#include "runtime/clock.h"
 
 #include "batch-answers.h"
 #include "platform.h"
--- a/daemons/replica/batch-service.c
+++ b/daemons/replica/batch-service.c
@@ -6,7 +6,7 @@
 #include "runtime/log.h"
 #include "runtime/metrics.h"
 #include "runtime/packed-message.h"
-#include "runtime/task.h"
+#include "runtime/clock.h"
 
 #include "batch-answers.h"
 #include "step-demand.h"
--- a/daemons/replica/heartbeats.c
+++ b/daemons/replica/heartbeats.c
@@ -5,7 +5,7 @@
 
 #include "core/routing/heard-table.h"
 #include "runtime/log.h"
-#include "runtime/task.h"
+#include "runtime/clock.h"
 
 #define HEARTBEAT_MS 250
 /* Two heartbeats without an answer, and the way there and back. */
--- a/daemons/replica/ledger-asked.c
+++ b/daemons/replica/ledger-asked.c
@@ -6,7 +6,7 @@
 #include <stdlib.h>
 
 #include "runtime/log.h"
-#include "runtime/task.h"
+#include "runtime/clock.h"
 
 /* A link that nothing was asked on for so long is closed: three of the longest times between two questions of
  * one campaign. */
--- a/daemons/replica/ledger-campaigning.c
+++ b/daemons/replica/ledger-campaigning.c
@@ -4,7 +4,7 @@
 #include "ledger-node-private.h"
 
 #include "runtime/log.h"
-#include "runtime/task.h"
+#include "runtime/clock.h"
 
 /* Asks the members while there is something to ask; called again and again. */
 void
--- a/daemons/replica/ledger-node.c
+++ b/daemons/replica/ledger-node.c
@@ -8,7 +8,7 @@
 
 #include "runtime/log.h"
 #include "runtime/packed-message.h"
-#include "runtime/task.h"
+#include "runtime/clock.h"
 
 #define TICK_MS 150
 /* A leader whose backups do not answer asks the metadata store whether it still leads. */
--- a/daemons/replica/ledger-replication.c
+++ b/daemons/replica/ledger-replication.c
@@ -8,7 +8,7 @@
 
 #include "runtime/log.h"
 #include "runtime/packed-message.h"
-#include "runtime/task.h"
+#include "runtime/clock.h"
 
 /* Records of one message, and a link that has not connected by then is tried anew. */
 #define CHUNK_BYTES (512 * 1024)
--- a/daemons/replica/ledger-succession.c
+++ b/daemons/replica/ledger-succession.c
@@ -5,7 +5,7 @@
 
 #include "runtime/log.h"
 #include "runtime/metrics.h"
-#include "runtime/task.h"
+#include "runtime/clock.h"
 
 /* A replica that hears no leader asks the members so often: the next leader is found within half the silence
  * after which members elect one, and asks two small messages a member. */
--- a/daemons/replica/ledger-views.c
+++ b/daemons/replica/ledger-views.c
@@ -5,7 +5,7 @@
 
 #include "runtime/log.h"
 #include "observer/observer.h"
-#include "runtime/task.h"
+#include "runtime/clock.h"
 
 static void
 take_view_read_at (QuinceLedgerNode *node, GBytes *value, guint64 revision, gint64 asked_us)
--- a/daemons/replica/progress-file.c
+++ b/daemons/replica/progress-file.c
@@ -8,7 +8,7 @@
 #include "progress-file.h"
 
 #include <glib/gstdio.h>
-#include "runtime/task.h"
+#include "runtime/clock.h"
 
 #include <errno.h>
 #include <fcntl.h>
--- a/daemons/replica/quarantine-desk.c
+++ b/daemons/replica/quarantine-desk.c
@@ -9,7 +9,7 @@
 #include "runtime/log.h"
 #include "forward/suspect-list.h"
 #include "forward/suspect-message.h"
-#include "runtime/task.h"
+#include "runtime/clock.h"
 
 #include "quarantine-keys.h"
 
--- a/daemons/replica/quarantine-keys.c
+++ b/daemons/replica/quarantine-keys.c
@@ -5,7 +5,7 @@
 
 #include "observer/observer.h"
 #include "forward/suspect-entry.h"
-#include "runtime/task.h"
+#include "runtime/clock.h"
 
 /* Between two tries of a write while the store fails: each call is paid for.  Chosen as in meta-presence.c.
  */
--- a/daemons/replica/replica.c
+++ b/daemons/replica/replica.c
@@ -13,7 +13,7 @@
 #include "runtime/program.h"
 #include "forward/residency-lookup.h"
 #include "runtime/suspension.h"
-#include "runtime/task.h"
+#include "runtime/clock.h"
 #include "http1/text-server.h"
 
 #include "batch-service.h"
--- a/daemons/replica/residency-desk.c
+++ b/daemons/replica/residency-desk.c
@@ -10,7 +10,7 @@
 #include "core/routing/machine-places.h"
 #include "runtime/metrics.h"
 #include "forward/residency-lookup.h"
-#include "runtime/task.h"
+#include "runtime/clock.h"
 
 /* A place that the store did not take is written again after this: few calls while it is away. */
 #define WRITE_AGAIN_US (2 * G_USEC_PER_SEC)
--- a/daemons/replica/sample-dispatch.c
+++ b/daemons/replica/sample-dispatch.c
@@ -6,7 +6,7 @@
 #include "runtime/log.h"
 #include "forward/residency-lookup.h"
 #include "core/batches/sample-plan.h"
-#include "runtime/task.h"
+#include "runtime/clock.h"
 
 #include "sample-runner-private.h"
 
--- a/daemons/replica/sample-outcome.c
+++ b/daemons/replica/sample-outcome.c
@@ -3,7 +3,7 @@
  */
 #include "runtime/log.h"
 #include "runtime/metrics.h"
-#include "runtime/task.h"
+#include "runtime/clock.h"
 
 #include "sample-runner-private.h"
 
--- a/daemons/replica/sample-runner.c
+++ b/daemons/replica/sample-runner.c
@@ -10,7 +10,7 @@
 
 #include "runtime/log.h"
 #include "forward/residency-lookup.h"
-#include "runtime/task.h"
+#include "runtime/clock.h"
 #include "core/duties/scale-plan.h"
 
 #define PUMP_EVERY_MS 100
--- a/daemons/replica/sample.c
+++ b/daemons/replica/sample.c
@@ -8,7 +8,7 @@
 
 #include "runtime/log.h"
 #include "core/batches/sample-plan.h"
-#include "runtime/task.h"
+#include "runtime/clock.h"
 
 /* A run's silence is looked at so often; how much of it is borne changes with the worker's pace. */
 #define SILENCE_LOOK_MS 300
--- a/daemons/replica/step-demand.c
+++ b/daemons/replica/step-demand.c
@@ -4,7 +4,7 @@
 #include "step-demand.h"
 
 #include "runtime/metrics.h"
-#include "runtime/task.h"
+#include "runtime/clock.h"
 
 #include "platform.h"
 
--- a/daemons/replica/usage-duty.c
+++ b/daemons/replica/usage-duty.c
@@ -7,7 +7,7 @@
 #include "http1/http-client.h"
 #include "runtime/log.h"
 #include "runtime/metrics.h"
-#include "runtime/task.h"
+#include "runtime/clock.h"
 #include "core/duties/usage-book.h"
 
 #include "platform.h"
--- a/daemons/replica/warmup-desk.c
+++ b/daemons/replica/warmup-desk.c
@@ -4,7 +4,7 @@
 #include "warmup-desk.h"
 
 #include "runtime/log.h"
-#include "runtime/task.h"
+#include "runtime/clock.h"
 
 /* Chosen: how often what is over is freed, so that workers that are gone keep no memory. */
 #define EXPIRE_US (5 * G_USEC_PER_SEC)
--- a/daemons/replica/weight-load.c
+++ b/daemons/replica/weight-load.c
@@ -8,7 +8,7 @@
 
 #include "runtime/log.h"
 #include "runtime/metrics.h"
-#include "runtime/task.h"
+#include "runtime/clock.h"
 
 #include "platform.h"
 
--- a/daemons/replica/weight-orders.c
+++ b/daemons/replica/weight-orders.c
@@ -9,7 +9,7 @@
 #include "core/weights/load-window.h"
 #include "runtime/log.h"
 #include "runtime/metrics.h"
-#include "runtime/task.h"
+#include "runtime/clock.h"
 
 #include "weight-load.h"
 
--- a/lib/clients/kv-watch.c
+++ b/lib/clients/kv-watch.c
@@ -11,7 +11,7 @@
 #include "clients/kv-client.h"
 
 #include "runtime/log.h"
-#include "runtime/task.h"
+#include "runtime/clock.h"
 
 #include "kv-call.h"
 #include "kv-internal.h"
--- a/lib/forward/dispatch.c
+++ b/lib/forward/dispatch.c
@@ -4,7 +4,7 @@
 #include "dispatch.h"
 
 #include "runtime/log.h"
-#include "runtime/task.h"
+#include "runtime/clock.h"
 
 /* A request waits at least so long for leave: more than a check of a worker and a run of a lookup take. */
 #define WAIT_MIN_US (200 * 1000)
--- a/lib/forward/evacuation.c
+++ b/lib/forward/evacuation.c
@@ -8,7 +8,7 @@
 #include <math.h>
 
 #include "runtime/log.h"
-#include "runtime/task.h"
+#include "runtime/clock.h"
 
 #include "backends-private.h"
 
--- a/lib/forward/send-guard.c
+++ b/lib/forward/send-guard.c
@@ -2,7 +2,7 @@
  * send-guard.c: whether a request may be sent to a worker.
  */
 #include "runtime/log.h"
-#include "runtime/task.h"
+#include "runtime/clock.h"
 
 #include "send-guard-private.h"
 #include "worker-check.h"
--- a/lib/forward/stream.c
+++ b/lib/forward/stream.c
@@ -5,7 +5,7 @@
 
 #include "runtime/log.h"
 #include "runtime/metrics.h"
-#include "runtime/task.h"
+#include "runtime/clock.h"
 
 #include "dispatch.h"
 
--- a/lib/forward/warmth.c
+++ b/lib/forward/warmth.c
@@ -7,7 +7,7 @@
 #include "backends-private.h"
 
 #include "runtime/log.h"
-#include "runtime/task.h"
+#include "runtime/clock.h"
 
 /* How often in a second all slots of a warm worker may be filled.  Chosen: far above what samples of
  * 0.3 s and longer need. */
--- a/lib/forward/warmup-sends.c
+++ b/lib/forward/warmup-sends.c
@@ -5,7 +5,7 @@
 
 #include "runtime/log.h"
 #include "runtime/metrics.h"
-#include "runtime/task.h"
+#include "runtime/clock.h"
 
 /* An ask that got no answer is made again after it: its giver is frozen or gone. */
 #define ASK_PATIENCE_US (300 * 1000)
--- a/lib/forward/worker-check.c
+++ b/lib/forward/worker-check.c
@@ -4,7 +4,7 @@
 #include "worker-check.h"
 
 #include "http1/http1.h"
-#include "runtime/task.h"
+#include "runtime/clock.h"
 
 /* A dead port refuses within a round trip, 6 ms at most between the users' zones; requests wait meanwhile. */
 #define PATIENCE_MS 150
--- a/lib/http1/http-acceptor.c
+++ b/lib/http1/http-acceptor.c
@@ -6,7 +6,7 @@
 #include "runtime/link.h"
 #include "runtime/listen-filter.h"
 #include "runtime/log.h"
-#include "runtime/task.h"
+#include "runtime/clock.h"
 
 #define BACKLOG 512
 /* Connections taken in one turn of the loop. */
--- a/lib/http1/http-connection.c
+++ b/lib/http1/http-connection.c
@@ -16,7 +16,7 @@
 #include <http_parser.h>
 
 #include "runtime/link.h"
-#include "runtime/task.h"
+#include "runtime/clock.h"
 
 #define READ_BYTES (32 * 1024)
 #define FINISH_MS 2000
--- a/lib/http1/http-pool.c
+++ b/lib/http1/http-pool.c
@@ -6,7 +6,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "runtime/task.h"
+#include "runtime/clock.h"
 
 /* An idle connection is used again only while this part of the time that its server announced is left. */
 #define KEEP_ALIVE_USABLE 0.8
--- a/lib/meta/meta-mirror.c
+++ b/lib/meta/meta-mirror.c
@@ -4,7 +4,7 @@
 #include <string.h>
 
 #include "runtime/log.h"
-#include "runtime/task.h"
+#include "runtime/clock.h"
 
 #include "meta-copy.h"
 #include "meta-private.h"
--- a/lib/meta/meta-presence.c
+++ b/lib/meta/meta-presence.c
@@ -2,7 +2,7 @@
  * meta-presence.c: one key under a lease that this process renews.
  */
 #include "runtime/log.h"
-#include "runtime/task.h"
+#include "runtime/clock.h"
 
 #include "meta-private.h"
 
--- a/lib/observer/belief-feed.c
+++ b/lib/observer/belief-feed.c
@@ -4,7 +4,7 @@
 #include "observer/belief-feed.h"
 
 #include "runtime/packed-message.h"
-#include "runtime/task.h"
+#include "runtime/clock.h"
 
 #include "platform.h"
 
--- a/lib/observer/observer-feed.c
+++ b/lib/observer/observer-feed.c
@@ -3,7 +3,7 @@
  * this process has, for others.
  */
 #include "runtime/log.h"
-#include "runtime/task.h"
+#include "runtime/clock.h"
 
 #include "observer-private.h"
 #include "platform.h"
--- a/lib/observer/observer-operator.c
+++ b/lib/observer/observer-operator.c
@@ -5,7 +5,7 @@
 
 #include "runtime/log.h"
 #include "forward/residency-lookup.h"
-#include "runtime/task.h"
+#include "runtime/clock.h"
 
 #include "observer-private.h"
 #include "platform.h"
--- a/lib/observer/observer.c
+++ b/lib/observer/observer.c
@@ -7,7 +7,7 @@
 #include "runtime/log.h"
 #include "runtime/metrics.h"
 #include "forward/policy-entry.h"
-#include "runtime/task.h"
+#include "runtime/clock.h"
 
 #include "observer-private.h"
 #include "platform.h"
--- a/lib/runtime/http-listener.c
+++ b/lib/runtime/http-listener.c
@@ -14,7 +14,7 @@
 #include <string.h>
 
 #include "runtime/link.h"
-#include "runtime/task.h"
+#include "runtime/clock.h"
 
 #define LISTEN_BACKLOG 4096
 /* Connections accepted before other sources of the context get their turn. */
--- a/lib/runtime/http.c
+++ b/lib/runtime/http.c
@@ -7,7 +7,7 @@
 #include <sys/socket.h>
 
 #include "runtime/link.h"
-#include "runtime/task.h"
+#include "runtime/clock.h"
 
 G_DEFINE_QUARK (quince - http - error - quark, quince_http_error)
 
--- a/lib/runtime/link.c
+++ b/lib/runtime/link.c
@@ -14,7 +14,7 @@
 #include <string.h>
 
 #include "runtime/packed-message.h"
-#include "runtime/task.h"
+#include "runtime/clock.h"
 
 #define FRAME_HEADER_BYTES 4
 /* Read at once.  A read is always under way, so each link holds as much: 5 MB at a leader of 300 machines. */
--- a/lib/runtime/suspension.c
+++ b/lib/runtime/suspension.c
@@ -4,7 +4,7 @@
 #include "runtime/suspension.h"
 
 #include "runtime/log.h"
-#include "runtime/task.h"
+#include "runtime/clock.h"
 
 /* A suspension shorter than this is like a busy machine: every bound of the product allows for more.  It is
  * far above what two readings of clocks lie apart. */
--- a/rehearsal/kv-watch.c
+++ b/rehearsal/kv-watch.c
@@ -7,7 +7,7 @@
 #include <string.h>
 
 #include "runtime/http.h"
-#include "runtime/task.h"
+#include "runtime/clock.h"
 
 #define MAX_WATCHES 10000
 
--- a/rehearsal/kv.c
+++ b/rehearsal/kv.c
@@ -8,7 +8,7 @@
 
 #include "runtime/http.h"
 #include "runtime/log.h"
-#include "runtime/task.h"
+#include "runtime/clock.h"
 
 #include "standins.h"
 
--- a/rehearsal/standin.c
+++ b/rehearsal/standin.c
@@ -12,7 +12,7 @@
 #include "runtime/http-listener.h"
 #include "runtime/http.h"
 #include "runtime/log.h"
-#include "runtime/task.h"
+#include "runtime/clock.h"
 
 struct _QuinceStandin
 {
--- a/tests/platform/test-evacuation.c
+++ b/tests/platform/test-evacuation.c
@@ -3,7 +3,7 @@
  * what of it is given up, and how the zone comes back.
  */
 #include "forward/forward.h"
-#include "runtime/task.h"
+#include "runtime/clock.h"
 
 #include <string.h>
 
--- a/tests/platform/test-forward.c
+++ b/tests/platform/test-forward.c
@@ -3,7 +3,7 @@
  * failed.
  */
 #include "forward/forward.h"
-#include "runtime/task.h"
+#include "runtime/clock.h"
 
 #include <string.h>
 
--- a/tests/platform/test-freshness.c
+++ b/tests/platform/test-freshness.c
@@ -10,7 +10,7 @@
 #include <string.h>
 
 #include "runtime/link.h"
-#include "runtime/task.h"
+#include "runtime/clock.h"
 
 #include "await.h"
 #include "platform.h"
--- a/tests/platform/test-http-pool.c
+++ b/tests/platform/test-http-pool.c
@@ -2,7 +2,7 @@
  * test-http-pool.c: exchanges on kept connections, against a server that misbehaves byte by byte.
  */
 #include "http1/http-client.h"
-#include "runtime/task.h"
+#include "runtime/clock.h"
 
 #include <string.h>
 
--- a/tests/platform/test-size.c
+++ b/tests/platform/test-size.c
@@ -7,7 +7,7 @@
 #include <time.h>
 
 #include "runtime/link.h"
-#include "runtime/task.h"
+#include "runtime/clock.h"
 
 #include "await.h"
 #include "platform.h"
--- a/tests/platform/test-warmth.c
+++ b/tests/platform/test-warmth.c
@@ -3,7 +3,7 @@
  * request is told where only cold ones are left.
  */
 #include "forward/backends.h"
-#include "runtime/task.h"
+#include "runtime/clock.h"
 
 #include "await.h"
 
--- a/tests/unit/test-runtime.c
+++ b/tests/unit/test-runtime.c
@@ -1,5 +1,5 @@
 /*
- * test-runtime.c: settings, codec, request ids, mailboxes and links.
+ * test-runtime.c: settings, codec, request ids and links.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -16,7 +16,7 @@
 #include "runtime/log.h"
 #include "protocol/request-id.h"
 #include "runtime/settings.h"
-#include "runtime/task.h"
+#include "runtime/clock.h"
 
 /* ---- Settings ---------------------------------------------------------- */
 
@@ -206,7 +206,7 @@
     }
 }
 
-/* ---- Tasks and links --------------------------------------------------- */
+/* ---- Links ------------------------------------------------------------- */
 
 /* Turns the default context until @condition; the bound is far above need. */
 #define WAIT_UNTIL(condition)                                                                                \
@@ -220,70 +220,6 @@
   }                                                                                                          \
   G_STMT_END
 
-typedef struct
-{
-  QuinceMailbox *inbox; /* of the task */
-  QuinceMailbox *reply; /* of the test */
-  guint handled;
-  guint drains;
-  guint replies;
-} Echo;
-
-static void
-echo_handle (gpointer message, gpointer user_data)
-{
-  Echo *echo = user_data;
-  echo->handled++;
-  quince_mailbox_post (echo->reply, message);
-}
-
-static void
-echo_drained (gpointer user_data)
-{
-  ((Echo *)user_data)->drains++;
-}
-
-static void
-echo_setup (gpointer user_data)
-{
-  Echo *echo = user_data;
-  QuinceMailbox *inbox
-      = quince_mailbox_new (g_main_context_get_thread_default (), echo_handle, g_free, echo_drained, echo);
-  g_atomic_pointer_set (&echo->inbox, inbox);
-}
-
-static void
-echo_teardown (gpointer user_data)
-{
-  quince_mailbox_close (((Echo *)user_data)->inbox);
-}
-
-static void
-reply_handle (gpointer message, gpointer user_data)
-{
-  g_free (message);
-  ((Echo *)user_data)->replies++;
-}
-
-static void
-test_task_mailbox (void **state)
-{
-  Echo echo = { 0 };
-  echo.reply = quince_mailbox_new (NULL, reply_handle, g_free, NULL, &echo);
-  QuinceTask *task = quince_task_start ("echo", echo_setup, echo_teardown, &echo);
-  WAIT_UNTIL (g_atomic_pointer_get (&echo.inbox) != NULL);
-  for (guint i = 0; i < 1000; i++)
-    quince_mailbox_post (echo.inbox, g_strdup ("x"));
-  WAIT_UNTIL (echo.replies == 1000);
-  quince_task_stop (task);
-  assert_int_equal (echo.handled, 1000);
-  assert_true (echo.drains >= 1);
-  quince_mailbox_post (echo.inbox, g_strdup ("late"));
-  quince_mailbox_unref (echo.inbox);
-  quince_mailbox_close (echo.reply);
-  quince_mailbox_unref (echo.reply);
-}
-
 typedef struct
 {
   QuinceLink *accepted;
@@ -469,7 +405,6 @@
     cmocka_unit_test (test_codec_empty_replies),
     cmocka_unit_test (test_request_id),
     cmocka_unit_test (test_log_quote),
-    cmocka_unit_test (test_task_mailbox),
     cmocka_unit_test (test_link_echo),
     cmocka_unit_test (test_link_malformed),
     cmocka_unit_test (test_link_refused),
