--- a/daemons/front/directory.c
+++ b/daemons/front/directory.c
@@ -13,20 +13,20 @@
 
 #include "runtime/log.h"
 
-#define VANISHED_KEEP_US (4 * G_USEC_PER_SEC)
+#define REMOVED_KEEP_US (4 * G_USEC_PER_SEC)
 /* What a leader said of silent fronts holds so long; it says it several times a second. */
 #define SILENT_KEEP_US (5 * G_USEC_PER_SEC)
 #define ANSWERS_MAX 64
 #define SEPARATOR " "
-#define WORD_LEAVING "leaving"
-#define WORD_SERVING "serving"
+#define STATE_LEAVING "leaving"
+#define STATE_SERVING "serving"
 
 typedef struct
 {
   char *name;
   char *address;
   char *zone;
-  gint64 vanished_us; /* 0: its key is there */
+  gint64 removed_us; /* 0: its key is there */
 } Front;
 
 struct _QuinceDirectory
@@ -84,12 +84,12 @@
 GBytes *
 quince_directory_format_entry (const char *address, const char *zone, gboolean leaving)
 {
-  char *text = g_strjoin (SEPARATOR, leaving ? WORD_LEAVING : WORD_SERVING, address, zone, NULL);
+  char *text = g_strjoin (SEPARATOR, leaving ? STATE_LEAVING : STATE_SERVING, address, zone, NULL);
   return g_bytes_new_take (text, strlen (text));
 }
 
 static void
-front_vanished (QuinceDirectory *directory, gint64 now_us, const char *name, gboolean may_be_lapse)
+front_removed (QuinceDirectory *directory, gint64 now_us, const char *name, gboolean may_be_lapse)
 {
   if (!may_be_lapse)
     {
@@ -97,8 +97,8 @@
       return;
     }
   Front *front = g_hash_table_lookup (directory->fronts, name);
-  if (front != NULL && front->vanished_us == 0)
-    front->vanished_us = now_us;
+  if (front != NULL && front->removed_us == 0)
+    front->removed_us = now_us;
 }
 
 void
@@ -112,7 +112,7 @@
     return;
   if (entry == NULL)
     {
-      front_vanished (directory, now_us, name, may_be_lapse);
+      front_removed (directory, now_us, name, may_be_lapse);
       return;
     }
   g_autofree char *text = g_strndup (g_bytes_get_data (entry, NULL), g_bytes_get_size (entry));
@@ -120,7 +120,7 @@
   if (g_strv_length (words) != 3)
     return;
   quince_log_info ("front_changed", "front=%s state=%s", name, words[0]);
-  if (g_str_equal (words[0], WORD_LEAVING))
+  if (g_str_equal (words[0], STATE_LEAVING))
     {
       g_hash_table_remove (directory->fronts, name);
       return;
@@ -133,7 +133,7 @@
 }
 
 static void
-forget_vanished (QuinceDirectory *directory, gint64 now_us)
+forget_removed (QuinceDirectory *directory, gint64 now_us)
 {
   GHashTableIter iter;
   gpointer value;
@@ -141,7 +141,7 @@
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
       const Front *front = value;
-      if (front->vanished_us != 0 && now_us - front->vanished_us > VANISHED_KEEP_US)
+      if (front->removed_us != 0 && now_us - front->removed_us > REMOVED_KEEP_US)
         g_hash_table_iter_remove (&iter);
     }
 }
@@ -206,7 +206,7 @@
 char **
 quince_directory_list (QuinceDirectory *directory, gint64 now_us, const char *zone, const char *region)
 {
-  forget_vanished (directory, now_us);
+  forget_removed (directory, now_us);
   if ((region == NULL || *region == '\0') && zone != NULL)
     region = quince_topology_get_region (directory->topology, zone);
   g_autoptr (GPtrArray) found = g_ptr_array_new ();
@@ -224,6 +224,6 @@
 guint
 quince_directory_get_size (QuinceDirectory *directory, gint64 now_us)
 {
-  forget_vanished (directory, now_us);
+  forget_removed (directory, now_us);
   return g_hash_table_size (directory->fronts) + (directory->serving ? 1 : 0);
 }
--- a/daemons/front/front.c
+++ b/daemons/front/front.c
@@ -5,7 +5,7 @@
 
 #include <string.h>
 
-#include "observer/belief-feed.h"
+#include "observer/store-feed.h"
 #include "runtime/link.h"
 #include "runtime/log.h"
 #include "runtime/metrics.h"
@@ -56,8 +56,8 @@
       quince_directory_take_entry (front->directory, now, key + strlen (QUINCE_FRONTS_PREFIX), value,
                                    quince_observer_may_have_lapsed (front->observer, now));
     }
-  else if (g_str_has_prefix (key, QUINCE_PLACES_PREFIX))
-    quince_residency_check_take_place (front, key + strlen (QUINCE_PLACES_PREFIX), value);
+  else if (g_str_has_prefix (key, QUINCE_MACHINE_ZONES_PREFIX))
+    quince_residency_check_take_place (front, key + strlen (QUINCE_MACHINE_ZONES_PREFIX), value);
   else if (g_str_has_prefix (key, QUINCE_QUARANTINE_PREFIX))
     quince_quarantine_client_take_key (front->quarantine, key + strlen (QUINCE_QUARANTINE_PREFIX), value);
   else if (g_str_has_prefix (key, QUINCE_SUSPECTS_PREFIX))
@@ -79,7 +79,7 @@
   if (front->unasked == NULL || !quince_observer_is_synced (front->observer))
     return;
   quince_source_clear (&front->ask_timer);
-  quince_belief_feed_ask (front->observer, front->unasked);
+  quince_store_feed_subscribe (front->observer, front->unasked);
   g_clear_pointer (&front->unasked, quince_link_unref);
 }
 
@@ -88,7 +88,7 @@
 {
   QuinceFront *front = data;
   quince_source_clear (&front->ask_timer);
-  quince_belief_feed_ask (front->observer, front->unasked);
+  quince_store_feed_subscribe (front->observer, front->unasked);
   g_clear_pointer (&front->unasked, quince_link_unref);
   return G_SOURCE_REMOVE;
 }
@@ -144,8 +144,8 @@
   quince_observer_feeder_alive (front->observer);
   if (quince_quarantine_client_take (front->quarantine, message))
     return;
-  if (message->kind == QUINCE_MESSAGE_BELIEF_NEWS)
-    quince_belief_feed_take (front->observer, &message->QuinceMessage_u.belief_news);
+  if (message->kind == QUINCE_MESSAGE_FEED_UPDATE)
+    quince_store_feed_apply (front->observer, &message->QuinceMessage_u.feed_update);
   else if (message->kind == QUINCE_MESSAGE_HEARTBEAT)
     take_heartbeat (front, link, &message->QuinceMessage_u.heartbeat);
   else if (message->kind == QUINCE_MESSAGE_USAGE_ACK)
@@ -337,7 +337,7 @@
   const char *address = quince_http_acceptor_get_address (front->callers_acceptor);
   front->directory
       = quince_directory_new (front->name, address, quince_backends_get_topology (front->backends));
-  front->places = quince_machine_places_new (quince_backends_get_topology (front->backends));
+  front->zones = quince_machine_zones_new (quince_backends_get_topology (front->backends));
   front->store = quince_meta_store_new (quince_settings_get_text (settings, "store", "address"),
                                         &quince_platform_meta_dialect);
   QuinceObserverOptions options;
@@ -455,7 +455,7 @@
   quince_quarantine_client_set_store (front->quarantine, NULL, 0);
   quince_meta_store_free (front->store);
   quince_directory_free (front->directory);
-  quince_machine_places_free (front->places);
+  quince_machine_zones_free (front->zones);
   quince_ledger_caller_free (front->ledger);
   quince_usage_reporter_free (front->usage);
   quince_quarantine_client_free (front->quarantine);
--- a/daemons/front/front.h
+++ b/daemons/front/front.h
@@ -6,7 +6,7 @@
 #include "forward/backends.h"
 #include "http1/http1.h"
 #include "runtime/link.h"
-#include "core/routing/machine-places.h"
+#include "core/routing/machine-zones.h"
 #include "observer/observer.h"
 #include "runtime/settings.h"
 #include "runtime/suspension.h"
@@ -30,7 +30,7 @@
   QuinceObserver *observer;
   QuinceMetaPresence *presence;
   QuinceDirectory *directory;
-  QuinceMachinePlaces *places; /* of replicas */
+  QuinceMachineZones *zones; /* of replicas */
   QuinceLedgerCaller *ledger;
   QuinceUsageReporter *usage;
   QuinceQuarantineClient *quarantine;
--- a/daemons/front/leader-search.c
+++ b/daemons/front/leader-search.c
@@ -23,7 +23,7 @@
   QuinceLeaderFound found;
   gpointer user_data;
   QuinceLedgerView *view; /* NULL: nobody can be asked */
-  gint64 heard_us;        /* when the leader was last heard */
+  gint64 contact_us;      /* when the leader was last heard */
   gboolean doubted;       /* it answers that it can't, and another one may lead */
   guint ask_ms;           /* until the next question */
   guint next;             /* member to ask */
@@ -70,8 +70,8 @@
 static void
 ask (QuinceLeaderSearch *search, const QuinceLedgerMember *member)
 {
-  QuinceMessage message = { .kind = QUINCE_MESSAGE_LEDGER_LOOK };
-  message.QuinceMessage_u.ledger_look.epoch = search->view->epoch;
+  QuinceMessage message = { .kind = QUINCE_MESSAGE_LEDGER_QUERY };
+  message.QuinceMessage_u.ledger_query.epoch = search->view->epoch;
   search->link = quince_link_connect (member->address, &link_callbacks, search);
   quince_link_send (search->link, &message);
 }
@@ -82,7 +82,7 @@
   QuinceLeaderSearch *search = data;
   quince_source_clear (&search->timer);
   drop_link (search);
-  gboolean silent = search->doubted || quince_now_us () - search->heard_us >= SILENCE_US;
+  gboolean silent = search->doubted || quince_now_us () - search->contact_us >= SILENCE_US;
   if (silent && search->view != NULL && search->view->members.members_len > 0)
     {
       ask (search, &search->view->members.members_val[search->next % search->view->members.members_len]);
@@ -99,7 +99,7 @@
   QuinceLeaderSearch *search = g_new0 (QuinceLeaderSearch, 1);
   search->found = found;
   search->user_data = user_data;
-  search->heard_us = quince_now_us ();
+  search->contact_us = quince_now_us ();
   search->ask_ms = ASK_FIRST_MS;
   search->timer = quince_timer_add (search->ask_ms, ask_next, search);
   return search;
@@ -122,13 +122,13 @@
   g_clear_pointer (&search->view, quince_ledger_view_free);
   search->view = quince_ledger_view_copy (view);
   search->doubted = FALSE;
-  quince_leader_search_heard (search);
+  quince_leader_search_note_contact (search);
 }
 
 void
-quince_leader_search_heard (QuinceLeaderSearch *search)
+quince_leader_search_note_contact (QuinceLeaderSearch *search)
 {
-  search->heard_us = quince_now_us ();
+  search->contact_us = quince_now_us ();
   if (!search->doubted)
     search->ask_ms = ASK_FIRST_MS;
 }
--- a/daemons/front/ledger-caller.c
+++ b/daemons/front/ledger-caller.c
@@ -132,7 +132,7 @@
 link_message (QuinceLink *link, QuinceMessage *message, gpointer data)
 {
   QuinceLedgerCaller *caller = data;
-  quince_leader_search_heard (caller->search);
+  quince_leader_search_note_contact (caller->search);
   if (message->kind == QUINCE_MESSAGE_SERVICE_REPLY)
     {
       const QuinceServiceReply *reply = &message->QuinceMessage_u.service_reply;
--- a/daemons/front/quarantine-client.c
+++ b/daemons/front/quarantine-client.c
@@ -21,9 +21,9 @@
   /* All fields belong to the main context. */
   QuinceSendGuard *guard;
   char *name;
-  QuinceLink *link; /* owned (nullable): to the leader */
-  gint64 heard_us;  /* when the leader was */
-  GSource *watch;   /* (nullable): whether the leader is heard after it was told of an end */
+  QuinceLink *link;  /* owned (nullable): to the leader */
+  gint64 contact_us; /* when the leader was */
+  GSource *watch;    /* (nullable): whether the leader is heard after it was told of an end */
   QuinceSuspectNotice *notice;
   gboolean noticed; /* what is known stands in the store, and the leader may not know it */
 };
@@ -37,7 +37,7 @@
 static gboolean
 is_reached (const QuinceQuarantineClient *client)
 {
-  return is_linked (client) && quince_now_us () - client->heard_us < SILENCE_MS * 1000;
+  return is_linked (client) && quince_now_us () - client->contact_us < SILENCE_MS * 1000;
 }
 
 static void
@@ -122,9 +122,9 @@
 
 /* The leader is heard: what it may not know is told, and stands in the store no more. */
 static void
-note_heard (QuinceQuarantineClient *client)
+note_contact (QuinceQuarantineClient *client)
 {
-  client->heard_us = quince_now_us ();
+  client->contact_us = quince_now_us ();
   if (!client->noticed)
     return;
   client->noticed = FALSE;
@@ -198,31 +198,31 @@
 quince_quarantine_client_linked (QuinceQuarantineClient *client, QuinceLink *leader)
 {
   g_clear_pointer (&client->link, quince_link_unref);
-  quince_send_guard_forget_asked (client->guard);
+  quince_send_guard_forget_requested (client->guard);
   client->link = quince_link_ref (leader);
   client->noticed = TRUE;
-  note_heard (client);
+  note_contact (client);
 }
 
 void
 quince_quarantine_client_unlinked (QuinceQuarantineClient *client)
 {
   g_clear_pointer (&client->link, quince_link_unref);
-  quince_send_guard_forget_asked (client->guard);
+  quince_send_guard_forget_requested (client->guard);
   begin_notice (client);
 }
 
 static void
-note_told (QuinceQuarantineClient *client, gint64 now_us, const GArray *changed)
+forward_reports (QuinceQuarantineClient *client, gint64 now_us, const GArray *changed)
 {
   for (guint i = 0; i < changed->len; i++)
-    quince_send_guard_note_told (client->guard, now_us, &g_array_index (changed, QuinceRequestDigest, i));
+    quince_send_guard_note_report (client->guard, now_us, &g_array_index (changed, QuinceRequestDigest, i));
 }
 
 gboolean
 quince_quarantine_client_take (QuinceQuarantineClient *client, const QuinceMessage *message)
 {
-  note_heard (client);
+  note_contact (client);
   if (message->kind == QUINCE_MESSAGE_PERMIT_ANSWER)
     {
       const QuincePermitAnswer *answer = &message->QuinceMessage_u.permit_answer;
@@ -238,7 +238,7 @@
   g_autoptr (GArray) gone = g_array_new (FALSE, FALSE, sizeof (QuinceSuspectCleared));
   quince_suspect_news_take (quince_send_guard_get_quarantine (client->guard), now,
                             &message->QuinceMessage_u.suspect_news, changed, gone);
-  note_told (client, now, changed);
+  forward_reports (client, now, changed);
   return TRUE;
 }
 
@@ -251,7 +251,7 @@
   g_autoptr (GArray) changed = g_array_new (FALSE, FALSE, sizeof (QuinceRequestDigest));
   quince_suspect_list_take (quince_send_guard_get_quarantine (client->guard), now, quince_wall_ms (), front,
                             value, changed);
-  note_told (client, now, changed);
+  forward_reports (client, now, changed);
 }
 
 void
--- a/daemons/front/residency-check.c
+++ b/daemons/front/residency-check.c
@@ -10,7 +10,7 @@
 {
   g_autofree char *zone
       = value != NULL ? g_strndup (g_bytes_get_data (value, NULL), g_bytes_get_size (value)) : NULL;
-  quince_machine_places_set (front->places, node, zone);
+  quince_machine_zones_set (front->zones, node, zone);
 }
 
 static void
@@ -44,7 +44,7 @@
     return TRUE;
   const QuinceLedgerView *view = quince_ledger_caller_get_view (front->ledger);
   for (guint i = 0; view != NULL && i < view->members.members_len; i++)
-    if (!quince_machine_places_allow (front->places, &residency, view->members.members_val[i].node))
+    if (!quince_machine_zones_allow (front->zones, &residency, view->members.members_val[i].node))
       return FALSE;
   return view != NULL;
 }
--- a/daemons/front/suspect-notice.c
+++ b/daemons/front/suspect-notice.c
@@ -130,7 +130,7 @@
   for (guint i = 0; i < all->len; i++)
     {
       const QuinceSuspect *suspect = all->pdata[i];
-      if (suspect->told_by == NULL && now_us - suspect->ended_us < UNTOLD_US)
+      if (suspect->reported_by == NULL && now_us - suspect->ended_us < UNTOLD_US)
         add_digest (notice, &suspect->digest);
     }
   if (notice->digests->len > 0)
--- a/daemons/front/usage-reporter.c
+++ b/daemons/front/usage-reporter.c
@@ -11,7 +11,7 @@
  * second), about 100 bytes each.  The oldest are dropped, their windows are over. */
 #define KEPT_MAX 20000
 /* In one message: some 100 KB.  The rest follows once these are acknowledged. */
-#define TOLD_AT_ONCE_MAX 2000
+#define REPORT_EVENTS_MAX 2000
 
 /* Unacknowledged requests are sent again after this time: the leader writes to its log every 0.2 s. */
 #define REMIND_US (1000 * 1000)
@@ -28,9 +28,9 @@
   /* All fields belong to the main context. */
   guint64 source; /* random: tells the starts of all fronts apart */
   guint64 last_sequence;
-  GQueue events;    /* Event, owned: not acknowledged, the oldest first */
-  QuinceLink *link; /* owned (nullable): to the leader */
-  gint64 told_us;   /* when all events were told, or one was acknowledged, the last time */
+  GQueue events;      /* Event, owned: not acknowledged, the oldest first */
+  QuinceLink *link;   /* owned (nullable): to the leader */
+  gint64 reported_us; /* when all events were told, or one was acknowledged, the last time */
 };
 
 static void
@@ -65,20 +65,20 @@
 send_from (QuinceUsageReporter *reporter, GList *first)
 {
   gint64 now = quince_now_us ();
-  g_autoptr (GArray) told = g_array_new (FALSE, FALSE, sizeof (QuinceUsageTold));
-  for (GList *at = first; at != NULL && told->len < TOLD_AT_ONCE_MAX; at = at->next)
+  g_autoptr (GArray) told = g_array_new (FALSE, FALSE, sizeof (QuinceUsageStart));
+  for (GList *at = first; at != NULL && told->len < REPORT_EVENTS_MAX; at = at->next)
     {
       const Event *event = at->data;
-      QuinceUsageTold wire = { .sequence = event->sequence,
-                               .tenant = event->tenant,
-                               .age_ms = (u_quad_t)MAX (now - event->begun_us, 0) / 1000 };
+      QuinceUsageStart wire = { .sequence = event->sequence,
+                                .tenant = event->tenant,
+                                .age_ms = (u_quad_t)MAX (now - event->begun_us, 0) / 1000 };
       g_array_append_val (told, wire);
     }
   QuinceMessage message = { .kind = QUINCE_MESSAGE_USAGE_REPORT };
   QuinceUsageReport *report = &message.QuinceMessage_u.usage_report;
   report->source = reporter->source;
   report->wall_ms = (u_quad_t)quince_wall_ms ();
-  report->events.events_val = (QuinceUsageTold *)told->data;
+  report->events.events_val = (QuinceUsageStart *)told->data;
   report->events.events_len = told->len;
   quince_link_send (reporter->link, &message);
 }
@@ -97,14 +97,14 @@
       quince_metric_add ("quince_front_usage_dropped_total", "", 1);
     }
   /* The leader takes requests in their order: this one waits while older ones are not told. */
-  if (reporter->link != NULL && g_queue_get_length (&reporter->events) <= TOLD_AT_ONCE_MAX)
+  if (reporter->link != NULL && g_queue_get_length (&reporter->events) <= REPORT_EVENTS_MAX)
     send_from (reporter, g_queue_peek_tail_link (&reporter->events));
 }
 
 static void
 tell_all (QuinceUsageReporter *reporter)
 {
-  reporter->told_us = quince_now_us ();
+  reporter->reported_us = quince_now_us ();
   if (reporter->link != NULL && !g_queue_is_empty (&reporter->events))
     send_from (reporter, g_queue_peek_head_link (&reporter->events));
 }
@@ -121,7 +121,7 @@
 quince_usage_reporter_remind (QuinceUsageReporter *reporter)
 {
   const Event *oldest = g_queue_peek_head (&reporter->events);
-  gint64 waits_since_us = oldest != NULL ? MAX (oldest->begun_us, reporter->told_us) : G_MAXINT64;
+  gint64 waits_since_us = oldest != NULL ? MAX (oldest->begun_us, reporter->reported_us) : G_MAXINT64;
   if (quince_now_us () - REMIND_US > waits_since_us)
     tell_all (reporter);
 }
@@ -137,7 +137,7 @@
 {
   if (ack->source != reporter->source)
     return;
-  reporter->told_us = quince_now_us ();
+  reporter->reported_us = quince_now_us ();
   for (Event *event = g_queue_peek_head (&reporter->events);
        event != NULL && event->sequence <= ack->sequence; event = g_queue_peek_head (&reporter->events))
     event_free (g_queue_pop_head (&reporter->events));
--- a/daemons/front/warmup-client.c
+++ b/daemons/front/warmup-client.c
@@ -92,7 +92,7 @@
 quince_warmup_client_unlinked (QuinceWarmupClient *client)
 {
   g_clear_pointer (&client->link, quince_link_unref);
-  quince_warmup_sends_forget_asked (client->sends);
+  quince_warmup_sends_forget_requests (client->sends);
 }
 
 gboolean
--- a/daemons/replica/batch-calls.c
+++ b/daemons/replica/batch-calls.c
@@ -133,7 +133,7 @@
     {
       g_autofree char *reason = quince_log_quote (error->message);
       quince_log_warning ("batch_refused", "batch=%s status=400 reason=%s", id, reason);
-      quince_residency_desk_settle (service->residency, id);
+      quince_residency_coordinator_settle (service->residency, id);
       quince_batch_answer_status (link, call->id, 400);
       return;
     }
@@ -147,7 +147,7 @@
   guint64 index = append_submission (service, batch, quince_platform_read_tenant (headers));
   if (index == 0)
     {
-      quince_residency_desk_settle (service->residency, id);
+      quince_residency_coordinator_settle (service->residency, id);
       quince_batch_answer_status (link, call->id, 503);
       return;
     }
@@ -164,8 +164,9 @@
 {
   g_autoptr (GPtrArray) entries = quince_batch_service_list (service);
   const char *host = quince_http_headers_get (headers, "Host");
-  gboolean may = quince_residency_desk_admit (service->residency, entries, id, host != NULL ? host : "",
-                                              call->target, quince_platform_read_tenant (headers));
+  gboolean may
+      = quince_residency_coordinator_admit (service->residency, entries, id, host != NULL ? host : "",
+                                            call->target, quince_platform_read_tenant (headers));
   if (!may)
     quince_log_warning ("batch_refused", "batch=- status=503 reason=residency");
   return may;
--- a/daemons/replica/batch-service-private.h
+++ b/daemons/replica/batch-service-private.h
@@ -28,11 +28,11 @@
   QuinceLedgerNode *ledger;
   QuinceBackends *backends;
   QuinceObserver *observer;
-  QuinceModelHomes *homes;
+  QuinceModelPlacement *placement;
   QuinceProgressStore *progress;
   QuinceProgressFile *progress_file;
-  QuinceResidencyDesk *residency;
-  guint64 told_successor;     /* knows all progress that was told */
+  QuinceResidencyCoordinator *residency;
+  guint64 informed_successor; /* knows all progress that was told */
   QuinceBatchBook *book;      /* NULL: not leading */
   QuinceSampleRunner *runner; /* NULL: not leading */
   GHashTable *submitting;     /* batch id to guint64: index of its record, not committed yet */
--- a/daemons/replica/batch-service.c
+++ b/daemons/replica/batch-service.c
@@ -45,9 +45,10 @@
 {
   QuinceBatchService *service = data;
   service->unlisted += entry->batch->items.items_len;
-  quince_step_demand_note_batch (service->homes, entry->batch, open_samples (service, entry->batch->model));
+  quince_step_demand_note_batch (service->placement, entry->batch,
+                                 open_samples (service, entry->batch->model));
   g_hash_table_remove (service->submitting, entry->batch->id);
-  quince_residency_desk_settle (service->residency, entry->batch->id);
+  quince_residency_coordinator_settle (service->residency, entry->batch->id);
   quince_log_notice ("batch_taken",
                      "batch=%s model=%s step=%" G_GUINT64_FORMAT
                      " items=%u minimum_version=%" G_GUINT64_FORMAT " wanted_groups=%u replayed=%s",
@@ -83,7 +84,7 @@
                      entry->results->len, entry->batch->items.items_len, replayed (service));
   if (service->runner == NULL)
     return;
-  quince_step_demand_note_end (service->homes, entry->batch,
+  quince_step_demand_note_end (service->placement, entry->batch,
                                quince_sample_runner_route_of_batch (service->runner, entry->batch));
   quince_sample_runner_remove (service->runner, entry);
 }
@@ -164,8 +165,8 @@
       const QuinceProgressItem *item = &g_array_index (items, QuinceProgressItem, i);
       const QuinceBatchEntry *entry = quince_batch_book_find (service->book, item->batch);
       if (entry != NULL
-          && quince_residency_desk_allows (service->residency, node, entry->batch->host, entry->batch->path,
-                                           entry->tenant))
+          && quince_residency_coordinator_allows (service->residency, node, entry->batch->host,
+                                                  entry->batch->path, entry->tenant))
         g_array_append_val (allowed, *item);
     }
   return allowed;
@@ -191,8 +192,8 @@
     return;
   guint64 successor = quince_ledger_node_get_successor (service->ledger);
   g_autoptr (GArray) items = g_array_new (FALSE, FALSE, sizeof (QuinceProgressItem));
-  quince_sample_runner_collect (service->runner, successor != service->told_successor, items);
-  service->told_successor = successor;
+  quince_sample_runner_collect (service->runner, successor != service->informed_successor, items);
+  service->informed_successor = successor;
   if (items->len == 0)
     return;
   QuinceMessage message = { .kind = QUINCE_MESSAGE_PROGRESS };
@@ -303,7 +304,7 @@
   g_clear_pointer (&service->runner, quince_sample_runner_free);
   quince_batch_calls_end_all (service);
   g_hash_table_remove_all (service->submitting);
-  quince_residency_desk_settle (service->residency, NULL);
+  quince_residency_coordinator_settle (service->residency, NULL);
   g_clear_pointer (&service->book, quince_batch_book_free);
   service->unlisted = 0;
   /* It may not lead again for long. */
@@ -314,14 +315,14 @@
 QuinceBatchService *
 quince_batch_service_new (QuinceBackends *backends,
                           QuinceObserver *observer,
-                          QuinceModelHomes *homes,
+                          QuinceModelPlacement *placement,
                           QuinceProgressStore *progress,
                           gint64 keep_us)
 {
   QuinceBatchService *service = g_new0 (QuinceBatchService, 1);
   service->backends = backends;
   service->observer = observer;
-  service->homes = homes;
+  service->placement = placement;
   service->progress = progress;
   service->keep_us = keep_us;
   service->submitting = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
@@ -334,7 +335,7 @@
 quince_batch_service_set_ledger (QuinceBatchService *service,
                                  QuinceLedgerNode *ledger,
                                  QuinceProgressFile *progress_file,
-                                 QuinceResidencyDesk *residency)
+                                 QuinceResidencyCoordinator *residency)
 {
   service->ledger = ledger;
   service->residency = residency;
--- a/daemons/replica/batch-service.h
+++ b/daemons/replica/batch-service.h
@@ -6,22 +6,22 @@
 #include "core/batches/batch-book.h"
 #include "runtime/link.h"
 #include "core/weights/load-plan.h"
-#include "core/weights/model-homes.h"
+#include "core/weights/model-placement.h"
 #include "observer/observer.h"
 
 #include "ledger-node.h"
 #include "progress-file.h"
-#include "residency-desk.h"
+#include "residency-coordinator.h"
 #include "sample-runner.h"
 
 typedef struct _QuinceBatchService QuinceBatchService;
 
 /* @keep_us: a batch that is ended, or whose samples' time is up, is forgotten so long after its submission.
- * @homes: is told of the demand for each model; not owned
+ * @placement: is told of the demand for each model; not owned
  * @progress: texts that a former leader told of; not owned */
 QuinceBatchService *quince_batch_service_new (QuinceBackends *backends,
                                               QuinceObserver *observer,
-                                              QuinceModelHomes *homes,
+                                              QuinceModelPlacement *placement,
                                               QuinceProgressStore *progress,
                                               gint64 keep_us);
 /* At the leader: what a replica that follows it was told by the one before. */
@@ -33,7 +33,7 @@
 void quince_batch_service_set_ledger (QuinceBatchService *service,
                                       QuinceLedgerNode *ledger,
                                       QuinceProgressFile *progress_file,
-                                      QuinceResidencyDesk *residency);
+                                      QuinceResidencyCoordinator *residency);
 /* (transfer container) (element-type QuinceBatchEntry): batches that lie in the ledger, at the leader; those
  * that are read so far while a new one reads */
 GPtrArray *quince_batch_service_list (QuinceBatchService *service);
--- a/daemons/replica/heartbeats.c
+++ b/daemons/replica/heartbeats.c
@@ -3,7 +3,7 @@
  */
 #include "heartbeats.h"
 
-#include "core/routing/heard-table.h"
+#include "core/routing/failure-detector.h"
 #include "runtime/log.h"
 #include "runtime/clock.h"
 
@@ -14,7 +14,7 @@
 struct _QuinceHeartbeats
 {
   /* All fields belong to the main context. */
-  QuinceHeardTable *fronts;
+  QuinceFailureDetector *fronts;
   GHashTable *links;  /* QuinceLink, of the owner; NULL: not leading */
   GHashTable *silent; /* names that were told last */
   GSource *timer;
@@ -35,7 +35,7 @@
   gpointer name;
   g_hash_table_iter_init (&iter, heartbeats->silent);
   while (g_hash_table_iter_next (&iter, &name, NULL))
-    if (quince_heard_table_is_heard (heartbeats->fronts, now_us, name))
+    if (quince_failure_detector_is_alive (heartbeats->fronts, now_us, name))
       quince_log_info ("front_heard", "front=%s", (const char *)name);
   g_hash_table_unref (heartbeats->silent);
   heartbeats->silent = g_steal_pointer (&next);
@@ -63,8 +63,8 @@
   QuinceHeartbeats *heartbeats = data;
   g_autoptr (GPtrArray) silent = g_ptr_array_new ();
   gint64 now = quince_now_us ();
-  quince_heard_table_forget (heartbeats->fronts, now);
-  gboolean certain = quince_heard_table_judge (heartbeats->fronts, now, silent);
+  quince_failure_detector_forget (heartbeats->fronts, now);
+  gboolean certain = quince_failure_detector_get_silent (heartbeats->fronts, now, silent);
   if (certain)
     log_changes (heartbeats, now, silent);
   send_all (heartbeats, certain, silent);
@@ -75,7 +75,7 @@
 quince_heartbeats_new (void)
 {
   QuinceHeartbeats *heartbeats = g_new0 (QuinceHeartbeats, 1);
-  heartbeats->fronts = quince_heard_table_new (SILENCE_US);
+  heartbeats->fronts = quince_failure_detector_new (SILENCE_US);
   heartbeats->silent = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   return heartbeats;
 }
@@ -86,7 +86,7 @@
   if (heartbeats == NULL)
     return;
   quince_source_clear (&heartbeats->timer);
-  quince_heard_table_free (heartbeats->fronts);
+  quince_failure_detector_free (heartbeats->fronts);
   g_hash_table_unref (heartbeats->silent);
   g_free (heartbeats);
 }
@@ -94,14 +94,14 @@
 void
 quince_heartbeats_set_listed (QuinceHeartbeats *heartbeats, const char *name, gboolean listed)
 {
-  quince_heard_table_set_listed (heartbeats->fronts, quince_now_us (), name, listed);
+  quince_failure_detector_set_listed (heartbeats->fronts, quince_now_us (), name, listed);
 }
 
 void
 quince_heartbeats_lead (QuinceHeartbeats *heartbeats, GHashTable *links)
 {
   heartbeats->links = links;
-  quince_heard_table_restart (heartbeats->fronts, quince_now_us ());
+  quince_failure_detector_restart (heartbeats->fronts, quince_now_us ());
   g_hash_table_remove_all (heartbeats->silent);
   heartbeats->timer = quince_timer_add (HEARTBEAT_MS, beat, heartbeats);
 }
@@ -116,5 +116,5 @@
 void
 quince_heartbeats_take_ack (QuinceHeartbeats *heartbeats, const QuinceHeartbeatAck *ack)
 {
-  quince_heard_table_hear (heartbeats->fronts, quince_now_us (), ack->node);
+  quince_failure_detector_heartbeat (heartbeats->fronts, quince_now_us (), ack->node);
 }
--- a/daemons/replica/ledger-campaigning.c
+++ b/daemons/replica/ledger-campaigning.c
@@ -26,7 +26,7 @@
 }
 
 void
-quince_ledger_node_asked (QuinceLedgerNode *node, QuinceLink *link, const QuinceLedgerAsk *ask)
+quince_ledger_node_handle_ask (QuinceLedgerNode *node, QuinceLink *link, const QuinceLedgerAsk *ask)
 {
   const QuinceLogEnd end = { .epoch = ask->last_epoch, .index = ask->last_index };
   if (!quince_ledger_group_promise (node->group, quince_now_us (), ask->replica, ask->epoch, &end))
@@ -37,7 +37,7 @@
       quince_log_failure ("ledger_disk_failed", "doing=promise reason=\"%s\"", error->message);
       return;
     }
-  quince_ledger_node_look_at_role (node);
+  quince_ledger_node_update_role (node);
   QuinceMessage message = { .kind = QUINCE_MESSAGE_LEDGER_PROMISE };
   QuinceLedgerPromise *promise = &message.QuinceMessage_u.ledger_promise;
   promise->epoch = ask->epoch;
--- a/daemons/replica/ledger-node.c
+++ b/daemons/replica/ledger-node.c
@@ -34,10 +34,10 @@
       quince_ledger_node_acked (node, link, &message->QuinceMessage_u.ledger_ack);
       break;
     case QUINCE_MESSAGE_LEDGER_ASK:
-      quince_ledger_node_asked (node, link, &message->QuinceMessage_u.ledger_ask);
+      quince_ledger_node_handle_ask (node, link, &message->QuinceMessage_u.ledger_ask);
       break;
-    case QUINCE_MESSAGE_LEDGER_LOOK:
-      quince_ledger_node_looked (node, link, &message->QuinceMessage_u.ledger_look);
+    case QUINCE_MESSAGE_LEDGER_QUERY:
+      quince_ledger_node_handle_query (node, link, &message->QuinceMessage_u.ledger_query);
       break;
     case QUINCE_MESSAGE_LEDGER_LEAD:
       quince_ledger_node_take_lead (node, &message->QuinceMessage_u.ledger_lead);
@@ -149,7 +149,7 @@
 }
 
 void
-quince_ledger_node_look_at_role (QuinceLedgerNode *node)
+quince_ledger_node_update_role (QuinceLedgerNode *node)
 {
   const QuinceLedgerView *view = quince_ledger_group_get_view (node->group);
   gboolean primary = quince_ledger_group_get_role (node->group) == QUINCE_LEDGER_PRIMARY;
@@ -185,7 +185,7 @@
 {
   QuinceLedgerNode *node = data;
   tell_record (node, entry);
-  node->told_index = entry->index;
+  node->delivered_index = entry->index;
   return quince_now_us () < node->turn_ends_us;
 }
 
@@ -197,19 +197,19 @@
   QuinceLedgerNode *node = data;
   g_autoptr (GError) error = NULL;
   node->turn_ends_us = quince_now_us () + READ_TURN_US;
-  if (!quince_batch_log_walk (node->log, node->told_index + 1, tell_stored, node, &error))
+  if (!quince_batch_log_walk (node->log, node->delivered_index + 1, tell_stored, node, &error))
     {
       /* What it cannot read it cannot answer for: another replica can. */
       quince_log_failure ("ledger_disk_failed", "doing=read reason=\"%s\"", error->message);
       abort ();
     }
-  if (node->told_index < quince_batch_log_get_last_index (node->log))
+  if (node->delivered_index < quince_batch_log_get_last_index (node->log))
     return G_SOURCE_CONTINUE;
   quince_source_clear (&node->reading);
   node->led = TRUE;
   quince_log_info ("ledger_recovered",
                    "epoch=%" G_GUINT64_FORMAT " index=%" G_GUINT64_FORMAT " read_ms=%" G_GINT64_FORMAT,
-                   node->led_epoch, node->told_index, (quince_now_us () - node->read_since_us) / 1000);
+                   node->led_epoch, node->delivered_index, (quince_now_us () - node->read_since_us) / 1000);
   node->callbacks->leads (node->user_data);
   quince_ledger_node_advance (node);
   return G_SOURCE_REMOVE;
@@ -219,7 +219,7 @@
 static void
 begin_reading (QuinceLedgerNode *node)
 {
-  node->told_index = 0;
+  node->delivered_index = 0;
   node->read_since_us = quince_now_us ();
   node->reading = quince_timer_add (0, read_more, node);
 }
@@ -310,11 +310,11 @@
   gint64 now = quince_now_us ();
   /* Nothing else tells a replica that there is no view yet, and that it may found the ledger. */
   if (!node->answered_view && !quince_meta_store_is_failing (node->store)
-      && now - node->asked_view_us > CONFIRM_EVERY_US)
+      && now - node->view_requested_us > CONFIRM_EVERY_US)
     quince_ledger_node_ask_view (node);
   quince_ledger_node_campaign (node);
   quince_ledger_node_propose (node);
-  quince_ledger_node_look (node);
+  quince_ledger_node_query_leader (node);
   quince_ledger_node_lead_without_store (node);
   quince_ledger_node_follow (node);
   compact (node, now);
@@ -322,7 +322,8 @@
     {
       quince_ledger_node_send_backups (node, TRUE);
       /* It may also have been doing nothing for long, and the view may have changed meanwhile. */
-      if (!quince_ledger_group_may_accept (node->group, now) && now - node->asked_view_us > CONFIRM_EVERY_US)
+      if (!quince_ledger_group_may_accept (node->group, now)
+          && now - node->view_requested_us > CONFIRM_EVERY_US)
         quince_ledger_node_ask_view (node);
       quince_ledger_node_advance (node);
     }
@@ -366,7 +367,7 @@
   quince_ledger_group_set_zone (node->group, node->self.replica, node->zone);
   quince_ledger_node_note_end (node);
   node->incoming = g_hash_table_new_full (NULL, NULL, (GDestroyNotify)quince_link_unref, NULL);
-  node->asked_links
+  node->query_links
       = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, (GDestroyNotify)quince_link_unref);
   node->moved = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, g_free);
   node->backups = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, quince_backup_link_free);
@@ -389,7 +390,7 @@
   quince_source_clear (&node->reading);
   clear_records (node);
   quince_ledger_node_unfollow (node);
-  quince_ledger_node_drop_asked (node);
+  quince_ledger_node_close_queries (node);
   quince_ledger_node_drop_backups (node);
   GHashTableIter iter;
   gpointer link;
@@ -398,7 +399,7 @@
     quince_link_close (link);
   g_hash_table_unref (node->incoming);
   g_hash_table_unref (node->backups);
-  g_hash_table_unref (node->asked_links);
+  g_hash_table_unref (node->query_links);
   g_hash_table_unref (node->moved);
   g_array_unref (node->unwritten);
   quince_link_server_free (node->server);
--- a/daemons/replica/ledger-asked.c
+++ b/daemons/replica/ledger-queries.c
@@ -1,5 +1,5 @@
 /*
- * ledger-asked.c: a replica's links to members that it asks, and what it keeps of its own answers.
+ * ledger-queries.c: a replica's links to members that it asks, and what it keeps of its own answers.
  */
 #include "ledger-node-private.h"
 
@@ -47,7 +47,7 @@
 }
 
 static void
-asked_message (QuinceLink *link, QuinceMessage *message, gpointer data)
+query_message (QuinceLink *link, QuinceMessage *message, gpointer data)
 {
   QuinceLedgerNode *node = data;
   if (message->kind == QUINCE_MESSAGE_LEDGER_PROMISE)
@@ -64,23 +64,23 @@
 }
 
 static void
-asked_closed (QuinceLink *link, const GError *error, gpointer data)
+query_closed (QuinceLink *link, const GError *error, gpointer data)
 {
   QuinceLedgerNode *node = data;
-  g_hash_table_foreach_remove (node->asked_links, is_link, link);
+  g_hash_table_foreach_remove (node->query_links, is_link, link);
 }
 
-static const QuinceLinkCallbacks asked_callbacks = { .message = asked_message, .closed = asked_closed };
+static const QuinceLinkCallbacks query_callbacks = { .message = query_message, .closed = query_closed };
 
 void
-quince_ledger_node_drop_asked (QuinceLedgerNode *node)
+quince_ledger_node_close_queries (QuinceLedgerNode *node)
 {
   GHashTableIter iter;
   gpointer link;
-  g_hash_table_iter_init (&iter, node->asked_links);
+  g_hash_table_iter_init (&iter, node->query_links);
   while (g_hash_table_iter_next (&iter, NULL, &link))
     quince_link_close (link);
-  g_hash_table_remove_all (node->asked_links);
+  g_hash_table_remove_all (node->query_links);
 }
 
 static gboolean
@@ -93,15 +93,15 @@
 }
 
 void
-quince_ledger_node_drop_idle_asked (QuinceLedgerNode *node)
+quince_ledger_node_close_idle_queries (QuinceLedgerNode *node)
 {
   gint64 now = quince_now_us ();
-  if (now - node->asked_us > IDLE_US)
-    quince_ledger_node_drop_asked (node);
-  if (now - node->asked_tried_us < CONNECT_US)
+  if (now - node->requested_us > IDLE_US)
+    quince_ledger_node_close_queries (node);
+  if (now - node->query_connect_us < CONNECT_US)
     return;
-  node->asked_tried_us = now;
-  g_hash_table_foreach_remove (node->asked_links, does_not_connect, NULL);
+  node->query_connect_us = now;
+  g_hash_table_foreach_remove (node->query_links, does_not_connect, NULL);
 }
 
 static const char *
@@ -121,10 +121,10 @@
   if (g_strcmp0 (known_address (node, member->replica), member->address) == 0)
     return FALSE;
   g_hash_table_replace (node->moved, g_memdup2 (&key, sizeof key), g_strdup (member->address));
-  QuinceLink *link = g_hash_table_lookup (node->asked_links, &key);
+  QuinceLink *link = g_hash_table_lookup (node->query_links, &key);
   if (link != NULL)
     quince_link_close (link);
-  g_hash_table_remove (node->asked_links, &key);
+  g_hash_table_remove (node->query_links, &key);
   return TRUE;
 }
 
@@ -132,12 +132,12 @@
 quince_ledger_node_link_to (QuinceLedgerNode *node, const QuinceLedgerMember *member)
 {
   gint64 key = (gint64)member->replica;
-  node->asked_us = quince_now_us ();
-  QuinceLink *link = g_hash_table_lookup (node->asked_links, &key);
+  node->requested_us = quince_now_us ();
+  QuinceLink *link = g_hash_table_lookup (node->query_links, &key);
   if (link != NULL)
     return link;
   const char *moved = g_hash_table_lookup (node->moved, &key);
-  link = quince_link_connect (moved != NULL ? moved : member->address, &asked_callbacks, node);
-  g_hash_table_insert (node->asked_links, g_memdup2 (&key, sizeof key), link);
+  link = quince_link_connect (moved != NULL ? moved : member->address, &query_callbacks, node);
+  g_hash_table_insert (node->query_links, g_memdup2 (&key, sizeof key), link);
   return link;
 }
--- a/daemons/replica/ledger-replication.c
+++ b/daemons/replica/ledger-replication.c
@@ -122,7 +122,7 @@
 }
 
 static void
-look_at_backup (QuinceLedgerNode *node, QuinceBackupLink *backup, gboolean chosen)
+check_backup (QuinceLedgerNode *node, QuinceBackupLink *backup, gboolean chosen)
 {
   const QuinceLedgerView *view = quince_ledger_group_get_view (node->group);
   gboolean member = quince_ledger_view_find (view, backup->replica) != NULL;
@@ -151,7 +151,7 @@
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
       QuinceBackupLink *backup = value;
-      look_at_backup (node, backup, contains (fed, backup->replica));
+      check_backup (node, backup, contains (fed, backup->replica));
     }
 }
 
--- a/daemons/replica/ledger-succession.c
+++ b/daemons/replica/ledger-succession.c
@@ -9,16 +9,16 @@
 
 /* A replica that hears no leader asks the members so often: the next leader is found within half the silence
  * after which members elect one, and asks two small messages a member. */
-#define LOOK_MEMBERS_US (440 * 1000)
+#define QUERY_MEMBERS_US (440 * 1000)
 /* A primary that does not know this message closes the link: it is asked no more often than this. */
-#define LOOK_PRIMARY_US (1000 * 1000)
+#define QUERY_PRIMARY_US (1000 * 1000)
 
 static gint64
-get_pace (QuinceLedgerLookKind kind)
+get_pace (QuinceLedgerQueryKind kind)
 {
-  if (kind == QUINCE_LEDGER_LOOK_PRIMARY)
-    return LOOK_PRIMARY_US;
-  return kind == QUINCE_LEDGER_LOOK_MEMBERS ? LOOK_MEMBERS_US : 0;
+  if (kind == QUINCE_LEDGER_QUERY_PRIMARY)
+    return QUERY_PRIMARY_US;
+  return kind == QUINCE_LEDGER_QUERY_MEMBERS ? QUERY_MEMBERS_US : 0;
 }
 
 /* Members that are not linked are told; all others ask. */
@@ -42,38 +42,38 @@
 tell_lost_members (QuinceLedgerNode *node, gint64 now)
 {
   if (node->led_epoch == 0 || !quince_meta_store_is_failing (node->store)
-      || now - node->told_members_us < LOOK_MEMBERS_US)
+      || now - node->members_informed_us < QUERY_MEMBERS_US)
     return;
-  node->told_members_us = now;
+  node->members_informed_us = now;
   tell_members (node);
 }
 
 void
-quince_ledger_node_look (QuinceLedgerNode *node)
+quince_ledger_node_query_leader (QuinceLedgerNode *node)
 {
-  QuinceMessage message = { .kind = QUINCE_MESSAGE_LEDGER_LOOK };
+  QuinceMessage message = { .kind = QUINCE_MESSAGE_LEDGER_QUERY };
   gint64 now = quince_now_us ();
-  QuinceLedgerLookKind kind = quince_ledger_group_get_look (
-      node->group, now, quince_meta_store_is_failing (node->store), &message.QuinceMessage_u.ledger_look);
-  quince_ledger_node_drop_idle_asked (node);
+  QuinceLedgerQueryKind kind = quince_ledger_group_get_query (
+      node->group, now, quince_meta_store_is_failing (node->store), &message.QuinceMessage_u.ledger_query);
+  quince_ledger_node_close_idle_queries (node);
   tell_lost_members (node, now);
-  if (kind == QUINCE_LEDGER_LOOK_NONE || now - node->looked_us < get_pace (kind))
+  if (kind == QUINCE_LEDGER_QUERY_NONE || now - node->queried_us < get_pace (kind))
     return;
-  node->looked_us = now;
+  node->queried_us = now;
   const QuinceLedgerView *view = quince_ledger_group_get_view (node->group);
   for (guint i = 0; i < view->members.members_len; i++)
     {
       const QuinceLedgerMember *member = &view->members.members_val[i];
-      gboolean asked = kind != QUINCE_LEDGER_LOOK_PRIMARY || member->replica == view->primary;
+      gboolean asked = kind != QUINCE_LEDGER_QUERY_PRIMARY || member->replica == view->primary;
       if (asked && member->replica != node->self.replica)
         quince_link_send (quince_ledger_node_link_to (node, member), &message);
     }
 }
 
 void
-quince_ledger_node_looked (QuinceLedgerNode *node, QuinceLink *link, const QuinceLedgerLook *look)
+quince_ledger_node_handle_query (QuinceLedgerNode *node, QuinceLink *link, const QuinceLedgerQuery *query)
 {
-  quince_ledger_group_looked (node->group, quince_now_us (), look);
+  quince_ledger_group_handle_query (node->group, quince_now_us (), query);
   g_autoptr (GError) error = NULL;
   if (!quince_ledger_node_keep (node, &error))
     {
@@ -103,7 +103,7 @@
                      " on_revision=%" G_GUINT64_FORMAT,
                      (guint64)lead->replica, (guint64)lead->view.epoch, (guint64)lead->view.primary,
                      (guint64)lead->revision);
-  quince_ledger_node_look_at_role (node);
+  quince_ledger_node_update_role (node);
   quince_ledger_node_propose (node);
   quince_ledger_node_lead_without_store (node);
 }
@@ -119,6 +119,6 @@
   quince_log_notice ("ledger_led_without_store", "epoch=%" G_GUINT64_FORMAT " members=%u store=%s",
                      (guint64)view->epoch, view->members.members_len, store_fails ? "away" : "slow");
   quince_metric_add ("quince_replica_led_without_store_total", "", 1);
-  quince_ledger_node_look_at_role (node);
+  quince_ledger_node_update_role (node);
   tell_members (node);
 }
--- a/daemons/replica/ledger-views.c
+++ b/daemons/replica/ledger-views.c
@@ -8,7 +8,7 @@
 #include "runtime/clock.h"
 
 static void
-take_view_read_at (QuinceLedgerNode *node, GBytes *value, guint64 revision, gint64 asked_us)
+take_view_read_at (QuinceLedgerNode *node, GBytes *value, guint64 revision, gint64 requested_us)
 {
   g_autoptr (GError) error = NULL;
   g_autoptr (QuinceLedgerView) view = NULL;
@@ -17,12 +17,13 @@
   if (error != NULL)
     quince_log_warning ("entry_refused", "what=ledger_view revision=%" G_GUINT64_FORMAT " code=%d", revision,
                         error->code);
-  quince_ledger_group_set_view (node->group, quince_now_us (), asked_us, view, view != NULL ? revision : 0);
+  quince_ledger_group_set_view (node->group, quince_now_us (), requested_us, view,
+                                view != NULL ? revision : 0);
   gboolean news = revision > node->view_revision;
   if (news)
     g_hash_table_remove_all (node->moved);
   node->view_revision = MAX (node->view_revision, revision);
-  quince_ledger_node_look_at_role (node);
+  quince_ledger_node_update_role (node);
   /* A former leader that starts anew asks its members at once. */
   if (news)
     quince_ledger_node_campaign (node);
@@ -46,7 +47,7 @@
   node->answered_view = TRUE;
   const QuinceMetaItem *item = page != NULL && page->items->len > 0 ? page->items->pdata[0] : NULL;
   take_view_read_at (node, item != NULL ? item->value : NULL, item != NULL ? item->revision : 0,
-                     node->asked_view_us);
+                     node->view_requested_us);
 }
 
 void
@@ -55,7 +56,7 @@
   if (node->asking_view)
     return;
   node->asking_view = TRUE;
-  node->asked_view_us = quince_now_us ();
+  node->view_requested_us = quince_now_us ();
   quince_meta_store_get (node->store, QUINCE_LEDGER_KEY, view_answered, node);
 }
 
@@ -75,7 +76,7 @@
   quince_ledger_group_proposal_ended (node->group, quince_now_us (), outcome, number);
   if (outcome == QUINCE_PROPOSAL_CONFLICT || outcome == QUINCE_PROPOSAL_UNKNOWN)
     quince_ledger_node_ask_view (node);
-  quince_ledger_node_look_at_role (node);
+  quince_ledger_node_update_role (node);
 }
 
 void
--- a/daemons/replica/progress-file.c
+++ b/daemons/replica/progress-file.c
@@ -125,8 +125,8 @@
   for (guint i = 0; i < FILES; i++)
     {
       guint which = (older + i) % FILES;
-      gint64 told_us = now_us - age_us (paths[which]);
-      file->sequence = MAX (file->sequence, take_frames (texts[which], lengths[which], store, told_us));
+      gint64 reported_us = now_us - age_us (paths[which]);
+      file->sequence = MAX (file->sequence, take_frames (texts[which], lengths[which], store, reported_us));
     }
   file->current = older; /* emptied first: the newer one stays until this one is full */
   for (guint i = 0; i < FILES; i++)
--- a/daemons/replica/progress.c
+++ b/daemons/replica/progress.c
@@ -22,7 +22,7 @@
   GArray *versions; /* guint64 */
   guint64 last_event;
   guint failures;
-  gint64 told_us;
+  gint64 reported_us;
   guint64 turn; /* the greater, the later it was told */
 } Entry;
 
@@ -78,7 +78,7 @@
   gpointer value;
   g_hash_table_iter_init (&iter, store->entries);
   while (g_hash_table_iter_next (&iter, NULL, &value))
-    if (now_us - ((Entry *)value)->told_us > FORGET_US)
+    if (now_us - ((Entry *)value)->reported_us > FORGET_US)
       g_hash_table_iter_remove (&iter);
 }
 
@@ -105,7 +105,7 @@
   if (entry == NULL)
     return;
   entry->failures = MAX (entry->failures, item->failures);
-  entry->told_us = now_us;
+  entry->reported_us = now_us;
   entry->turn = ++store->turns;
   if (item->from_event == 0)
     g_string_truncate (entry->text, 0);
@@ -159,7 +159,7 @@
   gpointer value;
   g_hash_table_iter_init (&iter, store->entries);
   while (g_hash_table_iter_next (&iter, NULL, &value))
-    if (now_us - ((const Entry *)value)->told_us <= FRESH_US)
+    if (now_us - ((const Entry *)value)->reported_us <= FRESH_US)
       g_ptr_array_add (fresh, value);
   g_ptr_array_sort (fresh, compare_turns);
   gsize bytes = 0;
--- a/daemons/replica/replica.c
+++ b/daemons/replica/replica.c
@@ -5,7 +5,7 @@
 
 #include <string.h>
 
-#include "observer/belief-feed.h"
+#include "observer/store-feed.h"
 #include "runtime/log.h"
 #include "runtime/metrics.h"
 #include "runtime/packed-message.h"
@@ -20,12 +20,12 @@
 #include "heartbeats.h"
 #include "ledger-node.h"
 #include "platform.h"
-#include "quarantine-desk.h"
-#include "residency-desk.h"
+#include "quarantine-coordinator.h"
+#include "residency-coordinator.h"
 #include "retirement.h"
-#include "scale-duty.h"
-#include "usage-duty.h"
-#include "warmup-desk.h"
+#include "worker-scaler.h"
+#include "usage-collector.h"
+#include "warmup-coordinator.h"
 #include "weight-orders.h"
 
 /* The leader's word stands so long without another sign. */
@@ -47,19 +47,19 @@
   QuinceBackends *backends;
   QuinceObserver *observer;
   QuinceLedgerNode *ledger;
-  QuinceModelHomes *homes;
+  QuinceModelPlacement *placement;
   QuinceProgressStore *progress;
   QuinceProgressFile *progress_file;
   QuinceBatchService *batches;
   QuinceWeightOrders *orders; /* NULL: not leading */
-  QuinceBeliefFeed *feed;     /* NULL: not leading */
+  QuinceStoreFeed *feed;      /* NULL: not leading */
   QuinceHeartbeats *heartbeats;
-  QuinceQuarantineDesk *quarantine;
-  QuinceWarmupDesk *warmup;
-  QuinceResidencyDesk *residency;
-  QuinceUsageDuty *usage; /* NULL: the platform asks for no reports */
-  QuinceScaleDuty *scale; /* NULL: no workers are ordered */
-  GHashTable *askers;     /* QuinceLink to QuinceBeliefAsk, both owned: those that asked for news */
+  QuinceQuarantineCoordinator *quarantine;
+  QuinceWarmupCoordinator *warmup;
+  QuinceResidencyCoordinator *residency;
+  QuinceUsageCollector *usage; /* NULL: the platform asks for no reports */
+  QuinceWorkerScaler *scale;   /* NULL: no workers are ordered */
+  GHashTable *askers;          /* QuinceLink to QuinceFeedSubscribe, both owned: those that asked for news */
   QuinceRetirement *retirement;
   QuinceTextServer *metrics; /* NULL: none */
   GSource *timer;
@@ -96,8 +96,8 @@
 step_residency (Replica *replica)
 {
   g_autoptr (GPtrArray) entries = quince_batch_service_list (replica->batches);
-  quince_residency_desk_step (replica->residency,
-                              quince_ledger_node_is_leading (replica->ledger) ? entries : NULL);
+  quince_residency_coordinator_step (replica->residency,
+                                     quince_ledger_node_is_leading (replica->ledger) ? entries : NULL);
 }
 
 static void
@@ -114,27 +114,27 @@
   step_residency (replica);
   quince_batch_service_lead (replica->batches);
   if (replica->usage != NULL)
-    quince_usage_duty_lead (replica->usage);
+    quince_usage_collector_lead (replica->usage);
   if (replica->scale != NULL)
-    quince_scale_duty_lead (replica->scale);
+    quince_worker_scaler_lead (replica->scale);
   quince_progress_store_clear (replica->progress); /* the samples have it now */
   const QuinceWeightOrdersOptions options = { .holder = replica->name,
-                                              .homes = replica->homes,
+                                              .placement = replica->placement,
                                               .may_order = may_order,
                                               .loaded = weights_loaded,
                                               .describe = describe_samples };
   replica->orders = quince_weight_orders_start (replica->backends, replica->observer, &options, replica);
   quince_observer_feed_ended (replica->observer);
-  replica->feed = quince_belief_feed_new (replica->observer);
+  replica->feed = quince_store_feed_new (replica->observer);
   quince_heartbeats_lead (replica->heartbeats, replica->askers);
-  quince_quarantine_desk_lead (replica->quarantine, replica->askers);
-  quince_warmup_desk_lead (replica->warmup);
+  quince_quarantine_coordinator_lead (replica->quarantine, replica->askers);
+  quince_warmup_coordinator_lead (replica->warmup);
   GHashTableIter iter;
   gpointer link;
   gpointer ask;
   g_hash_table_iter_init (&iter, replica->askers);
   while (g_hash_table_iter_next (&iter, &link, &ask))
-    quince_belief_feed_add (replica->feed, link, ask);
+    quince_store_feed_add (replica->feed, link, ask);
 }
 
 static void
@@ -142,24 +142,24 @@
 {
   Replica *replica = data;
   g_clear_pointer (&replica->orders, quince_weight_orders_stop);
-  g_clear_pointer (&replica->feed, quince_belief_feed_free);
+  g_clear_pointer (&replica->feed, quince_store_feed_free);
   quince_heartbeats_stop_leading (replica->heartbeats);
-  quince_quarantine_desk_stop_leading (replica->quarantine);
+  quince_quarantine_coordinator_stop_leading (replica->quarantine);
   quince_batch_service_stop_leading (replica->batches);
   if (replica->usage != NULL)
-    quince_usage_duty_stop_leading (replica->usage);
+    quince_usage_collector_stop_leading (replica->usage);
   if (replica->scale != NULL)
-    quince_scale_duty_stop_leading (replica->scale);
+    quince_worker_scaler_stop_leading (replica->scale);
 }
 
 static void
 ledger_committed (guint64 index, QuinceBatchRecord *record, gpointer data)
 {
   Replica *replica = data;
-  if (!quince_usage_duty_is_record (record))
+  if (!quince_usage_collector_is_record (record))
     quince_batch_service_committed (replica->batches, index, record);
   else if (replica->usage != NULL)
-    quince_usage_duty_committed (replica->usage, index, record);
+    quince_usage_collector_committed (replica->usage, index, record);
   else
     quince_batch_record_free (record);
 }
@@ -177,10 +177,10 @@
   Replica *replica = data;
   quince_batch_service_link_closed (replica->batches, link);
   if (replica->usage != NULL)
-    quince_usage_duty_link_closed (replica->usage, link);
+    quince_usage_collector_link_closed (replica->usage, link);
   if (replica->feed != NULL)
-    quince_belief_feed_remove (replica->feed, link);
-  quince_quarantine_desk_link_closed (replica->quarantine, link);
+    quince_store_feed_remove (replica->feed, link);
+  quince_quarantine_coordinator_link_closed (replica->quarantine, link);
   g_hash_table_remove (replica->askers, link);
 }
 
@@ -209,7 +209,7 @@
 {
   Replica *replica = data;
   pass_progress_on (replica, link);
-  quince_belief_feed_ask (replica->observer, link);
+  quince_store_feed_subscribe (replica->observer, link);
 }
 
 static void
@@ -222,15 +222,15 @@
 static void
 ask_free (gpointer data)
 {
-  QuinceBeliefAsk *ask = data;
+  QuinceFeedSubscribe *ask = data;
   g_free (ask->revisions.revisions_val);
   g_free (ask);
 }
 
-static QuinceBeliefAsk *
-copy_ask (const QuinceBeliefAsk *ask)
+static QuinceFeedSubscribe *
+copy_ask (const QuinceFeedSubscribe *ask)
 {
-  QuinceBeliefAsk *copy = g_new0 (QuinceBeliefAsk, 1);
+  QuinceFeedSubscribe *copy = g_new0 (QuinceFeedSubscribe, 1);
   copy->revisions.revisions_len = ask->revisions.revisions_len;
   copy->revisions.revisions_val
       = g_memdup2 (ask->revisions.revisions_val, ask->revisions.revisions_len * sizeof (u_quad_t));
@@ -243,7 +243,7 @@
 {
   if (replica->usage != NULL)
     {
-      quince_usage_duty_take_report (replica->usage, link, report);
+      quince_usage_collector_take_report (replica->usage, link, report);
       return;
     }
   QuinceMessage message = { .kind = QUINCE_MESSAGE_USAGE_ACK };
@@ -258,14 +258,14 @@
 other_message (QuinceLink *link, const QuinceMessage *message, gpointer data)
 {
   Replica *replica = data;
-  if (message->kind == QUINCE_MESSAGE_BELIEF_ASK)
+  if (message->kind == QUINCE_MESSAGE_FEED_SUBSCRIBE)
     {
-      const QuinceBeliefAsk *ask = &message->QuinceMessage_u.belief_ask;
+      const QuinceFeedSubscribe *ask = &message->QuinceMessage_u.feed_subscribe;
       /* It may lead a moment later. */
       g_hash_table_replace (replica->askers, quince_link_ref (link), copy_ask (ask));
       if (replica->feed != NULL)
-        quince_belief_feed_add (replica->feed, link, ask);
-      quince_quarantine_desk_add (replica->quarantine, link);
+        quince_store_feed_add (replica->feed, link, ask);
+      quince_quarantine_coordinator_add (replica->quarantine, link);
     }
   else if (message->kind == QUINCE_MESSAGE_HEARTBEAT_ACK)
     quince_heartbeats_take_ack (replica->heartbeats, &message->QuinceMessage_u.heartbeat_ack);
@@ -280,12 +280,12 @@
     }
   else if (message->kind == QUINCE_MESSAGE_PROGRESS)
     quince_batch_service_take_progress (replica->batches, &message->QuinceMessage_u.progress);
-  else if (message->kind == QUINCE_MESSAGE_BELIEF_NEWS && replica->feed == NULL)
-    quince_belief_feed_take (replica->observer, &message->QuinceMessage_u.belief_news);
-  else if (message->kind == QUINCE_MESSAGE_BELIEF_NEWS)
-    quince_belief_feed_take_report (replica->feed, link, &message->QuinceMessage_u.belief_news);
-  else if (!quince_warmup_desk_take (replica->warmup, link, message))
-    quince_quarantine_desk_take (replica->quarantine, link, message);
+  else if (message->kind == QUINCE_MESSAGE_FEED_UPDATE && replica->feed == NULL)
+    quince_store_feed_apply (replica->observer, &message->QuinceMessage_u.feed_update);
+  else if (message->kind == QUINCE_MESSAGE_FEED_UPDATE)
+    quince_store_feed_apply_report (replica->feed, link, &message->QuinceMessage_u.feed_update);
+  else if (!quince_warmup_coordinator_take (replica->warmup, link, message))
+    quince_quarantine_coordinator_take (replica->quarantine, link, message);
 }
 
 /* The members of the view are few, linked to the leader, and on several machines.  Others tell the leader
@@ -302,9 +302,9 @@
   Replica *replica = data;
   QuinceLink *leader = replica->ledger != NULL ? quince_ledger_node_get_leader (replica->ledger) : NULL;
   if (replica->feed != NULL)
-    quince_belief_feed_read (replica->feed, prefix, page);
+    quince_store_feed_publish (replica->feed, prefix, page);
   else if (leader != NULL && is_reserve_reader (replica))
-    quince_belief_feed_report (replica->observer, leader, prefix, page);
+    quince_store_feed_report (replica->observer, leader, prefix, page);
 }
 
 static const QuinceLedgerNodeCallbacks ledger_callbacks = { .leads = ledger_leads,
@@ -324,12 +324,15 @@
     quince_ledger_node_take_view (replica->ledger, value, revision);
   else if (g_str_has_prefix (key, QUINCE_FRONTS_PREFIX))
     quince_heartbeats_set_listed (replica->heartbeats, key + strlen (QUINCE_FRONTS_PREFIX), value != NULL);
-  else if (g_str_has_prefix (key, QUINCE_PLACES_PREFIX))
-    quince_residency_desk_take_place (replica->residency, key + strlen (QUINCE_PLACES_PREFIX), value);
+  else if (g_str_has_prefix (key, QUINCE_MACHINE_ZONES_PREFIX))
+    quince_residency_coordinator_take_place (replica->residency, key + strlen (QUINCE_MACHINE_ZONES_PREFIX),
+                                             value);
   else if (g_str_has_prefix (key, QUINCE_QUARANTINE_PREFIX))
-    quince_quarantine_desk_take_key (replica->quarantine, key + strlen (QUINCE_QUARANTINE_PREFIX), value);
+    quince_quarantine_coordinator_take_key (replica->quarantine, key + strlen (QUINCE_QUARANTINE_PREFIX),
+                                            value);
   else if (g_str_has_prefix (key, QUINCE_SUSPECTS_PREFIX))
-    quince_quarantine_desk_take_list (replica->quarantine, key + strlen (QUINCE_SUSPECTS_PREFIX), value);
+    quince_quarantine_coordinator_take_list (replica->quarantine, key + strlen (QUINCE_SUSPECTS_PREFIX),
+                                             value);
 }
 
 static void
@@ -345,10 +348,10 @@
 {
   Replica *replica = data;
   quince_retirement_set_nodes (replica->retirement, nodes);
-  quince_residency_desk_set_leaving (replica->residency, nodes);
+  quince_residency_coordinator_set_leaving (replica->residency, nodes);
 }
 
-/* Workers went or came back: homes, loads and samples follow. */
+/* Workers went or came back: placement, loads and samples follow. */
 static void
 zones_changed (gpointer data)
 {
@@ -366,7 +369,7 @@
                                                             .read = store_read };
 
 static void
-look_at_view (Replica *replica)
+check_view (Replica *replica)
 {
   quince_observer_set_reserve_reader (replica->observer, is_reserve_reader (replica));
 }
@@ -378,12 +381,12 @@
   quince_batch_service_tell_progress (replica->batches);
   step_residency (replica);
   if (replica->usage != NULL)
-    quince_usage_duty_step (replica->usage);
+    quince_usage_collector_step (replica->usage);
   if (replica->scale != NULL)
-    quince_scale_duty_step (replica->scale);
-  quince_quarantine_desk_step (replica->quarantine);
-  quince_warmup_desk_step (replica->warmup);
-  look_at_view (replica);
+    quince_worker_scaler_step (replica->scale);
+  quince_quarantine_coordinator_step (replica->quarantine);
+  quince_warmup_coordinator_step (replica->warmup);
+  check_view (replica);
   quince_retirement_step (replica->retirement);
   return G_SOURCE_CONTINUE;
 }
@@ -410,7 +413,7 @@
   quince_metric_set ("quince_replica_worker_connections_opened", "",
                      (double)quince_backends_get_opened (replica->backends));
   quince_observer_set_metrics (replica->observer);
-  quince_send_guard_set_metrics (quince_quarantine_desk_get_guard (replica->quarantine));
+  quince_send_guard_set_metrics (quince_quarantine_coordinator_get_guard (replica->quarantine));
   quince_metric_set ("quince_replica_workers_cold", "", quince_backends_count_cold (replica->backends));
   quince_metric_set ("quince_store_answer_age_seconds", "",
                      (double)(quince_now_us () - counters->last_answer_us) / G_USEC_PER_SEC);
@@ -458,22 +461,22 @@
 }
 
 static double
-count_needed_places (const char *service, gpointer data)
+count_needed_slots (const char *service, gpointer data)
 {
   const Replica *replica = data;
   return quince_batch_service_count_needed (replica->batches, service);
 }
 
 static void
-open_scale_duty (Replica *replica, const char *address)
+open_worker_scaler (Replica *replica, const char *address)
 {
-  const QuinceScaleDutyOptions options = { .holder = replica->name,
-                                           .address = address,
-                                           .ledger = replica->ledger,
-                                           .backends = replica->backends,
-                                           .observer = replica->observer,
-                                           .count_needed = count_needed_places };
-  replica->scale = quince_scale_duty_new (&options, replica);
+  const QuinceWorkerScalerOptions options = { .holder = replica->name,
+                                              .address = address,
+                                              .ledger = replica->ledger,
+                                              .backends = replica->backends,
+                                              .observer = replica->observer,
+                                              .count_needed = count_needed_slots };
+  replica->scale = quince_worker_scaler_new (&options, replica);
 }
 
 static void
@@ -484,15 +487,15 @@
   const char *order_workers = quince_settings_get_text (settings, "duties", "order_workers");
   if (*address != '\0' && quince_platform_takes_scale_orders (names)
       && g_str_equal (order_workers, "replace"))
-    open_scale_duty (replica, address);
+    open_worker_scaler (replica, address);
   if (*address == '\0' || !quince_platform_wants_usage (names))
     return;
-  const QuinceUsageDutyOptions options
+  const QuinceUsageCollectorOptions options
       = { .holder = replica->name,
           .address = address,
           .window_us = quince_settings_get_duration_us (settings, "duties", "usage_window"),
           .late_us = quince_settings_get_duration_us (settings, "duties", "usage_late") };
-  replica->usage = quince_usage_duty_new (&options, replica->ledger);
+  replica->usage = quince_usage_collector_new (&options, replica->ledger);
 }
 
 static gboolean
@@ -525,26 +528,27 @@
                                           &quince_platform_meta_dialect);
   QuinceQuarantineLimits limits;
   quince_quarantine_read_limits (settings, &limits);
-  replica->quarantine = quince_quarantine_desk_new (&limits, replica->name, replica->store,
-                                                    quince_backends_get_workers (replica->backends));
-  quince_backends_set_guard (replica->backends, quince_quarantine_desk_get_guard (replica->quarantine));
+  replica->quarantine = quince_quarantine_coordinator_new (&limits, replica->name, replica->store,
+                                                           quince_backends_get_workers (replica->backends));
+  quince_backends_set_guard (replica->backends,
+                             quince_quarantine_coordinator_get_guard (replica->quarantine));
   QuinceWarmupBounds bounds;
   quince_warmup_read_bounds (settings, &bounds);
-  replica->warmup = quince_warmup_desk_new (&bounds, quince_backends_get_workers (replica->backends),
-                                            may_give_sends, replica);
-  quince_backends_set_warmup (replica->backends, quince_warmup_desk_get_sends (replica->warmup));
+  replica->warmup = quince_warmup_coordinator_new (&bounds, quince_backends_get_workers (replica->backends),
+                                                   may_give_sends, replica);
+  quince_backends_set_warmup (replica->backends, quince_warmup_coordinator_get_sends (replica->warmup));
   QuinceObserverOptions options;
   quince_observer_read_options (settings, &options);
   replica->observer
       = quince_observer_new (replica->store, replica->backends, &options, &observer_callbacks, replica);
-  quince_warmup_desk_set_observer (replica->warmup, replica->observer);
+  quince_warmup_coordinator_set_observer (replica->warmup, replica->observer);
   guint losses = (guint)quince_settings_get_integer (settings, "ledger", "losses");
-  replica->residency = quince_residency_desk_new (replica->name, losses + 1, replica->store,
-                                                  replica->backends, replica->observer);
+  replica->residency = quince_residency_coordinator_new (replica->name, losses + 1, replica->store,
+                                                         replica->backends, replica->observer);
   gint64 keep_us = quince_settings_get_duration_us (settings, "ledger", "keep");
-  replica->homes = quince_model_homes_new ();
+  replica->placement = quince_model_placement_new ();
   replica->progress = quince_progress_store_new ();
-  replica->batches = quince_batch_service_new (replica->backends, replica->observer, replica->homes,
+  replica->batches = quince_batch_service_new (replica->backends, replica->observer, replica->placement,
                                                replica->progress, keep_us);
   if (!load_policy (replica, quince_settings_get_text (settings, "policy", "file"), error)
       || !open_ledger (replica, settings, error)
@@ -555,8 +559,8 @@
     }
   replica->retirement = quince_retirement_new (replica->store, replica->ledger);
   open_duties (replica, settings);
-  quince_quarantine_desk_set_ledger (replica->quarantine, replica->ledger);
-  quince_residency_desk_set_ledger (replica->residency, replica->ledger);
+  quince_quarantine_coordinator_set_ledger (replica->quarantine, replica->ledger);
+  quince_residency_coordinator_set_ledger (replica->residency, replica->ledger);
   quince_batch_service_set_ledger (replica->batches, replica->ledger, replica->progress_file,
                                    replica->residency);
   replica->timer = quince_timer_add (TIMER_MS, timer_over, replica);
@@ -595,21 +599,21 @@
   quince_text_server_free (replica->metrics);
   if (replica->orders != NULL)
     quince_weight_orders_stop (replica->orders);
-  quince_belief_feed_free (replica->feed);
-  quince_usage_duty_free (replica->usage);
-  quince_scale_duty_free (replica->scale);
+  quince_store_feed_free (replica->feed);
+  quince_usage_collector_free (replica->usage);
+  quince_worker_scaler_free (replica->scale);
   quince_heartbeats_free (replica->heartbeats);
   quince_batch_service_free (replica->batches);
-  quince_model_homes_free (replica->homes);
+  quince_model_placement_free (replica->placement);
   quince_progress_store_free (replica->progress);
   quince_progress_file_close (replica->progress_file);
   quince_retirement_free (replica->retirement);
   quince_ledger_node_free (replica->ledger);
-  quince_residency_desk_free (replica->residency);
+  quince_residency_coordinator_free (replica->residency);
   quince_observer_free (replica->observer);
   quince_meta_store_free (replica->store);
-  quince_quarantine_desk_free (replica->quarantine);
-  quince_warmup_desk_free (replica->warmup);
+  quince_quarantine_coordinator_free (replica->quarantine);
+  quince_warmup_coordinator_free (replica->warmup);
   quince_backends_free (replica->backends);
   g_hash_table_unref (replica->askers);
   g_free (replica->name);
--- /dev/null
+++ b/daemons/replica/residency-coordinator.c
@@ -0,0 +1,392 @@
+/*
+ * residency-coordinator.c: regions of batches against those of the machines that keep them.
+ */
+#include "residency-coordinator.h"
+
+#include <string.h>
+
+#include "core/batches/batch-book.h"
+#include "runtime/log.h"
+#include "core/routing/machine-zones.h"
+#include "runtime/metrics.h"
+#include "forward/residency-lookup.h"
+#include "runtime/clock.h"
+
+/* A place that the store did not take is written again after this: few calls while it is away. */
+#define WRITE_AGAIN_US (2 * G_USEC_PER_SEC)
+/* Least time between two log lines about members that may not keep the ledger. */
+#define UNMET_EVERY_US (5 * G_USEC_PER_SEC)
+
+struct _QuinceResidencyCoordinator
+{
+  /* All fields belong to the main context. */
+  char *name;
+  guint quorum;
+  QuinceMetaStore *store;
+  QuinceBackends *backends;
+  QuinceObserver *observer;
+  const QuinceTopology *topology;
+  QuinceMachineZones *zones;
+  QuinceLedgerNode *ledger;
+  gboolean several_regions; /* regions */
+  gboolean place_written;   /* the store has this machine's zone */
+  gint64 write_after_us;
+  char **leaving; /* (nullable): machines to be emptied */
+  gint64 remove_after_us;
+  char **confined; /* as the ledger was told; NULL: not confined */
+  gint64 unmet_logged_us;
+  GHashTable *admitted; /* ids to Admitted, both owned: batches that lie in the log, not committed yet */
+};
+
+typedef struct
+{
+  char *host;
+  char *path;
+  char *tenant;
+} Admitted;
+
+static void
+admitted_free (gpointer data)
+{
+  Admitted *admitted = data;
+  g_free (admitted->host);
+  g_free (admitted->path);
+  g_free (admitted->tenant);
+  g_free (admitted);
+}
+
+/* ---- This machine's place ----------------------------------------------- */
+
+static void
+place_answered (const QuinceMetaPage *page, guint64 number, const GError *error, gpointer data)
+{
+  QuinceResidencyCoordinator *coordinator = data;
+  coordinator->place_written = error == NULL;
+  if (error != NULL)
+    quince_log_warning ("place_not_written", "node=%s code=%d", coordinator->name, error->code);
+}
+
+static gboolean
+is_leaving (const QuinceResidencyCoordinator *coordinator, const char *node)
+{
+  return coordinator->leaving != NULL && g_strv_contains ((const char *const *)coordinator->leaving, node);
+}
+
+static void
+write_place (QuinceResidencyCoordinator *coordinator, gint64 now_us)
+{
+  if (!coordinator->several_regions || coordinator->place_written || now_us < coordinator->write_after_us
+      || is_leaving (coordinator, coordinator->name) || !quince_observer_is_synced (coordinator->observer)
+      || quince_meta_store_is_failing (coordinator->store))
+    return;
+  coordinator->write_after_us = now_us + WRITE_AGAIN_US;
+  const char *zone = quince_topology_get_own_zone (coordinator->topology);
+  g_autofree char *key = g_strconcat (QUINCE_MACHINE_ZONES_PREFIX, coordinator->name, NULL);
+  g_autoptr (GBytes) value = g_bytes_new (zone, strlen (zone));
+  const QuinceMetaChange change = { .key = key, .expected_revision = -1, .value = value };
+  quince_meta_store_change (coordinator->store, &change, 1, place_answered, coordinator);
+}
+
+void
+quince_residency_coordinator_take_place (QuinceResidencyCoordinator *coordinator,
+                                         const char *node,
+                                         GBytes *value)
+{
+  g_autofree char *zone
+      = value != NULL ? g_strndup (g_bytes_get_data (value, NULL), g_bytes_get_size (value)) : NULL;
+  if (g_str_equal (node, coordinator->name))
+    coordinator->place_written = g_strcmp0 (zone, quince_topology_get_own_zone (coordinator->topology)) == 0;
+  else
+    quince_machine_zones_set (coordinator->zones, node, zone);
+}
+
+static void
+place_removed (const QuinceMetaPage *page, guint64 number, const GError *error, gpointer data)
+{
+  if (error != NULL)
+    quince_log_warning ("place_not_removed", "code=%d", error->code);
+}
+
+/* The place of a machine that was emptied: it counts no more among those where batches may lie.  One at a
+ * time, since the store tells of it before the next. */
+static void
+remove_place (QuinceResidencyCoordinator *coordinator, gint64 now_us)
+{
+  const QuinceLedgerView *view = quince_ledger_node_get_view (coordinator->ledger);
+  if (now_us < coordinator->remove_after_us || view == NULL
+      || quince_meta_store_is_failing (coordinator->store))
+    return;
+  for (char **node = coordinator->leaving; node != NULL && *node != NULL; node++)
+    {
+      if (g_str_equal (*node, coordinator->name) || quince_ledger_view_has_node (view, *node)
+          || quince_machine_zones_get_zone (coordinator->zones, *node) == NULL)
+        continue;
+      coordinator->remove_after_us = now_us + WRITE_AGAIN_US;
+      g_autofree char *key = g_strconcat (QUINCE_MACHINE_ZONES_PREFIX, *node, NULL);
+      const QuinceMetaChange change = { .key = key, .expected_revision = -1 };
+      quince_meta_store_change (coordinator->store, &change, 1, place_removed, coordinator);
+      return;
+    }
+}
+
+void
+quince_residency_coordinator_set_leaving (QuinceResidencyCoordinator *coordinator, const char *const *nodes)
+{
+  g_strfreev (coordinator->leaving);
+  coordinator->leaving = g_strdupv ((char **)nodes);
+}
+
+/* ---- Regions of batches --------------------------------------------------- */
+
+static void
+get_residency (QuinceResidencyCoordinator *coordinator,
+               const char *host,
+               const char *path,
+               const char *tenant,
+               QuinceResidency *residency)
+{
+  *residency = (QuinceResidency){ NULL, NULL };
+  QuinceRouteTable *table = quince_observer_get_routes (coordinator->observer);
+  if (table == NULL || !quince_backends_has_region_rules (coordinator->backends))
+    return;
+  const QuinceRoute *route = quince_route_table_find (table, host, path);
+  const QuinceTenantTable *tenants = quince_route_table_get_tenants (table);
+  const QuinceTenant *found = tenants != NULL ? quince_tenant_table_find (tenants, tenant) : NULL;
+  if (route != NULL)
+    quince_route_get_residency (route, found, residency);
+  else if (found != NULL)
+    residency->tenant_regions = (const char *const *)found->regions;
+}
+
+static void
+add_bound (GArray *bounds, const QuinceResidency *residency)
+{
+  if (!quince_residency_is_free (residency))
+    g_array_append_val (bounds, *residency);
+}
+
+/* Of all batches that the configuration allows. (transfer full) */
+static GArray *
+collect_configured (QuinceResidencyCoordinator *coordinator)
+{
+  GArray *bounds = g_array_new (FALSE, FALSE, sizeof (QuinceResidency));
+  const QuinceRouteTable *table = quince_observer_get_routes (coordinator->observer);
+  for (guint i = 0; table != NULL && i < quince_route_table_get_n_routes (table); i++)
+    {
+      const QuinceRoute *route = quince_route_table_get_route (table, i);
+      QuinceResidency residency;
+      quince_route_get_residency (route, NULL, &residency);
+      if (route->kind == QUINCE_ROUTE_ROLLOUT)
+        add_bound (bounds, &residency);
+    }
+  const QuinceTenantTable *tenants = table != NULL ? quince_route_table_get_tenants (table) : NULL;
+  g_autoptr (GPtrArray) all = tenants != NULL ? quince_tenant_table_list (tenants) : g_ptr_array_new ();
+  for (guint i = 0; i < all->len; i++)
+    {
+      const QuinceTenant *tenant = all->pdata[i];
+      const QuinceResidency residency = { .tenant_regions = (const char *const *)tenant->regions };
+      add_bound (bounds, &residency);
+    }
+  return bounds;
+}
+
+/* Of the batches that lie in the ledger, committed or not. (transfer full) */
+static GArray *
+collect_kept (QuinceResidencyCoordinator *coordinator, const GPtrArray *entries)
+{
+  GArray *bounds = g_array_new (FALSE, FALSE, sizeof (QuinceResidency));
+  for (guint i = 0; i < entries->len; i++)
+    {
+      const QuinceBatchEntry *entry = entries->pdata[i];
+      QuinceResidency residency;
+      get_residency (coordinator, entry->batch->host, entry->batch->path, entry->tenant, &residency);
+      add_bound (bounds, &residency);
+    }
+  GHashTableIter iter;
+  gpointer value;
+  g_hash_table_iter_init (&iter, coordinator->admitted);
+  while (g_hash_table_iter_next (&iter, NULL, &value))
+    {
+      const Admitted *admitted = value;
+      QuinceResidency residency;
+      get_residency (coordinator, admitted->host, admitted->path, admitted->tenant, &residency);
+      add_bound (bounds, &residency);
+    }
+  return bounds;
+}
+
+/* ---- Where the ledger lies ------------------------------------------------ */
+
+static GPtrArray *
+choose_machines (QuinceResidencyCoordinator *coordinator, const GArray *bounds)
+{
+  return quince_machine_zones_choose (coordinator->zones, (const QuinceResidency *)bounds->data, bounds->len);
+}
+
+static void
+confine (QuinceResidencyCoordinator *coordinator, const GPtrArray *nodes)
+{
+  g_auto (GStrv) names = NULL;
+  if (nodes != NULL)
+    {
+      names = g_new0 (char *, nodes->len + 1);
+      for (guint i = 0; i < nodes->len; i++)
+        names[i] = g_strdup (nodes->pdata[i]);
+    }
+  gboolean same
+      = (names == NULL) == (coordinator->confined == NULL)
+        && (names == NULL
+            || g_strv_equal ((const char *const *)names, (const char *const *)coordinator->confined));
+  if (!same)
+    {
+      g_autofree char *text = names != NULL ? g_strjoinv (",", names) : g_strdup ("all");
+      quince_log_notice ("ledger_confined", "nodes=%s", text);
+      g_strfreev (coordinator->confined);
+      coordinator->confined = g_steal_pointer (&names);
+    }
+  /* Also what is the same: a new leader feeds members alone until it is told. */
+  quince_ledger_node_confine (coordinator->ledger, (const char *const *)coordinator->confined);
+}
+
+/* Confines the ledger to where all batches of the configuration may lie, or else those in it. */
+static void
+place_ledger (QuinceResidencyCoordinator *coordinator, const GPtrArray *entries)
+{
+  if (!quince_backends_has_region_rules (coordinator->backends))
+    {
+      confine (coordinator, NULL);
+      return;
+    }
+  g_autoptr (GArray) configured = collect_configured (coordinator);
+  g_autoptr (GArray) kept = collect_kept (coordinator, entries);
+  g_autoptr (GPtrArray) for_all = choose_machines (coordinator, configured);
+  g_autoptr (GPtrArray) for_kept = choose_machines (coordinator, kept);
+  if (configured->len > 0 && for_all->len >= coordinator->quorum)
+    confine (coordinator, for_all);
+  else
+    confine (coordinator, kept->len > 0 ? for_kept : NULL);
+}
+
+/* Members that may not keep what lies in the ledger: too few others are there to take their zones. */
+static void
+report_unmet (QuinceResidencyCoordinator *coordinator, gint64 now_us)
+{
+  const QuinceLedgerView *view = quince_ledger_node_get_view (coordinator->ledger);
+  g_autoptr (GString) names = g_string_new (NULL);
+  guint outside = 0;
+  for (guint i = 0; view != NULL && coordinator->confined != NULL && i < view->members.members_len; i++)
+    if (!g_strv_contains ((const char *const *)coordinator->confined, view->members.members_val[i].node))
+      g_string_append_printf (names, "%s%s", outside++ > 0 ? "," : "", view->members.members_val[i].node);
+  quince_metric_set ("quince_replica_members_outside", "", outside);
+  if (names->len == 0 || now_us - coordinator->unmet_logged_us < UNMET_EVERY_US)
+    return;
+  coordinator->unmet_logged_us = now_us;
+  quince_log_warning ("residency_unmet", "nodes=%s", names->str);
+}
+
+void
+quince_residency_coordinator_step (QuinceResidencyCoordinator *coordinator, const GPtrArray *entries)
+{
+  gint64 now = quince_now_us ();
+  write_place (coordinator, now);
+  if (coordinator->several_regions && entries == NULL)
+    quince_metric_set ("quince_replica_members_outside", "", 0); /* the leader's to tell */
+  if (!coordinator->several_regions || entries == NULL
+      || quince_observer_get_routes (coordinator->observer) == NULL)
+    return; /* which regions bind is not known yet: what was said before stands */
+  remove_place (coordinator, now);
+  place_ledger (coordinator, entries);
+  report_unmet (coordinator, now);
+}
+
+gboolean
+quince_residency_coordinator_admit (QuinceResidencyCoordinator *coordinator,
+                                    const GPtrArray *entries,
+                                    const char *id,
+                                    const char *host,
+                                    const char *path,
+                                    const char *tenant)
+{
+  if (coordinator->several_regions && quince_observer_get_routes (coordinator->observer) == NULL)
+    return FALSE; /* which regions bind is not known yet */
+  QuinceResidency residency;
+  get_residency (coordinator, host, path, tenant, &residency);
+  if (quince_residency_is_free (&residency))
+    return TRUE;
+  const QuinceLedgerView *view = quince_ledger_node_get_view (coordinator->ledger);
+  for (guint i = 0; i < view->members.members_len; i++)
+    if (!quince_machine_zones_allow (coordinator->zones, &residency, view->members.members_val[i].node))
+      return FALSE;
+  if (!coordinator->several_regions)
+    return TRUE;
+  Admitted *admitted = g_new0 (Admitted, 1);
+  admitted->host = g_strdup (host);
+  admitted->path = g_strdup (path);
+  admitted->tenant = g_strdup (tenant);
+  g_hash_table_replace (coordinator->admitted, g_strdup (id), admitted);
+  place_ledger (coordinator, entries);
+  return TRUE;
+}
+
+void
+quince_residency_coordinator_settle (QuinceResidencyCoordinator *coordinator, const char *id)
+{
+  if (id != NULL)
+    g_hash_table_remove (coordinator->admitted, id);
+  else
+    g_hash_table_remove_all (coordinator->admitted);
+}
+
+gboolean
+quince_residency_coordinator_allows (QuinceResidencyCoordinator *coordinator,
+                                     const char *node,
+                                     const char *host,
+                                     const char *path,
+                                     const char *tenant)
+{
+  QuinceResidency residency;
+  get_residency (coordinator, host, path, tenant, &residency);
+  return quince_machine_zones_allow (coordinator->zones, &residency, node);
+}
+
+/* ---- Public --------------------------------------------------------------- */
+
+QuinceResidencyCoordinator *
+quince_residency_coordinator_new (const char *name,
+                                  guint quorum,
+                                  QuinceMetaStore *store,
+                                  QuinceBackends *backends,
+                                  QuinceObserver *observer)
+{
+  QuinceResidencyCoordinator *coordinator = g_new0 (QuinceResidencyCoordinator, 1);
+  coordinator->name = g_strdup (name);
+  coordinator->quorum = quorum;
+  coordinator->store = store;
+  coordinator->backends = backends;
+  coordinator->observer = observer;
+  coordinator->topology = quince_backends_get_topology (backends);
+  coordinator->several_regions = quince_topology_count_regions (coordinator->topology) > 1;
+  coordinator->zones = quince_machine_zones_new (coordinator->topology);
+  coordinator->admitted = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, admitted_free);
+  quince_machine_zones_set (coordinator->zones, name, quince_topology_get_own_zone (coordinator->topology));
+  return coordinator;
+}
+
+void
+quince_residency_coordinator_set_ledger (QuinceResidencyCoordinator *coordinator, QuinceLedgerNode *ledger)
+{
+  coordinator->ledger = ledger;
+}
+
+void
+quince_residency_coordinator_free (QuinceResidencyCoordinator *coordinator)
+{
+  if (coordinator == NULL)
+    return;
+  quince_machine_zones_free (coordinator->zones);
+  g_hash_table_unref (coordinator->admitted);
+  g_strfreev (coordinator->confined);
+  g_strfreev (coordinator->leaving);
+  g_free (coordinator->name);
+  g_free (coordinator);
+}
--- a/daemons/replica/sample-dispatch.c
+++ b/daemons/replica/sample-dispatch.c
@@ -18,7 +18,7 @@
  */
 #define HELD_PAUSE_US (1 * G_USEC_PER_SEC)
 /* One whose end its service would not bear waits for workers to come back, which takes seconds. */
-#define SPARED_PAUSE_US (200 * 1000)
+#define PROTECTED_RETRY_US (200 * 1000)
 /* Requests at one worker where the configuration names no slots. */
 #define SLOTS_UNTOLD 8
 /* The pace of a service's fastest worker is looked for this seldom. */
@@ -205,40 +205,41 @@
 
 /* Logs once that @sample is not sent. */
 static void
-log_leave (QuinceSendGuard *guard,
-           QuinceSample *sample,
-           QuinceLeave leave,
-           const char *service,
-           gint64 now_us)
+log_admission (QuinceSendGuard *guard,
+               QuinceSample *sample,
+               QuinceAdmission leave,
+               const char *service,
+               gint64 now_us)
 {
   const char *id = quince_sample_get_item (sample)->id;
-  if (leave != sample->logged && leave == QUINCE_LEAVE_HELD)
+  if (leave != sample->logged && leave == QUINCE_ADMISSION_HELD)
     quince_send_guard_log_held (guard, now_us, quince_sample_get_identity (sample), id);
-  else if (leave != sample->logged && leave == QUINCE_LEAVE_SPARED)
-    quince_send_guard_log_spared (guard, now_us, quince_sample_get_identity (sample), id, service);
+  else if (leave != sample->logged && leave == QUINCE_ADMISSION_PROTECTED)
+    quince_send_guard_log_protected (guard, now_us, quince_sample_get_identity (sample), id, service);
   sample->logged = leave;
 }
 
 /* Returns: %FALSE when the sample is not to be sent now. */
 static gboolean
-has_leave (QuinceSampleRunner *runner, QuinceSample *sample, const char *service, gint64 now_us)
+is_admitted (QuinceSampleRunner *runner, QuinceSample *sample, const char *service, gint64 now_us)
 {
   QuinceSendGuard *guard = quince_backends_get_guard (runner->backends);
   if (quince_send_guard_is_idle (guard))
     return TRUE;
   sample->backends = runner->backends;
-  QuinceLeave leave
+  QuinceAdmission leave
       = quince_send_guard_ask (guard, now_us, quince_sample_get_identity (sample), service, &sample->permit);
-  if (leave == QUINCE_LEAVE_GIVEN || leave == QUINCE_LEAVE_CAREFUL || leave == QUINCE_LEAVE_PERMIT)
+  if (leave == QUINCE_ADMISSION_GRANTED || leave == QUINCE_ADMISSION_CAREFUL
+      || leave == QUINCE_ADMISSION_PERMIT)
     return TRUE;
-  if (leave == QUINCE_LEAVE_HELD || leave == QUINCE_LEAVE_SPARED)
+  if (leave == QUINCE_ADMISSION_HELD || leave == QUINCE_ADMISSION_PROTECTED)
     {
-      log_leave (guard, sample, leave, service, now_us);
-      sample->not_before_us = now_us + (leave == QUINCE_LEAVE_HELD ? HELD_PAUSE_US : SPARED_PAUSE_US);
+      log_admission (guard, sample, leave, service, now_us);
+      sample->not_before_us = now_us + (leave == QUINCE_ADMISSION_HELD ? HELD_PAUSE_US : PROTECTED_RETRY_US);
       return FALSE;
     }
-  sample->not_before_us = now_us + QUINCE_LEAVE_PAUSE_MS * 1000;
-  quince_sample_runner_pump_after (runner, QUINCE_LEAVE_PAUSE_MS);
+  sample->not_before_us = now_us + QUINCE_ADMISSION_RETRY_MS * 1000;
+  quince_sample_runner_pump_after (runner, QUINCE_ADMISSION_RETRY_MS);
   return FALSE;
 }
 
@@ -265,7 +266,7 @@
   QuinceBackendOutcome outcome = QUINCE_BACKEND_NONE;
   if (admission.refuse)
     sample->not_before_us = now_us + (gint64)MAX (admission.retry_after_ms, POLICY_PAUSE_MS) * 1000;
-  else if (has_leave (runner, sample, view.service, now_us))
+  else if (is_admitted (runner, sample, view.service, now_us))
     outcome = choose_worker (runner, sample, &view, &request, &worker);
   if (worker != NULL)
     begin_run (runner, sample, route, worker);
@@ -297,7 +298,7 @@
       if (pace == 0 || (best > 0 && pace >= best))
         continue;
       gboolean free_now = !worker->draining && !worker->loading && worker->gone_after_us == 0
-                          && now_us >= worker->doubted_until_us && worker->running < view->slots
+                          && now_us >= worker->ejected_until_us && worker->running < view->slots
                           && quince_backends_may_send (runner->backends, worker)
                           && !quince_worker_is_cold (worker, now_us);
       if (!free_now || !quince_backends_allow (runner->backends, worker, &residency)
--- a/daemons/replica/sample-outcome.c
+++ b/daemons/replica/sample-outcome.c
@@ -162,7 +162,7 @@
 }
 
 static void
-doubt_worker (QuinceSampleRunner *runner, const QuinceSample *sample)
+eject_worker (QuinceSampleRunner *runner, const QuinceSample *sample)
 {
   QuinceWorker *worker
       = quince_worker_table_find (quince_backends_get_workers (runner->backends), sample->worker_id);
@@ -215,12 +215,12 @@
       break;
     case QUINCE_RUN_REFUSED:
       if (g_str_equal (cause, "no_connection"))
-        doubt_worker (runner, sample);
+        eject_worker (runner, sample);
       wait_again (sample, REFUSED_PAUSE_US);
       break;
     case QUINCE_RUN_BROKEN:
       if (!g_str_equal (cause, "event_out_of_turn"))
-        doubt_worker (runner, sample);
+        eject_worker (runner, sample);
       wait_again (sample, 0);
       break;
     case QUINCE_RUN_MOVED:
--- a/daemons/replica/sample-runner.c
+++ b/daemons/replica/sample-runner.c
@@ -11,7 +11,7 @@
 #include "runtime/log.h"
 #include "forward/residency-lookup.h"
 #include "runtime/clock.h"
-#include "core/duties/scale-plan.h"
+#include "core/scaling/scale-plan.h"
 
 #define PUMP_EVERY_MS 100
 /* Members that follow a new leader link to it within some ms, and a few hundred half texts are told in some
@@ -248,22 +248,22 @@
     {
       QuinceSample *sample = runner->samples->pdata[i];
       if (all)
-        sample->told_event = sample->told_bytes = sample->told_failures = 0;
-      if (sample->last_event == sample->told_event && sample->failures == sample->told_failures)
+        sample->replicated_event = sample->replicated_bytes = sample->replicated_failures = 0;
+      if (sample->last_event == sample->replicated_event && sample->failures == sample->replicated_failures)
         continue;
       QuinceProgressItem item = { .batch = sample->entry->batch->id,
                                   .item = sample->item,
-                                  .from_event = sample->told_event,
+                                  .from_event = sample->replicated_event,
                                   .last_event = sample->last_event,
                                   .failures = sample->failures };
-      item.text.text_val = sample->text->str + sample->told_bytes;
-      item.text.text_len = (u_int)(sample->text->len - sample->told_bytes);
+      item.text.text_val = sample->text->str + sample->replicated_bytes;
+      item.text.text_len = (u_int)(sample->text->len - sample->replicated_bytes);
       item.versions.versions_val = (u_quad_t *)sample->versions->data;
       item.versions.versions_len = sample->versions->len;
       g_array_append_val (items, item);
-      sample->told_event = sample->last_event;
-      sample->told_failures = sample->failures;
-      sample->told_bytes = sample->text->len;
+      sample->replicated_event = sample->last_event;
+      sample->replicated_failures = sample->failures;
+      sample->replicated_bytes = sample->text->len;
     }
 }
 
@@ -319,7 +319,7 @@
       g_array_append_val (sample->versions, version);
     }
   sample->last_event = item->last_event;
-  sample->told_event = sample->told_bytes = 0; /* whoever leads next is told all of it */
+  sample->replicated_event = sample->replicated_bytes = 0; /* whoever leads next is told all of it */
   return TRUE;
 }
 
@@ -399,7 +399,7 @@
 {
   gint64 now = quince_now_us ();
   gint64 pace = mean_pace_us (runner, service, now);
-  double places = 0;
+  double slots = 0;
   for (guint i = 0; i < runner->samples->len; i++)
     {
       const QuinceSample *sample = runner->samples->pdata[i];
@@ -410,10 +410,10 @@
         continue;
       double events = quince_length_model_remaining (quince_sample_runner_get_lengths (runner, batch->model),
                                                      sample->estimated_tokens, sample->last_event);
-      places += quince_scale_places_needed ((gint64)(events * (double)pace), now - sample->submitted_us,
-                                            (gint64)route->deadline_ms * 1000);
+      slots += quince_scale_slots_needed ((gint64)(events * (double)pace), now - sample->submitted_us,
+                                          (gint64)route->deadline_ms * 1000);
     }
-  return places;
+  return slots;
 }
 
 guint
--- a/daemons/replica/sample.c
+++ b/daemons/replica/sample.c
@@ -11,7 +11,7 @@
 #include "runtime/clock.h"
 
 /* A run's silence is looked at so often; how much of it is borne changes with the worker's pace. */
-#define SILENCE_LOOK_MS 300
+#define SILENCE_CHECK_MS 300
 /* Told to the worker where the sample has no end. */
 #define TIME_MAX_MS 60000
 
@@ -70,7 +70,7 @@
 
 /* The run is over: its worker has a place free. */
 static void
-leave_worker (QuinceSample *sample)
+release_worker (QuinceSample *sample)
 {
   quince_source_clear (&sample->silence_timer);
   g_clear_pointer (&sample->events, quince_platform_events_free);
@@ -86,7 +86,7 @@
   if (sample->exchange != NULL)
     {
       quince_http_exchange_cancel (sample->exchange);
-      leave_worker (sample);
+      release_worker (sample);
     }
   if (sample->reward != NULL)
     quince_forward_cancel (sample->reward);
@@ -105,8 +105,8 @@
   g_string_truncate (sample->text, 0);
   g_array_set_size (sample->versions, 0);
   sample->last_event = 0;
-  sample->told_event = 0;
-  sample->told_bytes = 0;
+  sample->replicated_event = 0;
+  sample->replicated_bytes = 0;
 }
 
 /* ---- Events ----------------------------------------------------------- */
@@ -126,7 +126,7 @@
   if (sample->exchange != NULL)
     {
       quince_http_exchange_cancel (sample->exchange);
-      leave_worker (sample);
+      release_worker (sample);
     }
   sample->run_ended (sample, end, cause, sample->user_data);
 }
@@ -181,7 +181,7 @@
 exchange_body (QuinceHttpExchange *exchange, const char *data, gsize length, gpointer user_data)
 {
   QuinceSample *sample = user_data;
-  sample->heard_us = quince_now_us ();
+  sample->contact_us = quince_now_us ();
   if (!sample->accepted)
     return;
   quince_platform_events_feed (sample->events, data, length);
@@ -198,7 +198,7 @@
   QuinceSample *sample = user_data;
   QuincePlatformAnswerFacts facts;
   quince_platform_read_answer (head, &facts);
-  sample->heard_us = quince_now_us ();
+  sample->contact_us = quince_now_us ();
   if (g_strcmp0 (facts.request_id, quince_sample_get_item (sample)->id) != 0)
     {
       quince_http_exchange_distrust (exchange);
@@ -242,7 +242,7 @@
 {
   QuinceSample *sample = user_data;
   gboolean has_rest = quince_platform_events_has_rest (sample->events);
-  leave_worker (sample);
+  release_worker (sample);
   if (outcome == QUINCE_HTTP_ANSWERED)
     answered (sample, quince_http_exchange_get_head (exchange), has_rest);
   else if (outcome == QUINCE_HTTP_NOT_SENT)
@@ -263,17 +263,17 @@
 }
 
 static gboolean
-look_at_silence (gpointer data)
+check_silence (gpointer data)
 {
   QuinceSample *sample = data;
-  gint64 silent_ms = (quince_now_us () - sample->heard_us) / 1000;
+  gint64 silent_ms = (quince_now_us () - sample->contact_us) / 1000;
   guint most_ms = silence_most_ms (sample);
   quince_source_clear (&sample->silence_timer);
   if (silent_ms >= most_ms)
     quince_sample_cut (sample, QUINCE_RUN_BROKEN, "worker_silent");
   else
     sample->silence_timer
-        = quince_timer_add (MIN ((guint)(most_ms - silent_ms) + 1, SILENCE_LOOK_MS), look_at_silence, sample);
+        = quince_timer_add (MIN ((guint)(most_ms - silent_ms) + 1, SILENCE_CHECK_MS), check_silence, sample);
   return G_SOURCE_REMOVE;
 }
 
@@ -324,11 +324,11 @@
   sample->accepted = FALSE;
   sample->runs++;
   sample->started_us = quince_now_us ();
-  sample->heard_us = sample->started_us;
+  sample->contact_us = sample->started_us;
   sample->event_us = 0;
   sample->events = quince_platform_events_new ();
   worker->running++;
   sample->exchange = quince_http_pool_start (quince_backends_get_pool (backends, worker), &request,
                                              &exchange_callbacks, sample);
-  sample->silence_timer = quince_timer_add (SILENCE_LOOK_MS, look_at_silence, sample);
+  sample->silence_timer = quince_timer_add (SILENCE_CHECK_MS, check_silence, sample);
 }
--- a/daemons/replica/sample.h
+++ b/daemons/replica/sample.h
@@ -38,12 +38,12 @@
   QuinceBatchEntry *entry; /* not owned */
   guint item;
   QuinceSampleState state;
-  GString *text;      /* data of the events so far, joined by line feeds */
-  guint64 last_event; /* id of the last whole event; 0: none */
-  GArray *versions;   /* guint64: that made an event of the text */
-  guint64 told_event; /* backups know the text up to here */
-  gsize told_bytes;
-  guint told_failures;
+  GString *text;            /* data of the events so far, joined by line feeds */
+  guint64 last_event;       /* id of the last whole event; 0: none */
+  GArray *versions;         /* guint64: that made an event of the text */
+  guint64 replicated_event; /* backups know the text up to here */
+  gsize replicated_bytes;
+  guint replicated_failures;
   guint64 run_version; /* of the run in progress */
   guint failures;      /* answers of 500 */
   guint hopeless;      /* answers of 422 */
@@ -59,7 +59,7 @@
   QuinceRequestIdentity identity; /* see quince_sample_get_identity() */
   gboolean has_identity;
   QuinceSendPermit permit; /* of the run in progress */
-  QuinceLeave logged;      /* that it is held, or spared; else QUINCE_LEAVE_GIVEN */
+  QuinceAdmission logged;  /* that it is held, or spared; else QUINCE_ADMISSION_GRANTED */
 
   /* The run in progress. */
   char *worker_id;
@@ -67,7 +67,7 @@
   QuinceHttpExchange *exchange;
   QuincePlatformEvents *events;
   GSource *silence_timer;
-  gint64 heard_us;
+  gint64 contact_us;
   gint64 started_us;
   gint64 event_us;   /* when the last event came; 0: none since weights were loaded */
   gboolean accepted; /* the head of a good answer has come */
--- a/daemons/replica/step-demand.c
+++ b/daemons/replica/step-demand.c
@@ -25,18 +25,24 @@
 }
 
 void
-quince_step_demand_note_batch (QuinceModelHomes *homes, const QuinceBatchJob *batch, guint open_samples)
+quince_step_demand_note_batch (QuinceModelPlacement *placement,
+                               const QuinceBatchJob *batch,
+                               guint open_samples)
 {
-  quince_model_homes_add_demand (homes, quince_now_us (), batch->model, work_of (batch), open_samples);
+  quince_model_placement_add_demand (placement, quince_now_us (), batch->model, work_of (batch),
+                                     open_samples);
 }
 
 void
-quince_step_demand_note_end (QuinceModelHomes *homes, const QuinceBatchJob *batch, const QuinceRoute *route)
+quince_step_demand_note_end (QuinceModelPlacement *placement,
+                             const QuinceBatchJob *batch,
+                             const QuinceRoute *route)
 {
   if (route == NULL || route->deadline_ms == 0)
     return;
   gint64 took_ms = quince_wall_ms () - (gint64)batch->submitted_ms;
   g_autofree char *labels = g_strdup_printf ("model=\"%s\"", batch->model);
   quince_metric_set ("quince_replica_step_lateness", labels, (double)took_ms / route->deadline_ms);
-  quince_model_homes_note_step (homes, batch->model, took_ms * 1000, (gint64)route->deadline_ms * 1000);
+  quince_model_placement_note_step (placement, batch->model, took_ms * 1000,
+                                    (gint64)route->deadline_ms * 1000);
 }
--- a/daemons/replica/step-demand.h
+++ b/daemons/replica/step-demand.h
@@ -4,12 +4,15 @@
 #pragma once
 
 #include "protocol/codec.h"
-#include "core/weights/model-homes.h"
+#include "core/weights/model-placement.h"
 #include "core/routing/routing.h"
 
 /* A step was submitted. @open_samples: of its model that are not done, with those of this step */
-void quince_step_demand_note_batch (QuinceModelHomes *homes, const QuinceBatchJob *batch, guint open_samples);
+void quince_step_demand_note_batch (QuinceModelPlacement *placement,
+                                    const QuinceBatchJob *batch,
+                                    guint open_samples);
 /* Its trainer ended it.  @route: (nullable): %NULL: its route is gone, and nothing is known of when it was
  * due */
-void
-quince_step_demand_note_end (QuinceModelHomes *homes, const QuinceBatchJob *batch, const QuinceRoute *route);
+void quince_step_demand_note_end (QuinceModelPlacement *placement,
+                                  const QuinceBatchJob *batch,
+                                  const QuinceRoute *route);
--- a/daemons/replica/usage-duty.c
+++ b/daemons/replica/usage-collector.c
@@ -1,14 +1,14 @@
 /*
- * usage-duty.c: usage of tenants, from what fronts tell to the platform's acknowledgement.
+ * usage-collector.c: usage of tenants, from what fronts tell to the platform's acknowledgement.
  */
-#include "usage-duty.h"
+#include "usage-collector.h"
 
-#include "core/duties/agreed-clock.h"
+#include "core/usage/agreed-clock.h"
 #include "http1/http-client.h"
 #include "runtime/log.h"
 #include "runtime/metrics.h"
 #include "runtime/clock.h"
-#include "core/duties/usage-book.h"
+#include "core/usage/usage-book.h"
 
 #include "platform.h"
 
@@ -34,7 +34,7 @@
   GArray *events;   /* QuinceUsageEvent, owned texts */
 } Source;
 
-struct _QuinceUsageDuty
+struct _QuinceUsageCollector
 {
   /* All fields belong to the main context. */
   QuinceLedgerNode *ledger;
@@ -75,24 +75,24 @@
 /* ---- What fronts tell --------------------------------------------------- */
 
 static Source *
-find_source (QuinceUsageDuty *duty, guint64 id)
+find_source (QuinceUsageCollector *collector, guint64 id)
 {
-  Source *source = g_hash_table_lookup (duty->sources, &id);
+  Source *source = g_hash_table_lookup (collector->sources, &id);
   if (source != NULL)
     return source;
   source = g_new0 (Source, 1);
   source->source = id;
-  source->told = quince_usage_book_get_sequence (duty->book, id);
+  source->told = quince_usage_book_get_sequence (collector->book, id);
   source->events = g_array_new (FALSE, TRUE, sizeof (QuinceUsageEvent));
   g_array_set_clear_func (source->events, clear_event);
-  g_hash_table_insert (duty->sources, &source->source, source);
+  g_hash_table_insert (collector->sources, &source->source, source);
   return source;
 }
 
 static void
-acknowledge (QuinceUsageDuty *duty, const Source *source)
+acknowledge (QuinceUsageCollector *collector, const Source *source)
 {
-  guint64 sequence = quince_usage_book_get_sequence (duty->book, source->source);
+  guint64 sequence = quince_usage_book_get_sequence (collector->book, source->source);
   if (source->link == NULL || sequence == 0)
     return;
   QuinceMessage message = { .kind = QUINCE_MESSAGE_USAGE_ACK };
@@ -102,23 +102,25 @@
 }
 
 void
-quince_usage_duty_take_report (QuinceUsageDuty *duty, QuinceLink *link, const QuinceUsageReport *report)
+quince_usage_collector_take_report (QuinceUsageCollector *collector,
+                                    QuinceLink *link,
+                                    const QuinceUsageReport *report)
 {
-  if (!duty->leads)
+  if (!collector->leads)
     return;
   gint64 now_ms = quince_now_us () / 1000;
-  quince_agreed_clock_note (duty->clock, report->source, now_ms, (gint64)report->wall_ms);
-  gint64 wall_ms = quince_agreed_clock_get (duty->clock, now_ms, quince_wall_ms ());
-  Source *source = find_source (duty, report->source);
+  quince_agreed_clock_note (collector->clock, report->source, now_ms, (gint64)report->wall_ms);
+  gint64 wall_ms = quince_agreed_clock_get (collector->clock, now_ms, quince_wall_ms ());
+  Source *source = find_source (collector, report->source);
   if (source->link != link)
     {
       g_clear_pointer (&source->link, quince_link_unref);
       source->link = quince_link_ref (link);
-      acknowledge (duty, source); /* the answer of a former link may be lost */
+      acknowledge (collector, source); /* the answer of a former link may be lost */
     }
   for (guint i = 0; i < report->events.events_len; i++)
     {
-      const QuinceUsageTold *told = &report->events.events_val[i];
+      const QuinceUsageStart *told = &report->events.events_val[i];
       if (told->sequence <= source->told)
         continue;
       source->told = told->sequence;
@@ -130,11 +132,11 @@
 }
 
 void
-quince_usage_duty_link_closed (QuinceUsageDuty *duty, QuinceLink *link)
+quince_usage_collector_link_closed (QuinceUsageCollector *collector, QuinceLink *link)
 {
   GHashTableIter iter;
   gpointer value;
-  g_hash_table_iter_init (&iter, duty->sources);
+  g_hash_table_iter_init (&iter, collector->sources);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     if (((Source *)value)->link == link)
       g_clear_pointer (&((Source *)value)->link, quince_link_unref);
@@ -142,13 +144,13 @@
 
 /* All that was told since the last record becomes one more. */
 static void
-keep_events (QuinceUsageDuty *duty)
+keep_events (QuinceUsageCollector *collector)
 {
   g_autoptr (GArray) sources = g_array_new (FALSE, FALSE, sizeof (QuinceUsageEvents));
   g_autoptr (GPtrArray) kept = g_ptr_array_new ();
   GHashTableIter iter;
   gpointer value;
-  g_hash_table_iter_init (&iter, duty->sources);
+  g_hash_table_iter_init (&iter, collector->sources);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
       Source *source = value;
@@ -165,7 +167,7 @@
   QuinceBatchRecord record = { .kind = QUINCE_BATCH_RECORD_USAGE };
   record.QuinceBatchRecord_u.usage.sources.sources_val = (QuinceUsageEvents *)sources->data;
   record.QuinceBatchRecord_u.usage.sources.sources_len = sources->len;
-  if (quince_ledger_node_append (duty->ledger, &record) == 0)
+  if (quince_ledger_node_append (collector->ledger, &record) == 0)
     return; /* told again by the fronts, or kept at the next step */
   for (guint i = 0; i < kept->len; i++)
     g_array_set_size (((Source *)kept->pdata[i])->events, 0);
@@ -174,26 +176,26 @@
 /* ---- Windows ------------------------------------------------------------ */
 
 static void
-close_window (QuinceUsageDuty *duty)
+close_window (QuinceUsageCollector *collector)
 {
   gint64 now_ms = quince_now_us () / 1000;
-  gint64 wall_ms = quince_agreed_clock_get (duty->clock, now_ms, quince_wall_ms ());
-  if (duty->closing != 0 || quince_now_us () < duty->close_after_us)
+  gint64 wall_ms = quince_agreed_clock_get (collector->clock, now_ms, quince_wall_ms ());
+  if (collector->closing != 0 || quince_now_us () < collector->close_after_us)
     return;
   g_autoptr (QuinceUsageWindow) window
-      = quince_usage_book_next_to_close (duty->book, (guint64)wall_ms, duty->close_delay_ms);
+      = quince_usage_book_next_to_close (collector->book, (guint64)wall_ms, collector->close_delay_ms);
   if (window == NULL)
     return;
   QuinceBatchRecord record = { .kind = QUINCE_BATCH_RECORD_USAGE_CLOSED };
   record.QuinceBatchRecord_u.usage_closed = *window;
-  if (quince_ledger_node_append (duty->ledger, &record) != 0)
-    duty->closing = window->window;
+  if (quince_ledger_node_append (collector->ledger, &record) != 0)
+    collector->closing = window->window;
 }
 
 static void
-forget_records (QuinceUsageDuty *duty)
+forget_records (QuinceUsageCollector *collector)
 {
-  g_autoptr (GArray) indexes = quince_usage_book_take_forgettable (duty->book);
+  g_autoptr (GArray) indexes = quince_usage_book_take_forgettable (collector->book);
   if (indexes->len == 0)
     return;
   QuinceBatchRecord record = { .kind = QUINCE_BATCH_RECORD_FORGET };
@@ -201,33 +203,33 @@
   forget->batch = (char *)""; /* of no batch */
   forget->indexes.indexes_val = (u_quad_t *)indexes->data;
   forget->indexes.indexes_len = indexes->len;
-  quince_ledger_node_append (duty->ledger, &record);
+  quince_ledger_node_append (collector->ledger, &record);
 }
 
 gboolean
-quince_usage_duty_is_record (const QuinceBatchRecord *record)
+quince_usage_collector_is_record (const QuinceBatchRecord *record)
 {
   return record->kind == QUINCE_BATCH_RECORD_USAGE || record->kind == QUINCE_BATCH_RECORD_USAGE_CLOSED
          || record->kind == QUINCE_BATCH_RECORD_USAGE_SENT;
 }
 
 void
-quince_usage_duty_committed (QuinceUsageDuty *duty, guint64 index, QuinceBatchRecord *record)
+quince_usage_collector_committed (QuinceUsageCollector *collector, guint64 index, QuinceBatchRecord *record)
 {
-  if (duty->book == NULL)
-    duty->book = quince_usage_book_new (duty->window_ms);
-  quince_usage_book_apply (duty->book, index, record);
+  if (collector->book == NULL)
+    collector->book = quince_usage_book_new (collector->window_ms);
+  quince_usage_book_apply (collector->book, index, record);
   if (record->kind == QUINCE_BATCH_RECORD_USAGE_CLOSED)
-    duty->closing = 0;
+    collector->closing = 0;
   if (record->kind == QUINCE_BATCH_RECORD_USAGE_SENT)
-    duty->acknowledged = FALSE;
+    collector->acknowledged = FALSE;
   const QuinceUsageRecord *usage = &record->QuinceBatchRecord_u.usage;
   for (guint i = 0; record->kind == QUINCE_BATCH_RECORD_USAGE && i < usage->sources.sources_len; i++)
     {
       u_quad_t id = usage->sources.sources_val[i].source;
-      const Source *source = g_hash_table_lookup (duty->sources, &id);
+      const Source *source = g_hash_table_lookup (collector->sources, &id);
       if (source != NULL)
-        acknowledge (duty, source);
+        acknowledge (collector, source);
     }
   quince_batch_record_free (record);
 }
@@ -235,121 +237,121 @@
 /* ---- Reports ------------------------------------------------------------ */
 
 static void
-report_failed (QuinceUsageDuty *duty)
+report_failed (QuinceUsageCollector *collector)
 {
-  duty->not_before_us = quince_now_us () + duty->retry_us;
-  duty->retry_us = MIN (2 * duty->retry_us, RETRY_MAX_US);
+  collector->not_before_us = quince_now_us () + collector->retry_us;
+  collector->retry_us = MIN (2 * collector->retry_us, RETRY_MAX_US);
 }
 
 static void
-report_taken (QuinceUsageDuty *duty)
+report_taken (QuinceUsageCollector *collector)
 {
   QuinceBatchRecord record = { .kind = QUINCE_BATCH_RECORD_USAGE_SENT };
-  record.QuinceBatchRecord_u.usage_sent = duty->sending;
-  duty->retry_us = RETRY_MIN_US;
-  duty->acknowledged = quince_ledger_node_append (duty->ledger, &record) != 0;
+  record.QuinceBatchRecord_u.usage_sent = collector->sending;
+  collector->retry_us = RETRY_MIN_US;
+  collector->acknowledged = quince_ledger_node_append (collector->ledger, &record) != 0;
 }
 
 static void
 report_done (QuinceHttpExchange *exchange, QuinceHttpOutcome outcome, const GError *error, gpointer data)
 {
-  QuinceUsageDuty *duty = data;
-  duty->exchange = NULL;
+  QuinceUsageCollector *collector = data;
+  collector->exchange = NULL;
   guint status = outcome == QUINCE_HTTP_ANSWERED ? quince_http_exchange_get_head (exchange)->status : 0;
-  quince_log_notice ("usage_reported", "window=%" G_GUINT64_FORMAT " status=%u", duty->sending, status);
+  quince_log_notice ("usage_reported", "window=%" G_GUINT64_FORMAT " status=%u", collector->sending, status);
   g_autofree char *labels = g_strdup_printf ("status=\"%u\"", status);
   quince_metric_add ("quince_replica_usage_reports_total", labels, 1);
   if (status == 200)
-    report_taken (duty);
+    report_taken (collector);
   else
-    report_failed (duty);
+    report_failed (collector);
 }
 
 static const QuinceHttpExchangeCallbacks report_callbacks = { .done = report_done };
 
 static void
-send_report (QuinceUsageDuty *duty)
+send_report (QuinceUsageCollector *collector)
 {
-  const QuinceUsageWindow *window = quince_usage_book_next_to_send (duty->book);
-  gboolean busy = duty->exchange != NULL || duty->acknowledged;
-  if (window == NULL || busy || quince_now_us () < duty->not_before_us
-      || !quince_ledger_node_may_order (duty->ledger))
+  const QuinceUsageWindow *window = quince_usage_book_next_to_send (collector->book);
+  gboolean busy = collector->exchange != NULL || collector->acknowledged;
+  if (window == NULL || busy || quince_now_us () < collector->not_before_us
+      || !quince_ledger_node_may_order (collector->ledger))
     return;
   g_autoptr (GBytes) body = quince_platform_format_usage (window);
   g_autoptr (QuinceHttpHeaders) headers = quince_http_headers_new ();
   quince_http_headers_add (headers, "Host", "platform");
-  quince_platform_write_duty (headers, duty->holder, quince_ledger_node_get_epoch (duty->ledger));
+  quince_platform_write_duty (headers, collector->holder, quince_ledger_node_get_epoch (collector->ledger));
   const QuinceHttpRequest request = { .method = "POST",
                                       .target = QUINCE_PLATFORM_USAGE_TARGET,
                                       .headers = headers,
                                       .body = body,
                                       .timeout_us = CALL_TIMEOUT_US };
-  duty->sending = window->window;
-  duty->exchange = quince_http_pool_start (duty->platform, &request, &report_callbacks, duty);
+  collector->sending = window->window;
+  collector->exchange = quince_http_pool_start (collector->platform, &request, &report_callbacks, collector);
 }
 
 void
-quince_usage_duty_step (QuinceUsageDuty *duty)
+quince_usage_collector_step (QuinceUsageCollector *collector)
 {
-  if (!duty->leads || !quince_ledger_node_may_accept (duty->ledger))
+  if (!collector->leads || !quince_ledger_node_may_accept (collector->ledger))
     return;
-  if (duty->close_after_us == 0)
-    duty->close_after_us = quince_now_us () + FRONTS_TELL_US;
-  keep_events (duty);
-  close_window (duty);
-  send_report (duty);
-  forget_records (duty);
+  if (collector->close_after_us == 0)
+    collector->close_after_us = quince_now_us () + FRONTS_TELL_US;
+  keep_events (collector);
+  close_window (collector);
+  send_report (collector);
+  forget_records (collector);
 }
 
 /* ---- Leadership ----------------------------------------------------------- */
 
 void
-quince_usage_duty_lead (QuinceUsageDuty *duty)
+quince_usage_collector_lead (QuinceUsageCollector *collector)
 {
-  if (duty->book == NULL)
-    duty->book = quince_usage_book_new (duty->window_ms);
-  duty->leads = TRUE;
-  duty->closing = 0;
-  duty->close_after_us = 0;
-  duty->acknowledged = FALSE;
-  duty->not_before_us = 0;
-  duty->retry_us = RETRY_MIN_US;
+  if (collector->book == NULL)
+    collector->book = quince_usage_book_new (collector->window_ms);
+  collector->leads = TRUE;
+  collector->closing = 0;
+  collector->close_after_us = 0;
+  collector->acknowledged = FALSE;
+  collector->not_before_us = 0;
+  collector->retry_us = RETRY_MIN_US;
 }
 
 void
-quince_usage_duty_stop_leading (QuinceUsageDuty *duty)
+quince_usage_collector_stop_leading (QuinceUsageCollector *collector)
 {
-  duty->leads = FALSE;
-  if (duty->exchange != NULL)
-    quince_http_exchange_cancel (duty->exchange);
-  duty->exchange = NULL;
-  g_hash_table_remove_all (duty->sources);
-  g_clear_pointer (&duty->book, quince_usage_book_free);
+  collector->leads = FALSE;
+  if (collector->exchange != NULL)
+    quince_http_exchange_cancel (collector->exchange);
+  collector->exchange = NULL;
+  g_hash_table_remove_all (collector->sources);
+  g_clear_pointer (&collector->book, quince_usage_book_free);
 }
 
-QuinceUsageDuty *
-quince_usage_duty_new (const QuinceUsageDutyOptions *options, QuinceLedgerNode *ledger)
+QuinceUsageCollector *
+quince_usage_collector_new (const QuinceUsageCollectorOptions *options, QuinceLedgerNode *ledger)
 {
-  QuinceUsageDuty *duty = g_new0 (QuinceUsageDuty, 1);
-  duty->ledger = ledger;
-  duty->holder = g_strdup (options->holder);
-  duty->window_ms = (guint64)options->window_us / 1000;
-  duty->close_delay_ms = (guint64)(CLOSE_SHARE * (double)options->late_us / 1000);
-  duty->platform = quince_http_pool_new (options->address);
-  duty->clock = quince_agreed_clock_new ();
-  duty->sources = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, source_free);
-  return duty;
+  QuinceUsageCollector *collector = g_new0 (QuinceUsageCollector, 1);
+  collector->ledger = ledger;
+  collector->holder = g_strdup (options->holder);
+  collector->window_ms = (guint64)options->window_us / 1000;
+  collector->close_delay_ms = (guint64)(CLOSE_SHARE * (double)options->late_us / 1000);
+  collector->platform = quince_http_pool_new (options->address);
+  collector->clock = quince_agreed_clock_new ();
+  collector->sources = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, source_free);
+  return collector;
 }
 
 void
-quince_usage_duty_free (QuinceUsageDuty *duty)
+quince_usage_collector_free (QuinceUsageCollector *collector)
 {
-  if (duty == NULL)
+  if (collector == NULL)
     return;
-  quince_usage_duty_stop_leading (duty);
-  g_hash_table_unref (duty->sources);
-  quince_agreed_clock_free (duty->clock);
-  quince_http_pool_unref (duty->platform);
-  g_free (duty->holder);
-  g_free (duty);
+  quince_usage_collector_stop_leading (collector);
+  g_hash_table_unref (collector->sources);
+  quince_agreed_clock_free (collector->clock);
+  quince_http_pool_unref (collector->platform);
+  g_free (collector->holder);
+  g_free (collector);
 }
--- /dev/null
+++ b/daemons/replica/warmup-coordinator.c
@@ -0,0 +1,115 @@
+/*
+ * warmup-coordinator.c: one process gives all sends to cold workers: the ledger's leader.
+ */
+#include "warmup-coordinator.h"
+
+#include "runtime/log.h"
+#include "runtime/clock.h"
+
+/* Chosen: how often what is over is freed, so that workers that are gone keep no memory. */
+#define EXPIRE_US (5 * G_USEC_PER_SEC)
+/* Fronts ask again no sooner than this, however soon there is room: the answer to one ask comes first. */
+#define AGAIN_MIN_MS 20
+
+struct _QuinceWarmupCoordinator
+{
+  /* All fields belong to the main context. */
+  QuinceWarmupSends *sends;
+  QuinceWorkerTable *workers;
+  QuinceObserver *observer; /* NULL: not known yet */
+  gboolean (*may_give) (gpointer);
+  gpointer user_data;
+  gint64 expired_us;
+};
+
+static const QuinceService *
+find_service (const char *name, gpointer data)
+{
+  const QuinceWarmupCoordinator *coordinator = data;
+  return coordinator->observer != NULL ? quince_observer_find_service (coordinator->observer, name) : NULL;
+}
+
+static gboolean
+may_give (gpointer data)
+{
+  const QuinceWarmupCoordinator *coordinator = data;
+  return coordinator->may_give (coordinator->user_data);
+}
+
+static const QuinceWarmupSendsCallbacks sends_callbacks
+    = { .find_service = find_service, .may_give = may_give };
+
+QuinceWarmupCoordinator *
+quince_warmup_coordinator_new (const QuinceWarmupBounds *bounds,
+                               QuinceWorkerTable *workers,
+                               gboolean (*may_give_now) (gpointer user_data),
+                               gpointer user_data)
+{
+  QuinceWarmupCoordinator *coordinator = g_new0 (QuinceWarmupCoordinator, 1);
+  coordinator->sends = quince_warmup_sends_new (bounds, &sends_callbacks, coordinator);
+  coordinator->workers = workers;
+  coordinator->may_give = may_give_now;
+  coordinator->user_data = user_data;
+  return coordinator;
+}
+
+void
+quince_warmup_coordinator_free (QuinceWarmupCoordinator *coordinator)
+{
+  if (coordinator == NULL)
+    return;
+  quince_warmup_sends_free (coordinator->sends);
+  g_free (coordinator);
+}
+
+void
+quince_warmup_coordinator_set_observer (QuinceWarmupCoordinator *coordinator, QuinceObserver *observer)
+{
+  coordinator->observer = observer;
+}
+
+QuinceWarmupSends *
+quince_warmup_coordinator_get_sends (QuinceWarmupCoordinator *coordinator)
+{
+  return coordinator->sends;
+}
+
+void
+quince_warmup_coordinator_lead (QuinceWarmupCoordinator *coordinator)
+{
+  quince_warmup_sends_take_over (coordinator->sends);
+}
+
+gboolean
+quince_warmup_coordinator_take (QuinceWarmupCoordinator *coordinator,
+                                QuinceLink *link,
+                                const QuinceMessage *message)
+{
+  if (message->kind != QUINCE_MESSAGE_WARMUP_ASK)
+    return FALSE;
+  const QuinceWarmupAsk *ask = &message->QuinceMessage_u.warmup_ask;
+  const QuinceWorker *worker = quince_worker_table_find (coordinator->workers, ask->worker);
+  gint64 again_us = AGAIN_MIN_MS * 1000;
+  QuinceMessage answer = { .kind = QUINCE_MESSAGE_WARMUP_GRANT };
+  QuinceWarmupGrant *grant = &answer.QuinceMessage_u.warmup_grant;
+  grant->ask = ask->ask;
+  grant->worker = ask->worker;
+  /* A worker that is not known here, of whichever service, gets nothing. */
+  if (worker != NULL)
+    grant->sends
+        = quince_warmup_sends_give (coordinator->sends, worker->id, worker->service, ask->sends, &again_us);
+  grant->valid_ms = QUINCE_WARMUP_VALID_US / 1000;
+  grant->again_ms = (guint)MAX (again_us / 1000, AGAIN_MIN_MS);
+  quince_link_send (link, &answer);
+  return TRUE;
+}
+
+void
+quince_warmup_coordinator_step (QuinceWarmupCoordinator *coordinator)
+{
+  gint64 now = quince_now_us ();
+  if (now - coordinator->expired_us < EXPIRE_US)
+    return;
+  coordinator->expired_us = now;
+  quince_warmup_sends_expire (coordinator->sends, now);
+}
--- a/daemons/replica/weight-load.c
+++ b/daemons/replica/weight-load.c
@@ -15,8 +15,8 @@
 #define CALL_TIMEOUT_US (900 * 1000)
 /* A load takes 0.9 s where nothing else loads, and reports lag by a tenth of a second.  Looks cost a probe
  * each; a late one keeps the worker closed and the next load waiting. */
-#define FIRST_LOOK_MS 900
-#define LOOK_AGAIN_MS 80
+#define FIRST_POLL_MS 900
+#define NEXT_POLL_MS 80
 /* A load that takes longer is given up. */
 #define LOAD_MAX_US (8 * G_USEC_PER_SEC)
 
@@ -71,7 +71,7 @@
 }
 
 static gboolean
-look_again (gpointer data)
+poll_again (gpointer data)
 {
   QuinceWeightLoad *load = data;
   quince_source_clear (&load->timer);
@@ -80,10 +80,10 @@
 }
 
 static void
-look_later (QuinceWeightLoad *load, guint wait_ms)
+poll_later (QuinceWeightLoad *load, guint wait_ms)
 {
   quince_source_clear (&load->timer);
-  load->timer = quince_timer_add (wait_ms, look_again, load);
+  load->timer = quince_timer_add (wait_ms, poll_again, load);
 }
 
 static void
@@ -95,9 +95,9 @@
   quince_log_info ("weights_order", "worker=%s model=%s version=%" G_GUINT64_FORMAT " status=%u",
                    load->worker_id, load->model, load->version, status);
   if (status == 202 || status == 200)
-    look_later (load, status == 202 ? FIRST_LOOK_MS : 1);
+    poll_later (load, status == 202 ? FIRST_POLL_MS : 1);
   else if (outcome == QUINCE_HTTP_BROKEN)
-    look_later (load, LOOK_AGAIN_MS); /* it may have been taken */
+    poll_later (load, NEXT_POLL_MS); /* it may have been taken */
   else
     load_end (load, status == 421 ? "other_worker" : "refused");
 }
@@ -118,7 +118,7 @@
   guint64 fence = 0;
   if (quince_backends_holds_sends (load->owner->backends))
     {
-      look_later (load, LOOK_AGAIN_MS);
+      poll_later (load, NEXT_POLL_MS);
       return;
     }
   if (is_evacuated (load, worker))
@@ -178,7 +178,7 @@
   else if (quince_now_us () - load->started_us > LOAD_MAX_US)
     load_end (load, "timeout");
   else if (report->busy)
-    look_later (load, LOOK_AGAIN_MS);
+    poll_later (load, NEXT_POLL_MS);
   else
     send_order (load, report->orders_taken);
 }
@@ -211,7 +211,7 @@
     }
   if (quince_backends_holds_sends (load->owner->backends))
     {
-      look_later (load, LOOK_AGAIN_MS);
+      poll_later (load, NEXT_POLL_MS);
       return;
     }
   if (is_evacuated (load, worker))
--- a/daemons/replica/weight-orders.c
+++ b/daemons/replica/weight-orders.c
@@ -1,7 +1,7 @@
 /*
  * weight-orders.c: orders to workers to load weights, a few workers at a time.
  *
- * Which model a worker is kept at: model-homes.h; which load waits: load-plan.h.
+ * Which model a worker is kept at: model-placement.h; which load waits: load-plan.h.
  */
 #include "weight-orders.h"
 
@@ -14,7 +14,7 @@
 #include "weight-load.h"
 
 #define PUMP_EVERY_MS 200
-/* Loads that end at about the same time are followed by one look at the workers.  A load takes 900 ms. */
+/* Loads that end at about the same time are followed by one state at the workers.  A load takes 900 ms. */
 #define PUMP_SOON_MS 20
 /* Workers of a service that may load at the same time: this part of them at the most, two at the least. */
 #define AT_ONCE_SHARE 0.2
@@ -22,13 +22,13 @@
 /* Before a worker whose load failed is ordered again. */
 #define FAILED_PAUSE_US (500 * 1000)
 
-/* What the last whole look at a service has found. */
+/* What the last whole state at a service has found. */
 typedef struct
 {
   QuinceLoadWindow window;
   GPtrArray *kept; /* ids, owned: of workers that are kept at a model */
   guint usable;    /* workers that may load */
-} ServiceLook;
+} ServiceState;
 
 struct _QuinceWeightOrders
 {
@@ -41,10 +41,10 @@
   GHashTable *loads;           /* QuinceWeightLoad by its worker id, owned */
   GHashTable *pauses;          /* worker id to gint64: no order before */
   GHashTable *named;           /* NamedVersion by model, both owned */
-  GHashTable *services;        /* ServiceLook by name, both owned */
+  GHashTable *services;        /* ServiceState by name, both owned */
   GSource *timer;
   GSource *soon;
-  gboolean after_load; /* this look follows a load: workers and models are the same as at the last one */
+  gboolean after_load; /* this state follows a load: workers and models are the same as at the last one */
 };
 
 /* ---- Loads ------------------------------------------------------------ */
@@ -57,24 +57,24 @@
 }
 
 static void
-service_look_free (gpointer data)
+service_state_free (gpointer data)
 {
-  ServiceLook *look = data;
-  g_ptr_array_unref (look->kept);
-  g_free (look);
+  ServiceState *state = data;
+  g_ptr_array_unref (state->kept);
+  g_free (state);
 }
 
-static ServiceLook *
-look_of (QuinceWeightOrders *orders, const char *service)
+static ServiceState *
+get_service_state (QuinceWeightOrders *orders, const char *service)
 {
-  ServiceLook *look = g_hash_table_lookup (orders->services, service);
-  if (look == NULL)
+  ServiceState *state = g_hash_table_lookup (orders->services, service);
+  if (state == NULL)
     {
-      look = g_new0 (ServiceLook, 1);
-      look->kept = g_ptr_array_new_with_free_func (g_free);
-      g_hash_table_insert (orders->services, g_strdup (service), look);
+      state = g_new0 (ServiceState, 1);
+      state->kept = g_ptr_array_new_with_free_func (g_free);
+      g_hash_table_insert (orders->services, g_strdup (service), state);
     }
-  return look;
+  return state;
 }
 
 /* Of @usable workers. */
@@ -88,9 +88,9 @@
 note_loaded (QuinceWeightOrders *orders, const QuinceWeightLoad *load)
 {
   gint64 ordered_us = quince_weight_load_get_ordered_us (load);
-  ServiceLook *look = look_of (orders, quince_weight_load_get_service (load));
+  ServiceState *state = get_service_state (orders, quince_weight_load_get_service (load));
   if (ordered_us != 0)
-    quince_load_window_note (&look->window, quince_now_us (), ordered_us, most_at_once (look->usable));
+    quince_load_window_note (&state->window, quince_now_us (), ordered_us, most_at_once (state->usable));
 }
 
 static gboolean
@@ -201,7 +201,7 @@
 }
 
 static void
-set_home_metrics (QuinceWeightOrders *orders, const QuinceService *service, const GArray *workers)
+set_placement_metrics (QuinceWeightOrders *orders, const QuinceService *service, const GArray *workers)
 {
   for (guint i = 0; i < service->models->len; i++)
     {
@@ -209,8 +209,8 @@
       guint count = 0;
       for (guint j = 0; j < workers->len; j++)
         {
-          const char *worker = g_array_index (workers, QuinceHomeWorker, j).id;
-          count += g_strcmp0 (quince_model_homes_get (orders->options.homes, worker), model) == 0;
+          const char *worker = g_array_index (workers, QuincePlacementWorker, j).id;
+          count += g_strcmp0 (quince_model_placement_get (orders->options.placement, worker), model) == 0;
         }
       g_autofree char *labels = g_strdup_printf ("model=\"%s\"", model);
       quince_metric_set ("quince_replica_model_workers", labels, count);
@@ -218,21 +218,21 @@
 }
 
 static void
-assign_homes (QuinceWeightOrders *orders,
-              gint64 now_us,
-              const QuinceService *service,
-              const GPtrArray *workers)
+assign_models (QuinceWeightOrders *orders,
+               gint64 now_us,
+               const QuinceService *service,
+               const GPtrArray *workers)
 {
-  g_autoptr (GArray) usable = g_array_new (FALSE, FALSE, sizeof (QuinceHomeWorker));
+  g_autoptr (GArray) usable = g_array_new (FALSE, FALSE, sizeof (QuincePlacementWorker));
   for (guint i = 0; i < workers->len; i++)
     {
       const QuinceWorker *worker = workers->pdata[i];
-      const QuinceHomeWorker row = { worker->id, held_by (worker) };
+      const QuincePlacementWorker row = { worker->id, held_by (worker) };
       if (!worker->draining && quince_backends_may_send (orders->backends, worker))
         g_array_append_val (usable, row);
     }
-  quince_model_homes_assign (orders->options.homes, now_us, service->models, usable, service->slots);
-  set_home_metrics (orders, service, usable);
+  quince_model_placement_assign (orders->options.placement, now_us, service->models, usable, service->slots);
+  set_placement_metrics (orders, service, usable);
 }
 
 /* Whether @worker, which is behind, loads now if it comes to its turn. */
@@ -261,7 +261,7 @@
            QuinceWorker *worker,
            QuinceLoadTurns *turns)
 {
-  const char *model = quince_model_homes_get (orders->options.homes, worker->id);
+  const char *model = quince_model_placement_get (orders->options.placement, worker->id);
   if (model == NULL)
     return;
   guint64 wanted = quince_observer_get_version (orders->observer, model);
@@ -280,28 +280,28 @@
       QuinceWorker *worker = quince_load_turns_next (turns);
       if (worker == NULL)
         return;
-      const char *model = quince_model_homes_get (orders->options.homes, worker->id);
+      const char *model = quince_model_placement_get (orders->options.placement, worker->id);
       begin_load (orders, worker, model, quince_observer_get_version (orders->observer, model), retain);
     }
 }
 
-/* Deals out homes, and finds the workers that have one. */
+/* Deals out placement, and finds the workers that have one. */
 static void
-look_at_all (QuinceWeightOrders *orders, gint64 now_us, const QuinceService *service, ServiceLook *look)
+check_all (QuinceWeightOrders *orders, gint64 now_us, const QuinceService *service, ServiceState *state)
 {
   g_autoptr (GPtrArray) workers
       = quince_worker_table_list (quince_backends_get_workers (orders->backends), service->name);
-  assign_homes (orders, now_us, service, workers);
-  g_ptr_array_set_size (look->kept, 0);
-  look->usable = 0;
+  assign_models (orders, now_us, service, workers);
+  g_ptr_array_set_size (state->kept, 0);
+  state->usable = 0;
   for (guint i = 0; i < workers->len; i++)
     {
       const QuinceWorker *worker = workers->pdata[i];
       if (!quince_backends_may_send (orders->backends, worker))
         continue;
-      look->usable++;
-      if (quince_model_homes_get (orders->options.homes, worker->id) != NULL)
-        g_ptr_array_add (look->kept, g_strdup (worker->id));
+      state->usable++;
+      if (quince_model_placement_get (orders->options.placement, worker->id) != NULL)
+        g_ptr_array_add (state->kept, g_strdup (worker->id));
     }
 }
 
@@ -312,18 +312,18 @@
               const QuinceLoadPlan *plan)
 {
   g_autoptr (QuinceLoadTurns) turns = quince_load_turns_new ();
-  ServiceLook *look = look_of (orders, service->name);
+  ServiceState *state = get_service_state (orders, service->name);
   gint64 now = quince_now_us ();
   if (!orders->after_load)
-    look_at_all (orders, now, service, look);
-  for (guint i = 0; i < look->kept->len; i++)
+    check_all (orders, now, service, state);
+  for (guint i = 0; i < state->kept->len; i++)
     {
       QuinceWorker *worker
-          = quince_worker_table_find (quince_backends_get_workers (orders->backends), look->kept->pdata[i]);
+          = quince_worker_table_find (quince_backends_get_workers (orders->backends), state->kept->pdata[i]);
       if (worker != NULL && quince_backends_may_send (orders->backends, worker))
         take_turn (orders, now, plan, worker, turns);
     }
-  guint at_once = quince_load_window_get (&look->window, most_at_once (look->usable));
+  guint at_once = quince_load_window_get (&state->window, most_at_once (state->usable));
   guint loading = loads_of_service (orders, service->name);
   begin_loads (orders, turns, at_once > loading ? at_once - loading : 0,
                !has_single_version (routes, service->name));
@@ -375,7 +375,7 @@
       = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, (GDestroyNotify)quince_weight_load_free);
   orders->pauses = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   orders->named = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
-  orders->services = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, service_look_free);
+  orders->services = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, service_state_free);
   orders->timer = quince_timer_add (PUMP_EVERY_MS, timer_over, orders);
   return orders;
 }
--- a/daemons/replica/weight-orders.h
+++ b/daemons/replica/weight-orders.h
@@ -7,7 +7,7 @@
 
 #include "forward/backends.h"
 #include "core/weights/load-plan.h"
-#include "core/weights/model-homes.h"
+#include "core/weights/model-placement.h"
 #include "observer/observer.h"
 
 typedef struct _QuinceWeightOrders QuinceWeightOrders;
@@ -17,7 +17,7 @@
 typedef struct
 {
   const char *holder;
-  QuinceModelHomes *homes; /* not owned */
+  QuinceModelPlacement *placement; /* not owned */
   gboolean (*may_order) (guint64 *fence, gpointer user_data);
   void (*loaded) (gpointer user_data);
   void (*describe) (QuinceLoadPlan *plan, gpointer user_data);
--- a/daemons/replica/scale-duty.h
+++ b/daemons/replica/worker-scaler.h
@@ -1,5 +1,5 @@
 /*
- * scale-duty.h: orders workers from the platform in place of lost ones, and gives them back.
+ * worker-scaler.h: orders workers from the platform in place of lost ones, and gives them back.
  *
  * The ledger's leader alone does it, under its epoch as the fence, one call at a time.  All replicas follow
  * how many workers stand in each zone, so that a new leader knows what stood there; see scale-plan.h.
@@ -10,10 +10,10 @@
 
 #include "ledger-node.h"
 
-typedef struct _QuinceScaleDuty QuinceScaleDuty;
+typedef struct _QuinceWorkerScaler QuinceWorkerScaler;
 
 /**
- * QuinceScaleDutyOptions:
+ * QuinceWorkerScalerOptions:
  * @holder: name of this machine
  * @address: of the platform's calls
  * @count_needed: places at workers of a service that its open samples take to end in time
@@ -28,11 +28,11 @@
   QuinceBackends *backends;
   QuinceObserver *observer;
   double (*count_needed) (const char *service, gpointer user_data);
-} QuinceScaleDutyOptions;
+} QuinceWorkerScalerOptions;
 
-QuinceScaleDuty *quince_scale_duty_new (const QuinceScaleDutyOptions *options, gpointer user_data);
-void quince_scale_duty_free (QuinceScaleDuty *duty); /* (nullable) */
-void quince_scale_duty_lead (QuinceScaleDuty *duty);
-void quince_scale_duty_stop_leading (QuinceScaleDuty *duty);
+QuinceWorkerScaler *quince_worker_scaler_new (const QuinceWorkerScalerOptions *options, gpointer user_data);
+void quince_worker_scaler_free (QuinceWorkerScaler *scaler); /* (nullable) */
+void quince_worker_scaler_lead (QuinceWorkerScaler *scaler);
+void quince_worker_scaler_stop_leading (QuinceWorkerScaler *scaler);
 /* To be called several times a second, whether this replica leads or not. */
-void quince_scale_duty_step (QuinceScaleDuty *duty);
+void quince_worker_scaler_step (QuinceWorkerScaler *scaler);
--- a/lib/clients/kv-watch.c
+++ b/lib/clients/kv-watch.c
@@ -47,7 +47,7 @@
   guint64 revision;   /* greatest store revision seen */
   gboolean up;
   gboolean reading;    /* a read is on its way */
-  gint64 heard_us;     /* last answer of the service; 0: none */
+  gint64 contact_us;   /* last answer of the service; 0: none */
   WatchStream *stream; /* not owned; NULL when none is open */
   GSource *timer;      /* owned; the back-off or the next check */
   GRand *random;       /* owned; spreads the back-off */
@@ -200,7 +200,7 @@
 {
   QuinceKvWatch *watch = user_data;
   watch->reading = FALSE;
-  watch->heard_us = error == NULL ? quince_now_us () : watch->heard_us;
+  watch->contact_us = error == NULL ? quince_now_us () : watch->contact_us;
   gboolean standing = watch->stream != NULL && watch->stream->created;
   if (standing && g_error_matches (error, QUINCE_KV_ERROR, QUINCE_KV_ERROR_RATE))
     {
@@ -277,7 +277,7 @@
 {
   g_autoptr (GError) error = NULL;
   QuinceKvWatchLine line;
-  stream->watch->heard_us = quince_now_us ();
+  stream->watch->contact_us = quince_now_us ();
   if (!quince_kv_json_parse_watch (text, length, &line, &error))
     {
       watch_break (stream->watch, error->message);
@@ -419,5 +419,5 @@
 gint64
 quince_kv_watch_get_heard_us (const QuinceKvWatch *watch)
 {
-  return watch->heard_us;
+  return watch->contact_us;
 }
--- a/lib/core/batches/sample-plan.c
+++ b/lib/core/batches/sample-plan.c
@@ -18,7 +18,7 @@
 #define MOVE_GAIN_PART 0.25
 /* Runs that might move are looked at this seldom: a leader that runs a thousand samples begins and ends
  * hundreds of runs a second. */
-#define MOVE_LOOK_US (100 * 1000)
+#define MOVE_CHECK_US (100 * 1000)
 /* A look that comes so much later than it should tells of a busy process.  Looks are made by a timer of 100
  * ms and by news: one that is missed by a hair comes 100 ms late on a calm process. */
 #define MOVE_LATE_US (200 * 1000)
@@ -45,11 +45,11 @@
 gboolean
 quince_sample_plan_may_move (QuinceMoveWatch *watch, gint64 now_us)
 {
-  gint64 since_us = now_us - watch->looked_us;
-  if (watch->looked_us != 0 && since_us < MOVE_LOOK_US)
+  gint64 since_us = now_us - watch->checked_us;
+  if (watch->checked_us != 0 && since_us < MOVE_CHECK_US)
     return FALSE;
-  if (watch->looked_us != 0 && since_us > MOVE_LOOK_US + MOVE_LATE_US)
+  if (watch->checked_us != 0 && since_us > MOVE_CHECK_US + MOVE_LATE_US)
     watch->trust_us = now_us + MOVE_SETTLE_US;
-  watch->looked_us = now_us;
+  watch->checked_us = now_us;
   return now_us >= watch->trust_us;
 }
--- a/lib/core/batches/sample-plan.h
+++ b/lib/core/batches/sample-plan.h
@@ -20,8 +20,8 @@
 /* When runs are looked at for moves, and whether what was measured of late can be relied on. */
 typedef struct
 {
-  gint64 looked_us; /* the last look; 0: none yet */
-  gint64 trust_us;  /* paces that were measured before it may be wrong */
+  gint64 checked_us; /* the last look; 0: none yet */
+  gint64 trust_us;   /* paces that were measured before it may be wrong */
 } QuinceMoveWatch;
 
 /* Returns: whether it is time to look for moves at @now_us.  A process that looks late was busy: events
--- a/lib/core/group/ledger-campaign.c
+++ b/lib/core/group/ledger-campaign.c
@@ -46,7 +46,7 @@
   if (group->kept.promised != epoch)
     group->promised_to = 0;
   group->kept.promised = epoch;
-  group->primary_heard_us = now_us;
+  group->primary_contact_us = now_us;
   quince_ledger_group_end_campaign (group);
   return TRUE;
 }
@@ -65,7 +65,7 @@
 follows_another (const QuinceLedgerGroup *group, gint64 now_us, guint64 replica)
 {
   gboolean follows = replica == group->view->primary && knows_lead (group);
-  return !follows && now_us - group->primary_heard_us < group->limits.primary_silence_us;
+  return !follows && now_us - group->primary_contact_us < group->limits.primary_silence_us;
 }
 
 /* A primary that nobody follows any more promises too: it may have slept while another one led, and the one
@@ -146,7 +146,7 @@
 quince_ledger_group_campaign (QuinceLedgerGroup *group, gint64 now_us)
 {
   gint64 patience = get_patience (group);
-  if (patience < 0 || (patience > 0 && now_us - group->primary_heard_us < patience))
+  if (patience < 0 || (patience > 0 && now_us - group->primary_contact_us < patience))
     return 0;
   if (group->campaign_epoch != 0 && now_us - group->campaign_us < CAMPAIGN_US)
     return group->campaign_epoch; /* the questions may have been lost */
--- a/lib/core/group/ledger-group-private.h
+++ b/lib/core/group/ledger-group-private.h
@@ -44,7 +44,7 @@
   gint64 propose_after_us;    /* pause after a failed proposal */
 
   /* At a backup. */
-  gint64 primary_heard_us;
+  gint64 primary_contact_us;
   QuinceLedgerKept kept;
   guint64 promised_at_start; /* as the disk had it when this process was started */
   guint64 promised_to;    /* who has the promise; 0: not known, or it is one to a primary that was followed */
--- a/lib/core/group/ledger-group.c
+++ b/lib/core/group/ledger-group.c
@@ -51,7 +51,7 @@
   group->promised_at_start = kept->promised;
   group->may_found = may_found;
   /* It may have answered the primary a moment before its restart. */
-  group->primary_heard_us = now_us;
+  group->primary_contact_us = now_us;
   group->peers = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, peer_free);
   group->strict_members = g_array_new (FALSE, FALSE, sizeof (guint64));
   group->campaign_for = g_array_new (FALSE, FALSE, sizeof (guint64));
@@ -125,7 +125,7 @@
     g_hash_table_remove_all (group->peers);
   group->role = QUINCE_LEDGER_BACKUP;
   if (before == NULL || before->epoch != view->epoch)
-    group->primary_heard_us = now_us;
+    group->primary_contact_us = now_us;
 }
 
 void
@@ -151,12 +151,12 @@
 void
 quince_ledger_group_set_view (QuinceLedgerGroup *group,
                               gint64 now_us,
-                              gint64 asked_us,
+                              gint64 requested_us,
                               const QuinceLedgerView *view,
                               guint64 revision)
 {
   if (revision == group->revision && revision != 0)
-    group->confirmed_us = MAX (group->confirmed_us, asked_us);
+    group->confirmed_us = MAX (group->confirmed_us, requested_us);
   group->view_is_read = group->view_is_read || revision >= group->revision;
   gboolean news = revision > group->revision || (revision == group->revision && group->store_epoch == 0);
   if (view == NULL || !news)
@@ -165,7 +165,7 @@
       = view->epoch == group->answered || (group->store_answers && view->epoch == group->store_epoch);
   group->store_epoch = view->epoch;
   group->store_primary = view->primary;
-  group->confirmed_us = asked_us;
+  group->confirmed_us = requested_us;
   if (revision > group->revision)
     {
       /* Proposals on the former revision can no longer be done. */
@@ -238,15 +238,15 @@
 quince_ledger_group_peer_acked (QuinceLedgerGroup *group,
                                 guint64 replica,
                                 guint64 last_index,
-                                gint64 asked_us)
+                                gint64 requested_us)
 {
   QuinceLedgerPeer *peer = quince_ledger_group_find_peer (group, replica);
   if (peer == NULL)
     return;
-  if (asked_us < peer->cleared_us)
+  if (requested_us < peer->cleared_us)
     return; /* it told of what it has dropped since */
   peer->last_index = MAX (peer->last_index, last_index);
-  peer->acked_us = MAX (peer->acked_us, asked_us);
+  peer->acked_us = MAX (peer->acked_us, requested_us);
 }
 
 void
--- a/lib/core/group/ledger-group.h
+++ b/lib/core/group/ledger-group.h
@@ -79,11 +79,11 @@
 void quince_ledger_group_free (QuinceLedgerGroup *group);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (QuinceLedgerGroup, quince_ledger_group_free)
 
-/* What the metadata store holds, read at @asked_us; NULL and 0 where it holds none. An older revision is
+/* What the metadata store holds, read at @requested_us; NULL and 0 where it holds none. An older revision is
  * ignored; a newer one with a lower epoch than is known changes the members alone. */
 void quince_ledger_group_set_view (QuinceLedgerGroup *group,
                                    gint64 now_us,
-                                   gint64 asked_us,
+                                   gint64 requested_us,
                                    const QuinceLedgerView *view,
                                    guint64 revision);
 /* How the proposal that step() gave ended; @revision of the view where it is done. */
@@ -131,27 +131,28 @@
 /* Which members this replica asks who leads, and why. */
 typedef enum
 {
-  QUINCE_LEDGER_LOOK_NONE,
-  QUINCE_LEDGER_LOOK_PRIMARY, /* the primary is asked whether it has changes of members noted first */
-  QUINCE_LEDGER_LOOK_MEMBERS, /* the members are asked, now and then */
-  QUINCE_LEDGER_LOOK_VOTES,   /* the members are asked after each question for a promise */
-  QUINCE_LEDGER_LOOK_NOTES,   /* the members are asked to note a change of members */
-} QuinceLedgerLookKind;
+  QUINCE_LEDGER_QUERY_NONE,
+  QUINCE_LEDGER_QUERY_PRIMARY, /* the primary is asked whether it has changes of members noted first */
+  QUINCE_LEDGER_QUERY_MEMBERS, /* the members are asked, now and then */
+  QUINCE_LEDGER_QUERY_VOTES,   /* the members are asked after each question for a promise */
+  QUINCE_LEDGER_QUERY_NOTES,   /* the members are asked to note a change of members */
+} QuinceLedgerQueryKind;
 
 /**
- * quince_ledger_group_get_look:
+ * quince_ledger_group_get_query:
  * @store_fails: the metadata store is known to be out of reach
- * @look: (out): what to ask
+ * @query: (out): what to ask
  *
  * Returns: whom to ask
  */
-QuinceLedgerLookKind quince_ledger_group_get_look (const QuinceLedgerGroup *group,
-                                                   gint64 now_us,
-                                                   gboolean store_fails,
-                                                   QuinceLedgerLook *look);
+QuinceLedgerQueryKind quince_ledger_group_get_query (const QuinceLedgerGroup *group,
+                                                     gint64 now_us,
+                                                     gboolean store_fails,
+                                                     QuinceLedgerQuery *query);
 /* Another replica, or a front, asks who leads.  Write quince_ledger_group_get_kept() to disk before the
  * answer is sent. */
-void quince_ledger_group_looked (QuinceLedgerGroup *group, gint64 now_us, const QuinceLedgerLook *look);
+void
+quince_ledger_group_handle_query (QuinceLedgerGroup *group, gint64 now_us, const QuinceLedgerQuery *query);
 /* The answer; %FALSE: no view is known.  @lead borrows the view until the next call. */
 gboolean quince_ledger_group_tell_lead (const QuinceLedgerGroup *group, QuinceLedgerLead *lead);
 /* Another replica's answer. */
@@ -170,7 +171,7 @@
 void quince_ledger_group_peer_acked (QuinceLedgerGroup *group,
                                      guint64 replica,
                                      guint64 last_index,
-                                     gint64 asked_us);
+                                     gint64 requested_us);
 /* It is told to drop all that it holds: answers to what was asked before count no more. */
 void quince_ledger_group_peer_cleared (QuinceLedgerGroup *group, guint64 replica, gint64 now_us);
 void quince_ledger_group_peer_refused (QuinceLedgerGroup *group, guint64 promised);
--- a/lib/core/group/ledger-proposals.c
+++ b/lib/core/group/ledger-proposals.c
@@ -88,7 +88,7 @@
 moved_view (const QuinceLedgerGroup *group, gint64 now_us)
 {
   gboolean alone = group->view->primary == group->self.replica
-                   || now_us - group->primary_heard_us >= group->limits.primary_silence_us;
+                   || now_us - group->primary_contact_us >= group->limits.primary_silence_us;
   if (!alone || group->store_epoch == 0)
     return NULL;
   g_autoptr (QuinceLedgerView) view = quince_ledger_view_copy (group->view);
--- a/lib/core/group/ledger-succession.c
+++ b/lib/core/group/ledger-succession.c
@@ -12,7 +12,7 @@
  * silence that made it ask. */
 #define STORE_PATIENCE_US (300 * 1000)
 /* A campaign that has not ended by then looks who leads: some member does not promise. */
-#define LOOK_AFTER_US (300 * 1000)
+#define QUERY_AFTER_US (300 * 1000)
 
 /* ---- Lists of replicas ------------------------------------------------ */
 
@@ -87,43 +87,43 @@
 
 /* ---- Looks ------------------------------------------------------------ */
 
-QuinceLedgerLookKind
-quince_ledger_group_get_look (const QuinceLedgerGroup *group,
-                              gint64 now_us,
-                              gboolean store_fails,
-                              QuinceLedgerLook *look)
+QuinceLedgerQueryKind
+quince_ledger_group_get_query (const QuinceLedgerGroup *group,
+                               gint64 now_us,
+                               gboolean store_fails,
+                               QuinceLedgerQuery *query)
 {
   if (group->view == NULL)
-    return QUINCE_LEDGER_LOOK_NONE;
-  *look = (QuinceLedgerLook){ .revision = group->revision,
-                              .epoch = group->view->epoch,
-                              .replica = group->self.replica,
-                              .changing = group->role == QUINCE_LEDGER_PRIMARY && group->wants_notes };
+    return QUINCE_LEDGER_QUERY_NONE;
+  *query = (QuinceLedgerQuery){ .revision = group->revision,
+                                .epoch = group->view->epoch,
+                                .replica = group->self.replica,
+                                .changing = group->role == QUINCE_LEDGER_PRIMARY && group->wants_notes };
   gboolean asks = group->campaign_epoch != 0;
-  if (asks && (store_fails || now_us - group->campaign_us >= LOOK_AFTER_US))
-    return QUINCE_LEDGER_LOOK_VOTES;
-  if (look->changing)
-    return QUINCE_LEDGER_LOOK_NOTES;
+  if (asks && (store_fails || now_us - group->campaign_us >= QUERY_AFTER_US))
+    return QUINCE_LEDGER_QUERY_VOTES;
+  if (query->changing)
+    return QUINCE_LEDGER_QUERY_NOTES;
   if (group->role == QUINCE_LEDGER_PRIMARY)
-    return group->refused_with > group->view->epoch ? QUINCE_LEDGER_LOOK_MEMBERS : QUINCE_LEDGER_LOOK_NONE;
-  if (now_us - group->primary_heard_us >= group->limits.primary_silence_us)
-    return QUINCE_LEDGER_LOOK_MEMBERS;
+    return group->refused_with > group->view->epoch ? QUINCE_LEDGER_QUERY_MEMBERS : QUINCE_LEDGER_QUERY_NONE;
+  if (now_us - group->primary_contact_us >= group->limits.primary_silence_us)
+    return QUINCE_LEDGER_QUERY_MEMBERS;
   return group->answered < group->view->epoch && group->view->primary != group->self.replica
-             ? QUINCE_LEDGER_LOOK_PRIMARY
-             : QUINCE_LEDGER_LOOK_NONE;
+             ? QUINCE_LEDGER_QUERY_PRIMARY
+             : QUINCE_LEDGER_QUERY_NONE;
 }
 
 void
-quince_ledger_group_looked (QuinceLedgerGroup *group, gint64 now_us, const QuinceLedgerLook *look)
+quince_ledger_group_handle_query (QuinceLedgerGroup *group, gint64 now_us, const QuinceLedgerQuery *query)
 {
-  if (!look->changing || group->view == NULL || group->role == QUINCE_LEDGER_PRIMARY
-      || look->replica != group->view->primary || look->epoch != group->view->epoch
-      || look->epoch < group->kept.promised)
+  if (!query->changing || group->view == NULL || group->role == QUINCE_LEDGER_PRIMARY
+      || query->replica != group->view->primary || query->epoch != group->view->epoch
+      || query->epoch < group->kept.promised)
     return;
-  if (group->kept.promised != look->epoch)
+  if (group->kept.promised != query->epoch)
     group->promised_to = 0;
-  group->kept.promised = look->epoch;
-  group->kept.noted = MAX (group->kept.noted, look->revision);
+  group->kept.promised = query->epoch;
+  group->kept.noted = MAX (group->kept.noted, query->revision);
 }
 
 gboolean
--- a/lib/core/request/expected-ends.c
+++ b/lib/core/request/expected-ends.c
@@ -3,7 +3,7 @@
  */
 #include "core/request/expected-ends.h"
 
-/* A permit holds no longer, and so a send under one: see quarantine-desk.c. */
+/* A permit holds no longer, and so a send under one: see quarantine-coordinator.c. */
 #define SEND_MAX_US (3 * G_USEC_PER_SEC)
 /* One send of a digest at a time is permitted, and few requests are suspected; far above both. */
 #define ENTRIES_MAX 256
@@ -11,7 +11,7 @@
 typedef struct
 {
   QuinceSuspect suspect; /* its texts are owned */
-  gint64 told_us;
+  gint64 reported_us;
 } Entry;
 
 struct _QuinceExpectedEnds
@@ -25,7 +25,7 @@
   Entry *entry = data;
   g_free (entry->suspect.service);
   g_free (entry->suspect.software);
-  g_free (entry->suspect.told_by);
+  g_free (entry->suspect.reported_by);
   g_free (entry);
 }
 
@@ -50,7 +50,7 @@
 static gboolean
 is_over (gpointer digest, gpointer value, gpointer now_us)
 {
-  return *(const gint64 *)now_us - ((const Entry *)value)->told_us >= SEND_MAX_US;
+  return *(const gint64 *)now_us - ((const Entry *)value)->reported_us >= SEND_MAX_US;
 }
 
 void
@@ -63,8 +63,8 @@
   entry->suspect = *expected;
   entry->suspect.service = g_strdup (expected->service);
   entry->suspect.software = g_strdup (expected->software);
-  entry->suspect.told_by = g_strdup (expected->told_by);
-  entry->told_us = now_us;
+  entry->suspect.reported_by = g_strdup (expected->reported_by);
+  entry->reported_us = now_us;
   g_hash_table_replace (ends->entries, &entry->suspect.digest, entry);
 }
 
--- a/lib/core/request/quarantine.c
+++ b/lib/core/request/quarantine.c
@@ -43,7 +43,7 @@
 suspect_size (const QuinceSuspect *suspect)
 {
   return sizeof *suspect + text_size (suspect->service) + text_size (suspect->software)
-         + text_size (suspect->told_by);
+         + text_size (suspect->reported_by);
 }
 
 static void
@@ -52,7 +52,7 @@
   QuinceSuspect *suspect = data;
   g_free (suspect->service);
   g_free (suspect->software);
-  g_free (suspect->told_by);
+  g_free (suspect->reported_by);
   g_free (suspect);
 }
 
@@ -163,7 +163,7 @@
   for (guint i = 0; i < all->len; i++)
     {
       const QuinceSuspect *suspect = all->pdata[i];
-      gint64 keep = suspect->held ? quarantine->limits.hold_keep_us : quarantine->limits.doubt_keep_us;
+      gint64 keep = suspect->held ? quarantine->limits.hold_keep_us : quarantine->limits.suspect_keep_us;
       if (now_us - suspect->ended_us >= keep)
         forget (quarantine, suspect);
     }
@@ -258,7 +258,7 @@
   suspect->ended_us = MAX (suspect->ended_us, seen->ended_us);
   set_text (&suspect->service, seen->service);
   set_text (&suspect->software, seen->software);
-  set_text (&suspect->told_by, seen->told_by);
+  set_text (&suspect->reported_by, seen->reported_by);
   quarantine->bytes += suspect_size (suspect);
 }
 
@@ -330,7 +330,7 @@
   const QuinceSuspect *known = quince_quarantine_find (quarantine, &told->digest);
   if (known != NULL && told->release < known->release)
     return FALSE;
-  gint64 keep = told->held ? quarantine->limits.hold_keep_us : quarantine->limits.doubt_keep_us;
+  gint64 keep = told->held ? quarantine->limits.hold_keep_us : quarantine->limits.suspect_keep_us;
   if (now_us - told->ended_us >= keep || is_superseded (quarantine, now_us, told))
     return FALSE;
   gboolean changed = known == NULL;
--- a/lib/core/request/quarantine.h
+++ b/lib/core/request/quarantine.h
@@ -43,14 +43,14 @@
  * QuinceQuarantineLimits:
  * @entries_most: requests that are remembered
  * @bytes_most: what they may take, in bytes
- * @doubt_keep_us: a request that is not held is forgotten so long after its last end
+ * @suspect_keep_us: a request that is not held is forgotten so long after its last end
  * @hold_keep_us: a held one
  */
 typedef struct
 {
   guint entries_most;
   gsize bytes_most;
-  gint64 doubt_keep_us;
+  gint64 suspect_keep_us;
   gint64 hold_keep_us;
 } QuinceQuarantineLimits;
 
@@ -63,7 +63,7 @@
  * @ended_us: when the last one ended
  * @service: (nullable): of the last one
  * @software: (nullable): version of its software
- * @told_by: (nullable): process that told of the last one; %NULL: seen here
+ * @reported_by: (nullable): process that told of the last one; %NULL: seen here
  */
 typedef struct
 {
@@ -78,7 +78,7 @@
   gint64 ended_us;
   char *service;
   char *software;
-  char *told_by;
+  char *reported_by;
 } QuinceSuspect;
 
 /* What a request needs before it is sent. */
--- a/lib/core/request/service-strength.c
+++ b/lib/core/request/service-capacity.c
@@ -1,7 +1,7 @@
 /*
- * service-strength.c: how many workers of a service are ready, of how many.
+ * service-capacity.c: how many workers of a service are ready, of how many.
  */
-#include "core/request/service-strength.h"
+#include "core/request/service-capacity.h"
 
 /* A service that had fewer workers for so long has no more.  Chosen far above the time in which a worker that
  * ended comes back (some seconds). */
@@ -32,54 +32,54 @@
   gint64 ended_us;    /* the last end; G_MININT64: none */
 } Seen;
 
-struct _QuinceServiceStrengths
+struct _QuinceServiceCapacities
 {
   GHashTable *by_service; /* Seen by name, owned */
 };
 
 gboolean
-quince_service_strength_bears_end (const QuinceServiceStrength *strength)
+quince_service_capacity_survives_end (const QuinceServiceCapacity *capacity)
 {
-  if (strength->most <= 1)
-    return strength->ready > strength->at_risk && strength->calm_us >= SINGLE_PAUSE_US;
-  guint least = (strength->most + 1) / 2;
-  return strength->ready >= strength->at_risk + 1 + least;
+  if (capacity->most <= 1)
+    return capacity->ready > capacity->at_risk && capacity->calm_us >= SINGLE_PAUSE_US;
+  guint least = (capacity->most + 1) / 2;
+  return capacity->ready >= capacity->at_risk + 1 + least;
 }
 
 gboolean
-quince_service_strength_bears_hedge (const QuinceServiceStrength *strength)
+quince_service_capacity_allows_hedge (const QuinceServiceCapacity *capacity)
 {
-  QuinceServiceStrength one_ended = *strength;
+  QuinceServiceCapacity one_ended = *capacity;
   one_ended.at_risk++;
-  return strength->calm_us >= HEDGE_CALM_US || quince_service_strength_bears_end (&one_ended);
+  return capacity->calm_us >= HEDGE_CALM_US || quince_service_capacity_survives_end (&one_ended);
 }
 
-QuinceServiceStrengths *
-quince_service_strengths_new (void)
+QuinceServiceCapacities *
+quince_service_capacities_new (void)
 {
-  QuinceServiceStrengths *strengths = g_new0 (QuinceServiceStrengths, 1);
-  strengths->by_service = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
-  return strengths;
+  QuinceServiceCapacities *capacities = g_new0 (QuinceServiceCapacities, 1);
+  capacities->by_service = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
+  return capacities;
 }
 
 void
-quince_service_strengths_free (QuinceServiceStrengths *strengths)
+quince_service_capacities_free (QuinceServiceCapacities *capacities)
 {
-  if (strengths == NULL)
+  if (capacities == NULL)
     return;
-  g_hash_table_unref (strengths->by_service);
-  g_free (strengths);
+  g_hash_table_unref (capacities->by_service);
+  g_free (capacities);
 }
 
 static Seen *
-find_or_add (QuinceServiceStrengths *strengths, const char *service)
+find_or_add (QuinceServiceCapacities *capacities, const char *service)
 {
-  Seen *seen = g_hash_table_lookup (strengths->by_service, service);
+  Seen *seen = g_hash_table_lookup (capacities->by_service, service);
   if (seen != NULL)
     return seen;
   seen = g_new0 (Seen, 1);
   seen->ended_us = G_MININT64;
-  g_hash_table_insert (strengths->by_service, g_strdup (service), seen);
+  g_hash_table_insert (capacities->by_service, g_strdup (service), seen);
   return seen;
 }
 
@@ -97,13 +97,13 @@
 }
 
 void
-quince_service_strengths_note (QuinceServiceStrengths *strengths,
-                               gint64 now_us,
-                               const char *service,
-                               guint listed,
-                               guint ready)
+quince_service_capacities_note (QuinceServiceCapacities *capacities,
+                                gint64 now_us,
+                                const char *service,
+                                guint listed,
+                                guint ready)
 {
-  Seen *seen = find_or_add (strengths, service);
+  Seen *seen = find_or_add (capacities, service);
   if (listed < seen->most && now_us - seen->most_us >= MAX_KEEP_US)
     {
       seen->most = listed;
@@ -119,34 +119,34 @@
 }
 
 void
-quince_service_strengths_note_end (QuinceServiceStrengths *strengths, gint64 now_us, const char *service)
+quince_service_capacities_note_end (QuinceServiceCapacities *capacities, gint64 now_us, const char *service)
 {
-  Seen *seen = find_or_add (strengths, service);
+  Seen *seen = find_or_add (capacities, service);
   seen->ended_us = MAX (seen->ended_us, now_us);
 }
 
 void
-quince_service_strengths_get (const QuinceServiceStrengths *strengths,
-                              gint64 now_us,
-                              const char *service,
-                              QuinceServiceStrength *strength)
+quince_service_capacities_get (const QuinceServiceCapacities *capacities,
+                               gint64 now_us,
+                               const char *service,
+                               QuinceServiceCapacity *capacity)
 {
-  const Seen *seen = g_hash_table_lookup (strengths->by_service, service);
-  *strength = (QuinceServiceStrength){ .calm_us = G_MAXINT64 };
+  const Seen *seen = g_hash_table_lookup (capacities->by_service, service);
+  *capacity = (QuinceServiceCapacity){ .calm_us = G_MAXINT64 };
   if (seen == NULL)
     return;
-  strength->ready = seen->ready;
-  strength->most = seen->most;
+  capacity->ready = seen->ready;
+  capacity->most = seen->most;
   if (seen->ended_us != G_MININT64)
-    strength->calm_us = now_us - seen->ended_us;
+    capacity->calm_us = now_us - seen->ended_us;
 }
 
 gint64
-quince_service_strengths_get_wait_us (const QuinceServiceStrengths *strengths,
-                                      gint64 now_us,
-                                      const char *service)
+quince_service_capacities_get_wait_us (const QuinceServiceCapacities *capacities,
+                                       gint64 now_us,
+                                       const char *service)
 {
-  const Seen *seen = g_hash_table_lookup (strengths->by_service, service);
+  const Seen *seen = g_hash_table_lookup (capacities->by_service, service);
   gint64 recovery = seen != NULL && seen->recovery_us > 0 ? seen->recovery_us : RECOVERY_UNKNOWN_US;
   if (seen != NULL && seen->most <= 1)
     recovery = SINGLE_PAUSE_US;
--- a/lib/core/routing/heard-table.c
+++ b/lib/core/routing/failure-detector.c
@@ -1,13 +1,13 @@
 /*
- * heard-table.c: which of the processes that the metadata store lists are still heard.
+ * failure-detector.c: which of the processes that the metadata store lists are still heard.
  */
-#include "core/routing/heard-table.h"
+#include "core/routing/failure-detector.h"
 
 /* What the store lists no longer may only have lapsed there, and is judged on for so long. */
 #define UNLISTED_KEEP_US (10 * G_USEC_PER_SEC)
 /* Who hears less than one in this many of those that are listed doubts itself: cut off with its own zone, a
  * leader hears a third. */
-#define HEARD_MIN_PART 2
+#define ALIVE_MIN_PART 2
 
 typedef struct
 {
@@ -16,24 +16,24 @@
   gint64 unlisted_us; /* since when it is not listed */
 } Entry;
 
-struct _QuinceHeardTable
+struct _QuinceFailureDetector
 {
   GHashTable *entries; /* Entry by name, owned */
   gint64 silence_us;
   gint64 began_us;
 };
 
-QuinceHeardTable *
-quince_heard_table_new (gint64 silence_us)
+QuinceFailureDetector *
+quince_failure_detector_new (gint64 silence_us)
 {
-  QuinceHeardTable *table = g_new0 (QuinceHeardTable, 1);
+  QuinceFailureDetector *table = g_new0 (QuinceFailureDetector, 1);
   table->entries = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   table->silence_us = silence_us;
   return table;
 }
 
 void
-quince_heard_table_free (QuinceHeardTable *table)
+quince_failure_detector_free (QuinceFailureDetector *table)
 {
   if (table == NULL)
     return;
@@ -42,7 +42,7 @@
 }
 
 static Entry *
-entry_of (QuinceHeardTable *table, gint64 now_us, const char *name)
+entry_of (QuinceFailureDetector *table, gint64 now_us, const char *name)
 {
   Entry *entry = g_hash_table_lookup (table->entries, name);
   if (entry != NULL)
@@ -55,7 +55,10 @@
 }
 
 void
-quince_heard_table_set_listed (QuinceHeardTable *table, gint64 now_us, const char *name, gboolean listed)
+quince_failure_detector_set_listed (QuinceFailureDetector *table,
+                                    gint64 now_us,
+                                    const char *name,
+                                    gboolean listed)
 {
   Entry *entry = entry_of (table, now_us, name);
   if (entry->listed == listed)
@@ -68,32 +71,32 @@
 }
 
 void
-quince_heard_table_hear (QuinceHeardTable *table, gint64 now_us, const char *name)
+quince_failure_detector_heartbeat (QuinceFailureDetector *table, gint64 now_us, const char *name)
 {
   entry_of (table, now_us, name)->since_us = now_us;
 }
 
 void
-quince_heard_table_restart (QuinceHeardTable *table, gint64 now_us)
+quince_failure_detector_restart (QuinceFailureDetector *table, gint64 now_us)
 {
   table->began_us = now_us;
 }
 
 static gboolean
-is_heard (const QuinceHeardTable *table, gint64 now_us, const Entry *entry)
+is_alive (const QuinceFailureDetector *table, gint64 now_us, const Entry *entry)
 {
   return now_us - entry->since_us < table->silence_us;
 }
 
 gboolean
-quince_heard_table_is_heard (const QuinceHeardTable *table, gint64 now_us, const char *name)
+quince_failure_detector_is_alive (const QuinceFailureDetector *table, gint64 now_us, const char *name)
 {
   const Entry *entry = g_hash_table_lookup (table->entries, name);
-  return entry != NULL && is_heard (table, now_us, entry);
+  return entry != NULL && is_alive (table, now_us, entry);
 }
 
 void
-quince_heard_table_forget (QuinceHeardTable *table, gint64 now_us)
+quince_failure_detector_forget (QuinceFailureDetector *table, gint64 now_us)
 {
   GHashTableIter iter;
   gpointer value;
@@ -102,13 +105,13 @@
     {
       const Entry *entry = value;
       if (!entry->listed && now_us - entry->unlisted_us >= UNLISTED_KEEP_US
-          && !is_heard (table, now_us, entry))
+          && !is_alive (table, now_us, entry))
         g_hash_table_iter_remove (&iter);
     }
 }
 
 gboolean
-quince_heard_table_judge (const QuinceHeardTable *table, gint64 now_us, GPtrArray *silent)
+quince_failure_detector_get_silent (const QuinceFailureDetector *table, gint64 now_us, GPtrArray *silent)
 {
   guint listed = 0;
   GHashTableIter iter;
@@ -123,11 +126,11 @@
       if (!entry->listed && now_us - entry->unlisted_us >= UNLISTED_KEEP_US)
         continue;
       listed++;
-      if (!is_heard (table, now_us, entry))
+      if (!is_alive (table, now_us, entry))
         g_ptr_array_add (silent, name);
     }
   guint heard = listed - silent->len;
-  if (silent->len == 0 || heard * HEARD_MIN_PART >= listed)
+  if (silent->len == 0 || heard * ALIVE_MIN_PART >= listed)
     return TRUE;
   g_ptr_array_set_size (silent, 0);
   return FALSE;
--- a/lib/core/routing/routing.h
+++ b/lib/core/routing/routing.h
@@ -134,7 +134,7 @@
 } QuinceWorkerModel;
 
 /* Its entry says nothing of warmth. */
-#define QUINCE_COLD_UNTOLD (-1)
+#define QUINCE_COLD_UNKNOWN (-1)
 
 /* One incarnation of a worker. */
 typedef struct
@@ -146,10 +146,10 @@
   char *zone;
   guint slots;
   gboolean draining;
-  gboolean may_go;  /* it may be taken away at any moment */
-  gint64 leaves_us; /* a draining one is taken away so long after it said so; 0: not told */
-  GArray *models;   /* QuinceWorkerModel: as last told */
-  gint64 cold_us;   /* how much longer it was cold when that was last told; 0: warm; or QUINCE_COLD_UNTOLD */
+  gboolean may_go;   /* it may be taken away at any moment */
+  gint64 removal_us; /* a draining one is taken away so long after it said so; 0: not told */
+  GArray *models;    /* QuinceWorkerModel: as last told */
+  gint64 cold_us; /* how much longer it was cold when that was last told; 0: warm; or QUINCE_COLD_UNKNOWN */
   gint64
       gone_after_us; /* it is not listed, perhaps by the store's own doing: no requests after it; 0: listed */
 
@@ -159,7 +159,7 @@
   gboolean loading;             /* takes new weights: begins nothing meanwhile     */
   guint running;                /* requests of this process at it now             */
   guint failures;               /* in a row                                       */
-  gint64 doubted_until_us;      /* no first choice until then                    */
+  gint64 ejected_until_us;      /* no first choice until then                    */
   guint service_us;             /* smoothed time of its answers; 0: none yet      */
   gint64 pace_us;               /* smoothed time between two events of a text; 0: none yet */
   gint64 paced_us;              /* when the pace was last measured                */
--- a/lib/core/routing/warmup-limit.c
+++ b/lib/core/routing/warmup-limit.c
@@ -169,15 +169,15 @@
 gboolean
 quince_warmup_lease_may_ask (const QuinceWarmupLease *lease, gint64 now_us, gint64 patience_us)
 {
-  gboolean waits = lease->ask != 0 && now_us - lease->asked_us < patience_us;
+  gboolean waits = lease->ask != 0 && now_us - lease->requested_us < patience_us;
   return !waits && now_us >= lease->again_us && !quince_warmup_lease_has_room (lease, now_us);
 }
 
 void
-quince_warmup_lease_asked (QuinceWarmupLease *lease, gint64 now_us, guint64 ask)
+quince_warmup_lease_note_request (QuinceWarmupLease *lease, gint64 now_us, guint64 ask)
 {
   lease->ask = ask;
-  lease->asked_us = now_us;
+  lease->requested_us = now_us;
 }
 
 void
@@ -192,7 +192,7 @@
     return;
   lease->ask = 0;
   lease->sends = sends;
-  lease->until_us = lease->asked_us + valid_us;
+  lease->until_us = lease->requested_us + valid_us;
   lease->again_us = now_us + again_us;
   lease->refused = sends == 0;
 }
--- a/lib/core/routing/warmup.h
+++ b/lib/core/routing/warmup.h
@@ -60,12 +60,12 @@
 /* Sends to one worker that another process has allowed. */
 typedef struct
 {
-  guint sends;      /* left */
-  gint64 until_us;  /* not after it */
-  gint64 again_us;  /* asked no sooner */
-  guint64 ask;      /* number of the ask in progress; 0: none */
-  gint64 asked_us;  /* when it was sent */
-  gboolean refused; /* the last answer gave nothing */
+  guint sends;         /* left */
+  gint64 until_us;     /* not after it */
+  gint64 again_us;     /* asked no sooner */
+  guint64 ask;         /* number of the ask in progress; 0: none */
+  gint64 requested_us; /* when it was sent */
+  gboolean refused;    /* the last answer gave nothing */
 } QuinceWarmupLease;
 
 /* Whether one more may be sent now. */
@@ -74,7 +74,7 @@
 gboolean quince_warmup_lease_use (QuinceWarmupLease *lease, gint64 now_us);
 /* Whether to ask now.  An ask that got no answer within @patience_us has ended. */
 gboolean quince_warmup_lease_may_ask (const QuinceWarmupLease *lease, gint64 now_us, gint64 patience_us);
-void quince_warmup_lease_asked (QuinceWarmupLease *lease, gint64 now_us, guint64 ask);
+void quince_warmup_lease_note_request (QuinceWarmupLease *lease, gint64 now_us, guint64 ask);
 /* The answer to @ask came; it is valid for @valid_us of the moment at which it was asked for.  Answers to
  * earlier asks are left out. */
 void quince_warmup_lease_answered (QuinceWarmupLease *lease,
--- a/lib/core/routing/worker-table.c
+++ b/lib/core/routing/worker-table.c
@@ -4,8 +4,8 @@
 #include "core/routing/routing.h"
 
 /* A failing worker is no first choice for a time that doubles with each failure in a row. */
-#define DOUBT_FIRST_US (200 * 1000)
-#define DOUBT_MAX_US (2 * G_USEC_PER_SEC)
+#define EJECTION_FIRST_US (200 * 1000)
+#define EJECTION_MAX_US (2 * G_USEC_PER_SEC)
 /* Weight of the newest answer in the smoothed time, as a shift. */
 #define SERVICE_TIME_SHIFT 3
 /* The same for the time between events, of which a full worker makes hundreds a second. */
@@ -147,7 +147,7 @@
   gboolean changed = worker->draining != told->draining;
   worker->draining = told->draining;
   worker->may_go = told->may_go;
-  worker->leaves_us = told->leaves_us;
+  worker->removal_us = told->removal_us;
   worker->gone_after_us = 0;
   worker->slots = told->slots;
   changed = changed || (worker->cold_us > 0) != (told->cold_us > 0);
@@ -322,7 +322,7 @@
 quince_worker_note_answer (QuinceWorker *worker, gint64 took_us)
 {
   worker->failures = 0;
-  worker->doubted_until_us = 0;
+  worker->ejected_until_us = 0;
   guint sample = (guint)CLAMP (took_us, 1, G_MAXINT);
   if (worker->service_us == 0)
     worker->service_us = sample;
@@ -333,9 +333,9 @@
 void
 quince_worker_note_failure (QuinceWorker *worker, gint64 now_us)
 {
-  gint64 doubt = DOUBT_FIRST_US << MIN (worker->failures, 4);
+  gint64 doubt = EJECTION_FIRST_US << MIN (worker->failures, 4);
   worker->failures++;
-  worker->doubted_until_us = now_us + MIN (doubt, DOUBT_MAX_US);
+  worker->ejected_until_us = now_us + MIN (doubt, EJECTION_MAX_US);
 }
 
 void
--- a/lib/core/duties/scale-loss.c
+++ b/lib/core/scaling/scale-loss.c
@@ -90,13 +90,13 @@
 }
 
 static const QuinceZoneStrength *
-find_strength (const GArray *zones, const char *name)
+find_capacity (const GArray *zones, const char *name)
 {
   for (guint i = 0; i < zones->len; i++)
     {
-      const QuinceZoneStrength *strength = &g_array_index (zones, QuinceZoneStrength, i);
-      if (g_str_equal (strength->zone, name))
-        return strength;
+      const QuinceZoneStrength *capacity = &g_array_index (zones, QuinceZoneStrength, i);
+      if (g_str_equal (capacity->zone, name))
+        return capacity;
     }
   return NULL;
 }
@@ -114,7 +114,7 @@
  * were lost: whoever ordered them, they are given back when they are not needed any more.  Others are left
  * alone: a zone that was gone when this process began comes back whole, and stays. */
 static void
-look_at_added (const QuinceScaleService *service, QuinceScaleZone *zone, guint serving, gboolean replaces)
+check_added (const QuinceScaleService *service, QuinceScaleZone *zone, guint serving, gboolean replaces)
 {
   guint before = zone->serving > zone->stood ? zone->serving - zone->stood : 0;
   guint beyond = serving > zone->stood ? serving - zone->stood : 0;
@@ -129,16 +129,16 @@
 }
 
 static void
-look_at_zone (QuinceScaleService *service,
-              QuinceScaleZone *zone,
-              const QuinceZoneStrength *seen,
-              gboolean replaces,
-              gint64 now_us)
+check_zone (QuinceScaleService *service,
+            QuinceScaleZone *zone,
+            const QuinceZoneStrength *seen,
+            gboolean replaces,
+            gint64 now_us)
 {
   guint before = quince_scale_count_zone (zone);
   guint serving = seen != NULL ? seen->serving : 0;
   zone->may_go = seen != NULL ? MIN (seen->may_go, serving) : 0;
-  look_at_added (service, zone, serving - zone->may_go, replaces);
+  check_added (service, zone, serving - zone->may_go, replaces);
   if (seen != NULL)
     zone->evacuated = seen->evacuated;
   if (quince_scale_count_zone (zone) != before)
@@ -161,7 +161,7 @@
 }
 
 static void
-look_at_zones (QuinceScaleService *service, const QuinceScaling *scaling, const GArray *zones, gint64 now_us)
+check_zones (QuinceScaleService *service, const QuinceScaling *scaling, const GArray *zones, gint64 now_us)
 {
   gboolean replaces = may_replace (service, scaling, now_us);
   for (guint i = 0; i < zones->len; i++)
@@ -173,7 +173,7 @@
   for (guint i = 0; i < service->zones->len; i++)
     {
       QuinceScaleZone *zone = service->zones->pdata[i];
-      look_at_zone (service, zone, find_strength (zones, zone->name), replaces, now_us);
+      check_zone (service, zone, find_capacity (zones, zone->name), replaces, now_us);
     }
 }
 
@@ -293,19 +293,19 @@
 }
 
 void
-quince_scale_look (QuinceScaleService *service,
-                   const QuinceScaling *scaling,
-                   const GArray *zones,
-                   guint needed,
-                   gint64 now_us)
+quince_scale_check_losses (QuinceScaleService *service,
+                           const QuinceScaling *scaling,
+                           const GArray *zones,
+                           guint needed,
+                           gint64 now_us)
 {
-  look_at_zones (service, scaling, zones, now_us);
+  check_zones (service, scaling, zones, now_us);
   learn (service, now_us);
   note_needed (service, needed, now_us);
 }
 
 double
-quince_scale_places_needed (gint64 work_us, gint64 age_us, gint64 due_us)
+quince_scale_slots_needed (gint64 work_us, gint64 age_us, gint64 due_us)
 {
   double left_us = DUE_SHARE * (double)due_us - (double)age_us;
   if (work_us <= 0 || due_us <= 0 || left_us <= (double)work_us)
--- a/lib/core/duties/scale-plan-private.h
+++ b/lib/core/scaling/scale-plan-private.h
@@ -6,7 +6,7 @@
  */
 #pragma once
 
-#include "core/duties/scale-plan.h"
+#include "core/scaling/scale-plan.h"
 
 /* Beyond the time of a start, until an ordered worker is listed: heartbeats and a look at the list. */
 #define QUINCE_SCALE_LISTED_US (2 * G_USEC_PER_SEC)
@@ -60,11 +60,11 @@
 guint quince_scale_on_the_way (const QuinceScaleZone *zone, gint64 now_us);
 guint quince_scale_count_on_the_way (const QuinceScaleService *service, gint64 now_us);
 /* Takes what is seen now. */
-void quince_scale_look (QuinceScaleService *service,
-                        const QuinceScaling *scaling,
-                        const GArray *zones,
-                        guint needed,
-                        gint64 now_us);
+void quince_scale_check_losses (QuinceScaleService *service,
+                                const QuinceScaling *scaling,
+                                const GArray *zones,
+                                guint needed,
+                                gint64 now_us);
 /* How many workers there is work for, of those that are lost for long enough; to be called at each look. */
 guint quince_scale_count_missing (QuinceScaleService *service, const QuinceScaling *scaling, gint64 now_us);
 /* Whether @missing has stood so long that a worker that is ordered now is expected to be of use; to be called
--- a/lib/core/duties/scale-plan.c
+++ b/lib/core/scaling/scale-plan.c
@@ -272,7 +272,7 @@
 {
   const QuinceScaling *scaling = told->scaling;
   QuinceScaleService *service = find_service (plan, told->name);
-  quince_scale_look (service, scaling, zones, needed, now_us);
+  quince_scale_check_losses (service, scaling, zones, needed, now_us);
   guint missing = quince_scale_count_missing (service, scaling, now_us);
   gboolean lasts = quince_scale_will_last (service, told, missing, now_us);
   guint spare = count_spare (service, now_us);
--- a/lib/core/duties/scale-plan.h
+++ b/lib/core/scaling/scale-plan.h
@@ -75,7 +75,7 @@
 /* Of a worker's places, the part that open work of @work_us keeps taken if it is to end in time, @age_us
  * after it was asked for where @due_us are allowed; all of one where it is late, or where not all is known
  * (0). */
-double quince_scale_places_needed (gint64 work_us, gint64 age_us, gint64 due_us);
+double quince_scale_slots_needed (gint64 work_us, gint64 age_us, gint64 due_us);
 /* Workers of @service that stood there and do not serve now; 0 also where that is not known. */
 guint quince_scale_plan_get_lost (const QuinceScalePlan *plan, const char *service);
 
--- a/lib/core/story/log-line.c
+++ b/lib/core/trace/log-line.c
@@ -5,7 +5,7 @@
 
 #include <string.h>
 
-G_DEFINE_QUARK (quince - log - story - error - quark, quince_log_story_error)
+G_DEFINE_QUARK (quince - log - trace - error - quark, quince_log_trace_error)
 
 static const char *const first_keys[] = { "time", "level", "program", "name", "event" };
 
@@ -116,7 +116,7 @@
     time = g_date_time_new_from_iso8601 (quince_log_line_get (line, "time"), NULL);
   if (time == NULL)
     {
-      g_set_error (error, QUINCE_LOG_STORY_ERROR, QUINCE_LOG_STORY_ERROR_MALFORMED,
+      g_set_error (error, QUINCE_LOG_TRACE_ERROR, QUINCE_LOG_TRACE_ERROR_MALFORMED,
                    "no line of time, level, program, name, event and other pairs");
       return NULL;
     }
--- a/lib/core/story/log-line.h
+++ b/lib/core/trace/log-line.h
@@ -3,7 +3,7 @@
  */
 #pragma once
 
-#include "core/story/log-story.h"
+#include "core/trace/log-trace.h"
 
 G_BEGIN_DECLS
 
--- a/lib/core/story/log-story.c
+++ b/lib/core/trace/log-trace.c
@@ -1,5 +1,5 @@
 /*
- * log-story.c: the story of one request, sample or batch, out of the lines of several processes.
+ * log-trace.c: the trace of one request, sample or batch, out of the lines of several processes.
  */
 #include "log-line.h"
 
@@ -7,7 +7,7 @@
 
 #define COLUMN_PROCESS 12 /* characters */
 
-struct _QuinceLogStory
+struct _QuinceLogTrace
 {
   GPtrArray *lines; /* QuinceLogLine, owned */
 };
@@ -25,39 +25,39 @@
 static const char *const subject_keys[] = { "request", "sample", "batch" };
 
 /* Beliefs about a worker count where the worker is concerned, the others where the process is. */
-static const char *const worker_beliefs[] = { "worker_changed", "worker_gone", "weights_order_ended" };
-static const char *const process_beliefs[]
+static const char *const worker_context_events[] = { "worker_changed", "worker_gone", "weights_order_ended" };
+static const char *const process_context_events[]
     = { "configuration", "dependency_lost", "dependency_regained", "entry_refused",
         "event_known",   "feed_ended",      "ledger_primary",      "ledger_recovered",
         "ledger_role",   "policy_in_force", "policy_failed",       "stopping",
         "version_named", "view_proposed",   "lease_lost",          "log_lines_left_out" };
 
-QuinceLogStory *
-quince_log_story_new (void)
+QuinceLogTrace *
+quince_log_trace_new (void)
 {
-  QuinceLogStory *story = g_new0 (QuinceLogStory, 1);
-  story->lines = g_ptr_array_new_with_free_func (quince_log_line_free);
-  return story;
+  QuinceLogTrace *trace = g_new0 (QuinceLogTrace, 1);
+  trace->lines = g_ptr_array_new_with_free_func (quince_log_line_free);
+  return trace;
 }
 
 void
-quince_log_story_free (QuinceLogStory *story)
+quince_log_trace_free (QuinceLogTrace *trace)
 {
-  if (story == NULL)
+  if (trace == NULL)
     return;
-  g_ptr_array_unref (story->lines);
-  g_free (story);
+  g_ptr_array_unref (trace->lines);
+  g_free (trace);
 }
 
 void
-quince_log_story_add (QuinceLogStory *story, const char *text)
+quince_log_trace_add (QuinceLogTrace *trace, const char *text)
 {
   const char *begin = strstr (text, "time=");
   QuinceLogLine *line = begin != NULL ? quince_log_line_parse (begin, NULL) : NULL;
   if (line == NULL)
     return;
-  line->number = story->lines->len;
-  g_ptr_array_add (story->lines, line);
+  line->number = trace->lines->len;
+  g_ptr_array_add (trace->lines, line);
 }
 
 /* ---- Which lines -------------------------------------------------------- */
@@ -96,16 +96,16 @@
  * (transfer full)
  */
 static char *
-belief_topic (const Concerned *concerned, const QuinceLogLine *line)
+context_topic (const Concerned *concerned, const QuinceLogLine *line)
 {
   const char *event = quince_log_line_get (line, "event");
   const char *process = quince_log_line_get (line, "name");
   const char *worker = quince_log_line_get (line, "worker");
   if (!g_hash_table_contains (concerned->processes, process) || line->time_us > concerned->last_us)
     return NULL;
-  if (is_one_of (event, worker_beliefs, G_N_ELEMENTS (worker_beliefs)) && worker != NULL)
+  if (is_one_of (event, worker_context_events, G_N_ELEMENTS (worker_context_events)) && worker != NULL)
     return g_hash_table_contains (concerned->workers, worker) ? g_strjoin (" ", process, worker, NULL) : NULL;
-  if (!is_one_of (event, process_beliefs, G_N_ELEMENTS (process_beliefs)))
+  if (!is_one_of (event, process_context_events, G_N_ELEMENTS (process_context_events)))
     return NULL;
   const char *what = quince_log_line_get (line, "what");
   const char *model = quince_log_line_get (line, "model");
@@ -122,15 +122,15 @@
   return first->number < second->number ? -1 : 1;
 }
 
-/* Of the beliefs held when the story begins only the newest of each topic; all that change in it. */
+/* Of the beliefs held when the trace begins only the newest of each topic; all that change in it. */
 static void
-add_beliefs (const QuinceLogStory *story, const Concerned *concerned, GPtrArray *told)
+add_context (const QuinceLogTrace *trace, const Concerned *concerned, GPtrArray *told)
 {
   g_autoptr (GHashTable) before = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
-  for (guint i = 0; i < story->lines->len; i++)
+  for (guint i = 0; i < trace->lines->len; i++)
     {
-      QuinceLogLine *line = story->lines->pdata[i];
-      g_autofree char *topic = belief_topic (concerned, line);
+      QuinceLogLine *line = trace->lines->pdata[i];
+      g_autofree char *topic = context_topic (concerned, line);
       if (topic == NULL)
         continue;
       const QuinceLogLine *known = g_hash_table_lookup (before, topic);
@@ -149,31 +149,31 @@
 /* ---- Telling ------------------------------------------------------------ */
 
 static void
-tell_line (GString *text, const QuinceLogLine *line, gint64 first_us, gboolean is_belief)
+tell_line (GString *text, const QuinceLogLine *line, gint64 first_us, gboolean is_context)
 {
   g_string_append_printf (text, "%+9.3f s  %-*s %s%s", (double)(line->time_us - first_us) / G_USEC_PER_SEC,
-                          COLUMN_PROCESS, quince_log_line_get (line, "name"), is_belief ? "(belief) " : "",
+                          COLUMN_PROCESS, quince_log_line_get (line, "name"), is_context ? "(belief) " : "",
                           quince_log_line_get (line, "event"));
   for (guint i = 0; i < line->pairs->len; i++)
     {
       const QuinceLogPair *pair = &g_array_index (line->pairs, QuinceLogPair, i);
-      static const char *const told_already[] = { "time", "program", "name", "event", "level" };
-      if (!is_one_of (pair->key, told_already, G_N_ELEMENTS (told_already)))
+      static const char *const head_keys[] = { "time", "program", "name", "event", "level" };
+      if (!is_one_of (pair->key, head_keys, G_N_ELEMENTS (head_keys)))
         g_string_append_printf (text, " %s=%s", pair->key, pair->value);
     }
   g_string_append_c (text, '\n');
 }
 
 char *
-quince_log_story_tell (const QuinceLogStory *story, const char *id)
+quince_log_trace_format (const QuinceLogTrace *trace, const char *id)
 {
   g_autoptr (GHashTable) workers = g_hash_table_new (g_str_hash, g_str_equal);
   g_autoptr (GHashTable) processes = g_hash_table_new (g_str_hash, g_str_equal);
   g_autoptr (GPtrArray) told = g_ptr_array_new ();
   Concerned concerned = { .workers = workers, .processes = processes };
-  for (guint i = 0; i < story->lines->len; i++)
+  for (guint i = 0; i < trace->lines->len; i++)
     {
-      QuinceLogLine *line = story->lines->pdata[i];
+      QuinceLogLine *line = trace->lines->pdata[i];
       if (!names (line, id))
         continue;
       note_concerned (&concerned, line);
@@ -181,7 +181,7 @@
     }
   if (told->len == 0)
     return NULL;
-  add_beliefs (story, &concerned, told);
+  add_context (trace, &concerned, told);
   g_ptr_array_sort (told, compare_lines);
   g_autoptr (GString) text = g_string_new (NULL);
   for (guint i = 0; i < told->len; i++)
--- a/lib/core/story/log-story.h
+++ b/lib/core/trace/log-trace.h
@@ -1,5 +1,5 @@
 /*
- * log-story.h: reads the lines that processes log, and tells the story of one request, sample or batch.
+ * log-trace.h: reads the lines that processes log, and tells the trace of one request, sample or batch.
  *
  * Pure: lines come as text, in any order and from any number of processes.
  */
@@ -9,31 +9,31 @@
 
 G_BEGIN_DECLS
 
-#define QUINCE_LOG_STORY_ERROR (quince_log_story_error_quark ())
-GQuark quince_log_story_error_quark (void);
+#define QUINCE_LOG_TRACE_ERROR (quince_log_trace_error_quark ())
+GQuark quince_log_trace_error_quark (void);
 
 typedef enum
 {
-  QUINCE_LOG_STORY_ERROR_MALFORMED, /* no key=value line with time, level, program, name, event */
-  QUINCE_LOG_STORY_ERROR_UNKNOWN,   /* an event outside the vocabulary                          */
-} QuinceLogStoryError;
+  QUINCE_LOG_TRACE_ERROR_MALFORMED, /* no key=value line with time, level, program, name, event */
+  QUINCE_LOG_TRACE_ERROR_UNKNOWN,   /* an event outside the vocabulary                          */
+} QuinceLogTraceError;
 
 /* Whether the daemons on the platform log @event; see docs/OPERATIONS.md. */
 gboolean quince_log_vocabulary_has (const char *event);
 /* Whether @line is well formed and its event is in the vocabulary. */
 gboolean quince_log_line_check (const char *line, GError **error);
 
-typedef struct _QuinceLogStory QuinceLogStory;
+typedef struct _QuinceLogTrace QuinceLogTrace;
 
-QuinceLogStory *quince_log_story_new (void);
-void quince_log_story_free (QuinceLogStory *story);
-G_DEFINE_AUTOPTR_CLEANUP_FUNC (QuinceLogStory, quince_log_story_free)
+QuinceLogTrace *quince_log_trace_new (void);
+void quince_log_trace_free (QuinceLogTrace *trace);
+G_DEFINE_AUTOPTR_CLEANUP_FUNC (QuinceLogTrace, quince_log_trace_free)
 
 /* Takes one line; what stands before its time= is left out, and what is no log line is ignored. */
-void quince_log_story_add (QuinceLogStory *story, const char *line);
+void quince_log_trace_add (QuinceLogTrace *trace, const char *line);
 
 /**
- * quince_log_story_tell:
+ * quince_log_trace_format:
  * @id: of a request, a sample or a batch
  *
  * In the order of their times: the lines that name @id, and among them what the processes concerned believed
@@ -41,6 +41,6 @@
  *
  * Returns: (transfer full) (nullable): one line of text each, %NULL when no line names @id
  */
-char *quince_log_story_tell (const QuinceLogStory *story, const char *id);
+char *quince_log_trace_format (const QuinceLogTrace *trace, const char *id);
 
 G_END_DECLS
--- a/lib/core/story/log-vocabulary.c
+++ b/lib/core/trace/log-vocabulary.c
@@ -113,6 +113,6 @@
   const char *event = quince_log_line_get (line, "event");
   if (quince_log_vocabulary_has (event))
     return TRUE;
-  g_set_error (error, QUINCE_LOG_STORY_ERROR, QUINCE_LOG_STORY_ERROR_UNKNOWN, "event=%s", event);
+  g_set_error (error, QUINCE_LOG_TRACE_ERROR, QUINCE_LOG_TRACE_ERROR_UNKNOWN, "event=%s", event);
   return FALSE;
 }
--- a/lib/core/duties/agreed-clock.c
+++ b/lib/core/usage/agreed-clock.c
@@ -1,15 +1,15 @@
 /*
  * agreed-clock.c: the median of what machines tell of their wall clocks.
  */
-#include "core/duties/agreed-clock.h"
+#include "core/usage/agreed-clock.h"
 
 /* A clock that was not told for so long is left out: wall clocks drift slowly, but machines are replaced. */
 #define VOICE_MAX_MS 30000
 
 typedef struct
 {
-  gint64 told_ms;   /* monotonic */
-  gint64 offset_ms; /* wall clock less monotonic clock */
+  gint64 reported_ms; /* monotonic */
+  gint64 offset_ms;   /* wall clock less monotonic clock */
 } Voice;
 
 struct _QuinceAgreedClock
@@ -37,7 +37,7 @@
 void
 quince_agreed_clock_note (QuinceAgreedClock *clock, guint64 source, gint64 monotonic_ms, gint64 wall_ms)
 {
-  const Voice voice = { .told_ms = monotonic_ms, .offset_ms = wall_ms - monotonic_ms };
+  const Voice voice = { .reported_ms = monotonic_ms, .offset_ms = wall_ms - monotonic_ms };
   g_hash_table_replace (clock->voices, g_memdup2 (&source, sizeof source), g_memdup2 (&voice, sizeof voice));
 }
 
@@ -61,7 +61,7 @@
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
       const Voice *voice = value;
-      if (monotonic_ms - voice->told_ms > VOICE_MAX_MS)
+      if (monotonic_ms - voice->reported_ms > VOICE_MAX_MS)
         g_hash_table_iter_remove (&iter);
       else
         g_array_append_val (offsets, voice->offset_ms);
--- a/lib/core/duties/usage-book.c
+++ b/lib/core/usage/usage-book.c
@@ -1,7 +1,7 @@
 /*
  * usage-book.c: events, closed windows and acknowledged reports.
  */
-#include "core/duties/usage-book.h"
+#include "core/usage/usage-book.h"
 
 #include <string.h>
 
