--- a/lib/core/weights/model-homes.c
+++ b/lib/core/weights/model-placement.c
@@ -1,7 +1,7 @@
 /*
- * model-homes.c: which model each worker serves, and which are in reserve.
+ * model-placement.c: which model each worker serves, and which are in reserve.
  */
-#include "core/weights/model-homes.h"
+#include "core/weights/model-placement.h"
 
 #include <math.h>
 
@@ -19,7 +19,7 @@
 /* A worker moves when a model lacks this much of one, and another has that much too many. */
 #define LACK_MIN 0.6
 #define SURPLUS_MIN 0.4
-/* A worker without a home gets one where any is lacking at all. */
+/* A worker without a model gets one where any is lacking at all. */
 #define LACK_ANY 0.01
 /* Every model has this many workers where there are enough: one may be slow or lost. */
 #define EACH_MIN 2
@@ -29,8 +29,8 @@
 /* Workers of a model beyond what its samples need; more than that again and one is let go. */
 #define SPARE 2
 #define RELEASE_SURPLUS 3
-/* The home of a worker that is not listed is forgotten after it. */
-#define HOME_KEEP_US (60 * G_USEC_PER_SEC)
+/* The model of a worker that is not listed is forgotten after it. */
+#define PLACEMENT_KEEP_US (60 * G_USEC_PER_SEC)
 
 typedef struct
 {
@@ -46,14 +46,14 @@
   gint64 seen_us;
 } Home;
 
-struct _QuinceModelHomes
+struct _QuinceModelPlacement
 {
-  GHashTable *demand; /* Demand by model, owned */
-  GHashTable *homes;  /* Home by worker id, owned */
+  GHashTable *demand;    /* Demand by model, owned */
+  GHashTable *placement; /* Home by worker id, owned */
   gint64 move_after_us;
 };
 
-/* One model while homes are dealt out. */
+/* One model while placement are dealt out. */
 typedef struct
 {
   const char *model;
@@ -62,36 +62,36 @@
 } Share;
 
 static void
-home_free (gpointer data)
+assignment_free (gpointer data)
 {
-  Home *home = data;
-  g_free (home->model);
-  g_free (home);
+  Home *model = data;
+  g_free (model->model);
+  g_free (model);
 }
 
-QuinceModelHomes *
-quince_model_homes_new (void)
+QuinceModelPlacement *
+quince_model_placement_new (void)
 {
-  QuinceModelHomes *homes = g_new0 (QuinceModelHomes, 1);
-  homes->demand = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
-  homes->homes = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, home_free);
-  return homes;
+  QuinceModelPlacement *placement = g_new0 (QuinceModelPlacement, 1);
+  placement->demand = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
+  placement->placement = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, assignment_free);
+  return placement;
 }
 
 void
-quince_model_homes_free (QuinceModelHomes *homes)
+quince_model_placement_free (QuinceModelPlacement *placement)
 {
-  if (homes == NULL)
+  if (placement == NULL)
     return;
-  g_hash_table_unref (homes->demand);
-  g_hash_table_unref (homes->homes);
-  g_free (homes);
+  g_hash_table_unref (placement->demand);
+  g_hash_table_unref (placement->placement);
+  g_free (placement);
 }
 
 static double
-demand_of (QuinceModelHomes *homes, gint64 now_us, const char *model)
+demand_of (QuinceModelPlacement *placement, gint64 now_us, const char *model)
 {
-  const Demand *demand = g_hash_table_lookup (homes->demand, model);
+  const Demand *demand = g_hash_table_lookup (placement->demand, model);
   if (demand == NULL)
     return 0;
   gint64 idle_us = MAX (now_us - demand->at_us - STEP_KEEP_US, 0);
@@ -99,16 +99,16 @@
 }
 
 static double
-peak_of (QuinceModelHomes *homes, gint64 now_us, const char *model)
+peak_of (QuinceModelPlacement *placement, gint64 now_us, const char *model)
 {
-  const Demand *demand = g_hash_table_lookup (homes->demand, model);
+  const Demand *demand = g_hash_table_lookup (placement->demand, model);
   return demand != NULL ? demand->peak * exp2 (-(double)(now_us - demand->at_us) / PEAK_HALF_LIFE_US) : 0;
 }
 
 static double
-lateness_of (QuinceModelHomes *homes, const char *model)
+lateness_of (QuinceModelPlacement *placement, const char *model)
 {
-  const Demand *demand = g_hash_table_lookup (homes->demand, model);
+  const Demand *demand = g_hash_table_lookup (placement->demand, model);
   return demand != NULL && demand->lateness > 0 ? demand->lateness : 1;
 }
 
@@ -119,9 +119,12 @@
 }
 
 void
-quince_model_homes_note_step (QuinceModelHomes *homes, const char *model, gint64 took_us, gint64 due_us)
+quince_model_placement_note_step (QuinceModelPlacement *placement,
+                                  const char *model,
+                                  gint64 took_us,
+                                  gint64 due_us)
 {
-  Demand *demand = g_hash_table_lookup (homes->demand, model);
+  Demand *demand = g_hash_table_lookup (placement->demand, model);
   if (demand == NULL || due_us <= 0)
     return;
   double lateness = CLAMP ((double)took_us / (double)due_us, LATENESS_MIN, LATENESS_MAX);
@@ -129,48 +132,48 @@
 }
 
 void
-quince_model_homes_add_demand (QuinceModelHomes *homes,
-                               gint64 now_us,
-                               const char *model,
-                               double tokens,
-                               guint samples)
+quince_model_placement_add_demand (QuinceModelPlacement *placement,
+                                   gint64 now_us,
+                                   const char *model,
+                                   double tokens,
+                                   guint samples)
 {
-  const Demand *before = g_hash_table_lookup (homes->demand, model);
-  const Demand next = { .tokens = smooth (demand_of (homes, now_us, model), tokens),
-                        .peak = MAX (peak_of (homes, now_us, model), samples),
+  const Demand *before = g_hash_table_lookup (placement->demand, model);
+  const Demand next = { .tokens = smooth (demand_of (placement, now_us, model), tokens),
+                        .peak = MAX (peak_of (placement, now_us, model), samples),
                         .lateness = before != NULL ? before->lateness : 0,
                         .at_us = now_us };
-  g_hash_table_replace (homes->demand, g_strdup (model), g_memdup2 (&next, sizeof next));
+  g_hash_table_replace (placement->demand, g_strdup (model), g_memdup2 (&next, sizeof next));
 }
 
 const char *
-quince_model_homes_get (QuinceModelHomes *homes, const char *worker)
+quince_model_placement_get (QuinceModelPlacement *placement, const char *worker)
 {
-  const Home *home = g_hash_table_lookup (homes->homes, worker);
-  return home != NULL ? home->model : NULL;
+  const Home *model = g_hash_table_lookup (placement->placement, worker);
+  return model != NULL ? model->model : NULL;
 }
 
 /* ---- Shares ----------------------------------------------------------- */
 
 static double
-weight_of (QuinceModelHomes *homes, gint64 now_us, const char *model)
+weight_of (QuinceModelPlacement *placement, gint64 now_us, const char *model)
 {
-  return demand_of (homes, now_us, model) * lateness_of (homes, model);
+  return demand_of (placement, now_us, model) * lateness_of (placement, model);
 }
 
 /* Workers that each model should have, by its part of the demand. */
 static void
-find_ideals (QuinceModelHomes *homes, gint64 now_us, GArray *shares, guint n_workers)
+find_ideals (QuinceModelPlacement *placement, gint64 now_us, GArray *shares, guint n_workers)
 {
   double total = 0;
   for (guint i = 0; i < shares->len; i++)
-    total += weight_of (homes, now_us, g_array_index (shares, Share, i).model);
+    total += weight_of (placement, now_us, g_array_index (shares, Share, i).model);
   guint least = n_workers >= EACH_MIN * shares->len ? EACH_MIN : 1;
   double rest = (double)n_workers - (double)least * shares->len;
   for (guint i = 0; i < shares->len; i++)
     {
       Share *share = &g_array_index (shares, Share, i);
-      double part = total > 0 ? weight_of (homes, now_us, share->model) / total : 1.0 / shares->len;
+      double part = total > 0 ? weight_of (placement, now_us, share->model) / total : 1.0 / shares->len;
       share->ideal = MAX (part * n_workers, least);
     }
   /* What the least shares take, the others give up in proportion. */
@@ -186,12 +189,12 @@
 
 /* No model gets more workers than its samples can fill. */
 static void
-cap_ideals (QuinceModelHomes *homes, gint64 now_us, GArray *shares, guint slots)
+cap_ideals (QuinceModelPlacement *placement, gint64 now_us, GArray *shares, guint slots)
 {
   for (guint i = 0; i < shares->len; i++)
     {
       Share *share = &g_array_index (shares, Share, i);
-      double peak = peak_of (homes, now_us, share->model);
+      double peak = peak_of (placement, now_us, share->model);
       if (peak > 0)
         share->ideal = MIN (share->ideal, ceil (peak * PEAK_ROOM / MAX (slots, 1)) + SPARE);
     }
@@ -235,87 +238,88 @@
 /* ---- Homes ------------------------------------------------------------ */
 
 static void
-set_home (QuinceModelHomes *homes, gint64 now_us, const char *worker, Share *share)
+set_assignment (QuinceModelPlacement *placement, gint64 now_us, const char *worker, Share *share)
 {
-  Home *home = g_new0 (Home, 1);
-  home->model = g_strdup (share->model);
-  home->seen_us = now_us;
-  g_hash_table_replace (homes->homes, g_strdup (worker), home);
+  Home *model = g_new0 (Home, 1);
+  model->model = g_strdup (share->model);
+  model->seen_us = now_us;
+  g_hash_table_replace (placement->placement, g_strdup (worker), model);
   share->count++;
 }
 
-/* Counts the homes that there are, and forgets those of workers long gone. */
+/* Counts the placement that there are, and forgets those of workers long gone. */
 static void
-count_homes (QuinceModelHomes *homes, gint64 now_us, GArray *shares, const GArray *workers)
+count_assigned (QuinceModelPlacement *placement, gint64 now_us, GArray *shares, const GArray *workers)
 {
   for (guint i = 0; i < workers->len; i++)
     {
-      Home *home = g_hash_table_lookup (homes->homes, g_array_index (workers, QuinceHomeWorker, i).id);
-      Share *share = home != NULL ? share_of (shares, home->model) : NULL;
+      Home *model
+          = g_hash_table_lookup (placement->placement, g_array_index (workers, QuincePlacementWorker, i).id);
+      Share *share = model != NULL ? share_of (shares, model->model) : NULL;
       if (share == NULL)
         continue;
-      home->seen_us = now_us;
+      model->seen_us = now_us;
       share->count++;
     }
   GHashTableIter iter;
   gpointer value;
-  g_hash_table_iter_init (&iter, homes->homes);
+  g_hash_table_iter_init (&iter, placement->placement);
   while (g_hash_table_iter_next (&iter, NULL, &value))
-    if (now_us - ((const Home *)value)->seen_us > HOME_KEEP_US)
+    if (now_us - ((const Home *)value)->seen_us > PLACEMENT_KEEP_US)
       g_hash_table_iter_remove (&iter);
 }
 
 /* Homes for workers without one, while a model lacks some: with what they hold, then with any. */
 static void
-fill (QuinceModelHomes *homes, gint64 now_us, GArray *shares, const GArray *workers, gboolean as_held)
+fill (QuinceModelPlacement *placement, gint64 now_us, GArray *shares, const GArray *workers, gboolean as_held)
 {
   for (guint i = 0; i < workers->len; i++)
     {
-      const QuinceHomeWorker *worker = &g_array_index (workers, QuinceHomeWorker, i);
-      if (share_of (shares, quince_model_homes_get (homes, worker->id)) != NULL)
+      const QuincePlacementWorker *worker = &g_array_index (workers, QuincePlacementWorker, i);
+      if (share_of (shares, quince_model_placement_get (placement, worker->id)) != NULL)
         continue;
       Share *share = as_held ? share_of (shares, worker->held) : most_lacking (shares);
       if (share != NULL && share->ideal - share->count >= (as_held ? LACK_MIN : LACK_ANY))
-        set_home (homes, now_us, worker->id, share);
+        set_assignment (placement, now_us, worker->id, share);
     }
 }
 
-/* Some worker whose home is @share's model. */
+/* Some worker whose model is @share's model. */
 static const char *
-any_of (QuinceModelHomes *homes, const Share *share, const GArray *workers)
+any_of (QuinceModelPlacement *placement, const Share *share, const GArray *workers)
 {
   for (guint i = 0; i < workers->len; i++)
     {
-      const char *worker = g_array_index (workers, QuinceHomeWorker, i).id;
-      if (g_strcmp0 (quince_model_homes_get (homes, worker), share->model) == 0)
+      const char *worker = g_array_index (workers, QuincePlacementWorker, i).id;
+      if (g_strcmp0 (quince_model_placement_get (placement, worker), share->model) == 0)
         return worker;
     }
   return NULL;
 }
 
 static void
-move_one (QuinceModelHomes *homes, gint64 now_us, GArray *shares, const GArray *workers)
+move_one (QuinceModelPlacement *placement, gint64 now_us, GArray *shares, const GArray *workers)
 {
   Share *to = most_lacking (shares);
   Share *from = most_surplus (shares);
   gboolean lacks = to->ideal - to->count >= LACK_MIN && from->count - from->ideal >= SURPLUS_MIN;
   gboolean idles = from->count - from->ideal >= RELEASE_SURPLUS;
-  const char *worker = lacks || idles ? any_of (homes, from, workers) : NULL;
-  if (worker == NULL || now_us < homes->move_after_us)
+  const char *worker = lacks || idles ? any_of (placement, from, workers) : NULL;
+  if (worker == NULL || now_us < placement->move_after_us)
     return;
   if (lacks)
-    set_home (homes, now_us, worker, to);
+    set_assignment (placement, now_us, worker, to);
   else
-    g_hash_table_remove (homes->homes, worker);
-  homes->move_after_us = now_us + MOVE_EVERY_US;
+    g_hash_table_remove (placement->placement, worker);
+  placement->move_after_us = now_us + MOVE_EVERY_US;
 }
 
 void
-quince_model_homes_assign (QuinceModelHomes *homes,
-                           gint64 now_us,
-                           const GPtrArray *models,
-                           const GArray *workers,
-                           guint slots)
+quince_model_placement_assign (QuinceModelPlacement *placement,
+                               gint64 now_us,
+                               const GPtrArray *models,
+                               const GArray *workers,
+                               guint slots)
 {
   if (models->len == 0)
     return;
@@ -325,10 +329,10 @@
       const Share share = { .model = models->pdata[i] };
       g_array_append_val (shares, share);
     }
-  count_homes (homes, now_us, shares, workers);
-  find_ideals (homes, now_us, shares, workers->len);
-  cap_ideals (homes, now_us, shares, slots);
-  fill (homes, now_us, shares, workers, TRUE);
-  fill (homes, now_us, shares, workers, FALSE);
-  move_one (homes, now_us, shares, workers);
+  count_assigned (placement, now_us, shares, workers);
+  find_ideals (placement, now_us, shares, workers->len);
+  cap_ideals (placement, now_us, shares, slots);
+  fill (placement, now_us, shares, workers, TRUE);
+  fill (placement, now_us, shares, workers, FALSE);
+  move_one (placement, now_us, shares, workers);
 }
--- a/lib/forward/backends.c
+++ b/lib/forward/backends.c
@@ -11,7 +11,7 @@
 
 #define FAILURES_SHOWN_MAX 10
 /* All of so many workers are looked at for each choice: some 10 us. */
-#define LOOK_AT_ALL_MAX 256
+#define COMPARE_ALL_MAX 256
 /* Parts of prompts of which the last worker is remembered. */
 #define PROMPT_PARTS_MAX 8192
 
@@ -135,7 +135,7 @@
 
 /* Lets go of those that have not come back in time. */
 static void
-forget_vanished (QuinceBackends *backends, gint64 now_us)
+forget_removed (QuinceBackends *backends, gint64 now_us)
 {
   while (!g_queue_is_empty (&backends->vanished))
     {
@@ -151,7 +151,7 @@
 }
 
 void
-quince_backends_doubt_listing (QuinceBackends *backends, gint64 now_us, gint64 until_us, const char *id)
+quince_backends_mark_listing_stale (QuinceBackends *backends, gint64 now_us, gint64 until_us, const char *id)
 {
   QuinceWorker *worker = quince_worker_table_find (backends->workers, id);
   if (worker == NULL || worker->draining)
@@ -181,7 +181,7 @@
                    "worker=%s service=%s address=%s state=%s version=%" G_GUINT64_FORMAT
                    " leaves_ms=%" G_GINT64_FORMAT,
                    worker->id, worker->service, worker->address, worker->draining ? "draining" : "ready",
-                   version, worker->leaves_us / 1000);
+                   version, worker->removal_us / 1000);
 }
 
 void
@@ -299,53 +299,55 @@
   gboolean evacuated; /* there are, in evacuated zones */
   gboolean tried;     /* there are, but for those that are to be avoided */
   gboolean full;      /* some have no place */
-} Look;
+} Choice;
 
 /* Returns: whether @worker can take the request now.  @trusted: not one that is doubted */
 static gboolean
-can_take (Look *look, QuinceWorker *worker, gboolean trusted)
+can_take (Choice *choice, QuinceWorker *worker, gboolean trusted)
 {
-  const QuinceBackendQuery *query = look->query;
-  look->tried
-      = look->tried || (was_tried (worker, query) && quince_backends_may_send (look->backends, worker));
-  if (!is_suitable (worker, look->now_us, query)
-      || !quince_backends_allow (look->backends, worker, query->residency))
+  const QuinceBackendQuery *query = choice->query;
+  choice->tried
+      = choice->tried || (was_tried (worker, query) && quince_backends_may_send (choice->backends, worker));
+  if (!is_suitable (worker, choice->now_us, query)
+      || !quince_backends_allow (choice->backends, worker, query->residency))
     return FALSE;
-  if (!quince_backends_may_send (look->backends, worker))
+  if (!quince_backends_may_send (choice->backends, worker))
     {
-      look->evacuated = TRUE;
+      choice->evacuated = TRUE;
       return FALSE;
     }
-  look->any = TRUE;
-  look->full = look->full || !has_place (worker, query);
-  gboolean doubted = look->now_us < worker->doubted_until_us || worker->gone_after_us != 0;
-  return has_place (worker, query) && (!trusted || !doubted) && quince_warmth_has_room (&look->cold, worker);
+  choice->any = TRUE;
+  choice->full = choice->full || !has_place (worker, query);
+  gboolean doubted = choice->now_us < worker->ejected_until_us || worker->gone_after_us != 0;
+  return has_place (worker, query) && (!trusted || !doubted)
+         && quince_warmth_has_room (&choice->cold, worker);
 }
 
 /* Of a great many workers only so many are looked for as the policy scores, by turns.  While a zone comes
  * back its share is counted among all. */
 static gboolean
-looks_for_few (const Look *look, const GPtrArray *all)
+compares_few (const Choice *choice, const GPtrArray *all)
 {
-  return all->len > LOOK_AT_ALL_MAX && !quince_zone_table_is_returning (look->backends->zones, look->now_us);
+  return all->len > COMPARE_ALL_MAX
+         && !quince_zone_table_is_returning (choice->backends->zones, choice->now_us);
 }
 
 /* The one that keeps the prompt, and those after the first of the last choice. */
 static void
-find_few (Look *look, const GPtrArray *all, const char *keeps_prompt, gboolean trusted, GPtrArray *found)
+find_few (Choice *choice, const GPtrArray *all, const char *keeps_prompt, gboolean trusted, GPtrArray *found)
 {
-  QuinceBackends *backends = look->backends;
+  QuinceBackends *backends = choice->backends;
   QuinceWorker *keeper
       = keeps_prompt != NULL ? quince_worker_table_find (backends->workers, keeps_prompt) : NULL;
-  if (keeper != NULL && g_str_equal (keeper->service, look->query->request->service)
-      && can_take (look, keeper, trusted))
+  if (keeper != NULL && g_str_equal (keeper->service, choice->query->request->service)
+      && can_take (choice, keeper, trusted))
     g_ptr_array_add (found, keeper);
   guint from = backends->turn % all->len;
   guint others = 0;
   for (guint i = 0; i < all->len && found->len < QUINCE_POLICY_MAX_CANDIDATES; i++)
     {
       QuinceWorker *worker = all->pdata[(from + i) % all->len];
-      if (worker == keeper || !can_take (look, worker, trusted))
+      if (worker == keeper || !can_take (choice, worker, trusted))
         continue;
       g_ptr_array_add (found, worker);
       if (others++ == 0)
@@ -354,10 +356,10 @@
 }
 
 static void
-find_all (Look *look, const GPtrArray *all, gboolean trusted, GPtrArray *found)
+find_all (Choice *choice, const GPtrArray *all, gboolean trusted, GPtrArray *found)
 {
   for (guint i = 0; i < all->len; i++)
-    if (can_take (look, all->pdata[i], trusted))
+    if (can_take (choice, all->pdata[i], trusted))
       g_ptr_array_add (found, all->pdata[i]);
 }
 
@@ -370,21 +372,22 @@
          const char *keeps_prompt,
          GPtrArray *found)
 {
-  Look look = { .backends = backends, .now_us = now_us, .query = query };
-  quince_warmth_begin_choice (backends, now_us, query, &look.cold);
-  for (guint trusted = 1; found->len == 0 && !quince_warmth_is_limited (&look.cold) && trusted < 2; trusted--)
-    if (looks_for_few (&look, all))
-      find_few (&look, all, keeps_prompt, trusted == 1, found);
+  Choice choice = { .backends = backends, .now_us = now_us, .query = query };
+  quince_warmth_begin_choice (backends, now_us, query, &choice.cold);
+  for (guint trusted = 1; found->len == 0 && !quince_warmth_is_limited (&choice.cold) && trusted < 2;
+       trusted--)
+    if (compares_few (&choice, all))
+      find_few (&choice, all, keeps_prompt, trusted == 1, found);
     else
-      find_all (&look, all, trusted == 1, found);
-  gboolean limited = quince_warmth_end_choice (&look.cold, found->len > 0);
+      find_all (&choice, all, trusted == 1, found);
+  gboolean limited = quince_warmth_end_choice (&choice.cold, found->len > 0);
   if (found->len > 0)
     return QUINCE_BACKEND_CHOSEN;
-  if (limited && !look.full)
+  if (limited && !choice.full)
     return QUINCE_BACKEND_COLD;
-  if (look.any)
+  if (choice.any)
     return QUINCE_BACKEND_FULL;
-  return look.evacuated && !look.tried ? QUINCE_BACKEND_EVACUATED : QUINCE_BACKEND_NONE;
+  return choice.evacuated && !choice.tried ? QUINCE_BACKEND_EVACUATED : QUINCE_BACKEND_NONE;
 }
 
 static void
@@ -478,7 +481,7 @@
   *worker = NULL;
   if (backends->holds_sends)
     return QUINCE_BACKEND_ZONES_UNKNOWN;
-  forget_vanished (backends, now_us);
+  forget_removed (backends, now_us);
   g_autoptr (GPtrArray) all = list_workers (backends, query);
   g_autoptr (GPtrArray) found = g_ptr_array_new ();
   const char *keeps_prompt
@@ -490,7 +493,7 @@
   QuinceWorker *candidates[QUINCE_POLICY_MAX_CANDIDATES];
   QuincePolicyEngine engines[QUINCE_POLICY_MAX_CANDIDATES];
   double scores[QUINCE_POLICY_MAX_CANDIDATES];
-  gboolean in_turn = all->len > LOOK_AT_ALL_MAX && found->len <= QUINCE_POLICY_MAX_CANDIDATES;
+  gboolean in_turn = all->len > COMPARE_ALL_MAX && found->len <= QUINCE_POLICY_MAX_CANDIDATES;
   guint n_engines = pick_candidates (backends, found, in_turn, keeps_prompt, candidates);
   for (guint i = 0; i < n_engines; i++)
     describe (backends, now_us, candidates[i], query, keeps_prompt, &engines[i]);
--- a/lib/forward/backends.h
+++ b/lib/forward/backends.h
@@ -49,7 +49,8 @@
 void quince_backends_remove (QuinceBackends *backends, const char *id);
 /* @id vanished from the list while the store was in trouble: the worker may serve on.  Where no other is left
  * it gets requests until @until_us; then it is as removed, unless it is listed again. */
-void quince_backends_doubt_listing (QuinceBackends *backends, gint64 now_us, gint64 until_us, const char *id);
+void
+quince_backends_mark_listing_stale (QuinceBackends *backends, gint64 now_us, gint64 until_us, const char *id);
 /* Kept connections to @worker. */
 QuinceHttpPool *quince_backends_get_pool (QuinceBackends *backends, const QuinceWorker *worker);
 /* The machine was suspended: workers may have forgotten the kept connections. */
--- a/lib/forward/dispatch.c
+++ b/lib/forward/dispatch.c
@@ -64,7 +64,7 @@
                                   .deadline_ms = (guint)((dispatch->deadline_us - now_us) / 1000) };
   quince_backends_describe_events (dispatch->backends, quince_wall_ms (), &request);
   QuinceResidency residency;
-  quince_residency_look_up (&dispatch->lookup, dispatch->backends,
+  quince_residency_resolve (&dispatch->lookup, dispatch->backends,
                             quince_http_headers_get (dispatch->headers, "Host"), dispatch->target,
                             dispatch->tenant, &residency);
   const QuinceBackendQuery query = { .request = &request,
@@ -120,7 +120,7 @@
 }
 
 void
-quince_dispatch_leave (QuinceDispatch *dispatch, const char *worker_id)
+quince_dispatch_release_worker (QuinceDispatch *dispatch, const char *worker_id)
 {
   QuinceWorker *worker = quince_dispatch_find (dispatch, worker_id);
   if (worker != NULL && worker->running > 0)
@@ -162,30 +162,31 @@
 
 /* ---- Leave to send ------------------------------------------------------ */
 
-static QuinceLeave
-wait_for_leave (QuinceDispatch *dispatch, gint64 now_us)
+static QuinceAdmission
+wait_for_admission (QuinceDispatch *dispatch, gint64 now_us)
 {
   if (dispatch->waits_us == 0)
     dispatch->waits_us = now_us;
   gboolean patient = now_us - dispatch->waits_us < MAX (dispatch->target_latency_us, WAIT_MIN_US);
-  return patient ? QUINCE_LEAVE_WAIT : QUINCE_LEAVE_UNSURE;
+  return patient ? QUINCE_ADMISSION_WAIT : QUINCE_ADMISSION_UNSURE;
 }
 
-QuinceLeave
-quince_dispatch_ask_leave (QuinceDispatch *dispatch, gint64 now_us)
+QuinceAdmission
+quince_dispatch_request_admission (QuinceDispatch *dispatch, gint64 now_us)
 {
   QuinceSendGuard *guard = quince_backends_get_guard (dispatch->backends);
   if (guard == NULL || quince_send_guard_is_idle (guard))
-    return QUINCE_LEAVE_GIVEN;
+    return QUINCE_ADMISSION_GRANTED;
   const QuinceRequestIdentity *identity = quince_dispatch_get_identity (dispatch);
-  QuinceLeave leave = quince_send_guard_ask (guard, now_us, identity, dispatch->service, &dispatch->permit);
-  if (leave == QUINCE_LEAVE_WAIT)
-    return wait_for_leave (dispatch, now_us);
+  QuinceAdmission leave
+      = quince_send_guard_ask (guard, now_us, identity, dispatch->service, &dispatch->permit);
+  if (leave == QUINCE_ADMISSION_WAIT)
+    return wait_for_admission (dispatch, now_us);
   dispatch->waits_us = 0;
-  if (leave == QUINCE_LEAVE_HELD)
+  if (leave == QUINCE_ADMISSION_HELD)
     quince_send_guard_log_held (guard, now_us, identity, dispatch->request_id);
-  else if (leave == QUINCE_LEAVE_SPARED)
-    quince_send_guard_log_spared (guard, now_us, identity, dispatch->request_id, dispatch->service);
+  else if (leave == QUINCE_ADMISSION_PROTECTED)
+    quince_send_guard_log_protected (guard, now_us, identity, dispatch->request_id, dispatch->service);
   return leave;
 }
 
--- a/lib/forward/dispatch.h
+++ b/lib/forward/dispatch.h
@@ -53,7 +53,7 @@
 /* The attempt goes to @worker: counts it there and here. (transfer full): the headers that it is sent */
 QuinceHttpHeaders *quince_dispatch_begin (QuinceDispatch *dispatch, QuinceWorker *worker, gint64 now_us);
 /* The attempt at @worker_id is over. */
-void quince_dispatch_leave (QuinceDispatch *dispatch, const char *worker_id);
+void quince_dispatch_release_worker (QuinceDispatch *dispatch, const char *worker_id);
 /* (nullable): @worker_id where it is still listed */
 QuinceWorker *quince_dispatch_find (const QuinceDispatch *dispatch, const char *worker_id);
 /* A request that nobody runs and nobody has room for waits that long at the most. */
@@ -64,10 +64,10 @@
 quince_dispatch_has_room_in_time (const QuinceDispatch *dispatch, gint64 now_us, guint *retry_after_ms);
 /* Made when it is first asked for: most requests never need it. */
 const QuinceRequestIdentity *quince_dispatch_get_identity (QuinceDispatch *dispatch);
-/* Whether the next attempt may be made; see send-guard.h.  QUINCE_LEAVE_UNSURE also where the request has
+/* Whether the next attempt may be made; see send-guard.h.  QUINCE_ADMISSION_UNSURE also where the request has
  * waited for as long as its target latency. */
-QuinceLeave quince_dispatch_ask_leave (QuinceDispatch *dispatch, gint64 now_us);
-/* When a request that got QUINCE_LEAVE_SPARED may come back, in ms. */
+QuinceAdmission quince_dispatch_request_admission (QuinceDispatch *dispatch, gint64 now_us);
+/* When a request that got QUINCE_ADMISSION_PROTECTED may come back, in ms. */
 guint quince_dispatch_get_wait_ms (const QuinceDispatch *dispatch, gint64 now_us);
 /* Whether another attempt may be made beside the one in progress. */
 gboolean quince_dispatch_may_hedge (QuinceDispatch *dispatch, gint64 now_us);
--- a/lib/forward/evacuation.c
+++ b/lib/forward/evacuation.c
@@ -16,7 +16,7 @@
  * cut or slow link: a round trip takes some ms. */
 #define ARRIVAL_MS 500
 /* How long requests that do not arrive are looked for. */
-#define LOOK_US (3 * ARRIVAL_MS * 1000)
+#define CHECK_INTERVAL_US (3 * ARRIVAL_MS * 1000)
 /* Without a bound on running requests a returning worker takes part in its share of so many choices. */
 #define TURNS 8
 
@@ -59,14 +59,14 @@
 }
 
 static gboolean
-look_for_stuck (gpointer data)
+find_stuck (gpointer data)
 {
   QuinceBackends *backends = data;
   gint64 now = quince_now_us ();
   withdraw (backends, now - ARRIVAL_MS * 1000, QUINCE_HTTP_UNACKNOWLEDGED);
   g_autoptr (GPtrArray) zones = quince_zone_table_list_evacuated (backends->zones);
   for (guint i = 0; i < zones->len; i++)
-    if (now - quince_zone_table_get_evacuated_us (backends->zones, zones->pdata[i]) < LOOK_US)
+    if (now - quince_zone_table_get_evacuated_us (backends->zones, zones->pdata[i]) < CHECK_INTERVAL_US)
       return G_SOURCE_CONTINUE;
   quince_source_clear (&backends->withdrawal);
   return G_SOURCE_REMOVE;
@@ -90,7 +90,7 @@
     }
   withdraw (backends, now_us, QUINCE_HTTP_UNCONNECTED);
   if (backends->withdrawal == NULL)
-    backends->withdrawal = quince_timer_add (ARRIVAL_MS, look_for_stuck, backends);
+    backends->withdrawal = quince_timer_add (ARRIVAL_MS, find_stuck, backends);
   return TRUE;
 }
 
--- a/lib/forward/forward.c
+++ b/lib/forward/forward.c
@@ -64,7 +64,7 @@
 attempt_free (gpointer data)
 {
   Attempt *attempt = data;
-  quince_dispatch_leave (&attempt->forward->dispatch, attempt->worker_id);
+  quince_dispatch_release_worker (&attempt->forward->dispatch, attempt->worker_id);
   if (attempt->exchange != NULL)
     quince_http_exchange_cancel (attempt->exchange);
   g_free (attempt->worker_id);
@@ -401,28 +401,28 @@
 
 /* Returns: %FALSE when no attempt is to be made now. */
 static gboolean
-has_leave (QuinceForward *forward, gint64 now_us)
+is_admitted (QuinceForward *forward, gint64 now_us)
 {
   if (forward->live->len > 0)
     return quince_dispatch_may_hedge (&forward->dispatch, now_us);
-  switch (quince_dispatch_ask_leave (&forward->dispatch, now_us))
+  switch (quince_dispatch_request_admission (&forward->dispatch, now_us))
     {
-    case QUINCE_LEAVE_HELD:
+    case QUINCE_ADMISSION_HELD:
       forward_hold (forward);
       return FALSE;
-    case QUINCE_LEAVE_SPARED:
+    case QUINCE_ADMISSION_PROTECTED:
       forward_spare (forward, now_us);
       return FALSE;
-    case QUINCE_LEAVE_UNSURE:
+    case QUINCE_ADMISSION_UNSURE:
       forward->cause = "no_permit";
       forward_fail (forward, FALSE);
       return FALSE;
-    case QUINCE_LEAVE_WAIT:
-      try_later (forward, QUINCE_LEAVE_PAUSE_MS * 1000);
+    case QUINCE_ADMISSION_WAIT:
+      try_later (forward, QUINCE_ADMISSION_RETRY_MS * 1000);
       return FALSE;
-    case QUINCE_LEAVE_GIVEN:
-    case QUINCE_LEAVE_CAREFUL:
-    case QUINCE_LEAVE_PERMIT:
+    case QUINCE_ADMISSION_GRANTED:
+    case QUINCE_ADMISSION_CAREFUL:
+    case QUINCE_ADMISSION_PERMIT:
     default:
       return TRUE;
     }
@@ -441,7 +441,7 @@
     return;
   if (forward->live->len >= LIVE_MAX && !abandon_oldest (forward, now))
     return;
-  if (!has_leave (forward, now))
+  if (!is_admitted (forward, now))
     return;
   QuinceWorker *worker = NULL;
   QuinceBackendOutcome outcome
--- a/lib/forward/residency-lookup.c
+++ b/lib/forward/residency-lookup.c
@@ -77,7 +77,7 @@
 }
 
 void
-quince_residency_look_up (QuinceResidencyLookup *lookup,
+quince_residency_resolve (QuinceResidencyLookup *lookup,
                           const QuinceBackends *backends,
                           const char *host,
                           const char *target,
--- a/lib/forward/residency-lookup.h
+++ b/lib/forward/residency-lookup.h
@@ -41,7 +41,7 @@
 /* Looks the regions up in the configuration in force, where it changed since the last time.
  * @tenant: (nullable): %NULL, "": nobody's
  * @residency: (out): points into @lookup */
-void quince_residency_look_up (QuinceResidencyLookup *lookup,
+void quince_residency_resolve (QuinceResidencyLookup *lookup,
                                const QuinceBackends *backends,
                                const char *host,
                                const char *target,
--- a/lib/forward/send-guard-strength.c
+++ b/lib/forward/send-guard-capacity.c
@@ -1,5 +1,5 @@
 /*
- * send-guard-strength.c: whether the service of a suspected request bears one more end.
+ * send-guard-capacity.c: whether the service of a suspected request bears one more end.
  */
 #include "send-guard-private.h"
 
@@ -18,7 +18,7 @@
       listed++;
       ready += !quince_quarantine_has_ended (guard->quarantine, quince_quarantine_hash_worker (worker->id));
     }
-  quince_service_strengths_note (guard->strengths, now_us, service, listed, ready);
+  quince_service_capacities_note (guard->capacities, now_us, service, listed, ready);
 }
 
 gboolean
@@ -26,11 +26,11 @@
 {
   if (guard->workers == NULL)
     return TRUE;
-  QuinceServiceStrength strength;
+  QuinceServiceCapacity capacity;
   quince_send_guard_note_service (guard, now_us, service);
-  quince_service_strengths_get (guard->strengths, now_us, service, &strength);
-  strength.at_risk = at_risk;
-  return quince_service_strength_bears_end (&strength);
+  quince_service_capacities_get (guard->capacities, now_us, service, &capacity);
+  capacity.at_risk = at_risk;
+  return quince_service_capacity_survives_end (&capacity);
 }
 
 gboolean
@@ -38,24 +38,24 @@
 {
   if (guard->workers == NULL)
     return TRUE;
-  QuinceServiceStrength strength;
+  QuinceServiceCapacity capacity;
   quince_send_guard_note_service (guard, now_us, service);
-  quince_service_strengths_get (guard->strengths, now_us, service, &strength);
-  return quince_service_strength_bears_hedge (&strength);
+  quince_service_capacities_get (guard->capacities, now_us, service, &capacity);
+  return quince_service_capacity_allows_hedge (&capacity);
 }
 
 guint
 quince_send_guard_get_wait_ms (const QuinceSendGuard *guard, gint64 now_us, const char *service)
 {
-  return (guint)(quince_service_strengths_get_wait_us (guard->strengths, now_us, service) / 1000);
+  return (guint)(quince_service_capacities_get_wait_us (guard->capacities, now_us, service) / 1000);
 }
 
 void
-quince_send_guard_note_told (QuinceSendGuard *guard, gint64 now_us, const QuinceRequestDigest *digest)
+quince_send_guard_note_report (QuinceSendGuard *guard, gint64 now_us, const QuinceRequestDigest *digest)
 {
   const QuinceSuspect *suspect = quince_quarantine_find (guard->quarantine, digest);
   if (suspect == NULL || suspect->service == NULL || guard->workers == NULL)
     return;
   quince_send_guard_note_service (guard, now_us, suspect->service);
-  quince_service_strengths_note_end (guard->strengths, suspect->ended_us, suspect->service);
+  quince_service_capacities_note_end (guard->capacities, suspect->ended_us, suspect->service);
 }
--- a/lib/forward/send-guard-log.c
+++ b/lib/forward/send-guard-log.c
@@ -23,7 +23,7 @@
 static const char *
 teller_of (const QuinceSuspect *suspect)
 {
-  return suspect->told_by != NULL ? suspect->told_by : "self";
+  return suspect->reported_by != NULL ? suspect->reported_by : "self";
 }
 
 void
@@ -68,22 +68,22 @@
 }
 
 void
-quince_send_guard_log_spared (const QuinceSendGuard *guard,
-                              gint64 now_us,
-                              const QuinceRequestIdentity *identity,
-                              const char *request_id,
-                              const char *service)
+quince_send_guard_log_protected (const QuinceSendGuard *guard,
+                                 gint64 now_us,
+                                 const QuinceRequestIdentity *identity,
+                                 const char *request_id,
+                                 const char *service)
 {
   const QuinceSuspect *suspect = find_worst (guard, identity);
   if (suspect == NULL)
     return;
-  QuinceServiceStrength strength;
-  quince_service_strengths_get (guard->strengths, now_us, service, &strength);
+  QuinceServiceCapacity capacity;
+  quince_service_capacities_get (guard->capacities, now_us, service, &capacity);
   g_autofree char *text = quince_request_digest_format (&suspect->digest);
   quince_metric_add ("quince_quarantine_spared_total", "", 1);
   quince_log_info ("suspect_spared", "request=%s digest=%s scope=%s ends=%u service=%s ready=%u of=%u",
                    request_id, text, quince_suspect_scope_name (suspect->scope), suspect->n_workers, service,
-                   strength.ready, strength.most);
+                   capacity.ready, capacity.most);
 }
 
 void
--- a/lib/forward/send-guard-private.h
+++ b/lib/forward/send-guard-private.h
@@ -2,7 +2,7 @@
  * send-guard-private.h: state shared by the files of the send guard.
  *
  * send-guard.c: whether a request may be sent, and which broken connections were ends of workers.
- * send-guard-strength.c: whether the service of a request bears one more end.
+ * send-guard-capacity.c: whether the service of a request bears one more end.
  * send-guard-log.c: log lines and metrics.
  */
 #pragma once
@@ -17,14 +17,14 @@
   GHashTable *asks;           /* Ask by its own digest, owned */
   GHashTable *held;           /* QuinceRequestDigest, owned: of permits in use here */
   QuinceWorkerTable *workers; /* NULL: nothing is known of them */
-  QuinceServiceStrengths *strengths;
+  QuinceServiceCapacities *capacities;
   GHashTable *losses; /* Loss by its own worker id, owned */
   guint checks;       /* losses that are not decided */
   const QuinceSendGuardCallbacks *callbacks;
   gpointer user_data;
 };
 
-/* ---- send-guard-strength.c ---------------------------------------------- */
+/* ---- send-guard-capacity.c ---------------------------------------------- */
 
 /* Counts the workers of @service. */
 void quince_send_guard_note_service (QuinceSendGuard *guard, gint64 now_us, const char *service);
--- a/lib/forward/send-guard.c
+++ b/lib/forward/send-guard.c
@@ -75,7 +75,7 @@
 {
   limits->entries_most = (guint)quince_settings_get_integer (settings, "quarantine", "entries");
   limits->bytes_most = (gsize)quince_settings_get_integer (settings, "quarantine", "kilobytes") * 1024;
-  limits->doubt_keep_us = quince_settings_get_duration_us (settings, "quarantine", "doubt_keep");
+  limits->suspect_keep_us = quince_settings_get_duration_us (settings, "quarantine", "doubt_keep");
   limits->hold_keep_us = quince_settings_get_duration_us (settings, "quarantine", "hold_keep");
 }
 
@@ -88,7 +88,7 @@
   guard->quarantine = quince_quarantine_new (limits);
   guard->asks = g_hash_table_new_full (quince_request_digest_hash, quince_request_digest_equal, NULL, g_free);
   guard->held = g_hash_table_new_full (quince_request_digest_hash, quince_request_digest_equal, g_free, NULL);
-  guard->strengths = quince_service_strengths_new ();
+  guard->capacities = quince_service_capacities_new ();
   guard->losses = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, loss_free);
   guard->callbacks = callbacks;
   guard->user_data = user_data;
@@ -102,7 +102,7 @@
     return;
   g_hash_table_unref (guard->losses);
   g_hash_table_unref (guard->held);
-  quince_service_strengths_free (guard->strengths);
+  quince_service_capacities_free (guard->capacities);
   g_hash_table_unref (guard->asks);
   quince_quarantine_free (guard->quarantine);
   g_free (guard);
@@ -196,12 +196,12 @@
 }
 
 void
-quince_send_guard_forget_asked (QuinceSendGuard *guard)
+quince_send_guard_forget_requested (QuinceSendGuard *guard)
 {
   g_hash_table_remove_all (guard->asks);
 }
 
-static QuinceLeave
+static QuinceAdmission
 ask_permit (QuinceSendGuard *guard,
             gint64 now_us,
             const QuinceRequestDigest *digest,
@@ -213,15 +213,15 @@
   if (ask == NULL || !is_current (ask, now_us, alone))
     ask = ask_again (guard, now_us, digest, service, alone);
   if (ask == NULL && alone)
-    return QUINCE_LEAVE_UNSURE;
+    return QUINCE_ADMISSION_UNSURE;
   if (ask == NULL)
-    return QUINCE_LEAVE_CAREFUL;
+    return QUINCE_ADMISSION_CAREFUL;
   if (ask->state != ASK_GIVEN)
-    return QUINCE_LEAVE_WAIT;
+    return QUINCE_ADMISSION_WAIT;
   *permit = (QuinceSendPermit){ .taken = TRUE, .alone = ask->alone, .digest = *digest };
   g_hash_table_add (guard->held, g_memdup2 (digest, sizeof *digest));
   g_hash_table_remove (guard->asks, digest);
-  return QUINCE_LEAVE_PERMIT;
+  return QUINCE_ADMISSION_PERMIT;
 }
 
 static void
@@ -242,7 +242,7 @@
   return MAX (quince_quarantine_judge (guard->quarantine, &identity->request), *of_prompt);
 }
 
-QuinceLeave
+QuinceAdmission
 quince_send_guard_ask (QuinceSendGuard *guard,
                        gint64 now_us,
                        const QuinceRequestIdentity *identity,
@@ -255,15 +255,15 @@
   /* One permit for all that share a suspected prompt. */
   const QuinceRequestDigest *digest = of_prompt != QUINCE_SEND_FREE ? &identity->prompt : &identity->request;
   if (rule == QUINCE_SEND_HELD)
-    return QUINCE_LEAVE_HELD;
+    return QUINCE_ADMISSION_HELD;
   if (is_checked (guard, identity) || g_hash_table_contains (guard->held, digest))
-    return QUINCE_LEAVE_WAIT;
+    return QUINCE_ADMISSION_WAIT;
   if (rule == QUINCE_SEND_FREE)
-    return QUINCE_LEAVE_GIVEN;
+    return QUINCE_ADMISSION_GRANTED;
   if (quince_quarantine_gives_way (guard->quarantine, now_us, identity))
-    return QUINCE_LEAVE_WAIT;
+    return QUINCE_ADMISSION_WAIT;
   if (!quince_send_guard_bears_end (guard, now_us, service, 0))
-    return QUINCE_LEAVE_SPARED;
+    return QUINCE_ADMISSION_PROTECTED;
   return ask_permit (guard, now_us, digest, service, rule == QUINCE_SEND_ALONE, permit);
 }
 
@@ -327,7 +327,7 @@
   note_suspect (guard, loss, run, QUINCE_SUSPECT_REQUEST);
   if (run->identity.has_prompt)
     note_suspect (guard, loss, run, QUINCE_SUSPECT_PROMPT);
-  quince_service_strengths_note_end (guard->strengths, quince_now_us (), loss->service);
+  quince_service_capacities_note_end (guard->capacities, quince_now_us (), loss->service);
   quince_send_guard_over (guard, &run->permit);
 }
 
--- a/lib/forward/send-guard.h
+++ b/lib/forward/send-guard.h
@@ -9,7 +9,7 @@
 
 #include "core/request/quarantine.h"
 #include "core/routing/routing.h"
-#include "core/request/service-strength.h"
+#include "core/request/service-capacity.h"
 #include "runtime/settings.h"
 
 G_BEGIN_DECLS
@@ -54,16 +54,16 @@
 /* Whether a request may be sent now. */
 typedef enum
 {
-  QUINCE_LEAVE_GIVEN,   /* yes                                                          */
-  QUINCE_LEAVE_CAREFUL, /* yes, to one worker at a time                                 */
-  QUINCE_LEAVE_PERMIT,  /* the same, under a permit that must be ended by a call below  */
-  QUINCE_LEAVE_WAIT,    /* ask again after QUINCE_LEAVE_PAUSE_MS                        */
-  QUINCE_LEAVE_UNSURE,  /* no: it needs a permit, and nobody gives one                  */
-  QUINCE_LEAVE_SPARED,  /* no: its end would leave too few workers of the service       */
-  QUINCE_LEAVE_HELD,    /* no                                                           */
-} QuinceLeave;
+  QUINCE_ADMISSION_GRANTED,   /* yes                                                          */
+  QUINCE_ADMISSION_CAREFUL,   /* yes, to one worker at a time                                 */
+  QUINCE_ADMISSION_PERMIT,    /* the same, under a permit that must be ended by a call below  */
+  QUINCE_ADMISSION_WAIT,      /* ask again after QUINCE_ADMISSION_RETRY_MS                        */
+  QUINCE_ADMISSION_UNSURE,    /* no: it needs a permit, and nobody gives one                  */
+  QUINCE_ADMISSION_PROTECTED, /* no: its end would leave too few workers of the service       */
+  QUINCE_ADMISSION_HELD,      /* no                                                           */
+} QuinceAdmission;
 
-#define QUINCE_LEAVE_PAUSE_MS 5
+#define QUINCE_ADMISSION_RETRY_MS 5
 
 /* What a send is made under; it must be ended by one of the calls below. */
 typedef struct
@@ -75,12 +75,12 @@
 
 /* Nothing is suspected, and every request may be sent: no digest needs to be made. */
 gboolean quince_send_guard_is_idle (const QuinceSendGuard *guard);
-/* @permit: taken where this returns QUINCE_LEAVE_PERMIT */
-QuinceLeave quince_send_guard_ask (QuinceSendGuard *guard,
-                                   gint64 now_us,
-                                   const QuinceRequestIdentity *identity,
-                                   const char *service,
-                                   QuinceSendPermit *permit);
+/* @permit: taken where this returns QUINCE_ADMISSION_PERMIT */
+QuinceAdmission quince_send_guard_ask (QuinceSendGuard *guard,
+                                       gint64 now_us,
+                                       const QuinceRequestIdentity *identity,
+                                       const char *service,
+                                       QuinceSendPermit *permit);
 /* Whether a second run may begin at @service beside one in progress: nothing is suspected of the request, no
  * loss of it is being checked, and the service bears it. */
 gboolean quince_send_guard_may_hedge (QuinceSendGuard *guard,
@@ -93,11 +93,11 @@
 /* When a request that was spared may come back, in ms. */
 guint quince_send_guard_get_wait_ms (const QuinceSendGuard *guard, gint64 now_us, const char *service);
 /* Others told of ends under the suspect @digest. */
-void quince_send_guard_note_told (QuinceSendGuard *guard, gint64 now_us, const QuinceRequestDigest *digest);
+void quince_send_guard_note_report (QuinceSendGuard *guard, gint64 now_us, const QuinceRequestDigest *digest);
 /* The answer to QuinceSendGuardCallbacks.ask(). */
 void quince_send_guard_answer (QuinceSendGuard *guard, const QuinceRequestDigest *digest, gboolean given);
 /* Whoever gives permits is gone, and what was asked of it. */
-void quince_send_guard_forget_asked (QuinceSendGuard *guard);
+void quince_send_guard_forget_requested (QuinceSendGuard *guard);
 
 /* It is sent to @worker_id now. */
 void quince_send_guard_sending (QuinceSendGuard *guard,
@@ -134,11 +134,11 @@
                                  const QuinceRequestIdentity *identity,
                                  const char *request_id);
 /* Logs that it waits, or is refused, because @service does not bear one more end. */
-void quince_send_guard_log_spared (const QuinceSendGuard *guard,
-                                   gint64 now_us,
-                                   const QuinceRequestIdentity *identity,
-                                   const char *request_id,
-                                   const char *service);
+void quince_send_guard_log_protected (const QuinceSendGuard *guard,
+                                      gint64 now_us,
+                                      const QuinceRequestIdentity *identity,
+                                      const char *request_id,
+                                      const char *service);
 void quince_send_guard_set_metrics (const QuinceSendGuard *guard);
 
 G_END_DECLS
--- a/lib/forward/stream.c
+++ b/lib/forward/stream.c
@@ -13,7 +13,7 @@
 #define SILENCE_MS 1300
 #define PAUSE_MS 20
 /* The same while its service is weak, which takes seconds: each look goes through the service's workers. */
-#define SPARED_PAUSE_MS 200
+#define PROTECTED_RETRY_MS 200
 #define REFUSED_SENDS_MAX 8
 
 struct _QuinceStream
@@ -30,7 +30,7 @@
   char *worker_id;
   GSource *timer;   /* next attempt */
   GSource *silence; /* of the attempt in progress, and the end of all */
-  gint64 heard_us;
+  gint64 contact_us;
   guint runs;
   guint refused_sends;
   guint64 last_event;
@@ -46,14 +46,14 @@
 /* ---- Ends ------------------------------------------------------------- */
 
 static void
-leave_worker (QuinceStream *stream)
+release_worker (QuinceStream *stream)
 {
   quince_source_clear (&stream->silence);
   if (stream->events != NULL)
     stream->dialect->events_free (stream->events);
   stream->events = NULL;
   stream->exchange = NULL;
-  quince_dispatch_leave (&stream->dispatch, stream->worker_id);
+  quince_dispatch_release_worker (&stream->dispatch, stream->worker_id);
 }
 
 static void
@@ -71,7 +71,7 @@
   if (stream->exchange != NULL)
     {
       quince_http_exchange_cancel (stream->exchange);
-      leave_worker (stream);
+      release_worker (stream);
     }
   stream_free (stream);
 }
@@ -127,7 +127,7 @@
   quince_log_info ("request_retried",
                    "request=%s worker=%s cause=%s attempts=%u runs=%u took_ms=%" G_GINT64_FORMAT,
                    stream->dispatch.request_id, stream->worker_id, cause, stream->dispatch.attempts,
-                   stream->runs, (quince_now_us () - stream->heard_us) / 1000);
+                   stream->runs, (quince_now_us () - stream->contact_us) / 1000);
   if (ran)
     stream->runs++;
   else
@@ -142,7 +142,7 @@
 }
 
 static void
-doubt_worker (QuinceStream *stream)
+eject_worker (QuinceStream *stream)
 {
   QuinceWorker *worker = quince_dispatch_find (&stream->dispatch, stream->worker_id);
   if (worker != NULL)
@@ -159,7 +159,7 @@
   const char *signature = NULL;
   gboolean not_run = FALSE;
   stream->dialect->forward->read_answer (head, &request_id, &signature, &not_run);
-  stream->heard_us = quince_now_us ();
+  stream->contact_us = quince_now_us ();
   stream->passes = g_strcmp0 (request_id, stream->dispatch.request_id) == 0 && !not_run
                    && (head->status == 200 ? signature != NULL : !stream->resumable);
   if (!stream->passes)
@@ -195,7 +195,7 @@
 exchange_body (QuinceHttpExchange *exchange, const char *data, gsize length, gpointer user_data)
 {
   QuinceStream *stream = user_data;
-  stream->heard_us = quince_now_us ();
+  stream->contact_us = quince_now_us ();
   if (!stream->passes)
     return;
   if (!stream->resumable)
@@ -207,7 +207,7 @@
   if (pass_events (stream))
     return;
   quince_http_exchange_cancel (exchange);
-  leave_worker (stream);
+  release_worker (stream);
   attempt_over (stream, TRUE, "event_out_of_turn");
 }
 
@@ -236,13 +236,13 @@
 {
   QuinceStream *stream = data;
   gboolean has_rest = stream->events != NULL && stream->dialect->events_has_rest (stream->events);
-  leave_worker (stream);
+  release_worker (stream);
   if (outcome == QUINCE_HTTP_ANSWERED)
     {
       answered (stream, quince_http_exchange_get_head (exchange), has_rest);
       return;
     }
-  doubt_worker (stream);
+  eject_worker (stream);
   if (outcome != QUINCE_HTTP_NOT_SENT)
     quince_dispatch_lost (&stream->dispatch, stream->worker_id);
   attempt_over (stream, outcome != QUINCE_HTTP_NOT_SENT,
@@ -256,25 +256,25 @@
 
 /* Silence, and the end of the time that there is. */
 static gboolean
-look_at_time (gpointer data)
+check_time (gpointer data)
 {
   QuinceStream *stream = data;
   gint64 now = quince_now_us ();
   quince_source_clear (&stream->silence);
-  gint64 silent_ms = (now - stream->heard_us) / 1000;
+  gint64 silent_ms = (now - stream->contact_us) / 1000;
   gboolean late = now >= stream->dispatch.give_up_us;
   if (!late && (!stream->resumable || silent_ms < SILENCE_MS))
     {
       gint64 wait_ms = (stream->dispatch.give_up_us - now) / 1000 + 1;
       if (stream->resumable)
         wait_ms = MIN (wait_ms, SILENCE_MS - silent_ms + 1);
-      stream->silence = quince_timer_add ((guint)wait_ms, look_at_time, stream);
+      stream->silence = quince_timer_add ((guint)wait_ms, check_time, stream);
       return G_SOURCE_REMOVE;
     }
   quince_http_exchange_cancel (stream->exchange);
-  leave_worker (stream);
+  release_worker (stream);
   if (!late)
-    doubt_worker (stream);
+    eject_worker (stream);
   attempt_over (stream, TRUE, late ? "timeout" : "worker_silent");
   return G_SOURCE_REMOVE;
 }
@@ -293,12 +293,12 @@
                                       .send_by_us = worker->send_by_us };
   g_free (stream->worker_id);
   stream->worker_id = g_strdup (worker->id);
-  stream->heard_us = now_us;
+  stream->contact_us = now_us;
   stream->passes = FALSE;
   stream->events = stream->resumable ? stream->dialect->events_new () : NULL;
   QuinceHttpPool *pool = quince_backends_get_pool (dispatch->backends, worker);
   stream->exchange = quince_http_pool_start (pool, &request, &exchange_callbacks, stream);
-  stream->silence = quince_timer_add (1, look_at_time, stream);
+  stream->silence = quince_timer_add (1, check_time, stream);
 }
 
 /* The end of one more worker would leave too few of its service.  A caller that has seen nothing is told when
@@ -309,7 +309,7 @@
   stream->cause = "workers_spared";
   if (stream->head_passed)
     {
-      try_later (stream, SPARED_PAUSE_MS);
+      try_later (stream, PROTECTED_RETRY_MS);
       return;
     }
   stream->retry_after_ms = quince_dispatch_get_wait_ms (&stream->dispatch, now_us);
@@ -318,27 +318,27 @@
 
 /* Returns: %FALSE when no attempt is to be made now. */
 static gboolean
-has_leave (QuinceStream *stream, gint64 now_us)
+is_admitted (QuinceStream *stream, gint64 now_us)
 {
-  switch (quince_dispatch_ask_leave (&stream->dispatch, now_us))
+  switch (quince_dispatch_request_admission (&stream->dispatch, now_us))
     {
-    case QUINCE_LEAVE_HELD:
+    case QUINCE_ADMISSION_HELD:
       stream->cause = "request_held";
       stream_end (stream, QUINCE_FORWARD_HELD);
       return FALSE;
-    case QUINCE_LEAVE_SPARED:
+    case QUINCE_ADMISSION_PROTECTED:
       spare (stream, now_us);
       return FALSE;
-    case QUINCE_LEAVE_UNSURE:
+    case QUINCE_ADMISSION_UNSURE:
       stream->cause = "no_permit";
       stream_fail (stream);
       return FALSE;
-    case QUINCE_LEAVE_WAIT:
-      try_later (stream, QUINCE_LEAVE_PAUSE_MS);
+    case QUINCE_ADMISSION_WAIT:
+      try_later (stream, QUINCE_ADMISSION_RETRY_MS);
       return FALSE;
-    case QUINCE_LEAVE_GIVEN:
-    case QUINCE_LEAVE_CAREFUL:
-    case QUINCE_LEAVE_PERMIT:
+    case QUINCE_ADMISSION_GRANTED:
+    case QUINCE_ADMISSION_CAREFUL:
+    case QUINCE_ADMISSION_PERMIT:
     default:
       return TRUE;
     }
@@ -354,7 +354,7 @@
       stream_fail (stream);
       return;
     }
-  if (!has_leave (stream, now))
+  if (!is_admitted (stream, now))
     return;
   QuinceWorker *worker = NULL;
   QuinceBackendOutcome outcome = quince_dispatch_choose (&stream->dispatch, now, !stream->resumable, &worker);
--- a/lib/forward/suspect-entry.c
+++ b/lib/forward/suspect-entry.c
@@ -58,7 +58,7 @@
   suspect->release = g_key_file_get_uint64 (file, GROUP, "release", NULL);
   suspect->alone = (guint)MAX (g_key_file_get_integer (file, GROUP, "alone", NULL), 0);
   suspect->held = TRUE;
-  suspect->told_by = g_strdup ("store");
+  suspect->reported_by = g_strdup ("store");
   number_workers (suspect, (guint)MAX (g_key_file_get_integer (file, GROUP, "ends", NULL), 0));
   return TRUE;
 }
@@ -68,7 +68,7 @@
 {
   g_clear_pointer (&suspect->service, g_free);
   g_clear_pointer (&suspect->software, g_free);
-  g_clear_pointer (&suspect->told_by, g_free);
+  g_clear_pointer (&suspect->reported_by, g_free);
 }
 
 static gboolean
--- a/lib/forward/suspect-list.c
+++ b/lib/forward/suspect-list.c
@@ -91,7 +91,7 @@
                        : QUINCE_SUSPECT_REQUEST;
   suspect->service = service;
   suspect->software = software;
-  suspect->told_by = (char *)teller;
+  suspect->reported_by = (char *)teller;
   suspect->release = g_key_file_get_uint64 (file, group, "release", NULL);
   suspect->alone = (guint)g_key_file_get_uint64 (file, group, "alone", NULL);
   suspect->member = g_key_file_get_uint64 (file, group, "member", NULL);
@@ -101,11 +101,11 @@
 }
 
 static void
-log_told (const QuinceSuspect *suspect, const char *digest)
+log_report (const QuinceSuspect *suspect, const char *digest)
 {
   quince_log_info ("suspect_told", "digest=%s scope=%s ends=%u alone=%u held=%s told_by=%s", digest,
                    quince_suspect_scope_name (suspect->scope), suspect->n_workers, suspect->alone,
-                   suspect->held ? "true" : "false", known_text (suspect->told_by));
+                   suspect->held ? "true" : "false", known_text (suspect->reported_by));
 }
 
 void
@@ -133,6 +133,6 @@
           || !take_one (quarantine, now_us, wall_ms, teller, file, groups[i], &suspect))
         continue;
       g_array_append_val (changed, suspect.digest);
-      log_told (quince_quarantine_find (quarantine, &suspect.digest), groups[i]);
+      log_report (quince_quarantine_find (quarantine, &suspect.digest), groups[i]);
     }
 }
--- a/lib/forward/suspect-message.c
+++ b/lib/forward/suspect-message.c
@@ -14,9 +14,9 @@
 }
 
 static GBytes *
-encode_kind (QuinceMessageKind kind, QuinceSuspectTold *told, guint n_told)
+encode_kind (QuinceMessageKind kind, QuinceSuspectReport *told, guint n_reports)
 {
-  const QuinceSuspectNews news = { .suspects = { .suspects_val = told, .suspects_len = n_told } };
+  const QuinceSuspectReports news = { .suspects = { .suspects_val = told, .suspects_len = n_reports } };
   QuinceMessage message = { .kind = kind };
   if (kind == QUINCE_MESSAGE_SUSPECT_SENDING)
     message.QuinceMessage_u.suspect_sending = news;
@@ -26,13 +26,13 @@
 }
 
 static GBytes *
-encode (QuinceSuspectTold *told, guint n_told)
+encode (QuinceSuspectReport *told, guint n_reports)
 {
-  return encode_kind (QUINCE_MESSAGE_SUSPECT_NEWS, told, n_told);
+  return encode_kind (QUINCE_MESSAGE_SUSPECT_NEWS, told, n_reports);
 }
 
 static void
-describe (const QuinceSuspect *suspect, gint64 now_us, const char *own_name, QuinceSuspectTold *told)
+describe (const QuinceSuspect *suspect, gint64 now_us, const char *own_name, QuinceSuspectReport *told)
 {
   memcpy (told->digest, suspect->digest.bytes, sizeof told->digest);
   told->release = suspect->release;
@@ -43,7 +43,7 @@
   told->age_ms = (u_quad_t)MAX (now_us - suspect->ended_us, 0) / 1000;
   told->service = known_text (suspect->service);
   told->software = known_text (suspect->software);
-  told->told_by = suspect->told_by != NULL ? suspect->told_by : (char *)own_name;
+  told->reported_by = suspect->reported_by != NULL ? suspect->reported_by : (char *)own_name;
   told->prompt = suspect->scope == QUINCE_SUSPECT_PROMPT;
   told->member = suspect->member;
 }
@@ -51,17 +51,17 @@
 GBytes *
 quince_suspect_news_encode (const GPtrArray *suspects, gint64 now_us, const char *own_name)
 {
-  g_autofree QuinceSuspectTold *told = g_new0 (QuinceSuspectTold, suspects->len + 1);
-  guint n_told = MIN (suspects->len, QUINCE_MAX_SUSPECTS);
-  for (guint i = 0; i < n_told; i++)
+  g_autofree QuinceSuspectReport *told = g_new0 (QuinceSuspectReport, suspects->len + 1);
+  guint n_reports = MIN (suspects->len, QUINCE_MAX_SUSPECTS);
+  for (guint i = 0; i < n_reports; i++)
     describe (suspects->pdata[i], now_us, own_name, &told[i]);
-  return encode (told, n_told);
+  return encode (told, n_reports);
 }
 
 GBytes *
 quince_suspect_sending_encode (const QuinceSuspect *expected, gint64 now_us, const char *own_name)
 {
-  QuinceSuspectTold told = { 0 };
+  QuinceSuspectReport told = { 0 };
   describe (expected, now_us, own_name, &told);
   return encode_kind (QUINCE_MESSAGE_SUSPECT_SENDING, &told, 1);
 }
@@ -69,15 +69,17 @@
 GBytes *
 quince_suspect_cleared_encode (const QuinceRequestDigest *digest, QuinceSuspectScope scope)
 {
-  QuinceSuspectTold told = {
-    .cleared = TRUE, .service = "", .software = "", .told_by = "", .prompt = scope == QUINCE_SUSPECT_PROMPT
-  };
+  QuinceSuspectReport told = { .cleared = TRUE,
+                               .service = "",
+                               .software = "",
+                               .reported_by = "",
+                               .prompt = scope == QUINCE_SUSPECT_PROMPT };
   memcpy (told.digest, digest->bytes, sizeof told.digest);
   return encode (&told, 1);
 }
 
 void
-quince_suspect_read (const QuinceSuspectTold *told, gint64 now_us, QuinceSuspect *suspect)
+quince_suspect_read (const QuinceSuspectReport *told, gint64 now_us, QuinceSuspect *suspect)
 {
   *suspect = (QuinceSuspect){ 0 };
   memcpy (suspect->digest.bytes, told->digest, sizeof suspect->digest.bytes);
@@ -90,7 +92,7 @@
   suspect->ended_us = now_us - (gint64)MIN (told->age_ms, G_MAXINT64 / 2000) * 1000;
   suspect->service = told->service;
   suspect->software = told->software;
-  suspect->told_by = told->told_by;
+  suspect->reported_by = told->reported_by;
   suspect->scope = told->prompt ? QUINCE_SUSPECT_PROMPT : QUINCE_SUSPECT_REQUEST;
   suspect->member = told->member;
 }
@@ -105,24 +107,24 @@
 }
 
 static void
-log_told (const QuinceSuspect *suspect)
+log_report (const QuinceSuspect *suspect)
 {
   g_autofree char *digest = quince_request_digest_format (&suspect->digest);
   quince_log_info ("suspect_told", "digest=%s scope=%s ends=%u alone=%u held=%s told_by=%s", digest,
                    quince_suspect_scope_name (suspect->scope), suspect->n_workers, suspect->alone,
-                   suspect->held ? "true" : "false", suspect->told_by);
+                   suspect->held ? "true" : "false", suspect->reported_by);
 }
 
 void
 quince_suspect_news_take (QuinceQuarantine *quarantine,
                           gint64 now_us,
-                          const QuinceSuspectNews *news,
+                          const QuinceSuspectReports *news,
                           GArray *changed,
                           GArray *cleared)
 {
   for (guint i = 0; i < news->suspects.suspects_len; i++)
     {
-      const QuinceSuspectTold *told = &news->suspects.suspects_val[i];
+      const QuinceSuspectReport *told = &news->suspects.suspects_val[i];
       QuinceSuspect suspect;
       quince_suspect_read (told, now_us, &suspect);
       const QuinceSuspectCleared gone = { .digest = suspect.digest, .scope = suspect.scope };
@@ -131,7 +133,7 @@
       else if (!told->cleared && quince_quarantine_merge (quarantine, now_us, &suspect))
         {
           g_array_append_val (changed, suspect.digest);
-          log_told (quince_quarantine_find (quarantine, &suspect.digest));
+          log_report (quince_quarantine_find (quarantine, &suspect.digest));
         }
     }
 }
--- a/lib/forward/suspect-message.h
+++ b/lib/forward/suspect-message.h
@@ -14,7 +14,7 @@
 /* The same for one that is sent now: what will be known if its worker ends. */
 GBytes *quince_suspect_sending_encode (const QuinceSuspect *expected, gint64 now_us, const char *own_name);
 /* @suspect: its texts are those of @told */
-void quince_suspect_read (const QuinceSuspectTold *told, gint64 now_us, QuinceSuspect *suspect);
+void quince_suspect_read (const QuinceSuspectReport *told, gint64 now_us, QuinceSuspect *suspect);
 /* The same for one that was cleared. */
 GBytes *quince_suspect_cleared_encode (const QuinceRequestDigest *digest, QuinceSuspectScope scope);
 
@@ -34,7 +34,7 @@
  */
 void quince_suspect_news_take (QuinceQuarantine *quarantine,
                                gint64 now_us,
-                               const QuinceSuspectNews *news,
+                               const QuinceSuspectReports *news,
                                GArray *changed,
                                GArray *cleared);
 
--- a/lib/forward/warmth.c
+++ b/lib/forward/warmth.c
@@ -19,7 +19,7 @@
 static gint64
 assumed_cold_after_start_us (QuinceBackends *backends, const QuinceWorker *told)
 {
-  if (!backends->listed || told->cold_us != QUINCE_COLD_UNTOLD)
+  if (!backends->listed || told->cold_us != QUINCE_COLD_UNKNOWN)
     return 0;
   return quince_warmup_sends_get_cold_start_us (backends->warmup, told->service);
 }
--- a/lib/forward/warmup-sends.c
+++ b/lib/forward/warmup-sends.c
@@ -149,7 +149,7 @@
   if (!quince_warmup_lease_may_ask (lease, now_us, ASK_PATIENCE_US))
     return;
   /* The lease counts from here: the ask leaves later, if at all. */
-  gint64 asked_us = quince_now_us ();
+  gint64 requested_us = quince_now_us ();
   guint64 ask = ++sends->asks;
   if (!sends->callbacks->ask (ask, worker->id, ASK_SENDS, sends->user_data))
     {
@@ -157,7 +157,7 @@
       lease->again_us = now_us + NOBODY_US;
       return;
     }
-  quince_warmup_lease_asked (lease, asked_us, ask);
+  quince_warmup_lease_note_request (lease, requested_us, ask);
   sends->next_ask_us = now_us + ASK_EVERY_US;
 }
 
@@ -192,7 +192,7 @@
 }
 
 void
-quince_warmup_sends_forget_asked (QuinceWarmupSends *sends)
+quince_warmup_sends_forget_requests (QuinceWarmupSends *sends)
 {
   GHashTableIter iter;
   gpointer value;
@@ -246,7 +246,7 @@
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
       const QuinceWarmupLease *lease = value;
-      gint64 used_us = MAX (MAX (lease->asked_us, lease->until_us), lease->again_us);
+      gint64 used_us = MAX (MAX (lease->requested_us, lease->until_us), lease->again_us);
       if (now_us - used_us > 10 * QUINCE_WARMUP_SPAN_US)
         g_hash_table_iter_remove (&iter);
     }
--- a/lib/forward/warmup-sends.h
+++ b/lib/forward/warmup-sends.h
@@ -89,7 +89,7 @@
                                    gint64 valid_us,
                                    gint64 again_us);
 /* Whoever gives is gone, and what was asked of it; leases go on until their end. */
-void quince_warmup_sends_forget_asked (QuinceWarmupSends *sends);
+void quince_warmup_sends_forget_requests (QuinceWarmupSends *sends);
 
 /* ---- Who gives ------------------------------------------------------------ */
 
--- a/lib/http1/http-connection.c
+++ b/lib/http1/http-connection.c
@@ -120,7 +120,7 @@
 
 /* The owner still listens. */
 static gboolean
-is_heard (const QuinceHttpConnection *connection)
+is_alive (const QuinceHttpConnection *connection)
 {
   return connection->open && !connection->finishing;
 }
@@ -211,7 +211,7 @@
     quince_http_head_free (head); /* an interim answer: the real one follows */
   else
     connection->callbacks->head (connection, head, connection->user_data);
-  return is_heard (connection) ? 0 : -1;
+  return is_alive (connection) ? 0 : -1;
 }
 
 static int
@@ -220,7 +220,7 @@
   QuinceHttpConnection *connection = parser->data;
   if (connection->callbacks->body != NULL)
     connection->callbacks->body (connection, at, length, connection->user_data);
-  return is_heard (connection) ? 0 : -1;
+  return is_alive (connection) ? 0 : -1;
 }
 
 static int
@@ -284,11 +284,11 @@
   quince_http_connection_ref (connection);
   gsize used = http_parser_execute (&connection->parser, &parser_settings, data, length);
   enum http_errno parse_error = HTTP_PARSER_ERRNO (&connection->parser);
-  if (is_heard (connection) && parse_error != HPE_OK && parse_error != HPE_PAUSED)
+  if (is_alive (connection) && parse_error != HPE_OK && parse_error != HPE_PAUSED)
     refuse_message (connection, parse_error);
-  else if (is_heard (connection) && head_too_large (connection, length))
+  else if (is_alive (connection) && head_too_large (connection, length))
     refuse_input (connection, QUINCE_HTTP1_ERROR_TOO_LARGE, "head is too large");
-  if (is_heard (connection) && connection->waiting)
+  if (is_alive (connection) && connection->waiting)
     {
       http_parser_pause (&connection->parser, 0);
       if (length > used)
@@ -301,7 +301,7 @@
 void
 quince_http_connection_next (QuinceHttpConnection *connection)
 {
-  if (!is_heard (connection) || !connection->waiting)
+  if (!is_alive (connection) || !connection->waiting)
     return;
   connection->waiting = FALSE;
   if (connection->early->len == 0)
@@ -562,7 +562,7 @@
 gboolean
 quince_http_connection_is_open (QuinceHttpConnection *connection)
 {
-  return is_heard (connection);
+  return is_alive (connection);
 }
 
 gboolean
--- a/lib/meta/meta-mirror.c
+++ b/lib/meta/meta-mirror.c
@@ -31,7 +31,7 @@
   const char *reason; /* why it reads by itself; static */
   guint retry_ms;
   gint64 watch_began_us;
-  gint64 heard_us; /* monotonic time of the last answer or page; 0: none yet */
+  gint64 contact_us; /* monotonic time of the last answer or page; 0: none yet */
   gboolean synced;
   gboolean watching;   /* the call in progress is a watch */
   gboolean waiting;    /* calls to the store fail: asks once it answers again */
@@ -146,7 +146,7 @@
 static void
 heard (QuinceMetaMirror *mirror)
 {
-  mirror->heard_us = quince_now_us ();
+  mirror->contact_us = quince_now_us ();
   mirror->retry_ms = RETRY_MIN_MS;
 }
 
@@ -331,7 +331,7 @@
       return FALSE;
     }
   be_fed (mirror);
-  mirror->heard_us = quince_now_us ();
+  mirror->contact_us = quince_now_us ();
   mirror->revision = page->revision;
   if (whole)
     mirror->listed = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
@@ -414,19 +414,19 @@
 }
 
 gint64
-quince_meta_mirror_get_heard_us (const QuinceMetaMirror *mirror)
+quince_meta_mirror_get_contact_us (const QuinceMetaMirror *mirror)
 {
-  return mirror->heard_us;
+  return mirror->contact_us;
 }
 
 gboolean
 quince_meta_mirror_is_fresh (const QuinceMetaMirror *mirror, gint64 now_us)
 {
-  return mirror->heard_us > 0 && now_us - mirror->heard_us <= (gint64)mirror->times.patience_ms * 1000;
+  return mirror->contact_us > 0 && now_us - mirror->contact_us <= (gint64)mirror->times.patience_ms * 1000;
 }
 
 void
-quince_meta_mirror_doubt (QuinceMetaMirror *mirror, gint64 regained_us)
+quince_meta_mirror_mark_stale (QuinceMetaMirror *mirror, gint64 regained_us)
 {
   gboolean swallowed = mirror->call != NULL && mirror->watching && mirror->watch_began_us < regained_us;
   if (!swallowed && !mirror->waiting)
--- a/lib/meta/meta-store.c
+++ b/lib/meta/meta-store.c
@@ -216,7 +216,7 @@
   if (!good)
     store->probe_timer = quince_timer_add (PROBE_FIRST_MS, probe_store, store);
   for (guint i = 0; good && i < store->mirrors->len; i++)
-    quince_meta_mirror_doubt (store->mirrors->pdata[i], answered_us);
+    quince_meta_mirror_mark_stale (store->mirrors->pdata[i], answered_us);
 }
 
 static GError *
--- a/lib/meta/meta-store.h
+++ b/lib/meta/meta-store.h
@@ -207,12 +207,12 @@
 /* All up to it is known; 0: not all that the store held at any moment. */
 guint64 quince_meta_mirror_get_revision (const QuinceMetaMirror *mirror);
 /* Monotonic time of the last answer or page for the prefix, in microseconds; 0: none yet. */
-gint64 quince_meta_mirror_get_heard_us (const QuinceMetaMirror *mirror);
+gint64 quince_meta_mirror_get_contact_us (const QuinceMetaMirror *mirror);
 /* The last answer or page is recent enough to feed other mirrors from this one. */
 gboolean quince_meta_mirror_is_fresh (const QuinceMetaMirror *mirror, gint64 now_us);
 /* The store answers again since @regained_us: a watch that began before may have been swallowed, begin it
  * anew; so does a mirror that waits for the store. */
-void quince_meta_mirror_doubt (QuinceMetaMirror *mirror, gint64 regained_us);
+void quince_meta_mirror_mark_stale (QuinceMetaMirror *mirror, gint64 regained_us);
 
 /* ---- A key under a lease ---------------------------------------------- */
 
--- a/lib/observer/observer-feed.c
+++ b/lib/observer/observer-feed.c
@@ -35,12 +35,12 @@
 {
   QuinceNamedMirror mirrors[QUINCE_OBSERVER_PREFIXES];
   quince_observer_list_mirrors (observer, mirrors);
-  observer->told_lapsed = page->may_have_lapsed;
+  observer->page_may_have_lapsed = page->may_have_lapsed;
   gboolean taken = FALSE;
   for (guint i = 0; i < QUINCE_OBSERVER_PREFIXES; i++)
     if (g_str_equal (mirrors[i].prefix, prefix))
       taken = quince_meta_mirror_feed (mirrors[i].mirror, page, whole);
-  observer->told_lapsed = FALSE;
+  observer->page_may_have_lapsed = FALSE;
   if (taken && g_str_equal (prefix, QUINCE_PLATFORM_OPERATOR_PREFIX))
     confirm_zones (observer);
   return taken;
@@ -50,7 +50,7 @@
 static gboolean
 leader_needs (const QuinceMetaMirror *mirror, const QuinceMetaPage *page, gint64 now_us)
 {
-  gint64 unheard_us = now_us - quince_meta_mirror_get_heard_us (mirror);
+  gint64 unheard_us = now_us - quince_meta_mirror_get_contact_us (mirror);
   if (!quince_meta_mirror_is_fed (mirror))
     return unheard_us > QUINCE_OBSERVER_READ_EVERY_MS * 1000;
   return page->items->len > 0 || unheard_us > PAGE_EVERY_US;
@@ -71,12 +71,12 @@
 gboolean
 quince_observer_may_have_lapsed (const QuinceObserver *observer, gint64 now_us)
 {
-  return observer->told_lapsed || quince_meta_store_may_have_lapsed (observer->store, now_us);
+  return observer->page_may_have_lapsed || quince_meta_store_may_have_lapsed (observer->store, now_us);
 }
 
 /* A process that is told of all prefixes need not notice by itself that the store is back. */
 static gboolean
-is_told_of_all (QuinceObserver *observer)
+is_fed_all (QuinceObserver *observer)
 {
   QuinceNamedMirror mirrors[QUINCE_OBSERVER_PREFIXES];
   quince_observer_list_mirrors (observer, mirrors);
@@ -90,7 +90,7 @@
 void
 quince_observer_set_relaxed (QuinceObserver *observer)
 {
-  gboolean relaxed = observer->feeder_timer != NULL && !observer->reserve && is_told_of_all (observer);
+  gboolean relaxed = observer->feeder_timer != NULL && !observer->reserve && is_fed_all (observer);
   quince_meta_store_set_relaxed (observer->store, relaxed);
 }
 
--- a/lib/observer/observer-private.h
+++ b/lib/observer/observer-private.h
@@ -29,7 +29,7 @@
   guint slack_ms;        /* more than the time between two reads that what was told is trusted */
   GSource *feeder_timer; /* restarted by each message of the feeder; at its end the feeder counts as gone */
   gboolean reserve;      /* reads for others where their leader cannot */
-  gboolean told_lapsed;  /* while a page is taken in: QuinceMetaPage.may_have_lapsed */
+  gboolean page_may_have_lapsed; /* while a page is taken in: QuinceMetaPage.may_have_lapsed */
 };
 
 typedef struct
--- a/lib/observer/observer.c
+++ b/lib/observer/observer.c
@@ -70,7 +70,7 @@
     {
       gint64 now = quince_now_us ();
       if (quince_observer_may_have_lapsed (observer, now))
-        quince_backends_doubt_listing (observer->backends, now, lapsed_until (observer, now), id);
+        quince_backends_mark_listing_stale (observer->backends, now, lapsed_until (observer, now), id);
       else
         quince_backends_remove (observer->backends, id);
       return;
@@ -205,7 +205,7 @@
   quince_observer_list_mirrors (observer, mirrors);
   for (guint i = 0; i < QUINCE_OBSERVER_PREFIXES; i++)
     {
-      gint64 heard = quince_meta_mirror_get_heard_us (mirrors[i].mirror);
+      gint64 heard = quince_meta_mirror_get_contact_us (mirrors[i].mirror);
       if (heard == 0)
         continue;
       g_autofree char *labels = g_strdup_printf ("prefix=\"%s\"", mirrors[i].prefix);
--- a/lib/observer/observer.h
+++ b/lib/observer/observer.h
@@ -22,7 +22,7 @@
 /* What a front met of requests that end workers while it reached no leader, by its name. */
 #define QUINCE_SUSPECTS_PREFIX QUINCE_OWN_PREFIX "suspects/"
 /* The zone of each machine with a replica, by its name, where there are several regions. */
-#define QUINCE_PLACES_PREFIX QUINCE_OWN_PREFIX "places/"
+#define QUINCE_MACHINE_ZONES_PREFIX QUINCE_OWN_PREFIX "places/"
 #define QUINCE_EVENTS_PREFIX QUINCE_OWN_PREFIX "events/"
 
 typedef struct _QuinceObserver QuinceObserver;
--- a/lib/observer/belief-feed.c
+++ b/lib/observer/store-feed.c
@@ -1,14 +1,14 @@
 /*
- * belief-feed.c: news of the metadata store, told over links.
+ * store-feed.c: news of the metadata store, told over links.
  */
-#include "observer/belief-feed.h"
+#include "observer/store-feed.h"
 
 #include "runtime/packed-message.h"
 #include "runtime/clock.h"
 
 #include "platform.h"
 
-struct _QuinceBeliefFeed
+struct _QuinceStoreFeed
 {
   /* All fields belong to the context that created the feed. */
   QuinceObserver *observer;
@@ -35,7 +35,7 @@
 static GBytes *
 encode_news (const QuinceObserver *observer, const char *prefix, const QuinceMetaPage *page, gboolean whole)
 {
-  g_autofree QuinceBelief *items = g_new0 (QuinceBelief, page->items->len + 1);
+  g_autofree QuinceFeedItem *items = g_new0 (QuinceFeedItem, page->items->len + 1);
   for (guint i = 0; i < page->items->len; i++)
     {
       const QuinceMetaItem *item = page->items->pdata[i];
@@ -47,8 +47,8 @@
         items[i].value.value_val = (char *)g_bytes_get_data (item->value, &length);
       items[i].value.value_len = (u_int)length;
     }
-  QuinceMessage message = { .kind = QUINCE_MESSAGE_BELIEF_NEWS };
-  QuinceBeliefNews *news = &message.QuinceMessage_u.belief_news;
+  QuinceMessage message = { .kind = QUINCE_MESSAGE_FEED_UPDATE };
+  QuinceFeedUpdate *news = &message.QuinceMessage_u.feed_update;
   news->prefix = (char *)prefix;
   news->after = page->after;
   news->revision = page->revision;
@@ -59,10 +59,10 @@
   return quince_message_encode (&message, NULL);
 }
 
-QuinceBeliefFeed *
-quince_belief_feed_new (QuinceObserver *observer)
+QuinceStoreFeed *
+quince_store_feed_new (QuinceObserver *observer)
 {
-  QuinceBeliefFeed *feed = g_new0 (QuinceBeliefFeed, 1);
+  QuinceStoreFeed *feed = g_new0 (QuinceStoreFeed, 1);
   feed->observer = observer;
   feed->links = g_hash_table_new_full (NULL, NULL, (GDestroyNotify)quince_link_unref, NULL);
   feed->packed = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, packed_free);
@@ -70,7 +70,7 @@
 }
 
 void
-quince_belief_feed_free (QuinceBeliefFeed *feed)
+quince_store_feed_free (QuinceStoreFeed *feed)
 {
   if (feed == NULL)
     return;
@@ -81,7 +81,7 @@
 
 /* Encoded once for all that ask before there is news. */
 static GBytes *
-encode_whole (QuinceBeliefFeed *feed, const char *prefix, const QuinceMetaPage *page)
+encode_whole (QuinceStoreFeed *feed, const char *prefix, const QuinceMetaPage *page)
 {
   const Packed *held = g_hash_table_lookup (feed->packed, prefix);
   if (held != NULL && held->revision == page->revision)
@@ -98,7 +98,7 @@
 
 typedef struct
 {
-  QuinceBeliefFeed *feed;
+  QuinceStoreFeed *feed;
   QuinceLink *link;
 } Asker;
 
@@ -113,7 +113,7 @@
 }
 
 void
-quince_belief_feed_add (QuinceBeliefFeed *feed, QuinceLink *link, const QuinceBeliefAsk *ask)
+quince_store_feed_add (QuinceStoreFeed *feed, QuinceLink *link, const QuinceFeedSubscribe *ask)
 {
   guint64 revisions[QUINCE_OBSERVER_PREFIXES] = { 0 };
   for (guint i = 0; i < ask->revisions.revisions_len && i < QUINCE_OBSERVER_PREFIXES; i++)
@@ -124,16 +124,13 @@
 }
 
 void
-quince_belief_feed_remove (QuinceBeliefFeed *feed, QuinceLink *link)
+quince_store_feed_remove (QuinceStoreFeed *feed, QuinceLink *link)
 {
   g_hash_table_remove (feed->links, link);
 }
 
 static void
-tell_all_but (QuinceBeliefFeed *feed,
-              const QuinceLink *source,
-              const char *prefix,
-              const QuinceMetaPage *page)
+tell_all_but (QuinceStoreFeed *feed, const QuinceLink *source, const char *prefix, const QuinceMetaPage *page)
 {
   if (g_hash_table_size (feed->links) == 0)
     return;
@@ -152,7 +149,7 @@
 }
 
 void
-quince_belief_feed_read (QuinceBeliefFeed *feed, const char *prefix, const QuinceMetaPage *page)
+quince_store_feed_publish (QuinceStoreFeed *feed, const char *prefix, const QuinceMetaPage *page)
 {
   tell_all_but (feed, NULL, prefix, page);
 }
@@ -160,21 +157,21 @@
 /* ---- At the others ---------------------------------------------------- */
 
 void
-quince_belief_feed_ask (QuinceObserver *observer, QuinceLink *link)
+quince_store_feed_subscribe (QuinceObserver *observer, QuinceLink *link)
 {
   guint64 revisions[QUINCE_OBSERVER_PREFIXES];
   u_quad_t wire[QUINCE_OBSERVER_PREFIXES];
   quince_observer_get_revisions (observer, revisions);
   for (guint i = 0; i < QUINCE_OBSERVER_PREFIXES; i++)
     wire[i] = revisions[i];
-  QuinceMessage message = { .kind = QUINCE_MESSAGE_BELIEF_ASK };
-  message.QuinceMessage_u.belief_ask.revisions.revisions_val = wire;
-  message.QuinceMessage_u.belief_ask.revisions.revisions_len = QUINCE_OBSERVER_PREFIXES;
+  QuinceMessage message = { .kind = QUINCE_MESSAGE_FEED_SUBSCRIBE };
+  message.QuinceMessage_u.feed_subscribe.revisions.revisions_val = wire;
+  message.QuinceMessage_u.feed_subscribe.revisions.revisions_len = QUINCE_OBSERVER_PREFIXES;
   quince_link_send (link, &message);
 }
 
 static QuinceMetaPage *
-decode_news (const QuinceBeliefNews *news)
+decode_news (const QuinceFeedUpdate *news)
 {
   QuinceMetaPage *page = g_new0 (QuinceMetaPage, 1);
   page->items = g_ptr_array_new_with_free_func ((GDestroyNotify)quince_meta_item_free);
@@ -183,7 +180,7 @@
   page->may_have_lapsed = news->may_have_lapsed;
   for (guint i = 0; i < news->items.items_len; i++)
     {
-      const QuinceBelief *belief = &news->items.items_val[i];
+      const QuinceFeedItem *belief = &news->items.items_val[i];
       QuinceMetaItem *item = g_new0 (QuinceMetaItem, 1);
       item->key = g_strdup (belief->key);
       item->revision = belief->revision;
@@ -195,7 +192,7 @@
 }
 
 void
-quince_belief_feed_take (QuinceObserver *observer, const QuinceBeliefNews *news)
+quince_store_feed_apply (QuinceObserver *observer, const QuinceFeedUpdate *news)
 {
   g_autoptr (QuinceMetaPage) page = decode_news (news);
   quince_observer_feed (observer, news->prefix, page, news->whole);
@@ -204,10 +201,10 @@
 /* ---- From a replica to the leader --------------------------------------- */
 
 void
-quince_belief_feed_report (const QuinceObserver *observer,
-                           QuinceLink *leader,
-                           const char *prefix,
-                           const QuinceMetaPage *page)
+quince_store_feed_report (const QuinceObserver *observer,
+                          QuinceLink *leader,
+                          const char *prefix,
+                          const QuinceMetaPage *page)
 {
   if (page->after == 0)
     return; /* a first list: the leader has it */
@@ -217,9 +214,7 @@
 }
 
 void
-quince_belief_feed_take_report (QuinceBeliefFeed *feed,
-                                const QuinceLink *source,
-                                const QuinceBeliefNews *news)
+quince_store_feed_apply_report (QuinceStoreFeed *feed, const QuinceLink *source, const QuinceFeedUpdate *news)
 {
   g_autoptr (QuinceMetaPage) page = decode_news (news);
   if (quince_observer_lead_feed (feed->observer, news->prefix, page))
--- a/lib/protocol/quince_protocol.x
+++ b/lib/protocol/quince_protocol.x
@@ -646,7 +646,7 @@
 };
 
 /* Who knows no primary that answers asks the members of the last view that it knows. */
-struct QuinceLedgerLook {
+struct QuinceLedgerQuery {
     unsigned hyper revision;          /* of that view in the metadata store */
     unsigned hyper epoch;             /* of the last primary that it knows  */
     unsigned hyper replica;           /* who asks; 0: a front               */
@@ -683,7 +683,7 @@
 
 /* ---- Beliefs: what the ledger's primary reads from the metadata store, for the others ---- */
 
-struct QuinceBelief {
+struct QuinceFeedItem {
     QuinceText     key;
     unsigned hyper revision;
     bool           gone;
@@ -692,16 +692,16 @@
 
 /* Asked for once on a link: what the asker has of each prefix, 0: nothing, in the order in which
  * observers list them. */
-struct QuinceBeliefAsk { unsigned hyper revisions<8>; };
+struct QuinceFeedSubscribe { unsigned hyper revisions<8>; };
 
 /* Also sent without items, as a sign that the sender reads the store. */
-struct QuinceBeliefNews {
+struct QuinceFeedUpdate {
     QuinceText     prefix;
     unsigned hyper after;             /* all changes since then are here   */
     unsigned hyper revision;          /* of the store when it was read     */
     bool           whole;             /* all keys of the prefix            */
     bool           may_have_lapsed;   /* keys that went: their owners may live, the store was away */
-    QuinceBelief   items<QUINCE_MAX_INDEXES>;
+    QuinceFeedItem   items<QUINCE_MAX_INDEXES>;
 };
 
 /* From the ledger's leader to all that asked for news, several times a second. */
@@ -734,7 +734,7 @@
 };
 
 /* A request that began at a worker of a front's choice. */
-struct QuinceUsageTold {
+struct QuinceUsageStart {
     unsigned hyper sequence;
     QuinceText     tenant;
     unsigned hyper age_ms;            /* since it began, when this is sent */
@@ -744,7 +744,7 @@
 struct QuinceUsageReport {
     unsigned hyper  source;
     unsigned hyper  wall_ms;          /* wall clock of the front           */
-    QuinceUsageTold events<QUINCE_MAX_INDEXES>;
+    QuinceUsageStart events<QUINCE_MAX_INDEXES>;
 };
 
 /* The leader's answer: all up to @sequence will outlive it. */
@@ -759,7 +759,7 @@
 const QUINCE_MAX_SUSPECTS = 4096;
 typedef opaque QuinceDigest[QUINCE_DIGEST_BYTES];
 
-struct QuinceSuspectTold {
+struct QuinceSuspectReport {
     QuinceDigest   digest;
     unsigned hyper release;           /* how often it was released; only grows */
     unsigned hyper workers<8>;        /* hashes of the ids of those that ended */
@@ -769,14 +769,14 @@
     unsigned hyper age_ms;            /* since the last end, when this is sent */
     QuinceText     service;
     QuinceText     software;
-    QuinceText     told_by;           /* who saw the last end              */
+    QuinceText     reported_by;           /* who saw the last end              */
     bool           prompt;            /* not one request, but what several share */
     unsigned hyper member;            /* of a prompt: hash of the request that last met an end alone; 0: none */
 };
 
 /* Between fronts and the ledger's leader, both ways: all that the sender knows of these requests. */
 /* As SUSPECT_SENDING, from the leader to its successor: what will be known if the worker of a send ends. */
-struct QuinceSuspectNews { QuinceSuspectTold suspects<QUINCE_MAX_SUSPECTS>; };
+struct QuinceSuspectReports { QuinceSuspectReport suspects<QUINCE_MAX_SUSPECTS>; };
 
 /* A front asks the leader for a permit, or gives it back. */
 struct QuincePermitAsk {
@@ -829,8 +829,8 @@
     QUINCE_MESSAGE_SERVICE_REPLY = 15,
     QUINCE_MESSAGE_LEDGER_ASK    = 16,
     QUINCE_MESSAGE_LEDGER_PROMISE = 17,
-    QUINCE_MESSAGE_BELIEF_ASK    = 18,
-    QUINCE_MESSAGE_BELIEF_NEWS   = 19,
+    QUINCE_MESSAGE_FEED_SUBSCRIBE    = 18,
+    QUINCE_MESSAGE_FEED_UPDATE   = 19,
     QUINCE_MESSAGE_PROGRESS      = 20,
     QUINCE_MESSAGE_HEARTBEAT     = 21,
     QUINCE_MESSAGE_HEARTBEAT_ACK = 22,
@@ -844,7 +844,7 @@
     QUINCE_MESSAGE_WARMUP_ASK    = 30,
     QUINCE_MESSAGE_WARMUP_GRANT  = 31,
     QUINCE_MESSAGE_SUSPECT_SENDING = 32,
-    QUINCE_MESSAGE_LEDGER_LOOK   = 33,
+    QUINCE_MESSAGE_LEDGER_QUERY   = 33,
     QUINCE_MESSAGE_LEDGER_LEAD   = 34
 };
 
@@ -867,22 +867,22 @@
 case QUINCE_MESSAGE_SERVICE_REPLY: QuinceServiceReply service_reply;
 case QUINCE_MESSAGE_LEDGER_ASK:    QuinceLedgerAsk    ledger_ask;
 case QUINCE_MESSAGE_LEDGER_PROMISE: QuinceLedgerPromise ledger_promise;
-case QUINCE_MESSAGE_BELIEF_ASK:    QuinceBeliefAsk    belief_ask;
-case QUINCE_MESSAGE_BELIEF_NEWS:   QuinceBeliefNews   belief_news;
+case QUINCE_MESSAGE_FEED_SUBSCRIBE:    QuinceFeedSubscribe    feed_subscribe;
+case QUINCE_MESSAGE_FEED_UPDATE:   QuinceFeedUpdate   feed_update;
 case QUINCE_MESSAGE_PROGRESS:      QuinceSampleProgress     progress;
 case QUINCE_MESSAGE_HEARTBEAT:     QuinceHeartbeat    heartbeat;
 case QUINCE_MESSAGE_HEARTBEAT_ACK: QuinceHeartbeatAck heartbeat_ack;
 case QUINCE_MESSAGE_PACKED:        QuincePacked       packed;
 case QUINCE_MESSAGE_USAGE_REPORT:  QuinceUsageReport  usage_report;
 case QUINCE_MESSAGE_USAGE_ACK:     QuinceUsageAck     usage_ack;
-case QUINCE_MESSAGE_SUSPECT_NEWS:  QuinceSuspectNews  suspect_news;
+case QUINCE_MESSAGE_SUSPECT_NEWS:  QuinceSuspectReports  suspect_news;
 case QUINCE_MESSAGE_PERMIT_ASK:    QuincePermitAsk    permit_ask;
 case QUINCE_MESSAGE_PERMIT_ANSWER: QuincePermitAnswer permit_answer;
 case QUINCE_MESSAGE_PERMIT_BACK:   QuincePermitAnswer permit_back;
 case QUINCE_MESSAGE_WARMUP_ASK:    QuinceWarmupAsk    warmup_ask;
 case QUINCE_MESSAGE_WARMUP_GRANT:  QuinceWarmupGrant  warmup_grant;
-case QUINCE_MESSAGE_SUSPECT_SENDING: QuinceSuspectNews suspect_sending;
-case QUINCE_MESSAGE_LEDGER_LOOK:   QuinceLedgerLook   ledger_look;
+case QUINCE_MESSAGE_SUSPECT_SENDING: QuinceSuspectReports suspect_sending;
+case QUINCE_MESSAGE_LEDGER_QUERY:   QuinceLedgerQuery   ledger_query;
 case QUINCE_MESSAGE_LEDGER_LEAD:   QuinceLedgerLead   ledger_lead;
 };
 
--- a/rehearsal/platform/demo-trainer.c
+++ b/rehearsal/platform/demo-trainer.c
@@ -8,7 +8,7 @@
 #include <json-glib/json-glib.h>
 #include "http1/http-client.h"
 
-#define LOOK_EVERY_MS 50
+#define POLL_INTERVAL_MS 50
 #define CALL_TIMEOUT_US (10 * G_USEC_PER_SEC)
 
 typedef struct
@@ -281,7 +281,7 @@
 demo_trainer_start (DemoTrainer *trainer)
 {
   trainer->waiting_since = g_get_monotonic_time ();
-  trainer->timer = g_timeout_add (LOOK_EVERY_MS, look, trainer);
+  trainer->timer = g_timeout_add (POLL_INTERVAL_MS, look, trainer);
 }
 
 gboolean
--- a/rehearsal/platform/standin-store.c
+++ b/rehearsal/platform/standin-store.c
@@ -130,7 +130,7 @@
 }
 
 static void
-look_at_watches (StandinStore *store)
+check_watches (StandinStore *store)
 {
   if (store->fault == STANDIN_STORE_SILENT)
     return; /* nor are watches answered that waited before */
@@ -184,7 +184,7 @@
 }
 
 static gboolean
-look_at_time (gpointer data)
+check_time (gpointer data)
 {
   StandinStore *store = data;
   gint64 now = g_get_monotonic_time ();
@@ -197,7 +197,7 @@
       g_array_append_val (over, ((Lease *)value)->id);
   for (guint i = 0; i < over->len; i++)
     end_lease (store, g_array_index (over, guint64, i));
-  look_at_watches (store);
+  check_watches (store);
   return G_SOURCE_CONTINUE;
 }
 
@@ -277,7 +277,7 @@
   watch->after = revision;
   watch->end_us = g_get_monotonic_time () + g_ascii_strtoll (wait, NULL, 10) * 1000;
   g_ptr_array_add (store->watches, watch);
-  look_at_watches (store);
+  check_watches (store);
 }
 
 static gboolean
@@ -325,7 +325,7 @@
       g_autofree char *text = g_strdup_printf ("{\"revision\":%" G_GUINT64_FORMAT "}", store->revision);
       answer_json (call, 200, text);
     }
-  look_at_watches (store);
+  check_watches (store);
 }
 
 static void
@@ -396,7 +396,7 @@
     {
       end_lease (store, g_ascii_strtoull (target + strlen ("/quinceroute/kv-lease-end/"), NULL, 10));
       answer_json (call, 200, "{}");
-      look_at_watches (store);
+      check_watches (store);
     }
   else
     answer_json (call, 404, "{}");
@@ -414,7 +414,7 @@
   store->unanswered = g_ptr_array_new ();
   store->leases = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, g_free);
   store->server = standin_server_new (handle, store);
-  store->timer = g_timeout_add (20, look_at_time, store);
+  store->timer = g_timeout_add (20, check_time, store);
   return store;
 }
 
@@ -448,14 +448,14 @@
 {
   g_autofree char *encoded = g_base64_encode ((const guchar *)value, strlen (value));
   change (store, key, encoded, 0);
-  look_at_watches (store);
+  check_watches (store);
 }
 
 void
 standin_store_remove (StandinStore *store, const char *key)
 {
   change (store, key, NULL, 0);
-  look_at_watches (store);
+  check_watches (store);
 }
 
 const char *
@@ -531,14 +531,14 @@
   store->revision++;
   g_ptr_array_set_size (store->history, 0);
   standin_server_drop_all (store->server);
-  look_at_watches (store);
+  check_watches (store);
 }
 
 void
 standin_store_drop_connections (StandinStore *store)
 {
   standin_server_drop_all (store->server);
-  look_at_watches (store);
+  check_watches (store);
 }
 
 void
@@ -574,7 +574,7 @@
   store->oldest = store->revision;
   g_ptr_array_set_size (store->history, 0);
   standin_server_drop_all (store->server);
-  look_at_watches (store);
+  check_watches (store);
 }
 
 void
@@ -585,7 +585,7 @@
   g_hash_table_iter_init (&iter, store->leases);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     ((Lease *)value)->end_us = 0;
-  look_at_time (store);
+  check_time (store);
 }
 
 guint
--- a/scripts/check-names.sh
+++ b/scripts/check-names.sh
@@ -26,10 +26,10 @@
     echo "check-names: events in the code (<) and in docs/OPERATIONS.md (>) differ" >&2
     status=1
 fi
-sed -n '/vocabulary\[\]/,/};/p' lib/core/story/log-vocabulary.c | grep -oE '"[a-z_]+"' | tr -d '"' |
+sed -n '/vocabulary\[\]/,/};/p' lib/core/trace/log-vocabulary.c | grep -oE '"[a-z_]+"' | tr -d '"' |
     grep -v '^log_lines_left_out$\|^library_message$' | sort -u >"$logged"
 if ! diff "$logged" "$documented"; then
-    echo "check-names: events in lib/core/story/log-vocabulary.c (<) and in docs/OPERATIONS.md (>) differ" >&2
+    echo "check-names: events in lib/core/trace/log-vocabulary.c (<) and in docs/OPERATIONS.md (>) differ" >&2
     status=1
 fi
 exit $status
--- a/tests/platform/policy-scene.h
+++ b/tests/platform/policy-scene.h
@@ -93,7 +93,7 @@
 }
 
 static inline gboolean
-look_at_all (const Scene *scene, gboolean with_deaf, gboolean *seen, gint64 since_us)
+check_all (const Scene *scene, gboolean with_deaf, gboolean *seen, gint64 since_us)
 {
   print_latest (scene, seen, since_us);
   return is_in_force (scene, with_deaf);
@@ -103,7 +103,7 @@
 assert_in_force (const Scene *scene, gint64 since_us, gboolean with_deaf)
 {
   gboolean seen[RELAYED_PROCESSES] = { FALSE };
-  AWAIT (look_at_all (scene, with_deaf, seen, since_us));
+  AWAIT (check_all (scene, with_deaf, seen, since_us));
   gint64 took_ms = (g_get_monotonic_time () - since_us) / 1000;
   print_message ("  revision=%u in_force_ms=%d everywhere=%d\n", (guint)scene->revision, (int)took_ms,
                  with_deaf);
--- a/tests/platform/test-forward.c
+++ b/tests/platform/test-forward.c
@@ -261,14 +261,14 @@
   World world;
   begin (&world);
   gint64 now = quince_now_us ();
-  quince_backends_doubt_listing (world.backends, now, now + G_USEC_PER_SEC, "w0");
+  quince_backends_mark_listing_stale (world.backends, now, now + G_USEC_PER_SEC, "w0");
   /* One that is listed goes first. */
   for (guint i = 0; i < 4; i++)
     {
       assert_int_equal (choose (&world, now, &id), QUINCE_BACKEND_CHOSEN);
       assert_string_equal (id, "w1");
     }
-  quince_backends_doubt_listing (world.backends, now, now + G_USEC_PER_SEC, "w1");
+  quince_backends_mark_listing_stale (world.backends, now, now + G_USEC_PER_SEC, "w1");
   assert_int_equal (choose (&world, now, &id), QUINCE_BACKEND_CHOSEN);
   /* One is listed again and stays; the other one is gone after a moment. */
   list_worker (&world, 0, "ready");
@@ -277,7 +277,7 @@
   assert_null (quince_worker_table_find (quince_backends_get_workers (world.backends), "w1"));
   /* One that leaves is no such case. */
   list_worker (&world, 0, "draining");
-  quince_backends_doubt_listing (world.backends, now, now + G_USEC_PER_SEC, "w0");
+  quince_backends_mark_listing_stale (world.backends, now, now + G_USEC_PER_SEC, "w0");
   assert_int_equal (choose (&world, now, &id), QUINCE_BACKEND_NONE);
   end (&world);
 }
--- a/tests/platform/test-freshness.c
+++ b/tests/platform/test-freshness.c
@@ -5,7 +5,7 @@
  * Each process has a stand-in of the store for itself, with the same keys and revisions, so that the store
  * can turn away one of them alone.
  */
-#include "observer/belief-feed.h"
+#include "observer/store-feed.h"
 
 #include <string.h>
 
@@ -37,12 +37,12 @@
   QuinceMetaStore *store;
   QuinceBackends *backends;
   QuinceObserver *observer;
-  QuinceBeliefFeed *feed; /* NULL: does not lead */
-  gboolean reports;       /* a replica: tells the leader what it reads */
-  QuinceLink *link;       /* to the leader, or the last one that was accepted */
-  GPtrArray *accepted;    /* QuinceLink, owned */
-  guint own_keys;         /* changes of own keys */
-  GSource *beat_timer;    /* of a leader */
+  QuinceStoreFeed *feed; /* NULL: does not lead */
+  gboolean reports;      /* a replica: tells the leader what it reads */
+  QuinceLink *link;      /* to the leader, or the last one that was accepted */
+  GPtrArray *accepted;   /* QuinceLink, owned */
+  guint own_keys;        /* changes of own keys */
+  GSource *beat_timer;   /* of a leader */
   QuinceLinkServer *server;
 } Process;
 
@@ -51,9 +51,9 @@
 {
   Process *process = data;
   if (process->feed != NULL)
-    quince_belief_feed_read (process->feed, prefix, page);
+    quince_store_feed_publish (process->feed, prefix, page);
   else if (process->reports && process->link != NULL)
-    quince_belief_feed_report (process->observer, process->link, prefix, page);
+    quince_store_feed_report (process->observer, process->link, prefix, page);
 }
 
 static void
@@ -125,7 +125,7 @@
   g_clear_pointer (&process->link, quince_link_unref);
   g_ptr_array_unref (process->accepted);
   g_clear_pointer (&process->server, quince_link_server_free);
-  quince_belief_feed_free (process->feed);
+  quince_store_feed_free (process->feed);
   quince_observer_free (process->observer);
   quince_meta_store_free (process->store);
   quince_backends_free (process->backends);
@@ -140,12 +140,12 @@
   Process *process = data;
   if (process->feed == NULL)
     quince_observer_feeder_alive (process->observer);
-  if (message->kind == QUINCE_MESSAGE_BELIEF_ASK)
-    quince_belief_feed_add (process->feed, link, &message->QuinceMessage_u.belief_ask);
-  else if (message->kind == QUINCE_MESSAGE_BELIEF_NEWS && process->feed != NULL)
-    quince_belief_feed_take_report (process->feed, link, &message->QuinceMessage_u.belief_news);
-  else if (message->kind == QUINCE_MESSAGE_BELIEF_NEWS)
-    quince_belief_feed_take (process->observer, &message->QuinceMessage_u.belief_news);
+  if (message->kind == QUINCE_MESSAGE_FEED_SUBSCRIBE)
+    quince_store_feed_add (process->feed, link, &message->QuinceMessage_u.feed_subscribe);
+  else if (message->kind == QUINCE_MESSAGE_FEED_UPDATE && process->feed != NULL)
+    quince_store_feed_apply_report (process->feed, link, &message->QuinceMessage_u.feed_update);
+  else if (message->kind == QUINCE_MESSAGE_FEED_UPDATE)
+    quince_store_feed_apply (process->observer, &message->QuinceMessage_u.feed_update);
   quince_message_free (message);
 }
 
@@ -172,7 +172,7 @@
 lead (Process *leader)
 {
   leader->beat_timer = quince_timer_add (250, beat, leader);
-  leader->feed = quince_belief_feed_new (leader->observer);
+  leader->feed = quince_store_feed_new (leader->observer);
   leader->server = quince_link_server_new ("127.0.0.1:0", &link_callbacks, on_accepted, leader, NULL);
   assert_non_null (leader->server);
 }
@@ -184,7 +184,7 @@
   follower->link
       = quince_link_connect (quince_link_server_get_address (leader->server), &link_callbacks, follower);
   AWAIT (quince_link_is_connected (follower->link));
-  quince_belief_feed_ask (follower->observer, follower->link);
+  quince_store_feed_subscribe (follower->observer, follower->link);
   AWAIT (leader->accepted->len > before);
 }
 
@@ -324,7 +324,7 @@
 {
   follow (&follower, &leader);
   run_for (100);
-  g_clear_pointer (&leader.feed, quince_belief_feed_free);
+  g_clear_pointer (&leader.feed, quince_store_feed_free);
   quince_source_clear (&leader.beat_timer);
   standin_store_put (follower.standin, "quinceroute/ledger", "view");
   gint64 begin_us = g_get_monotonic_time ();
@@ -342,7 +342,7 @@
   follow (&follower, &leader);
   run_for (700); /* until a page has come of each prefix */
   guint calls = standin_store_get_calls (follower.standin);
-  g_clear_pointer (&leader.feed, quince_belief_feed_free);
+  g_clear_pointer (&leader.feed, quince_store_feed_free);
   quince_source_clear (&leader.beat_timer);
   quince_observer_feeder_lost (follower.observer);
   run_for (800);
@@ -366,7 +366,7 @@
   item->revision = revisions[0] + 1;
   g_ptr_array_add (items, item);
   const QuinceMetaPage page = { .items = items, .after = revisions[0], .revision = revisions[0] + 1 };
-  quince_belief_feed_report (replica.observer, replica.link, "op/", &page);
+  quince_store_feed_report (replica.observer, replica.link, "op/", &page);
   run_for (200);
   assert_int_equal (known_version (&leader), 2);
   name_version (&leader, 3);
@@ -413,7 +413,7 @@
 {
   follow (&follower, &leader);
   run_for (100);
-  g_clear_pointer (&leader.feed, quince_belief_feed_free);
+  g_clear_pointer (&leader.feed, quince_store_feed_free);
   quince_source_clear (&leader.beat_timer);
   standin_store_put (leader.standin, EVACUATE_KEY, "{}");
   standin_store_put (follower.standin, EVACUATE_KEY, "{}");
--- a/tests/platform/test-quarantine-cut.c
+++ b/tests/platform/test-quarantine-cut.c
@@ -135,7 +135,7 @@
 
 static const QuinceQuarantineLimits limits = { .entries_most = 64,
                                                .bytes_most = 64 * 1024,
-                                               .doubt_keep_us = 10 * G_TIME_SPAN_MINUTE,
+                                               .suspect_keep_us = 10 * G_TIME_SPAN_MINUTE,
                                                .hold_keep_us = G_TIME_SPAN_DAY };
 
 /* What was met by two fronts adds up, and the same end counts once. */
@@ -159,7 +159,7 @@
   assert_int_equal (changed->len, 1);
   const QuinceSuspect *known = quince_quarantine_find (second, &digest);
   assert_int_equal (known->n_workers, 2);
-  assert_string_equal (known->told_by, "front-1");
+  assert_string_equal (known->reported_by, "front-1");
   assert_int_equal (quince_quarantine_judge (second, &digest), QUINCE_SEND_ALONE);
 }
 
--- a/tests/platform/test-send-guard.c
+++ b/tests/platform/test-send-guard.c
@@ -12,7 +12,7 @@
 
 static const QuinceQuarantineLimits limits = { .entries_most = 100,
                                                .bytes_most = 100000,
-                                               .doubt_keep_us = 60 * SECOND,
+                                               .suspect_keep_us = 60 * SECOND,
                                                .hold_keep_us = 60 * SECOND };
 
 typedef struct
--- a/tests/platform/test-size.c
+++ b/tests/platform/test-size.c
@@ -1,7 +1,7 @@
 /*
  * test-size.c: what a process that leads spends on hundreds of others and on thousands of workers.
  */
-#include "observer/belief-feed.h"
+#include "observer/store-feed.h"
 
 #include <string.h>
 #include <time.h>
@@ -26,7 +26,7 @@
   QuinceMetaStore *store;
   QuinceBackends *backends;
   QuinceObserver *observer;
-  QuinceBeliefFeed *feed;
+  QuinceStoreFeed *feed;
   QuinceLinkServer *server;
   GPtrArray *accepted; /* QuinceLink, owned */
   GPtrArray *links;    /* the same links at their other ends, owned */
@@ -37,10 +37,10 @@
 on_message (QuinceLink *link, QuinceMessage *message, gpointer data)
 {
   World *world = data;
-  if (message->kind == QUINCE_MESSAGE_BELIEF_ASK)
-    quince_belief_feed_add (world->feed, link, &message->QuinceMessage_u.belief_ask);
-  else if (message->kind == QUINCE_MESSAGE_BELIEF_NEWS)
-    world->told += message->QuinceMessage_u.belief_news.items.items_len;
+  if (message->kind == QUINCE_MESSAGE_FEED_SUBSCRIBE)
+    quince_store_feed_add (world->feed, link, &message->QuinceMessage_u.feed_subscribe);
+  else if (message->kind == QUINCE_MESSAGE_FEED_UPDATE)
+    world->told += message->QuinceMessage_u.feed_update.items.items_len;
   quince_message_free (message);
 }
 
@@ -66,7 +66,7 @@
   const QuinceObserverOptions options
       = { .workers_pace_ms = 100, .change_bound_ms = QUINCE_OBSERVER_CHANGE_BOUND_MIN_MS };
   world->observer = quince_observer_new (world->store, world->backends, &options, &observer_callbacks, world);
-  world->feed = quince_belief_feed_new (world->observer);
+  world->feed = quince_store_feed_new (world->observer);
   world->server = quince_link_server_new ("127.0.0.1:0", &link_callbacks, on_accepted, world, NULL);
   assert_non_null (world->server);
 }
@@ -79,7 +79,7 @@
   g_ptr_array_unref (world->links);
   g_ptr_array_unref (world->accepted);
   quince_link_server_free (world->server);
-  quince_belief_feed_free (world->feed);
+  quince_store_feed_free (world->feed);
   quince_observer_free (world->observer);
   quince_meta_store_free (world->store);
   quince_backends_free (world->backends);
@@ -93,8 +93,8 @@
       = quince_link_connect (quince_link_server_get_address (world->server), &link_callbacks, world);
   g_ptr_array_add (world->links, link);
   AWAIT (quince_link_is_connected (link) && world->accepted->len == world->links->len);
-  const QuinceBeliefAsk ask = { 0 };
-  quince_belief_feed_add (world->feed, world->accepted->pdata[world->accepted->len - 1], &ask);
+  const QuinceFeedSubscribe ask = { 0 };
+  quince_store_feed_add (world->feed, world->accepted->pdata[world->accepted->len - 1], &ask);
 }
 
 static GPtrArray *
@@ -132,7 +132,7 @@
   page->items = new_workers (WORKERS);
   page->after = 1;
   page->revision = WORKERS + 1;
-  quince_belief_feed_read (world.feed, QUINCE_PLATFORM_WORKERS_PREFIX, page);
+  quince_store_feed_publish (world.feed, QUINCE_PLATFORM_WORKERS_PREFIX, page);
   AWAIT (world.told == FOLLOWERS * WORKERS);
   for (guint i = 0; i < world.accepted->len; i++)
     if (quince_link_get_bytes_sent (world.accepted->pdata[i]) > BYTES_A_WORKER_MAX * WORKERS)
--- a/tests/platform/test-warmth.c
+++ b/tests/platform/test-warmth.c
@@ -130,14 +130,14 @@
   begin (&world, &giver);
   list (&world, "a", "z1", 1000);
   list (&world, "b", "z1", 0);
-  list (&world, "c", "z1", QUINCE_COLD_UNTOLD);
+  list (&world, "c", "z1", QUINCE_COLD_UNKNOWN);
   assert_true (is_cold (&world, "a"));
   assert_false (is_cold (&world, "b"));
   assert_false (is_cold (&world, "c")); /* of the first listing */
   quince_backends_note_first_listing (world.backends);
-  list (&world, "c", "z1", QUINCE_COLD_UNTOLD); /* a heartbeat */
-  list (&world, "d", "z1", QUINCE_COLD_UNTOLD); /* one that starts */
-  list (&world, "e", "z1", 0);                  /* one that starts and says that it is warm */
+  list (&world, "c", "z1", QUINCE_COLD_UNKNOWN); /* a heartbeat */
+  list (&world, "d", "z1", QUINCE_COLD_UNKNOWN); /* one that starts */
+  list (&world, "e", "z1", 0);                   /* one that starts and says that it is warm */
   assert_false (is_cold (&world, "c"));
   assert_true (is_cold (&world, "d"));
   assert_false (is_cold (&world, "e"));
@@ -160,10 +160,10 @@
   list (&world, "b", "z2", 0);
   list (&world, "c", "z3", 0);
   gint64 now = quince_now_us ();
-  quince_backends_doubt_listing (world.backends, now, now + G_USEC_PER_SEC, "a");
+  quince_backends_mark_listing_stale (world.backends, now, now + G_USEC_PER_SEC, "a");
   list (&world, "a", "z1", 0);
   assert_false (is_cold (&world, "a"));
-  quince_backends_doubt_listing (world.backends, now, now + G_USEC_PER_SEC, "a");
+  quince_backends_mark_listing_stale (world.backends, now, now + G_USEC_PER_SEC, "a");
   list (&world, "a", "z1", 3000);
   assert_true (is_cold (&world, "a"));
   assert_true (quince_backends_take_zone (world.backends, now, "z2", 1, TRUE));
@@ -314,9 +314,9 @@
   assert_true (quince_backends_get_limited_until_us (world.backends) > quince_now_us ());
   /* A lease outlives the link to its giver, an ask does not. */
   world.reached = TRUE;
-  quince_warmup_sends_forget_asked (world.sends);
+  quince_warmup_sends_forget_requests (world.sends);
   assert_int_equal (choose (&world, &id), QUINCE_BACKEND_COLD);
-  quince_warmup_sends_forget_asked (world.sends);
+  quince_warmup_sends_forget_requests (world.sends);
   quince_warmup_sends_answered (world.sends, "a", world.ask, 1, QUINCE_WARMUP_VALID_US, 0);
   assert_int_equal (choose (&world, &id), QUINCE_BACKEND_COLD);
   end (&world);
--- a/tests/unit/ledger-parts.h
+++ b/tests/unit/ledger-parts.h
@@ -62,7 +62,7 @@
   QuinceProposalOutcome outcome;
   QuinceLedgerView *view;
   guint64 revision;
-  QuinceLedgerLook look;
+  QuinceLedgerQuery look;
   QuinceLedgerLead lead; /* its view is @view's, not owned */
   gboolean late;         /* a change that the store does on its own, also while it answers nobody */
 } WorldMessage;
@@ -79,8 +79,8 @@
   guint64 hello_incarnation; /* of the primary that knows this node, and its epoch */
   guint64 hello_epoch;
   gint64 heard_view_us;
-  gint64 looked_us; /* when it last asked who leads */
-  gint64 told_us;   /* when it last told members that were not linked */
+  gint64 queried_us;  /* when it last asked who leads */
+  gint64 reported_us; /* when it last told members that were not linked */
   gboolean frozen;
 } WorldNode;
 
--- a/tests/unit/ledger-world.h
+++ b/tests/unit/ledger-world.h
@@ -133,9 +133,9 @@
 {
   WorldNode *node = &world->nodes[index];
   if (node->led_epoch == 0 || !world_store_fails (world, index)
-      || world->now_us - node->told_us < WORLD_TELL_US)
+      || world->now_us - node->reported_us < WORLD_TELL_US)
     return;
-  node->told_us = world->now_us;
+  node->reported_us = world->now_us;
   for (guint i = 0; i < world->n_nodes; i++)
     {
       const WorldNode *other = &world->nodes[i];
@@ -164,23 +164,23 @@
 static inline void
 world_look_around (World *world, guint index)
 {
-  static const gint64 every_us[] = { [QUINCE_LEDGER_LOOK_PRIMARY] = 1000 * 1000,
-                                     [QUINCE_LEDGER_LOOK_MEMBERS] = 440 * 1000,
-                                     [QUINCE_LEDGER_LOOK_VOTES] = 0,
-                                     [QUINCE_LEDGER_LOOK_NOTES] = 0 };
+  static const gint64 every_us[] = { [QUINCE_LEDGER_QUERY_PRIMARY] = 1000 * 1000,
+                                     [QUINCE_LEDGER_QUERY_MEMBERS] = 440 * 1000,
+                                     [QUINCE_LEDGER_QUERY_VOTES] = 0,
+                                     [QUINCE_LEDGER_QUERY_NOTES] = 0 };
   WorldNode *node = &world->nodes[index];
-  QuinceLedgerLook look;
-  QuinceLedgerLookKind kind
-      = quince_ledger_group_get_look (node->group, world->now_us, world_store_fails (world, index), &look);
-  if (kind == QUINCE_LEDGER_LOOK_NONE || world->now_us - node->looked_us < every_us[kind])
+  QuinceLedgerQuery look;
+  QuinceLedgerQueryKind kind
+      = quince_ledger_group_get_query (node->group, world->now_us, world_store_fails (world, index), &look);
+  if (kind == QUINCE_LEDGER_QUERY_NONE || world->now_us - node->queried_us < every_us[kind])
     return;
-  node->looked_us = world->now_us;
+  node->queried_us = world->now_us;
   const QuinceLedgerView *view = quince_ledger_group_get_view (node->group);
   for (guint i = 0; i < world->n_nodes; i++)
     {
       guint64 replica = world->nodes[i].disk.replica;
-      gboolean asked = kind == QUINCE_LEDGER_LOOK_PRIMARY ? replica == view->primary
-                                                          : quince_ledger_view_find (view, replica) != NULL;
+      gboolean asked = kind == QUINCE_LEDGER_QUERY_PRIMARY ? replica == view->primary
+                                                           : quince_ledger_view_find (view, replica) != NULL;
       if (i != index && asked)
         world_send (world, WORLD_LOOK, index, i)->look = look;
     }
@@ -362,7 +362,7 @@
       world_propose (world, message->to);
       break;
     case WORLD_LOOK:
-      quince_ledger_group_looked (node->group, world->now_us, &message->look);
+      quince_ledger_group_handle_query (node->group, world->now_us, &message->look);
       world_send_lead (world, message->to, message->from);
       break;
     case WORLD_LEAD:
--- a/tests/unit/test-expected-ends.c
+++ b/tests/unit/test-expected-ends.c
@@ -14,14 +14,15 @@
 
 static const QuinceQuarantineLimits limits = { .entries_most = 16,
                                                .bytes_most = 65536,
-                                               .doubt_keep_us = 600 * SECOND,
+                                               .suspect_keep_us = 600 * SECOND,
                                                .hold_keep_us = G_GINT64_CONSTANT (86400) * SECOND };
 
 /* As a leader tells of a send whose worker would be the @ends-th to end under it. */
 static QuinceSuspect
 expect (guint8 digest, guint ends, gint64 now_us)
 {
-  QuinceSuspect expected = { .ended_us = now_us, .service = "svc", .software = "v1", .told_by = "leader" };
+  QuinceSuspect expected
+      = { .ended_us = now_us, .service = "svc", .software = "v1", .reported_by = "leader" };
   expected.digest.bytes[0] = digest;
   expected.n_workers = ends;
   for (guint i = 0; i < ends; i++)
--- a/tests/unit/test-ledger-succession.c
+++ b/tests/unit/test-ledger-succession.c
@@ -365,8 +365,8 @@
   quince_ledger_group_set_leaving (group, leaving);
   assert_null (quince_ledger_group_step (group, now, &expected));
   assert_int_equal (quince_ledger_group_get_kept (group)->noted, 6);
-  QuinceLedgerLook look;
-  assert_int_equal (quince_ledger_group_get_look (group, now, FALSE, &look), QUINCE_LEDGER_LOOK_NOTES);
+  QuinceLedgerQuery look;
+  assert_int_equal (quince_ledger_group_get_query (group, now, FALSE, &look), QUINCE_LEDGER_QUERY_NOTES);
   assert_true (look.changing);
   const QuinceLedgerLead lead = { .revision = 6, .replica = SECOND, .promised = look.epoch, .noted = 6 };
   quince_ledger_group_take_lead (group, now, &lead);
--- a/tests/unit/test-load-window.c
+++ b/tests/unit/test-load-window.c
@@ -11,7 +11,7 @@
 #include "core/weights/load-window.h"
 
 #define ALONE_US (900 * 1000)
-#define LOOK_US (80 * 1000)
+#define CHECK_INTERVAL_US (80 * 1000)
 #define TURN_US (20 * 1000)
 #define WORKERS_MAX 600
 
@@ -35,7 +35,7 @@
 load_ended (World *world, guint i)
 {
   /* It is seen at a look. */
-  gint64 took_us = world->now_us - world->began_us[i] + LOOK_US;
+  gint64 took_us = world->now_us - world->began_us[i] + CHECK_INTERVAL_US;
   world->loaded++;
   world->took_us += took_us;
   quince_load_window_note (&world->window, world->began_us[i] + took_us, world->began_us[i], world->most);
--- a/tests/unit/test-log-story.c
+++ b/tests/unit/test-log-trace.c
@@ -1,5 +1,5 @@
 /*
- * test-log-story.c: the story of a request out of the lines of several processes, and the vocabulary.
+ * test-log-trace.c: the trace of a request out of the lines of several processes, and the vocabulary.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -9,7 +9,7 @@
 #include <cmocka.h>
 #include <string.h>
 
-#include "core/story/log-story.h"
+#include "core/trace/log-trace.h"
 
 #define AT(time) "time=2026-12-02T10:00:" time "Z level=info program=quinceroute-front name="
 
@@ -29,13 +29,13 @@
   "",
 };
 
-static QuinceLogStory *
+static QuinceLogTrace *
 read_lines (void)
 {
-  QuinceLogStory *story = quince_log_story_new ();
+  QuinceLogTrace *trace = quince_log_trace_new ();
   for (guint i = 0; i < G_N_ELEMENTS (lines); i++)
-    quince_log_story_add (story, lines[i]);
-  return story;
+    quince_log_trace_add (trace, lines[i]);
+  return trace;
 }
 
 static void
@@ -48,8 +48,8 @@
     "+0.010 s  f1           (belief) worker_gone worker=w1",
     "+0.020 s  f1           request_answered request=r1 status=200 worker=w2",
   };
-  g_autoptr (QuinceLogStory) story = read_lines ();
-  g_autofree char *text = quince_log_story_tell (story, "r1");
+  g_autoptr (QuinceLogTrace) trace = read_lines ();
+  g_autofree char *text = quince_log_trace_format (trace, "r1");
   const char *at = text;
   for (guint i = 0; i < G_N_ELEMENTS (expected); i++)
     {
@@ -65,19 +65,19 @@
 test_story_leaves_out_the_rest (void **state)
 {
   static const char *const absent[] = { "w9", "meta_store", "r2", "state=ready", "version=4" };
-  g_autoptr (QuinceLogStory) story = read_lines ();
-  g_autofree char *text = quince_log_story_tell (story, "r1");
+  g_autoptr (QuinceLogTrace) trace = read_lines ();
+  g_autofree char *text = quince_log_trace_format (trace, "r1");
   for (guint i = 0; i < G_N_ELEMENTS (absent); i++)
     if (strstr (text, absent[i]) != NULL)
       fail_msg ("%s is told in\n%s", absent[i], text);
-  assert_null (quince_log_story_tell (story, "nobody"));
+  assert_null (quince_log_trace_format (trace, "nobody"));
 }
 
 static void
 test_quoted_values (void **state)
 {
-  g_autoptr (QuinceLogStory) story = read_lines ();
-  g_autofree char *text = quince_log_story_tell (story, "r2");
+  g_autoptr (QuinceLogTrace) trace = read_lines ();
+  g_autofree char *text = quince_log_trace_format (trace, "r2");
   assert_non_null (strstr (text, "target=/a \"b status=503 cause=no_worker"));
 }
 
@@ -91,12 +91,12 @@
   } cases[] = {
     { AT ("01.000") "f1 event=worker_gone worker=w1", -1 },
     { AT ("01.000") "\"\" event=stopped status=0", -1 },
-    { AT ("01.000") "f1 event=worker_vanished worker=w1", QUINCE_LOG_STORY_ERROR_UNKNOWN },
-    { AT ("01.000") "f1 event=worker_gone worker", QUINCE_LOG_STORY_ERROR_MALFORMED },
-    { AT ("01.000") "f1 event=worker_gone worker=\"w1", QUINCE_LOG_STORY_ERROR_MALFORMED },
-    { "event=worker_gone worker=w1", QUINCE_LOG_STORY_ERROR_MALFORMED },
-    { "time=yesterday level=info program=p name=n event=stopped", QUINCE_LOG_STORY_ERROR_MALFORMED },
-    { "", QUINCE_LOG_STORY_ERROR_MALFORMED },
+    { AT ("01.000") "f1 event=worker_vanished worker=w1", QUINCE_LOG_TRACE_ERROR_UNKNOWN },
+    { AT ("01.000") "f1 event=worker_gone worker", QUINCE_LOG_TRACE_ERROR_MALFORMED },
+    { AT ("01.000") "f1 event=worker_gone worker=\"w1", QUINCE_LOG_TRACE_ERROR_MALFORMED },
+    { "event=worker_gone worker=w1", QUINCE_LOG_TRACE_ERROR_MALFORMED },
+    { "time=yesterday level=info program=p name=n event=stopped", QUINCE_LOG_TRACE_ERROR_MALFORMED },
+    { "", QUINCE_LOG_TRACE_ERROR_MALFORMED },
   };
   for (guint i = 0; i < G_N_ELEMENTS (cases); i++)
     {
--- a/tests/unit/test-packed-message.c
+++ b/tests/unit/test-packed-message.c
@@ -20,7 +20,7 @@
 static GBytes *
 news (guint items)
 {
-  g_autofree QuinceBelief *beliefs = g_new0 (QuinceBelief, items);
+  g_autofree QuinceFeedItem *beliefs = g_new0 (QuinceFeedItem, items);
   g_autoptr (GPtrArray) keys = g_ptr_array_new_with_free_func (g_free);
   static char value[]
       = "{\"service\":\"llm\",\"address\":\"127.0.0.1:1\",\"zone\":\"z1\",\"state\":\"ready\"}";
@@ -32,10 +32,10 @@
       beliefs[i].value.value_val = value;
       beliefs[i].value.value_len = sizeof value - 1;
     }
-  QuinceMessage message = { .kind = QUINCE_MESSAGE_BELIEF_NEWS };
-  message.QuinceMessage_u.belief_news.prefix = (char *)"w/";
-  message.QuinceMessage_u.belief_news.items.items_val = beliefs;
-  message.QuinceMessage_u.belief_news.items.items_len = items;
+  QuinceMessage message = { .kind = QUINCE_MESSAGE_FEED_UPDATE };
+  message.QuinceMessage_u.feed_update.prefix = (char *)"w/";
+  message.QuinceMessage_u.feed_update.items.items_val = beliefs;
+  message.QuinceMessage_u.feed_update.items.items_len = items;
   return quince_message_encode (&message, NULL);
 }
 
@@ -57,9 +57,9 @@
   assert_int_equal (outer->kind, QUINCE_MESSAGE_PACKED);
   QuinceMessage *inner = quince_message_unpack (&outer->QuinceMessage_u.packed, NULL);
   assert_non_null (inner);
-  assert_int_equal (inner->kind, QUINCE_MESSAGE_BELIEF_NEWS);
-  assert_int_equal (inner->QuinceMessage_u.belief_news.items.items_len, 3000);
-  assert_string_equal (inner->QuinceMessage_u.belief_news.items.items_val[2999].key, "w/i-2999");
+  assert_int_equal (inner->kind, QUINCE_MESSAGE_FEED_UPDATE);
+  assert_int_equal (inner->QuinceMessage_u.feed_update.items.items_len, 3000);
+  assert_string_equal (inner->QuinceMessage_u.feed_update.items.items_val[2999].key, "w/i-2999");
   quince_message_free (inner);
   quince_message_free (outer);
 }
@@ -103,8 +103,8 @@
 {
   Arrival *arrival = data;
   arrival->received++;
-  if (message->kind == QUINCE_MESSAGE_BELIEF_NEWS)
-    arrival->items += message->QuinceMessage_u.belief_news.items.items_len;
+  if (message->kind == QUINCE_MESSAGE_FEED_UPDATE)
+    arrival->items += message->QuinceMessage_u.feed_update.items.items_len;
   quince_message_free (message);
 }
 
--- a/tests/unit/test-quarantine-core.c
+++ b/tests/unit/test-quarantine-core.c
@@ -15,7 +15,7 @@
 
 static const QuinceQuarantineLimits limits = { .entries_most = 64,
                                                .bytes_most = 64 * 1024,
-                                               .doubt_keep_us = 600 * SECOND,
+                                               .suspect_keep_us = 600 * SECOND,
                                                .hold_keep_us = 86400 * SECOND };
 
 static QuinceRequestDigest
@@ -302,9 +302,9 @@
   g_autoptr (QuinceQuarantine) quarantine = quince_quarantine_new (&limits);
   hold (quarantine, 0, 1);
   end (quarantine, 0, 2, 101, FALSE);
-  quince_quarantine_expire (quarantine, limits.doubt_keep_us - 1);
+  quince_quarantine_expire (quarantine, limits.suspect_keep_us - 1);
   assert_int_equal (quince_quarantine_get_size (quarantine), 2);
-  quince_quarantine_expire (quarantine, limits.doubt_keep_us);
+  quince_quarantine_expire (quarantine, limits.suspect_keep_us);
   assert_int_equal (judge (quarantine, 2), QUINCE_SEND_FREE);
   assert_int_equal (judge (quarantine, 1), QUINCE_SEND_HELD);
   quince_quarantine_expire (quarantine, limits.hold_keep_us);
--- a/tests/unit/test-scale-plan.c
+++ b/tests/unit/test-scale-plan.c
@@ -7,7 +7,7 @@
 
 #include <cmocka.h>
 
-#include "core/duties/scale-plan.h"
+#include "core/scaling/scale-plan.h"
 
 #define ZONES 3
 #define STOOD 16
@@ -565,14 +565,14 @@
 {
   const gint64 second = G_USEC_PER_SEC;
   /* 1 s of work in half of 8 s: a quarter of a place; with each second less is left. */
-  assert_float_equal (quince_scale_places_needed (second, 0, 8 * second), 0.25, 1e-9);
-  assert_float_equal (quince_scale_places_needed (second, 2 * second, 8 * second), 0.5, 1e-9);
+  assert_float_equal (quince_scale_slots_needed (second, 0, 8 * second), 0.25, 1e-9);
+  assert_float_equal (quince_scale_slots_needed (second, 2 * second, 8 * second), 0.5, 1e-9);
   /* Late, or not known: a place of its own, and never more than one. */
-  assert_float_equal (quince_scale_places_needed (second, 3.5 * second, 8 * second), 1, 1e-9);
-  assert_float_equal (quince_scale_places_needed (second, 60 * second, 8 * second), 1, 1e-9);
-  assert_float_equal (quince_scale_places_needed (30 * second, 0, 8 * second), 1, 1e-9);
-  assert_float_equal (quince_scale_places_needed (0, 0, 8 * second), 1, 1e-9);
-  assert_float_equal (quince_scale_places_needed (second, 0, 0), 1, 1e-9);
+  assert_float_equal (quince_scale_slots_needed (second, 3.5 * second, 8 * second), 1, 1e-9);
+  assert_float_equal (quince_scale_slots_needed (second, 60 * second, 8 * second), 1, 1e-9);
+  assert_float_equal (quince_scale_slots_needed (30 * second, 0, 8 * second), 1, 1e-9);
+  assert_float_equal (quince_scale_slots_needed (0, 0, 8 * second), 1, 1e-9);
+  assert_float_equal (quince_scale_slots_needed (second, 0, 0), 1, 1e-9);
 }
 
 int
--- /dev/null
+++ b/tests/unit/test-service-capacity.c
@@ -0,0 +1,113 @@
+/*
+ * test-service-capacity.c: which services bear the end of one more worker, and when one is whole again.
+ */
+#include <setjmp.h>
+#include <stdarg.h>
+#include <stddef.h>
+#include <stdint.h>
+
+#include <cmocka.h>
+
+#include "core/request/service-capacity.h"
+
+#define SECOND G_TIME_SPAN_SECOND
+
+static gboolean
+bears (guint ready, guint most, guint at_risk)
+{
+  const QuinceServiceCapacity capacity
+      = { .ready = ready, .most = most, .at_risk = at_risk, .calm_us = SECOND };
+  return quince_service_capacity_survives_end (&capacity);
+}
+
+/* Half of the workers stay, and one at least, if all that may end does. */
+static void
+test_half_stays (void **state)
+{
+  for (guint most = 2; most <= 60; most++)
+    for (guint ready = 0; ready <= most; ready++)
+      for (guint at_risk = 0; at_risk <= most; at_risk++)
+        {
+          gint left = (gint)ready - (gint)at_risk - 1;
+          assert_int_equal (bears (ready, most, at_risk), left >= 1 && left * 2 >= (gint)most);
+        }
+}
+
+/* One of two may end; of one none, but after a long pause. */
+static void
+test_few (void **state)
+{
+  assert_true (bears (2, 2, 0));
+  assert_false (bears (1, 2, 0));
+  assert_false (bears (1, 1, 0));
+  QuinceServiceCapacity single = { .ready = 1, .most = 1, .calm_us = 10 * SECOND };
+  assert_true (quince_service_capacity_survives_end (&single));
+  single.calm_us--;
+  assert_false (quince_service_capacity_survives_end (&single));
+  single = (QuinceServiceCapacity){ .ready = 0, .most = 1, .calm_us = 10 * SECOND };
+  assert_false (quince_service_capacity_survives_end (&single));
+}
+
+/* Without an end of late any; else only where both may end. */
+static void
+test_hedge (void **state)
+{
+  QuinceServiceCapacity three = { .ready = 3, .most = 3, .calm_us = 61 * SECOND };
+  assert_true (quince_service_capacity_allows_hedge (&three));
+  three.calm_us = SECOND;
+  assert_false (quince_service_capacity_allows_hedge (&three));
+  QuinceServiceCapacity four = { .ready = 4, .most = 4, .calm_us = SECOND };
+  assert_true (quince_service_capacity_allows_hedge (&four));
+  four.ready = 3;
+  assert_false (quince_service_capacity_allows_hedge (&four));
+}
+
+static QuinceServiceCapacity
+get (const QuinceServiceCapacities *capacities, gint64 now_us)
+{
+  QuinceServiceCapacity capacity;
+  quince_service_capacities_get (capacities, now_us, "svc", &capacity);
+  return capacity;
+}
+
+/* Entries that lapse do not make the service smaller at once; workers that stay away do. */
+static void
+test_most (void **state)
+{
+  g_autoptr (QuinceServiceCapacities) capacities = quince_service_capacities_new ();
+  quince_service_capacities_note (capacities, 0, "svc", 3, 3);
+  quince_service_capacities_note (capacities, SECOND, "svc", 3, 2);
+  quince_service_capacities_note (capacities, 5 * SECOND, "svc", 2, 2);
+  assert_int_equal (get (capacities, 5 * SECOND).most, 3);
+  assert_int_equal (get (capacities, 5 * SECOND).ready, 2);
+  quince_service_capacities_note (capacities, 40 * SECOND, "svc", 2, 2);
+  assert_int_equal (get (capacities, 40 * SECOND).most, 2);
+  quince_service_capacities_note (capacities, 41 * SECOND, "svc", 4, 4);
+  assert_int_equal (get (capacities, 41 * SECOND).most, 4);
+}
+
+/* The next wait is as long as the last recovery took, less what has passed. */
+static void
+test_wait (void **state)
+{
+  g_autoptr (QuinceServiceCapacities) capacities = quince_service_capacities_new ();
+  quince_service_capacities_note (capacities, 0, "svc", 3, 3);
+  quince_service_capacities_note_end (capacities, SECOND, "svc");
+  assert_in_range (quince_service_capacities_get_wait_us (capacities, SECOND, "svc"), SECOND, 10 * SECOND);
+  quince_service_capacities_note (capacities, SECOND, "svc", 3, 2);
+  quince_service_capacities_note (capacities, 3 * SECOND, "svc", 3, 3);
+  quince_service_capacities_note_end (capacities, 10 * SECOND, "svc");
+  assert_int_equal (quince_service_capacities_get_wait_us (capacities, 10 * SECOND, "svc"), 2 * SECOND);
+  assert_int_equal (quince_service_capacities_get_wait_us (capacities, 11 * SECOND, "svc"), SECOND);
+  assert_in_range (quince_service_capacities_get_wait_us (capacities, 60 * SECOND, "svc"), 1, SECOND);
+}
+
+int
+main (void)
+{
+  const struct CMUnitTest tests[] = {
+    cmocka_unit_test (test_half_stays), cmocka_unit_test (test_few),  cmocka_unit_test (test_hedge),
+    cmocka_unit_test (test_most),       cmocka_unit_test (test_wait),
+  };
+  return cmocka_run_group_tests_name ("service-strength", tests, NULL, NULL);
+}
--- a/tests/unit/test-usage-book.c
+++ b/tests/unit/test-usage-book.c
@@ -8,8 +8,8 @@
 
 #include <cmocka.h>
 
-#include "core/duties/agreed-clock.h"
-#include "core/duties/usage-book.h"
+#include "core/usage/agreed-clock.h"
+#include "core/usage/usage-book.h"
 
 #define WINDOW_MS 5000
 #define DELAY_MS 4000
--- a/tests/unit/test-warmup.c
+++ b/tests/unit/test-warmup.c
@@ -119,7 +119,7 @@
 {
   QuinceWarmupLease lease = { 0 };
   assert_true (quince_warmup_lease_may_ask (&lease, 0, 300 * MS));
-  quince_warmup_lease_asked (&lease, 10 * MS, 7);
+  quince_warmup_lease_note_request (&lease, 10 * MS, 7);
   assert_false (quince_warmup_lease_may_ask (&lease, 20 * MS, 300 * MS));
   quince_warmup_lease_answered (&lease, 30 * MS, 7, 2, VALID_US, 50 * MS);
   assert_true (quince_warmup_lease_use (&lease, 31 * MS));
@@ -134,10 +134,10 @@
 test_answer_to_an_earlier_ask (void **state)
 {
   QuinceWarmupLease lease = { 0 };
-  quince_warmup_lease_asked (&lease, 0, 7);
+  quince_warmup_lease_note_request (&lease, 0, 7);
   /* Its giver was frozen: the front asks again, and then the first answer comes. */
   assert_true (quince_warmup_lease_may_ask (&lease, 300 * MS, 300 * MS));
-  quince_warmup_lease_asked (&lease, 300 * MS, 8);
+  quince_warmup_lease_note_request (&lease, 300 * MS, 8);
   quince_warmup_lease_answered (&lease, 310 * MS, 7, 5, VALID_US, 0);
   assert_false (quince_warmup_lease_use (&lease, 311 * MS));
   quince_warmup_lease_answered (&lease, 320 * MS, 8, 1, VALID_US, 0);
@@ -190,7 +190,7 @@
   if (!quince_warmup_lease_may_ask (&front->lease, now, 300 * MS) || front->asks_at_us != 0)
     return;
   front->ask = ++senders->asks;
-  quince_warmup_lease_asked (&front->lease, now, front->ask);
+  quince_warmup_lease_note_request (&front->lease, now, front->ask);
   front->told_at_us = 0;
   front->asks_at_us = now + delay (senders);
 }
--- a/tests/unit/test-zone-state.c
+++ b/tests/unit/test-zone-state.c
@@ -8,7 +8,7 @@
 
 #include <cmocka.h>
 
-#include "core/routing/machine-places.h"
+#include "core/routing/machine-zones.h"
 #include "core/routing/residency.h"
 #include "core/routing/topology.h"
 #include "core/routing/zone-table.h"
@@ -129,22 +129,22 @@
   g_autoptr (QuinceTopology) topology = quince_topology_new ("a1", "a");
   assert_true (quince_topology_add_zones (topology, "a1=a,a2=a,b1=b", NULL));
   assert_int_equal (quince_topology_count_regions (topology), 2);
-  g_autoptr (QuinceMachinePlaces) places = quince_machine_places_new (topology);
-  quince_machine_places_set (places, "n3", "b1");
-  quince_machine_places_set (places, "n2", "a2");
-  quince_machine_places_set (places, "n1", "a1");
-  quince_machine_places_set (places, "n4", "nowhere");
-  assert_true (quince_machine_places_allow (places, &bound[0], "n3"));
-  assert_false (quince_machine_places_allow (places, &bound[1], "n3"));
-  assert_false (quince_machine_places_allow (places, &bound[0], "n4"));
-  assert_false (quince_machine_places_allow (places, &bound[0], "n5"));
-  assert_true (quince_machine_places_allow (places, NULL, "n5"));
-  g_autoptr (GPtrArray) chosen = quince_machine_places_choose (places, bound, 2);
+  g_autoptr (QuinceMachineZones) places = quince_machine_zones_new (topology);
+  quince_machine_zones_set (places, "n3", "b1");
+  quince_machine_zones_set (places, "n2", "a2");
+  quince_machine_zones_set (places, "n1", "a1");
+  quince_machine_zones_set (places, "n4", "nowhere");
+  assert_true (quince_machine_zones_allow (places, &bound[0], "n3"));
+  assert_false (quince_machine_zones_allow (places, &bound[1], "n3"));
+  assert_false (quince_machine_zones_allow (places, &bound[0], "n4"));
+  assert_false (quince_machine_zones_allow (places, &bound[0], "n5"));
+  assert_true (quince_machine_zones_allow (places, NULL, "n5"));
+  g_autoptr (GPtrArray) chosen = quince_machine_zones_choose (places, bound, 2);
   assert_int_equal (chosen->len, 2);
   assert_string_equal (chosen->pdata[0], "n1");
   assert_string_equal (chosen->pdata[1], "n2");
-  quince_machine_places_set (places, "n1", NULL);
-  assert_null (quince_machine_places_get_region (places, "n1"));
+  quince_machine_zones_set (places, "n1", NULL);
+  assert_null (quince_machine_zones_get_region (places, "n1"));
 }
 
 /* Where there is one region alone, every machine is in it. */
@@ -154,8 +154,8 @@
   static const char *const east[] = { "a", NULL };
   const QuinceResidency bound = { east, NULL };
   g_autoptr (QuinceTopology) topology = quince_topology_new ("a1", "a");
-  g_autoptr (QuinceMachinePlaces) places = quince_machine_places_new (topology);
-  assert_true (quince_machine_places_allow (places, &bound, "any"));
+  g_autoptr (QuinceMachineZones) places = quince_machine_zones_new (topology);
+  assert_true (quince_machine_zones_allow (places, &bound, "any"));
 }
 
 int
--- a/tools/cold-commands.c
+++ b/tools/cold-commands.c
@@ -21,7 +21,7 @@
 } Listing;
 
 static void
-configuration_told (const QuinceMetaItem *item, gpointer data)
+configuration_read (const QuinceMetaItem *item, gpointer data)
 {
   Listing *listing = data;
   g_autoptr (GError) error = NULL;
@@ -34,7 +34,7 @@
 }
 
 static void
-worker_told (const QuinceMetaItem *item, gpointer data)
+worker_read (const QuinceMetaItem *item, gpointer data)
 {
   Listing *listing = data;
   g_autoptr (GError) error = NULL;
@@ -48,7 +48,7 @@
 }
 
 static void
-all_told (gpointer data)
+all_read (gpointer data)
 {
   quince_tool_finish (((Listing *)data)->tool, QUINCE_TOOL_OK);
 }
@@ -71,7 +71,7 @@
   quince_table_add (table, worker->id);
   quince_table_add (table, worker->service);
   quince_table_add (table, worker->zone);
-  if (worker->cold_us == QUINCE_COLD_UNTOLD)
+  if (worker->cold_us == QUINCE_COLD_UNKNOWN)
     quince_table_add (table, NO_VALUE);
   else
     quince_table_add_format (table, "%" G_GINT64_FORMAT, worker->cold_us / 1000);
@@ -85,8 +85,8 @@
 quince_command_cold (QuinceTool *tool)
 {
   static const char *const headings[] = { "WORKER", "SERVICE", "ZONE", "COLD MS", "BEARS A SECOND", NULL };
-  static const QuinceMetaMirrorCallbacks configuration = { .item = configuration_told, .synced = all_told };
-  static const QuinceMetaMirrorCallbacks workers = { .item = worker_told, .synced = all_told };
+  static const QuinceMetaMirrorCallbacks configuration = { .item = configuration_read, .synced = all_read };
+  static const QuinceMetaMirrorCallbacks workers = { .item = worker_read, .synced = all_read };
   if (tool->meta == NULL)
     return quince_tool_usage ("cold needs --store");
   Listing listing = { .tool = tool };
--- a/tools/log-commands.c
+++ b/tools/log-commands.c
@@ -5,7 +5,7 @@
 
 #include <stdio.h>
 
-#include "core/story/log-story.h"
+#include "core/trace/log-trace.h"
 
 /* Called for each line; without its end. */
 typedef void (*LineVisit) (const char *file, guint number, const char *line, gpointer user_data);
@@ -35,18 +35,18 @@
 static void
 add_line (const char *file, guint number, const char *line, gpointer data)
 {
-  quince_log_story_add (data, line);
+  quince_log_trace_add (data, line);
 }
 
 QuinceToolStatus
 quince_command_explain (QuinceTool *tool)
 {
   const QuinceToolArguments *arguments = &tool->arguments;
-  g_autoptr (QuinceLogStory) story = quince_log_story_new ();
+  g_autoptr (QuinceLogTrace) trace = quince_log_trace_new ();
   for (guint i = 1; i < arguments->n_words; i++)
-    if (!visit_lines (arguments->words[i], add_line, story))
+    if (!visit_lines (arguments->words[i], add_line, trace))
       return quince_tool_fail ("file", "%s cannot be read", arguments->words[i]);
-  g_autofree char *text = quince_log_story_tell (story, arguments->words[0]);
+  g_autofree char *text = quince_log_trace_format (trace, arguments->words[0]);
   if (text == NULL)
     return quince_tool_fail ("not_found", "no line names %s", arguments->words[0]);
   fputs (text, stdout);
--- a/tools/quarantine-commands.c
+++ b/tools/quarantine-commands.c
@@ -40,14 +40,14 @@
 }
 
 static void
-entry_told (const QuinceMetaItem *item, gpointer data)
+entry_read (const QuinceMetaItem *item, gpointer data)
 {
   if (item->value != NULL)
     add_entry (data, item->key + strlen (QUINCE_QUARANTINE_PREFIX), item->value);
 }
 
 static void
-all_told (gpointer data)
+all_read (gpointer data)
 {
   quince_tool_finish (((Listing *)data)->tool, QUINCE_TOOL_OK);
 }
@@ -56,7 +56,7 @@
 quince_command_quarantine_list (QuinceTool *tool)
 {
   static const char *const headings[] = { "DIGEST", "OF A", "SERVICE", "SOFTWARE", "ENDS", "LAST END", NULL };
-  static const QuinceMetaMirrorCallbacks callbacks = { .item = entry_told, .synced = all_told };
+  static const QuinceMetaMirrorCallbacks callbacks = { .item = entry_read, .synced = all_read };
   static const QuinceMetaMirrorTimes times = { .read_every_ms = 1000, .patience_ms = 1000 };
   if (tool->meta == NULL)
     return quince_tool_usage ("quarantine needs --store");
--- a/tools/zone-commands.c
+++ b/tools/zone-commands.c
@@ -48,14 +48,14 @@
 }
 
 static void
-evacuation_told (const QuinceMetaItem *item, gpointer data)
+evacuation_read (const QuinceMetaItem *item, gpointer data)
 {
   if (item->value != NULL)
     find_or_add (data, item->key + strlen (QUINCE_PLATFORM_EVACUATE_PREFIX))->evacuated = item->revision;
 }
 
 static void
-worker_told (const QuinceMetaItem *item, gpointer data)
+worker_read (const QuinceMetaItem *item, gpointer data)
 {
   g_autoptr (GError) error = NULL;
   if (item->value == NULL)
@@ -72,7 +72,7 @@
 }
 
 static void
-all_told (gpointer data)
+all_read (gpointer data)
 {
   quince_tool_finish (((Listing *)data)->tool, QUINCE_TOOL_OK);
 }
@@ -111,8 +111,8 @@
 {
   static const char *const headings[]
       = { "ZONE", "REGION", "WORKERS", "DRAINING", "EVACUATED", "REVISION", NULL };
-  static const QuinceMetaMirrorCallbacks evacuations = { .item = evacuation_told, .synced = all_told };
-  static const QuinceMetaMirrorCallbacks workers = { .item = worker_told, .synced = all_told };
+  static const QuinceMetaMirrorCallbacks evacuations = { .item = evacuation_read, .synced = all_read };
+  static const QuinceMetaMirrorCallbacks workers = { .item = worker_read, .synced = all_read };
   if (tool->meta == NULL)
     return quince_tool_usage ("zones needs --store");
   g_autoptr (QuinceTopology) topology = quince_topology_new ("", "");
