--- /dev/null
+++ b/tests/unit/test-kept-bytes.c
@@ -0,0 +1,247 @@
+/*
+ * test-kept-bytes.c: messages and stored data of earlier versions keep their bytes.
+ *
+ * fixtures/kept-bytes.txt and fixtures/kept-log were written by the version that had 35 kinds of messages,
+ * before those of programs that no longer exist were removed.  A front or replica of that version speaks with
+ * newer ones while a deployment is replaced, and its data folder is opened by them.
+ */
+#include <setjmp.h>
+#include <stdarg.h>
+#include <stddef.h>
+#include <stdint.h>
+
+#include <cmocka.h>
+#include <glib/gstdio.h>
+#include <string.h>
+
+#include "batchlog/batch-log.h"
+#include "runtime/packed-message.h"
+
+#include "kept-values.h"
+
+#define LOG_FILE "batches.sqlite"
+/* Epoch, committed index and kept numbers of the log in fixtures/kept-log. */
+#define LOG_EPOCH 3
+#define LOG_COMMIT 8
+#define LOG_PROMISED 31
+#define LOG_NOTED 32
+#define LOG_ORDERED 33
+/* Long enough to be packed: its record is shorter than its text. */
+#define PACKED_TEXT_BYTES 4000
+
+static GHashTable *fixtures; /* name to GBytes, both owned */
+
+/* ---- Fixtures --------------------------------------------------------------- */
+
+static char *
+fixture_path (const char *name)
+{
+  return g_build_filename (g_getenv ("QUINCE_SOURCE_DIR"), "tests", "unit", "fixtures", name, NULL);
+}
+
+static GBytes *
+bytes_of_hex (const char *text)
+{
+  gsize length = strlen (text) / 2;
+  guint8 *bytes = g_malloc (length + 1);
+  for (gsize i = 0; i < length; i++)
+    bytes[i] = (guint8)(g_ascii_xdigit_value (text[2 * i]) << 4 | g_ascii_xdigit_value (text[2 * i + 1]));
+  return g_bytes_new_take (bytes, length);
+}
+
+/* Each line is a name and bytes in hexadecimal digits. */
+static int
+read_fixtures (void **state)
+{
+  g_autofree char *path = fixture_path ("kept-bytes.txt");
+  g_autofree char *text = NULL;
+  assert_true (g_file_get_contents (path, &text, NULL, NULL));
+  fixtures = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, (GDestroyNotify)g_bytes_unref);
+  g_auto (GStrv) lines = g_strsplit (g_strchomp (text), "\n", -1);
+  for (guint i = 0; lines[i] != NULL; i++)
+    {
+      g_auto (GStrv) words = g_strsplit (lines[i], " ", 2);
+      assert_int_equal (g_strv_length (words), 2);
+      g_hash_table_insert (fixtures, g_strdup (words[0]), bytes_of_hex (words[1]));
+    }
+  return 0;
+}
+
+static int
+free_fixtures (void **state)
+{
+  g_clear_pointer (&fixtures, g_hash_table_unref);
+  return 0;
+}
+
+static GBytes *fixture (const char *format, ...) G_GNUC_PRINTF (1, 2);
+
+static GBytes *
+fixture (const char *format, ...)
+{
+  va_list arguments;
+  va_start (arguments, format);
+  g_autofree char *name = g_strdup_vprintf (format, arguments);
+  va_end (arguments);
+  GBytes *bytes = g_hash_table_lookup (fixtures, name);
+  if (bytes == NULL)
+    fail_msg ("no fixture '%s'", name);
+  return bytes;
+}
+
+/* @kept decodes, encodes again to the same bytes, and @value, whose fields are known, encodes to them as
+ * well. */
+static void
+assert_same_bytes (GBytes *kept, xdrproc_t proc, gsize size, gconstpointer value)
+{
+  gsize length;
+  gconstpointer data = g_bytes_get_data (kept, &length);
+  gpointer decoded = quince_xdr_decode (proc, size, data, length, NULL);
+  assert_non_null (decoded);
+  g_autoptr (GBytes) again = quince_xdr_encode (proc, decoded, NULL);
+  g_autoptr (GBytes) built = quince_xdr_encode (proc, value, NULL);
+  quince_xdr_free (proc, decoded);
+  assert_non_null (again);
+  assert_non_null (built);
+  assert_true (g_bytes_equal (kept, again));
+  assert_true (g_bytes_equal (kept, built));
+}
+
+/* ---- Messages ---------------------------------------------------------------- */
+
+/* Every kind that a front or replica sends: 11 to 34. */
+static void
+test_messages (void **state)
+{
+  for (guint i = 0; i < G_N_ELEMENTS (kept_messages); i++)
+    {
+      assert_int_equal (kept_messages[i].kind, 11 + i);
+      assert_same_bytes (fixture ("message-%d", (int)kept_messages[i].kind), (xdrproc_t)xdr_QuinceMessage,
+                         sizeof (QuinceMessage), &kept_messages[i]);
+    }
+  assert_int_equal (kept_messages[G_N_ELEMENTS (kept_messages) - 1].kind, 34);
+}
+
+static void
+test_fields (void **state)
+{
+  gsize length;
+  gconstpointer data = g_bytes_get_data (fixture ("message-34"), &length);
+  g_autoptr (QuinceMessage) message = quince_message_decode (data, length, NULL);
+  assert_non_null (message);
+  const QuinceLedgerLead *lead = &message->QuinceMessage_u.ledger_lead;
+  assert_int_equal (lead->view.epoch, 21);
+  assert_int_equal (lead->view.members.members_len, 2);
+  assert_string_equal (lead->view.members.members_val[1].address, "10.0.0.2:7000");
+  assert_int_equal (lead->promised_to, 4);
+  assert_int_equal (lead->shown_primary, 8);
+  assert_true (lead->shown_answers);
+  data = g_bytes_get_data (fixture ("message-26"), &length);
+  g_autoptr (QuinceMessage) news = quince_message_decode (data, length, NULL);
+  assert_non_null (news);
+  const QuinceSuspectReport *suspect = news->QuinceMessage_u.suspect_news.suspects.suspects_val;
+  assert_string_equal (suspect->software, "engine-1.2");
+  assert_int_equal (suspect->workers.workers_val[1], 14);
+  assert_true (suspect->prompt);
+  assert_int_equal (suspect->member, 17);
+}
+
+/* ---- What is stored ----------------------------------------------------------- */
+
+static void
+test_records (void **state)
+{
+  for (guint i = 0; i < G_N_ELEMENTS (kept_records); i++)
+    {
+      assert_int_equal (kept_records[i].kind, i);
+      assert_same_bytes (fixture ("record-%u", i), (xdrproc_t)xdr_QuinceBatchRecord,
+                         sizeof (QuinceBatchRecord), &kept_records[i]);
+    }
+  assert_same_bytes (fixture ("view"), (xdrproc_t)xdr_QuinceLedgerView, sizeof (QuinceLedgerView),
+                     &kept_view);
+  assert_same_bytes (fixture ("result"), (xdrproc_t)xdr_QuinceBatchResult, sizeof (QuinceBatchResult),
+                     &kept_result);
+}
+
+/* Compressed bytes depend on the version of zlib: they are read alone. */
+static void
+test_packed (void **state)
+{
+  gsize length;
+  gconstpointer data = g_bytes_get_data (fixture ("packed-record"), &length);
+  assert_true (length < PACKED_TEXT_BYTES);
+  g_autoptr (QuinceBatchRecord) record = quince_batch_record_unpack (data, length, NULL);
+  assert_non_null (record);
+  assert_int_equal (record->kind, QUINCE_BATCH_RECORD_RESULT);
+  assert_int_equal (record->QuinceBatchRecord_u.result.text.text_len, PACKED_TEXT_BYTES);
+  assert_string_equal (record->QuinceBatchRecord_u.result.score, "0.5");
+}
+
+/* ---- The log ------------------------------------------------------------------- */
+
+typedef struct
+{
+  guint seen;
+} Walk;
+
+static gboolean
+check_entry (const QuinceLogEntry *entry, gpointer data)
+{
+  Walk *walk = data;
+  assert_true (walk->seen < G_N_ELEMENTS (kept_records));
+  assert_int_equal (entry->index, walk->seen + 1);
+  assert_int_equal (entry->epoch, LOG_EPOCH);
+  g_autoptr (GBytes) bytes = g_bytes_new (entry->record.record_val, entry->record.record_len);
+  assert_same_bytes (bytes, (xdrproc_t)xdr_QuinceBatchRecord, sizeof (QuinceBatchRecord),
+                     &kept_records[walk->seen]);
+  walk->seen++;
+  return TRUE;
+}
+
+/* The file of an earlier version opens as it is: same replica, numbers and records. */
+static void
+test_log (void **state)
+{
+  g_autofree char *folder = g_dir_make_tmp ("quince-kept-log-XXXXXX", NULL);
+  g_autofree char *from = fixture_path ("kept-log/" LOG_FILE);
+  g_autofree char *to = g_build_filename (folder, LOG_FILE, NULL);
+  g_autofree char *text = NULL;
+  gsize length;
+  assert_true (g_file_get_contents (from, &text, &length, NULL));
+  assert_true (g_file_set_contents (to, text, (gssize)length, NULL));
+  gboolean was_empty = TRUE;
+  QuinceBatchLog *log = quince_batch_log_open (folder, &was_empty, NULL);
+  assert_non_null (log);
+  assert_false (was_empty);
+  g_autofree char *replica = g_strdup_printf ("%" G_GUINT64_FORMAT, quince_batch_log_get_replica (log));
+  g_autofree char *kept_replica = g_strndup (g_bytes_get_data (fixture ("log-replica"), NULL),
+                                             g_bytes_get_size (fixture ("log-replica")));
+  assert_string_equal (replica, kept_replica);
+  assert_int_equal (quince_batch_log_get_last_index (log), G_N_ELEMENTS (kept_records));
+  assert_int_equal (quince_batch_log_get_commit (log), LOG_COMMIT);
+  const QuinceLedgerKept *kept = quince_batch_log_get_kept (log);
+  assert_int_equal (kept->promised, LOG_PROMISED);
+  assert_int_equal (kept->noted, LOG_NOTED);
+  assert_int_equal (kept->ordered, LOG_ORDERED);
+  Walk walk = { 0 };
+  assert_true (quince_batch_log_walk (log, 1, check_entry, &walk, NULL));
+  assert_int_equal (walk.seen, G_N_ELEMENTS (kept_records));
+  quince_batch_log_close (log);
+  static const char *const endings[] = { "", "-wal", "-shm", "-journal" };
+  for (guint i = 0; i < G_N_ELEMENTS (endings); i++)
+    {
+      g_autofree char *file = g_strconcat (to, endings[i], NULL);
+      g_remove (file);
+    }
+  g_rmdir (folder);
+}
+
+int
+main (void)
+{
+  const struct CMUnitTest tests[] = {
+    cmocka_unit_test (test_messages), cmocka_unit_test (test_fields), cmocka_unit_test (test_records),
+    cmocka_unit_test (test_packed),   cmocka_unit_test (test_log),
+  };
+  return cmocka_run_group_tests_name ("kept-bytes", tests, read_fixtures, free_fixtures);
+}
