--- a/tools/cold-commands.c
+++ b/tools/cold-commands.c
@@ -1,5 +1,5 @@
 /*
- * cold-commands.c: workers that say they are cold, and what they bear meanwhile.
+ * cold-commands.c: workers that say they are cold, and how many requests they may get meanwhile.
  */
 #include <stdio.h>
 #include <string.h>
@@ -8,14 +8,14 @@
 
 #include "commands.h"
 #include "platform.h"
+#include "store-calls.h"
 #include "table.h"
 
-/* What is not told. */
+/* Printed for what is not known. */
 #define NO_VALUE "-"
 
 typedef struct
 {
-  QuinceTool *tool;
   QuinceRouteTable *routes; /* owned (nullable) */
   GPtrArray *workers;       /* QuinceWorker, owned: those that are cold, or do not say */
 } Listing;
@@ -47,22 +47,6 @@
     g_ptr_array_add (listing->workers, g_steal_pointer (&worker));
 }
 
-static void
-all_read (gpointer data)
-{
-  quince_tool_finish (((Listing *)data)->tool, QUINCE_TOOL_OK);
-}
-
-static void
-read_prefix (Listing *listing, const char *prefix, const QuinceMetaMirrorCallbacks *callbacks)
-{
-  static const QuinceMetaMirrorTimes times = { .read_every_ms = 1000, .patience_ms = 1000 };
-  QuinceMetaMirror *mirror = quince_meta_mirror_new (listing->tool->meta, prefix, callbacks, listing);
-  quince_meta_mirror_set_times (mirror, &times);
-  quince_tool_wait (listing->tool);
-  quince_meta_mirror_free (mirror);
-}
-
 static void
 add_row (const Listing *listing, QuinceTable *table, const QuinceWorker *worker)
 {
@@ -81,27 +65,30 @@
     quince_table_add (table, NO_VALUE);
 }
 
+static void
+print_workers (const Listing *listing)
+{
+  static const char *const headings[] = { "WORKER", "SERVICE", "ZONE", "COLD MS", "REQUESTS/S", NULL };
+  g_autoptr (QuinceTable) table = quince_table_new (headings);
+  for (guint i = 0; i < listing->workers->len; i++)
+    add_row (listing, table, listing->workers->pdata[i]);
+  quince_table_print (table);
+}
+
 QuinceToolStatus
 quince_command_cold (QuinceTool *tool)
 {
-  static const char *const headings[] = { "WORKER", "SERVICE", "ZONE", "COLD MS", "BEARS A SECOND", NULL };
-  static const QuinceMetaMirrorCallbacks configuration = { .item = configuration_read, .synced = all_read };
-  static const QuinceMetaMirrorCallbacks workers = { .item = worker_read, .synced = all_read };
-  if (tool->meta == NULL)
-    return quince_tool_usage ("cold needs --store");
-  Listing listing = { .tool = tool };
+  if (!quince_tool_need_store (tool))
+    return QUINCE_TOOL_USAGE;
+  Listing listing = { 0 };
   listing.workers = g_ptr_array_new_with_free_func ((GDestroyNotify)quince_worker_free);
-  read_prefix (&listing, QUINCE_PLATFORM_CONFIGURATION_KEY, &configuration);
-  if (tool->status == QUINCE_TOOL_OK)
-    read_prefix (&listing, QUINCE_PLATFORM_WORKERS_PREFIX, &workers);
-  if (tool->status == QUINCE_TOOL_OK)
-    {
-      g_autoptr (QuinceTable) table = quince_table_new (headings);
-      for (guint i = 0; i < listing.workers->len; i++)
-        add_row (&listing, table, listing.workers->pdata[i]);
-      quince_table_print (table);
-    }
+  QuinceToolStatus status
+      = quince_store_read_prefix (tool, QUINCE_PLATFORM_CONFIGURATION_KEY, configuration_read, &listing);
+  if (status == QUINCE_TOOL_OK)
+    status = quince_store_read_prefix (tool, QUINCE_PLATFORM_WORKERS_PREFIX, worker_read, &listing);
+  if (status == QUINCE_TOOL_OK)
+    print_workers (&listing);
   g_ptr_array_unref (listing.workers);
   g_clear_pointer (&listing.routes, quince_route_table_free);
-  return tool->status;
+  return status;
 }
--- a/tools/commands.h
+++ b/tools/commands.h
@@ -1,5 +1,6 @@
 /*
- * commands.h: the commands of "quinceroute".
+ * commands.h: the commands of "quinceroute".  Each prints its result or its failure and returns the exit
+ * status.
  */
 #pragma once
 
@@ -11,14 +12,9 @@
 QuinceToolStatus quince_command_policy_diff (QuinceTool *tool);
 QuinceToolStatus quince_command_policy_accept (QuinceTool *tool);
 QuinceToolStatus quince_command_policy_show (QuinceTool *tool);
-QuinceToolStatus quince_command_policy_status (QuinceTool *tool);
 QuinceToolStatus quince_command_event_create (QuinceTool *tool);
 QuinceToolStatus quince_command_event_list (QuinceTool *tool);
 QuinceToolStatus quince_command_event_delete (QuinceTool *tool);
-QuinceToolStatus quince_command_drain (QuinceTool *tool);
-QuinceToolStatus quince_command_undrain (QuinceTool *tool);
-QuinceToolStatus quince_command_status (QuinceTool *tool);
-QuinceToolStatus quince_command_ledger_status (QuinceTool *tool);
 QuinceToolStatus quince_command_quarantine_list (QuinceTool *tool);
 QuinceToolStatus quince_command_quarantine_release (QuinceTool *tool);
 QuinceToolStatus quince_command_zones (QuinceTool *tool);
--- a/tools/event-commands.c
+++ b/tools/event-commands.c
@@ -1,14 +1,21 @@
 /*
  * event-commands.c: quinceroute event create, list, delete.
+ *
+ * An event is one key of the metadata store, by its name: its start (wall clock), duration and service.
  */
 #include <math.h>
 #include <stdio.h>
+#include <string.h>
+
+#include "forward/policy-entry.h"
+#include "observer/observer.h"
 
 #include "commands.h"
-#include "store-commands.h"
+#include "store-calls.h"
 #include "table.h"
 
-#define MAX_SECONDS (366.0 * 24 * 3600)
+/* Longest event and latest start from now, s: one year, so that a number in other units is refused. */
+#define SECONDS_MAX (366.0 * 24 * 3600)
 
 static gint64
 now_ms (void)
@@ -25,7 +32,7 @@
   if (!g_ascii_isdigit (text[0]))
     return FALSE;
   double seconds = g_ascii_strtod (text, &end);
-  if (*end != '\0' || !isfinite (seconds) || seconds > MAX_SECONDS)
+  if (*end != '\0' || !isfinite (seconds) || seconds > SECONDS_MAX)
     return FALSE;
   *ms = (gint64)llround (seconds * 1000);
   return TRUE;
@@ -61,95 +68,88 @@
 /* ---- create and delete ------------------------------------------------------------ */
 
 static void
-on_done (guint64 revision, const GError *error, gpointer user_data)
-{
-  QuinceTool *tool = user_data;
-  if (error != NULL)
-    {
-      quince_tool_finish (tool, quince_tool_fail_error (error));
-      return;
-    }
-  quince_tool_finish (tool, QUINCE_TOOL_OK);
-}
-
-static void
-add_event_json (JsonBuilder *builder, const QuinceOperatorEvent *event)
+add_event_json (JsonBuilder *builder, const char *name, const QuinceEventEntry *event)
 {
-  json_builder_begin_object (builder);
-  quince_tool_add_text (builder, "name", event->name);
+  quince_tool_add_text (builder, "name", name);
   quince_tool_add_text (builder, "service", event->service);
   quince_tool_add_number (builder, "start_ms", event->start_ms);
   quince_tool_add_number (builder, "duration_ms", event->duration_ms);
-  quince_tool_add_number (builder, "expected", (gint64)event->expected);
-  json_builder_end_object (builder);
 }
 
+/* @expected: requests at the start, which the store does not keep */
 static void
-print_created (const QuinceTool *tool, const QuinceOperatorEvent *event)
+print_created (const QuinceTool *tool, const QuinceEventEntry *event, guint64 expected)
 {
+  const char *name = tool->arguments.operands[0];
   if (tool->arguments.json)
     {
       g_autoptr (JsonBuilder) builder = json_builder_new ();
-      add_event_json (builder, event);
+      json_builder_begin_object (builder);
+      add_event_json (builder, name, event);
+      quince_tool_add_number (builder, "expected", (gint64)expected);
+      json_builder_end_object (builder);
       quince_tool_print_json (builder);
       return;
     }
   g_autofree char *start = format_time (event->start_ms);
-  printf ("event %s starts at %s and lasts %.3f s\n", event->name, start, (double)event->duration_ms / 1000);
+  printf ("event %s starts at %s and lasts %.3f s\n", name, start, (double)event->duration_ms / 1000);
 }
 
-QuinceToolStatus
-quince_command_event_create (QuinceTool *tool)
+/* Checks the flags. */
+static QuinceToolStatus
+read_event (const QuinceToolArguments *arguments, QuinceEventEntry *event, guint64 *expected)
 {
-  const QuinceToolArguments *arguments = &tool->arguments;
-  if (tool->meta == NULL && !quince_tool_need_store (tool))
-    return QUINCE_TOOL_USAGE;
   if (arguments->start == NULL || arguments->duration == NULL)
     return quince_tool_usage ("event create needs --start and --duration");
-  g_autoptr (QuinceOperatorEvent) event = g_new0 (QuinceOperatorEvent, 1);
-  event->name = g_strdup (arguments->words[0]);
-  event->service = g_strdup (arguments->service != NULL ? arguments->service : "");
   if (!parse_start (arguments->start, &event->start_ms))
     return quince_tool_usage ("--start takes RFC 3339 with a zone, or +SECONDS, not '%s'", arguments->start);
   if (!parse_seconds (arguments->duration, &event->duration_ms))
     return quince_tool_usage ("--duration takes seconds, at most 366 days, not '%s'", arguments->duration);
   if (arguments->expected != NULL
-      && !g_ascii_string_to_unsigned (arguments->expected, 10, 0, G_MAXINT64, &event->expected, NULL))
+      && !g_ascii_string_to_unsigned (arguments->expected, 10, 0, G_MAXINT64, expected, NULL))
     return quince_tool_usage ("--expected takes a number, not '%s'", arguments->expected);
-  if (tool->meta != NULL)
-    tool->status
-        = quince_store_event_create (tool, event->name, event->start_ms, event->duration_ms, event->service);
-  else
-    {
-      quince_operator_store_create_event (tool->store, event, on_done, tool);
-      quince_tool_wait (tool);
-    }
-  if (tool->status == QUINCE_TOOL_OK)
-    print_created (tool, event);
-  return tool->status;
+  event->service = (char *)(arguments->service != NULL ? arguments->service : "");
+  return QUINCE_TOOL_OK;
+}
+
+QuinceToolStatus
+quince_command_event_create (QuinceTool *tool)
+{
+  QuinceEventEntry event = { 0 };
+  guint64 expected = 0;
+  if (!quince_tool_need_store (tool) || read_event (&tool->arguments, &event, &expected) != QUINCE_TOOL_OK)
+    return QUINCE_TOOL_USAGE;
+  g_autoptr (GBytes) value = quince_event_entry_format (&event);
+  QuinceToolStatus status
+      = quince_store_put_entry (tool, QUINCE_EVENTS_PREFIX, tool->arguments.operands[0], value);
+  if (status == QUINCE_TOOL_OK)
+    print_created (tool, &event, expected);
+  return status;
 }
 
 QuinceToolStatus
 quince_command_event_delete (QuinceTool *tool)
 {
-  if (tool->meta == NULL && !quince_tool_need_store (tool))
+  const char *name = tool->arguments.operands[0];
+  if (!quince_tool_need_store (tool))
     return QUINCE_TOOL_USAGE;
-  if (tool->meta != NULL)
-    tool->status = quince_store_event_delete (tool, tool->arguments.words[0]);
-  else
-    {
-      quince_operator_store_delete_event (tool->store, tool->arguments.words[0], on_done, tool);
-      quince_tool_wait (tool);
-    }
-  if (tool->status == QUINCE_TOOL_OK && !tool->arguments.json)
-    printf ("event %s is deleted\n", tool->arguments.words[0]);
-  return tool->status;
+  QuinceToolStatus status = quince_store_put_entry (tool, QUINCE_EVENTS_PREFIX, name, NULL);
+  if (status == QUINCE_TOOL_OK && !tool->arguments.json)
+    printf ("event %s is deleted\n", name);
+  return status;
 }
 
 /* ---- list ------------------------------------------------------------------------- */
 
+/* One output, of which the other is %NULL. */
+typedef struct
+{
+  QuinceTable *table;
+  JsonBuilder *builder;
+} Listing;
+
 static char *
-describe_phase (const QuinceOperatorEvent *event)
+describe_phase (const QuinceEventEntry *event)
 {
   gint64 until_ms = event->start_ms - now_ms ();
   if (until_ms > 0)
@@ -158,47 +158,66 @@
 }
 
 static void
-print_event_table (GPtrArray *events)
+add_event_row (QuinceTable *table, const char *name, const QuinceEventEntry *event)
 {
-  static const char *const headings[]
-      = { "EVENT", "SERVICE", "START", "DURATION", "EXPECTED", "STATE", NULL };
-  g_autoptr (QuinceTable) table = quince_table_new (headings);
-  for (guint i = 0; i < events->len; i++)
-    {
-      const QuinceOperatorEvent *event = events->pdata[i];
-      g_autofree char *start = format_time (event->start_ms);
-      g_autofree char *phase = describe_phase (event);
-      quince_table_add (table, event->name);
-      quince_table_add (table, event->service[0] != '\0' ? event->service : "(every)");
-      quince_table_add (table, start);
-      quince_table_add_format (table, "%.3f s", (double)event->duration_ms / 1000);
-      quince_table_add_format (table, "%" G_GUINT64_FORMAT, event->expected);
-      quince_table_add (table, phase);
-    }
-  quince_table_print (table);
+  g_autofree char *start = format_time (event->start_ms);
+  g_autofree char *phase = describe_phase (event);
+  quince_table_add (table, name);
+  quince_table_add (table, event->service[0] != '\0' ? event->service : "(every)");
+  quince_table_add (table, start);
+  quince_table_add_format (table, "%.3f s", (double)event->duration_ms / 1000);
+  quince_table_add (table, phase);
 }
 
 static void
-on_events (GPtrArray *events, const GError *error, gpointer user_data)
+event_read (const QuinceMetaItem *item, gpointer data)
 {
-  QuinceTool *tool = user_data;
-  if (error != NULL)
+  Listing *listing = data;
+  const char *name = item->key + strlen (QUINCE_EVENTS_PREFIX);
+  QuinceEventEntry event = { 0 };
+  g_autoptr (GError) error = NULL;
+  if (item->value == NULL)
+    return;
+  if (!quince_event_entry_parse (item->value, &event, &error))
     {
-      quince_tool_finish (tool, quince_tool_fail_error (error));
+      fprintf (stderr, "quinceroute: %s: %s\n", name, error->message);
       return;
     }
-  if (tool->arguments.json)
+  g_autofree char *service = g_steal_pointer (&event.service);
+  event.service = g_str_equal (service, "-") ? (char *)"" : service;
+  if (listing->table != NULL)
     {
-      g_autoptr (JsonBuilder) builder = json_builder_new ();
-      json_builder_begin_array (builder);
-      for (guint i = 0; i < events->len; i++)
-        add_event_json (builder, events->pdata[i]);
-      json_builder_end_array (builder);
-      quince_tool_print_json (builder);
+      add_event_row (listing->table, name, &event);
+      return;
     }
-  else
-    print_event_table (events);
-  quince_tool_finish (tool, QUINCE_TOOL_OK);
+  json_builder_begin_object (listing->builder);
+  add_event_json (listing->builder, name, &event);
+  json_builder_end_object (listing->builder);
+}
+
+static QuinceToolStatus
+list_as_json (QuinceTool *tool)
+{
+  g_autoptr (JsonBuilder) builder = json_builder_new ();
+  Listing listing = { .builder = builder };
+  json_builder_begin_array (builder);
+  QuinceToolStatus status = quince_store_read_prefix (tool, QUINCE_EVENTS_PREFIX, event_read, &listing);
+  json_builder_end_array (builder);
+  if (status == QUINCE_TOOL_OK)
+    quince_tool_print_json (builder);
+  return status;
+}
+
+static QuinceToolStatus
+list_as_table (QuinceTool *tool)
+{
+  static const char *const headings[] = { "EVENT", "SERVICE", "START", "DURATION", "STATE", NULL };
+  g_autoptr (QuinceTable) table = quince_table_new (headings);
+  Listing listing = { .table = table };
+  QuinceToolStatus status = quince_store_read_prefix (tool, QUINCE_EVENTS_PREFIX, event_read, &listing);
+  if (status == QUINCE_TOOL_OK)
+    quince_table_print (table);
+  return status;
 }
 
 QuinceToolStatus
@@ -206,7 +225,5 @@
 {
   if (!quince_tool_need_store (tool))
     return QUINCE_TOOL_USAGE;
-  quince_operator_store_list_events (tool->store, on_events, tool);
-  quince_tool_wait (tool);
-  return tool->status;
+  return tool->arguments.json ? list_as_json (tool) : list_as_table (tool);
 }
--- a/tools/log-commands.c
+++ b/tools/log-commands.c
@@ -43,12 +43,12 @@
 {
   const QuinceToolArguments *arguments = &tool->arguments;
   g_autoptr (QuinceLogTrace) trace = quince_log_trace_new ();
-  for (guint i = 1; i < arguments->n_words; i++)
-    if (!visit_lines (arguments->words[i], add_line, trace))
-      return quince_tool_fail ("file", "%s cannot be read", arguments->words[i]);
-  g_autofree char *text = quince_log_trace_format (trace, arguments->words[0]);
+  for (guint i = 1; i < arguments->n_operands; i++)
+    if (!visit_lines (arguments->operands[i], add_line, trace))
+      return quince_tool_fail ("file", "%s cannot be read", arguments->operands[i]);
+  g_autofree char *text = quince_log_trace_format (trace, arguments->operands[0]);
   if (text == NULL)
-    return quince_tool_fail ("not_found", "no line names %s", arguments->words[0]);
+    return quince_tool_fail ("not_found", "no line names %s", arguments->operands[0]);
   fputs (text, stdout);
   return QUINCE_TOOL_OK;
 }
@@ -70,9 +70,9 @@
 {
   const QuinceToolArguments *arguments = &tool->arguments;
   guint refused = 0;
-  for (guint i = 0; i < arguments->n_words; i++)
-    if (!visit_lines (arguments->words[i], check_line, &refused))
-      return quince_tool_fail ("file", "%s cannot be read", arguments->words[i]);
+  for (guint i = 0; i < arguments->n_operands; i++)
+    if (!visit_lines (arguments->operands[i], check_line, &refused))
+      return quince_tool_fail ("file", "%s cannot be read", arguments->operands[i]);
   if (refused > 0)
     return quince_tool_fail ("log", "%u lines outside the vocabulary", refused);
   return QUINCE_TOOL_OK;
--- a/tools/main.c
+++ b/tools/main.c
@@ -12,9 +12,7 @@
 
 enum
 {
-  OPTION_KV = 'k',
   OPTION_STORE = 'S',
-  OPTION_NODE = 'n',
   OPTION_CONFIG = 'c',
   OPTION_JSON = 'j',
   OPTION_COMMENT = 'm',
@@ -22,7 +20,7 @@
   OPTION_AUTHOR = 'a',
   OPTION_START = 's',
   OPTION_DURATION = 'd',
-  OPTION_SERVICE = 0x100,
+  OPTION_SERVICE = 0x100, /* from here on: no short form */
   OPTION_EXPECTED,
 };
 
@@ -42,7 +40,6 @@
 
 static const struct argp_option no_flags[] = { { 0 } };
 static const struct argp_option accept_flags[] = { EXPECT_FLAG, COMMENT_FLAG, AUTHOR_FLAG, { 0 } };
-static const struct argp_option drain_flags[] = { AUTHOR_FLAG, { 0 } };
 static const struct argp_option event_flags[] = {
   { "start", OPTION_START, "TIME", 0, "RFC 3339 with a zone, or +SECONDS from now", 0 },
   { "duration", OPTION_DURATION, "SECONDS", 0, "How long it lasts", 0 },
@@ -53,10 +50,10 @@
 
 typedef struct
 {
-  const char *group; /* first word */
-  const char *name;  /* second word; NULL: no second */
-  const char *words; /* what follows, for the help */
-  guint n_words;     /* with @takes_more the least of them */
+  const char *group;    /* first word */
+  const char *name;     /* second word; NULL: no second */
+  const char *operands; /* what follows, for the help */
+  guint n_operands;     /* with @takes_more the least of them */
   const struct argp_option *flags;
   const char *help;
   QuinceToolStatus (*run) (QuinceTool *tool);
@@ -71,8 +68,6 @@
   { "policy", "accept", "FILE", 1, accept_flags, "Check a policy program and put it in force",
     quince_command_policy_accept },
   { "policy", "show", "", 0, no_flags, "Print the policy program in force", quince_command_policy_show },
-  { "policy", "status", "", 0, no_flags,
-    "Show which revision each node has in force; fails unless it is the same", quince_command_policy_status },
   { "event", "create", "NAME", 1, event_flags, "Create an event with a fixed start",
     quince_command_event_create },
   { "event", "list", "", 0, no_flags, "List events", quince_command_event_list },
@@ -82,24 +77,18 @@
   { "quarantine", "release", "REQUEST", 1, no_flags, "Send a held request once more, alone",
     quince_command_quarantine_release },
   { "zones", NULL, "", 0, no_flags, "List zones that have workers or are evacuated", quince_command_zones },
-  { "cold", NULL, "", 0, no_flags, "List workers that are cold, or do not say, and what they bear",
+  { "cold", NULL, "", 0, no_flags,
+    "List workers that are cold or do not say whether they are, with their limit of requests",
     quince_command_cold },
-  { "drain", NULL, "ENGINE", 1, drain_flags, "Give an engine no new work", quince_command_drain },
-  { "undrain", NULL, "ENGINE", 1, no_flags, "Give a drained engine work again", quince_command_undrain },
-  { "status", NULL, "", 0, no_flags, "Show nodes, members and engines", quince_command_status },
-  { "ledger", "status", "", 0, no_flags, "Show the ledger's voters and replicas",
-    quince_command_ledger_status },
-  { "explain", NULL, "ID FILE...", 2, no_flags, "Tell the story of a request, sample or batch from logs",
+  { "explain", NULL, "ID FILE...", 2, no_flags, "Print the log lines of a request, sample or batch in order",
     quince_command_explain, TRUE },
   { "log", "check", "FILE...", 1, no_flags, "Refuse lines that no daemon on the platform logs",
     quince_command_log_check, TRUE },
 };
 
 static const struct argp_option global_flags[] = {
-  { "kv", OPTION_KV, "ADDRESSES", 0, "Key-value service, ip:port, separated by ','", 1 },
   { "store", OPTION_STORE, "ADDRESS", 0, "Metadata store of the users' platform, ip:port", 1 },
-  { "node", OPTION_NODE, "ADDRESSES", 0, "HTTP addresses of nodes, ip:port, separated by ','", 1 },
-  { "config", OPTION_CONFIG, "FILE", 0, "Settings file with a section [operator]: kv, nodes", 1 },
+  { "config", OPTION_CONFIG, "FILE", 0, "Settings file with a section [operator]: store, zones", 1 },
   { "json", OPTION_JSON, NULL, 0, "Print JSON", 1 },
   { 0 },
 };
@@ -112,15 +101,9 @@
   QuinceToolArguments *arguments = state->input;
   switch (key)
     {
-    case OPTION_KV:
-      arguments->kv = value;
-      return 0;
     case OPTION_STORE:
       arguments->store = value;
       return 0;
-    case OPTION_NODE:
-      arguments->nodes = value;
-      return 0;
     case OPTION_CONFIG:
       arguments->config = value;
       return 0;
@@ -163,10 +146,10 @@
       arguments->expected = value;
       return 0;
     case ARGP_KEY_ARG:
-      if (arguments->n_words >= G_N_ELEMENTS (arguments->words))
+      if (arguments->n_operands >= G_N_ELEMENTS (arguments->operands))
         argp_error (state, "too many arguments");
       else
-        arguments->words[arguments->n_words++] = value;
+        arguments->operands[arguments->n_operands++] = value;
       return 0;
     default:
       return ARGP_ERR_UNKNOWN;
@@ -176,27 +159,27 @@
 static const struct argp global_argp = { global_flags, parse_global, NULL, NULL, NULL, NULL, NULL };
 static const struct argp_child global_child[] = { { &global_argp, 0, "Global flags:", 1 }, { 0 } };
 
-/* ---- The command word ----------------------------------------------------------------- */
+/* ---- The command ---------------------------------------------------------------------- */
 
 static char *
 describe_commands (void)
 {
-  GString *text = g_string_new ("Steers a quinceroute deployment.\vCommands:\n");
+  GString *text = g_string_new ("Operates a quinceroute deployment.\vCommands:\n");
   for (gsize i = 0; i < G_N_ELEMENTS (commands); i++)
     {
       const ToolCommand *command = &commands[i];
       g_autofree char *call
-          = g_strjoin (" ", command->group, command->name != NULL ? command->name : command->words,
-                       command->name != NULL ? command->words : NULL, NULL);
+          = g_strjoin (" ", command->group, command->name != NULL ? command->name : command->operands,
+                       command->name != NULL ? command->operands : NULL, NULL);
       g_string_append_printf (text, "  %-22s %s\n", call, command->help);
     }
-  g_string_append (text, "\nquinceroute COMMAND --help tells a command's flags.\n"
+  g_string_append (text, "\nquinceroute COMMAND --help lists a command's flags.\n"
                          "Exit statuses: 0 done, 1 failed, 2 bad usage, 3 conflict with another operator,\n"
                          "4 outcome unknown: the write may or may not take effect.\n");
   return g_string_free (text, FALSE);
 }
 
-/* Stops at the command word; its index goes to the input's n_words. */
+/* Stops at the command's first word; its index goes to the input's n_operands. */
 static error_t
 parse_until_command (int key, char *value, struct argp_state *state)
 {
@@ -207,7 +190,7 @@
       state->child_inputs[0] = arguments;
       return 0;
     case ARGP_KEY_ARG:
-      arguments->n_words = (guint)state->next - 1;
+      arguments->n_operands = (guint)state->next - 1;
       state->next = state->argc;
       return 0;
     case ARGP_KEY_NO_ARGS:
@@ -218,15 +201,15 @@
     }
 }
 
-/* Parses the flags before the command; returns the index of the command word. */
+/* Parses the flags before the command; returns the index of the command's first word. */
 static int
-find_command_word (int argc, char **argv, QuinceToolArguments *arguments)
+find_command_index (int argc, char **argv, QuinceToolArguments *arguments)
 {
   g_autofree char *doc = describe_commands ();
   struct argp argp = { NULL, parse_until_command, "COMMAND [ARGUMENT...]", doc, global_child, NULL, NULL };
   argp_parse (&argp, argc, argv, ARGP_IN_ORDER, NULL, arguments);
-  int index = (int)arguments->n_words;
-  arguments->n_words = 0;
+  int index = (int)arguments->n_operands;
+  arguments->n_operands = 0;
   return index;
 }
 
@@ -250,18 +233,18 @@
 }
 
 static gboolean
-parse_words (const ToolCommand *command, int argc, char **argv, QuinceToolArguments *arguments)
+parse_operands (const ToolCommand *command, int argc, char **argv, QuinceToolArguments *arguments)
 {
   g_autofree char *name = g_strjoin (" ", "quinceroute", command->group, command->name, NULL);
   struct argp argp
-      = { command->flags, parse_command, command->words, command->help, global_child, NULL, NULL };
+      = { command->flags, parse_command, command->operands, command->help, global_child, NULL, NULL };
   argv[0] = name;
   argp_parse (&argp, argc, argv, 0, NULL, arguments);
-  if (arguments->n_words == command->n_words
-      || (command->takes_more && arguments->n_words > command->n_words))
+  if (arguments->n_operands == command->n_operands
+      || (command->takes_more && arguments->n_operands > command->n_operands))
     return TRUE;
-  quince_tool_usage ("%s takes %u argument(s): %s", name + strlen ("quinceroute "), command->n_words,
-                     command->words);
+  quince_tool_usage ("%s takes %u argument(s): %s", name + strlen ("quinceroute "), command->n_operands,
+                     command->operands);
   return FALSE;
 }
 
@@ -272,9 +255,9 @@
   argp_err_exit_status = QUINCE_TOOL_USAGE;
   signal (SIGPIPE, SIG_IGN);
   quince_log_init ("quinceroute", "", G_LOG_LEVEL_WARNING);
-  int index = find_command_word (argc, argv, &tool.arguments);
+  int index = find_command_index (argc, argv, &tool.arguments);
   const ToolCommand *command = find_command (argc, argv, &index);
-  if (command == NULL || !parse_words (command, argc - index, argv + index, &tool.arguments))
+  if (command == NULL || !parse_operands (command, argc - index, argv + index, &tool.arguments))
     return QUINCE_TOOL_USAGE;
   QuinceToolStatus status = QUINCE_TOOL_USAGE;
   if (quince_tool_open (&tool))
--- a/tools/policy-commands.c
+++ b/tools/policy-commands.c
@@ -1,24 +1,29 @@
 /*
- * policy-commands.c: quinceroute policy check, diff, accept, show, status.
+ * policy-commands.c: quinceroute policy check, diff, accept, show.
+ *
+ * The accepted policy is one key of the metadata store, whose revision is the policy's.  An accept is one
+ * write under the condition that the key has the expected revision; it carries a random proposal id, so that
+ * a lost answer is resolved by reading the key back.  While the expected revision stands the same write may
+ * be sent again: at most one of the sends takes effect.
  */
 #include <stdio.h>
 #include <string.h>
 
+#include "forward/policy-entry.h"
+#include "observer/observer.h"
 #include "protocol/request-id.h"
 
 #include "commands.h"
 #include "line-diff.h"
-#include "node-status.h"
 #include "policy-program.h"
-#include "store-commands.h"
-#include "table.h"
+#include "store-calls.h"
 
 /* ---- check ------------------------------------------------------------------- */
 
 QuinceToolStatus
 quince_command_policy_check (QuinceTool *tool)
 {
-  const char *path = tool->arguments.words[0];
+  const char *path = tool->arguments.operands[0];
   g_autofree char *text = quince_policy_program_read (path);
   if (text == NULL || !quince_policy_program_check (path, text))
     return QUINCE_TOOL_FAILED;
@@ -38,83 +43,79 @@
   return QUINCE_TOOL_OK;
 }
 
-/* ---- Reading the head ---------------------------------------------------------- */
+/* ---- The accepted policy ------------------------------------------------------ */
 
+/* What the store holds. */
 typedef struct
 {
-  QuinceTool *tool;
-  guint64 revision; /* 0: none was ever accepted */
-  char *text;       /* owned */
-  char *hash;       /* owned */
-  char *author;     /* owned */
-  char *comment;    /* owned */
-} HeadView;
+  guint64 revision;         /* 0: none was ever accepted */
+  QuincePolicyEntry *entry; /* owned; %NULL when @revision is 0 */
+  char *hash;               /* owned; of the program, "" when @revision is 0 */
+} AcceptedPolicy;
 
 static void
-head_view_clear (HeadView *head)
+accepted_policy_clear (AcceptedPolicy *policy)
 {
-  g_free (head->text);
-  g_free (head->hash);
-  g_free (head->author);
-  g_free (head->comment);
-}
-G_DEFINE_AUTO_CLEANUP_CLEAR_FUNC (HeadView, head_view_clear)
-
-static void
-on_head (const QuincePolicyHead *head, const GError *error, gpointer user_data)
-{
-  HeadView *view = user_data;
-  if (error != NULL)
-    {
-      quince_tool_finish (view->tool, quince_tool_fail_error (error));
-      return;
-    }
-  view->revision = head != NULL ? head->body->revision : 0;
-  view->text = g_strdup (head != NULL ? head->body->text : "");
-  view->hash = g_strdup (head != NULL ? head->body->hash : "");
-  view->author = g_strdup (head != NULL ? head->author : "");
-  view->comment = g_strdup (head != NULL ? head->comment : "");
-  quince_tool_finish (view->tool, QUINCE_TOOL_OK);
+  g_clear_pointer (&policy->entry, quince_policy_entry_free);
+  g_free (policy->hash);
 }
+G_DEFINE_AUTO_CLEANUP_CLEAR_FUNC (AcceptedPolicy, accepted_policy_clear)
 
+/* A failure is printed. */
 static QuinceToolStatus
-read_head (QuinceTool *tool, HeadView *view)
+read_accepted (QuinceTool *tool, AcceptedPolicy *policy)
 {
-  view->tool = tool;
-  if (!quince_tool_need_store (tool))
-    return QUINCE_TOOL_USAGE;
-  quince_operator_store_read_policy (tool->store, on_head, view);
-  quince_tool_wait (tool);
-  return tool->status;
+  g_auto (QuinceStoreAnswer) answer = { 0 };
+  g_autoptr (GError) error = NULL;
+  quince_store_read_key (tool, QUINCE_POLICY_KEY, &answer);
+  if (!answer.done)
+    return quince_store_fail (answer.error);
+  policy->revision = answer.revision;
+  if (answer.value != NULL)
+    policy->entry = quince_policy_entry_parse (answer.value, &error);
+  if (error != NULL)
+    return quince_tool_fail ("invalid", "%s", error->message);
+  const char *program = policy->entry != NULL ? policy->entry->program : "";
+  policy->hash = *program != '\0' ? quince_hash_text (program, strlen (program)) : g_strdup ("");
+  return QUINCE_TOOL_OK;
 }
 
 /* ---- diff ------------------------------------------------------------------------ */
 
-QuinceToolStatus
-quince_command_policy_diff (QuinceTool *tool)
+static void
+print_diff (const QuinceTool *tool, guint64 revision, const char *diff)
 {
-  const char *path = tool->arguments.words[0];
-  g_auto (HeadView) head = { 0 };
-  g_autofree char *text = quince_policy_program_read (path);
-  if (text == NULL)
-    return QUINCE_TOOL_FAILED;
-  QuinceToolStatus status = read_head (tool, &head);
-  if (status != QUINCE_TOOL_OK)
-    return status;
-  g_autofree char *name = g_strdup_printf ("revision %" G_GUINT64_FORMAT, head.revision);
-  g_autofree char *diff = quince_line_diff (head.text, text, name, path);
   if (!tool->arguments.json)
     {
       fputs (diff != NULL ? diff : "", stdout);
-      return QUINCE_TOOL_OK;
+      return;
     }
   g_autoptr (JsonBuilder) builder = json_builder_new ();
   json_builder_begin_object (builder);
-  quince_tool_add_number (builder, "revision", (gint64)head.revision);
+  quince_tool_add_number (builder, "revision", (gint64)revision);
   quince_tool_add_flag (builder, "same", diff == NULL);
   quince_tool_add_text (builder, "diff", diff != NULL ? diff : "");
   json_builder_end_object (builder);
   quince_tool_print_json (builder);
+}
+
+QuinceToolStatus
+quince_command_policy_diff (QuinceTool *tool)
+{
+  const char *path = tool->arguments.operands[0];
+  if (!quince_tool_need_store (tool))
+    return QUINCE_TOOL_USAGE;
+  g_autofree char *text = quince_policy_program_read (path);
+  if (text == NULL)
+    return QUINCE_TOOL_FAILED;
+  g_auto (AcceptedPolicy) policy = { 0 };
+  QuinceToolStatus status = read_accepted (tool, &policy);
+  if (status != QUINCE_TOOL_OK)
+    return status;
+  g_autofree char *name = g_strdup_printf ("revision %" G_GUINT64_FORMAT, policy.revision);
+  const char *program = policy.entry != NULL ? policy.entry->program : "";
+  g_autofree char *diff = quince_line_diff (program, text, name, path);
+  print_diff (tool, policy.revision, diff);
   return QUINCE_TOOL_OK;
 }
 
@@ -122,239 +123,149 @@
 
 typedef struct
 {
-  QuinceTool *tool;
-  guint64 expected;
+  const char *proposal; /* random id of this accept */
+  GBytes *value;        /* of the key */
+  guint64 expected;     /* revision that it replaces, 0: none */
 } Acceptance;
 
-static void
-print_conflict (const Acceptance *acceptance, const QuincePolicyHead *other, gboolean may_have_stood)
+static QuinceToolStatus
+fail_conflict (const Acceptance *acceptance, guint64 revision, const QuincePolicyEntry *entry)
 {
-  g_autofree char *comment = other != NULL ? g_strescape (other->comment, NULL) : NULL;
-  if (other == NULL)
-    quince_tool_fail ("conflict",
-                      "revision %" G_GUINT64_FORMAT " was expected, what stands there does not parse",
-                      acceptance->expected);
-  else
-    quince_tool_fail ("conflict",
-                      "revision %" G_GUINT64_FORMAT " by %s (\"%s\") stands, not %" G_GUINT64_FORMAT
-                      "; compare with: quinceroute policy diff FILE",
-                      (guint64)other->body->revision, other->author, comment, acceptance->expected);
-  if (may_have_stood)
-    quince_tool_fail ("conflict", "an answer was lost: this program may have been in force before that one");
+  g_autofree char *comment = entry != NULL ? g_strescape (entry->comment, NULL) : NULL;
+  g_autofree char *author
+      = entry != NULL ? g_strdup_printf (" by %s (\"%s\")", entry->author, comment) : g_strdup ("");
+  quince_tool_fail ("conflict",
+                    "revision %" G_GUINT64_FORMAT "%s was accepted meanwhile, revision %" G_GUINT64_FORMAT
+                    " was expected",
+                    revision, author, acceptance->expected);
+  return QUINCE_TOOL_CONFLICT;
+}
+
+/* Returns: an exit status; on QUINCE_TOOL_OK @revision is the accepted one. */
+static QuinceToolStatus
+carry_out (QuinceTool *tool, const Acceptance *acceptance, guint64 *revision)
+{
+  g_auto (QuinceStoreAnswer) answer = { 0 };
+  QuinceMetaError error = QUINCE_META_ERROR_UNAVAILABLE;
+  for (guint i = 0; i < QUINCE_STORE_SENDS_MAX; i++)
+    {
+      quince_store_write_key (tool, QUINCE_POLICY_KEY, acceptance->value, (gint64)acceptance->expected,
+                              &answer);
+      *revision = answer.revision;
+      if (answer.done)
+        return QUINCE_TOOL_OK;
+      error = answer.error;
+      quince_store_read_key (tool, QUINCE_POLICY_KEY, &answer);
+      *revision = answer.revision;
+      g_autoptr (QuincePolicyEntry) entry
+          = answer.value != NULL ? quince_policy_entry_parse (answer.value, NULL) : NULL;
+      if (entry != NULL && g_str_equal (entry->proposal, acceptance->proposal))
+        return QUINCE_TOOL_OK;
+      if (answer.revision != acceptance->expected)
+        return fail_conflict (acceptance, answer.revision, entry);
+    }
+  return quince_store_fail (error);
+}
+
+/* From --expect, or the revision that the key has now. */
+static QuinceToolStatus
+find_expected (QuinceTool *tool, guint64 *expected)
+{
+  const char *text = tool->arguments.expect;
+  if (text != NULL && !g_ascii_string_to_unsigned (text, 10, 0, G_MAXINT64, expected, NULL))
+    return quince_tool_usage ("--expect takes a revision number, not '%s'", text);
+  if (text != NULL)
+    return QUINCE_TOOL_OK;
+  g_auto (QuinceStoreAnswer) answer = { 0 };
+  quince_store_read_key (tool, QUINCE_POLICY_KEY, &answer);
+  *expected = answer.revision;
+  return answer.done ? QUINCE_TOOL_OK : quince_store_fail (answer.error);
 }
 
 static void
-print_accepted (const Acceptance *acceptance, guint64 revision)
+print_accepted (const QuinceTool *tool, guint64 revision, guint64 expected)
 {
-  if (!acceptance->tool->arguments.json)
+  if (!tool->arguments.json)
     {
       printf ("accepted revision %" G_GUINT64_FORMAT ", replaces %" G_GUINT64_FORMAT "\n", revision,
-              acceptance->expected);
+              expected);
       return;
     }
   g_autoptr (JsonBuilder) builder = json_builder_new ();
   json_builder_begin_object (builder);
   quince_tool_add_number (builder, "revision", (gint64)revision);
-  quince_tool_add_number (builder, "replaces", (gint64)acceptance->expected);
+  quince_tool_add_number (builder, "replaces", (gint64)expected);
   json_builder_end_object (builder);
   quince_tool_print_json (builder);
 }
 
-static void
-on_accepted (guint64 revision,
-             const QuincePolicyHead *other,
-             gboolean may_have_stood,
-             const GError *error,
-             gpointer user_data)
-{
-  Acceptance *acceptance = user_data;
-  QuinceToolStatus status = QUINCE_TOOL_OK;
-  if (error == NULL)
-    print_accepted (acceptance, revision);
-  else if (g_error_matches (error, QUINCE_OPERATOR_ERROR, QUINCE_OPERATOR_ERROR_CONFLICT))
-    {
-      print_conflict (acceptance, other, may_have_stood);
-      status = QUINCE_TOOL_CONFLICT;
-    }
-  else
-    status = quince_tool_fail_error (error);
-  if (status == QUINCE_TOOL_UNKNOWN)
-    quince_tool_fail ("unknown", "learn the outcome with: quinceroute policy show");
-  quince_tool_finish (acceptance->tool, status);
-}
-
-/* From --expect, or the revision that stands now. */
+/* @program has been checked. */
 static QuinceToolStatus
-find_expected (QuinceTool *tool, guint64 *expected)
+accept_program (QuinceTool *tool, char *program)
 {
-  const char *text = tool->arguments.expect;
-  if (text != NULL)
-    {
-      if (g_ascii_string_to_unsigned (text, 10, 0, G_MAXINT64, expected, NULL))
-        return QUINCE_TOOL_OK;
-      return quince_tool_usage ("--expect takes a revision number, not '%s'", text);
-    }
-  g_auto (HeadView) head = { 0 };
-  QuinceToolStatus status = read_head (tool, &head);
-  *expected = head.revision;
+  guint64 expected = 0;
+  guint64 revision = 0;
+  QuinceToolStatus status = find_expected (tool, &expected);
+  if (status != QUINCE_TOOL_OK)
+    return status;
+  g_autofree char *author = quince_tool_get_author (tool);
+  g_autofree char *proposal = g_uuid_string_random ();
+  const QuincePolicyEntry entry = { proposal, author, (char *)tool->arguments.comment, program };
+  g_autoptr (GBytes) value = quince_policy_entry_format (&entry);
+  const Acceptance acceptance = { proposal, value, expected };
+  status = carry_out (tool, &acceptance, &revision);
   if (status == QUINCE_TOOL_OK)
-    fprintf (stderr, "quinceroute: no --expect given: replacing revision %" G_GUINT64_FORMAT ", just read\n",
-             head.revision);
+    print_accepted (tool, revision, expected);
   return status;
 }
 
 QuinceToolStatus
 quince_command_policy_accept (QuinceTool *tool)
 {
-  const char *path = tool->arguments.words[0];
-  if (tool->meta == NULL && !quince_tool_need_store (tool))
+  const char *path = tool->arguments.operands[0];
+  if (!quince_tool_need_store (tool))
     return QUINCE_TOOL_USAGE;
   if (tool->arguments.comment == NULL)
     return quince_tool_usage ("policy accept needs --comment TEXT");
   g_autofree char *text = quince_policy_program_read (path);
   if (text == NULL || !quince_policy_program_check (path, text))
     return QUINCE_TOOL_FAILED;
-  if (tool->meta != NULL)
-    return quince_store_policy_accept (tool, text);
-  Acceptance acceptance = { .tool = tool };
-  QuinceToolStatus status = find_expected (tool, &acceptance.expected);
-  if (status != QUINCE_TOOL_OK)
-    return status;
-  g_autofree char *author = quince_tool_get_author (tool);
-  QuincePolicyProposal proposal = {
-    .text = text,
-    .author = author,
-    .comment = tool->arguments.comment,
-    .expected = acceptance.expected,
-  };
-  quince_operator_store_accept_policy (tool->store, &proposal, on_accepted, &acceptance);
-  quince_tool_wait (tool);
-  return tool->status;
+  return accept_program (tool, text);
 }
 
 /* ---- show --------------------------------------------------------------------------- */
 
-QuinceToolStatus
-quince_command_policy_show (QuinceTool *tool)
-{
-  if (tool->meta != NULL)
-    return quince_store_policy_show (tool);
-  g_auto (HeadView) head = { 0 };
-  QuinceToolStatus status = read_head (tool, &head);
-  if (status != QUINCE_TOOL_OK)
-    return status;
-  if (tool->arguments.json)
-    {
-      g_autoptr (JsonBuilder) builder = json_builder_new ();
-      json_builder_begin_object (builder);
-      quince_tool_add_number (builder, "revision", (gint64)head.revision);
-      quince_tool_add_text (builder, "hash", head.hash);
-      quince_tool_add_text (builder, "author", head.author);
-      quince_tool_add_text (builder, "comment", head.comment);
-      quince_tool_add_text (builder, "text", head.text);
-      json_builder_end_object (builder);
-      quince_tool_print_json (builder);
-      return QUINCE_TOOL_OK;
-    }
-  if (head.revision == 0)
-    {
-      printf ("-- no policy was accepted yet: the built-in decision is in force\n");
-      return QUINCE_TOOL_OK;
-    }
-  /* Heading lines are Lua comments, so that the output is itself the program. */
-  g_autofree char *author = g_strescape (head.author, NULL);
-  g_autofree char *comment = g_strescape (head.comment, NULL);
-  printf ("-- revision %" G_GUINT64_FORMAT ", hash %s\n-- by %s: %s\n", head.revision, head.hash, author,
-          comment);
-  fputs (head.text, stdout);
-  return QUINCE_TOOL_OK;
-}
-
-/* ---- status --------------------------------------------------------------------------- */
-
-static const char *
-judge_revision (const QuinceNodeAnswer *answer, guint64 wanted)
-{
-  guint64 revision = quince_node_answer_get_number (answer, "policy.revision");
-  if (answer->answer == NULL)
-    return "unreachable";
-  if (revision < wanted)
-    return "behind";
-  return quince_node_answer_get_flag (answer, "policy.current") ? "in force" : "not current";
-}
-
-/* The revision that every node should have: the greatest of the head's and those seen on the nodes. */
-static guint64
-find_wanted (QuinceTool *tool, const GPtrArray *answers)
-{
-  g_auto (HeadView) head = { 0 };
-  guint64 greatest = 0;
-  if (tool->store != NULL && read_head (tool, &head) == QUINCE_TOOL_OK)
-    greatest = head.revision;
-  for (guint i = 0; i < answers->len; i++)
-    greatest = MAX (greatest, quince_node_answer_get_number (answers->pdata[i], "policy.revision"));
-  return greatest;
-}
-
 static void
-print_revision_table (const GPtrArray *answers, guint64 wanted)
-{
-  static const char *const headings[] = { "NODE", "ZONE", "ADDRESS", "REVISION", "HASH", "STATE", NULL };
-  g_autoptr (QuinceTable) table = quince_table_new (headings);
-  for (guint i = 0; i < answers->len; i++)
-    {
-      const QuinceNodeAnswer *answer = answers->pdata[i];
-      quince_table_add (table, quince_node_answer_get_text (answer, "name"));
-      quince_table_add (table, quince_node_answer_get_text (answer, "zone"));
-      quince_table_add (table, answer->address);
-      quince_table_add_format (table, "%" G_GUINT64_FORMAT,
-                               quince_node_answer_get_number (answer, "policy.revision"));
-      quince_table_add_format (table, "%.12s", quince_node_answer_get_text (answer, "policy.hash"));
-      quince_table_add (table, judge_revision (answer, wanted));
-    }
-  printf ("newest revision %" G_GUINT64_FORMAT "\n", wanted);
-  quince_table_print (table);
-}
-
-static void
-print_revision_json (const GPtrArray *answers, guint64 wanted)
+print_policy_json (const AcceptedPolicy *policy)
 {
+  const QuincePolicyEntry *entry = policy->entry;
   g_autoptr (JsonBuilder) builder = json_builder_new ();
   json_builder_begin_object (builder);
-  quince_tool_add_number (builder, "revision", (gint64)wanted);
-  json_builder_set_member_name (builder, "nodes");
-  json_builder_begin_array (builder);
-  for (guint i = 0; i < answers->len; i++)
-    {
-      const QuinceNodeAnswer *answer = answers->pdata[i];
-      json_builder_begin_object (builder);
-      quince_tool_add_text (builder, "name", quince_node_answer_get_text (answer, "name"));
-      quince_tool_add_text (builder, "address", answer->address);
-      quince_tool_add_number (builder, "revision",
-                              (gint64)quince_node_answer_get_number (answer, "policy.revision"));
-      quince_tool_add_text (builder, "hash", quince_node_answer_get_text (answer, "policy.hash"));
-      quince_tool_add_text (builder, "state", judge_revision (answer, wanted));
-      json_builder_end_object (builder);
-    }
-  json_builder_end_array (builder);
+  quince_tool_add_number (builder, "revision", (gint64)policy->revision);
+  quince_tool_add_text (builder, "hash", policy->hash);
+  quince_tool_add_text (builder, "author", entry != NULL ? entry->author : "");
+  quince_tool_add_text (builder, "comment", entry != NULL ? entry->comment : "");
+  quince_tool_add_text (builder, "text", entry != NULL ? entry->program : "");
   json_builder_end_object (builder);
   quince_tool_print_json (builder);
 }
 
 QuinceToolStatus
-quince_command_policy_status (QuinceTool *tool)
+quince_command_policy_show (QuinceTool *tool)
 {
-  if (!quince_tool_need_nodes (tool))
+  if (!quince_tool_need_store (tool))
     return QUINCE_TOOL_USAGE;
-  g_autoptr (GPtrArray) answers = quince_node_answers_fetch (tool);
-  guint64 wanted = find_wanted (tool, answers);
+  g_auto (AcceptedPolicy) policy = { 0 };
+  QuinceToolStatus status = read_accepted (tool, &policy);
+  if (status != QUINCE_TOOL_OK)
+    return status;
+  /* Heading lines are Lua comments, so that the output is itself the program. */
   if (tool->arguments.json)
-    print_revision_json (answers, wanted);
+    print_policy_json (&policy);
+  else if (policy.entry == NULL)
+    printf ("-- no policy was accepted yet: the one of the settings is in force\n");
   else
-    print_revision_table (answers, wanted);
-  quince_node_answers_report (answers);
-  for (guint i = 0; i < answers->len; i++)
-    if (strcmp (judge_revision (answers->pdata[i], wanted), "in force") != 0)
-      return QUINCE_TOOL_FAILED;
+    printf ("-- revision %" G_GUINT64_FORMAT "\n-- by %s: %s\n%s", policy.revision, policy.entry->author,
+            policy.entry->comment, policy.entry->program);
   return QUINCE_TOOL_OK;
 }
--- /dev/null
+++ b/tools/store-calls.c
@@ -0,0 +1,134 @@
+/*
+ * store-calls.c: calls to the metadata store; see store-calls.h.
+ */
+#include "store-calls.h"
+
+/* Most time between two reads of a list that is not complete yet, ms; the least of a mirror's times. */
+#define LIST_EVERY_MS 1000
+
+/* ---- One key ---------------------------------------------------------------- */
+
+typedef struct
+{
+  QuinceTool *tool;
+  QuinceStoreAnswer *answer;
+} Call;
+
+void
+quince_store_answer_clear (QuinceStoreAnswer *answer)
+{
+  g_clear_pointer (&answer->value, g_bytes_unref);
+  *answer = (QuinceStoreAnswer){ 0 };
+}
+
+static void
+call_answered (const QuinceMetaPage *page, guint64 number, const GError *error, gpointer data)
+{
+  Call *call = data;
+  QuinceStoreAnswer *answer = call->answer;
+  answer->done = error == NULL;
+  answer->error = error != NULL ? (QuinceMetaError)error->code : 0;
+  answer->revision = number;
+  if (page != NULL && page->items->len > 0)
+    {
+      const QuinceMetaItem *item = page->items->pdata[0];
+      answer->value = item->value != NULL ? g_bytes_ref (item->value) : NULL;
+      answer->revision = item->revision;
+    }
+  quince_tool_finish (call->tool, QUINCE_TOOL_OK);
+}
+
+void
+quince_store_read_key (QuinceTool *tool, const char *key, QuinceStoreAnswer *answer)
+{
+  Call call = { tool, answer };
+  quince_store_answer_clear (answer);
+  quince_meta_store_get (tool->meta, key, call_answered, &call);
+  quince_tool_wait (tool);
+  if (!answer->done && answer->error == QUINCE_META_ERROR_GONE)
+    *answer = (QuinceStoreAnswer){ .done = TRUE };
+}
+
+void
+quince_store_write_key (QuinceTool *tool,
+                        const char *key,
+                        GBytes *value,
+                        gint64 expected,
+                        QuinceStoreAnswer *answer)
+{
+  const QuinceMetaChange change = { .key = key, .expected_revision = expected, .value = value };
+  Call call = { tool, answer };
+  quince_store_answer_clear (answer);
+  quince_meta_store_change (tool->meta, &change, 1, call_answered, &call);
+  quince_tool_wait (tool);
+}
+
+QuinceToolStatus
+quince_store_put_entry (QuinceTool *tool, const char *prefix, const char *name, GBytes *value)
+{
+  g_autofree char *key = g_strconcat (prefix, name, NULL);
+  g_auto (QuinceStoreAnswer) answer = { 0 };
+  for (guint i = 0; i < QUINCE_STORE_SENDS_MAX; i++)
+    {
+      quince_store_write_key (tool, key, value, -1, &answer);
+      if (answer.done)
+        return QUINCE_TOOL_OK;
+    }
+  return quince_store_fail (answer.error);
+}
+
+/* ---- Lists ------------------------------------------------------------------ */
+
+typedef struct
+{
+  QuinceTool *tool;
+  QuinceStoreItem item;
+  gpointer user_data;
+} List;
+
+static void
+item_read (const QuinceMetaItem *item, gpointer data)
+{
+  List *list = data;
+  list->item (item, list->user_data);
+}
+
+static void
+all_read (gpointer data)
+{
+  quince_tool_finish (((List *)data)->tool, QUINCE_TOOL_OK);
+}
+
+QuinceToolStatus
+quince_store_read_prefix (QuinceTool *tool, const char *prefix, QuinceStoreItem item, gpointer user_data)
+{
+  static const QuinceMetaMirrorCallbacks callbacks = { .item = item_read, .synced = all_read };
+  static const QuinceMetaMirrorTimes times = { .read_every_ms = LIST_EVERY_MS, .patience_ms = LIST_EVERY_MS };
+  List list = { tool, item, user_data };
+  QuinceMetaMirror *mirror = quince_meta_mirror_new (tool->meta, prefix, &callbacks, &list);
+  quince_meta_mirror_set_times (mirror, &times);
+  quince_tool_wait (tool);
+  quince_meta_mirror_free (mirror);
+  return tool->status;
+}
+
+/* ---- Failures ---------------------------------------------------------------- */
+
+QuinceToolStatus
+quince_store_fail (QuinceMetaError error)
+{
+  switch (error)
+    {
+    case QUINCE_META_ERROR_CONFLICT:
+      quince_tool_fail ("conflict", "another write came first");
+      return QUINCE_TOOL_CONFLICT;
+    case QUINCE_META_ERROR_UNKNOWN:
+      quince_tool_fail ("unknown", "the write may or may not take effect");
+      return QUINCE_TOOL_UNKNOWN;
+    case QUINCE_META_ERROR_UNAVAILABLE:
+    case QUINCE_META_ERROR_GONE:
+    case QUINCE_META_ERROR_MALFORMED:
+    default:
+      return quince_tool_fail ("unreachable", "the metadata store does not answer");
+    }
+}
--- a/tools/tool.c
+++ b/tools/tool.c
@@ -1,5 +1,5 @@
 /*
- * tool.c: settings, clients, output and exit statuses; see tool.h.
+ * tool.c: settings, the client of the store, output and exit statuses; see tool.h.
  */
 #include "tool.h"
 
@@ -9,18 +9,14 @@
 
 #include "platform.h"
 
+/* Longest name of an operator, characters; as keys of the store allow. */
+#define NAME_MAX_CHARACTERS 64
+
 static const QuinceSettingSpec specs[] = {
-  { "operator", "kv", QUINCE_SETTING_ADDRESS_LIST, FALSE, "", 0, 0, NULL,
-    "addresses of the key-value service" },
   { "operator", "store", QUINCE_SETTING_ADDRESS, FALSE, "", 0, 0, NULL,
     "address of the metadata store of the users' platform" },
   { "operator", "zones", QUINCE_SETTING_TEXT, FALSE, "", 0, 0, NULL,
     "all zones with their regions, zone=region,zone=region, as the daemons' [node] zones" },
-  { "operator", "nodes", QUINCE_SETTING_ADDRESS_LIST, FALSE, "", 0, 0, NULL, "HTTP addresses of nodes" },
-  { "operator", "kv_timeout", QUINCE_SETTING_DURATION, FALSE, "2s", 1000, 60 * G_USEC_PER_SEC, NULL,
-    "time for one try on the key-value service" },
-  { "operator", "write_timeout", QUINCE_SETTING_DURATION, FALSE, "10s", 1000, 600 * G_USEC_PER_SEC, NULL,
-    "time for a write to reach its outcome" },
 };
 
 /* ---- Errors ------------------------------------------------------------------- */
@@ -55,72 +51,25 @@
   return QUINCE_TOOL_FAILED;
 }
 
-QuinceToolStatus
-quince_tool_fail_error (const GError *error)
-{
-  quince_tool_fail (quince_operator_error_get_name (error), "%s", error->message);
-  if (g_error_matches (error, QUINCE_OPERATOR_ERROR, QUINCE_OPERATOR_ERROR_CONFLICT))
-    return QUINCE_TOOL_CONFLICT;
-  if (g_error_matches (error, QUINCE_OPERATOR_ERROR, QUINCE_OPERATOR_ERROR_UNKNOWN))
-    return QUINCE_TOOL_UNKNOWN;
-  return QUINCE_TOOL_FAILED;
-}
-
 /* ---- Lifetime ------------------------------------------------------------------- */
 
-/* Flags separate addresses by ',' or ';', settings files by ';'. */
-static char *
-make_override (const char *key, const char *addresses)
-{
-  if (addresses == NULL)
-    return NULL;
-  g_autofree char *list = g_strdelimit (g_strdup (addresses), ",", ';');
-  return g_strdup_printf ("operator.%s=%s", key, list);
-}
-
-static void
-add_override (GPtrArray *overrides, const char *key, const char *addresses)
-{
-  char *override = make_override (key, addresses);
-  if (override != NULL)
-    g_ptr_array_add (overrides, override);
-}
-
-static guint
-get_ms (const QuinceSettings *settings, const char *key)
-{
-  return (guint)(quince_settings_get_duration_us (settings, "operator", key) / 1000);
-}
-
 gboolean
 quince_tool_open (QuinceTool *tool)
 {
-  g_autoptr (GPtrArray) overrides = g_ptr_array_new_with_free_func (g_free);
-  add_override (overrides, "kv", tool->arguments.kv);
-  add_override (overrides, "store", tool->arguments.store);
-  add_override (overrides, "nodes", tool->arguments.nodes);
-  g_ptr_array_add (overrides, NULL);
+  g_autofree char *override
+      = tool->arguments.store != NULL ? g_strconcat ("operator.store=", tool->arguments.store, NULL) : NULL;
+  const char *const overrides[] = { override, NULL };
   g_autoptr (GError) error = NULL;
-  tool->settings = quince_settings_load (tool->arguments.config, specs, G_N_ELEMENTS (specs),
-                                         (const char *const *)overrides->pdata, &error);
+  tool->settings
+      = quince_settings_load (tool->arguments.config, specs, G_N_ELEMENTS (specs), overrides, &error);
   if (tool->settings == NULL)
     {
       quince_tool_usage ("%s", error->message);
       return FALSE;
     }
-  tool->node_addresses = quince_settings_get_list (tool->settings, "operator", "nodes");
-  tool->session = soup_session_new ();
-  soup_session_set_proxy_resolver (tool->session, NULL);
-  const char *meta = quince_settings_get_text (tool->settings, "operator", "store");
-  if (*meta != '\0')
-    tool->meta = quince_meta_store_new (meta, &quince_platform_meta_dialect);
-  g_auto (GStrv) endpoints = quince_settings_get_list (tool->settings, "operator", "kv");
-  if (endpoints[0] != NULL)
-    {
-      const char *const *addresses = (const char *const *)endpoints;
-      tool->client = quince_kv_client_new (addresses, get_ms (tool->settings, "kv_timeout"));
-      tool->store = quince_operator_store_new (tool->client, get_ms (tool->settings, "write_timeout"));
-    }
+  const char *address = quince_settings_get_text (tool->settings, "operator", "store");
+  if (*address != '\0')
+    tool->meta = quince_meta_store_new (address, &quince_platform_meta_dialect);
   return TRUE;
 }
 
@@ -128,10 +77,6 @@
 quince_tool_close (QuinceTool *tool)
 {
   g_clear_pointer (&tool->meta, quince_meta_store_free);
-  g_clear_pointer (&tool->store, quince_operator_store_free);
-  g_clear_pointer (&tool->client, quince_kv_client_free);
-  g_clear_object (&tool->session);
-  g_clear_pointer (&tool->node_addresses, g_strfreev);
   g_clear_pointer (&tool->settings, quince_settings_free);
 }
 
@@ -153,17 +98,21 @@
 gboolean
 quince_tool_need_store (const QuinceTool *tool)
 {
-  if (tool->store == NULL)
-    quince_tool_usage ("no address of the key-value service: give --kv or [operator] kv in --config");
-  return tool->store != NULL;
+  if (tool->meta == NULL)
+    quince_tool_usage ("no address of the metadata store: give --store or [operator] store in --config");
+  return tool->meta != NULL;
 }
 
-gboolean
-quince_tool_need_nodes (const QuinceTool *tool)
+static gboolean
+is_valid_name (const char *name)
 {
-  if (tool->node_addresses[0] == NULL)
-    quince_tool_usage ("no address of a node: give --node or [operator] nodes in --config");
-  return tool->node_addresses[0] != NULL;
+  gsize length = strlen (name);
+  if (length == 0 || length > NAME_MAX_CHARACTERS)
+    return FALSE;
+  for (gsize i = 0; i < length; i++)
+    if (!g_ascii_isalnum (name[i]) && strchr ("-_.", name[i]) == NULL)
+      return FALSE;
+  return TRUE;
 }
 
 char *
@@ -172,7 +121,7 @@
   if (tool->arguments.author != NULL)
     return g_strdup (tool->arguments.author);
   const char *login = g_get_user_name ();
-  return g_strdup (quince_operator_name_is_valid (login) ? login : "operator");
+  return g_strdup (is_valid_name (login) ? login : "operator");
 }
 
 /* ---- JSON output --------------------------------------------------------------- */
--- a/tools/tool.h
+++ b/tools/tool.h
@@ -1,40 +1,40 @@
 /*
- * tool.h: what every command of the operator's program "quinceroute" shares:
- * its flags, the key-value service, the nodes, output and exit statuses.
+ * tool.h: what every command of the operator's program "quinceroute" shares: its flags and settings, the
+ * connection to the metadata store, output and exit statuses.
  *
- * One thread; a command starts an operation and runs the main loop until the
- * operation's callback came.  Every operation is bounded in time.
+ * Owns the settings and the client of the store.  One thread; a command starts an operation and runs the main
+ * loop until the operation's callback ends it.  Relies on lib/meta and on the platform's dialect of the
+ * store.
  */
 #pragma once
 
 #include <argp.h>
 #include <json-glib/json-glib.h>
-#include <libsoup/soup.h>
 
 #include "meta/meta-store.h"
-#include "clients/operator-store.h"
 #include "runtime/settings.h"
 
 G_BEGIN_DECLS
 
+/* Exit statuses of the program. */
 typedef enum
 {
   QUINCE_TOOL_OK = 0,
-  QUINCE_TOOL_FAILED = 1,
-  QUINCE_TOOL_USAGE = 2,
-  QUINCE_TOOL_CONFLICT = 3,
-  QUINCE_TOOL_UNKNOWN = 4, /* the write may or may not take effect */
+  QUINCE_TOOL_FAILED = 1,   /* a write was certainly not carried out */
+  QUINCE_TOOL_USAGE = 2,    /* bad flags, settings or operands; nothing was tried */
+  QUINCE_TOOL_CONFLICT = 3, /* another write came first */
+  QUINCE_TOOL_UNKNOWN = 4,  /* the write may or may not take effect */
 } QuinceToolStatus;
 
-#define QUINCE_TOOL_WORDS_MAX 256
+/* Operands that one command takes at most, for the names of log files; not measured: a deployment has fewer
+ * processes on one machine. */
+#define QUINCE_TOOL_OPERANDS_MAX 256
 
-/* Flags and words of one run; texts belong to argv, %NULL when not given. */
+/* Flags and operands of one run; texts belong to argv, %NULL when not given. */
 typedef struct
 {
   /* global */
-  const char *kv;
   const char *store;
-  const char *nodes;
   const char *config;
   gboolean json;
   /* of single commands */
@@ -45,25 +45,21 @@
   const char *duration;
   const char *service;
   const char *expected;
-  /* words after the command */
-  const char *words[QUINCE_TOOL_WORDS_MAX];
-  guint n_words;
+  /* what follows the command's name */
+  const char *operands[QUINCE_TOOL_OPERANDS_MAX];
+  guint n_operands;
 } QuinceToolArguments;
 
 typedef struct
 {
   QuinceToolArguments arguments;
-  QuinceSettings *settings;   /* owned */
-  char **node_addresses;      /* owned */
-  QuinceKvClient *client;     /* owned; NULL when no --kv is set */
-  QuinceOperatorStore *store; /* owned; NULL when no --kv is set */
-  QuinceMetaStore *meta;      /* owned; NULL when no --store is set */
-  SoupSession *session;       /* owned */
-  gboolean done;              /* the operation's callback came */
-  QuinceToolStatus status;    /* what the command ends with */
+  QuinceSettings *settings; /* owned */
+  QuinceMetaStore *meta;    /* owned; NULL when no --store is set */
+  gboolean done;            /* the operation has ended */
+  QuinceToolStatus status;  /* what the command ends with */
 } QuinceTool;
 
-/* Checks the settings and opens the clients; on %FALSE the reason is printed. */
+/* Checks the settings and opens the client of the store; on %FALSE the reason is printed. */
 gboolean quince_tool_open (QuinceTool *tool);
 void quince_tool_close (QuinceTool *tool);
 
@@ -74,14 +70,11 @@
 /* Print "quinceroute: ..." to standard error and return the exit status. */
 QuinceToolStatus quince_tool_usage (const char *format, ...) G_GNUC_PRINTF (1, 2);
 QuinceToolStatus quince_tool_fail (const char *type, const char *format, ...) G_GNUC_PRINTF (2, 3);
-/* Also maps conflict and unknown outcome to their exit statuses. */
-QuinceToolStatus quince_tool_fail_error (const GError *error);
 
-/* %FALSE, with the reason printed, when no --kv, or no --node, is set. */
+/* %FALSE, with the reason printed, when no address of the store is set. */
 gboolean quince_tool_need_store (const QuinceTool *tool);
-gboolean quince_tool_need_nodes (const QuinceTool *tool);
 
-/* Name of the operator: --author, else the login name as far as it is a valid name. (transfer full) */
+/* Name of the operator: --author, else the login name where that is a valid name. (transfer full) */
 char *quince_tool_get_author (const QuinceTool *tool);
 
 /* Prints the builder's root to standard output. */
--- a/tools/zone-commands.c
+++ b/tools/zone-commands.c
@@ -9,22 +9,22 @@
 
 #include "commands.h"
 #include "platform.h"
+#include "store-calls.h"
 #include "table.h"
 
-/* What is not known. */
+/* Printed for what is not known. */
 #define NO_VALUE "-"
 
-/* What the store tells of one zone. */
+/* One zone, as the store describes it. */
 typedef struct
 {
   guint workers;
   guint draining;
-  guint64 evacuated; /* revision of the operator's word; 0: not evacuated */
+  guint64 evacuated; /* revision of the operator's evacuation; 0: not evacuated */
 } Zone;
 
 typedef struct
 {
-  QuinceTool *tool;
   GTree *zones; /* name to Zone, both owned */
   QuinceTopology *topology;
   QuinceTable *table;
@@ -71,22 +71,6 @@
   zone->draining += worker->draining ? 1 : 0;
 }
 
-static void
-all_read (gpointer data)
-{
-  quince_tool_finish (((Listing *)data)->tool, QUINCE_TOOL_OK);
-}
-
-static void
-read_prefix (Listing *listing, const char *prefix, const QuinceMetaMirrorCallbacks *callbacks)
-{
-  static const QuinceMetaMirrorTimes times = { .read_every_ms = 1000, .patience_ms = 1000 };
-  QuinceMetaMirror *mirror = quince_meta_mirror_new (listing->tool->meta, prefix, callbacks, listing);
-  quince_meta_mirror_set_times (mirror, &times);
-  quince_tool_wait (listing->tool);
-  quince_meta_mirror_free (mirror);
-}
-
 static gboolean
 add_row (gpointer name, gpointer value, gpointer data)
 {
@@ -106,32 +90,35 @@
   return FALSE;
 }
 
-QuinceToolStatus
-quince_command_zones (QuinceTool *tool)
+static void
+print_zones (Listing *listing)
 {
   static const char *const headings[]
       = { "ZONE", "REGION", "WORKERS", "DRAINING", "EVACUATED", "REVISION", NULL };
-  static const QuinceMetaMirrorCallbacks evacuations = { .item = evacuation_read, .synced = all_read };
-  static const QuinceMetaMirrorCallbacks workers = { .item = worker_read, .synced = all_read };
-  if (tool->meta == NULL)
-    return quince_tool_usage ("zones needs --store");
+  g_autoptr (QuinceTable) table = quince_table_new (headings);
+  listing->table = table;
+  g_tree_foreach (listing->zones, add_row, listing);
+  quince_table_print (table);
+}
+
+QuinceToolStatus
+quince_command_zones (QuinceTool *tool)
+{
+  if (!quince_tool_need_store (tool))
+    return QUINCE_TOOL_USAGE;
   g_autoptr (QuinceTopology) topology = quince_topology_new ("", "");
   g_autoptr (GError) error = NULL;
   if (!quince_topology_add_zones (topology, quince_settings_get_text (tool->settings, "operator", "zones"),
                                   &error))
     return quince_tool_usage ("zones: %s", error->message);
-  Listing listing = { .tool = tool, .topology = topology };
+  Listing listing = { .topology = topology };
   listing.zones = g_tree_new_full (compare_names, NULL, g_free, g_free);
-  read_prefix (&listing, QUINCE_PLATFORM_WORKERS_PREFIX, &workers);
-  if (tool->status == QUINCE_TOOL_OK)
-    read_prefix (&listing, QUINCE_PLATFORM_EVACUATE_PREFIX, &evacuations);
-  if (tool->status == QUINCE_TOOL_OK)
-    {
-      g_autoptr (QuinceTable) table = quince_table_new (headings);
-      listing.table = table;
-      g_tree_foreach (listing.zones, add_row, &listing);
-      quince_table_print (table);
-    }
+  QuinceToolStatus status
+      = quince_store_read_prefix (tool, QUINCE_PLATFORM_WORKERS_PREFIX, worker_read, &listing);
+  if (status == QUINCE_TOOL_OK)
+    status = quince_store_read_prefix (tool, QUINCE_PLATFORM_EVACUATE_PREFIX, evacuation_read, &listing);
+  if (status == QUINCE_TOOL_OK)
+    print_zones (&listing);
   g_tree_unref (listing.zones);
-  return tool->status;
+  return status;
 }
