--- a/rehearsal/platform/standin-store.c
+++ b/rehearsal/platform/standin-store.c
@@ -318,7 +318,7 @@
   JsonArray *removes = json_object_get_array_member (object, "remove");
   for (guint i = 0; i < json_array_get_length (removes); i++)
     change (store, json_array_get_string_element (removes, i), NULL, 0);
-  if (store->fault == STANDIN_STORE_LOSES)
+  if (store->fault == STANDIN_STORE_LOSES || store->fault == STANDIN_STORE_LOSES_AND_HIDES)
     standin_close (call);
   else
     {
@@ -380,6 +380,8 @@
     answer_json (call, 503, "{}");
   else if (store->fault == STANDIN_STORE_HIDES_OWN && reads_own_keys (target))
     answer_json (call, 503, "{}");
+  else if (store->fault == STANDIN_STORE_LOSES_AND_HIDES && g_str_has_prefix (target, "/quinceroute/kv-key?"))
+    answer_json (call, 503, "{}");
   else if (g_str_has_prefix (target, "/quinceroute/kv-key?"))
     get_key (store, call);
   else if (g_str_has_prefix (target, "/quinceroute/kv-range?"))
--- a/rehearsal/platform/standin-store.h
+++ b/rehearsal/platform/standin-store.h
@@ -8,13 +8,14 @@
 typedef enum
 {
   STANDIN_STORE_SOUND,
-  STANDIN_STORE_SILENT,        /* takes calls and never answers      */
-  STANDIN_STORE_BUSY,          /* 503 to all                         */
-  STANDIN_STORE_RESETS,        /* closes instead of an answer        */
-  STANDIN_STORE_LOSES,         /* does writes and does not answer    */
-  STANDIN_STORE_LISTS_NOTHING, /* 503 to lists of a prefix alone     */
-  STANDIN_STORE_HIDES_OWN,     /* 503 to reads of the product's own keys alone */
-  STANDIN_STORE_NONSENSE,      /* 200 with the text of standin_store_set_nonsense() to all */
+  STANDIN_STORE_SILENT,          /* takes calls and never answers      */
+  STANDIN_STORE_BUSY,            /* 503 to all                         */
+  STANDIN_STORE_RESETS,          /* closes instead of an answer        */
+  STANDIN_STORE_LOSES,           /* does writes and does not answer    */
+  STANDIN_STORE_LOSES_AND_HIDES, /* as LOSES, and 503 to reads of one key */
+  STANDIN_STORE_LISTS_NOTHING,   /* 503 to lists of a prefix alone     */
+  STANDIN_STORE_HIDES_OWN,       /* 503 to reads of the product's own keys alone */
+  STANDIN_STORE_NONSENSE,        /* 200 with the text of standin_store_set_nonsense() to all */
 } StandinStoreFault;
 
 typedef struct _StandinStore StandinStore;
--- a/tests/platform/test-operator-command.c
+++ b/tests/platform/test-operator-command.c
@@ -298,6 +298,35 @@
   assert_outcome (accept, STANDIN_STORE_SILENT, UNKNOWN, "quinceroute: unknown: ");
 }
 
+/* The same where a policy stands already: that it cannot be read is no conflict. */
+static void
+test_outcome_unknown_over_another (void **state)
+{
+  static const char *const first[] = { "policy", "accept", "one.lua", "--comment", "x", NULL };
+  static const char *const second[]
+      = { "policy", "accept", "two.lua", "--comment", "x", "--expect", "1", NULL };
+  assert_outcome (first, STANDIN_STORE_SOUND, OK, "");
+  assert_outcome (second, STANDIN_STORE_SILENT, UNKNOWN, "quinceroute: unknown: ");
+}
+
+/* The write is done, its answer is lost and the key cannot be read back: neither a conflict nor a failure. */
+static void
+test_done_and_not_readable (void **state)
+{
+  static const char *const accept[]
+      = { "policy", "accept", "one.lua", "--comment", "x", "--expect", "0", NULL };
+  assert_outcome (accept, STANDIN_STORE_LOSES_AND_HIDES, UNKNOWN, "quinceroute: unknown: ");
+  assert_int_equal (standin_store_get_revision (store, POLICY_KEY), 1);
+}
+
+/* Lists end in bounded time too. */
+static void
+test_list_unreachable (void **state)
+{
+  static const char *const list[] = { "event", "list", NULL };
+  assert_outcome (list, STANDIN_STORE_SILENT, FAILED, "quinceroute: unreachable: ");
+}
+
 /* A store that refuses all calls: nothing was done. */
 static void
 test_unreachable (void **state)
@@ -360,8 +389,15 @@
   if (argc > 1)
     cmocka_set_test_filter (argv[1]);
   const struct CMUnitTest tests[] = {
-    CASE (test_commands),      CASE (test_no_store),        CASE (test_bad_items),
-    CASE (test_two_operators), CASE (test_outcome_unknown), CASE (test_unreachable),
+    CASE (test_commands),
+    CASE (test_no_store),
+    CASE (test_bad_items),
+    CASE (test_two_operators),
+    CASE (test_outcome_unknown),
+    CASE (test_outcome_unknown_over_another),
+    CASE (test_done_and_not_readable),
+    CASE (test_unreachable),
+    CASE (test_list_unreachable),
   };
   return cmocka_run_group_tests_name ("operator-command", tests, NULL, NULL);
 }
--- a/tools/policy-commands.c
+++ b/tools/policy-commands.c
@@ -141,12 +141,22 @@
   return QUINCE_TOOL_CONFLICT;
 }
 
-/* Returns: an exit status; on QUINCE_TOOL_OK @revision is the accepted one. */
+/* The write may have been carried out before another one replaced it. */
+static QuinceToolStatus
+fail_replaced (const Acceptance *acceptance, guint64 revision, const QuincePolicyEntry *entry)
+{
+  QuinceToolStatus status = fail_conflict (acceptance, revision, entry);
+  quince_tool_fail ("conflict", "an answer was lost: this program may have been in force before that one");
+  return status;
+}
+
+/* A read that fails decides nothing: only a key that is read shows whether the write was carried out.
+ * Returns: an exit status; on QUINCE_TOOL_OK @revision is the accepted one. */
 static QuinceToolStatus
 carry_out (QuinceTool *tool, const Acceptance *acceptance, guint64 *revision)
 {
   g_auto (QuinceStoreAnswer) answer = { 0 };
-  QuinceMetaError error = QUINCE_META_ERROR_UNAVAILABLE;
+  gboolean may_be_done = FALSE;
   for (guint i = 0; i < QUINCE_STORE_SENDS_MAX; i++)
     {
       quince_store_write_key (tool, QUINCE_POLICY_KEY, acceptance->value, (gint64)acceptance->expected,
@@ -154,17 +164,19 @@
       *revision = answer.revision;
       if (answer.done)
         return QUINCE_TOOL_OK;
-      error = answer.error;
+      may_be_done = may_be_done || answer.error == QUINCE_META_ERROR_UNKNOWN;
       quince_store_read_key (tool, QUINCE_POLICY_KEY, &answer);
+      if (!answer.done)
+        continue;
       *revision = answer.revision;
       g_autoptr (QuincePolicyEntry) entry
           = answer.value != NULL ? quince_policy_entry_parse (answer.value, NULL) : NULL;
       if (entry != NULL && g_str_equal (entry->proposal, acceptance->proposal))
         return QUINCE_TOOL_OK;
       if (answer.revision != acceptance->expected)
-        return fail_conflict (acceptance, answer.revision, entry);
+        return (may_be_done ? fail_replaced : fail_conflict) (acceptance, answer.revision, entry);
     }
-  return quince_store_fail (error);
+  return quince_store_fail (may_be_done ? QUINCE_META_ERROR_UNKNOWN : QUINCE_META_ERROR_UNAVAILABLE);
 }
 
 /* From --expect, or the revision that the key has now. */
--- a/tools/store-calls.c
+++ b/tools/store-calls.c
@@ -5,6 +5,9 @@
 
 /* Most time between two reads of a list that is not complete yet, ms; the least of a mirror's times. */
 #define LIST_EVERY_MS 1000
+/* A list that is not complete by then fails, ms.  Not measured: far above what a store that answers
+ * needs, and no more than an operator waits for a write. */
+#define LIST_TIMEOUT_MS 10000
 
 /* ---- One key ---------------------------------------------------------------- */
 
@@ -68,13 +71,15 @@
 {
   g_autofree char *key = g_strconcat (prefix, name, NULL);
   g_auto (QuinceStoreAnswer) answer = { 0 };
+  gboolean may_be_done = FALSE;
   for (guint i = 0; i < QUINCE_STORE_SENDS_MAX; i++)
     {
       quince_store_write_key (tool, key, value, -1, &answer);
       if (answer.done)
         return QUINCE_TOOL_OK;
+      may_be_done = may_be_done || answer.error == QUINCE_META_ERROR_UNKNOWN;
     }
-  return quince_store_fail (answer.error);
+  return quince_store_fail (may_be_done ? QUINCE_META_ERROR_UNKNOWN : answer.error);
 }
 
 /* ---- Lists ------------------------------------------------------------------ */
@@ -84,6 +89,7 @@
   QuinceTool *tool;
   QuinceStoreItem item;
   gpointer user_data;
+  gboolean timed_out;
 } List;
 
 static void
@@ -99,17 +105,28 @@
   quince_tool_finish (((List *)data)->tool, QUINCE_TOOL_OK);
 }
 
+static gboolean
+list_timed_out (gpointer data)
+{
+  List *list = data;
+  list->timed_out = TRUE;
+  quince_tool_finish (list->tool, QUINCE_TOOL_FAILED);
+  return G_SOURCE_CONTINUE;
+}
+
 QuinceToolStatus
 quince_store_read_prefix (QuinceTool *tool, const char *prefix, QuinceStoreItem item, gpointer user_data)
 {
   static const QuinceMetaMirrorCallbacks callbacks = { .item = item_read, .synced = all_read };
   static const QuinceMetaMirrorTimes times = { .read_every_ms = LIST_EVERY_MS, .patience_ms = LIST_EVERY_MS };
-  List list = { tool, item, user_data };
+  List list = { .tool = tool, .item = item, .user_data = user_data };
   QuinceMetaMirror *mirror = quince_meta_mirror_new (tool->meta, prefix, &callbacks, &list);
   quince_meta_mirror_set_times (mirror, &times);
+  guint timer = g_timeout_add (LIST_TIMEOUT_MS, list_timed_out, &list);
   quince_tool_wait (tool);
+  g_source_remove (timer);
   quince_meta_mirror_free (mirror);
-  return tool->status;
+  return list.timed_out ? quince_store_fail (QUINCE_META_ERROR_UNAVAILABLE) : tool->status;
 }
 
 /* ---- Failures ---------------------------------------------------------------- */
