--- a/lib/http1/http1.h
+++ b/lib/http1/http1.h
@@ -1,9 +1,9 @@
 /*
  * http1.h: HTTP/1.1 on connections whose framing the caller controls.
  *
- * Beside libsoup (runtime/http.h), for the path between callers and workers.  There a byte too many on a kept
- * connection, an answer that ends without a length and the exact moment of a close decide whether a request
- * may be sent again, and libsoup shows none of these.  Messages are parsed by the library http-parser.
+ * For the path between callers and workers.  There a byte too many on a kept connection, an answer that ends
+ * without a length and the exact moment of a close decide whether a request may be sent again, and HTTP
+ * libraries such as libsoup show none of these.  Messages are parsed by the library http-parser.
  *
  * Everything belongs to the thread-default context that created it.
  */
--- a/rehearsal/kit/deployment.c
+++ b/rehearsal/kit/deployment.c
@@ -10,76 +10,34 @@
   { "deployment", "name", QUINCE_SETTING_NAME, TRUE, NULL, 0, 0, NULL, "name of the deployment" },
   { "deployment", "policy", QUINCE_SETTING_TEXT, TRUE, NULL, 0, 0, NULL,
     "policy program, relative to this file" },
-  { "deployment", "zone_latency", QUINCE_SETTING_DURATION, FALSE, "500us", 0, G_USEC_PER_SEC, NULL,
-    "one way, between zones" },
-  { "deployment", "client_latency", QUINCE_SETTING_DURATION, FALSE, "1ms", 0, G_USEC_PER_SEC, NULL,
-    "one way, callers to zones" },
-  { "deployment", "sample_lease", QUINCE_SETTING_DURATION, FALSE, "15s", G_USEC_PER_SEC, 10 * MINUTE, NULL,
-    "lease of a sample" },
+  { "deployment", "zones", QUINCE_SETTING_TEXT, TRUE, NULL, 0, 0, NULL,
+    "names of zones, separated by ','; each has one front and one replica" },
   { "event", "after", QUINCE_SETTING_DURATION, FALSE, "5s", 0, MINUTE, NULL,
     "start of the event, from the start of the run" },
   { "event", "duration", QUINCE_SETTING_DURATION, FALSE, "5s", 0, 10 * MINUTE, NULL, "length of the event" },
-  { "zone *", "nodes", QUINCE_SETTING_INTEGER, FALSE, "1", 1, 64, NULL, "nodes in the zone" },
-  { "zone *", "agents", QUINCE_SETTING_INTEGER, FALSE, "1", 0, 64, NULL, "callers' agents in the zone" },
-  { "zone *", "ledger", QUINCE_SETTING_BOOLEAN, FALSE, "true", 0, 0, NULL,
-    "the first node keeps a ledger replica" },
   { "service *", "workers", QUINCE_SETTING_INTEGER, TRUE, NULL, 1, 256, NULL, "engines" },
   { "service *", "capacity", QUINCE_SETTING_INTEGER, FALSE, "16", 1, 4096, NULL,
     "sequences an engine runs at once" },
   { "service *", "token", QUINCE_SETTING_DURATION, FALSE, "2ms", 0, G_USEC_PER_SEC, NULL,
     "a token in a batch of one" },
-  { "service *", "prefill", QUINCE_SETTING_DURATION, FALSE, "50us", 0, G_USEC_PER_SEC, NULL,
-    "a prompt token" },
-  { "service *", "swap", QUINCE_SETTING_DURATION, FALSE, "200ms", 0, MINUTE, NULL, "a weight swap" },
-  { "service *", "cache_blocks", QUINCE_SETTING_INTEGER, FALSE, "4096", 1, 1000000, NULL,
-    "prefix blocks kept" },
   { "member *", "service", QUINCE_SETTING_NAME, TRUE, NULL, 0, 0, NULL, "service asked" },
   { "member *", "kind", QUINCE_SETTING_NAME, FALSE, "lookup", 0, 0, NULL, "kind of Lookup" },
   { "member *", "requests", QUINCE_SETTING_INTEGER, TRUE, NULL, 1, 100000, NULL, "requests in the burst" },
-  { "member *", "prompt_bytes", QUINCE_SETTING_INTEGER, FALSE, "512", 16, 1000000, NULL,
-    "length of a prompt" },
-  { "member *", "shared_prefix_bytes", QUINCE_SETTING_INTEGER, FALSE, "256", 0, 1000000, NULL,
-    "part that the kind's prompts share" },
-  { "member *", "tokens", QUINCE_SETTING_INTEGER, FALSE, "32", 1, 100000, NULL, "mean length of an answer" },
   { "member *", "repeatable", QUINCE_SETTING_BOOLEAN, FALSE, "true", 0, 0, NULL, "may run more than once" },
   { "member *", "deadline", QUINCE_SETTING_DURATION, FALSE, "2s", 1000, MINUTE, NULL,
     "time for the whole answer" },
   { "trainer *", "service", QUINCE_SETTING_NAME, TRUE, NULL, 0, 0, NULL, "service that generates samples" },
-  { "trainer *", "member", QUINCE_SETTING_NAME, FALSE, "trainer", 0, 0, NULL,
-    "tenant the rollouts are counted to" },
   { "trainer *", "steps", QUINCE_SETTING_INTEGER, FALSE, "3", 1, 100000, NULL, "training steps" },
   { "trainer *", "samples", QUINCE_SETTING_INTEGER, FALSE, "64", 1, 16384, NULL, "samples a step" },
   { "trainer *", "tokens", QUINCE_SETTING_INTEGER, FALSE, "64", 1, 100000, NULL, "mean length of a sample" },
-  { "trainer *", "tail_part", QUINCE_SETTING_NUMBER, FALSE, "0.05", 0, 0, NULL,
-    "part of the samples that run long" },
-  { "trainer *", "tail_factor", QUINCE_SETTING_NUMBER, FALSE, "6", 0, 0, NULL,
-    "how many times longer they run" },
   { "trainer *", "staleness_bound", QUINCE_SETTING_INTEGER, FALSE, "1", 0, 1000, NULL,
     "versions a sample may be behind" },
   { "trainer *", "step_time", QUINCE_SETTING_DURATION, FALSE, "500ms", 0, 10 * MINUTE, NULL,
     "training after a batch" },
   { "trainer *", "ahead", QUINCE_SETTING_INTEGER, FALSE, "1", 0, 64, NULL, "steps submitted ahead" },
-  { "trainer *", "first_version", QUINCE_SETTING_INTEGER, FALSE, "1", 1, G_MAXINT32, NULL,
-    "weight version at start" },
 };
 /* clang-format on */
 
-static void
-load_zones (QuinceDeployment *deployment, const QuinceSettings *settings)
-{
-  g_auto (GStrv) names = quince_settings_get_instances (settings, "zone");
-  for (char **name = names; *name != NULL; name++)
-    {
-      g_autofree char *section = g_strconcat ("zone ", *name, NULL);
-      QuinceZonePlan *zone = g_new0 (QuinceZonePlan, 1);
-      zone->name = g_strdup (*name);
-      zone->nodes = (guint)quince_settings_get_integer (settings, section, "nodes");
-      zone->agents = (guint)quince_settings_get_integer (settings, section, "agents");
-      zone->ledger = quince_settings_get_boolean (settings, section, "ledger");
-      g_ptr_array_add (deployment->zones, zone);
-    }
-}
-
 static void
 load_services (QuinceDeployment *deployment, const QuinceSettings *settings)
 {
@@ -92,9 +50,6 @@
       service->workers = (guint)quince_settings_get_integer (settings, section, "workers");
       service->capacity = (guint)quince_settings_get_integer (settings, section, "capacity");
       service->token_us = (guint64)quince_settings_get_duration_us (settings, section, "token");
-      service->prefill_us = (guint64)quince_settings_get_duration_us (settings, section, "prefill");
-      service->swap_ms = (guint64)quince_settings_get_duration_us (settings, section, "swap") / 1000;
-      service->cache_blocks = (guint)quince_settings_get_integer (settings, section, "cache_blocks");
       g_ptr_array_add (deployment->services, service);
     }
 }
@@ -111,10 +66,6 @@
       member->service = g_strdup (quince_settings_get_text (settings, section, "service"));
       member->kind = g_strdup (quince_settings_get_text (settings, section, "kind"));
       member->requests = (guint)quince_settings_get_integer (settings, section, "requests");
-      member->prompt_bytes = (guint)quince_settings_get_integer (settings, section, "prompt_bytes");
-      member->shared_prefix_bytes
-          = (guint)quince_settings_get_integer (settings, section, "shared_prefix_bytes");
-      member->tokens = (guint)quince_settings_get_integer (settings, section, "tokens");
       member->repeatable = quince_settings_get_boolean (settings, section, "repeatable");
       member->deadline_ms = (guint64)quince_settings_get_duration_us (settings, section, "deadline") / 1000;
       g_ptr_array_add (deployment->members, member);
@@ -131,28 +82,16 @@
       QuinceTrainerPlan *trainer = g_new0 (QuinceTrainerPlan, 1);
       trainer->name = g_strdup (*name);
       trainer->service = g_strdup (quince_settings_get_text (settings, section, "service"));
-      trainer->member = g_strdup (quince_settings_get_text (settings, section, "member"));
       trainer->steps = (guint)quince_settings_get_integer (settings, section, "steps");
       trainer->samples = (guint)quince_settings_get_integer (settings, section, "samples");
       trainer->tokens = (guint)quince_settings_get_integer (settings, section, "tokens");
-      trainer->tail_part = quince_settings_get_number (settings, section, "tail_part");
-      trainer->tail_factor = quince_settings_get_number (settings, section, "tail_factor");
       trainer->staleness_bound = (guint)quince_settings_get_integer (settings, section, "staleness_bound");
       trainer->step_ms = (guint64)quince_settings_get_duration_us (settings, section, "step_time") / 1000;
       trainer->ahead = (guint)quince_settings_get_integer (settings, section, "ahead");
-      trainer->first_version = (guint64)quince_settings_get_integer (settings, section, "first_version");
       g_ptr_array_add (deployment->trainers, trainer);
     }
 }
 
-static void
-zone_free (gpointer data)
-{
-  QuinceZonePlan *zone = data;
-  g_free (zone->name);
-  g_free (zone);
-}
-
 static void
 service_free (gpointer data)
 {
@@ -177,7 +116,6 @@
   QuinceTrainerPlan *trainer = data;
   g_free (trainer->name);
   g_free (trainer->service);
-  g_free (trainer->member);
   g_free (trainer);
 }
 
@@ -193,19 +131,13 @@
   const char *policy = quince_settings_get_text (settings, "deployment", "policy");
   deployment->policy
       = g_path_is_absolute (policy) ? g_strdup (policy) : g_build_filename (folder, policy, NULL);
-  deployment->zone_latency_us
-      = (guint64)quince_settings_get_duration_us (settings, "deployment", "zone_latency");
-  deployment->client_latency_us
-      = (guint64)quince_settings_get_duration_us (settings, "deployment", "client_latency");
-  deployment->sample_lease_ms
-      = (guint64)quince_settings_get_duration_us (settings, "deployment", "sample_lease") / 1000;
   deployment->event_after_ms = (guint64)quince_settings_get_duration_us (settings, "event", "after") / 1000;
   deployment->event_ms = (guint64)quince_settings_get_duration_us (settings, "event", "duration") / 1000;
-  deployment->zones = g_ptr_array_new_with_free_func (zone_free);
+  deployment->zones = g_strsplit (quince_settings_get_text (settings, "deployment", "zones"), ",", -1);
+  deployment->n_zones = g_strv_length (deployment->zones);
   deployment->services = g_ptr_array_new_with_free_func (service_free);
   deployment->members = g_ptr_array_new_with_free_func (member_free);
   deployment->trainers = g_ptr_array_new_with_free_func (trainer_free);
-  load_zones (deployment, settings);
   load_services (deployment, settings);
   load_members (deployment, settings);
   load_trainers (deployment, settings);
@@ -215,7 +147,7 @@
 void
 quince_deployment_free (QuinceDeployment *deployment)
 {
-  g_ptr_array_unref (deployment->zones);
+  g_strfreev (deployment->zones);
   g_ptr_array_unref (deployment->services);
   g_ptr_array_unref (deployment->members);
   g_ptr_array_unref (deployment->trainers);
--- a/rehearsal/main.c
+++ b/rehearsal/main.c
@@ -1,6 +1,5 @@
 /*
- * main.c: quinceroute-rehearsal, the program of the demo and of tests.
- * Its first argument names the subcommand.
+ * main.c: quinceroute-rehearsal, the program of the demo: "quinceroute-rehearsal demo".
  */
 #include <argp.h>
 #include <stdio.h>
@@ -9,31 +8,16 @@
 #include <glib.h>
 
 #include "demo.h"
-#include "standins.h"
 
-#define EXIT_USAGE 2
-
-typedef struct
-{
-  const char *name;
-  int (*run) (int argc, char **argv); /* argv[0] is the subcommand's name */
-  const char *summary;
-} Subcommand;
-
-static const Subcommand subcommands[] = {
-  { "kv", quince_kv_standin_run, "key-value service (JSON gateway of the etcd v3 API)" },
-  { "demo", quince_demo_run, "one deployment, once, with a summary" },
-};
+#define EXIT_USAGE 2 /* exit status for bad flags */
 
 const char *argp_program_version = "quinceroute-rehearsal " QUINCE_VERSION;
 
 static void
 print_usage (FILE *stream)
 {
-  fprintf (stream, "Usage: quinceroute-rehearsal SUBCOMMAND [FLAG...]\n\n");
-  for (gsize i = 0; i < G_N_ELEMENTS (subcommands); i++)
-    fprintf (stream, "  %-12s %s\n", subcommands[i].name, subcommands[i].summary);
-  fprintf (stream, "\nEach has --help.\n");
+  fprintf (stream, "Usage: quinceroute-rehearsal demo [FLAG...]\n\n"
+                   "Runs one deployment once, with a summary; demo --help lists the flags.\n");
 }
 
 int
@@ -44,9 +28,8 @@
       print_usage (stdout);
       return 0;
     }
-  for (gsize i = 0; argc >= 2 && i < G_N_ELEMENTS (subcommands); i++)
-    if (strcmp (argv[1], subcommands[i].name) == 0)
-      return subcommands[i].run (argc - 1, argv + 1);
+  if (argc >= 2 && strcmp (argv[1], "demo") == 0)
+    return quince_demo_run (argc - 1, argv + 1);
   print_usage (stderr);
   return EXIT_USAGE;
 }
--- a/rehearsal/platform/demo-cluster.c
+++ b/rehearsal/platform/demo-cluster.c
@@ -50,7 +50,7 @@
 static const char *
 zone_name (const DemoCluster *cluster, guint index)
 {
-  return ((QuinceZonePlan *)cluster->deployment->zones->pdata[index])->name;
+  return cluster->deployment->zones[index];
 }
 
 static void
@@ -64,7 +64,7 @@
 zones_with_region (const DemoCluster *cluster)
 {
   g_autoptr (GString) text = g_string_new (NULL);
-  for (guint i = 0; i < cluster->deployment->zones->len; i++)
+  for (guint i = 0; i < cluster->deployment->n_zones; i++)
     g_string_append_printf (text, "%s%s=region", i > 0 ? "," : "", zone_name (cluster, i));
   return g_string_free (g_steal_pointer (&text), FALSE);
 }
@@ -141,14 +141,14 @@
 static gboolean
 start_all (DemoCluster *cluster, GError **error)
 {
-  for (guint i = 0; i < cluster->deployment->zones->len; i++)
+  for (guint i = 0; i < cluster->deployment->n_zones; i++)
     {
       QuinceProcess *replica = start_process (cluster, "replica", REPLICA_HOST, i, error);
       if (replica == NULL)
         return FALSE;
       g_ptr_array_add (cluster->replicas, replica);
     }
-  for (guint i = 0; i < cluster->deployment->zones->len; i++)
+  for (guint i = 0; i < cluster->deployment->n_zones; i++)
     {
       QuinceProcess *front = start_process (cluster, "front", FRONT_HOST, i, error);
       if (front == NULL)
@@ -281,7 +281,7 @@
   gboolean is_model = demo_is_model_service (cluster->deployment, service->name);
   g_autofree char *id = g_strdup_printf ("%s-%u", service->name, index);
   StandinWorker *worker = standin_worker_new (id);
-  standin_worker_set_place (worker, zone_name (cluster, index % cluster->deployment->zones->len),
+  standin_worker_set_place (worker, zone_name (cluster, index % cluster->deployment->n_zones),
                             service->capacity);
   if (is_model)
     standin_worker_set_events (worker, DEMO_EVENTS, event_pause_ms (cluster, service));
--- a/tests/unit/test-hostile.c
+++ b/tests/unit/test-hostile.c
@@ -15,7 +15,7 @@
 #include <cmocka.h>
 
 #include "protocol/codec.h"
-#include "runtime/http.h"
+#include "runtime/json-check.h"
 #include "policy/policy.h"
 
 #define RANDOM_MESSAGES 20000
--- a/tests/unit/test-runtime.c
+++ b/tests/unit/test-runtime.c
@@ -10,8 +10,6 @@
 #include <glib/gstdio.h>
 #include <string.h>
 
-#include "runtime/http-listener.h"
-#include "runtime/http.h"
 #include "runtime/link.h"
 #include "runtime/log.h"
 #include "protocol/request-id.h"
@@ -320,79 +318,6 @@
   assert_int_equal (pair.client_closed, QUINCE_LINK_ERROR_ADDRESS);
 }
 
-/* ---- Kept HTTP connections ------------------------------------------------ */
-
-#define KEPT_CONNECTIONS 50
-
-typedef struct
-{
-  const char *address;
-  guint answered;
-  gint done; /* atomic */
-} KeptClient;
-
-/* Each connection asks once, reads the answer and closes without asking for it. */
-static gpointer
-kept_client_main (gpointer data)
-{
-  static const char request[] = "GET /x HTTP/1.1\r\nHost: localhost\r\n\r\n";
-  KeptClient *kept = data;
-  g_autoptr (GSocketAddress) address = quince_address_parse (kept->address, NULL);
-  g_autoptr (GSocketClient) client = g_socket_client_new ();
-  for (guint i = 0; i < KEPT_CONNECTIONS; i++)
-    {
-      char answer[512] = "";
-      g_autoptr (GSocketConnection) connection
-          = g_socket_client_connect (client, G_SOCKET_CONNECTABLE (address), NULL, NULL);
-      if (connection == NULL)
-        break;
-      GIOStream *stream = G_IO_STREAM (connection);
-      g_output_stream_write_all (g_io_stream_get_output_stream (stream), request, strlen (request), NULL,
-                                 NULL, NULL);
-      g_input_stream_read (g_io_stream_get_input_stream (stream), answer, sizeof answer - 1, NULL, NULL);
-      kept->answered += g_str_has_prefix (answer, "HTTP/1.1 200");
-      g_io_stream_close (stream, NULL, NULL);
-    }
-  g_atomic_int_set (&kept->done, TRUE);
-  return NULL;
-}
-
-static void
-answer_anything (SoupServer *server,
-                 SoupServerMessage *message,
-                 const char *path,
-                 GHashTable *query,
-                 gpointer data)
-{
-  quince_http_reply_text (message, g_str_equal (path, QUINCE_HTTP_LAST_PATH) ? 404 : 200, "text/plain", "x");
-}
-
-static guint
-count_descriptors (void)
-{
-  guint count = 0;
-  g_autoptr (GDir) dir = g_dir_open ("/proc/self/fd", 0, NULL);
-  while (g_dir_read_name (dir) != NULL)
-    count++;
-  return count;
-}
-
-/* A caller that closes a kept connection between two requests must cost nothing. */
-static void
-test_http_listener_releases_connections (void **state)
-{
-  g_autoptr (SoupServer) server = quince_http_server_new (NULL);
-  soup_server_add_handler (server, NULL, answer_anything, NULL, NULL);
-  g_autoptr (QuinceHttpListener) listener = quince_http_listener_new (server, "127.0.0.1:0", NULL);
-  guint before = count_descriptors ();
-  KeptClient kept = { .address = quince_http_listener_get_address (listener) };
-  GThread *thread = g_thread_new ("client", kept_client_main, &kept);
-  WAIT_UNTIL (g_atomic_int_get (&kept.done));
-  g_thread_join (thread);
-  assert_int_equal (kept.answered, KEPT_CONNECTIONS);
-  WAIT_UNTIL (count_descriptors () <= before + 2);
-}
-
 int
 main (void)
 {
@@ -408,7 +333,6 @@
     cmocka_unit_test (test_link_echo),
     cmocka_unit_test (test_link_malformed),
     cmocka_unit_test (test_link_refused),
-    cmocka_unit_test (test_http_listener_releases_connections),
   };
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
