--- a/daemons/replica/progress-file.c
+++ b/daemons/replica/progress-file.c
@@ -16,7 +16,7 @@
 #include <unistd.h>
 
 #include "runtime/log.h"
-#include "protocol/request-id.h"
+#include "protocol/hash.h"
 
 /* What is older is of no use to another leader. */
 #define AGE_MAX_MS (20 * 1000)
--- a/lib/protocol/codec.c
+++ b/lib/protocol/codec.c
@@ -1,5 +1,5 @@
 /*
- * codec.c: XDR encoding of the internal protocol (RFC 4506).
+ * codec.c: XDR encoding of the internal protocol (RFC 4506); see codec.h.
  */
 #include "protocol/codec.h"
 
@@ -81,47 +81,41 @@
   g_free (value);
 }
 
-#define QUINCE_DEFINE_CODEC(Type, name)                                                                      \
+#define QUINCE_DEFINE_ENCODE(Type, name)                                                                     \
   GBytes *name##_encode (const Type *value, GError **error)                                                  \
   {                                                                                                          \
     return quince_xdr_encode ((xdrproc_t)xdr_##Type, value, error);                                          \
-  }                                                                                                          \
+  }
+
+#define QUINCE_DEFINE_DECODE(Type, name)                                                                     \
   Type *name##_decode (gconstpointer data, gsize length, GError **error)                                     \
   {                                                                                                          \
     return quince_xdr_decode ((xdrproc_t)xdr_##Type, sizeof (Type), data, length, error);                    \
-  }                                                                                                          \
+  }
+
+#define QUINCE_DEFINE_COPY(Type, name)                                                                       \
   Type *name##_copy (const Type *value)                                                                      \
   {                                                                                                          \
     return quince_xdr_copy ((xdrproc_t)xdr_##Type, sizeof (Type), value);                                    \
-  }                                                                                                          \
+  }
+
+#define QUINCE_DEFINE_FREE(Type, name)                                                                       \
   void name##_free (Type *value)                                                                             \
   {                                                                                                          \
     quince_xdr_free ((xdrproc_t)xdr_##Type, value);                                                          \
   }
 
-QUINCE_DEFINE_CODEC (QuinceMessage, quince_message)
-QUINCE_DEFINE_CODEC (QuinceGossip, quince_gossip)
-QUINCE_DEFINE_CODEC (QuinceReplication, quince_replication)
-QUINCE_DEFINE_CODEC (QuinceLedgerRecord, quince_ledger_record)
-QUINCE_DEFINE_CODEC (QuinceLedgerCall, quince_ledger_call)
-QUINCE_DEFINE_CODEC (QuinceLedgerReply, quince_ledger_reply)
-QUINCE_DEFINE_CODEC (QuinceReplicaSet, quince_replica_set)
-QUINCE_DEFINE_CODEC (QuinceEntry, quince_entry)
-QUINCE_DEFINE_CODEC (QuinceGrantRequest, quince_grant_request)
-QUINCE_DEFINE_CODEC (QuinceGrantReply, quince_grant_reply)
-QUINCE_DEFINE_CODEC (QuinceNodeStatus, quince_node_status)
-QUINCE_DEFINE_CODEC (QuincePolicyBody, quince_policy_body)
-QUINCE_DEFINE_CODEC (QuinceCommand, quince_command)
-QUINCE_DEFINE_CODEC (QuinceSampleResult, quince_sample_result)
-QUINCE_DEFINE_CODEC (QuinceBatchJob, quince_batch_job)
-QUINCE_DEFINE_CODEC (QuinceBatchResult, quince_batch_result)
-QUINCE_DEFINE_CODEC (QuinceBatchRecord, quince_batch_record)
-QUINCE_DEFINE_CODEC (QuinceLedgerView, quince_ledger_view)
-
-void
-quince_ledger_reply_set_empty (QuinceLedgerReply *reply, QuinceCommandKind kind)
-{
-  reply->result = (QuinceLedgerResult){ .kind = kind };
-  if (kind == QUINCE_COMMAND_PULL || kind == QUINCE_COMMAND_PAGE)
-    reply->result.QuinceLedgerResult_u.batch.trainer = quince_string ("");
-}
+QUINCE_DEFINE_ENCODE (QuinceMessage, quince_message)
+QUINCE_DEFINE_DECODE (QuinceMessage, quince_message)
+QUINCE_DEFINE_FREE (QuinceMessage, quince_message)
+QUINCE_DEFINE_ENCODE (QuinceBatchRecord, quince_batch_record)
+QUINCE_DEFINE_DECODE (QuinceBatchRecord, quince_batch_record)
+QUINCE_DEFINE_FREE (QuinceBatchRecord, quince_batch_record)
+QUINCE_DEFINE_ENCODE (QuinceBatchResult, quince_batch_result)
+QUINCE_DEFINE_DECODE (QuinceBatchResult, quince_batch_result)
+QUINCE_DEFINE_FREE (QuinceBatchResult, quince_batch_result)
+QUINCE_DEFINE_ENCODE (QuinceLedgerView, quince_ledger_view)
+QUINCE_DEFINE_DECODE (QuinceLedgerView, quince_ledger_view)
+QUINCE_DEFINE_COPY (QuinceLedgerView, quince_ledger_view)
+QUINCE_DEFINE_FREE (QuinceLedgerView, quince_ledger_view)
+QUINCE_DEFINE_FREE (QuinceBatchJob, quince_batch_job)
--- a/lib/protocol/codec.h
+++ b/lib/protocol/codec.h
@@ -1,9 +1,9 @@
 /*
- * codec.h: XDR encoding of the internal protocol.
+ * codec.h: XDR encoding of messages and stored records; the types are those of quince_protocol.x.
  *
- * The message types are those of quince_protocol.x.  Strings are never NULL:
- * an absent one is "".  Decoded values own their memory (libc malloc) and are
- * released with the free functions here.
+ * Keeps no state.  Strings are never %NULL: an absent one is "".  Decoded values own their memory (libc
+ * malloc) and are released with the free functions here.  Relies on the code that
+ * scripts/generate-protocol.sh makes.
  */
 #pragma once
 
@@ -23,41 +23,46 @@
   QUINCE_CODEC_ERROR_TRAILING, /* bytes are left over                      */
 } QuinceCodecError;
 
-/* Generic forms; @proc is the generated xdr_TYPE function, @size sizeof (TYPE). */
+/* Generic forms; @proc is the generated xdr_TYPE function, @size sizeof (TYPE).  Encode and decode are public
+ * for tests, which send hostile bytes to any type. */
+
+/* Returns: (transfer full): or %NULL with QUINCE_CODEC_ERROR_ENCODE */
 GBytes *quince_xdr_encode (xdrproc_t proc, gconstpointer value, GError **error);
+/* Returns: (transfer full): or %NULL with QUINCE_CODEC_ERROR_DECODE or QUINCE_CODEC_ERROR_TRAILING; release
+ * with quince_xdr_free() */
 gpointer quince_xdr_decode (xdrproc_t proc, gsize size, gconstpointer data, gsize length, GError **error);
+/* Returns: (transfer full): or %NULL where @value does not encode */
 gpointer quince_xdr_copy (xdrproc_t proc, gsize size, gconstpointer value);
+/* @value: (transfer full) (nullable) */
 void quince_xdr_free (xdrproc_t proc, gpointer value);
 
-/* Typed forms: quince_message_encode (const QuinceMessage *, GError **) and so on. */
-#define QUINCE_DECLARE_CODEC(Type, name)                                                                     \
-  GBytes *name##_encode (const Type *value, GError **error);                                                 \
-  Type *name##_decode (gconstpointer data, gsize length, GError **error);                                    \
-  Type *name##_copy (const Type *value);                                                                     \
+/* Typed forms, with errors and ownership of the generic ones. */
+#define QUINCE_DECLARE_ENCODE(Type, name) GBytes *name##_encode (const Type *value, GError **error)
+#define QUINCE_DECLARE_DECODE(Type, name)                                                                    \
+  Type *name##_decode (gconstpointer data, gsize length, GError **error)
+#define QUINCE_DECLARE_COPY(Type, name) Type *name##_copy (const Type *value)
+#define QUINCE_DECLARE_FREE(Type, name)                                                                      \
   void name##_free (Type *value);                                                                            \
   G_DEFINE_AUTOPTR_CLEANUP_FUNC (Type, name##_free)
 
-QUINCE_DECLARE_CODEC (QuinceMessage, quince_message)
-QUINCE_DECLARE_CODEC (QuinceGossip, quince_gossip)
-QUINCE_DECLARE_CODEC (QuinceReplication, quince_replication)
-QUINCE_DECLARE_CODEC (QuinceLedgerRecord, quince_ledger_record)
-QUINCE_DECLARE_CODEC (QuinceLedgerCall, quince_ledger_call)
-QUINCE_DECLARE_CODEC (QuinceLedgerReply, quince_ledger_reply)
-QUINCE_DECLARE_CODEC (QuinceReplicaSet, quince_replica_set)
-QUINCE_DECLARE_CODEC (QuinceEntry, quince_entry)
-QUINCE_DECLARE_CODEC (QuinceGrantRequest, quince_grant_request)
-QUINCE_DECLARE_CODEC (QuinceGrantReply, quince_grant_reply)
-QUINCE_DECLARE_CODEC (QuinceNodeStatus, quince_node_status)
-QUINCE_DECLARE_CODEC (QuincePolicyBody, quince_policy_body)
-QUINCE_DECLARE_CODEC (QuinceCommand, quince_command)
-QUINCE_DECLARE_CODEC (QuinceSampleResult, quince_sample_result)
-QUINCE_DECLARE_CODEC (QuinceBatchJob, quince_batch_job)
-QUINCE_DECLARE_CODEC (QuinceBatchResult, quince_batch_result)
-QUINCE_DECLARE_CODEC (QuinceBatchRecord, quince_batch_record)
-QUINCE_DECLARE_CODEC (QuinceLedgerView, quince_ledger_view)
+QUINCE_DECLARE_ENCODE (QuinceMessage, quince_message);
+QUINCE_DECLARE_DECODE (QuinceMessage, quince_message);
+QUINCE_DECLARE_FREE (QuinceMessage, quince_message)
+
+QUINCE_DECLARE_ENCODE (QuinceBatchRecord, quince_batch_record);
+QUINCE_DECLARE_DECODE (QuinceBatchRecord, quince_batch_record);
+QUINCE_DECLARE_FREE (QuinceBatchRecord, quince_batch_record)
+
+QUINCE_DECLARE_ENCODE (QuinceBatchResult, quince_batch_result);
+QUINCE_DECLARE_DECODE (QuinceBatchResult, quince_batch_result);
+QUINCE_DECLARE_FREE (QuinceBatchResult, quince_batch_result)
+
+QUINCE_DECLARE_ENCODE (QuinceLedgerView, quince_ledger_view);
+QUINCE_DECLARE_DECODE (QuinceLedgerView, quince_ledger_view);
+QUINCE_DECLARE_COPY (QuinceLedgerView, quince_ledger_view);
+QUINCE_DECLARE_FREE (QuinceLedgerView, quince_ledger_view)
 
-/* Gives @reply an empty result of @kind that encodes; what was there is not released. */
-void quince_ledger_reply_set_empty (QuinceLedgerReply *reply, QuinceCommandKind kind);
+QUINCE_DECLARE_FREE (QuinceBatchJob, quince_batch_job)
 
 /* Protocol strings come from and go to libc malloc; g_strdup() is the same
  * allocator in GLib 2.46 and later. */
--- a/scripts/generate-protocol.sh
+++ b/scripts/generate-protocol.sh
@@ -3,19 +3,25 @@
 set -eu
 cd "$(dirname "$0")/.."
 
-# rpcgen decodes any number as an enum; RFC 4506 allows only those declared, and the
-# program uses them as indices.  All enums here begin at 0 and have no gaps.
+# rpcgen decodes any number as an enum; RFC 4506 allows only those declared.  The numbers of an enum follow each
+# other, from whatever first one, so that one comparison refuses all others; an enum with a gap between its
+# numbers fails here.  A union refuses a kind that has no arm, too.
 check_enums() {
   awk '
+    function fail (text) { print text > "/dev/stderr"; failed = 1; exit 1 }
     FNR == NR && /^enum / { name = $2 }
     FNR == NR && name != "" { line = $0; sub (/\/\*.*/, "", line)
-                              while (match (line, /[A-Z][A-Z0-9_]* *=/)) {
-                                last[name] = substr (line, RSTART, RLENGTH - 1); sub (/ *$/, "", last[name])
+                              while (match (line, /[A-Z][A-Z0-9_]* *= *[0-9]+/)) {
+                                split (substr (line, RSTART, RLENGTH), pair, / *= */)
+                                if (!(name in first)) first[name] = pair[1]
+                                else if (pair[2] != number[name] + 1) fail (name ": a gap before " pair[1])
+                                last[name] = pair[1]; number[name] = pair[2]
                                 line = substr (line, RSTART + RLENGTH) } }
     FNR == NR { if (/}/) name = ""; next }
     /^xdr_/ { current = $1; sub (/^xdr_/, "", current) }
-    /xdr_enum \(xdrs/ { sub (/objp\)\)$/, "objp) || (u_int) *objp > " last[current] ")") }
-    { print }' "$1" "$2" >"$2.checked"
+    /xdr_enum \(xdrs/ { sub (/objp\)\)$/, "objp) || (u_int) *objp - " first[current] " > " last[current] " - " first[current] ")") }
+    { print }
+    END { exit failed }' "$1" "$2" >"$2.checked"
   mv "$2.checked" "$2"
 }
 
--- a/tools/policy-commands.c
+++ b/tools/policy-commands.c
@@ -11,7 +11,7 @@
 
 #include "forward/policy-entry.h"
 #include "observer/observer.h"
-#include "protocol/request-id.h"
+#include "protocol/hash.h"
 
 #include "commands.h"
 #include "line-diff.h"
