--- a/daemons/replica/progress-file.c
+++ b/daemons/replica/progress-file.c
@@ -21,7 +21,14 @@
 /* What is older is of no use to another leader. */
 #define AGE_MAX_MS (20 * 1000)
 
-G_DEFINE_QUARK (quince - progress - file - error - quark, quince_progress_file_error)
+#define PROGRESS_FILE_ERROR (g_quark_from_static_string ("quince-progress-file-error"))
+
+/* Codes as they are logged with the event progress_disk_failed. */
+typedef enum
+{
+  PROGRESS_FILE_ERROR_DISK,   /* the system refused; the message says what */
+  PROGRESS_FILE_ERROR_ENCODE, /* the progress does not encode */
+} ProgressFileError;
 
 #define FILES 2
 /* Of one file; the users' busiest trainers make about half a megabyte of text a second, and a sample runs for
@@ -49,8 +56,7 @@
 static gboolean
 fail (const char *doing, GError **error)
 {
-  g_set_error (error, QUINCE_PROGRESS_FILE_ERROR, QUINCE_PROGRESS_FILE_ERROR_DISK, "%s: %s", doing,
-               g_strerror (errno));
+  g_set_error (error, PROGRESS_FILE_ERROR, PROGRESS_FILE_ERROR_DISK, "%s: %s", doing, g_strerror (errno));
   return FALSE;
 }
 
@@ -162,15 +168,15 @@
   return TRUE;
 }
 
-gboolean
-quince_progress_file_append (QuinceProgressFile *file, const QuinceSampleProgress *progress, GError **error)
+static gboolean
+append_frame (QuinceProgressFile *file, const QuinceSampleProgress *progress, GError **error)
 {
   QuinceMessage message = { .kind = QUINCE_MESSAGE_PROGRESS };
   message.QuinceMessage_u.progress = *progress;
   g_autoptr (GBytes) encoded = quince_message_encode (&message, NULL);
   if (encoded == NULL)
     {
-      g_set_error_literal (error, QUINCE_PROGRESS_FILE_ERROR, QUINCE_PROGRESS_FILE_ERROR_ENCODE,
+      g_set_error_literal (error, PROGRESS_FILE_ERROR, PROGRESS_FILE_ERROR_ENCODE,
                            "progress does not encode");
       return FALSE;
     }
@@ -195,7 +201,7 @@
 quince_progress_file_keep (QuinceProgressFile *file, const QuinceSampleProgress *progress)
 {
   g_autoptr (GError) error = NULL;
-  gboolean kept = quince_progress_file_append (file, progress, &error);
+  gboolean kept = append_frame (file, progress, &error);
   if (!kept && !file->failing)
     {
       g_autofree char *reason = quince_log_quote (error->message);
--- a/lib/batchlog/batch-log.c
+++ b/lib/batchlog/batch-log.c
@@ -8,7 +8,9 @@
 
 #define LOG_FILE "batches.sqlite"
 
-G_DEFINE_QUARK (quince - batch - log - error - quark, quince_batch_log_error)
+/* The only error is that the file cannot be opened, read or written: no caller tells several apart. */
+#define DISK_ERROR_DOMAIN (g_quark_from_static_string ("quince-batch-log-error"))
+#define DISK_ERROR_CODE 0 /* a GError code, not a quantity */
 
 /* Exclusive locking keeps the index of the write-ahead log on the heap; it must come before the journal mode.
  */
@@ -62,8 +64,7 @@
 static gboolean
 fail (QuinceBatchLog *log, const char *doing, GError **error)
 {
-  g_set_error (error, QUINCE_BATCH_LOG_ERROR, QUINCE_BATCH_LOG_ERROR_DISK, "%s: %s", doing,
-               sqlite3_errmsg (log->database));
+  g_set_error (error, DISK_ERROR_DOMAIN, DISK_ERROR_CODE, "%s: %s", doing, sqlite3_errmsg (log->database));
   return FALSE;
 }
 
--- a/lib/batchlog/batch-log.h
+++ b/lib/batchlog/batch-log.h
@@ -12,14 +12,6 @@
 
 G_BEGIN_DECLS
 
-#define QUINCE_BATCH_LOG_ERROR (quince_batch_log_error_quark ())
-GQuark quince_batch_log_error_quark (void);
-
-typedef enum
-{
-  QUINCE_BATCH_LOG_ERROR_DISK, /* it cannot be opened, read or written */
-} QuinceBatchLogError;
-
 typedef struct _QuinceBatchLog QuinceBatchLog;
 
 /* A file that cannot be read as a log is put aside as if the disk were empty; @was_empty tells. */
--- a/lib/batchlog/result-cache.h
+++ b/lib/batchlog/result-cache.h
@@ -27,6 +27,7 @@
 const QuinceBatchResult *quince_result_cache_get (QuinceResultCache *cache, GBytes *body, GError **error);
 /* Lets go of the oldest above the bound. */
 void quince_result_cache_trim (QuinceResultCache *cache);
+/* Bytes of unpacked results in memory.  For tests only: nothing else shows that they are bounded. */
 gsize quince_result_cache_get_bytes (const QuinceResultCache *cache);
 
 G_END_DECLS
--- a/lib/core/group/ledger-group-private.h
+++ b/lib/core/group/ledger-group-private.h
@@ -71,8 +71,6 @@
 };
 
 QuinceLedgerPeer *quince_ledger_group_find_peer (const QuinceLedgerGroup *group, guint64 replica);
-/* Others of the view that answered something that was sent within the last @within_us. */
-guint quince_ledger_group_count_answering (const QuinceLedgerGroup *group, gint64 now_us, gint64 within_us);
 /* ---- ledger-zones.c ---- */
 /* Members are to be spread over zones. */
 gboolean quince_ledger_group_spreads (const QuinceLedgerGroup *group);
@@ -93,8 +91,6 @@
 gboolean quince_ledger_group_is_confirmed (const QuinceLedgerGroup *group, gint64 now_us);
 /* Takes @view (transfer full) as the one that is known, and the role that it gives. */
 void quince_ledger_group_adopt (QuinceLedgerGroup *group, gint64 now_us, QuinceLedgerView *view);
-void
-quince_ledger_group_become_primary (QuinceLedgerGroup *group, gint64 now_us, const QuinceLedgerView *before);
 
 /* ---- ledger-campaign.c ---- */
 void quince_ledger_group_end_campaign (QuinceLedgerGroup *group);
--- a/lib/core/group/ledger-group.c
+++ b/lib/core/group/ledger-group.c
@@ -90,8 +90,8 @@
   return before == NULL || (group->kept.ordered != 0 && group->kept.ordered == group->end.epoch);
 }
 
-void
-quince_ledger_group_become_primary (QuinceLedgerGroup *group, gint64 now_us, const QuinceLedgerView *before)
+static void
+become_primary (QuinceLedgerGroup *group, gint64 now_us, const QuinceLedgerView *before)
 {
   gboolean goes_on = group->role == QUINCE_LEDGER_PRIMARY;
   group->role = QUINCE_LEDGER_PRIMARY;
@@ -118,7 +118,7 @@
   if (is_self && group->proposed_epoch == view->epoch && group->kept.promised <= view->epoch)
     {
       /* This process took the lead itself. */
-      quince_ledger_group_become_primary (group, now_us, before);
+      become_primary (group, now_us, before);
       return;
     }
   if (group->role == QUINCE_LEDGER_PRIMARY)
@@ -324,8 +324,9 @@
 
 /* ---- Leases ----------------------------------------------------------- */
 
-guint
-quince_ledger_group_count_answering (const QuinceLedgerGroup *group, gint64 now_us, gint64 within_us)
+/* Other members of the view that answered something that was sent within the last @within_us. */
+static guint
+count_answering (const QuinceLedgerGroup *group, gint64 now_us, gint64 within_us)
 {
   guint count = 0;
   for (guint i = 0; i < group->view->members.members_len; i++)
@@ -358,8 +359,7 @@
 quorum_follows (const QuinceLedgerGroup *group, gint64 now_us)
 {
   guint others = MIN (group->limits.copies_least, group->view->members.members_len) - 1;
-  return quince_ledger_group_count_answering (group, now_us, group->limits.confirm_us) >= others
-         && strict_follow (group, now_us);
+  return count_answering (group, now_us, group->limits.confirm_us) >= others && strict_follow (group, now_us);
 }
 
 /* The store's word is enough only where nothing is committed, and nobody elected without it, but with this
--- a/lib/core/group/send-window.c
+++ b/lib/core/group/send-window.c
@@ -59,9 +59,3 @@
 {
   return window->bytes < window->most_bytes;
 }
-
-gsize
-quince_send_window_get_bytes (const QuinceSendWindow *window)
-{
-  return window->bytes;
-}
--- a/lib/core/group/send-window.h
+++ b/lib/core/group/send-window.h
@@ -20,6 +20,5 @@
 /* The backup holds all records up to @last_index. */
 void quince_send_window_acknowledged (QuinceSendWindow *window, guint64 last_index);
 gboolean quince_send_window_is_open (const QuinceSendWindow *window);
-gsize quince_send_window_get_bytes (const QuinceSendWindow *window);
 
 G_END_DECLS
--- a/tests/unit/test-send-window.c
+++ b/tests/unit/test-send-window.c
@@ -22,9 +22,17 @@
   assert_false (quince_send_window_is_open (window));
   quince_send_window_acknowledged (window, 10);
   assert_true (quince_send_window_is_open (window));
-  assert_int_equal (quince_send_window_get_bytes (window), 600);
+  /* 600 bytes are outstanding: exactly 400 more close the window. */
+  quince_send_window_sent (window, 30, 399);
+  assert_true (quince_send_window_is_open (window));
+  quince_send_window_sent (window, 40, 1);
+  assert_false (quince_send_window_is_open (window));
+  /* None are: exactly 1000 close it. */
   quince_send_window_acknowledged (window, 500);
-  assert_int_equal (quince_send_window_get_bytes (window), 0);
+  quince_send_window_sent (window, 600, 999);
+  assert_true (quince_send_window_is_open (window));
+  quince_send_window_sent (window, 610, 1);
+  assert_false (quince_send_window_is_open (window));
 }
 
 int
