--- a/lib/core/group/ledger-campaign.c
+++ b/lib/core/group/ledger-campaign.c
@@ -178,7 +178,7 @@
       group->campaign_us = now_us + 2 * CAMPAIGN_US;
       return;
     }
-  quince_ledger_list_add (group->campaign_for, replica);
+  quince_replica_list_add (group->campaign_for, replica);
   if (group->elected_us == 0 && quince_ledger_group_is_elected (group))
     group->elected_us = now_us;
 }
--- a/lib/core/group/ledger-group-private.h
+++ b/lib/core/group/ledger-group-private.h
@@ -4,6 +4,7 @@
 #pragma once
 
 #include "core/group/ledger-group.h"
+#include "core/group/replica-list.h"
 
 /* A replica that is linked to this primary. */
 typedef struct
@@ -70,7 +71,14 @@
   char **confined;   /* nodes that may keep records; NULL: all */
 };
 
+/* The files below are ordered: each calls only those that stand before it. */
+
+/* ---- ledger-group.c: the state itself, peers, getters ---- */
+/* (transfer none) (nullable) */
 QuinceLedgerPeer *quince_ledger_group_find_peer (const QuinceLedgerGroup *group, guint64 replica);
+/* The machine is to be emptied, or may not keep records. */
+gboolean quince_ledger_group_is_leaving (const QuinceLedgerGroup *group, const char *node);
+
 /* ---- ledger-zones.c ---- */
 /* Members are to be spread over zones. */
 gboolean quince_ledger_group_spreads (const QuinceLedgerGroup *group);
@@ -81,24 +89,23 @@
                                          const QuinceLedgerView *view,
                                          guint64 replica);
 
-/* The machine is to be emptied, or may not keep records. */
-gboolean quince_ledger_group_is_leaving (const QuinceLedgerGroup *group, const char *node);
-
-/* ---- ledger-group.c ---- */
-/* Enough members have promised this replica's campaign for it to write itself into the store. */
-gboolean quince_ledger_group_is_elected (const QuinceLedgerGroup *group);
+/* ---- ledger-leases.c ---- */
 /* Nobody else can lead now. */
 gboolean quince_ledger_group_is_confirmed (const QuinceLedgerGroup *group, gint64 now_us);
-/* Takes @view (transfer full) as the one that is known, and the role that it gives. */
-void quince_ledger_group_adopt (QuinceLedgerGroup *group, gint64 now_us, QuinceLedgerView *view);
 
 /* ---- ledger-campaign.c ---- */
+/* Enough members have promised this replica's campaign for it to write itself into the store. */
+gboolean quince_ledger_group_is_elected (const QuinceLedgerGroup *group);
 void quince_ledger_group_end_campaign (QuinceLedgerGroup *group);
 /* Promises its campaign's epoch to itself; %FALSE: another one has a later promise. */
 gboolean quince_ledger_group_promise_self (QuinceLedgerGroup *group);
 
+/* ---- ledger-roles.c ---- */
+/* Takes @view (transfer full) as the one that is known, and the role that it gives. */
+void quince_ledger_group_adopt (QuinceLedgerGroup *group, gint64 now_us, QuinceLedgerView *view);
+/* The members are those of @revision from now on, a greater one than before. */
+void quince_ledger_group_begin_revision (QuinceLedgerGroup *group, guint64 revision);
+
 /* ---- ledger-succession.c ---- */
 /* Enough members have noted that members may change on this revision; else they are asked to. */
 gboolean quince_ledger_group_is_noted (QuinceLedgerGroup *group, const QuinceLedgerView *proposed);
-gboolean quince_ledger_list_has (const GArray *replicas, guint64 replica);
-void quince_ledger_list_add (GArray *replicas, guint64 replica);
--- a/lib/core/group/ledger-group.h
+++ b/lib/core/group/ledger-group.h
@@ -17,6 +17,7 @@
 
 #include "protocol/codec.h"
 #include "core/group/ledger-kept.h"
+#include "core/group/ledger-view.h"
 
 G_BEGIN_DECLS
 
@@ -214,8 +215,5 @@
  */
 void quince_ledger_group_note_orders (QuinceLedgerGroup *group, gint64 now_us);
 gboolean quince_ledger_group_has_member (const QuinceLedgerGroup *group, guint64 replica);
-const QuinceLedgerMember *quince_ledger_view_find (const QuinceLedgerView *view, guint64 replica);
-/* A replica of the machine @node is a member. @view: nullable */
-gboolean quince_ledger_view_has_node (const QuinceLedgerView *view, const char *node);
 
 G_END_DECLS
--- a/lib/core/group/ledger-proposals.c
+++ b/lib/core/group/ledger-proposals.c
@@ -7,54 +7,6 @@
 
 #define RETRY_US (300 * 1000)
 
-/* ---- Editing a view --------------------------------------------------- */
-
-static void
-view_add (QuinceLedgerView *view, const char *node, const char *address, guint64 replica)
-{
-  guint length = view->members.members_len;
-  view->members.members_val
-      = g_realloc_n (view->members.members_val, length + 1, sizeof (QuinceLedgerMember));
-  view->members.members_val[length].node = quince_string (node);
-  view->members.members_val[length].address = quince_string (address);
-  view->members.members_val[length].replica = replica;
-  view->members.members_len = length + 1;
-}
-
-static void
-view_remove (QuinceLedgerView *view, guint64 replica)
-{
-  guint kept = 0;
-  for (guint i = 0; i < view->members.members_len; i++)
-    {
-      QuinceLedgerMember *member = &view->members.members_val[i];
-      if (member->replica != replica)
-        {
-          view->members.members_val[kept++] = *member;
-          continue;
-        }
-      g_free (member->node);
-      g_free (member->address);
-    }
-  view->members.members_len = kept;
-}
-
-/* A machine that was started anew may be found elsewhere. */
-static gboolean
-view_move (QuinceLedgerView *view, guint64 replica, const char *address)
-{
-  for (guint i = 0; i < view->members.members_len; i++)
-    {
-      QuinceLedgerMember *member = &view->members.members_val[i];
-      if (member->replica != replica || g_str_equal (member->address, address))
-        continue;
-      g_free (member->address);
-      member->address = quince_string (address);
-      return TRUE;
-    }
-  return FALSE;
-}
-
 /* ---- A backup, or nobody yet ------------------------------------------ */
 
 static QuinceLedgerView *
@@ -63,7 +15,7 @@
   QuinceLedgerView *view = g_new0 (QuinceLedgerView, 1);
   view->epoch = 1;
   view->primary = group->self.replica;
-  view_add (view, group->self.node, group->self.address, group->self.replica);
+  quince_ledger_view_add (view, group->self.node, group->self.address, group->self.replica);
   group->proposed_epoch = view->epoch;
   return view;
 }
@@ -77,7 +29,7 @@
   QuinceLedgerView *view = quince_ledger_view_copy (group->view);
   view->epoch = group->campaign_epoch;
   view->primary = group->self.replica;
-  view_move (view, group->self.replica, group->self.address);
+  quince_ledger_view_move (view, group->self.replica, group->self.address);
   group->proposed_epoch = view->epoch;
   return view;
 }
@@ -94,7 +46,8 @@
   g_autoptr (QuinceLedgerView) view = quince_ledger_view_copy (group->view);
   view->epoch = group->store_epoch;
   view->primary = group->store_primary;
-  return view_move (view, group->self.replica, group->self.address) ? g_steal_pointer (&view) : NULL;
+  return quince_ledger_view_move (view, group->self.replica, group->self.address) ? g_steal_pointer (&view)
+                                                                                  : NULL;
 }
 
 static QuinceLedgerView *
@@ -196,8 +149,8 @@
           || quince_ledger_group_count_in_zone (group, view, replica)
                  <= quince_ledger_group_most_in_zone (group))
         continue;
-      view_remove (view, replica);
-      view_add (view, joiner->node, joiner->address, joiner->replica);
+      quince_ledger_view_remove (view, replica);
+      quince_ledger_view_add (view, joiner->node, joiner->address, joiner->replica);
       return TRUE;
     }
   return FALSE;
@@ -213,15 +166,15 @@
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
       const QuinceLedgerPeer *peer = value;
-      changed = view_move (view, peer->replica, peer->address) || changed;
+      changed = quince_ledger_view_move (view, peer->replica, peer->address) || changed;
       if (!may_join (group, now_us, view, peer) || gives_way (group, now_us, view, peer))
         continue;
       const QuinceLedgerMember *replaced = replaceable_by (group, now_us, view, peer);
       if (replaced == NULL && view->members.members_len >= group->limits.members_wanted)
         continue;
       if (replaced != NULL)
-        view_remove (view, replaced->replica);
-      view_add (view, peer->node, peer->address, peer->replica);
+        quince_ledger_view_remove (view, replaced->replica);
+      quince_ledger_view_add (view, peer->node, peer->address, peer->replica);
       changed = TRUE;
     }
   return changed;
@@ -239,7 +192,7 @@
                           && quince_ledger_group_is_leaving (group, member->node));
       if (goes && view->members.members_len > group->limits.copies_least)
         {
-          view_remove (view, member->replica);
+          quince_ledger_view_remove (view, member->replica);
           changed = TRUE;
         }
       else
@@ -262,7 +215,7 @@
         continue;
       view->primary = member->replica;
       view->epoch++;
-      view_remove (view, group->self.replica);
+      quince_ledger_view_remove (view, group->self.replica);
       return TRUE;
     }
   return FALSE;
@@ -310,7 +263,7 @@
   guint members = view->members.members_len;
   group->strict_least = group->strict_members->len > 0 ? MIN (group->strict_least, members) : members;
   for (guint i = 0; i < members; i++)
-    quince_ledger_list_add (group->strict_members, view->members.members_val[i].replica);
+    quince_replica_list_add (group->strict_members, view->members.members_val[i].replica);
   /* The one that is named may lead as soon as the store has it. */
   group->hands_over = group->hands_over || view->primary != group->self.replica;
 }
--- /dev/null
+++ b/lib/core/group/ledger-roles.c
@@ -0,0 +1,107 @@
+/*
+ * ledger-roles.c: which view is in force at this replica, and the role that it gives.
+ */
+#include "ledger-group-private.h"
+
+/* Nobody but this replica can have given orders since it did: whoever did had a record of a later epoch on a
+ * quorum, and so in the log of each later primary. */
+static gboolean
+ordered_last (const QuinceLedgerGroup *group, const QuinceLedgerView *before)
+{
+  return before == NULL || (group->kept.ordered != 0 && group->kept.ordered == group->end.epoch);
+}
+
+static void
+become_primary (QuinceLedgerGroup *group, gint64 now_us, const QuinceLedgerView *before)
+{
+  gboolean goes_on = group->role == QUINCE_LEDGER_PRIMARY;
+  group->role = QUINCE_LEDGER_PRIMARY;
+  group->led_epoch = group->view->epoch;
+  group->answered = MAX (group->answered, group->view->epoch);
+  group->store_answers = group->store_answers || group->store_epoch == group->answered;
+  /* A record of its own epoch must be committed before older ones count as committed. */
+  group->recovery_index = group->end.index + 1;
+  group->commit_index = 0;
+  if (!goes_on)
+    group->order_after_us = ordered_last (group, before) ? now_us : now_us + group->limits.order_pause_us;
+  group->became_primary_us = now_us;
+  group->refused_with = 0;
+  g_hash_table_remove_all (group->peers);
+}
+
+static void
+take_role (QuinceLedgerGroup *group, gint64 now_us, const QuinceLedgerView *before)
+{
+  const QuinceLedgerView *view = group->view;
+  gboolean is_self = view->primary == group->self.replica;
+  if (is_self && group->led_epoch == view->epoch)
+    return; /* it leads already */
+  if (is_self && group->proposed_epoch == view->epoch && group->kept.promised <= view->epoch)
+    {
+      /* This process took the lead itself. */
+      become_primary (group, now_us, before);
+      return;
+    }
+  if (group->role == QUINCE_LEDGER_PRIMARY)
+    g_hash_table_remove_all (group->peers);
+  group->role = QUINCE_LEDGER_BACKUP;
+  if (before == NULL || before->epoch != view->epoch)
+    group->primary_contact_us = now_us;
+}
+
+void
+quince_ledger_group_adopt (QuinceLedgerGroup *group, gint64 now_us, QuinceLedgerView *view)
+{
+  g_autoptr (QuinceLedgerView) before = group->view;
+  group->view = view;
+  /* Promises were asked of the members of the former view. */
+  quince_ledger_group_end_campaign (group);
+  take_role (group, now_us, before);
+}
+
+/* Proposals on the former revision can no longer be done. */
+void
+quince_ledger_group_begin_revision (QuinceLedgerGroup *group, guint64 revision)
+{
+  group->revision = revision;
+  g_array_set_size (group->strict_members, 0);
+  g_array_set_size (group->notes, 0);
+  group->wants_notes = FALSE;
+  group->proposal_may_come = FALSE;
+  group->hands_over = FALSE;
+}
+
+/* The lead never goes back to a lower epoch: members may have promised a higher one without the store. */
+static void
+keep_lead (QuinceLedgerView *view, const QuinceLedgerView *known)
+{
+  if (known == NULL || known->epoch < view->epoch)
+    return;
+  view->epoch = known->epoch;
+  view->primary = known->primary;
+}
+
+void
+quince_ledger_group_set_view (QuinceLedgerGroup *group,
+                              gint64 now_us,
+                              gint64 requested_us,
+                              const QuinceLedgerView *view,
+                              guint64 revision)
+{
+  if (revision == group->revision && revision != 0)
+    group->confirmed_us = MAX (group->confirmed_us, requested_us);
+  group->view_is_read = group->view_is_read || revision >= group->revision;
+  gboolean news = revision > group->revision || (revision == group->revision && group->store_epoch == 0);
+  if (view == NULL || !news)
+    return;
+  group->store_answers
+      = view->epoch == group->answered || (group->store_answers && view->epoch == group->store_epoch);
+  group->store_epoch = view->epoch;
+  group->store_primary = view->primary;
+  group->confirmed_us = requested_us;
+  if (revision > group->revision)
+    quince_ledger_group_begin_revision (group, revision);
+  QuinceLedgerView *next = quince_ledger_view_copy (view);
+  keep_lead (next, group->view);
+  quince_ledger_group_adopt (group, now_us, next);
+}
--- a/lib/core/group/ledger-succession.c
+++ b/lib/core/group/ledger-succession.c
@@ -14,24 +14,6 @@
 /* A campaign that has not ended by then looks who leads: some member does not promise. */
 #define QUERY_AFTER_US (300 * 1000)
 
-/* ---- Lists of replicas ------------------------------------------------ */
-
-gboolean
-quince_ledger_list_has (const GArray *replicas, guint64 replica)
-{
-  for (guint i = 0; i < replicas->len; i++)
-    if (g_array_index (replicas, guint64, i) == replica)
-      return TRUE;
-  return FALSE;
-}
-
-void
-quince_ledger_list_add (GArray *replicas, guint64 replica)
-{
-  if (!quince_ledger_list_has (replicas, replica))
-    g_array_append_val (replicas, replica);
-}
-
 /* ---- Quorums ---------------------------------------------------------- */
 
 /* Members, this one counted, whose promises make a primary without the store: a quorum.  They meet each other
@@ -54,22 +36,11 @@
 
 /* ---- Notes of a change of members ------------------------------------- */
 
-static gboolean
-same_members (const QuinceLedgerView *view, const QuinceLedgerView *other)
-{
-  if (view->members.members_len != other->members.members_len)
-    return FALSE;
-  for (guint i = 0; i < view->members.members_len; i++)
-    if (quince_ledger_view_find (other, view->members.members_val[i].replica) == NULL)
-      return FALSE;
-  return TRUE;
-}
-
 gboolean
 quince_ledger_group_is_noted (QuinceLedgerGroup *group, const QuinceLedgerView *proposed)
 {
   guint needed = notes_needed (group);
-  if (needed == 0 || same_members (group->view, proposed))
+  if (needed == 0 || quince_ledger_view_same_members (group->view, proposed))
     return TRUE;
   group->wants_notes = TRUE;
   group->kept.noted = MAX (group->kept.noted, group->revision);
@@ -82,7 +53,7 @@
   if (group->role == QUINCE_LEDGER_PRIMARY && lead->noted >= group->revision
       && lead->promised == group->view->epoch && quince_ledger_group_has_member (group, lead->replica)
       && lead->replica != group->self.replica)
-    quince_ledger_list_add (group->notes, lead->replica);
+    quince_replica_list_add (group->notes, lead->replica);
 }
 
 /* ---- Looks ------------------------------------------------------------ */
@@ -152,12 +123,12 @@
 {
   if (group->campaign_epoch == 0 || lead->promised != group->campaign_epoch
       || lead->promised_to != group->self.replica
-      || !quince_ledger_list_has (group->campaign_for, lead->replica))
+      || !quince_replica_list_has (group->campaign_for, lead->replica))
     return;
   if (lead->noted >= group->revision || lead->revision > group->revision)
     group->vote_refused = TRUE;
   else
-    quince_ledger_list_add (group->votes, lead->replica);
+    quince_replica_list_add (group->votes, lead->replica);
 }
 
 static gboolean
@@ -244,15 +215,10 @@
   QuinceLedgerView *view = merge_views (group, lead);
   if (newer)
     {
-      group->revision = lead->revision;
+      quince_ledger_group_begin_revision (group, lead->revision);
       group->store_epoch = lead->shown_epoch;
       group->store_primary = lead->shown_primary;
       group->store_answers = lead->shown_answers;
-      g_array_set_size (group->strict_members, 0);
-      g_array_set_size (group->notes, 0);
-      group->wants_notes = FALSE;
-      group->proposal_may_come = FALSE;
-      group->hands_over = FALSE;
     }
   quince_ledger_group_adopt (group, now_us, view);
 }
