--- /dev/null
+++ b/daemons/replica/ledger-backup.c
@@ -0,0 +1,160 @@
+/*
+ * ledger-backup.c: the leader's records on their way to one backup.
+ */
+#include "ledger-backup.h"
+
+#include "runtime/clock.h"
+#include "runtime/log.h"
+
+/* Records of one message, bytes.  Not measured: bounds the memory of a message and the turn that encodes it.
+ */
+#define CHUNK_BYTES (512 * 1024)
+/* Records of one message.  Not measured: bounds a turn over many small records. */
+#define CHUNK_ENTRIES_MAX 512
+/* On their way to one backup, bytes: two chunks keep a link busy while the first is acknowledged.  The leader
+ * holds no more than this for a backup that reads slowly, and one that catches up takes no more of the
+ * leader's turns than it can follow. */
+#define WINDOW_BYTES (2 * CHUNK_BYTES)
+
+/* The records of one message. */
+typedef struct
+{
+  GArray *entries; /* QuinceLogEntry, owned records */
+  gsize bytes;
+} Chunk;
+
+/* Where the backup's log and @log part: the first index to send.  @reset: (out): nothing that it has is of
+ * use */
+static guint64
+first_to_send (QuinceBatchLog *log, const QuinceLedgerHello *hello, gboolean *reset)
+{
+  *reset = FALSE;
+  if (hello->last_index == 0)
+    return 1;
+  if (quince_batch_log_get_epoch (log, hello->last_index) == hello->last_epoch)
+    return hello->last_index + 1;
+  /* Up to its commit index all logs are the same. */
+  if (hello->commit_index > 0 && quince_batch_log_get_epoch (log, hello->commit_index) == hello->commit_epoch)
+    return hello->commit_index + 1;
+  *reset = hello->commit_index > 0;
+  return 1;
+}
+
+QuinceLedgerBackup *
+quince_ledger_backup_new (QuinceLink *link,
+                          const QuinceLedgerHello *hello,
+                          guint64 serial,
+                          QuinceBatchLog *log)
+{
+  QuinceLedgerBackup *backup = g_new0 (QuinceLedgerBackup, 1);
+  backup->link = quince_link_ref (link);
+  backup->node = g_strdup (hello->member.node);
+  backup->replica = hello->member.replica;
+  backup->has_records = hello->last_index > 0;
+  backup->serial = serial;
+  backup->window = quince_send_window_new (WINDOW_BYTES);
+  backup->next_index = first_to_send (log, hello, &backup->reset);
+  return backup;
+}
+
+void
+quince_ledger_backup_free (QuinceLedgerBackup *backup)
+{
+  if (backup == NULL)
+    return;
+  quince_link_unref (backup->link);
+  quince_send_window_free (backup->window);
+  g_free (backup->node);
+  g_free (backup);
+}
+
+static gboolean
+collect_entry (const QuinceLogEntry *entry, gpointer data)
+{
+  Chunk *chunk = data;
+  QuinceLogEntry copy = *entry;
+  copy.record.record_val = g_memdup2 (entry->record.record_val, entry->record.record_len);
+  g_array_append_val (chunk->entries, copy);
+  chunk->bytes += entry->record.record_len;
+  return chunk->bytes < CHUNK_BYTES && chunk->entries->len < CHUNK_ENTRIES_MAX;
+}
+
+static void
+clear_entry (gpointer data)
+{
+  QuinceLogEntry *entry = data;
+  g_free (entry->record.record_val);
+}
+
+/* Reads the records from the backup's next one on; a failure is logged, and what was read before it is sent.
+ */
+static void
+read_chunk (const QuinceLedgerBackup *backup, QuinceBatchLog *log, Chunk *chunk)
+{
+  g_autoptr (GError) error = NULL;
+  if (!quince_batch_log_walk (log, backup->next_index, collect_entry, chunk, &error))
+    quince_log_failure ("ledger_disk_failed", "doing=read reason=\"%s\"", error->message);
+}
+
+/* The chunk is sent: the backup lacks what follows it. */
+static void
+pass_chunk (QuinceLedgerBackup *backup, const Chunk *chunk)
+{
+  if (chunk->entries->len == 0)
+    return;
+  guint64 last_index = g_array_index (chunk->entries, QuinceLogEntry, chunk->entries->len - 1).index;
+  backup->next_index = last_index + 1;
+  quince_send_window_sent (backup->window, last_index, chunk->bytes);
+}
+
+void
+quince_ledger_backup_send (QuinceLedgerBackup *backup,
+                           QuinceBatchLog *log,
+                           guint64 epoch,
+                           guint64 commit_index,
+                           gboolean heartbeat)
+{
+  guint64 last_index = quince_batch_log_get_last_index (log);
+  gboolean has_news = backup->receives && (backup->next_index <= last_index || backup->reset)
+                      && quince_send_window_is_open (backup->window);
+  if (!has_news && !heartbeat)
+    return;
+  Chunk chunk = { .entries = g_array_new (FALSE, FALSE, sizeof (QuinceLogEntry)) };
+  g_array_set_clear_func (chunk.entries, clear_entry);
+  if (has_news)
+    read_chunk (backup, log, &chunk);
+  pass_chunk (backup, &chunk);
+  QuinceMessage message = { .kind = QUINCE_MESSAGE_LEDGER_APPEND };
+  QuinceLedgerAppend *append = &message.QuinceMessage_u.ledger_append;
+  append->epoch = epoch;
+  append->replica = backup->replica;
+  append->reset = has_news && backup->reset;
+  append->end_index = last_index;
+  append->commit_index = commit_index;
+  append->sent_us = (guint64)quince_now_us ();
+  append->entries.entries_val = (QuinceLogEntry *)chunk.entries->data;
+  append->entries.entries_len = chunk.entries->len;
+  append->held_index = backup->next_index - 1;
+  quince_link_send (backup->link, &message);
+  if (has_news)
+    backup->reset = FALSE;
+  g_array_unref (chunk.entries);
+}
+
+void
+quince_ledger_backup_clear (QuinceLedgerBackup *backup, guint64 epoch, gint64 now_us)
+{
+  QuinceMessage message = { .kind = QUINCE_MESSAGE_LEDGER_APPEND };
+  QuinceLedgerAppend *append = &message.QuinceMessage_u.ledger_append;
+  append->epoch = epoch;
+  append->replica = backup->replica;
+  append->reset = TRUE;
+  append->sent_us = (guint64)now_us;
+  quince_log_notice ("outside_disk_cleared", "node=%s replica=%" G_GUINT64_FORMAT, backup->node,
+                     backup->replica);
+  quince_link_send (backup->link, &message);
+  backup->has_records = FALSE;
+  backup->next_index = 1;
+  quince_send_window_free (backup->window);
+  backup->window = quince_send_window_new (WINDOW_BYTES);
+}
--- /dev/null
+++ b/daemons/replica/ledger-election.c
@@ -0,0 +1,233 @@
+/*
+ * ledger-election.c: campaigns, promises, and queries of who leads.
+ */
+#include "ledger-election.h"
+
+#include "runtime/clock.h"
+#include "runtime/log.h"
+#include "runtime/metrics.h"
+
+/* Pause between two queries of a replica that hears no leader, us: the next leader is found within half of
+ * the 1 s of silence after which members elect one, for two small messages a member. */
+#define QUERY_MEMBERS_US (440 * 1000)
+/* Pause between two queries to the leader itself, us: one of an earlier build that does not know the message
+ * closes the link.  Not measured. */
+#define QUERY_LEADER_US (1000 * 1000)
+
+struct _QuinceLedgerElection
+{
+  /* All fields belong to the main context. */
+  guint64 replica;                                /* this one */
+  QuinceLedgerGroup *group;                       /* borrowed */
+  QuinceLedgerStorage *storage;                   /* borrowed */
+  QuinceLedgerMemberLinks *links;                 /* borrowed */
+  QuinceMetaStore *store;                         /* borrowed */
+  const QuinceLedgerElectionCallbacks *callbacks; /* borrowed */
+  gpointer user_data;
+
+  gint64 queried_us;  /* when members were last asked who leads */
+  gint64 informed_us; /* when members that are no backups were last informed who leads */
+};
+
+QuinceLedgerElection *
+quince_ledger_election_new (guint64 replica,
+                            QuinceLedgerGroup *group,
+                            QuinceLedgerStorage *storage,
+                            QuinceLedgerMemberLinks *links,
+                            QuinceMetaStore *store,
+                            const QuinceLedgerElectionCallbacks *callbacks,
+                            gpointer user_data)
+{
+  QuinceLedgerElection *election = g_new0 (QuinceLedgerElection, 1);
+  election->replica = replica;
+  election->group = group;
+  election->storage = storage;
+  election->links = links;
+  election->store = store;
+  election->callbacks = callbacks;
+  election->user_data = user_data;
+  return election;
+}
+
+void
+quince_ledger_election_free (QuinceLedgerElection *election)
+{
+  g_free (election);
+}
+
+/* ---- Campaigns and promises --------------------------------------------- */
+
+void
+quince_ledger_election_campaign (QuinceLedgerElection *election)
+{
+  guint64 epoch = quince_ledger_group_campaign (election->group, quince_now_us ());
+  if (epoch == 0)
+    return;
+  const QuinceLedgerView *view = quince_ledger_group_get_view (election->group);
+  const QuinceLogEnd end = quince_ledger_storage_get_end (election->storage);
+  QuinceMessage message = { .kind = QUINCE_MESSAGE_LEDGER_ASK };
+  QuinceLedgerAsk *ask = &message.QuinceMessage_u.ledger_ask;
+  ask->epoch = epoch;
+  ask->replica = election->replica;
+  ask->last_index = end.index;
+  ask->last_epoch = end.epoch;
+  for (guint i = 0; i < view->members.members_len; i++)
+    if (view->members.members_val[i].replica != election->replica)
+      quince_ledger_member_links_send (election->links, &view->members.members_val[i], &message);
+}
+
+static void
+send_promise (QuinceLedgerElection *election, QuinceLink *link, const QuinceLedgerAsk *ask)
+{
+  const QuinceLogEnd end = quince_ledger_storage_get_end (election->storage);
+  QuinceMessage message = { .kind = QUINCE_MESSAGE_LEDGER_PROMISE };
+  QuinceLedgerPromise *promise = &message.QuinceMessage_u.ledger_promise;
+  promise->epoch = ask->epoch;
+  promise->replica = election->replica;
+  promise->last_index = end.index;
+  promise->last_epoch = end.epoch;
+  quince_log_info ("promise_given", "to=%" G_GUINT64_FORMAT " epoch=%" G_GUINT64_FORMAT,
+                   (guint64)ask->replica, (guint64)ask->epoch);
+  quince_link_send (link, &message);
+}
+
+void
+quince_ledger_election_handle_ask (QuinceLedgerElection *election,
+                                   QuinceLink *link,
+                                   const QuinceLedgerAsk *ask)
+{
+  const QuinceLogEnd end = { .epoch = ask->last_epoch, .index = ask->last_index };
+  if (!quince_ledger_group_promise (election->group, quince_now_us (), ask->replica, ask->epoch, &end)
+      || !quince_ledger_storage_keep (election->storage, "promise"))
+    return;
+  election->callbacks->role_changed (election->user_data);
+  send_promise (election, link, ask);
+}
+
+void
+quince_ledger_election_take_promise (QuinceLedgerElection *election, const QuinceLedgerPromise *promise)
+{
+  const QuinceLogEnd end = { .epoch = promise->last_epoch, .index = promise->last_index };
+  quince_log_info ("promise_got",
+                   "from=%" G_GUINT64_FORMAT " epoch=%" G_GUINT64_FORMAT " index=%" G_GUINT64_FORMAT,
+                   (guint64)promise->replica, (guint64)promise->epoch, end.index);
+  quince_ledger_group_promised_by (election->group, quince_now_us (), promise->replica, promise->epoch, &end);
+  election->callbacks->propose (election->user_data);
+  quince_ledger_election_lead_without_store (election);
+}
+
+/* ---- The lead that others are informed of -------------------------------- */
+
+/* Informs the members that are no backups of this leader. */
+static void
+inform_members (QuinceLedgerElection *election)
+{
+  QuinceMessage message = { .kind = QUINCE_MESSAGE_LEDGER_LEAD };
+  const QuinceLedgerView *view = quince_ledger_group_get_view (election->group);
+  quince_ledger_group_tell_lead (election->group, &message.QuinceMessage_u.ledger_lead);
+  for (guint i = 0; i < view->members.members_len; i++)
+    {
+      const QuinceLedgerMember *member = &view->members.members_val[i];
+      if (member->replica != election->replica
+          && !election->callbacks->is_backup (member->replica, election->user_data))
+        quince_ledger_member_links_send (election->links, member, &message);
+    }
+}
+
+/* A member that was restarted while the store is away knows no view, and no member that it could ask. */
+static void
+inform_lost_members (QuinceLedgerElection *election, gint64 now_us)
+{
+  if (!quince_meta_store_is_failing (election->store) || now_us - election->informed_us < QUERY_MEMBERS_US)
+    return;
+  election->informed_us = now_us;
+  inform_members (election);
+}
+
+void
+quince_ledger_election_lead_without_store (QuinceLedgerElection *election)
+{
+  gboolean store_fails = quince_meta_store_is_failing (election->store);
+  if (!quince_ledger_group_lead_without_store (election->group, quince_now_us (), store_fails))
+    return;
+  /* Its own promise is on the disk before it leads. */
+  quince_ledger_storage_keep_or_abort (election->storage);
+  const QuinceLedgerView *view = quince_ledger_group_get_view (election->group);
+  quince_log_notice ("ledger_led_without_store", "epoch=%" G_GUINT64_FORMAT " members=%u store=%s",
+                     (guint64)view->epoch, view->members.members_len, store_fails ? "away" : "slow");
+  quince_metric_add ("quince_replica_led_without_store_total", "", 1);
+  election->callbacks->role_changed (election->user_data);
+  inform_members (election);
+}
+
+/* ---- Queries ------------------------------------------------------------ */
+
+/* Least time between two queries, us; 0: none. */
+static gint64
+get_pause (QuinceLedgerQueryKind kind)
+{
+  if (kind == QUINCE_LEDGER_QUERY_PRIMARY)
+    return QUERY_LEADER_US;
+  return kind == QUINCE_LEDGER_QUERY_MEMBERS ? QUERY_MEMBERS_US : 0;
+}
+
+void
+quince_ledger_election_query (QuinceLedgerElection *election, gboolean leads)
+{
+  QuinceMessage message = { .kind = QUINCE_MESSAGE_LEDGER_QUERY };
+  gint64 now = quince_now_us ();
+  QuinceLedgerQueryKind kind
+      = quince_ledger_group_get_query (election->group, now, quince_meta_store_is_failing (election->store),
+                                       &message.QuinceMessage_u.ledger_query);
+  quince_ledger_member_links_close_idle (election->links);
+  if (leads)
+    inform_lost_members (election, now);
+  if (kind == QUINCE_LEDGER_QUERY_NONE || now - election->queried_us < get_pause (kind))
+    return;
+  election->queried_us = now;
+  const QuinceLedgerView *view = quince_ledger_group_get_view (election->group);
+  for (guint i = 0; i < view->members.members_len; i++)
+    {
+      const QuinceLedgerMember *member = &view->members.members_val[i];
+      gboolean asked = kind != QUINCE_LEDGER_QUERY_PRIMARY || member->replica == view->primary;
+      if (asked && member->replica != election->replica)
+        quince_ledger_member_links_send (election->links, member, &message);
+    }
+}
+
+void
+quince_ledger_election_handle_query (QuinceLedgerElection *election,
+                                     QuinceLink *link,
+                                     const QuinceLedgerQuery *query)
+{
+  quince_ledger_group_handle_query (election->group, quince_now_us (), query);
+  if (!quince_ledger_storage_keep (election->storage, "note"))
+    return;
+  QuinceMessage message = { .kind = QUINCE_MESSAGE_LEDGER_LEAD };
+  if (quince_ledger_group_tell_lead (election->group, &message.QuinceMessage_u.ledger_lead))
+    quince_link_send (link, &message);
+}
+
+/* Greatest epoch that is known to be led; 0: none. */
+static guint64
+get_known_epoch (const QuinceLedgerElection *election)
+{
+  const QuinceLedgerView *view = quince_ledger_group_get_view (election->group);
+  return view != NULL ? view->epoch : 0;
+}
+
+void
+quince_ledger_election_take_lead (QuinceLedgerElection *election, const QuinceLedgerLead *lead)
+{
+  guint64 before = get_known_epoch (election);
+  quince_ledger_group_take_lead (election->group, quince_now_us (), lead);
+  if (get_known_epoch (election) != before)
+    quince_log_info ("ledger_lead_told",
+                     "by=%" G_GUINT64_FORMAT " epoch=%" G_GUINT64_FORMAT " primary=%" G_GUINT64_FORMAT
+                     " on_revision=%" G_GUINT64_FORMAT,
+                     (guint64)lead->replica, (guint64)lead->view.epoch, (guint64)lead->view.primary,
+                     (guint64)lead->revision);
+  election->callbacks->role_changed (election->user_data);
+  election->callbacks->propose (election->user_data);
+  quince_ledger_election_lead_without_store (election);
+}
--- /dev/null
+++ b/daemons/replica/ledger-follower.c
@@ -0,0 +1,213 @@
+/*
+ * ledger-follower.c: a backup follows the leader.
+ */
+#include "ledger-follower.h"
+
+#include "runtime/clock.h"
+#include "runtime/log.h"
+
+/* A link to the leader that is not up after this is tried anew, us.  Not measured: longer than the 1 s of
+ * silence after which a leader that does not answer is replaced. */
+#define CONNECT_US (1200 * 1000)
+/* Pause between two attempts to link to the leader, us.  Not measured: short against the 1 s of silence after
+ * which this replica campaigns. */
+#define RECONNECT_US (150 * 1000)
+
+struct _QuinceLedgerFollower
+{
+  /* All fields belong to the main context. */
+  const QuinceLedgerMember *self;                 /* borrowed */
+  const char *zone;                               /* borrowed */
+  QuinceLedgerStorage *storage;                   /* borrowed */
+  QuinceBatchLog *log;                            /* borrowed from the storage */
+  QuinceLedgerGroup *group;                       /* borrowed */
+  const QuinceLedgerFollowerCallbacks *callbacks; /* borrowed */
+  gpointer user_data;
+
+  QuinceLink *link; /* owned; up or not; NULL: none */
+  char *address;    /* owned: of the leader; NULL: none */
+  gboolean lost;    /* its loss was logged */
+  gint64 tried_us;  /* when the link was last begun */
+};
+
+QuinceLedgerFollower *
+quince_ledger_follower_new (const QuinceLedgerMember *self,
+                            const char *zone,
+                            QuinceLedgerStorage *storage,
+                            QuinceLedgerGroup *group,
+                            const QuinceLedgerFollowerCallbacks *callbacks,
+                            gpointer user_data)
+{
+  QuinceLedgerFollower *follower = g_new0 (QuinceLedgerFollower, 1);
+  follower->self = self;
+  follower->zone = zone;
+  follower->storage = storage;
+  follower->log = quince_ledger_storage_get_log (storage);
+  follower->group = group;
+  follower->callbacks = callbacks;
+  follower->user_data = user_data;
+  return follower;
+}
+
+void
+quince_ledger_follower_stop (QuinceLedgerFollower *follower)
+{
+  if (follower->link != NULL)
+    quince_link_close (follower->link);
+  g_clear_pointer (&follower->link, quince_link_unref);
+  g_clear_pointer (&follower->address, g_free);
+}
+
+void
+quince_ledger_follower_free (QuinceLedgerFollower *follower)
+{
+  if (follower == NULL)
+    return;
+  quince_ledger_follower_stop (follower);
+  g_free (follower);
+}
+
+QuinceLink *
+quince_ledger_follower_get_leader (const QuinceLedgerFollower *follower)
+{
+  gboolean connected = follower->link != NULL && quince_link_is_connected (follower->link);
+  return connected ? follower->link : NULL;
+}
+
+/* ---- Records ------------------------------------------------------------ */
+
+/* @promised: 0, or the greater epoch that forbids to follow this leader */
+static void
+send_ack (QuinceLedgerFollower *follower, const QuinceLedgerAppend *append, guint64 promised)
+{
+  QuinceMessage message = { .kind = QUINCE_MESSAGE_LEDGER_ACK };
+  QuinceLedgerAck *ack = &message.QuinceMessage_u.ledger_ack;
+  ack->epoch = append->epoch;
+  ack->replica = follower->self->replica;
+  ack->last_index = append->held_index;
+  ack->echo_us = append->sent_us;
+  ack->promised = promised;
+  quince_link_send (follower->link, &message);
+}
+
+/* Tells the leader that it is refused because of a later promise; one that is refused for another reason gets
+ * no answer. */
+static void
+refuse (QuinceLedgerFollower *follower, const QuinceLedgerAppend *append)
+{
+  guint64 promised = quince_ledger_group_get_kept (follower->group)->promised;
+  if (promised > append->epoch)
+    send_ack (follower, append, promised);
+}
+
+/* Writes what the message changes in the log; %FALSE, logged: the disk refused. */
+static gboolean
+write_append (QuinceLedgerFollower *follower, const QuinceLedgerAppend *append)
+{
+  /* Records of earlier epochs beyond the end of the leader's log were never committed. */
+  guint64 last_index = quince_batch_log_get_last_index (follower->log);
+  gboolean has_stale = last_index > append->end_index
+                       && quince_batch_log_get_epoch (follower->log, last_index) < append->epoch;
+  if (append->entries.entries_len == 0 && !append->reset && !has_stale)
+    return TRUE;
+  g_autoptr (GError) error = NULL;
+  if (quince_ledger_storage_append (follower->storage, append->entries.entries_val,
+                                    append->entries.entries_len, append->reset, append->end_index,
+                                    append->commit_index, &error))
+    return TRUE;
+  quince_log_failure ("ledger_disk_failed", "doing=append reason=\"%s\"", error->message);
+  return FALSE;
+}
+
+static void
+take_append (QuinceLedgerFollower *follower, const QuinceLedgerAppend *append)
+{
+  if (append->replica != follower->self->replica)
+    return;
+  if (!quince_ledger_group_accepts (follower->group, quince_now_us (), append->epoch))
+    {
+      refuse (follower, append);
+      return;
+    }
+  /* The promise first: a replica that has acknowledged a record follows no older epoch, also after a restart.
+   */
+  if (quince_ledger_storage_keep (follower->storage, "follow") && write_append (follower, append))
+    send_ack (follower, append, 0);
+}
+
+/* ---- The link ----------------------------------------------------------- */
+
+static void
+link_message (QuinceLink *link, QuinceMessage *message, gpointer data)
+{
+  QuinceLedgerFollower *follower = data;
+  if (message->kind == QUINCE_MESSAGE_LEDGER_APPEND && link == follower->link)
+    take_append (follower, &message->QuinceMessage_u.ledger_append);
+  else if (link == follower->link)
+    follower->callbacks->message (link, message, follower->user_data);
+  quince_message_free (message);
+}
+
+static void
+link_connected (QuinceLink *link, gpointer data)
+{
+  QuinceLedgerFollower *follower = data;
+  const QuinceLogEnd end = quince_ledger_storage_get_end (follower->storage);
+  QuinceMessage message = { .kind = QUINCE_MESSAGE_LEDGER_HELLO };
+  QuinceLedgerHello *hello = &message.QuinceMessage_u.ledger_hello;
+  hello->member = *follower->self;
+  hello->zone = (char *)follower->zone;
+  hello->last_index = end.index;
+  hello->last_epoch = end.epoch;
+  hello->commit_index = MIN (quince_batch_log_get_commit (follower->log), end.index);
+  hello->commit_epoch = quince_batch_log_get_epoch (follower->log, hello->commit_index);
+  quince_link_send (link, &message);
+  follower->lost = FALSE;
+  quince_log_info ("dependency_regained", "what=ledger_primary address=%s", follower->address);
+  follower->callbacks->followed (link, follower->user_data);
+}
+
+static void
+link_closed (QuinceLink *link, const GError *error, gpointer data)
+{
+  QuinceLedgerFollower *follower = data;
+  if (!follower->lost)
+    quince_log_warning ("dependency_lost", "what=ledger_primary address=%s", follower->address);
+  follower->lost = TRUE;
+  g_clear_pointer (&follower->link, quince_link_unref);
+  follower->callbacks->unfollowed (follower->user_data);
+}
+
+static const QuinceLinkCallbacks link_callbacks
+    = { .connected = link_connected, .message = link_message, .closed = link_closed };
+
+/* The leader to follow. (transfer none) (nullable): none is known, or this replica is no backup */
+static const QuinceLedgerMember *
+find_leader (const QuinceLedgerFollower *follower)
+{
+  const QuinceLedgerView *view = quince_ledger_group_get_view (follower->group);
+  const QuinceLedgerMember *leader = view != NULL ? quince_ledger_view_find (view, view->primary) : NULL;
+  gboolean is_backup = quince_ledger_group_get_role (follower->group) == QUINCE_LEDGER_BACKUP;
+  return is_backup && leader != NULL && leader->replica != follower->self->replica ? leader : NULL;
+}
+
+void
+quince_ledger_follower_step (QuinceLedgerFollower *follower)
+{
+  const QuinceLedgerMember *leader = find_leader (follower);
+  if (leader == NULL || g_strcmp0 (leader->address, follower->address) != 0)
+    quince_ledger_follower_stop (follower);
+  if (leader == NULL)
+    return;
+  gint64 now = quince_now_us ();
+  gboolean stuck = follower->link != NULL && !quince_link_is_connected (follower->link)
+                   && now - follower->tried_us > CONNECT_US;
+  if (stuck)
+    quince_ledger_follower_stop (follower);
+  if (follower->link != NULL || now - follower->tried_us < RECONNECT_US)
+    return;
+  g_free (follower->address);
+  follower->address = g_strdup (leader->address);
+  follower->tried_us = now;
+  follower->link = quince_link_connect (leader->address, &link_callbacks, follower);
+}
--- /dev/null
+++ b/daemons/replica/ledger-follower.h
@@ -0,0 +1,48 @@
+/*
+ * ledger-follower.h: a backup's link to the leader, and the records that arrive on it.
+ *
+ * Owns the link.  Relies on the group for who leads and whether its records may be taken, on the storage for
+ * the disk: a record is acknowledged once the disk has it, and the promise that goes with it.  All calls
+ * belong to the main context.
+ */
+#pragma once
+
+#include "runtime/link.h"
+
+#include "ledger-storage.h"
+
+typedef struct _QuinceLedgerFollower QuinceLedgerFollower;
+
+/**
+ * QuinceLedgerFollowerCallbacks:
+ * @followed: the link to the leader is up
+ * @message: a message of the leader that is not the ledger's; it lives until the return
+ * @unfollowed: the link broke; not called after quince_ledger_follower_stop()
+ */
+typedef struct
+{
+  void (*followed) (QuinceLink *link, gpointer user_data);
+  void (*message) (QuinceLink *link, const QuinceMessage *message, gpointer user_data);
+  void (*unfollowed) (gpointer user_data);
+} QuinceLedgerFollowerCallbacks;
+
+/**
+ * quince_ledger_follower_new:
+ * @self: this replica; borrowed, like all others
+ * @zone: of this machine
+ */
+QuinceLedgerFollower *quince_ledger_follower_new (const QuinceLedgerMember *self,
+                                                  const char *zone,
+                                                  QuinceLedgerStorage *storage,
+                                                  QuinceLedgerGroup *group,
+                                                  const QuinceLedgerFollowerCallbacks *callbacks,
+                                                  gpointer user_data);
+void quince_ledger_follower_free (QuinceLedgerFollower *follower);
+
+/* Links to the leader of the view where this replica is a backup, else closes the link; to be called several
+ * times a second, and when the role or the view changes. */
+void quince_ledger_follower_step (QuinceLedgerFollower *follower);
+/* Closes the link. */
+void quince_ledger_follower_stop (QuinceLedgerFollower *follower);
+/* The link to the leader, while it is up. (transfer none) (nullable) */
+QuinceLink *quince_ledger_follower_get_leader (const QuinceLedgerFollower *follower);
--- /dev/null
+++ b/daemons/replica/ledger-member-links.c
@@ -0,0 +1,165 @@
+/*
+ * ledger-member-links.c: links to members, for campaigns and queries.
+ */
+#include "ledger-member-links.h"
+
+#include "runtime/clock.h"
+
+/* Links on which nothing was sent for so long are closed, us: above 440 ms, the longest time between two
+ * queries of one campaign. */
+#define IDLE_US (500 * 1000)
+/* A link that is not up after this is tried anew, us.  Not measured: as a backup's link to the leader. */
+#define CONNECT_US (1200 * 1000)
+
+struct _QuinceLedgerMemberLinks
+{
+  /* All fields belong to the main context. */
+  const QuinceLedgerGroup *group;                    /* borrowed */
+  const QuinceLedgerMemberLinksCallbacks *callbacks; /* borrowed */
+  gpointer user_data;
+
+  GHashTable *links;       /* QuinceLink by replica, both owned */
+  GHashTable *addresses;   /* replica to address, both owned: where it is not the view's */
+  gint64 used_us;          /* when something was last sent */
+  gint64 connect_check_us; /* when links that do not connect were last closed */
+};
+
+static void
+close_all (QuinceLedgerMemberLinks *links)
+{
+  GHashTableIter iter;
+  gpointer link;
+  g_hash_table_iter_init (&iter, links->links);
+  while (g_hash_table_iter_next (&iter, NULL, &link))
+    quince_link_close (link);
+  g_hash_table_remove_all (links->links);
+}
+
+QuinceLedgerMemberLinks *
+quince_ledger_member_links_new (const QuinceLedgerGroup *group,
+                                const QuinceLedgerMemberLinksCallbacks *callbacks,
+                                gpointer user_data)
+{
+  QuinceLedgerMemberLinks *links = g_new0 (QuinceLedgerMemberLinks, 1);
+  links->group = group;
+  links->callbacks = callbacks;
+  links->user_data = user_data;
+  links->links
+      = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, (GDestroyNotify)quince_link_unref);
+  links->addresses = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, g_free);
+  return links;
+}
+
+void
+quince_ledger_member_links_free (QuinceLedgerMemberLinks *links)
+{
+  if (links == NULL)
+    return;
+  close_all (links);
+  g_hash_table_unref (links->links);
+  g_hash_table_unref (links->addresses);
+  g_free (links);
+}
+
+/* ---- Links -------------------------------------------------------------- */
+
+static void
+link_message (QuinceLink *link, QuinceMessage *message, gpointer data)
+{
+  QuinceLedgerMemberLinks *links = data;
+  if (message->kind == QUINCE_MESSAGE_LEDGER_PROMISE)
+    links->callbacks->promised (&message->QuinceMessage_u.ledger_promise, links->user_data);
+  else if (message->kind == QUINCE_MESSAGE_LEDGER_LEAD)
+    links->callbacks->lead (&message->QuinceMessage_u.ledger_lead, links->user_data);
+  quince_message_free (message);
+}
+
+static gboolean
+is_link (gpointer key, gpointer value, gpointer link)
+{
+  return value == link;
+}
+
+static void
+link_closed (QuinceLink *link, const GError *error, gpointer data)
+{
+  QuinceLedgerMemberLinks *links = data;
+  g_hash_table_foreach_remove (links->links, is_link, link);
+}
+
+static const QuinceLinkCallbacks link_callbacks = { .message = link_message, .closed = link_closed };
+
+static gboolean
+close_unconnected (gpointer key, gpointer link, gpointer data)
+{
+  if (quince_link_is_connected (link))
+    return FALSE;
+  quince_link_close (link);
+  return TRUE;
+}
+
+void
+quince_ledger_member_links_close_idle (QuinceLedgerMemberLinks *links)
+{
+  gint64 now = quince_now_us ();
+  if (now - links->used_us > IDLE_US)
+    close_all (links);
+  if (now - links->connect_check_us < CONNECT_US)
+    return;
+  links->connect_check_us = now;
+  g_hash_table_foreach_remove (links->links, close_unconnected, NULL);
+}
+
+static QuinceLink *
+link_to (QuinceLedgerMemberLinks *links, const QuinceLedgerMember *member)
+{
+  gint64 key = (gint64)member->replica;
+  QuinceLink *link = g_hash_table_lookup (links->links, &key);
+  if (link != NULL)
+    return link;
+  const char *address = g_hash_table_lookup (links->addresses, &key);
+  link = quince_link_connect (address != NULL ? address : member->address, &link_callbacks, links);
+  g_hash_table_insert (links->links, g_memdup2 (&key, sizeof key), link);
+  return link;
+}
+
+void
+quince_ledger_member_links_send (QuinceLedgerMemberLinks *links,
+                                 const QuinceLedgerMember *member,
+                                 const QuinceMessage *message)
+{
+  links->used_us = quince_now_us ();
+  quince_link_send (link_to (links, member), message);
+}
+
+/* ---- Addresses ---------------------------------------------------------- */
+
+static const char *
+get_address (const QuinceLedgerMemberLinks *links, guint64 replica)
+{
+  gint64 key = (gint64)replica;
+  const char *address = g_hash_table_lookup (links->addresses, &key);
+  const QuinceLedgerMember *member
+      = quince_ledger_view_find (quince_ledger_group_get_view (links->group), replica);
+  return address != NULL || member == NULL ? address : member->address;
+}
+
+gboolean
+quince_ledger_member_links_set_address (QuinceLedgerMemberLinks *links, const QuinceLedgerMember *member)
+{
+  gint64 key = (gint64)member->replica;
+  if (g_strcmp0 (get_address (links, member->replica), member->address) == 0)
+    return FALSE;
+  g_hash_table_replace (links->addresses, g_memdup2 (&key, sizeof key), g_strdup (member->address));
+  QuinceLink *link = g_hash_table_lookup (links->links, &key);
+  if (link != NULL)
+    quince_link_close (link);
+  g_hash_table_remove (links->links, &key);
+  return TRUE;
+}
+
+void
+quince_ledger_member_links_forget_addresses (QuinceLedgerMemberLinks *links)
+{
+  g_hash_table_remove_all (links->addresses);
+}
--- /dev/null
+++ b/daemons/replica/ledger-membership.c
@@ -0,0 +1,178 @@
+/*
+ * ledger-membership.c: reads and changes of the view in the metadata store.
+ */
+#include "ledger-membership.h"
+
+#include "observer/observer.h"
+#include "runtime/clock.h"
+#include "runtime/log.h"
+
+/* Least time between two reads of the view that were not asked for by a change, us.  Not measured: two reads
+ * a confirmation interval of a leader (QuinceLedgerLimits). */
+#define READ_EVERY_US (300 * 1000)
+
+struct _QuinceLedgerMembership
+{
+  /* All fields belong to the main context. */
+  QuinceLedgerGroup *group;                         /* borrowed */
+  QuinceLedgerStorage *storage;                     /* borrowed */
+  QuinceMetaStore *store;                           /* borrowed */
+  const QuinceLedgerMembershipCallbacks *callbacks; /* borrowed */
+  gpointer user_data;
+
+  gboolean reading;      /* a read is on its way */
+  gboolean answered;     /* the store has answered once, also that there is no view */
+  gint64 read_us;        /* when the last read began; 0: never */
+  guint64 read_revision; /* of the newest view that was read */
+};
+
+QuinceLedgerMembership *
+quince_ledger_membership_new (QuinceLedgerGroup *group,
+                              QuinceLedgerStorage *storage,
+                              QuinceMetaStore *store,
+                              const QuinceLedgerMembershipCallbacks *callbacks,
+                              gpointer user_data)
+{
+  QuinceLedgerMembership *membership = g_new0 (QuinceLedgerMembership, 1);
+  membership->group = group;
+  membership->storage = storage;
+  membership->store = store;
+  membership->callbacks = callbacks;
+  membership->user_data = user_data;
+  return membership;
+}
+
+void
+quince_ledger_membership_free (QuinceLedgerMembership *membership)
+{
+  g_free (membership);
+}
+
+/* ---- Reading ------------------------------------------------------------ */
+
+/* @read_us: when the read began; 0: not known */
+static void
+take_view (QuinceLedgerMembership *membership, GBytes *value, guint64 revision, gint64 read_us)
+{
+  g_autoptr (GError) error = NULL;
+  g_autoptr (QuinceLedgerView) view = NULL;
+  if (value != NULL)
+    view = quince_ledger_view_decode (g_bytes_get_data (value, NULL), g_bytes_get_size (value), &error);
+  if (error != NULL)
+    quince_log_warning ("entry_refused", "what=ledger_view revision=%" G_GUINT64_FORMAT " code=%d", revision,
+                        error->code);
+  quince_ledger_group_set_view (membership->group, quince_now_us (), read_us, view,
+                                view != NULL ? revision : 0);
+  gboolean newer = revision > membership->read_revision;
+  membership->read_revision = MAX (membership->read_revision, revision);
+  membership->callbacks->changed (newer, membership->user_data);
+}
+
+void
+quince_ledger_membership_take_view (QuinceLedgerMembership *membership, GBytes *value, guint64 revision)
+{
+  /* A watch may be late: it does not show what the store holds now. */
+  take_view (membership, value, revision, 0);
+}
+
+static void
+view_answered (const QuinceMetaPage *page, guint64 number, const GError *error, gpointer data)
+{
+  QuinceLedgerMembership *membership = data;
+  membership->reading = FALSE;
+  gboolean absent = g_error_matches (error, QUINCE_META_ERROR, QUINCE_META_ERROR_GONE);
+  if (error != NULL && !absent)
+    return; /* the store logs that it fails; a later step reads again */
+  membership->answered = TRUE;
+  const QuinceMetaItem *item = page != NULL && page->items->len > 0 ? page->items->pdata[0] : NULL;
+  take_view (membership, item != NULL ? item->value : NULL, item != NULL ? item->revision : 0,
+             membership->read_us);
+}
+
+void
+quince_ledger_membership_read (QuinceLedgerMembership *membership)
+{
+  if (membership->reading)
+    return;
+  membership->reading = TRUE;
+  membership->read_us = quince_now_us ();
+  quince_meta_store_get (membership->store, QUINCE_LEDGER_KEY, view_answered, membership);
+}
+
+void
+quince_ledger_membership_refresh (QuinceLedgerMembership *membership, gint64 now_us)
+{
+  if (now_us - membership->read_us > READ_EVERY_US)
+    quince_ledger_membership_read (membership);
+}
+
+void
+quince_ledger_membership_read_first (QuinceLedgerMembership *membership, gint64 now_us)
+{
+  /* No watch shows a replica that there is no view yet, and that it may found the ledger. */
+  if (!membership->answered && !quince_meta_store_is_failing (membership->store))
+    quince_ledger_membership_refresh (membership, now_us);
+}
+
+/* ---- Changes ------------------------------------------------------------ */
+
+static QuinceProposalOutcome
+get_outcome (const GError *error)
+{
+  if (error == NULL)
+    return QUINCE_PROPOSAL_DONE;
+  if (g_error_matches (error, QUINCE_META_ERROR, QUINCE_META_ERROR_CONFLICT))
+    return QUINCE_PROPOSAL_CONFLICT;
+  if (g_error_matches (error, QUINCE_META_ERROR, QUINCE_META_ERROR_UNAVAILABLE))
+    return QUINCE_PROPOSAL_NOT_DONE;
+  return QUINCE_PROPOSAL_UNKNOWN;
+}
+
+static void
+proposal_answered (const QuinceMetaPage *page, guint64 number, const GError *error, gpointer data)
+{
+  QuinceLedgerMembership *membership = data;
+  QuinceProposalOutcome outcome = get_outcome (error);
+  static const char *const names[] = { "done", "conflict", "not_done", "unknown" };
+  quince_log_info ("view_proposal_ended", "outcome=%s", names[outcome]);
+  quince_ledger_group_proposal_ended (membership->group, quince_now_us (), outcome, number);
+  if (outcome == QUINCE_PROPOSAL_CONFLICT || outcome == QUINCE_PROPOSAL_UNKNOWN)
+    quince_ledger_membership_read (membership);
+  membership->callbacks->changed (FALSE, membership->user_data);
+}
+
+static void
+write_view (QuinceLedgerMembership *membership, const QuinceLedgerView *view, guint64 expected_revision)
+{
+  g_autoptr (GError) error = NULL;
+  g_autoptr (GBytes) value = quince_ledger_view_encode (view, &error);
+  if (value == NULL) /* a change without a value would remove the key */
+    {
+      quince_log_failure ("view_not_encoded", "epoch=%" G_GUINT64_FORMAT " code=%d", (guint64)view->epoch,
+                          error->code);
+      quince_ledger_group_proposal_ended (membership->group, quince_now_us (), QUINCE_PROPOSAL_NOT_DONE, 0);
+      return;
+    }
+  const QuinceMetaChange change
+      = { .key = QUINCE_LEDGER_KEY, .expected_revision = (gint64)expected_revision, .value = value };
+  quince_meta_store_change (membership->store, &change, 1, proposal_answered, membership);
+}
+
+void
+quince_ledger_membership_propose (QuinceLedgerMembership *membership)
+{
+  if (quince_meta_store_is_failing (membership->store))
+    return;
+  guint64 expected = 0; /* revision that the change is made on */
+  g_autoptr (QuinceLedgerView) view
+      = quince_ledger_group_step (membership->group, quince_now_us (), &expected);
+  /* Promises and notes that the step made are on the disk before the change is sent. */
+  quince_ledger_storage_keep_or_abort (membership->storage);
+  if (view == NULL)
+    return;
+  quince_log_info ("view_proposed",
+                   "epoch=%" G_GUINT64_FORMAT " primary=%" G_GUINT64_FORMAT
+                   " members=%u on_revision=%" G_GUINT64_FORMAT,
+                   (guint64)view->epoch, (guint64)view->primary, view->members.members_len, expected);
+  write_view (membership, view, expected);
+}
--- a/daemons/replica/ledger-node.c
+++ b/daemons/replica/ledger-node.c
@@ -1,306 +1,279 @@
 /*
- * ledger-node.c: one replica of the batch ledger: views, leadership, records.
+ * ledger-node.c: the owner of the parts of a replica's ledger.
+ *
+ * Joins election, membership, replication (at the leader), following (at a backup) and records, none of which
+ * knows another one: each reports upwards by its callbacks, and the role is applied here.
  */
-#include "ledger-node-private.h"
+#include "ledger-node.h"
 
-#include <stdlib.h>
-#include <string.h>
-
-#include "runtime/log.h"
-#include "runtime/packed-message.h"
 #include "runtime/clock.h"
+#include "runtime/log.h"
+
+#include "ledger-election.h"
+#include "ledger-follower.h"
+#include "ledger-member-links.h"
+#include "ledger-membership.h"
+#include "ledger-records.h"
+#include "ledger-replication.h"
+#include "ledger-storage.h"
 
+/* Period of a replica's steps and of a leader's heartbeats to its backups, ms.  Not measured: several
+ * heartbeats in the 1 s of silence after which backups campaign. */
 #define TICK_MS 150
-/* A leader whose backups do not answer asks the metadata store whether it still leads. */
-#define CONFIRM_EVERY_US (300 * 1000)
-#define COMPACT_EVERY_US (5 * G_USEC_PER_SEC)
-#define COMPACT_MAX 500
-/* How long a new leader reads its log before it looks at its links: little against the 1 s of silence after
- * which others take the lead, also on a tenth of a core. */
-#define READ_TURN_US (30 * 1000)
 
-/* ---- Links ------------------------------------------------------------ */
+struct _QuinceLedgerNode
+{
+  /* All fields belong to the main context. */
+  const QuinceLedgerNodeCallbacks *callbacks; /* borrowed */
+  gpointer user_data;
+  QuinceLedgerMember self; /* owned strings */
+  char *zone;              /* of this machine */
+
+  QuinceLedgerGroup *group;
+  QuinceLedgerStorage *storage;
+  QuinceLedgerMemberLinks *member_links;
+  QuinceLedgerElection *election;
+  QuinceLedgerMembership *membership;
+  QuinceLedgerFollower *follower;
+  QuinceLedgerReplication *replication;
+  QuinceLedgerRecords *records;
+
+  QuinceLinkServer *server;
+  GHashTable *incoming; /* QuinceLink, owned: of fronts, backups and members */
+  GSource *tick;
+};
+
+/* ---- The role ----------------------------------------------------------- */
 
 static void
-link_message (QuinceLink *link, QuinceMessage *message, gpointer data)
+begin_leading (QuinceLedgerNode *node, guint64 epoch)
 {
-  QuinceLedgerNode *node = data;
-  switch (message->kind)
-    {
-    case QUINCE_MESSAGE_LEDGER_HELLO:
-      quince_ledger_node_hello (node, link, &message->QuinceMessage_u.ledger_hello);
-      break;
-    case QUINCE_MESSAGE_LEDGER_ACK:
-      quince_ledger_node_acked (node, link, &message->QuinceMessage_u.ledger_ack);
-      break;
-    case QUINCE_MESSAGE_LEDGER_ASK:
-      quince_ledger_node_handle_ask (node, link, &message->QuinceMessage_u.ledger_ask);
-      break;
-    case QUINCE_MESSAGE_LEDGER_QUERY:
-      quince_ledger_node_handle_query (node, link, &message->QuinceMessage_u.ledger_query);
-      break;
-    case QUINCE_MESSAGE_LEDGER_LEAD:
-      quince_ledger_node_take_lead (node, &message->QuinceMessage_u.ledger_lead);
-      break;
-    case QUINCE_MESSAGE_SERVICE_CALL:
-      node->callbacks->service_call (link, &message->QuinceMessage_u.service_call, node->user_data);
-      break;
-    default:
-      node->callbacks->other_message (link, message, node->user_data);
-      break;
-    }
-  quince_message_free (message);
+  quince_ledger_follower_stop (node->follower);
+  quince_ledger_replication_begin (node->replication, epoch);
+  quince_ledger_records_begin (node->records, epoch);
+  quince_log_info ("ledger_role", "role=primary epoch=%" G_GUINT64_FORMAT " last_index=%" G_GUINT64_FORMAT,
+                   epoch, quince_ledger_node_get_last_index (node));
 }
 
 static void
-link_closed (QuinceLink *link, const GError *error, gpointer data)
+stop_leading (QuinceLedgerNode *node)
 {
-  QuinceLedgerNode *node = data;
-  quince_ledger_node_drop_backup (node, link);
-  node->callbacks->link_closed (link, node->user_data);
-  g_hash_table_remove (node->incoming, link);
+  quince_log_warning ("ledger_role", "role=backup epoch_led=%" G_GUINT64_FORMAT,
+                      quince_ledger_records_get_epoch (node->records));
+  gboolean had_read = quince_ledger_records_end (node->records);
+  quince_ledger_replication_end (node->replication, had_read);
+  if (had_read)
+    node->callbacks->stopped_leading (node->user_data);
 }
 
-static const QuinceLinkCallbacks link_callbacks = { .message = link_message, .closed = link_closed };
-
+/* Acts on the role that the group has. */
 static void
-link_accepted (QuinceLink *link, gpointer data)
+apply_role (QuinceLedgerNode *node)
 {
-  QuinceLedgerNode *node = data;
-  g_hash_table_add (node->incoming, link);
+  const QuinceLedgerView *view = quince_ledger_group_get_view (node->group);
+  gboolean leads = quince_ledger_group_get_role (node->group) == QUINCE_LEDGER_PRIMARY;
+  guint64 epoch = quince_ledger_records_get_epoch (node->records);
+  if (epoch != 0 && (!leads || view->epoch != epoch))
+    stop_leading (node);
+  if (leads && quince_ledger_records_get_epoch (node->records) == 0)
+    begin_leading (node, view->epoch);
+  /* A replica that has left the view gets no record that is written from now on. */
+  if (quince_ledger_records_get_epoch (node->records) != 0)
+    quince_ledger_replication_choose (node->replication);
+  quince_ledger_follower_step (node->follower);
+  quince_ledger_records_advance (node->records);
 }
 
-/* ---- Leadership ------------------------------------------------------- */
+/* ---- Events of the parts ------------------------------------------------- */
 
 static void
-free_entry (gpointer data)
+election_role_changed (gpointer data)
 {
-  QuinceLogEntry *entry = data;
-  g_free (entry->record.record_val);
-  g_free (entry);
+  apply_role (data);
 }
 
 static void
-clear_records (QuinceLedgerNode *node)
+election_propose (gpointer data)
 {
-  for (guint i = 0; i < node->unwritten->len; i++)
-    g_free (g_array_index (node->unwritten, QuinceLogEntry, i).record.record_val);
-  g_array_set_size (node->unwritten, 0);
-  g_queue_clear_full (&node->uncommitted, free_entry);
-  quince_source_clear (&node->flush);
+  QuinceLedgerNode *node = data;
+  quince_ledger_membership_propose (node->membership);
 }
 
-/* A leader that cannot write must not go on: another one takes over. */
+static gboolean
+election_is_backup (guint64 replica, gpointer data)
+{
+  const QuinceLedgerNode *node = data;
+  return quince_ledger_replication_is_linked (node->replication, replica);
+}
+
+static const QuinceLedgerElectionCallbacks election_callbacks
+    = { .role_changed = election_role_changed, .propose = election_propose, .is_backup = election_is_backup };
+
 static void
-write_records (QuinceLedgerNode *node, const QuinceLogEntry *entries, guint n_entries)
+member_promised (const QuinceLedgerPromise *promise, gpointer data)
 {
-  g_autoptr (GError) error = NULL;
-  if (!quince_batch_log_append (node->log, entries, n_entries, FALSE, node->next_index - 1,
-                                quince_ledger_group_get_commit_index (node->group), &error))
-    {
-      quince_log_failure ("ledger_disk_failed", "doing=append reason=\"%s\"", error->message);
-      abort ();
-    }
-  quince_ledger_node_note_end (node);
+  QuinceLedgerNode *node = data;
+  quince_ledger_election_take_promise (node->election, promise);
 }
 
 static void
-stop_leading (QuinceLedgerNode *node)
+member_lead (const QuinceLedgerLead *lead, gpointer data)
 {
-  quince_log_warning ("ledger_role", "role=backup epoch_led=%" G_GUINT64_FORMAT, node->led_epoch);
-  node->led_epoch = 0;
-  quince_ledger_node_drop_backups (node);
-  clear_records (node);
-  if (node->led || node->reading != NULL)
-    {
-      quince_source_clear (&node->reading);
-      node->led = FALSE;
-      node->confinement_known = FALSE;
-      node->callbacks->stopped_leading (node->user_data);
-    }
+  QuinceLedgerNode *node = data;
+  quince_ledger_election_take_lead (node->election, lead);
 }
 
-void
-quince_ledger_node_note_end (QuinceLedgerNode *node)
+static const QuinceLedgerMemberLinksCallbacks member_callbacks
+    = { .promised = member_promised, .lead = member_lead };
+
+static void
+view_changed (gboolean newer, gpointer data)
 {
-  guint64 index = quince_batch_log_get_last_index (node->log);
-  const QuinceLogEnd end = { .epoch = quince_batch_log_get_epoch (node->log, index), .index = index };
-  quince_ledger_group_set_log_end (node->group, &end);
+  QuinceLedgerNode *node = data;
+  if (newer)
+    quince_ledger_member_links_forget_addresses (node->member_links);
+  apply_role (node);
+  /* A former leader that was restarted asks its members at once. */
+  if (newer)
+    quince_ledger_election_campaign (node->election);
 }
 
-/* A record of the new epoch: older ones count as committed only together with it. */
+static const QuinceLedgerMembershipCallbacks membership_callbacks = { .changed = view_changed };
+
 static void
-mark_epoch (QuinceLedgerNode *node)
+leader_followed (QuinceLink *link, gpointer data)
 {
-  const QuinceLogEntry mark = { .index = node->next_index++, .epoch = node->led_epoch };
-  write_records (node, &mark, 1);
+  QuinceLedgerNode *node = data;
+  node->callbacks->followed (link, node->user_data);
 }
 
 static void
-begin_leading (QuinceLedgerNode *node, guint64 epoch)
+leader_message (QuinceLink *link, const QuinceMessage *message, gpointer data)
 {
-  node->led_epoch = epoch;
-  node->next_index = quince_batch_log_get_last_index (node->log) + 1;
-  quince_ledger_node_unfollow (node);
-  quince_ledger_node_drop_backups (node);
-  mark_epoch (node);
-  quince_log_info ("ledger_role", "role=primary epoch=%" G_GUINT64_FORMAT " last_index=%" G_GUINT64_FORMAT,
-                   epoch, node->next_index - 1);
+  QuinceLedgerNode *node = data;
+  node->callbacks->other_message (link, message, node->user_data);
 }
 
-void
-quince_ledger_node_update_role (QuinceLedgerNode *node)
+static void
+leader_unfollowed (gpointer data)
 {
-  const QuinceLedgerView *view = quince_ledger_group_get_view (node->group);
-  gboolean primary = quince_ledger_group_get_role (node->group) == QUINCE_LEDGER_PRIMARY;
-  if (node->led_epoch != 0 && (!primary || view->epoch != node->led_epoch))
-    stop_leading (node);
-  if (primary && node->led_epoch == 0)
-    begin_leading (node, view->epoch);
-  /* Who has left the view gets no record that is written from now on. */
-  if (node->led_epoch != 0)
-    quince_ledger_node_choose_fed (node);
-  quince_ledger_node_follow (node);
-  quince_ledger_node_advance (node);
+  QuinceLedgerNode *node = data;
+  node->callbacks->unfollowed (node->user_data);
 }
 
-/* ---- Records ---------------------------------------------------------- */
+static const QuinceLedgerFollowerCallbacks follower_callbacks
+    = { .followed = leader_followed, .message = leader_message, .unfollowed = leader_unfollowed };
 
 static void
-tell_record (QuinceLedgerNode *node, const QuinceLogEntry *entry)
+record_committed (guint64 index, QuinceBatchRecord *record, gpointer data)
 {
-  if (entry->record.record_len == 0)
-    return; /* its batch is forgotten */
-  QuinceBatchRecord *record
-      = quince_batch_record_unpack (entry->record.record_val, entry->record.record_len, NULL);
-  if (record != NULL)
-    node->callbacks->committed (entry->index, record, node->user_data);
-  else
-    quince_log_failure ("ledger_record_unreadable", "index=%" G_GUINT64_FORMAT, (guint64)entry->index);
+  QuinceLedgerNode *node = data;
+  node->callbacks->committed (index, record, node->user_data);
 }
 
-/* Tells stored records until the turn's time is up. */
-static gboolean
-tell_stored (const QuinceLogEntry *entry, gpointer data)
+static void
+records_written (gpointer data)
 {
   QuinceLedgerNode *node = data;
-  tell_record (node, entry);
-  node->delivered_index = entry->index;
-  return quince_now_us () < node->turn_ends_us;
+  quince_ledger_replication_send (node->replication, FALSE);
 }
 
-/* A log of some thousand records takes seconds to read on a small machine.  Between two turns heartbeats go
- * out: without them the others would elect another leader, which would begin to read in its turn. */
-static gboolean
-read_more (gpointer data)
+static void
+records_recovered (gpointer data)
 {
   QuinceLedgerNode *node = data;
-  g_autoptr (GError) error = NULL;
-  node->turn_ends_us = quince_now_us () + READ_TURN_US;
-  if (!quince_batch_log_walk (node->log, node->delivered_index + 1, tell_stored, node, &error))
-    {
-      /* What it cannot read it cannot answer for: another replica can. */
-      quince_log_failure ("ledger_disk_failed", "doing=read reason=\"%s\"", error->message);
-      abort ();
-    }
-  if (node->delivered_index < quince_batch_log_get_last_index (node->log))
-    return G_SOURCE_CONTINUE;
-  quince_source_clear (&node->reading);
-  node->led = TRUE;
-  quince_log_info ("ledger_recovered",
-                   "epoch=%" G_GUINT64_FORMAT " index=%" G_GUINT64_FORMAT " read_ms=%" G_GINT64_FORMAT,
-                   node->led_epoch, node->delivered_index, (quince_now_us () - node->read_since_us) / 1000);
+  quince_ledger_replication_set_recovered (node->replication);
   node->callbacks->leads (node->user_data);
-  quince_ledger_node_advance (node);
-  return G_SOURCE_REMOVE;
 }
 
-/* All that was acknowledged is held by enough machines: this replica leads once it has read it. */
+static const QuinceLedgerRecordsCallbacks records_callbacks
+    = { .committed = record_committed, .written = records_written, .recovered = records_recovered };
+
+/* ---- Links --------------------------------------------------------------- */
+
 static void
-begin_reading (QuinceLedgerNode *node)
+handle_hello (QuinceLedgerNode *node, QuinceLink *link, const QuinceLedgerHello *hello)
 {
-  node->delivered_index = 0;
-  node->read_since_us = quince_now_us ();
-  node->reading = quince_timer_add (0, read_more, node);
+  if (quince_ledger_records_get_epoch (node->records) != 0)
+    {
+      quince_ledger_replication_join (node->replication, link, hello);
+      return;
+    }
+  /* A former leader that was restarted needs the promises of the members that come back to it. */
+  gboolean moved = quince_ledger_member_links_set_address (node->member_links, &hello->member);
+  quince_link_close (link);
+  if (moved)
+    quince_ledger_election_campaign (node->election);
 }
 
-void
-quince_ledger_node_advance (QuinceLedgerNode *node)
+static void
+link_message (QuinceLink *link, QuinceMessage *message, gpointer data)
 {
-  if (node->led_epoch == 0)
-    return;
-  if (!node->led && node->reading == NULL && quince_ledger_group_may_answer (node->group, quince_now_us ()))
-    begin_reading (node);
-  if (!node->led)
-    return;
-  guint64 commit = quince_ledger_group_get_commit_index (node->group);
-  while (node->uncommitted.head != NULL && ((QuinceLogEntry *)node->uncommitted.head->data)->index <= commit)
+  QuinceLedgerNode *node = data;
+  switch (message->kind)
     {
-      QuinceLogEntry *entry = g_queue_pop_head (&node->uncommitted);
-      tell_record (node, entry);
-      free_entry (entry);
+    case QUINCE_MESSAGE_LEDGER_HELLO:
+      handle_hello (node, link, &message->QuinceMessage_u.ledger_hello);
+      break;
+    case QUINCE_MESSAGE_LEDGER_ACK:
+      if (quince_ledger_replication_take_ack (node->replication, link, &message->QuinceMessage_u.ledger_ack))
+        quince_ledger_records_advance (node->records);
+      break;
+    case QUINCE_MESSAGE_LEDGER_ASK:
+      quince_ledger_election_handle_ask (node->election, link, &message->QuinceMessage_u.ledger_ask);
+      break;
+    case QUINCE_MESSAGE_LEDGER_QUERY:
+      quince_ledger_election_handle_query (node->election, link, &message->QuinceMessage_u.ledger_query);
+      break;
+    case QUINCE_MESSAGE_LEDGER_LEAD:
+      quince_ledger_election_take_lead (node->election, &message->QuinceMessage_u.ledger_lead);
+      break;
+    case QUINCE_MESSAGE_SERVICE_CALL:
+      node->callbacks->service_call (link, &message->QuinceMessage_u.service_call, node->user_data);
+      break;
+    default:
+      node->callbacks->other_message (link, message, node->user_data);
+      break;
     }
+  quince_message_free (message);
 }
 
-static gboolean
-flush_records (gpointer data)
+static void
+link_closed (QuinceLink *link, const GError *error, gpointer data)
 {
   QuinceLedgerNode *node = data;
-  quince_source_clear (&node->flush);
-  write_records (node, (const QuinceLogEntry *)node->unwritten->data, node->unwritten->len);
-  for (guint i = 0; i < node->unwritten->len; i++)
-    g_queue_push_tail (&node->uncommitted, g_memdup2 (&g_array_index (node->unwritten, QuinceLogEntry, i),
-                                                      sizeof (QuinceLogEntry)));
-  g_array_set_size (node->unwritten, 0);
-  quince_ledger_node_send_backups (node, FALSE);
-  quince_ledger_node_advance (node);
-  return G_SOURCE_REMOVE;
+  quince_ledger_replication_drop (node->replication, link);
+  node->callbacks->link_closed (link, node->user_data);
+  g_hash_table_remove (node->incoming, link);
 }
 
-guint64
-quince_ledger_node_append (QuinceLedgerNode *node, const QuinceBatchRecord *record)
+static const QuinceLinkCallbacks link_callbacks = { .message = link_message, .closed = link_closed };
+
+static void
+link_accepted (QuinceLink *link, gpointer data)
 {
-  if (!node->led)
-    return 0;
-  g_autoptr (GError) error = NULL;
-  g_autoptr (GBytes) encoded = quince_batch_record_encode (record, &error);
-  if (encoded == NULL)
-    {
-      quince_log_failure ("ledger_record_refused", "reason=\"%s\"", error->message);
-      return 0;
-    }
-  g_array_set_size (node->unwritten, node->unwritten->len + 1);
-  QuinceLogEntry *entry = &g_array_index (node->unwritten, QuinceLogEntry, node->unwritten->len - 1);
-  gsize length;
-  entry->index = node->next_index++;
-  entry->epoch = node->led_epoch;
-  entry->record.record_val = g_bytes_unref_to_data (quince_batch_record_pack (encoded), &length);
-  entry->record.record_len = (u_int)length;
-  if (node->flush == NULL)
-    node->flush = quince_timer_add (0, flush_records, node);
-  return entry->index;
+  QuinceLedgerNode *node = data;
+  g_hash_table_add (node->incoming, link);
 }
 
-/* ---- Time ------------------------------------------------------------- */
+/* ---- Time ---------------------------------------------------------------- */
 
+/* Keeps on the disk that this leader may give orders in its epoch. */
 static void
-compact (QuinceLedgerNode *node, gint64 now)
+note_orders (QuinceLedgerNode *node, gint64 now_us)
 {
-  g_autoptr (GError) error = NULL;
-  if (now - node->compacted_us < COMPACT_EVERY_US)
-    return;
-  node->compacted_us = now;
-  if (!quince_batch_log_compact (node->log, &node->compacted, COMPACT_MAX, &error))
-    quince_log_failure ("ledger_disk_failed", "doing=compact reason=\"%s\"", error->message);
+  quince_ledger_group_note_orders (node->group, now_us);
+  quince_ledger_storage_keep (node->storage, "note_orders");
 }
 
 static void
-note_orders (QuinceLedgerNode *node, gint64 now)
+step_as_leader (QuinceLedgerNode *node, gint64 now_us)
 {
-  g_autoptr (GError) error = NULL;
-  quince_ledger_group_note_orders (node->group, now);
-  if (!quince_ledger_node_keep (node, &error))
-    quince_log_failure ("ledger_disk_failed", "doing=note_orders reason=\"%s\"", error->message);
+  quince_ledger_replication_send (node->replication, TRUE);
+  /* Its backups do not answer, or this process was suspended: the view may have changed meanwhile. */
+  if (!quince_ledger_group_may_accept (node->group, now_us))
+    quince_ledger_membership_refresh (node->membership, now_us);
+  quince_ledger_records_advance (node->records);
 }
 
 static gboolean
@@ -308,31 +281,51 @@
 {
   QuinceLedgerNode *node = data;
   gint64 now = quince_now_us ();
-  /* Nothing else tells a replica that there is no view yet, and that it may found the ledger. */
-  if (!node->answered_view && !quince_meta_store_is_failing (node->store)
-      && now - node->view_requested_us > CONFIRM_EVERY_US)
-    quince_ledger_node_ask_view (node);
-  quince_ledger_node_campaign (node);
-  quince_ledger_node_propose (node);
-  quince_ledger_node_query_leader (node);
-  quince_ledger_node_lead_without_store (node);
-  quince_ledger_node_follow (node);
-  compact (node, now);
-  if (node->led_epoch != 0)
-    {
-      quince_ledger_node_send_backups (node, TRUE);
-      /* It may also have been doing nothing for long, and the view may have changed meanwhile. */
-      if (!quince_ledger_group_may_accept (node->group, now)
-          && now - node->view_requested_us > CONFIRM_EVERY_US)
-        quince_ledger_node_ask_view (node);
-      quince_ledger_node_advance (node);
-    }
-  if (node->led)
+  quince_ledger_membership_read_first (node->membership, now);
+  quince_ledger_election_campaign (node->election);
+  quince_ledger_membership_propose (node->membership);
+  quince_ledger_election_query (node->election, quince_ledger_records_get_epoch (node->records) != 0);
+  quince_ledger_election_lead_without_store (node->election);
+  quince_ledger_follower_step (node->follower);
+  quince_ledger_storage_compact (node->storage, now);
+  if (quince_ledger_records_get_epoch (node->records) != 0)
+    step_as_leader (node, now);
+  if (quince_ledger_node_is_leading (node))
     note_orders (node, now);
   return G_SOURCE_CONTINUE;
 }
 
-/* ---- Public ----------------------------------------------------------- */
+/* ---- Public -------------------------------------------------------------- */
+
+static void
+create_group (QuinceLedgerNode *node, const QuinceLedgerNodeOptions *options)
+{
+  const QuinceBatchLog *log = quince_ledger_storage_get_log (node->storage);
+  node->self.node = g_strdup (options->node);
+  node->self.address = g_strdup (quince_link_server_get_address (node->server));
+  node->self.replica = quince_batch_log_get_replica (log);
+  node->zone = g_strdup (options->zone);
+  node->group = quince_ledger_group_new (&node->self, &options->limits, quince_batch_log_get_kept (log),
+                                         options->may_found, quince_now_us ());
+  quince_ledger_group_set_zone (node->group, node->self.replica, node->zone);
+  quince_ledger_storage_set_group (node->storage, node->group);
+}
+
+static void
+create_parts (QuinceLedgerNode *node, const QuinceLedgerNodeOptions *options, QuinceMetaStore *store)
+{
+  node->member_links = quince_ledger_member_links_new (node->group, &member_callbacks, node);
+  node->election = quince_ledger_election_new (node->self.replica, node->group, node->storage,
+                                               node->member_links, store, &election_callbacks, node);
+  node->membership
+      = quince_ledger_membership_new (node->group, node->storage, store, &membership_callbacks, node);
+  node->follower = quince_ledger_follower_new (&node->self, node->zone, node->storage, node->group,
+                                               &follower_callbacks, node);
+  node->replication
+      = quince_ledger_replication_new (quince_ledger_storage_get_log (node->storage), node->group,
+                                       options->several_regions, options->limits.copies_least);
+  node->records = quince_ledger_records_new (node->storage, node->group, &records_callbacks, node);
+}
 
 QuinceLedgerNode *
 quince_ledger_node_new (const QuinceLedgerNodeOptions *options,
@@ -342,8 +335,8 @@
                         GError **error)
 {
   gboolean was_empty = FALSE;
-  g_autoptr (QuinceBatchLog) log = quince_batch_log_open (options->folder, &was_empty, error);
-  if (log == NULL)
+  g_autoptr (QuinceLedgerStorage) storage = quince_ledger_storage_open (options->folder, &was_empty, error);
+  if (storage == NULL)
     return NULL;
   QuinceLedgerNode *node = g_new0 (QuinceLedgerNode, 1);
   node->server = quince_link_server_new (options->listen, &link_callbacks, link_accepted, node, error);
@@ -352,31 +345,16 @@
       g_free (node);
       return NULL;
     }
-  node->store = store;
   node->callbacks = callbacks;
   node->user_data = user_data;
-  node->log = g_steal_pointer (&log);
-  node->several_regions = options->several_regions;
-  node->copies_least = options->limits.copies_least;
-  node->self.node = g_strdup (options->node);
-  node->zone = g_strdup (options->zone);
-  node->self.address = g_strdup (quince_link_server_get_address (node->server));
-  node->self.replica = quince_batch_log_get_replica (node->log);
-  node->group = quince_ledger_group_new (&node->self, &options->limits, quince_batch_log_get_kept (node->log),
-                                         options->may_found, quince_now_us ());
-  quince_ledger_group_set_zone (node->group, node->self.replica, node->zone);
-  quince_ledger_node_note_end (node);
+  node->storage = g_steal_pointer (&storage);
   node->incoming = g_hash_table_new_full (NULL, NULL, (GDestroyNotify)quince_link_unref, NULL);
-  node->query_links
-      = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, (GDestroyNotify)quince_link_unref);
-  node->moved = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, g_free);
-  node->backups = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, quince_backup_link_free);
-  node->unwritten = g_array_new (FALSE, FALSE, sizeof (QuinceLogEntry));
-  g_queue_init (&node->uncommitted);
+  create_group (node, options);
+  create_parts (node, options, store);
   quince_log_info ("disk_opened", "replica=%" G_GUINT64_FORMAT " empty=%s last_index=%" G_GUINT64_FORMAT,
                    (guint64)node->self.replica, was_empty ? "true" : "false",
-                   quince_batch_log_get_last_index (node->log));
-  quince_ledger_node_ask_view (node);
+                   quince_ledger_node_get_last_index (node));
+  quince_ledger_membership_read (node->membership);
   node->tick = quince_timer_add (TICK_MS, tick, node);
   return node;
 }
@@ -387,31 +365,33 @@
   if (node == NULL)
     return;
   quince_source_clear (&node->tick);
-  quince_source_clear (&node->reading);
-  clear_records (node);
-  quince_ledger_node_unfollow (node);
-  quince_ledger_node_close_queries (node);
-  quince_ledger_node_drop_backups (node);
+  quince_ledger_records_free (node->records);
+  quince_ledger_follower_free (node->follower);
+  quince_ledger_election_free (node->election);
+  quince_ledger_member_links_free (node->member_links);
+  quince_ledger_replication_free (node->replication);
+  quince_ledger_membership_free (node->membership);
   GHashTableIter iter;
   gpointer link;
   g_hash_table_iter_init (&iter, node->incoming);
   while (g_hash_table_iter_next (&iter, &link, NULL))
     quince_link_close (link);
   g_hash_table_unref (node->incoming);
-  g_hash_table_unref (node->backups);
-  g_hash_table_unref (node->query_links);
-  g_hash_table_unref (node->moved);
-  g_array_unref (node->unwritten);
   quince_link_server_free (node->server);
   quince_ledger_group_free (node->group);
-  quince_batch_log_close (node->log);
-  g_strfreev (node->confined);
+  quince_ledger_storage_close (node->storage);
   g_free (node->self.node);
   g_free (node->zone);
   g_free (node->self.address);
   g_free (node);
 }
 
+void
+quince_ledger_node_take_view (QuinceLedgerNode *node, GBytes *value, guint64 revision)
+{
+  quince_ledger_membership_take_view (node->membership, value, revision);
+}
+
 void
 quince_ledger_node_set_leaving (QuinceLedgerNode *node, const char *const *nodes)
 {
@@ -421,68 +401,98 @@
 void
 quince_ledger_node_confine (QuinceLedgerNode *node, const char *const *nodes)
 {
-  gboolean same = (nodes == NULL) == (node->confined == NULL)
-                  && (nodes == NULL || g_strv_equal (nodes, (const char *const *)node->confined));
-  if (same && node->confinement_known)
-    return;
-  node->confinement_known = TRUE;
-  g_strfreev (node->confined);
-  node->confined = g_strdupv ((char **)nodes);
-  quince_ledger_group_confine (node->group, nodes);
-  if (node->led_epoch != 0)
-    quince_ledger_node_choose_fed (node);
+  quince_ledger_replication_confine (node->replication, nodes);
+}
+
+guint64
+quince_ledger_node_append (QuinceLedgerNode *node, const QuinceBatchRecord *record)
+{
+  return quince_ledger_records_append (node->records, record);
+}
+
+QuinceLink *
+quince_ledger_node_get_leader (QuinceLedgerNode *node)
+{
+  return quince_ledger_follower_get_leader (node->follower);
+}
+
+guint64
+quince_ledger_node_get_successor (QuinceLedgerNode *node)
+{
+  return quince_ledger_replication_get_successor (node->replication);
+}
+
+QuinceLink *
+quince_ledger_node_get_successor_link (QuinceLedgerNode *node)
+{
+  return quince_ledger_replication_get_successor_link (node->replication);
+}
+
+const char *
+quince_ledger_node_get_successor_name (QuinceLedgerNode *node)
+{
+  return quince_ledger_replication_get_successor_name (node->replication);
+}
+
+void
+quince_ledger_node_tell_successor (QuinceLedgerNode *node, const QuinceMessage *message)
+{
+  quince_ledger_replication_tell_successor (node->replication, message);
 }
 
 gboolean
 quince_ledger_node_is_leading (const QuinceLedgerNode *node)
 {
-  return node->led;
+  return quince_ledger_records_is_recovered (node->records);
 }
 
 gboolean
 quince_ledger_node_may_answer (const QuinceLedgerNode *node)
 {
-  return node->led && quince_ledger_group_may_answer (node->group, quince_now_us ());
+  return quince_ledger_node_is_leading (node)
+         && quince_ledger_group_may_answer (node->group, quince_now_us ());
 }
 
 gboolean
 quince_ledger_node_may_accept (const QuinceLedgerNode *node)
 {
-  return node->led && quince_ledger_group_may_accept (node->group, quince_now_us ());
+  return quince_ledger_node_is_leading (node)
+         && quince_ledger_group_may_accept (node->group, quince_now_us ());
 }
 
 gboolean
 quince_ledger_node_may_order (const QuinceLedgerNode *node)
 {
-  return node->led && quince_ledger_group_may_order (node->group, quince_now_us ());
+  return quince_ledger_node_is_leading (node)
+         && quince_ledger_group_may_order (node->group, quince_now_us ());
 }
 
 guint64
 quince_ledger_node_get_epoch (const QuinceLedgerNode *node)
 {
-  return node->led_epoch;
+  return quince_ledger_records_get_epoch (node->records);
 }
 
-gboolean
-quince_ledger_node_is_unpublished (const QuinceLedgerNode *node)
+guint64
+quince_ledger_node_get_last_index (const QuinceLedgerNode *node)
 {
-  return quince_ledger_group_is_unpublished (node->group);
+  return quince_batch_log_get_last_index (quince_ledger_storage_get_log (node->storage));
 }
 
-const QuinceLedgerView *
-quince_ledger_node_get_view (const QuinceLedgerNode *node)
+guint64
+quince_ledger_node_get_commit_index (const QuinceLedgerNode *node)
 {
-  return quince_ledger_group_get_view (node->group);
+  return quince_ledger_group_get_commit_index (node->group);
 }
 
-guint64
-quince_ledger_node_get_last_index (const QuinceLedgerNode *node)
+const QuinceLedgerView *
+quince_ledger_node_get_view (const QuinceLedgerNode *node)
 {
-  return quince_batch_log_get_last_index (node->log);
+  return quince_ledger_group_get_view (node->group);
 }
 
-guint64
-quince_ledger_node_get_commit_index (const QuinceLedgerNode *node)
+gboolean
+quince_ledger_node_is_unpublished (const QuinceLedgerNode *node)
 {
-  return quince_ledger_group_get_commit_index (node->group);
+  return quince_ledger_group_is_unpublished (node->group);
 }
--- a/daemons/replica/ledger-node.h
+++ b/daemons/replica/ledger-node.h
@@ -1,5 +1,9 @@
 /*
  * ledger-node.h: one replica of the batch ledger: its log on disk, its links, and its part in the group.
+ *
+ * Owns the log's file, the socket at which fronts and other replicas link, the links, and a timer.  Relies on
+ * the metadata store for the view, and on its owner to pass the view's changes on.  All calls and callbacks
+ * belong to the main context.
  */
 #pragma once
 
@@ -12,12 +16,14 @@
 
 /**
  * QuinceLedgerNodeCallbacks:
- * @leads: this replica leads now and knows all that was acknowledged; committed() has told every record
+ * @leads: this replica leads now and knows all that was acknowledged; committed() was called for each record
  * @stopped_leading: it does not lead any more, or lost the lead before leads() while it read its log
  * @committed: (transfer full): @record, in the order of the log; only at the leader, from before leads() on
  * @service_call: a call of a front; @link is to be answered on, and may close
+ * @link_closed: the link of a front or of another replica closed
  * @followed: a link to the leader is up
- * @other_message: a message that is not the ledger's, from a front or from the leader
+ * @other_message: a message that is not the ledger's, from a front or from the leader; it lives until the
+ *   return
  * @unfollowed: the link to the leader broke
  */
 typedef struct
@@ -35,11 +41,12 @@
 /**
  * QuinceLedgerNodeOptions:
  * @node: name of this machine
- * @listen: ip:port of its links, which others are told
- * @zone: where this machine stands
- * @folder: on its disk
- * @several_regions: several regions are there: a new leader sends records to members alone until it has read
- *   its log and its owner has said who may keep them, see quince_ledger_node_confine()
+ * @listen: ip:port at which it accepts links, published in the view
+ * @zone: of this machine
+ * @folder: existing, on its disk
+ * @several_regions: the platform has several regions: a new leader sends records to members alone until it
+ * has read its log and its owner has called quince_ledger_node_confine()
+ * @limits: of the group
  * @may_found: the whole system starts for the first time
  */
 typedef struct
@@ -53,41 +60,61 @@
   QuinceLedgerLimits limits;
 } QuinceLedgerNodeOptions;
 
+/**
+ * quince_ledger_node_new:
+ * @options: copied
+ * @store: borrowed, must outlive the node
+ * @callbacks: must outlive the node
+ *
+ * Opens the log and begins to read the view.
+ *
+ * Returns: (transfer full) (nullable): %NULL with @error where the disk or the address cannot be used
+ */
 QuinceLedgerNode *quince_ledger_node_new (const QuinceLedgerNodeOptions *options,
                                           QuinceMetaStore *store,
                                           const QuinceLedgerNodeCallbacks *callbacks,
                                           gpointer user_data,
                                           GError **error);
 void quince_ledger_node_free (QuinceLedgerNode *node);
-/* What the metadata store holds under the ledger's key; NULL and 0 when it holds nothing. */
+
+/* A change of the ledger's key in the metadata store; %NULL and 0 where it holds none. */
 void quince_ledger_node_take_view (QuinceLedgerNode *node, GBytes *value, guint64 revision);
+/* As quince_ledger_group_set_leaving(). */
 void quince_ledger_node_set_leaving (QuinceLedgerNode *node, const char *const *nodes);
-/* At the leader: only the machines @nodes (nullable, %NULL-terminated) may keep records, from now on; what
- * others hold of them that are no members is cleared.  %NULL: all may. */
+/* At the leader: only the machines @nodes (nullable, %NULL-terminated) may keep records, from now on; records
+ * on others that are no members are cleared.  %NULL: all may. */
 void quince_ledger_node_confine (QuinceLedgerNode *node, const char *const *nodes);
 
-/* Appends a record; it is told by committed() once enough machines hold it. Returns its index; 0: it does not
- * lead */
+/* Appends a record; committed() is called for it once a quorum has it on disk.  Returns: its index; 0: this
+ * replica does not lead, or the record does not encode */
 guint64 quince_ledger_node_append (QuinceLedgerNode *node, const QuinceBatchRecord *record);
-/* At a backup: its link to the leader. (transfer none) (nullable) */
+
+/* At a backup: its link to the leader, while it is up. (transfer none) (nullable) */
 QuinceLink *quince_ledger_node_get_leader (QuinceLedgerNode *node);
-/* The link to the backup that will likely lead next, as a number; 0: there is none.  Another number means
- * that it knows nothing of what was told before. */
+/* At the leader: a number that stands for the link to the successor; 0: there is none.  Another number means
+ * that the successor knows nothing that was sent before. */
 guint64 quince_ledger_node_get_successor (QuinceLedgerNode *node);
-/* (transfer none) (nullable): the link itself */
+/* The link to the successor. (transfer none) (nullable) */
 QuinceLink *quince_ledger_node_get_successor_link (QuinceLedgerNode *node);
-/* (nullable): the name of its machine */
+/* Name of the successor's machine. (transfer none) (nullable) */
 const char *quince_ledger_node_get_successor_name (QuinceLedgerNode *node);
-/* Sends @message there; for what may be lost. */
+/* Sends @message to the successor, if there is one; for messages that may be lost. */
 void quince_ledger_node_tell_successor (QuinceLedgerNode *node, const QuinceMessage *message);
+
+/* This replica leads and has read its log. */
 gboolean quince_ledger_node_is_leading (const QuinceLedgerNode *node);
+/* It leads, and what it knows of batches may be answered: no other replica can lead now. */
 gboolean quince_ledger_node_may_answer (const QuinceLedgerNode *node);
+/* It can also have new records committed. */
 gboolean quince_ledger_node_may_accept (const QuinceLedgerNode *node);
+/* It may give orders to workers: no other leader can have given some within the pause (QuinceLedgerLimits).
+ */
 gboolean quince_ledger_node_may_order (const QuinceLedgerNode *node);
-/* Grows with each leader: the fence of orders. */
+/* The epoch that this replica leads, the fencing token of its orders; 0: none. */
 guint64 quince_ledger_node_get_epoch (const QuinceLedgerNode *node);
 guint64 quince_ledger_node_get_last_index (const QuinceLedgerNode *node);
 guint64 quince_ledger_node_get_commit_index (const QuinceLedgerNode *node);
+/* The view in force. (transfer none) (nullable): none is known */
 const QuinceLedgerView *quince_ledger_node_get_view (const QuinceLedgerNode *node);
 /* It leads, and the metadata store does not show it yet. */
 gboolean quince_ledger_node_is_unpublished (const QuinceLedgerNode *node);
--- /dev/null
+++ b/daemons/replica/ledger-records.c
@@ -0,0 +1,258 @@
+/*
+ * ledger-records.c: records of the leader, from their append to their delivery.
+ */
+#include "ledger-records.h"
+
+#include <stdlib.h>
+
+#include "runtime/clock.h"
+#include "runtime/log.h"
+#include "runtime/packed-message.h"
+
+/* How long a new leader reads its log before it serves its links again, us: short against the 1 s of silence
+ * after which backups campaign, also on a tenth of a core. */
+#define READ_TURN_US (30 * 1000)
+
+struct _QuinceLedgerRecords
+{
+  /* All fields belong to the main context. */
+  QuinceLedgerStorage *storage;                  /* borrowed */
+  QuinceBatchLog *log;                           /* borrowed from the storage */
+  QuinceLedgerGroup *group;                      /* borrowed */
+  const QuinceLedgerRecordsCallbacks *callbacks; /* borrowed */
+  gpointer user_data;
+
+  guint64 epoch;      /* led; 0: none */
+  guint64 next_index; /* of the next record */
+  GArray *unwritten;  /* QuinceLogEntry, owned records: not on disk yet */
+  GQueue uncommitted; /* QuinceLogEntry, owned records: on disk, not delivered yet */
+  GSource *flush;     /* writes the unwritten ones */
+
+  gboolean recovered;      /* the log was read */
+  GSource *reading;        /* reads the log; NULL: not begun, or done */
+  guint64 delivered_index; /* of the last stored record that was delivered */
+  gint64 turn_ends_us;     /* when the reading pauses for the main loop */
+  gint64 read_since_us;    /* when the reading began */
+};
+
+/* ---- State ------------------------------------------------------------- */
+
+static void
+free_entry (gpointer data)
+{
+  QuinceLogEntry *entry = data;
+  g_free (entry->record.record_val);
+  g_free (entry);
+}
+
+static void
+clear_records (QuinceLedgerRecords *records)
+{
+  for (guint i = 0; i < records->unwritten->len; i++)
+    g_free (g_array_index (records->unwritten, QuinceLogEntry, i).record.record_val);
+  g_array_set_size (records->unwritten, 0);
+  g_queue_clear_full (&records->uncommitted, free_entry);
+  quince_source_clear (&records->flush);
+}
+
+QuinceLedgerRecords *
+quince_ledger_records_new (QuinceLedgerStorage *storage,
+                           QuinceLedgerGroup *group,
+                           const QuinceLedgerRecordsCallbacks *callbacks,
+                           gpointer user_data)
+{
+  QuinceLedgerRecords *records = g_new0 (QuinceLedgerRecords, 1);
+  records->storage = storage;
+  records->log = quince_ledger_storage_get_log (storage);
+  records->group = group;
+  records->callbacks = callbacks;
+  records->user_data = user_data;
+  records->unwritten = g_array_new (FALSE, FALSE, sizeof (QuinceLogEntry));
+  g_queue_init (&records->uncommitted);
+  return records;
+}
+
+void
+quince_ledger_records_free (QuinceLedgerRecords *records)
+{
+  if (records == NULL)
+    return;
+  quince_source_clear (&records->reading);
+  clear_records (records);
+  g_array_unref (records->unwritten);
+  g_free (records);
+}
+
+guint64
+quince_ledger_records_get_epoch (const QuinceLedgerRecords *records)
+{
+  return records->epoch;
+}
+
+gboolean
+quince_ledger_records_is_recovered (const QuinceLedgerRecords *records)
+{
+  return records->recovered;
+}
+
+/* ---- Writing ----------------------------------------------------------- */
+
+/* A leader that cannot write must not go on: another replica takes over. */
+static void
+write_records (QuinceLedgerRecords *records, const QuinceLogEntry *entries, guint n_entries)
+{
+  g_autoptr (GError) error = NULL;
+  if (quince_ledger_storage_append (records->storage, entries, n_entries, FALSE, records->next_index - 1,
+                                    quince_ledger_group_get_commit_index (records->group), &error))
+    return;
+  quince_log_failure ("ledger_disk_failed", "doing=append reason=\"%s\"", error->message);
+  abort ();
+}
+
+void
+quince_ledger_records_begin (QuinceLedgerRecords *records, guint64 epoch)
+{
+  records->epoch = epoch;
+  records->next_index = quince_batch_log_get_last_index (records->log) + 1;
+  /* Records of earlier epochs count as committed only together with one of the new epoch. */
+  const QuinceLogEntry mark = { .index = records->next_index++, .epoch = epoch };
+  write_records (records, &mark, 1);
+}
+
+gboolean
+quince_ledger_records_end (QuinceLedgerRecords *records)
+{
+  gboolean had_read = records->recovered || records->reading != NULL;
+  records->epoch = 0;
+  records->recovered = FALSE;
+  quince_source_clear (&records->reading);
+  clear_records (records);
+  return had_read;
+}
+
+static gboolean
+flush_records (gpointer data)
+{
+  QuinceLedgerRecords *records = data;
+  quince_source_clear (&records->flush);
+  write_records (records, (const QuinceLogEntry *)records->unwritten->data, records->unwritten->len);
+  for (guint i = 0; i < records->unwritten->len; i++)
+    g_queue_push_tail (
+        &records->uncommitted,
+        g_memdup2 (&g_array_index (records->unwritten, QuinceLogEntry, i), sizeof (QuinceLogEntry)));
+  g_array_set_size (records->unwritten, 0);
+  records->callbacks->written (records->user_data);
+  quince_ledger_records_advance (records);
+  return G_SOURCE_REMOVE;
+}
+
+guint64
+quince_ledger_records_append (QuinceLedgerRecords *records, const QuinceBatchRecord *record)
+{
+  if (!records->recovered)
+    return 0;
+  g_autoptr (GError) error = NULL;
+  g_autoptr (GBytes) encoded = quince_batch_record_encode (record, &error);
+  if (encoded == NULL)
+    {
+      quince_log_failure ("ledger_record_refused", "reason=\"%s\"", error->message);
+      return 0;
+    }
+  g_array_set_size (records->unwritten, records->unwritten->len + 1);
+  QuinceLogEntry *entry = &g_array_index (records->unwritten, QuinceLogEntry, records->unwritten->len - 1);
+  gsize length;
+  entry->index = records->next_index++;
+  entry->epoch = records->epoch;
+  entry->record.record_val = g_bytes_unref_to_data (quince_batch_record_pack (encoded), &length);
+  entry->record.record_len = (u_int)length;
+  if (records->flush == NULL)
+    records->flush = quince_timer_add (0, flush_records, records);
+  return entry->index;
+}
+
+/* ---- Delivery ---------------------------------------------------------- */
+
+static void
+deliver_record (QuinceLedgerRecords *records, const QuinceLogEntry *entry)
+{
+  if (entry->record.record_len == 0)
+    return; /* a record of a forgotten batch, or the first one of an epoch */
+  QuinceBatchRecord *record
+      = quince_batch_record_unpack (entry->record.record_val, entry->record.record_len, NULL);
+  if (record != NULL)
+    records->callbacks->committed (entry->index, record, records->user_data);
+  else
+    quince_log_failure ("ledger_record_unreadable", "index=%" G_GUINT64_FORMAT, (guint64)entry->index);
+}
+
+/* Delivers one stored record.  Returns: whether time is left in this turn */
+static gboolean
+deliver_stored (const QuinceLogEntry *entry, gpointer data)
+{
+  QuinceLedgerRecords *records = data;
+  deliver_record (records, entry);
+  records->delivered_index = entry->index;
+  return quince_now_us () < records->turn_ends_us;
+}
+
+/* A log of some thousand records takes seconds to read on a small machine.  Between two turns heartbeats are
+ * sent: without them the backups would elect another leader, which would begin to read in its turn. */
+static gboolean
+read_more (gpointer data)
+{
+  QuinceLedgerRecords *records = data;
+  g_autoptr (GError) error = NULL;
+  records->turn_ends_us = quince_now_us () + READ_TURN_US;
+  if (!quince_batch_log_walk (records->log, records->delivered_index + 1, deliver_stored, records, &error))
+    {
+      /* It cannot answer for records that it cannot read: another replica can. */
+      quince_log_failure ("ledger_disk_failed", "doing=read reason=\"%s\"", error->message);
+      abort ();
+    }
+  if (records->delivered_index < quince_batch_log_get_last_index (records->log))
+    return G_SOURCE_CONTINUE;
+  quince_source_clear (&records->reading);
+  records->recovered = TRUE;
+  gint64 read_ms = (quince_now_us () - records->read_since_us) / 1000;
+  quince_log_info ("ledger_recovered",
+                   "epoch=%" G_GUINT64_FORMAT " index=%" G_GUINT64_FORMAT " read_ms=%" G_GINT64_FORMAT,
+                   records->epoch, records->delivered_index, read_ms);
+  records->callbacks->recovered (records->user_data);
+  quince_ledger_records_advance (records);
+  return G_SOURCE_REMOVE;
+}
+
+static void
+begin_reading (QuinceLedgerRecords *records)
+{
+  records->delivered_index = 0;
+  records->read_since_us = quince_now_us ();
+  records->reading = quince_timer_add (0, read_more, records);
+}
+
+static gboolean
+next_is_committed (const QuinceLedgerRecords *records, guint64 commit_index)
+{
+  const QuinceLogEntry *next = records->uncommitted.head != NULL ? records->uncommitted.head->data : NULL;
+  return next != NULL && next->index <= commit_index;
+}
+
+void
+quince_ledger_records_advance (QuinceLedgerRecords *records)
+{
+  if (records->epoch == 0)
+    return;
+  /* Once it may answer, a quorum holds all that was acknowledged, and so does this log. */
+  if (!records->recovered && records->reading == NULL
+      && quince_ledger_group_may_answer (records->group, quince_now_us ()))
+    begin_reading (records);
+  if (!records->recovered)
+    return;
+  guint64 commit_index = quince_ledger_group_get_commit_index (records->group);
+  while (next_is_committed (records, commit_index))
+    {
+      QuinceLogEntry *entry = g_queue_pop_head (&records->uncommitted);
+      deliver_record (records, entry);
+      free_entry (entry);
+    }
+}
--- /dev/null
+++ b/daemons/replica/ledger-storage.c
@@ -0,0 +1,115 @@
+/*
+ * ledger-storage.c: the log and the promises of one replica, on its disk.
+ */
+#include "ledger-storage.h"
+
+#include <stdlib.h>
+
+#include "runtime/log.h"
+
+/* Pause between two compactions, us.  Not measured: forgotten batches cost disk space only, which is not
+ * short within seconds. */
+#define COMPACT_EVERY_US (5 * G_USEC_PER_SEC)
+/* Records that one compaction reads.  Not measured: bounds the time for which it holds up the main context.
+ */
+#define COMPACT_MAX 500
+
+struct _QuinceLedgerStorage
+{
+  QuinceBatchLog *log;
+  QuinceLedgerGroup *group; /* borrowed */
+  guint64 compacted;        /* index up to which forgotten batches were searched for */
+  gint64 compacted_us;      /* when they were last searched for */
+};
+
+QuinceLedgerStorage *
+quince_ledger_storage_open (const char *folder, gboolean *was_empty, GError **error)
+{
+  QuinceBatchLog *log = quince_batch_log_open (folder, was_empty, error);
+  if (log == NULL)
+    return NULL;
+  QuinceLedgerStorage *storage = g_new0 (QuinceLedgerStorage, 1);
+  storage->log = log;
+  return storage;
+}
+
+void
+quince_ledger_storage_close (QuinceLedgerStorage *storage)
+{
+  if (storage == NULL)
+    return;
+  quince_batch_log_close (storage->log);
+  g_free (storage);
+}
+
+QuinceBatchLog *
+quince_ledger_storage_get_log (const QuinceLedgerStorage *storage)
+{
+  return storage->log;
+}
+
+QuinceLogEnd
+quince_ledger_storage_get_end (const QuinceLedgerStorage *storage)
+{
+  guint64 index = quince_batch_log_get_last_index (storage->log);
+  return (QuinceLogEnd){ .epoch = quince_batch_log_get_epoch (storage->log, index), .index = index };
+}
+
+static void
+report_end (QuinceLedgerStorage *storage)
+{
+  const QuinceLogEnd end = quince_ledger_storage_get_end (storage);
+  quince_ledger_group_set_log_end (storage->group, &end);
+}
+
+void
+quince_ledger_storage_set_group (QuinceLedgerStorage *storage, QuinceLedgerGroup *group)
+{
+  storage->group = group;
+  report_end (storage);
+}
+
+gboolean
+quince_ledger_storage_append (QuinceLedgerStorage *storage,
+                              const QuinceLogEntry *entries,
+                              guint n_entries,
+                              gboolean reset,
+                              guint64 end_index,
+                              guint64 commit,
+                              GError **error)
+{
+  if (!quince_batch_log_append (storage->log, entries, n_entries, reset, end_index, commit, error))
+    return FALSE;
+  if (reset)
+    storage->compacted = 0;
+  report_end (storage);
+  return TRUE;
+}
+
+gboolean
+quince_ledger_storage_keep (QuinceLedgerStorage *storage, const char *doing)
+{
+  g_autoptr (GError) error = NULL;
+  if (quince_batch_log_keep (storage->log, quince_ledger_group_get_kept (storage->group), &error))
+    return TRUE;
+  quince_log_failure ("ledger_disk_failed", "doing=%s reason=\"%s\"", doing, error->message);
+  return FALSE;
+}
+
+void
+quince_ledger_storage_keep_or_abort (QuinceLedgerStorage *storage)
+{
+  if (!quince_ledger_storage_keep (storage, "keep"))
+    abort ();
+}
+
+void
+quince_ledger_storage_compact (QuinceLedgerStorage *storage, gint64 now_us)
+{
+  g_autoptr (GError) error = NULL;
+  if (now_us - storage->compacted_us < COMPACT_EVERY_US)
+    return;
+  storage->compacted_us = now_us;
+  if (!quince_batch_log_compact (storage->log, &storage->compacted, COMPACT_MAX, &error))
+    quince_log_failure ("ledger_disk_failed", "doing=compact reason=\"%s\"", error->message);
+}
