--- a/daemons/front/caller-connection.c
+++ b/daemons/front/caller-connection.c
@@ -1,7 +1,7 @@
 /*
- * caller-connection.c: one caller's connection.
+ * caller-connection.c: one connection of a caller.
  *
- * A request is read whole before anything is done with it; a caller that goes away meanwhile has its work
+ * A request is read whole before it is processed; if its caller closes the connection, the request is
  * cancelled.  While the front stops, each answer ends its connection.
  */
 #include "caller-connection.h"
@@ -12,39 +12,52 @@
 #include "caller-request.h"
 #include "platform.h"
 
-/* Limits until the first configuration is known. */
+/* Limits while no configuration is known; after that the configuration's own count.  Not measured: above what
+ * any configuration seen so far asks for, since a request refused by them might have been a good one. */
+/* Longest request head, bytes. */
 #define HEAD_MAX_BYTES (64 * 1024)
+/* Longest request body, bytes. */
 #define BODY_MAX_BYTES (64 * 1024 * 1024)
+/* Connections without a request are closed after it, ms. */
 #define IDLE_MS 15000
+/* Longest time to read a request head, ms; also the first check of a new connection. */
 #define HEAD_MS 3000
-/* A caller may use a connection that has rested for most of the idle time: leave it a little more. */
+/* Added to the idle limit, ms: a caller may send on a connection that has been idle for nearly the whole
+ * limit, and a close at that moment would lose the request.  Not measured: above any round trip. */
 #define IDLE_MARGIN_MS 1000
+/* Size of an answer's head that a text buffer is first allocated for, bytes; it grows if needed. */
+#define ANSWER_HEAD_BYTES 512
 
 struct _QuinceCallerConnection
 {
   /* All fields belong to the main context. */
-  QuinceFront *front;
+  QuinceFrontContext *context;
   QuinceListenKind kind;
+  QuinceCallerConnectionClosed closed;
+  gpointer user_data;
   QuinceHttpConnection *http;
   QuinceHttpHead *head; /* of the request being read */
   GByteArray *body;
-  QuinceCallerRequest *request; /* being answered */
-  gboolean answering;
+  QuinceCallerRequest *request; /* being answered; NULL: none */
+  gboolean answering;           /* a request was read and has no whole answer yet */
   gboolean keep_alive;
-  gboolean cut; /* a piece of an answer was left out: its caller did not read */
-  gint64 received_us;
-  gint64 quiet_since_us; /* of the last answer, or of the start */
-  gint64 head_since_us;  /* when an unfinished head was first looked at; 0: none */
+  gboolean truncated;   /* a piece of the answer was left out, since the caller does not read */
+  gint64 received_us;   /* when the head of the last request was read */
+  gint64 idle_since_us; /* end of the last answer, or start of the connection */
+  gint64 head_since_us; /* when an unfinished head was first seen by the timer; 0: none */
   GSource *timer;
 };
 
 static void
 connection_free (QuinceCallerConnection *connection)
 {
-  g_hash_table_remove (connection->front->connections, connection);
+  connection->closed (connection, connection->user_data);
   quince_source_clear (&connection->timer);
   if (connection->request != NULL)
-    quince_caller_request_cancel (connection->request);
+    {
+      quince_caller_request_cancel (connection->request);
+      connection->context->in_progress--;
+    }
   quince_http_connection_unref (connection->http);
   quince_http_head_free (connection->head);
   g_clear_pointer (&connection->body, g_byte_array_unref);
@@ -67,9 +80,9 @@
 /* ---- Limits ----------------------------------------------------------- */
 
 static QuinceCallerLimits
-limits_now (const QuinceFront *front)
+limits_now (const QuinceFrontContext *context)
 {
-  QuinceRouteTable *routes = front->observer != NULL ? quince_observer_get_routes (front->observer) : NULL;
+  QuinceRouteTable *routes = quince_observer_get_routes (context->observer);
   const QuinceCallerLimits unknown = { .max_head_bytes = HEAD_MAX_BYTES,
                                        .max_body_bytes = BODY_MAX_BYTES,
                                        .head_timeout_ms = HEAD_MS,
@@ -94,16 +107,17 @@
   connection->timer = quince_timer_add (MAX (wait_ms, 1), check_time, connection);
 }
 
-/* One timer for a connection: it looks again when its time may be up. */
+/* The one timer of a connection: checks the limits and is set to the next time at which one may be exceeded.
+ */
 static gboolean
 check_time (gpointer data)
 {
   QuinceCallerConnection *connection = data;
-  const QuinceCallerLimits limits = limits_now (connection->front);
+  const QuinceCallerLimits limits = limits_now (connection->context);
   gint64 now = quince_now_us ();
   gint64 head_us = (gint64)limits.head_timeout_ms * 1000;
   gint64 idle_us = ((gint64)limits.idle_timeout_ms + IDLE_MARGIN_MS) * 1000;
-  gint64 left_us = MAX (connection->quiet_since_us, connection->received_us) + idle_us - now;
+  gint64 left_us = MAX (connection->idle_since_us, connection->received_us) + idle_us - now;
   if (is_reading_head (connection))
     {
       connection->head_since_us = connection->head_since_us > 0 ? connection->head_since_us : now;
@@ -169,8 +183,8 @@
 static void
 answer (QuinceCallerConnection *connection, const QuinceCallerAnswer *answer)
 {
-  gboolean keep = connection->keep_alive && !quince_front_is_stopping (connection->front);
-  g_autoptr (GString) text = g_string_sized_new (256 + answer->body_length);
+  gboolean keep = connection->keep_alive && !connection->context->stopping;
+  g_autoptr (GString) text = g_string_sized_new (ANSWER_HEAD_BYTES + answer->body_length);
   g_string_append_printf (text, "HTTP/1.1 %u %s\r\n", answer->status, reason_of (answer->status));
   append_headers (text, answer);
   if (!keep)
@@ -178,7 +192,7 @@
   g_string_append_printf (text, "Content-Length: %" G_GSIZE_FORMAT "\r\n\r\n", answer->body_length);
   g_string_append_len (text, answer->body, (gssize)answer->body_length);
   connection->answering = FALSE;
-  connection->quiet_since_us = quince_now_us ();
+  connection->idle_since_us = quince_now_us ();
   quince_http_connection_write (connection->http, text->str, text->len);
   if (keep)
     {
@@ -194,21 +208,22 @@
 {
   QuinceCallerConnection *connection = data;
   connection->request = NULL;
-  quince_front_request_ended (connection->front);
+  connection->context->in_progress--;
   answer (connection, result);
 }
 
 /* ---- Answers piece by piece ------------------------------------------- */
 
-/* A caller that leaves this much unread is cut off. */
+/* Bytes of a streamed answer that wait for a caller to read them; what comes beyond is left out and the
+ * answer ends without its last chunk, so that a slow caller bounds no memory but its own.  Not measured. */
 #define UNREAD_MAX_BYTES (1024 * 1024)
 
 static void
 request_begins (const QuinceCallerAnswer *result, gpointer data)
 {
   QuinceCallerConnection *connection = data;
-  connection->keep_alive = connection->keep_alive && !quince_front_is_stopping (connection->front);
-  g_autoptr (GString) text = g_string_sized_new (512);
+  connection->keep_alive = connection->keep_alive && !connection->context->stopping;
+  g_autoptr (GString) text = g_string_sized_new (ANSWER_HEAD_BYTES);
   g_string_append_printf (text, "HTTP/1.1 %u %s\r\n", result->status, reason_of (result->status));
   append_headers (text, result);
   if (!connection->keep_alive)
@@ -222,14 +237,14 @@
 {
   QuinceCallerConnection *connection = user_data;
   if (quince_http_connection_get_output (connection->http) > UNREAD_MAX_BYTES)
-    return; /* the end of the chunks will be missing */
+    return; /* the last chunk will be missing, see request_ends() */
   g_autofree char *size = g_strdup_printf ("%zx\r\n", length);
   g_autoptr (GString) chunk = g_string_new (size);
   g_string_append_len (chunk, data, (gssize)length);
   g_string_append (chunk, "\r\n");
   quince_http_connection_write (connection->http, chunk->str, chunk->len);
-  connection->cut
-      = connection->cut || quince_http_connection_get_output (connection->http) > UNREAD_MAX_BYTES;
+  connection->truncated
+      = connection->truncated || quince_http_connection_get_output (connection->http) > UNREAD_MAX_BYTES;
 }
 
 static void
@@ -239,11 +254,11 @@
   static const char last_chunk[] = "0\r\n\r\n";
   connection->request = NULL;
   connection->answering = FALSE;
-  connection->quiet_since_us = quince_now_us ();
-  quince_front_request_ended (connection->front);
-  if (!whole || connection->cut)
+  connection->idle_since_us = quince_now_us ();
+  connection->context->in_progress--;
+  if (!whole || connection->truncated)
     {
-      /* Without its last chunk nobody takes it for whole. */
+      /* Without the last chunk the caller's HTTP library reports a truncated answer. */
       quince_http_connection_finish (connection->http);
       connection_free (connection);
       return;
@@ -271,16 +286,16 @@
 static void
 answer_directory (QuinceCallerConnection *connection, const QuinceCall *call)
 {
-  QuinceFront *front = connection->front;
+  const QuinceFrontContext *context = connection->context;
   g_auto (GStrv) addresses
-      = quince_directory_list (front->directory, quince_now_us (), call->zone, call->region);
+      = quince_directory_list (context->directory, quince_now_us (), call->zone, call->region);
   if (addresses[0] == NULL)
     {
       answer_status (connection, 503);
       return;
     }
   g_autoptr (GBytes) body
-      = quince_platform_format_addresses ((const char *const *)addresses, front->directory_keep_s);
+      = quince_platform_format_addresses ((const char *const *)addresses, context->directory_keep_s);
   const QuinceCallerAnswer result = { .status = 200,
                                       .content_type = "application/json",
                                       .body = g_bytes_get_data (body, NULL),
@@ -291,19 +306,19 @@
 /* ---- Requests --------------------------------------------------------- */
 
 static gboolean
-is_ready (const QuinceFront *front)
+is_ready (const QuinceFrontContext *context)
 {
-  return !quince_front_is_stopping (front) && quince_observer_get_routes (front->observer) != NULL;
+  return !context->stopping && quince_observer_get_routes (context->observer) != NULL;
 }
 
 static void
 begin_request (QuinceCallerConnection *connection)
 {
-  connection->front->in_progress++;
+  connection->context->in_progress++;
   QuinceCallerRequest *request = quince_caller_request_start (
-      connection->front, g_steal_pointer (&connection->head), g_steal_pointer (&connection->body),
+      connection->context, g_steal_pointer (&connection->head), g_steal_pointer (&connection->body),
       connection->received_us, &request_sink, connection);
-  /* When it is answered already the connection may be gone. */
+  /* NULL: already answered, and the connection may be released. */
   if (request != NULL)
     connection->request = request;
 }
@@ -323,7 +338,7 @@
   quince_platform_read_call (connection->head->method, connection->head->target, &call);
   g_clear_pointer (&connection->head, quince_http_head_free);
   if (connection->kind == QUINCE_LISTEN_READY)
-    answer_status (connection, is_ready (connection->front) ? 200 : 503);
+    answer_status (connection, is_ready (connection->context) ? 200 : 503);
   else if (call.kind == QUINCE_CALL_RESOLVE)
     answer_directory (connection, &call);
   else
@@ -331,7 +346,7 @@
   quince_platform_call_clear (&call);
 }
 
-/* What cannot be read, is too large or too slow: nothing of it runs, and the rest of it is not read. */
+/* Answers a request that is malformed, too large or too slow; nothing of it runs and the rest isn't read. */
 static void
 refuse_input (QuinceCallerConnection *connection, guint status)
 {
@@ -358,7 +373,7 @@
   g_clear_pointer (&connection->body, g_byte_array_unref);
   connection->body = g_byte_array_new ();
   const char *length = quince_http_headers_get (head->headers, "Content-Length");
-  const QuinceCallerLimits limits = limits_now (connection->front);
+  const QuinceCallerLimits limits = limits_now (connection->context);
   if (length != NULL && g_ascii_strtoull (length, NULL, 10) > limits.max_body_bytes)
     {
       refuse_input (connection, 413);
@@ -374,7 +389,7 @@
 http_body (QuinceHttpConnection *http, const char *data, gsize length, gpointer user_data)
 {
   QuinceCallerConnection *connection = user_data;
-  if (connection->body->len + length > limits_now (connection->front).max_body_bytes)
+  if (connection->body->len + length > limits_now (connection->context).max_body_bytes)
     {
       refuse_input (connection, 413);
       return;
@@ -394,15 +409,21 @@
                                                               .refused = http_refused,
                                                               .closed = http_closed };
 
-void
-quince_caller_connection_accept (QuinceFront *front, QuinceListenKind kind, GSocket *socket)
+QuinceCallerConnection *
+quince_caller_connection_new (QuinceFrontContext *context,
+                              QuinceListenKind kind,
+                              GSocket *socket,
+                              QuinceCallerConnectionClosed closed,
+                              gpointer user_data)
 {
   QuinceCallerConnection *connection = g_new0 (QuinceCallerConnection, 1);
-  connection->front = front;
+  connection->context = context;
   connection->kind = kind;
-  connection->quiet_since_us = quince_now_us ();
-  connection->http = quince_http_connection_new_server (socket, limits_now (front).max_head_bytes,
+  connection->closed = closed;
+  connection->user_data = user_data;
+  connection->idle_since_us = quince_now_us ();
+  connection->http = quince_http_connection_new_server (socket, limits_now (context).max_head_bytes,
                                                         &http_callbacks, connection);
-  g_hash_table_add (front->connections, connection);
   watch_time (connection, HEAD_MS);
+  return connection;
 }
--- /dev/null
+++ b/daemons/front/caller-listeners.c
@@ -0,0 +1,127 @@
+/*
+ * caller-listeners.c: the addresses that callers connect to, and the connections accepted there.
+ */
+#include "caller-listeners.h"
+
+struct _QuinceCallerListeners
+{
+  /* All fields belong to the main context. */
+  QuinceFrontContext *context;
+  QuinceHttpAcceptor *acceptors[QUINCE_LISTEN_KINDS]; /* owned; NULL: closed */
+  GHashTable *connections;                            /* QuinceCallerConnection, which own themselves */
+};
+
+static void
+connection_closed (QuinceCallerConnection *connection, gpointer data)
+{
+  QuinceCallerListeners *listeners = data;
+  g_hash_table_remove (listeners->connections, connection);
+}
+
+static void
+accept_connection (QuinceCallerListeners *listeners, QuinceListenKind kind, GSocket *socket)
+{
+  QuinceCallerConnection *connection
+      = quince_caller_connection_new (listeners->context, kind, socket, connection_closed, listeners);
+  g_hash_table_add (listeners->connections, connection);
+}
+
+static void
+caller_accepted (GSocket *socket, gpointer data)
+{
+  accept_connection (data, QUINCE_LISTEN_CALLERS, socket);
+}
+
+static void
+ready_accepted (GSocket *socket, gpointer data)
+{
+  accept_connection (data, QUINCE_LISTEN_READY, socket);
+}
+
+static void
+directory_accepted (GSocket *socket, gpointer data)
+{
+  accept_connection (data, QUINCE_LISTEN_DIRECTORY, socket);
+}
+
+static const struct
+{
+  const char *key; /* of the section "listen" */
+  void (*accepted) (GSocket *socket, gpointer data);
+} listen_kinds[QUINCE_LISTEN_KINDS] = { [QUINCE_LISTEN_CALLERS] = { "callers", caller_accepted },
+                                        [QUINCE_LISTEN_READY] = { "ready", ready_accepted },
+                                        [QUINCE_LISTEN_DIRECTORY] = { "directory", directory_accepted } };
+
+QuinceCallerListeners *
+quince_caller_listeners_new (QuinceFrontContext *context, const QuinceSettings *settings, GError **error)
+{
+  QuinceCallerListeners *listeners = g_new0 (QuinceCallerListeners, 1);
+  listeners->context = context;
+  listeners->connections = g_hash_table_new (NULL, NULL);
+  for (guint kind = 0; kind < QUINCE_LISTEN_KINDS; kind++)
+    {
+      const char *address = quince_settings_get_text (settings, "listen", listen_kinds[kind].key);
+      listeners->acceptors[kind]
+          = quince_http_acceptor_new (address, listen_kinds[kind].accepted, listeners, error);
+      if (listeners->acceptors[kind] == NULL)
+        {
+          quince_caller_listeners_free (listeners);
+          return NULL;
+        }
+    }
+  return listeners;
+}
+
+/* @only_idle: those without a request */
+static void
+drop_connections (QuinceCallerListeners *listeners, gboolean only_idle)
+{
+  g_autoptr (GPtrArray) dropped = g_ptr_array_new ();
+  GHashTableIter iter;
+  gpointer connection;
+  g_hash_table_iter_init (&iter, listeners->connections);
+  while (g_hash_table_iter_next (&iter, &connection, NULL))
+    if (!only_idle || quince_caller_connection_is_idle (connection))
+      g_ptr_array_add (dropped, connection);
+  for (guint i = 0; i < dropped->len; i++)
+    quince_caller_connection_drop (dropped->pdata[i]);
+}
+
+void
+quince_caller_listeners_free (QuinceCallerListeners *listeners)
+{
+  if (listeners == NULL)
+    return;
+  drop_connections (listeners, FALSE);
+  for (guint kind = 0; kind < QUINCE_LISTEN_KINDS; kind++)
+    quince_http_acceptor_free (listeners->acceptors[kind]);
+  g_hash_table_unref (listeners->connections);
+  g_free (listeners);
+}
+
+const char *
+quince_caller_listeners_get_address (const QuinceCallerListeners *listeners, QuinceListenKind kind)
+{
+  return quince_http_acceptor_get_address (listeners->acceptors[kind]);
+}
+
+guint
+quince_caller_listeners_count_connections (const QuinceCallerListeners *listeners)
+{
+  return g_hash_table_size (listeners->connections);
+}
+
+void
+quince_caller_listeners_ignore_new (QuinceCallerListeners *listeners)
+{
+  quince_http_acceptor_ignore_new (listeners->acceptors[QUINCE_LISTEN_CALLERS]);
+}
+
+void
+quince_caller_listeners_close_callers (QuinceCallerListeners *listeners)
+{
+  if (listeners->acceptors[QUINCE_LISTEN_CALLERS] == NULL)
+    return;
+  g_clear_pointer (&listeners->acceptors[QUINCE_LISTEN_CALLERS], quince_http_acceptor_free);
+  drop_connections (listeners, TRUE);
+}
--- a/daemons/front/caller-request.c
+++ b/daemons/front/caller-request.c
@@ -33,7 +33,7 @@
 struct _QuinceCallerRequest
 {
   /* All fields belong to the main context. */
-  QuinceFront *front;
+  QuinceFrontContext *context;
   QuinceHttpHead *head;
   GByteArray *body;
   QuinceCall call;
@@ -65,7 +65,7 @@
 note_usage (const QuinceCallerRequest *request, gint64 began_us)
 {
   if (request->tenant != NULL && began_us != 0)
-    quince_usage_reporter_note (request->front->usage, request->tenant, began_us);
+    quince_usage_reporter_note (request->context->usage, request->tenant, began_us);
 }
 
 void
@@ -86,7 +86,6 @@
   g_autofree char *target = quince_log_quote (request->head->target);
   quince_log_info ("caller_left", "request=%s target=%s age_ms=%" G_GINT64_FORMAT, id, target,
                    (quince_now_us () - request->received_us) / 1000);
-  quince_front_request_ended (request->front);
   request_free (request);
 }
 
@@ -259,10 +258,10 @@
                                     .at_most_once = route->kind == QUINCE_ROUTE_AT_MOST_ONCE,
                                     .attempt = 1,
                                     .deadline_ms = deadline_ms,
-                                    .waiting = request->front->in_progress };
-  quince_backends_describe_events (request->front->backends, quince_wall_ms (), &described);
+                                    .waiting = request->context->in_progress };
+  quince_backends_describe_events (request->context->backends, quince_wall_ms (), &described);
   QuincePolicyAdmission admission;
-  quince_backends_admit (request->front->backends, &described, &admission);
+  quince_backends_admit (request->context->backends, &described, &admission);
   if (admission.refuse)
     finish_error (request, 503, "policy", MAX (admission.retry_after_ms, RETRY_AFTER_MS));
   return !admission.refuse;
@@ -276,8 +275,8 @@
   quince_platform_read_request (request->head->headers, &facts);
   guint deadline_ms = facts.deadline_ms > 0 ? facts.deadline_ms : DEADLINE_DEFAULT_MS;
   guint timeout_ms = route->timeout_ms > 0 ? MIN (route->timeout_ms, deadline_ms) : deadline_ms;
-  const char *service = quince_front_next_service (request->front, route);
-  if (!quince_residency_check_workers (request->front, route, request->tenant, service))
+  const char *service = quince_route_splits_next_service (request->context->splits, route);
+  if (!quince_residency_check_workers (request->context, route, request->tenant, service))
     {
       finish_error (request, 503, "residency", RESIDENCY_RETRY_AFTER_MS);
       return FALSE;
@@ -305,10 +304,10 @@
     .give_up_us = request->received_us + (gint64)timeout_ms * 1000,
   };
   if (route->kind == QUINCE_ROUTE_STREAMING)
-    request->stream = quince_stream_start (request->front->backends, &quince_platform_stream_dialect,
+    request->stream = quince_stream_start (request->context->backends, &quince_platform_stream_dialect,
                                            &forward, route->resumable, &stream_callbacks, request);
   else
-    request->forward = quince_forward_start (request->front->backends, &quince_platform_forward_dialect,
+    request->forward = quince_forward_start (request->context->backends, &quince_platform_forward_dialect,
                                              &forward, forward_done, request);
   return TRUE;
 }
@@ -349,7 +348,7 @@
   guint wait_ms = quince_platform_read_wait (request->head->headers);
   guint timeout_ms = request->submits ? LEDGER_SUBMIT_MS : wait_ms + LEDGER_READ_MS;
   request->ledger_call
-      = quince_ledger_caller_start (request->front->ledger, request->head->method, request->head->target,
+      = quince_ledger_caller_start (request->context->ledger, request->head->method, request->head->target,
                                     request->head->headers, request->body, timeout_ms, ledger_done, request);
 }
 
@@ -382,7 +381,7 @@
 static QuinceRouteTable *
 get_routes (QuinceCallerRequest *request)
 {
-  QuinceRouteTable *routes = quince_observer_get_routes (request->front->observer);
+  QuinceRouteTable *routes = quince_observer_get_routes (request->context->observer);
   if (routes == NULL)
     finish_error (request, 503, "no_configuration", RETRY_AFTER_MS);
   return routes;
@@ -408,7 +407,7 @@
   request->submits = route->kind == QUINCE_ROUTE_ROLLOUT;
   if (!request->submits)
     return forward_request (request, route);
-  if (!quince_residency_check_ledger (request->front, route, request->tenant))
+  if (!quince_residency_check_ledger (request->context, route, request->tenant))
     {
       finish_error (request, 503, "residency_ledger", RESIDENCY_RETRY_AFTER_MS);
       return FALSE;
@@ -430,7 +429,7 @@
 }
 
 QuinceCallerRequest *
-quince_caller_request_start (QuinceFront *front,
+quince_caller_request_start (QuinceFrontContext *context,
                              QuinceHttpHead *head,
                              GByteArray *body,
                              gint64 received_us,
@@ -438,7 +437,7 @@
                              gpointer user_data)
 {
   QuinceCallerRequest *request = g_new0 (QuinceCallerRequest, 1);
-  request->front = front;
+  request->context = context;
   request->head = head;
   request->body = body;
   request->received_us = received_us;
--- a/daemons/front/caller-request.h
+++ b/daemons/front/caller-request.h
@@ -3,7 +3,9 @@
  */
 #pragma once
 
-#include "front.h"
+#include "http1/http1.h"
+
+#include "front-context.h"
 
 typedef struct _QuinceCallerRequest QuinceCallerRequest;
 
@@ -48,7 +50,7 @@
  *
  * Returns: (transfer none) (nullable): the request, %NULL when it is answered already
  */
-QuinceCallerRequest *quince_caller_request_start (QuinceFront *front,
+QuinceCallerRequest *quince_caller_request_start (QuinceFrontContext *context,
                                                   QuinceHttpHead *head,
                                                   GByteArray *body,
                                                   gint64 received_us,
--- /dev/null
+++ b/daemons/front/feed-subscription.c
@@ -0,0 +1,74 @@
+/*
+ * feed-subscription.c: when a front subscribes to the store feed of the ledger's leader.
+ */
+#include "feed-subscription.h"
+
+#include "observer/store-feed.h"
+#include "runtime/clock.h"
+
+/* Longest wait for the front's own reads before it subscribes without them, ms.  Not measured: a read of the
+ * metadata store takes some ms, so this passes only while the store is away. */
+#define SYNC_WAIT_MS 300
+
+struct _QuinceFeedSubscription
+{
+  /* All fields belong to the main context. */
+  QuinceObserver *observer;
+  QuinceLink *link; /* owned: to the leader, not subscribed to yet; NULL: none */
+  GSource *timer;   /* runs out after SYNC_WAIT_MS */
+};
+
+QuinceFeedSubscription *
+quince_feed_subscription_new (QuinceObserver *observer)
+{
+  QuinceFeedSubscription *subscription = g_new0 (QuinceFeedSubscription, 1);
+  subscription->observer = observer;
+  return subscription;
+}
+
+void
+quince_feed_subscription_free (QuinceFeedSubscription *subscription)
+{
+  if (subscription == NULL)
+    return;
+  quince_feed_subscription_unlinked (subscription);
+  g_free (subscription);
+}
+
+static void
+subscribe (QuinceFeedSubscription *subscription)
+{
+  quince_source_clear (&subscription->timer);
+  quince_store_feed_subscribe (subscription->observer, subscription->link);
+  g_clear_pointer (&subscription->link, quince_link_unref);
+}
+
+void
+quince_feed_subscription_synced (QuinceFeedSubscription *subscription)
+{
+  if (subscription->link != NULL && quince_observer_is_synced (subscription->observer))
+    subscribe (subscription);
+}
+
+static gboolean
+sync_late (gpointer data)
+{
+  subscribe (data);
+  return G_SOURCE_REMOVE;
+}
+
+void
+quince_feed_subscription_linked (QuinceFeedSubscription *subscription, QuinceLink *leader)
+{
+  quince_feed_subscription_unlinked (subscription);
+  subscription->link = quince_link_ref (leader);
+  subscription->timer = quince_timer_add (SYNC_WAIT_MS, sync_late, subscription);
+  quince_feed_subscription_synced (subscription);
+}
+
+void
+quince_feed_subscription_unlinked (QuinceFeedSubscription *subscription)
+{
+  quince_source_clear (&subscription->timer);
+  g_clear_pointer (&subscription->link, quince_link_unref);
+}
--- /dev/null
+++ b/daemons/front/planned-stop.c
@@ -0,0 +1,85 @@
+/*
+ * planned-stop.c: the end of a front that was asked to stop, step by step.
+ */
+#include "planned-stop.h"
+
+#include "runtime/clock.h"
+#include "runtime/program.h"
+
+/* A stopping front accepts connections for this long at least, us: twice the 2 s for which callers keep an
+ * answer of the directory by default (directory.keep). */
+#define SERVE_US (4 * G_USEC_PER_SEC)
+/* Then no connection is begun for this long before the listener is closed, us: what the kernel had already
+ * begun is accepted and read meanwhile, where a close would reset it.  Not measured: many turns of the main
+ * loop. */
+#define ACCEPT_US (300 * 1000)
+/* Kept free at the end of the grace for the end of the process itself, us.  Not measured. */
+#define MARGIN_US (700 * 1000)
+/* Interval between two checks of the stop's progress, ms; small against the times above. */
+#define STEP_MS 100
+
+struct _QuincePlannedStop
+{
+  /* All fields belong to the main context. */
+  QuinceFrontContext *context;
+  QuinceCallerListeners *listeners;
+  gint64 grace_us;
+  gint64 began_us;
+  gboolean ignores_new; /* no connection is begun any more */
+  GSource *timer;
+};
+
+QuincePlannedStop *
+quince_planned_stop_new (QuinceFrontContext *context, QuinceCallerListeners *listeners, gint64 grace_us)
+{
+  QuincePlannedStop *stop = g_new0 (QuincePlannedStop, 1);
+  stop->context = context;
+  stop->listeners = listeners;
+  stop->grace_us = grace_us;
+  return stop;
+}
+
+void
+quince_planned_stop_free (QuincePlannedStop *stop)
+{
+  if (stop == NULL)
+    return;
+  quince_source_clear (&stop->timer);
+  g_free (stop);
+}
+
+void
+quince_planned_stop_set_grace (QuincePlannedStop *stop, gint64 grace_us)
+{
+  stop->grace_us = grace_us;
+}
+
+static gboolean
+stop_step (gpointer data)
+{
+  QuincePlannedStop *stop = data;
+  gint64 elapsed_us = quince_now_us () - stop->began_us;
+  gint64 serve_us = MIN (SERVE_US, stop->grace_us - MARGIN_US - ACCEPT_US);
+  gboolean served = elapsed_us >= serve_us + ACCEPT_US;
+  if (elapsed_us >= serve_us && !stop->ignores_new)
+    {
+      stop->ignores_new = TRUE;
+      quince_caller_listeners_ignore_new (stop->listeners);
+    }
+  if (served)
+    quince_caller_listeners_close_callers (stop->listeners);
+  gboolean done = served && stop->context->in_progress == 0;
+  if (!done && elapsed_us < stop->grace_us - MARGIN_US)
+    return G_SOURCE_CONTINUE;
+  quince_source_clear (&stop->timer);
+  quince_program_quit (QUINCE_EXIT_OK);
+  return G_SOURCE_REMOVE;
+}
+
+void
+quince_planned_stop_begin (QuincePlannedStop *stop)
+{
+  stop->context->stopping = TRUE;
+  stop->began_us = quince_now_us ();
+  stop->timer = quince_timer_add (STEP_MS, stop_step, stop);
+}
--- a/daemons/front/residency-check.h
+++ b/daemons/front/residency-check.h
@@ -1,17 +1,21 @@
 /*
- * residency-check.h: whether a request may be served or kept anywhere, before any of it leaves this front.
+ * residency-check.h: whether the regions of a request's route and tenant allow it to be served or kept.
+ *
+ * Checked before anything of the request leaves this front.  Owns no state; relies on the configuration, the
+ * worker table and the replicas' zones of the context, and on forward/residency-lookup.h.
  */
 #pragma once
 
-#include "front.h"
+#include "front-context.h"
 
-/* The metadata store tells the zone of the replica @node; @value NULL: it is gone. */
-void quince_residency_check_take_place (QuinceFront *front, const char *node, GBytes *value);
-/* Whether @service has a worker where @route and @tenant (nullable) allow.  TRUE where they name no regions.
- */
-gboolean quince_residency_check_workers (QuinceFront *front,
+/* Returns: %TRUE where @service has a worker in a region that @route and @tenant (nullable) allow, or where
+ * they name no regions. */
+gboolean quince_residency_check_workers (const QuinceFrontContext *context,
                                          const QuinceRoute *route,
                                          const char *tenant,
                                          const char *service);
-/* Whether all machines that hold the ledger stand where @route and @tenant (nullable) allow. */
-gboolean quince_residency_check_ledger (QuinceFront *front, const QuinceRoute *route, const char *tenant);
+/* Returns: %TRUE where all members of the ledger's view are in regions that @route and @tenant (nullable)
+ * allow, or where they name no regions; %FALSE also while no view is known. */
+gboolean quince_residency_check_ledger (const QuinceFrontContext *context,
+                                        const QuinceRoute *route,
+                                        const char *tenant);
