--- a/daemons/replica/batch-answers.c
+++ b/daemons/replica/batch-answers.c
@@ -1,5 +1,5 @@
 /*
- * batch-answers.c: answers to fronts' calls about batches, and what such a call says of itself.
+ * batch-answers.c: formats and sends the answers to fronts' calls about batches.
  */
 #include "batch-answers.h"
 
@@ -10,7 +10,7 @@
 
 /* Retry-After of refusals, ms: electing a new leader takes about a second, so a caller asks a few times. */
 #define RETRY_AFTER_MS 300
-/* Texts of results in one answer; the platform allows 1 MB with all that stands around them. */
+/* Most text of results in one answer, bytes; the platform allows 1 MB with the JSON around it. */
 #define RESULTS_MAX_BYTES (700 * 1024)
 
 /* ---- Answers ---------------------------------------------------------- */
@@ -41,18 +41,18 @@
   reply (link, id, status, "", NULL, status == 503 || status == 429 ? RETRY_AFTER_MS : 0);
 }
 
-/* Decodes the results from @position on, as many as one answer holds. Returns: FALSE with @error: one of them
- * cannot be decoded */
+/* Decodes the results from @position on into @results, until they have @max_bytes of text; at least one.
+ * Returns: %FALSE with @error where one can't be decoded */
 static gboolean
 decode_results (QuinceResultCache *cache,
                 const QuinceBatchEntry *entry,
                 guint64 position,
-                gsize most_bytes,
+                gsize max_bytes,
                 GPtrArray *results,
                 GError **error)
 {
   gsize bytes = 0;
-  for (guint64 i = position; i < entry->results->len && (results->len == 0 || bytes < most_bytes); i++)
+  for (guint64 i = position; i < entry->results->len && (results->len == 0 || bytes < max_bytes); i++)
     {
       const QuinceBatchListing *listing = entry->results->pdata[i];
       const QuinceBatchResult *result = quince_result_cache_get (cache, listing->body, error);
@@ -74,17 +74,17 @@
   quince_result_cache_trim (cache);
   g_autoptr (GPtrArray) results = g_ptr_array_new (); /* the cache's */
   g_autoptr (GError) error = NULL;
-  gsize most_bytes = RESULTS_MAX_BYTES;
+  gsize max_bytes = RESULTS_MAX_BYTES;
   if (entry->results->len > position)
-    most_bytes = quince_answer_allowance_take (quince_link_get_allowance (link), quince_now_us (),
-                                               quince_link_get_backlog (link), RESULTS_MAX_BYTES);
-  if (most_bytes == 0)
+    max_bytes = quince_answer_allowance_take (quince_link_get_allowance (link), quince_now_us (),
+                                              quince_link_get_backlog (link), RESULTS_MAX_BYTES);
+  if (max_bytes == 0)
     {
-      /* Not 503: the front would doubt that this replica leads. */
+      /* Not 503, which would make the front search for another leader. */
       quince_batch_answer_status (link, id, 429);
       return;
     }
-  if (!decode_results (cache, entry, position, most_bytes, results, &error))
+  if (!decode_results (cache, entry, position, max_bytes, results, &error))
     {
       quince_log_failure ("result_unreadable", "batch=%s code=%d", entry->batch->id, error->code);
       quince_batch_answer_status (link, id, 503);
@@ -109,13 +109,13 @@
                           const QuinceCall *parsed,
                           const QuinceBatchEntry *entry)
 {
-  gint place = parsed->item != NULL ? quince_batch_entry_find_item (entry, parsed->item) : -1;
-  if (place < 0)
+  gint index = parsed->item != NULL ? quince_batch_entry_find_item (entry, parsed->item) : -1;
+  if (index < 0)
     {
       quince_batch_answer_status (link, call->id, 404);
       return;
     }
-  const QuinceBatchItem *item = &entry->batch->items.items_val[place];
+  const QuinceBatchItem *item = &entry->batch->items.items_val[index];
   g_autoptr (GBytes) body = g_bytes_new_static (item->body.body_val, item->body.body_len);
   reply (link, call->id, 200, "application/octet-stream", body, 0);
 }
--- a/daemons/replica/batch-answers.h
+++ b/daemons/replica/batch-answers.h
@@ -1,5 +1,8 @@
 /*
- * batch-answers.h: answers to fronts' calls about batches, and what such a call says of itself.
+ * batch-answers.h: formats and sends the answers to fronts' calls about batches, and reads such a call's
+ * headers.
+ *
+ * Owns no state.
  */
 #pragma once
 
@@ -12,9 +15,10 @@
 
 /* ---- Answers; @id: of the call ------------------------------------------ */
 
-/* 503 and 429 carry the time after which to ask again. */
+/* An answer without a body; 503 and 429 carry a Retry-After. */
 void quince_batch_answer_status (QuinceLink *link, guint64 id, guint status);
-/* The results from @position on, as many as one answer holds.  @cache: where they are unpacked */
+/* The results from @position on, as many as fit into one answer and as the link's allowance permits; 429
+ * where it permits none.  @cache: unpacks them, and keeps them for the next call */
 void quince_batch_answer_results (QuinceResultCache *cache,
                                   QuinceLink *link,
                                   guint64 id,
@@ -28,5 +32,5 @@
 
 /* ---- Calls --------------------------------------------------------------- */
 
-/* (transfer full) */
+/* Returns: (transfer full): the headers of the caller's HTTP request */
 QuinceHttpHeaders *quince_batch_call_copy_headers (const QuinceServiceCall *call);
--- a/daemons/replica/batch-calls.c
+++ b/daemons/replica/batch-calls.c
@@ -1,41 +1,64 @@
 /*
- * batch-calls.c: answers fronts' calls about batches.
- *
- * What is acknowledged is committed first.  A call that this replica cannot answer for sure gets 503, but a
- * submission that may have reached the log gets 504: it may yet run.
+ * batch-calls.c: answers fronts' calls about batches at the ledger's leader.
  */
-#include "batch-service-private.h"
+#include "batch-calls.h"
 
-#include <string.h>
-
-#include "runtime/log.h"
+#include "batchlog/result-cache.h"
 #include "runtime/clock.h"
+#include "runtime/log.h"
 
 #include "batch-answers.h"
 #include "platform.h"
 
-/* Samples that are not listed, over all batches: more are refused. */
+/* Samples without a result, over all batches; submissions beyond it are refused.  Not measured: more than two
+ * steps of 8,192 samples for each of 11 trainers, and bounds the leader's memory. */
 #define SAMPLES_MAX 200000
+/* Unpacked texts of results, bytes: those of the last few steps of three trainers (144 texts of 8 kB each), a
+ * thirtieth of the memory of the smallest leaders (270 MB). */
+#define RESULTS_UNPACKED_BYTES (8 * 1024 * 1024)
 
-void
-quince_batch_waiter_free (gpointer data)
+/* A call that waits for a commit or for a result. */
+typedef struct
+{
+  QuinceBatchCalls *calls;
+  QuinceLink *link; /* owned */
+  guint64 id;       /* of the call */
+  char *batch;
+  guint64 index;    /* of the record that it waits for; 0: for a result */
+  guint64 position; /* first result that it wants */
+  GSource *timer;   /* when it is answered without a result; NULL: it waits for a commit */
+} Waiter;
+
+struct _QuinceBatchCalls
 {
-  QuinceBatchWaiter *waiter = data;
+  /* All fields belong to the main context. */
+  QuinceLedgerNode *ledger;
+  QuinceResidencyCoordinator *residency;
+  QuinceBatchBook *book;  /* NULL: not leading */
+  GHashTable *submitting; /* batch id to guint64, both owned: index of its record, not committed yet */
+  GPtrArray *waiters;     /* Waiter, owned */
+  QuinceResultCache *results;
+};
+
+static void
+waiter_free (gpointer data)
+{
+  Waiter *waiter = data;
   quince_source_clear (&waiter->timer);
   quince_link_unref (waiter->link);
   g_free (waiter->batch);
   g_free (waiter);
 }
 
-static QuinceBatchWaiter *
-add_waiter (QuinceBatchService *service, QuinceLink *link, guint64 id, const char *batch)
+static Waiter *
+add_waiter (QuinceBatchCalls *calls, QuinceLink *link, guint64 id, const char *batch)
 {
-  QuinceBatchWaiter *waiter = g_new0 (QuinceBatchWaiter, 1);
-  waiter->service = service;
+  Waiter *waiter = g_new0 (Waiter, 1);
+  waiter->calls = calls;
   waiter->link = quince_link_ref (link);
   waiter->id = id;
   waiter->batch = g_strdup (batch);
-  g_ptr_array_add (service->waiters, waiter);
+  g_ptr_array_add (calls->waiters, waiter);
   return waiter;
 }
 
@@ -44,20 +67,20 @@
 static gboolean
 waited_enough (gpointer data)
 {
-  QuinceBatchWaiter *waiter = data;
-  QuinceBatchService *service = waiter->service;
-  QuinceBatchEntry *entry = quince_batch_book_find (service->book, waiter->batch);
+  Waiter *waiter = data;
+  QuinceBatchCalls *calls = waiter->calls;
+  QuinceBatchEntry *entry = quince_batch_book_find (calls->book, waiter->batch);
   quince_source_clear (&waiter->timer);
-  if (entry != NULL && quince_ledger_node_may_answer (service->ledger))
-    quince_batch_answer_results (service->results, waiter->link, waiter->id, entry, waiter->position);
+  if (entry != NULL && quince_ledger_node_may_answer (calls->ledger))
+    quince_batch_answer_results (calls->results, waiter->link, waiter->id, entry, waiter->position);
   else
     quince_batch_answer_status (waiter->link, waiter->id, 503);
-  g_ptr_array_remove_fast (service->waiters, waiter);
+  g_ptr_array_remove_fast (calls->waiters, waiter);
   return G_SOURCE_REMOVE;
 }
 
 static void
-answer_results (QuinceBatchService *service,
+answer_results (QuinceBatchCalls *calls,
                 QuinceLink *link,
                 const QuinceServiceCall *call,
                 const QuinceHttpHeaders *headers,
@@ -69,17 +92,18 @@
   gboolean more_may_come = !entry->ended && entry->results->len < entry->batch->items.items_len;
   if (!nothing || !more_may_come || wait_ms == 0)
     {
-      quince_batch_answer_results (service->results, link, call->id, entry, parsed->position);
+      quince_batch_answer_results (calls->results, link, call->id, entry, parsed->position);
       return;
     }
-  QuinceBatchWaiter *waiter = add_waiter (service, link, call->id, parsed->id);
+  Waiter *waiter = add_waiter (calls, link, call->id, parsed->id);
   waiter->position = parsed->position;
   waiter->timer = quince_timer_add (wait_ms, waited_enough, waiter);
 }
 
 /* ---- Changes ---------------------------------------------------------- */
 
-/* A batch without a tenant belongs to every caller: it came by a public route, or without tenants. */
+/* A batch without a tenant belongs to every caller: it was submitted by a public route, or the configuration
+ * names no tenants. */
 static gboolean
 belongs_to (const QuinceBatchEntry *entry, const char *tenant)
 {
@@ -87,10 +111,7 @@
 }
 
 static void
-answer_end (QuinceBatchService *service,
-            QuinceLink *link,
-            const QuinceServiceCall *call,
-            QuinceBatchEntry *entry)
+answer_end (QuinceBatchCalls *calls, QuinceLink *link, const QuinceServiceCall *call, QuinceBatchEntry *entry)
 {
   if (entry->ended)
     {
@@ -99,13 +120,14 @@
     }
   QuinceBatchRecord record = { .kind = QUINCE_BATCH_RECORD_END };
   record.QuinceBatchRecord_u.ended = entry->batch->id;
-  guint64 index = quince_ledger_node_append (service->ledger, &record);
-  add_waiter (service, link, call->id, entry->batch->id)->index = index;
+  guint64 index = quince_ledger_node_append (calls->ledger, &record);
+  add_waiter (calls, link, call->id, entry->batch->id)->index = index;
 }
 
-/* Appends a submission.  A batch without a tenant is written as builds that know no tenants read it. */
+/* Appends a submission.  A batch without a tenant is written in the form that builds without tenants read.
+ * Returns: the index of its record; 0: it was not appended */
 static guint64
-append_submission (QuinceBatchService *service, const QuinceBatchJob *batch, const char *tenant)
+append_submission (QuinceBatchCalls *calls, const QuinceBatchJob *batch, const char *tenant)
 {
   QuinceBatchRecord record = { .kind = QUINCE_BATCH_RECORD_SUBMIT };
   if (*tenant == '\0')
@@ -116,11 +138,11 @@
       record.QuinceBatchRecord_u.submit_of_tenant.tenant = (char *)tenant;
       record.QuinceBatchRecord_u.submit_of_tenant.batch = *batch;
     }
-  return quince_ledger_node_append (service->ledger, &record);
+  return quince_ledger_node_append (calls->ledger, &record);
 }
 
 static void
-take_batch (QuinceBatchService *service,
+take_batch (QuinceBatchCalls *calls,
             QuinceLink *link,
             const QuinceServiceCall *call,
             const QuinceHttpHeaders *headers,
@@ -133,7 +155,7 @@
     {
       g_autofree char *reason = quince_log_quote (error->message);
       quince_log_warning ("batch_refused", "batch=%s status=400 reason=%s", id, reason);
-      quince_residency_coordinator_settle (service->residency, id);
+      quince_residency_coordinator_settle (calls->residency, id);
       quince_batch_answer_status (link, call->id, 400);
       return;
     }
@@ -144,36 +166,36 @@
   batch->host = quince_string (quince_http_headers_get (headers, "Host"));
   batch->path = quince_string (call->target);
   batch->submitted_ms = (guint64)quince_wall_ms ();
-  guint64 index = append_submission (service, batch, quince_platform_read_tenant (headers));
+  guint64 index = append_submission (calls, batch, quince_platform_read_tenant (headers));
   if (index == 0)
     {
-      quince_residency_coordinator_settle (service->residency, id);
+      quince_residency_coordinator_settle (calls->residency, id);
       quince_batch_answer_status (link, call->id, 503);
       return;
     }
-  g_hash_table_insert (service->submitting, g_strdup (id), g_memdup2 (&index, sizeof index));
-  add_waiter (service, link, call->id, id)->index = index;
+  g_hash_table_insert (calls->submitting, g_strdup (id), g_memdup2 (&index, sizeof index));
+  add_waiter (calls, link, call->id, id)->index = index;
 }
 
-/* The front looked too; the ledger's machines may have changed since. */
+/* The front has checked too, but the ledger's members may have changed since. */
 static gboolean
-residency_allows (QuinceBatchService *service,
+residency_allows (QuinceBatchCalls *calls,
                   const QuinceServiceCall *call,
                   const QuinceHttpHeaders *headers,
                   const char *id)
 {
-  g_autoptr (GPtrArray) entries = quince_batch_service_list (service);
+  g_autoptr (GPtrArray) entries = quince_batch_book_list (calls->book);
   const char *host = quince_http_headers_get (headers, "Host");
-  gboolean may
-      = quince_residency_coordinator_admit (service->residency, entries, id, host != NULL ? host : "",
-                                            call->target, quince_platform_read_tenant (headers));
+  gboolean may = quince_residency_coordinator_admit (calls->residency, entries, id, host != NULL ? host : "",
+                                                     call->target, quince_platform_read_tenant (headers));
   if (!may)
     quince_log_warning ("batch_refused", "batch=- status=503 reason=residency");
   return may;
 }
 
 static void
-answer_submit (QuinceBatchService *service,
+answer_submit (QuinceBatchCalls *calls,
+               guint unlisted,
                QuinceLink *link,
                const QuinceServiceCall *call,
                const QuinceHttpHeaders *headers)
@@ -181,22 +203,22 @@
   QuincePlatformRequestFacts facts;
   quince_platform_read_request (headers, &facts);
   const char *id = facts.request_id;
-  const guint64 *pending = id != NULL ? g_hash_table_lookup (service->submitting, id) : NULL;
-  const QuinceBatchEntry *known = id != NULL ? quince_batch_book_find (service->book, id) : NULL;
+  const guint64 *pending = id != NULL ? g_hash_table_lookup (calls->submitting, id) : NULL;
+  const QuinceBatchEntry *known = id != NULL ? quince_batch_book_find (calls->book, id) : NULL;
   if (id == NULL || (known != NULL && !belongs_to (known, quince_platform_read_tenant (headers))))
     quince_batch_answer_status (link, call->id, 400);
   else if (known != NULL)
     quince_batch_answer_status (link, call->id, 202);
   else if (pending != NULL)
-    add_waiter (service, link, call->id, id)->index = *pending;
-  else if (!quince_ledger_node_may_accept (service->ledger))
+    add_waiter (calls, link, call->id, id)->index = *pending;
+  else if (!quince_ledger_node_may_accept (calls->ledger))
     quince_batch_answer_status (link, call->id, 503);
-  else if (service->unlisted > SAMPLES_MAX)
+  else if (unlisted > SAMPLES_MAX)
     quince_batch_answer_status (link, call->id, 429);
-  else if (!residency_allows (service, call, headers, id))
+  else if (!residency_allows (calls, call, headers, id))
     quince_batch_answer_status (link, call->id, 503);
   else
-    take_batch (service, link, call, headers, id);
+    take_batch (calls, link, call, headers, id);
 }
 
 /* ---- Calls ------------------------------------------------------------ */
@@ -211,77 +233,135 @@
 }
 
 static void
-answer_about_batch (QuinceBatchService *service,
+answer_about_batch (QuinceBatchCalls *calls,
                     QuinceLink *link,
                     const QuinceServiceCall *call,
                     const QuinceHttpHeaders *headers,
                     const QuinceCall *parsed)
 {
-  QuinceBatchEntry *entry = parsed->id != NULL ? quince_batch_book_find (service->book, parsed->id) : NULL;
-  gboolean pending = parsed->id != NULL && g_hash_table_contains (service->submitting, parsed->id);
+  QuinceBatchEntry *entry = parsed->id != NULL ? quince_batch_book_find (calls->book, parsed->id) : NULL;
+  gboolean pending = parsed->id != NULL && g_hash_table_contains (calls->submitting, parsed->id);
   const char *tenant = quince_platform_read_tenant (headers);
   if (entry == NULL || !belongs_to (entry, tenant))
     quince_batch_answer_status (link, call->id, status_of_unknown (entry, tenant, pending));
   else if (parsed->kind == QUINCE_CALL_RESULTS)
-    answer_results (service, link, call, headers, parsed, entry);
+    answer_results (calls, link, call, headers, parsed, entry);
   else if (parsed->kind == QUINCE_CALL_ITEM)
     quince_batch_answer_item (link, call, parsed, entry);
   else if (parsed->kind == QUINCE_CALL_END)
-    answer_end (service, link, call, entry);
+    answer_end (calls, link, call, entry);
   else
     quince_batch_answer_status (link, call->id, 404);
 }
 
 void
-quince_batch_service_call (QuinceBatchService *service, QuinceLink *link, const QuinceServiceCall *call)
+quince_batch_calls_take (QuinceBatchCalls *calls,
+                         guint unlisted,
+                         QuinceLink *link,
+                         const QuinceServiceCall *call)
 {
-  /* While a new leader reads its log the book is not whole. */
-  if (service->runner == NULL || !quince_ledger_node_may_answer (service->ledger))
-    {
-      quince_batch_answer_status (link, call->id, 503);
-      return;
-    }
   g_autoptr (QuinceHttpHeaders) headers = quince_batch_call_copy_headers (call);
   QuinceCall parsed;
   quince_platform_read_call (call->method, call->target, &parsed);
   if (parsed.kind == QUINCE_CALL_REQUEST)
-    answer_submit (service, link, call, headers);
+    answer_submit (calls, unlisted, link, call, headers);
   else
-    answer_about_batch (service, link, call, headers, &parsed);
+    answer_about_batch (calls, link, call, headers, &parsed);
   quince_platform_call_clear (&parsed);
 }
 
+/* ---- Calls that end ------------------------------------------------------ */
+
 void
-quince_batch_service_link_closed (QuinceBatchService *service, QuinceLink *link)
+quince_batch_calls_link_closed (QuinceBatchCalls *calls, QuinceLink *link)
 {
-  for (guint i = service->waiters->len; i > 0; i--)
-    if (((QuinceBatchWaiter *)service->waiters->pdata[i - 1])->link == link)
-      g_ptr_array_remove_index_fast (service->waiters, i - 1);
+  for (guint i = calls->waiters->len; i > 0; i--)
+    if (((Waiter *)calls->waiters->pdata[i - 1])->link == link)
+      g_ptr_array_remove_index_fast (calls->waiters, i - 1);
 }
 
-/* ---- Calls that end ----------------------------------------------------- */
+void
+quince_batch_calls_submitted (QuinceBatchCalls *calls, const char *id)
+{
+  g_hash_table_remove (calls->submitting, id);
+}
 
 void
-quince_batch_calls_answer_committed (QuinceBatchService *service, guint64 index, guint status)
+quince_batch_calls_committed (QuinceBatchCalls *calls, guint64 index, guint status)
 {
-  for (guint i = service->waiters->len; i > 0; i--)
+  for (guint i = calls->waiters->len; i > 0; i--)
     {
-      QuinceBatchWaiter *waiter = service->waiters->pdata[i - 1];
+      Waiter *waiter = calls->waiters->pdata[i - 1];
       if (waiter->index != index)
         continue;
       quince_batch_answer_status (waiter->link, waiter->id, status);
-      g_ptr_array_remove_index_fast (service->waiters, i - 1);
+      g_ptr_array_remove_index_fast (calls->waiters, i - 1);
+    }
+}
+
+void
+quince_batch_calls_listed (QuinceBatchCalls *calls, const QuinceBatchEntry *entry)
+{
+  for (guint i = calls->waiters->len; i > 0; i--)
+    {
+      Waiter *waiter = calls->waiters->pdata[i - 1];
+      if (waiter->index != 0 || waiter->position >= entry->results->len
+          || !g_str_equal (waiter->batch, entry->batch->id))
+        continue;
+      quince_batch_answer_results (calls->results, waiter->link, waiter->id, entry, waiter->position);
+      g_ptr_array_remove_index_fast (calls->waiters, i - 1);
     }
 }
 
 void
-quince_batch_calls_end_all (QuinceBatchService *service)
+quince_batch_calls_end_all (QuinceBatchCalls *calls)
 {
-  for (guint i = 0; i < service->waiters->len; i++)
+  for (guint i = 0; i < calls->waiters->len; i++)
     {
-      QuinceBatchWaiter *waiter = service->waiters->pdata[i];
-      /* What is in the log may yet be committed by the next leader. */
+      const Waiter *waiter = calls->waiters->pdata[i];
+      /* A record that is in the log may still be committed by the next leader. */
       quince_batch_answer_status (waiter->link, waiter->id, waiter->index != 0 ? 504 : 503);
     }
-  g_ptr_array_set_size (service->waiters, 0);
+  g_ptr_array_set_size (calls->waiters, 0);
+  g_hash_table_remove_all (calls->submitting);
+  calls->book = NULL;
+  /* It may not lead again for long: the memory is given back. */
+  quince_result_cache_free (calls->results);
+  calls->results = quince_result_cache_new (RESULTS_UNPACKED_BYTES);
+}
+
+/* ---- Life ---------------------------------------------------------------- */
+
+QuinceBatchCalls *
+quince_batch_calls_new (void)
+{
+  QuinceBatchCalls *calls = g_new0 (QuinceBatchCalls, 1);
+  calls->submitting = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
+  calls->waiters = g_ptr_array_new_with_free_func (waiter_free);
+  calls->results = quince_result_cache_new (RESULTS_UNPACKED_BYTES);
+  return calls;
+}
+
+void
+quince_batch_calls_free (QuinceBatchCalls *calls)
+{
+  g_ptr_array_unref (calls->waiters);
+  g_hash_table_unref (calls->submitting);
+  quince_result_cache_free (calls->results);
+  g_free (calls);
+}
+
+void
+quince_batch_calls_set_ledger (QuinceBatchCalls *calls,
+                               QuinceLedgerNode *ledger,
+                               QuinceResidencyCoordinator *residency)
+{
+  calls->ledger = ledger;
+  calls->residency = residency;
+}
+
+void
+quince_batch_calls_set_book (QuinceBatchCalls *calls, QuinceBatchBook *book)
+{
+  calls->book = book;
 }
--- a/daemons/replica/batch-service.c
+++ b/daemons/replica/batch-service.c
@@ -1,7 +1,7 @@
 /*
- * batch-service.c: the batches that lie in the ledger, their samples, and when they are forgotten.
+ * batch-service.c: the batches in the ledger, their samples, and when they are forgotten.
  */
-#include "batch-service-private.h"
+#include "batch-service.h"
 
 #include "runtime/log.h"
 #include "runtime/metrics.h"
@@ -9,16 +9,37 @@
 #include "runtime/clock.h"
 
 #include "batch-answers.h"
+#include "batch-calls.h"
 #include "step-demand.h"
 
-#define FORGET_EVERY_MS 5000
-/* Unpacked texts of results: those of the last few steps of three trainers (144 texts of 8 kB each), a
- * thirtieth of the memory of the smallest leaders (270 MB). */
-#define RESULTS_UNPACKED_BYTES (8 * 1024 * 1024)
+/* Interval between two searches for batches to forget, ms.  Not measured: small against the time for which
+ * closed batches are kept (ledger.keep, 120 s). */
+#define FORGET_INTERVAL_MS 5000
 
-/* ---- What the book tells ---------------------------------------------- */
-
-/* Samples of @model that are not listed, of batches that go on. */
+struct _QuinceBatchService
+{
+  /* All fields belong to the main context.  Not owned: */
+  QuinceLedgerNode *ledger;
+  QuinceBackends *backends;
+  QuinceObserver *observer;
+  QuinceModelPlacement *placement;
+  QuinceProgressStore *progress;
+  QuinceProgressFile *progress_file;
+  QuinceResidencyCoordinator *residency;
+  /* Owned: */
+  QuinceBatchBook *book; /* NULL: no record was read since this replica last led */
+  QuinceBatchCalls *calls;
+  QuinceSampleRunner *runner; /* NULL: not leading */
+  GSource *forget_timer;
+  /* Values: */
+  guint64 informed_successor; /* the backup that was sent all progress; 0: none */
+  guint unlisted;             /* samples without a result, over all batches */
+  gint64 keep_us;
+};
+
+/* ---- Events of the book ------------------------------------------------- */
+
+/* Samples of @model without a result, in batches that are not ended. */
 static guint
 open_samples (QuinceBatchService *service, const char *model)
 {
@@ -33,7 +54,7 @@
   return count;
 }
 
-/* For logs: whether a record is read from the disk again, before this replica leads. */
+/* For logs: "true" while records are read from the disk, before this replica leads. */
 static const char *
 replayed (const QuinceBatchService *service)
 {
@@ -47,7 +68,7 @@
   service->unlisted += entry->batch->items.items_len;
   quince_step_demand_note_batch (service->placement, entry->batch,
                                  open_samples (service, entry->batch->model));
-  g_hash_table_remove (service->submitting, entry->batch->id);
+  quince_batch_calls_submitted (service->calls, entry->batch->id);
   quince_residency_coordinator_settle (service->residency, entry->batch->id);
   quince_log_notice ("batch_taken",
                      "batch=%s model=%s step=%" G_GUINT64_FORMAT
@@ -59,21 +80,12 @@
     quince_sample_runner_add (service->runner, entry);
 }
 
-/* Readers that wait for a result of this batch. */
 static void
 batch_listed (QuinceBatchEntry *entry, gpointer data)
 {
   QuinceBatchService *service = data;
   service->unlisted--;
-  for (guint i = service->waiters->len; i > 0; i--)
-    {
-      QuinceBatchWaiter *waiter = service->waiters->pdata[i - 1];
-      if (waiter->index != 0 || waiter->position >= entry->results->len
-          || !g_str_equal (waiter->batch, entry->batch->id))
-        continue;
-      quince_batch_answer_results (service->results, waiter->link, waiter->id, entry, waiter->position);
-      g_ptr_array_remove_index_fast (service->waiters, i - 1);
-    }
+  quince_batch_calls_listed (service->calls, entry);
 }
 
 static void
@@ -104,17 +116,43 @@
                                                          .ended = batch_ended,
                                                          .forgotten = batch_forgotten };
 
+static void
+ensure_book (QuinceBatchService *service)
+{
+  if (service->book != NULL)
+    return;
+  service->book = quince_batch_book_new (&book_callbacks, service);
+  quince_batch_calls_set_book (service->calls, service->book);
+}
+
 void
 quince_batch_service_committed (QuinceBatchService *service, guint64 index, QuinceBatchRecord *record)
 {
-  if (service->book == NULL)
-    service->book = quince_batch_book_new (&book_callbacks, service);
+  ensure_book (service);
   gboolean submits
       = record->kind == QUINCE_BATCH_RECORD_SUBMIT || record->kind == QUINCE_BATCH_RECORD_SUBMIT_OF_TENANT;
   guint status = submits ? 202 : 200;
   quince_batch_book_apply (service->book, index, record);
   if (index != 0)
-    quince_batch_calls_answer_committed (service, index, status);
+    quince_batch_calls_committed (service->calls, index, status);
+}
+
+/* ---- Calls of fronts ----------------------------------------------------- */
+
+void
+quince_batch_service_call (QuinceBatchService *service, QuinceLink *link, const QuinceServiceCall *call)
+{
+  /* While a new leader reads its log the book is incomplete. */
+  if (service->runner == NULL || !quince_ledger_node_may_answer (service->ledger))
+    quince_batch_answer_status (link, call->id, 503);
+  else
+    quince_batch_calls_take (service->calls, service->unlisted, link, call);
+}
+
+void
+quince_batch_service_link_closed (QuinceBatchService *service, QuinceLink *link)
+{
+  quince_batch_calls_link_closed (service->calls, link);
 }
 
 /* ---- Samples ---------------------------------------------------------- */
@@ -154,8 +192,8 @@
   return service->book != NULL ? quince_batch_book_list (service->book) : g_ptr_array_new ();
 }
 
-/* Progress of the batches that the machine @node (nullable) may know.  (transfer full): texts are not copied
- */
+/* Returns: (transfer full): of @items, those of batches whose regions allow the machine @node (nullable);
+ * their texts are not copied */
 static GArray *
 select_allowed (QuinceBatchService *service, const GArray *items, const char *node)
 {
@@ -279,8 +317,7 @@
 void
 quince_batch_service_lead (QuinceBatchService *service)
 {
-  if (service->book == NULL)
-    service->book = quince_batch_book_new (&book_callbacks, service);
+  ensure_book (service);
   service->runner = quince_sample_runner_new (service->backends, service->observer, service->progress,
                                               &runner_callbacks, service);
   g_autoptr (GPtrArray) entries = quince_batch_book_list (service->book);
@@ -294,7 +331,7 @@
   quince_progress_store_list (service->progress, quince_now_us (), known);
   if (known->len == 0 && service->unlisted > 0)
     quince_sample_runner_await_progress (service->runner);
-  service->forget_timer = quince_timer_add (FORGET_EVERY_MS, forget_old, service);
+  service->forget_timer = quince_timer_add (FORGET_INTERVAL_MS, forget_old, service);
 }
 
 void
@@ -302,14 +339,10 @@
 {
   quince_source_clear (&service->forget_timer);
   g_clear_pointer (&service->runner, quince_sample_runner_free);
-  quince_batch_calls_end_all (service);
-  g_hash_table_remove_all (service->submitting);
+  quince_batch_calls_end_all (service->calls);
   quince_residency_coordinator_settle (service->residency, NULL);
   g_clear_pointer (&service->book, quince_batch_book_free);
   service->unlisted = 0;
-  /* It may not lead again for long. */
-  quince_result_cache_free (service->results);
-  service->results = quince_result_cache_new (RESULTS_UNPACKED_BYTES);
 }
 
 QuinceBatchService *
@@ -325,9 +358,7 @@
   service->placement = placement;
   service->progress = progress;
   service->keep_us = keep_us;
-  service->submitting = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
-  service->waiters = g_ptr_array_new_with_free_func (quince_batch_waiter_free);
-  service->results = quince_result_cache_new (RESULTS_UNPACKED_BYTES);
+  service->calls = quince_batch_calls_new ();
   return service;
 }
 
@@ -340,6 +371,7 @@
   service->ledger = ledger;
   service->residency = residency;
   service->progress_file = progress_file;
+  quince_batch_calls_set_ledger (service->calls, ledger, residency);
 }
 
 void
@@ -349,9 +381,7 @@
     return;
   quince_source_clear (&service->forget_timer);
   quince_sample_runner_free (service->runner);
-  g_ptr_array_unref (service->waiters);
-  g_hash_table_unref (service->submitting);
+  quince_batch_calls_free (service->calls);
   quince_batch_book_free (service->book);
-  quince_result_cache_free (service->results);
   g_free (service);
 }
--- a/daemons/replica/batch-service.h
+++ b/daemons/replica/batch-service.h
@@ -1,13 +1,17 @@
 /*
- * batch-service.h: answers fronts' calls about batches, and keeps what they change in the ledger.
+ * batch-service.h: the batches in the ledger: their records become a book, their samples run at the leader.
+ *
+ * Owns the book of batches, the sample runner (at the leader), the calls of fronts that wait (batch-calls.h)
+ * and the timer by which old batches are forgotten.  Relies on the ledger node, which calls it with committed
+ * records and changes of the lead, and to which it appends.
  */
 #pragma once
 
 #include "core/batches/batch-book.h"
-#include "runtime/link.h"
 #include "core/weights/load-plan.h"
 #include "core/weights/model-placement.h"
 #include "observer/observer.h"
+#include "runtime/link.h"
 
 #include "ledger-node.h"
 #include "progress-file.h"
@@ -16,41 +20,58 @@
 
 typedef struct _QuinceBatchService QuinceBatchService;
 
-/* @keep_us: a batch that is ended, or whose samples' time is up, is forgotten so long after its submission.
- * @placement: is told of the demand for each model; not owned
- * @progress: texts that a former leader told of; not owned */
+/**
+ * quince_batch_service_new:
+ * @backends, @observer: (transfer none): of this process
+ * @placement: (transfer none): is told of the demand for each model
+ * @progress: (transfer none): texts of samples that a former leader sent to this replica
+ * @keep_us: a batch that is ended, or whose samples all have a result, is forgotten this long after its
+ *   submission, by the wall clock
+ *
+ * All must outlive the service.
+ */
 QuinceBatchService *quince_batch_service_new (QuinceBackends *backends,
                                               QuinceObserver *observer,
                                               QuinceModelPlacement *placement,
                                               QuinceProgressStore *progress,
                                               gint64 keep_us);
-/* At the leader: what a replica that follows it was told by the one before. */
-void quince_batch_service_take_progress (QuinceBatchService *service, const QuinceSampleProgress *progress);
-/* Tells the backups how far samples are; at the leader, a few times a second. */
-void quince_batch_service_tell_progress (QuinceBatchService *service);
 void quince_batch_service_free (QuinceBatchService *service);
-/* Set once, before any other call. */
+/* Set once, before any other call; none is owned. */
 void quince_batch_service_set_ledger (QuinceBatchService *service,
                                       QuinceLedgerNode *ledger,
                                       QuinceProgressFile *progress_file,
                                       QuinceResidencyCoordinator *residency);
-/* (transfer container) (element-type QuinceBatchEntry): batches that lie in the ledger, at the leader; those
- * that are read so far while a new one reads */
-GPtrArray *quince_batch_service_list (QuinceBatchService *service);
 
-/* From the ledger: this replica leads, stopped to, has a new committed record. */
+/* ---- Events of the ledger ------------------------------------------------ */
+
 void quince_batch_service_lead (QuinceBatchService *service);
 void quince_batch_service_stop_leading (QuinceBatchService *service);
+/* A record is committed, at the leader, in the order of the log.  @index: in the log; @record: (transfer
+ * full) */
 void quince_batch_service_committed (QuinceBatchService *service, guint64 index, QuinceBatchRecord *record);
-/* From a front. */
+/* A front's call; it is answered on @link, now or later. */
 void quince_batch_service_call (QuinceBatchService *service, QuinceLink *link, const QuinceServiceCall *call);
 void quince_batch_service_link_closed (QuinceBatchService *service, QuinceLink *link);
-/* Sets gauges of what waits and runs. */
-void quince_batch_service_set_metrics (QuinceBatchService *service);
-/* Fills in the samples that wait and run; none where this replica does not lead. */
+
+/* ---- Progress of samples -------------------------------------------------- */
+
+/* At the leader: a replica that follows it passes on what the former leader sent. */
+void quince_batch_service_take_progress (QuinceBatchService *service, const QuinceSampleProgress *progress);
+/* At the leader, a few times a second: writes what samples have so far to the progress file and sends it to
+ * the successor. */
+void quince_batch_service_tell_progress (QuinceBatchService *service);
+
+/* ---- Samples -------------------------------------------------------------- */
+
+/* Returns: (transfer container) (element-type QuinceBatchEntry): batches in the ledger; at a new leader those
+ * read so far, elsewhere none */
+GPtrArray *quince_batch_service_list (QuinceBatchService *service);
+/* Adds the samples that wait and run to @plan; nothing where this replica does not lead. */
 void quince_batch_service_fill_load_plan (QuinceBatchService *service, QuinceLoadPlan *plan);
-/* Places at workers of @of_service that its open samples take to end in time; 0 where this replica does not
- * lead. */
+/* Returns: slots at workers of @of_service that its open samples need to end in time; 0 where this replica
+ * does not lead */
 double quince_batch_service_count_needed (QuinceBatchService *service, const char *of_service);
-/* Workers or versions have changed. */
+/* Workers or weight versions have changed: starts samples that can run now. */
 void quince_batch_service_pump (QuinceBatchService *service);
+/* Sets the gauges of batches and samples. */
+void quince_batch_service_set_metrics (QuinceBatchService *service);
