--- a/daemons/front/directory.c
+++ b/daemons/front/directory.c
@@ -1,11 +1,12 @@
 /*
  * directory.c: which fronts callers are told to use.
  *
- * A front whose key vanished without its word may only have been forgotten by the store during an outage, so
- * it stays for a while; one that said it leaves goes at once.  One that answers no heartbeat of the ledger's
- * leader is left out of the answers as long as that lasts.
+ * A front whose key disappears while it was serving may only have lost its lease in an outage of the store,
+ * so it is named for a while longer; a front that is leaving is removed at once.  A front that answers no
+ * heartbeat of the ledger's leader is left out while that lasts.
  *
- * Callers choose among the named fronts by chance, so a front of another region is named only in need.
+ * Callers choose among the answers at random, so a front of another region is named only if nothing nearer is
+ * left.
  */
 #include "directory.h"
 
@@ -13,11 +14,18 @@
 
 #include "runtime/log.h"
 
+/* A front whose key may have lapsed in an outage of the store is named for this long, us: it writes the key
+ * anew within a second once the store answers.  Not measured. */
 #define REMOVED_KEEP_US (4 * G_USEC_PER_SEC)
-/* What a leader said of silent fronts holds so long; it says it several times a second. */
+/* The leader's list of silent fronts counts for this long, us; the leader sends it four times a second.  Not
+ * measured: longer than the election of another leader, about 1.2 s. */
 #define SILENT_KEEP_US (5 * G_USEC_PER_SEC)
+/* Most addresses in one answer, so that it stays small with hundreds of fronts.  Not measured. */
 #define ANSWERS_MAX 64
+/* A front's entry is "STATE ADDRESS ZONE". */
 #define SEPARATOR " "
+/* Fields of an entry. */
+#define ENTRY_FIELDS 3
 #define STATE_LEAVING "leaving"
 #define STATE_SERVING "serving"
 
@@ -26,14 +34,15 @@
   char *name;
   char *address;
   char *zone;
-  gint64 removed_us; /* 0: its key is there */
+  gint64 removed_us; /* monotonic: when its key disappeared; 0: the key exists */
 } Front;
 
 struct _QuinceDirectory
 {
-  GHashTable *fronts; /* Front by name, owned; this one is not among them */
-  GHashTable *silent; /* names */
-  gint64 silent_until_us;
+  /* All fields belong to the main context. */
+  GHashTable *fronts;     /* Front by name, owned; without this front */
+  GHashTable *silent;     /* names, owned: fronts that answer no heartbeat */
+  gint64 silent_until_us; /* monotonic: when the set above runs out */
   Front self;
   gboolean serving;
   const QuinceTopology *topology;
@@ -116,19 +125,19 @@
       return;
     }
   g_autofree char *text = g_strndup (g_bytes_get_data (entry, NULL), g_bytes_get_size (entry));
-  g_auto (GStrv) words = g_strsplit (text, SEPARATOR, 3);
-  if (g_strv_length (words) != 3)
+  g_auto (GStrv) fields = g_strsplit (text, SEPARATOR, ENTRY_FIELDS);
+  if (g_strv_length (fields) != ENTRY_FIELDS)
     return;
-  quince_log_info ("front_changed", "front=%s state=%s", name, words[0]);
-  if (g_str_equal (words[0], STATE_LEAVING))
+  quince_log_info ("front_changed", "front=%s state=%s", name, fields[0]);
+  if (g_str_equal (fields[0], STATE_LEAVING))
     {
       g_hash_table_remove (directory->fronts, name);
       return;
     }
   Front *front = g_new0 (Front, 1);
   front->name = g_strdup (name);
-  front->address = g_strdup (words[1]);
-  front->zone = g_strdup (words[2]);
+  front->address = g_strdup (fields[1]);
+  front->zone = g_strdup (fields[2]);
   g_hash_table_replace (directory->fronts, front->name, front);
 }
 
@@ -164,12 +173,12 @@
   return now_us < directory->silent_until_us && g_hash_table_contains (directory->silent, front->name);
 }
 
-/* Addresses (not owned) of fronts that serve, by how far they are from a caller. */
+/* Addresses (not owned) of fronts that serve, by their distance from a caller. */
 typedef struct
 {
-  GPtrArray *zone;
-  GPtrArray *region;
-  GPtrArray *far;
+  GPtrArray *same_zone;
+  GPtrArray *same_region;
+  GPtrArray *elsewhere;
 } Choice;
 
 static void
@@ -179,13 +188,15 @@
            const char *region,
            Choice *choice)
 {
-  const char *stands_in = quince_topology_get_region (directory->topology, front->zone);
-  gboolean near = g_strcmp0 (front->zone, zone) == 0;
-  gboolean same = region != NULL && g_strcmp0 (stands_in, region) == 0;
-  g_ptr_array_add (near ? choice->zone : same ? choice->region : choice->far, front->address);
+  const char *front_region = quince_topology_get_region (directory->topology, front->zone);
+  if (g_strcmp0 (front->zone, zone) == 0)
+    g_ptr_array_add (choice->same_zone, front->address);
+  else if (region != NULL && g_strcmp0 (front_region, region) == 0)
+    g_ptr_array_add (choice->same_region, front->address);
+  else
+    g_ptr_array_add (choice->elsewhere, front->address);
 }
 
-/* @region: (nullable): as the caller told it */
 static void
 collect_serving (QuinceDirectory *directory,
                  gint64 now_us,
@@ -210,12 +221,12 @@
   if ((region == NULL || *region == '\0') && zone != NULL)
     region = quince_topology_get_region (directory->topology, zone);
   g_autoptr (GPtrArray) found = g_ptr_array_new ();
-  Choice choice = { .zone = found, .region = g_ptr_array_new (), .far = g_ptr_array_new () };
+  Choice choice = { .same_zone = found, .same_region = g_ptr_array_new (), .elsewhere = g_ptr_array_new () };
   collect_serving (directory, now_us, zone, region, &choice);
-  g_ptr_array_extend_and_steal (found, choice.region);
+  g_ptr_array_extend_and_steal (found, choice.same_region);
   if (region == NULL || found->len == 0)
-    g_ptr_array_extend (found, choice.far, NULL, NULL);
-  g_ptr_array_unref (choice.far);
+    g_ptr_array_extend (found, choice.elsewhere, NULL, NULL);
+  g_ptr_array_unref (choice.elsewhere);
   g_ptr_array_set_size (found, (gint)MIN (found->len, ANSWERS_MAX));
   g_ptr_array_add (found, NULL);
   return g_strdupv ((char **)found->pdata);
--- a/daemons/front/leader-search.c
+++ b/daemons/front/leader-search.c
@@ -1,6 +1,5 @@
 /*
- * leader-search.c: one member of the last known view after the other is asked who leads, while the leader is
- * silent.
+ * leader-search.c: finds the ledger's leader where the metadata store does not name it.
  */
 #include "leader-search.h"
 
@@ -8,13 +7,14 @@
 #include "runtime/log.h"
 #include "runtime/clock.h"
 
-/* Members elect another leader after 1 s of silence; there is nothing to find sooner.  A leader beats each
- * 0.25 s. */
+/* The leader is silent after this time without a message, us.  Members elect another leader after 1 s of
+ * silence, so there is nothing to find earlier; a leader sends a heartbeat each 0.25 s. */
 #define SILENCE_US (1000 * 1000)
-/* One member is asked so often at first: of five members the two that surely know are found within 0.75 s.
- * Each time without news is longer by half, so that a hundred fronts ask a ledger that nobody leads a hundred
- * times a second in all. */
+/* Time from one question to the next at first, ms: of five members the two that surely know the leader are
+ * found within 0.75 s. */
 #define ASK_FIRST_MS 250
+/* Longest time between two questions, ms; each question without news makes it longer by half.  A hundred
+ * fronts then ask a ledger without a leader a hundred times a second in all. */
 #define ASK_MAX_MS 1000
 
 struct _QuinceLeaderSearch
@@ -22,12 +22,12 @@
   /* All fields belong to the main context. */
   QuinceLeaderFound found;
   gpointer user_data;
-  QuinceLedgerView *view; /* NULL: nobody can be asked */
-  gint64 contact_us;      /* when the leader was last heard */
-  gboolean doubted;       /* it answers that it can't, and another one may lead */
-  guint ask_ms;           /* until the next question */
-  guint next;             /* member to ask */
-  QuinceLink *link;       /* to the one that is asked; NULL: none */
+  QuinceLedgerView *view; /* owned; NULL: no member is known */
+  gint64 contact_us;      /* monotonic: last sign of life of the leader */
+  gboolean unavailable;   /* the leader answers that it can't serve; another member may lead */
+  guint ask_ms;           /* from this question to the next */
+  guint next;             /* index of the member to ask, modulo their number */
+  QuinceLink *link;       /* owned: to the member that is asked; NULL: none */
   GSource *timer;
 };
 
@@ -82,7 +82,7 @@
   QuinceLeaderSearch *search = data;
   quince_source_clear (&search->timer);
   drop_link (search);
-  gboolean silent = search->doubted || quince_now_us () - search->contact_us >= SILENCE_US;
+  gboolean silent = search->unavailable || quince_now_us () - search->contact_us >= SILENCE_US;
   if (silent && search->view != NULL && search->view->members.members_len > 0)
     {
       ask (search, &search->view->members.members_val[search->next % search->view->members.members_len]);
@@ -121,7 +121,7 @@
 {
   g_clear_pointer (&search->view, quince_ledger_view_free);
   search->view = quince_ledger_view_copy (view);
-  search->doubted = FALSE;
+  search->unavailable = FALSE;
   quince_leader_search_note_contact (search);
 }
 
@@ -129,12 +129,12 @@
 quince_leader_search_note_contact (QuinceLeaderSearch *search)
 {
   search->contact_us = quince_now_us ();
-  if (!search->doubted)
+  if (!search->unavailable)
     search->ask_ms = ASK_FIRST_MS;
 }
 
 void
 quince_leader_search_answered (QuinceLeaderSearch *search, gboolean leads)
 {
-  search->doubted = !leads;
+  search->unavailable = !leads;
 }
--- a/daemons/front/leader-search.h
+++ b/daemons/front/leader-search.h
@@ -1,5 +1,8 @@
 /*
  * leader-search.h: finds the ledger's leader where the metadata store does not name it.
+ *
+ * While the known leader is silent, the members of the last known view are asked in turn who leads.  Owns a
+ * timer and one link at a time.  Relies on its owner to say when the leader gave a sign of life.
  */
 #pragma once
 
@@ -7,14 +10,16 @@
 
 typedef struct _QuinceLeaderSearch QuinceLeaderSearch;
 
-/* A member tells who leads; @view lives until the return. */
+/* A member named a leader of a newer epoch; @view is valid until the return. */
 typedef void (*QuinceLeaderFound) (const QuinceLedgerView *view, gpointer user_data);
 
 QuinceLeaderSearch *quince_leader_search_new (QuinceLeaderFound found, gpointer user_data);
 void quince_leader_search_free (QuinceLeaderSearch *search);
-/* The members that are asked, and the last leader that is known. */
+/* The members to ask and the last known leader; @view is copied. */
 void quince_leader_search_set_view (QuinceLeaderSearch *search, const QuinceLedgerView *view);
-/* The leader was heard: nobody is asked for a while.  That a connection to it is taken says nothing. */
+/* A message of the leader arrived: no member is asked while it is younger than 1 s.  An accepted connection
+ * is no sign of life: the kernel accepts for a frozen process. */
 void quince_leader_search_note_contact (QuinceLeaderSearch *search);
-/* The leader answered a call; unless @leads it said that it can't now: it may be cut off from the members. */
+/* The leader answered a call.  @leads: %FALSE: with "unavailable": it may be cut off from the other members,
+ * so they are asked although it is not silent. */
 void quince_leader_search_answered (QuinceLeaderSearch *search, gboolean leads);
--- a/daemons/front/ledger-caller.c
+++ b/daemons/front/ledger-caller.c
@@ -1,5 +1,5 @@
 /*
- * ledger-caller.c: a link to the ledger's primary and the calls on it.
+ * ledger-caller.c: a front's link to the ledger's leader, and the calls about batches on it.
  */
 #include "ledger-caller.h"
 #include "leader-search.h"
@@ -8,21 +8,25 @@
 #include "runtime/log.h"
 #include "runtime/clock.h"
 
+/* Pause between a link that closed and the next one, ms.  Not measured: short against an election (about 1.2
+ * s), long enough not to keep a restarting leader busy. */
 #define RECONNECT_MS 150
+/* Longest time to open a link, ms; then it is opened anew.  Not measured: one lost SYN (repeated after 1 s)
+ * is survived. */
 #define CONNECT_MS 1200
-/* What a leader answers that has no quorum, or has not read its log yet. */
+/* HTTP status with which a leader refuses that has no quorum or has not read its log yet. */
 #define LEADER_UNAVAILABLE 503
 
 struct _QuinceLedgerCaller
 {
   /* All fields belong to the main context. */
-  QuinceLink *link; /* NULL between two tries */
-  char *address;    /* of the primary; NULL: not known */
-  gboolean lost;    /* told in the log */
-  guint64 epoch;
+  QuinceLink *link;       /* owned; NULL: between two attempts */
+  char *address;          /* of the leader; NULL: not known */
+  gboolean lost;          /* the log says so; reset by the next open link */
+  guint64 epoch;          /* of the leader */
   QuinceLedgerView *view; /* NULL: not known */
   QuinceLeaderSearch *search;
-  GSource *timer; /* next try, or end of this one */
+  GSource *timer; /* next attempt, or end of this one */
   const QuinceLedgerCallerCallbacks *callbacks;
   gpointer user_data;
   GHashTable *calls; /* QuinceLedgerCallHandle by id, owned */
@@ -64,7 +68,7 @@
   g_hash_table_remove (call->caller->calls, &call->id);
 }
 
-/* ---- The link --------------------------------------------------------- */
+/* ---- The link ------------------------------------------------------------ */
 
 static void
 drop_link (QuinceLedgerCaller *caller)
@@ -102,8 +106,7 @@
     quince_log_warning ("dependency_lost", "what=ledger_primary address=%s", caller->address);
   caller->lost = TRUE;
   drop_link (caller);
-  if (caller->callbacks->unlinked != NULL)
-    caller->callbacks->unlinked (caller->user_data);
+  caller->callbacks->unlinked (caller->user_data);
   caller->timer = quince_timer_add (RECONNECT_MS, link_again, caller);
 }
 
@@ -124,8 +127,7 @@
   quince_source_clear (&caller->timer);
   caller->lost = FALSE;
   quince_log_info ("dependency_regained", "what=ledger_primary address=%s", caller->address);
-  if (caller->callbacks->linked != NULL)
-    caller->callbacks->linked (link, caller->user_data);
+  caller->callbacks->linked (link, caller->user_data);
 }
 
 static void
@@ -142,7 +144,7 @@
       if (call != NULL)
         call_end (call, QUINCE_LEDGER_CALL_ANSWERED, reply);
     }
-  else if (caller->callbacks->message != NULL)
+  else
     caller->callbacks->message (link, message, caller->user_data);
   quince_message_free (message);
 }
@@ -159,7 +161,7 @@
   caller->timer = quince_timer_add (CONNECT_MS, connect_late, caller);
 }
 
-/* ---- Public ----------------------------------------------------------- */
+/* ---- Life and views -------------------------------------------------------- */
 
 static void
 leader_found (const QuinceLedgerView *view, gpointer data)
@@ -204,7 +206,7 @@
 quince_ledger_caller_set_view (QuinceLedgerCaller *caller, const QuinceLedgerView *view)
 {
   const QuinceLedgerMember *primary = find_primary (view);
-  /* The store may not know yet who leads since it was away. */
+  /* After an outage the store may still hold an older view than a member named meanwhile. */
   if (primary == NULL || view->epoch < caller->epoch)
     return;
   g_clear_pointer (&caller->view, quince_ledger_view_free);
@@ -232,8 +234,7 @@
 quince_ledger_caller_resumed (QuinceLedgerCaller *caller)
 {
   drop_link (caller);
-  if (caller->callbacks->unlinked != NULL)
-    caller->callbacks->unlinked (caller->user_data);
+  caller->callbacks->unlinked (caller->user_data);
   begin_link (caller);
 }
 
@@ -243,6 +244,8 @@
   return caller->link != NULL && quince_link_is_connected (caller->link);
 }
 
+/* ---- Calls ----------------------------------------------------------------- */
+
 static gboolean
 call_late (gpointer data)
 {
@@ -297,7 +300,7 @@
   g_hash_table_insert (caller->calls, &call->id, call);
   if (quince_ledger_caller_is_linked (caller))
     send_call (call, method, target, headers, body);
-  /* Without a link it is answered at once, from the loop. */
+  /* Without a link it ends in the next turn of the main loop. */
   call->timer = quince_timer_add (call->sent ? timeout_ms : 0, call_late, call);
   return call;
 }
--- a/daemons/front/quarantine-client.c
+++ b/daemons/front/quarantine-client.c
@@ -1,5 +1,5 @@
 /*
- * quarantine-client.c: what this front knows of requests under which workers ended.
+ * quarantine-client.c: a front's part in the quarantine of requests under which workers ended.
  */
 #include "quarantine-client.h"
 
@@ -12,8 +12,8 @@
 
 #include "suspect-notice.h"
 
-/* A leader that was silent for so long is not reached, though its link is open: a network that is cut tells
- * nobody.  As in observer-feed.c: three heartbeats of 250 ms, and time for a leader that is busy. */
+/* A leader without a message for this long counts as unreachable although its link is open, ms: a cut network
+ * closes no connection.  As in observer-feed.c: three heartbeats of 250 ms, and time for a busy leader. */
 #define SILENCE_MS 900
 
 struct _QuinceQuarantineClient
@@ -22,10 +22,10 @@
   QuinceSendGuard *guard;
   char *name;
   QuinceLink *link;  /* owned (nullable): to the leader */
-  gint64 contact_us; /* when the leader was */
-  GSource *watch;    /* (nullable): whether the leader is heard after it was told of an end */
+  gint64 contact_us; /* monotonic: last message of the leader */
+  GSource *watch;    /* (nullable): whether a message of the leader follows a report to it */
   QuinceSuspectNotice *notice;
-  gboolean noticed; /* what is known stands in the store, and the leader may not know it */
+  gboolean noticed; /* the notice is in the store, and the leader may lack what it says */
 };
 
 static gboolean
@@ -47,7 +47,7 @@
     quince_link_send_bytes (client->link, encoded);
 }
 
-/* ---- What the guard wants ---------------------------------------------- */
+/* ---- Permits, requested by the guard ------------------------------------- */
 
 static gboolean
 ask (const QuinceRequestDigest *digest, const char *service, gboolean alone, gpointer data)
@@ -69,7 +69,7 @@
 {
   QuinceQuarantineClient *client = data;
   if (!is_linked (client))
-    return; /* the leader takes it back with the link */
+    return; /* the leader takes the permit back when the link closes */
   QuinceMessage message = { .kind = QUINCE_MESSAGE_PERMIT_BACK };
   memcpy (message.QuinceMessage_u.permit_back.digest, digest->bytes, sizeof digest->bytes);
   quince_link_send (client->link, &message);
@@ -96,7 +96,7 @@
   return G_SOURCE_REMOVE;
 }
 
-/* What is known of @digest has changed here. */
+/* This front learned something of the suspect @digest. */
 static void
 note_change (QuinceQuarantineClient *client, const QuinceRequestDigest *digest)
 {
@@ -111,7 +111,7 @@
 }
 
 static void
-tell_all (QuinceQuarantineClient *client)
+report_all (QuinceQuarantineClient *client)
 {
   g_autoptr (GPtrArray) all = quince_quarantine_list (quince_send_guard_get_quarantine (client->guard));
   if (all->len == 0)
@@ -120,7 +120,7 @@
   send_encoded (client, encoded);
 }
 
-/* The leader is heard: what it may not know is told, and stands in the store no more. */
+/* A message of the leader arrived: what it may lack is reported, and the notice is withdrawn. */
 static void
 note_contact (QuinceQuarantineClient *client)
 {
@@ -128,11 +128,11 @@
   if (!client->noticed)
     return;
   client->noticed = FALSE;
-  tell_all (client);
+  report_all (client);
   quince_suspect_notice_end (client->notice);
 }
 
-/* ---- What the guard tells ------------------------------------------------ */
+/* ---- Reports, caused by the guard ------------------------------------------ */
 
 static void
 ended (const QuinceSuspect *suspect, gpointer data)
@@ -157,7 +157,7 @@
 static const QuinceSendGuardCallbacks guard_callbacks
     = { .ask = ask, .give_back = give_back, .ended = ended, .cleared = cleared };
 
-/* ---- Public ------------------------------------------------------------- */
+/* ---- Life and messages ------------------------------------------------------ */
 
 QuinceQuarantineClient *
 quince_quarantine_client_new (const QuinceQuarantineLimits *limits, const char *name)
--- a/daemons/front/suspect-notice.c
+++ b/daemons/front/suspect-notice.c
@@ -1,5 +1,5 @@
 /*
- * suspect-notice.c: ends of workers that no leader could be told of, as one key under a lease.
+ * suspect-notice.c: the suspects that this front saw, as a key of the metadata store.
  */
 #include "suspect-notice.h"
 
@@ -7,11 +7,11 @@
 #include "forward/suspect-list.h"
 #include "runtime/clock.h"
 
-/* What was met so shortly before a link counted as lost may not have reached the leader: a link counts as
- * lost 0.9 s after the last message on it, and whoever was asked is waited for 0.5 s. */
-#define UNTOLD_US (2 * G_USEC_PER_SEC)
-/* Ends and answers that come together are one write, and writes do not overtake each other (a call takes 4
- * ms): a worker ends under some hundred requests at once. */
+/* What was seen this shortly before the leader became unreachable may not have arrived there, us: the leader
+ * counts as unreachable 0.9 s after its last message, and answers are waited for 0.5 s. */
+#define UNREPORTED_US (2 * G_USEC_PER_SEC)
+/* Shortest time between two writes, us: a worker ends under some hundred requests at once, which become one
+ * write; writes don't overtake each other (a call of the store takes 4 ms). */
 #define WRITE_PACE_US (100 * 1000)
 
 struct _QuinceSuspectNotice
@@ -23,8 +23,8 @@
   QuinceMetaStore *store;
   guint ttl_ms;
   QuinceMetaPresence *presence; /* NULL: nothing is in the store */
-  gint64 written_us;            /* the last time */
-  GSource *timer;               /* to write again; NULL: nothing waits */
+  gint64 written_us;            /* monotonic: last write */
+  GSource *timer;               /* next write; NULL: nothing has changed since the last */
 };
 
 QuinceSuspectNotice *
@@ -57,7 +57,7 @@
   notice->ttl_ms = ttl_ms;
 }
 
-/* (transfer container): what is known of the digests; those that were answered are left out. */
+/* Returns: (transfer container): the suspects of the list that are still known; answered ones are not. */
 static GPtrArray *
 list_suspects (const QuinceSuspectNotice *notice)
 {
@@ -130,7 +130,7 @@
   for (guint i = 0; i < all->len; i++)
     {
       const QuinceSuspect *suspect = all->pdata[i];
-      if (suspect->reported_by == NULL && now_us - suspect->ended_us < UNTOLD_US)
+      if (suspect->reported_by == NULL && now_us - suspect->ended_us < UNREPORTED_US)
         add_digest (notice, &suspect->digest);
     }
   if (notice->digests->len > 0)
--- a/daemons/front/suspect-notice.h
+++ b/daemons/front/suspect-notice.h
@@ -1,9 +1,11 @@
 /*
- * suspect-notice.h: what this front met of requests that end workers, in the metadata store while it reaches
- * no leader of the ledger.
+ * suspect-notice.h: the suspects that this front saw, as a key of the metadata store while it reaches no
+ * leader of the ledger.
  *
- * Fronts of a zone that is cut from the leader learn of each other's ends by it alone: else each of them
- * would send such a request as often as one front may.
+ * Fronts of a zone that is cut off from the leader learn of each other's suspects by these keys alone;
+ * without them each front would send a suspect as often as a single front may.
+ *
+ * Owns the key, under a lease, the list of suspects in it and a timer.
  */
 #pragma once
 
@@ -15,12 +17,11 @@
 /* @name: of this front; @quarantine must outlive it */
 QuinceSuspectNotice *quince_suspect_notice_new (const QuinceQuarantine *quarantine, const char *name);
 void quince_suspect_notice_free (QuinceSuspectNotice *notice);
-/* @store: (nullable): nothing is written without it; @ttl_ms: what was noted goes so long after this front
- * was last heard */
+/* @store: (transfer none) (nullable): %NULL: nothing is written; @ttl_ms: lease of the key */
 void quince_suspect_notice_set_store (QuinceSuspectNotice *notice, QuinceMetaStore *store, guint ttl_ms);
-/* A worker ended under the request, or it was answered, and no leader can be told. */
+/* A worker ended under the request @digest, or it was answered, and no leader can be reached. */
 void quince_suspect_notice_changed (QuinceSuspectNotice *notice, const QuinceRequestDigest *digest);
-/* No leader is linked any more: what was met shortly before may not have reached it. */
+/* No leader can be reached from @now_us on (monotonic): what was seen shortly before may not have arrived. */
 void quince_suspect_notice_begin (QuinceSuspectNotice *notice, gint64 now_us);
-/* A leader was told of all. */
+/* A leader has been sent all reports: withdraws the key. */
 void quince_suspect_notice_end (QuinceSuspectNotice *notice);
--- a/daemons/front/usage-reporter.c
+++ b/daemons/front/usage-reporter.c
@@ -1,5 +1,5 @@
 /*
- * usage-reporter.c: requests that began, until the leader has acknowledged them.
+ * usage-reporter.c: reports to the ledger's leader which requests of which tenant began at a worker.
  */
 #include "usage-reporter.h"
 
@@ -7,30 +7,30 @@
 #include "runtime/metrics.h"
 #include "runtime/clock.h"
 
-/* Requests that are kept while no leader acknowledges them: some minutes of a busy front (60 requests a
- * second), about 100 bytes each.  The oldest are dropped, their windows are over. */
+/* Most requests kept while no leader acknowledges them: some minutes of a busy front (60 requests a second),
+ * about 100 bytes each.  Beyond it the oldest are dropped, whose usage windows are over anyway. */
 #define KEPT_MAX 20000
-/* In one message: some 100 KB.  The rest follows once these are acknowledged. */
+/* Most requests in one message, about 100 KB; the rest follows once these are acknowledged. */
 #define REPORT_EVENTS_MAX 2000
-
-/* Unacknowledged requests are sent again after this time: the leader writes to its log every 0.2 s. */
+/* Requests are reported again after this time without an acknowledgement, us: the leader appends them to its
+ * log each 0.2 s. */
 #define REMIND_US (1000 * 1000)
 
 typedef struct
 {
   guint64 sequence;
   char *tenant;
-  gint64 begun_us;
+  gint64 begun_us; /* monotonic */
 } Event;
 
 struct _QuinceUsageReporter
 {
   /* All fields belong to the main context. */
-  guint64 source; /* random: tells the starts of all fronts apart */
+  guint64 source; /* random, differs with each start of each front */
   guint64 last_sequence;
   GQueue events;      /* Event, owned: not acknowledged, the oldest first */
   QuinceLink *link;   /* owned (nullable): to the leader */
-  gint64 reported_us; /* when all events were told, or one was acknowledged, the last time */
+  gint64 reported_us; /* monotonic: the last report of all events, or the last acknowledgement */
 };
 
 static void
@@ -65,21 +65,21 @@
 send_from (QuinceUsageReporter *reporter, GList *first)
 {
   gint64 now = quince_now_us ();
-  g_autoptr (GArray) told = g_array_new (FALSE, FALSE, sizeof (QuinceUsageStart));
-  for (GList *at = first; at != NULL && told->len < REPORT_EVENTS_MAX; at = at->next)
+  g_autoptr (GArray) starts = g_array_new (FALSE, FALSE, sizeof (QuinceUsageStart));
+  for (GList *at = first; at != NULL && starts->len < REPORT_EVENTS_MAX; at = at->next)
     {
       const Event *event = at->data;
       QuinceUsageStart wire = { .sequence = event->sequence,
                                 .tenant = event->tenant,
                                 .age_ms = (u_quad_t)MAX (now - event->begun_us, 0) / 1000 };
-      g_array_append_val (told, wire);
+      g_array_append_val (starts, wire);
     }
   QuinceMessage message = { .kind = QUINCE_MESSAGE_USAGE_REPORT };
   QuinceUsageReport *report = &message.QuinceMessage_u.usage_report;
   report->source = reporter->source;
   report->wall_ms = (u_quad_t)quince_wall_ms ();
-  report->events.events_val = (QuinceUsageStart *)told->data;
-  report->events.events_len = told->len;
+  report->events.events_val = (QuinceUsageStart *)starts->data;
+  report->events.events_len = starts->len;
   quince_link_send (reporter->link, &message);
 }
 
@@ -96,13 +96,13 @@
       event_free (g_queue_pop_head (&reporter->events));
       quince_metric_add ("quince_front_usage_dropped_total", "", 1);
     }
-  /* The leader takes requests in their order: this one waits while older ones are not told. */
+  /* The leader takes requests in their order: this one waits while older ones don't fit into a message. */
   if (reporter->link != NULL && g_queue_get_length (&reporter->events) <= REPORT_EVENTS_MAX)
     send_from (reporter, g_queue_peek_tail_link (&reporter->events));
 }
 
 static void
-tell_all (QuinceUsageReporter *reporter)
+report_all (QuinceUsageReporter *reporter)
 {
   reporter->reported_us = quince_now_us ();
   if (reporter->link != NULL && !g_queue_is_empty (&reporter->events))
@@ -114,7 +114,7 @@
 {
   quince_usage_reporter_unlinked (reporter);
   reporter->link = quince_link_ref (leader);
-  tell_all (reporter);
+  report_all (reporter);
 }
 
 void
@@ -123,7 +123,7 @@
   const Event *oldest = g_queue_peek_head (&reporter->events);
   gint64 waits_since_us = oldest != NULL ? MAX (oldest->begun_us, reporter->reported_us) : G_MAXINT64;
   if (quince_now_us () - REMIND_US > waits_since_us)
-    tell_all (reporter);
+    report_all (reporter);
 }
 
 void
--- a/daemons/front/usage-reporter.h
+++ b/daemons/front/usage-reporter.h
@@ -1,7 +1,8 @@
 /*
- * usage-reporter.h: tells the ledger's leader which requests of which tenant began at a worker.
+ * usage-reporter.h: reports to the ledger's leader which requests of which tenant began at a worker.
  *
- * Each request is told at once and again on a new link, until the leader has acknowledged it.
+ * Each request is reported at once, and again on a new link, until the leader acknowledges it.  Owns the
+ * requests without an acknowledgement and a reference to the link.
  */
 #pragma once
 
@@ -13,8 +14,9 @@
 void quince_usage_reporter_free (QuinceUsageReporter *reporter);
 /* A request of @tenant began at a worker at @begun_us, monotonic. */
 void quince_usage_reporter_note (QuinceUsageReporter *reporter, const char *tenant, gint64 begun_us);
+/* A link to the leader is open: reports what it has not acknowledged. */
 void quince_usage_reporter_linked (QuinceUsageReporter *reporter, QuinceLink *leader);
 void quince_usage_reporter_unlinked (QuinceUsageReporter *reporter);
-/* The leader is alive: tells it again what it has not acknowledged for long. */
+/* The leader gave a sign of life: reports again what it has not acknowledged for a second. */
 void quince_usage_reporter_remind (QuinceUsageReporter *reporter);
 void quince_usage_reporter_take_ack (QuinceUsageReporter *reporter, const QuinceUsageAck *ack);
--- a/daemons/front/warmup-client.c
+++ b/daemons/front/warmup-client.c
@@ -1,18 +1,19 @@
 /*
- * warmup-client.c: this front asks the ledger's leader for sends to cold workers.
+ * warmup-client.c: a front's send leases for cold workers, requested from the ledger's leader.
  */
 #include "warmup-client.h"
 
 #include "runtime/clock.h"
 
-/* Chosen: how often what is over is freed, so that workers that are gone keep no memory. */
+/* Interval between two removals of expired leases, ms, so that workers that no longer exist keep no memory.
+ * Not measured: any time is short enough. */
 #define EXPIRE_MS 5000
 
 struct _QuinceWarmupClient
 {
   /* All fields belong to the main context. */
   QuinceWarmupSends *sends;
-  QuinceObserver *observer; /* NULL: not known yet */
+  QuinceObserver *observer; /* not owned; NULL during the start */
   QuinceLink *link;         /* owned (nullable): to the leader */
   GSource *timer;
 };
