--- /dev/null
+++ b/daemons/replica/replica-leadership.c
@@ -0,0 +1,204 @@
+/*
+ * replica-leadership.c: what a replica does while it leads the ledger.
+ */
+#include "replica-leadership.h"
+
+#include "observer/store-feed.h"
+
+#include "weight-orders.h"
+
+struct _QuinceReplicaLeadership
+{
+  /* All fields belong to the main context. */
+  const QuinceReplicaParts *parts;
+  QuinceWeightOrders *orders; /* NULL: not leading */
+  QuinceStoreFeed *feed;      /* NULL: not leading */
+  GHashTable *subscribers;    /* QuinceLink to QuinceFeedSubscribe, both owned */
+};
+
+static void
+subscribe_free (gpointer data)
+{
+  QuinceFeedSubscribe *subscribe = data;
+  g_free (subscribe->revisions.revisions_val);
+  g_free (subscribe);
+}
+
+static QuinceFeedSubscribe *
+subscribe_copy (const QuinceFeedSubscribe *subscribe)
+{
+  QuinceFeedSubscribe *copy = g_new0 (QuinceFeedSubscribe, 1);
+  gsize length = subscribe->revisions.revisions_len;
+  copy->revisions.revisions_len = subscribe->revisions.revisions_len;
+  copy->revisions.revisions_val = g_memdup2 (subscribe->revisions.revisions_val, length * sizeof (u_quad_t));
+  return copy;
+}
+
+QuinceReplicaLeadership *
+quince_replica_leadership_new (const QuinceReplicaParts *parts)
+{
+  QuinceReplicaLeadership *leadership = g_new0 (QuinceReplicaLeadership, 1);
+  leadership->parts = parts;
+  leadership->subscribers
+      = g_hash_table_new_full (NULL, NULL, (GDestroyNotify)quince_link_unref, subscribe_free);
+  return leadership;
+}
+
+void
+quince_replica_leadership_free (QuinceReplicaLeadership *leadership)
+{
+  quince_replica_leadership_release (leadership);
+  g_hash_table_unref (leadership->subscribers);
+  g_free (leadership);
+}
+
+gboolean
+quince_replica_leadership_is_active (const QuinceReplicaLeadership *leadership)
+{
+  return leadership->feed != NULL;
+}
+
+/* ---- Weight orders ------------------------------------------------------ */
+
+static gboolean
+may_order (guint64 *fence, gpointer data)
+{
+  const QuinceReplicaLeadership *leadership = data;
+  *fence = quince_ledger_node_get_epoch (leadership->parts->ledger);
+  return quince_ledger_node_may_order (leadership->parts->ledger);
+}
+
+static void
+weights_loaded (gpointer data)
+{
+  const QuinceReplicaLeadership *leadership = data;
+  quince_batch_service_pump (leadership->parts->batches);
+}
+
+static void
+describe_samples (QuinceLoadPlan *plan, gpointer data)
+{
+  const QuinceReplicaLeadership *leadership = data;
+  quince_batch_service_fill_load_plan (leadership->parts->batches, plan);
+}
+
+static void
+start_orders (QuinceReplicaLeadership *leadership)
+{
+  const QuinceReplicaParts *parts = leadership->parts;
+  const QuinceWeightOrdersOptions options = { .holder = parts->name,
+                                              .placement = parts->placement,
+                                              .may_order = may_order,
+                                              .loaded = weights_loaded,
+                                              .describe = describe_samples };
+  leadership->orders = quince_weight_orders_start (parts->backends, parts->observer, &options, leadership);
+}
+
+void
+quince_replica_leadership_pump_orders (QuinceReplicaLeadership *leadership)
+{
+  if (leadership->orders != NULL)
+    quince_weight_orders_pump (leadership->orders);
+}
+
+/* ---- The store feed ------------------------------------------------------ */
+
+static void
+feed_subscribers (QuinceReplicaLeadership *leadership)
+{
+  GHashTableIter iter;
+  gpointer link;
+  gpointer subscribe;
+  g_hash_table_iter_init (&iter, leadership->subscribers);
+  while (g_hash_table_iter_next (&iter, &link, &subscribe))
+    quince_store_feed_add (leadership->feed, link, subscribe);
+}
+
+void
+quince_replica_leadership_subscribe (QuinceReplicaLeadership *leadership,
+                                     QuinceLink *link,
+                                     const QuinceFeedSubscribe *subscribe)
+{
+  g_hash_table_replace (leadership->subscribers, quince_link_ref (link), subscribe_copy (subscribe));
+  if (leadership->feed != NULL)
+    quince_store_feed_add (leadership->feed, link, subscribe);
+  quince_quarantine_coordinator_add (leadership->parts->quarantine, link);
+}
+
+void
+quince_replica_leadership_link_closed (QuinceReplicaLeadership *leadership, QuinceLink *link)
+{
+  if (leadership->feed != NULL)
+    quince_store_feed_remove (leadership->feed, link);
+  g_hash_table_remove (leadership->subscribers, link);
+}
+
+void
+quince_replica_leadership_publish (QuinceReplicaLeadership *leadership,
+                                   const char *prefix,
+                                   const QuinceMetaPage *page)
+{
+  quince_store_feed_publish (leadership->feed, prefix, page);
+}
+
+void
+quince_replica_leadership_take_report (QuinceReplicaLeadership *leadership,
+                                       QuinceLink *link,
+                                       const QuinceFeedUpdate *update)
+{
+  quince_store_feed_apply_report (leadership->feed, link, update);
+}
+
+/* ---- Begin and end ------------------------------------------------------- */
+
+void
+quince_replica_leadership_step_residency (QuinceReplicaLeadership *leadership)
+{
+  const QuinceReplicaParts *parts = leadership->parts;
+  g_autoptr (GPtrArray) entries = quince_batch_service_list (parts->batches);
+  quince_residency_coordinator_step (parts->residency,
+                                     quince_ledger_node_is_leading (parts->ledger) ? entries : NULL);
+}
+
+void
+quince_replica_leadership_begin (QuinceReplicaLeadership *leadership)
+{
+  const QuinceReplicaParts *parts = leadership->parts;
+  /* First, since nothing may be sent to machines whose regions don't allow what is in the ledger. */
+  quince_replica_leadership_step_residency (leadership);
+  quince_batch_service_lead (parts->batches);
+  if (parts->usage != NULL)
+    quince_usage_collector_lead (parts->usage);
+  if (parts->scaler != NULL)
+    quince_worker_scaler_lead (parts->scaler);
+  /* The samples that the batch service began have taken their texts from it. */
+  quince_progress_store_clear (parts->progress);
+  start_orders (leadership);
+  quince_observer_feed_ended (parts->observer);
+  leadership->feed = quince_store_feed_new (parts->observer);
+  quince_heartbeats_lead (parts->heartbeats, leadership->subscribers);
+  quince_quarantine_coordinator_lead (parts->quarantine, leadership->subscribers);
+  quince_warmup_coordinator_lead (parts->warmup);
+  feed_subscribers (leadership);
+}
+
+void
+quince_replica_leadership_release (QuinceReplicaLeadership *leadership)
+{
+  g_clear_pointer (&leadership->orders, quince_weight_orders_stop);
+  g_clear_pointer (&leadership->feed, quince_store_feed_free);
+}
+
+void
+quince_replica_leadership_end (QuinceReplicaLeadership *leadership)
+{
+  const QuinceReplicaParts *parts = leadership->parts;
+  quince_replica_leadership_release (leadership);
+  quince_heartbeats_stop_leading (parts->heartbeats);
+  quince_quarantine_coordinator_stop_leading (parts->quarantine);
+  quince_batch_service_stop_leading (parts->batches);
+  if (parts->usage != NULL)
+    quince_usage_collector_stop_leading (parts->usage);
+  if (parts->scaler != NULL)
+    quince_worker_scaler_stop_leading (parts->scaler);
+}
--- /dev/null
+++ b/daemons/replica/replica-ledger-events.c
@@ -0,0 +1,184 @@
+/*
+ * replica-ledger-events.c: events of the ledger node, passed to the other parts of the replica.
+ */
+#include "replica-ledger-events.h"
+
+#include "forward/residency-lookup.h"
+#include "observer/store-feed.h"
+#include "runtime/clock.h"
+#include "runtime/packed-message.h"
+
+#include "replica-leadership.h"
+#include "replica-parts.h"
+
+/* ---- The lead ------------------------------------------------------------ */
+
+static void
+leads (gpointer data)
+{
+  const QuinceReplicaParts *parts = data;
+  quince_replica_leadership_begin (parts->leadership);
+}
+
+static void
+stopped_leading (gpointer data)
+{
+  const QuinceReplicaParts *parts = data;
+  quince_replica_leadership_end (parts->leadership);
+}
+
+/* The former leader sent its progress to this replica, and another one leads now: after the loss of a zone,
+ * or where this log lacked a record.  Which machines may have which texts only a leader knows, so nothing is
+ * sent where the configuration names regions. */
+static void
+pass_progress_on (const QuinceReplicaParts *parts, QuinceLink *leader)
+{
+  g_autoptr (GArray) items = g_array_new (FALSE, FALSE, sizeof (QuinceProgressItem));
+  quince_progress_store_list (parts->progress, quince_now_us (), items);
+  if (items->len == 0 || quince_backends_has_region_rules (parts->backends))
+    return;
+  QuinceMessage message = { .kind = QUINCE_MESSAGE_PROGRESS };
+  message.QuinceMessage_u.progress.items.items_val = (QuinceProgressItem *)items->data;
+  message.QuinceMessage_u.progress.items.items_len = items->len;
+  g_autoptr (GBytes) encoded = quince_message_encode (&message, NULL);
+  if (encoded == NULL)
+    return;
+  g_autoptr (GBytes) packed = quince_message_pack (encoded, QUINCE_PACK_FAST);
+  quince_link_send_bytes (leader, packed);
+}
+
+static void
+followed (QuinceLink *leader, gpointer data)
+{
+  const QuinceReplicaParts *parts = data;
+  pass_progress_on (parts, leader);
+  quince_store_feed_subscribe (parts->observer, leader);
+}
+
+static void
+unfollowed (gpointer data)
+{
+  const QuinceReplicaParts *parts = data;
+  quince_observer_feeder_lost (parts->observer);
+}
+
+/* ---- Records and calls --------------------------------------------------- */
+
+static void
+committed (guint64 index, QuinceBatchRecord *record, gpointer data)
+{
+  const QuinceReplicaParts *parts = data;
+  if (!quince_usage_collector_is_record (record))
+    quince_batch_service_committed (parts->batches, index, record);
+  else if (parts->usage != NULL)
+    quince_usage_collector_committed (parts->usage, index, record);
+  else
+    quince_batch_record_free (record);
+}
+
+static void
+service_call (QuinceLink *link, const QuinceServiceCall *call, gpointer data)
+{
+  const QuinceReplicaParts *parts = data;
+  quince_batch_service_call (parts->batches, link, call);
+}
+
+static void
+link_closed (QuinceLink *link, gpointer data)
+{
+  const QuinceReplicaParts *parts = data;
+  quince_batch_service_link_closed (parts->batches, link);
+  if (parts->usage != NULL)
+    quince_usage_collector_link_closed (parts->usage, link);
+  quince_quarantine_coordinator_link_closed (parts->quarantine, link);
+  quince_replica_leadership_link_closed (parts->leadership, link);
+}
+
+/* ---- Messages of other processes ------------------------------------------ */
+
+/* Where the platform asks for no reports of usage the fronts need not keep what they sent. */
+static void
+take_usage (const QuinceReplicaParts *parts, QuinceLink *link, const QuinceUsageReport *report)
+{
+  if (parts->usage != NULL)
+    {
+      quince_usage_collector_take_report (parts->usage, link, report);
+      return;
+    }
+  QuinceMessage message = { .kind = QUINCE_MESSAGE_USAGE_ACK };
+  QuinceUsageAck *ack = &message.QuinceMessage_u.usage_ack;
+  ack->source = report->source;
+  if (report->events.events_len > 0)
+    ack->sequence = report->events.events_val[report->events.events_len - 1].sequence;
+  quince_link_send (link, &message);
+}
+
+/* At the leader from a replica that follows it, elsewhere from the leader. */
+static void
+take_progress (const QuinceReplicaParts *parts, const QuinceSampleProgress *progress)
+{
+  if (quince_replica_leadership_is_active (parts->leadership))
+    {
+      quince_batch_service_take_progress (parts->batches, progress);
+      return;
+    }
+  quince_progress_store_take (parts->progress, quince_now_us (), progress);
+  quince_progress_file_keep (parts->progress_file, progress);
+}
+
+/* At the leader from a reserve reader, elsewhere from the leader. */
+static void
+take_feed_update (const QuinceReplicaParts *parts, QuinceLink *link, const QuinceFeedUpdate *update)
+{
+  if (quince_replica_leadership_is_active (parts->leadership))
+    quince_replica_leadership_take_report (parts->leadership, link, update);
+  else
+    quince_store_feed_apply (parts->observer, update);
+}
+
+static void
+take_heartbeat (const QuinceReplicaParts *parts)
+{
+  if (!quince_replica_leadership_is_active (parts->leadership))
+    quince_observer_feeder_alive (parts->observer);
+}
+
+static void
+other_message (QuinceLink *link, const QuinceMessage *message, gpointer data)
+{
+  const QuinceReplicaParts *parts = data;
+  switch (message->kind)
+    {
+    case QUINCE_MESSAGE_FEED_SUBSCRIBE:
+      quince_replica_leadership_subscribe (parts->leadership, link, &message->QuinceMessage_u.feed_subscribe);
+      break;
+    case QUINCE_MESSAGE_FEED_UPDATE:
+      take_feed_update (parts, link, &message->QuinceMessage_u.feed_update);
+      break;
+    case QUINCE_MESSAGE_HEARTBEAT:
+      take_heartbeat (parts);
+      break;
+    case QUINCE_MESSAGE_HEARTBEAT_ACK:
+      quince_heartbeats_take_ack (parts->heartbeats, &message->QuinceMessage_u.heartbeat_ack);
+      break;
+    case QUINCE_MESSAGE_USAGE_REPORT:
+      take_usage (parts, link, &message->QuinceMessage_u.usage_report);
+      break;
+    case QUINCE_MESSAGE_PROGRESS:
+      take_progress (parts, &message->QuinceMessage_u.progress);
+      break;
+    default:
+      if (!quince_warmup_coordinator_take (parts->warmup, link, message))
+        quince_quarantine_coordinator_take (parts->quarantine, link, message);
+      break;
+    }
+}
+
+const QuinceLedgerNodeCallbacks quince_replica_ledger_callbacks = { .leads = leads,
+                                                                    .stopped_leading = stopped_leading,
+                                                                    .committed = committed,
+                                                                    .service_call = service_call,
+                                                                    .link_closed = link_closed,
+                                                                    .followed = followed,
+                                                                    .other_message = other_message,
+                                                                    .unfollowed = unfollowed };
--- /dev/null
+++ b/daemons/replica/replica-setup.c
@@ -0,0 +1,208 @@
+/*
+ * replica-setup.c: creates the parts of a replica from its settings and connects them.
+ */
+#include "replica-setup.h"
+
+#include "forward/policy-entry.h"
+#include "runtime/clock.h"
+
+#include "platform.h"
+#include "replica-leadership.h"
+#include "replica-ledger-events.h"
+#include "replica-metrics.h"
+#include "replica-store-events.h"
+
+/* A leader acts on the last answers of a quorum for this long, us.  Shorter than the silence after which
+ * members follow another leader, so that two never act at once (docs/DESIGN.md, "Lease"). */
+#define CONFIRM_US (600 * 1000)
+/* A backup that did not hear the leader for this long may follow another one, us: four heartbeats of 250 ms.
+ */
+#define PRIMARY_SILENCE_US (1000 * 1000)
+/* The leader takes a member out of the view after this silence, us; as long as its own silence is borne. */
+#define MEMBER_SILENCE_US (1000 * 1000)
+/* Added to orders.pause, us: a former leader has stopped giving orders when another one can be promised its
+ * place; its last orders may still be on their way.  Not measured: above any round trip between machines. */
+#define ORDER_MARGIN_US (200 * 1000)
+
+/* ---- Parts without files and listening sockets --------------------------- */
+
+/* Whether this replica may grant sends to cold workers: it leads, and no other one can, since a quorum has
+ * followed it lately. */
+static gboolean
+may_grant_sends (gpointer data)
+{
+  const QuinceReplicaParts *parts = data;
+  return quince_replica_leadership_is_active (parts->leadership)
+         && quince_ledger_node_may_accept (parts->ledger);
+}
+
+static void
+create_quarantine (QuinceReplicaParts *parts, const QuinceSettings *settings)
+{
+  QuinceQuarantineLimits limits;
+  quince_quarantine_read_limits (settings, &limits);
+  QuinceWorkerTable *workers = quince_backends_get_workers (parts->backends);
+  parts->quarantine = quince_quarantine_coordinator_new (&limits, parts->name, parts->store, workers);
+  quince_backends_set_guard (parts->backends, quince_quarantine_coordinator_get_guard (parts->quarantine));
+}
+
+static void
+create_warmup (QuinceReplicaParts *parts, const QuinceSettings *settings)
+{
+  QuinceWarmupBounds bounds;
+  quince_warmup_read_bounds (settings, &bounds);
+  QuinceWorkerTable *workers = quince_backends_get_workers (parts->backends);
+  parts->warmup = quince_warmup_coordinator_new (&bounds, workers, may_grant_sends, parts);
+  quince_backends_set_warmup (parts->backends, quince_warmup_coordinator_get_sends (parts->warmup));
+}
+
+static void
+create_observer (QuinceReplicaParts *parts, const QuinceSettings *settings)
+{
+  QuinceObserverOptions options;
+  quince_observer_read_options (settings, &options);
+  parts->observer
+      = quince_observer_new (parts->store, parts->backends, &options, &quince_replica_store_callbacks, parts);
+  quince_warmup_coordinator_set_observer (parts->warmup, parts->observer);
+}
+
+static void
+create_batches (QuinceReplicaParts *parts, const QuinceSettings *settings)
+{
+  gint64 keep_us = quince_settings_get_duration_us (settings, "ledger", "keep");
+  parts->placement = quince_model_placement_new ();
+  parts->progress = quince_progress_store_new ();
+  parts->batches = quince_batch_service_new (parts->backends, parts->observer, parts->placement,
+                                             parts->progress, keep_us);
+}
+
+static guint
+read_losses (const QuinceSettings *settings)
+{
+  return (guint)quince_settings_get_integer (settings, "ledger", "losses");
+}
+
+void
+quince_replica_setup_create (QuinceReplicaParts *parts,
+                             const QuinceSettings *settings,
+                             QuinceTopology *topology)
+{
+  parts->name = g_strdup (quince_settings_get_text (settings, "node", "name"));
+  parts->leadership = quince_replica_leadership_new (parts);
+  parts->heartbeats = quince_heartbeats_new ();
+  parts->backends = quince_backends_new (topology);
+  parts->store = quince_meta_store_new (quince_settings_get_text (settings, "store", "address"),
+                                        &quince_platform_meta_dialect);
+  create_quarantine (parts, settings);
+  create_warmup (parts, settings);
+  create_observer (parts, settings);
+  parts->residency = quince_residency_coordinator_new (parts->name, read_losses (settings) + 1, parts->store,
+                                                       parts->backends, parts->observer);
+  create_batches (parts, settings);
+}
+
+/* ---- Files and listening sockets ------------------------------------------ */
+
+static gboolean
+load_policy (QuinceReplicaParts *parts, const QuinceSettings *settings, GError **error)
+{
+  const char *path = quince_settings_get_text (settings, "policy", "file");
+  return *path == '\0' || quince_backends_load_policy (parts->backends, path, error);
+}
+
+static gboolean
+open_ledger (QuinceReplicaParts *parts, const QuinceSettings *settings, GError **error)
+{
+  guint losses = read_losses (settings);
+  const QuinceLedgerNodeOptions options = {
+    .node = parts->name,
+    .listen = quince_settings_get_text (settings, "listen", "link"),
+    .zone = quince_settings_get_text (settings, "node", "zone"),
+    .folder = quince_settings_get_text (settings, "ledger", "folder"),
+    .several_regions = quince_topology_count_regions (quince_backends_get_topology (parts->backends)) > 1,
+    .may_found = quince_settings_get_boolean (settings, "ledger", "found"),
+    .limits
+    = { .copies_least = losses + 1,
+        .members_wanted = 2 * losses + 1,
+        .zone_losses = (guint)quince_settings_get_integer (settings, "ledger", "zone_losses"),
+        .primary_silence_us = PRIMARY_SILENCE_US,
+        .member_silence_us = MEMBER_SILENCE_US,
+        .confirm_us = CONFIRM_US,
+        .order_pause_us = quince_settings_get_duration_us (settings, "orders", "pause") + ORDER_MARGIN_US },
+  };
+  parts->ledger
+      = quince_ledger_node_new (&options, parts->store, &quince_replica_ledger_callbacks, parts, error);
+  if (parts->ledger == NULL)
+    return FALSE;
+  parts->progress_file = quince_progress_file_open (options.folder, parts->progress, quince_now_us (), error);
+  return parts->progress_file != NULL;
+}
+
+/* ---- Calls of the platform that one machine makes for all ------------------ */
+
+static double
+count_needed_slots (const char *service, gpointer data)
+{
+  const QuinceReplicaParts *parts = data;
+  return quince_batch_service_count_needed (parts->batches, service);
+}
+
+static void
+create_worker_scaler (QuinceReplicaParts *parts, const char *address)
+{
+  const QuinceWorkerScalerOptions options = { .holder = parts->name,
+                                              .address = address,
+                                              .ledger = parts->ledger,
+                                              .backends = parts->backends,
+                                              .observer = parts->observer,
+                                              .count_needed = count_needed_slots };
+  parts->scaler = quince_worker_scaler_new (&options, parts);
+}
+
+static void
+create_usage_collector (QuinceReplicaParts *parts, const QuinceSettings *settings, const char *address)
+{
+  const QuinceUsageCollectorOptions options
+      = { .holder = parts->name,
+          .address = address,
+          .window_us = quince_settings_get_duration_us (settings, "duties", "usage_window"),
+          .late_us = quince_settings_get_duration_us (settings, "duties", "usage_late") };
+  parts->usage = quince_usage_collector_new (&options, parts->ledger);
+}
+
+static void
+create_platform_callers (QuinceReplicaParts *parts, const QuinceSettings *settings)
+{
+  const char *address = quince_settings_get_text (settings, "duties", "address");
+  const char *names = quince_settings_get_text (settings, "duties", "names");
+  const char *order_workers = quince_settings_get_text (settings, "duties", "order_workers");
+  if (*address == '\0')
+    return;
+  if (quince_platform_takes_scale_orders (names) && g_str_equal (order_workers, "replace"))
+    create_worker_scaler (parts, address);
+  if (quince_platform_wants_usage (names))
+    create_usage_collector (parts, settings, address);
+}
+
+/* ---- Connecting ------------------------------------------------------------ */
+
+static void
+connect_ledger (QuinceReplicaParts *parts)
+{
+  quince_quarantine_coordinator_set_ledger (parts->quarantine, parts->ledger);
+  quince_residency_coordinator_set_ledger (parts->residency, parts->ledger);
+  quince_batch_service_set_ledger (parts->batches, parts->ledger, parts->progress_file, parts->residency);
+}
+
+gboolean
+quince_replica_setup_open (QuinceReplicaParts *parts, const QuinceSettings *settings, GError **error)
+{
+  if (!load_policy (parts, settings, error) || !open_ledger (parts, settings, error)
+      || !quince_replica_metrics_open (parts, quince_settings_get_text (settings, "listen", "metrics"),
+                                       error))
+    return FALSE;
+  parts->retirement = quince_retirement_new (parts->store, parts->ledger);
+  create_platform_callers (parts, settings);
+  connect_ledger (parts);
+  return TRUE;
+}
--- /dev/null
+++ b/daemons/replica/replica-store-events.c
@@ -0,0 +1,76 @@
+/*
+ * replica-store-events.c: events of the observer, passed to the other parts of the replica.
+ */
+#include "replica-store-events.h"
+
+#include <string.h>
+
+#include "observer/store-feed.h"
+
+#include "replica-leadership.h"
+
+gboolean
+quince_replica_is_reserve_reader (const QuinceReplicaParts *parts)
+{
+  return quince_ledger_view_has_node (quince_ledger_node_get_view (parts->ledger), parts->name);
+}
+
+static void
+own_key (const char *key, GBytes *value, guint64 revision, gpointer data)
+{
+  const QuinceReplicaParts *parts = data;
+  if (g_str_equal (key, QUINCE_LEDGER_KEY) && parts->ledger != NULL)
+    quince_ledger_node_take_view (parts->ledger, value, revision);
+  else if (g_str_has_prefix (key, QUINCE_FRONTS_PREFIX))
+    quince_heartbeats_set_listed (parts->heartbeats, key + strlen (QUINCE_FRONTS_PREFIX), value != NULL);
+  else if (g_str_has_prefix (key, QUINCE_MACHINE_ZONES_PREFIX))
+    quince_residency_coordinator_take_place (parts->residency, key + strlen (QUINCE_MACHINE_ZONES_PREFIX),
+                                             value);
+  else if (g_str_has_prefix (key, QUINCE_QUARANTINE_PREFIX))
+    quince_quarantine_coordinator_take_key (parts->quarantine, key + strlen (QUINCE_QUARANTINE_PREFIX),
+                                            value);
+  else if (g_str_has_prefix (key, QUINCE_SUSPECTS_PREFIX))
+    quince_quarantine_coordinator_take_list (parts->quarantine, key + strlen (QUINCE_SUSPECTS_PREFIX), value);
+}
+
+static void
+version_named (const char *model, guint64 version, gpointer data)
+{
+  const QuinceReplicaParts *parts = data;
+  quince_replica_leadership_pump_orders (parts->leadership);
+}
+
+static void
+leaving_changed (const char *const *nodes, gpointer data)
+{
+  const QuinceReplicaParts *parts = data;
+  quince_retirement_set_nodes (parts->retirement, nodes);
+  quince_residency_coordinator_set_leaving (parts->residency, nodes);
+}
+
+/* Workers were taken away or came back: placement, weight loads and samples follow. */
+static void
+zones_changed (gpointer data)
+{
+  const QuinceReplicaParts *parts = data;
+  quince_replica_leadership_pump_orders (parts->leadership);
+  if (parts->batches != NULL)
+    quince_batch_service_pump (parts->batches);
+}
+
+static void
+store_read (const char *prefix, const QuinceMetaPage *page, gpointer data)
+{
+  const QuinceReplicaParts *parts = data;
+  QuinceLink *leader = parts->ledger != NULL ? quince_ledger_node_get_leader (parts->ledger) : NULL;
+  if (quince_replica_leadership_is_active (parts->leadership))
+    quince_replica_leadership_publish (parts->leadership, prefix, page);
+  else if (leader != NULL && quince_replica_is_reserve_reader (parts))
+    quince_store_feed_report (parts->observer, leader, prefix, page);
+}
+
+const QuinceObserverCallbacks quince_replica_store_callbacks = { .own_key = own_key,
+                                                                 .version = version_named,
+                                                                 .leaving = leaving_changed,
+                                                                 .zones = zones_changed,
+                                                                 .read = store_read };
