--- a/daemons/replica/quarantine-coordinator.c
+++ b/daemons/replica/quarantine-coordinator.c
@@ -1,5 +1,5 @@
 /*
- * quarantine-coordinator.c: the leader's part in the quarantine.
+ * quarantine-coordinator.c: the leader's part in the quarantine of requests under which workers ended.
  */
 #include "quarantine-coordinator.h"
 
@@ -13,13 +13,13 @@
 
 #include "quarantine-keys.h"
 
-/* A permit of a process that died or was cut off expires, so that others can send the request.  Chosen above
- * the deadlines of the users' lookups (0.8 to 2 s). */
+/* A permit expires after this time, us, so that others can send the request when its holder died or was cut
+ * off. Not measured: above the deadlines of lookups (0.8 to 2 s). */
 #define PERMIT_KEEP_US (3 * G_USEC_PER_SEC)
-/* Changes are sent in batches.  One message for each request would be some 100,000 when 400 requests lose
- * their workers at once before 250 fronts (worked out).  Chosen: shorter than a usual run of a lookup (25
- * ms). */
-#define TELL_MS 10
+/* Reports are collected for this time and sent together, ms.  One message for each request would make 100,000
+ * when 400 requests lose their workers at once before 250 fronts (calculated).  Not measured: shorter than a
+ * usual run of a lookup (25 ms). */
+#define REPORT_MS 10
 
 struct _QuinceQuarantineCoordinator
 {
@@ -28,15 +28,15 @@
   QuincePermits *permits;
   char *name;
   QuinceWorkerTable *workers;
-  QuinceLedgerNode *ledger;   /* NULL: a next leader is not told of single ends */
-  guint64 informed_successor; /* what is known was told to this one */
-  GHashTable *links;          /* QuinceLink, of the owner; NULL: not leading */
-  GHashTable *untold;         /* QuinceRequestDigest, owned: to be told to all */
-  GHashTable *untold_next;    /* the same, to the likely next leader alone */
-  GSource *tell_timer;
-  GSource *tell_next_timer;
+  QuinceLedgerNode *ledger;         /* not owned; NULL during the start */
+  guint64 informed_successor;       /* the successor that was sent all suspects; 0: none */
+  GHashTable *links;                /* QuinceLink, of the owner; NULL: not leading */
+  GHashTable *unreported;           /* QuinceRequestDigest, owned: changes not sent to all yet */
+  GHashTable *unreported_successor; /* the same, not sent to the successor yet */
+  GSource *report_timer;
+  GSource *successor_timer;
   QuinceQuarantineKeys *keys;
-  QuinceExpectedEnds *expected; /* sends of the leader, while another one leads */
+  QuinceExpectedEnds *expected; /* sends of the leader, at other replicas */
 };
 
 static QuinceQuarantine *
@@ -45,10 +45,10 @@
   return quince_send_guard_get_quarantine (coordinator->guard);
 }
 
-/* ---- Telling ------------------------------------------------------------ */
+/* ---- Reports to other processes -------------------------------------------- */
 
 static void
-tell (const QuinceQuarantineCoordinator *coordinator, GBytes *encoded)
+send_to_all (const QuinceQuarantineCoordinator *coordinator, GBytes *encoded)
 {
   if (coordinator->links == NULL || encoded == NULL)
     return;
@@ -60,25 +60,25 @@
 }
 
 static void
-tell_suspects (const QuinceQuarantineCoordinator *coordinator, const GPtrArray *suspects)
+report_suspects (const QuinceQuarantineCoordinator *coordinator, const GPtrArray *suspects)
 {
   if (suspects->len == 0)
     return;
   g_autoptr (GBytes) encoded = quince_suspect_news_encode (suspects, quince_now_us (), coordinator->name);
-  tell (coordinator, encoded);
+  send_to_all (coordinator, encoded);
 }
 
-/* (nullable): the likely next leader. */
+/* Returns: (transfer none) (nullable): the link to the successor */
 static QuinceLink *
-next_leader (const QuinceQuarantineCoordinator *coordinator)
+find_successor (const QuinceQuarantineCoordinator *coordinator)
 {
   return coordinator->ledger != NULL ? quince_ledger_node_get_successor_link (coordinator->ledger) : NULL;
 }
 
 static void
-tell_next_leader (const QuinceQuarantineCoordinator *coordinator, const GPtrArray *suspects)
+report_to_successor (const QuinceQuarantineCoordinator *coordinator, const GPtrArray *suspects)
 {
-  QuinceLink *next = next_leader (coordinator);
+  QuinceLink *next = find_successor (coordinator);
   if (suspects->len == 0 || next == NULL)
     return;
   g_autoptr (GBytes) encoded = quince_suspect_news_encode (suspects, quince_now_us (), coordinator->name);
@@ -86,9 +86,9 @@
     quince_link_send_bytes (next, encoded);
 }
 
-/* (transfer container): what is known of @digests, which are forgotten. */
+/* Returns: (transfer container): the known suspects of the set @digests, which is emptied */
 static GPtrArray *
-take_untold (const QuinceQuarantineCoordinator *coordinator, GHashTable *digests)
+take_unreported (const QuinceQuarantineCoordinator *coordinator, GHashTable *digests)
 {
   GPtrArray *suspects = g_ptr_array_new ();
   GHashTableIter iter;
@@ -105,69 +105,69 @@
 }
 
 static gboolean
-tell_now (gpointer data)
+report_now (gpointer data)
 {
   QuinceQuarantineCoordinator *coordinator = data;
-  quince_source_clear (&coordinator->tell_timer);
-  g_autoptr (GPtrArray) suspects = take_untold (coordinator, coordinator->untold);
-  tell_suspects (coordinator, suspects);
+  quince_source_clear (&coordinator->report_timer);
+  g_autoptr (GPtrArray) suspects = take_unreported (coordinator, coordinator->unreported);
+  report_suspects (coordinator, suspects);
   return G_SOURCE_REMOVE;
 }
 
 static gboolean
-tell_next_now (gpointer data)
+report_to_successor_now (gpointer data)
 {
   QuinceQuarantineCoordinator *coordinator = data;
-  quince_source_clear (&coordinator->tell_next_timer);
-  g_autoptr (GPtrArray) suspects = take_untold (coordinator, coordinator->untold_next);
-  tell_next_leader (coordinator, suspects);
+  quince_source_clear (&coordinator->successor_timer);
+  g_autoptr (GPtrArray) suspects = take_unreported (coordinator, coordinator->unreported_successor);
+  report_to_successor (coordinator, suspects);
   return G_SOURCE_REMOVE;
 }
 
 static void
-tell_soon (QuinceQuarantineCoordinator *coordinator, const QuinceRequestDigest *digest)
+report_soon (QuinceQuarantineCoordinator *coordinator, const QuinceRequestDigest *digest)
 {
   if (coordinator->links == NULL)
     return;
-  g_hash_table_add (coordinator->untold, g_memdup2 (digest, sizeof *digest));
-  if (coordinator->tell_timer == NULL)
-    coordinator->tell_timer = quince_timer_add (TELL_MS, tell_now, coordinator);
+  g_hash_table_add (coordinator->unreported, g_memdup2 (digest, sizeof *digest));
+  if (coordinator->report_timer == NULL)
+    coordinator->report_timer = quince_timer_add (REPORT_MS, report_now, coordinator);
 }
 
-/* At the end of this turn of the main loop, with the other runs of the same worker: what is not told when the
- * leader dies is sent to workers once more. */
+/* At the end of this turn of the main loop, together with the other runs of the same worker.  Not later: what
+ * the successor doesn't know when the leader dies is sent to workers once more. */
 static void
-tell_next_soon (QuinceQuarantineCoordinator *coordinator, const QuinceRequestDigest *digest)
+report_to_successor_soon (QuinceQuarantineCoordinator *coordinator, const QuinceRequestDigest *digest)
 {
   if (coordinator->links == NULL)
     return;
-  g_hash_table_add (coordinator->untold_next, g_memdup2 (digest, sizeof *digest));
-  if (coordinator->tell_next_timer == NULL)
-    coordinator->tell_next_timer = quince_timer_add (0, tell_next_now, coordinator);
+  g_hash_table_add (coordinator->unreported_successor, g_memdup2 (digest, sizeof *digest));
+  if (coordinator->successor_timer == NULL)
+    coordinator->successor_timer = quince_timer_add (0, report_to_successor_now, coordinator);
 }
 
 static void
-tell_cleared (const QuinceQuarantineCoordinator *coordinator,
-              const QuinceRequestDigest *digest,
-              QuinceSuspectScope scope)
+report_cleared (const QuinceQuarantineCoordinator *coordinator,
+                const QuinceRequestDigest *digest,
+                QuinceSuspectScope scope)
 {
   g_autoptr (GBytes) encoded = quince_suspect_cleared_encode (digest, scope);
-  tell (coordinator, encoded);
+  send_to_all (coordinator, encoded);
 }
 
-/* Another replica is the likely next leader, and knows nothing of single ends. */
+/* A new successor knows nothing of requests that ended one worker. */
 static void
-tell_new_successor (QuinceQuarantineCoordinator *coordinator, const GPtrArray *all)
+report_to_new_successor (QuinceQuarantineCoordinator *coordinator, const GPtrArray *all)
 {
   guint64 successor
       = coordinator->ledger != NULL ? quince_ledger_node_get_successor (coordinator->ledger) : 0;
   if (successor == coordinator->informed_successor)
     return;
   coordinator->informed_successor = successor;
-  tell_next_leader (coordinator, all);
+  report_to_successor (coordinator, all);
 }
 
-/* ---- What the leader's own guard wants ----------------------------------- */
+/* ---- Permits and reports, caused by the leader's own guard ------------------- */
 
 static gboolean
 take_permit (QuinceQuarantineCoordinator *coordinator,
@@ -202,27 +202,27 @@
   quince_permits_return (coordinator->permits, digest, coordinator);
 }
 
-/* A leader that dies sees no end of what it sent: the next one counts it, see expected-ends.h. */
+/* A leader that dies sees no end of what it sent: the next leader counts it, see expected-ends.h. */
 static void
 sending (const QuinceSuspect *expected, gpointer data)
 {
   QuinceQuarantineCoordinator *coordinator = data;
-  QuinceLink *next = next_leader (coordinator);
+  QuinceLink *next = find_successor (coordinator);
   g_autoptr (GBytes) encoded
       = next != NULL ? quince_suspect_sending_encode (expected, quince_now_us (), coordinator->name) : NULL;
   if (encoded != NULL)
     quince_link_send_bytes (next, encoded);
 }
 
-/* The leader alone sends samples and reward calls: one end is nothing to the fronts, but it counts at the
- * next leader. */
+/* Only the leader sends samples and reward calls: fronts need no report of a single end, the successor does.
+ */
 static void
 ended (const QuinceSuspect *suspect, gpointer data)
 {
   QuinceQuarantineCoordinator *coordinator = data;
-  tell_next_soon (coordinator, &suspect->digest);
+  report_to_successor_soon (coordinator, &suspect->digest);
   if (suspect->n_workers >= QUINCE_QUARANTINE_ENDS_ALONE)
-    tell_soon (coordinator, &suspect->digest);
+    report_soon (coordinator, &suspect->digest);
 }
 
 static void
@@ -231,10 +231,10 @@
   QuinceQuarantineCoordinator *coordinator = data;
   if (ends >= QUINCE_QUARANTINE_ENDS_ALONE)
     {
-      tell_cleared (coordinator, digest, scope);
+      report_cleared (coordinator, digest, scope);
       return;
     }
-  QuinceLink *next = next_leader (coordinator);
+  QuinceLink *next = find_successor (coordinator);
   g_autoptr (GBytes) encoded = next != NULL ? quince_suspect_cleared_encode (digest, scope) : NULL;
   if (encoded != NULL)
     quince_link_send_bytes (next, encoded);
@@ -256,9 +256,9 @@
   coordinator->workers = workers;
   coordinator->guard = quince_send_guard_new (limits, &guard_callbacks, coordinator);
   coordinator->permits = quince_permits_new ();
-  coordinator->untold
+  coordinator->unreported
       = g_hash_table_new_full (quince_request_digest_hash, quince_request_digest_equal, g_free, NULL);
-  coordinator->untold_next
+  coordinator->unreported_successor
       = g_hash_table_new_full (quince_request_digest_hash, quince_request_digest_equal, g_free, NULL);
   coordinator->expected = quince_expected_ends_new ();
   coordinator->keys = quince_quarantine_keys_new (store, quarantine_of (coordinator));
@@ -274,10 +274,10 @@
   quince_quarantine_keys_free (coordinator->keys);
   quince_send_guard_free (coordinator->guard);
   quince_permits_free (coordinator->permits);
-  quince_source_clear (&coordinator->tell_timer);
-  quince_source_clear (&coordinator->tell_next_timer);
-  g_hash_table_unref (coordinator->untold);
-  g_hash_table_unref (coordinator->untold_next);
+  quince_source_clear (&coordinator->report_timer);
+  quince_source_clear (&coordinator->successor_timer);
+  g_hash_table_unref (coordinator->unreported);
+  g_hash_table_unref (coordinator->unreported_successor);
   g_free (coordinator->name);
   g_free (coordinator);
 }
@@ -302,21 +302,22 @@
   quince_permits_free (coordinator->permits);
   coordinator->permits = quince_permits_new ();
   quince_expected_ends_count (coordinator->expected, quince_now_us (), quarantine_of (coordinator));
-  /* Nothing was sent during the election, which lasts longer than requests give way: or each new leader would
-   * send the same item of a suspected prompt first, which tells nothing new of the prompt. */
+  /* Nothing was sent during the election, which lasts longer than requests give way to others: without this
+   * each new leader would send the same item of a suspected prompt first, which says nothing new of the
+   * prompt. */
   quince_quarantine_resume (quarantine_of (coordinator), quince_now_us ());
   g_autoptr (GPtrArray) all = quince_quarantine_list (quarantine_of (coordinator));
-  tell_suspects (coordinator, all);
+  report_suspects (coordinator, all);
 }
 
 void
 quince_quarantine_coordinator_stop_leading (QuinceQuarantineCoordinator *coordinator)
 {
   coordinator->links = NULL;
-  quince_source_clear (&coordinator->tell_timer);
-  quince_source_clear (&coordinator->tell_next_timer);
-  g_hash_table_remove_all (coordinator->untold);
-  g_hash_table_remove_all (coordinator->untold_next);
+  quince_source_clear (&coordinator->report_timer);
+  quince_source_clear (&coordinator->successor_timer);
+  g_hash_table_remove_all (coordinator->unreported);
+  g_hash_table_remove_all (coordinator->unreported_successor);
   quince_send_guard_forget_requested (coordinator->guard);
 }
 
@@ -351,7 +352,7 @@
     }
 }
 
-/* What became of a send is known now. */
+/* The outcome of a send is known, so no end is expected of it. */
 static void
 forget_expected (QuinceQuarantineCoordinator *coordinator, const QuinceSuspectReports *news)
 {
@@ -370,7 +371,7 @@
     {
       const QuinceRequestDigest *digest = &g_array_index (changed, QuinceRequestDigest, i);
       quince_send_guard_note_report (coordinator->guard, now_us, digest);
-      tell_soon (coordinator, digest);
+      report_soon (coordinator, digest);
     }
 }
 
@@ -386,7 +387,7 @@
   for (guint i = 0; coordinator->links != NULL && i < gone->len; i++)
     {
       const QuinceSuspectCleared *one = &g_array_index (gone, QuinceSuspectCleared, i);
-      tell_cleared (coordinator, &one->digest, one->scope);
+      report_cleared (coordinator, &one->digest, one->scope);
     }
 }
 
@@ -395,7 +396,7 @@
 {
   QuinceRequestDigest digest;
   memcpy (digest.bytes, wanted->digest, sizeof digest.bytes);
-  /* Its asker may not have heard yet that it is held, or that it must run alone. */
+  /* The front may not know yet that the request is held, or that it must run alone. */
   QuinceSendRule rule = quince_quarantine_judge (quarantine_of (coordinator), &digest);
   gboolean known = rule != QUINCE_SEND_HELD && (wanted->alone || rule != QUINCE_SEND_ALONE);
   QuinceMessage message = { .kind = QUINCE_MESSAGE_PERMIT_ANSWER };
@@ -432,7 +433,7 @@
     }
 }
 
-/* ---- The store ------------------------------------------------------------ */
+/* ---- The metadata store ----------------------------------------------------- */
 
 void
 quince_quarantine_coordinator_take_list (QuinceQuarantineCoordinator *coordinator,
@@ -455,7 +456,7 @@
   quince_quarantine_keys_take (coordinator->keys, name, value);
 }
 
-/* All workers of the service run other software than the one that ended: it may be sound now. */
+/* All workers of the service run other software than the one that ended, which may handle the request. */
 static gboolean
 is_outdated (const QuinceQuarantineCoordinator *coordinator, const QuinceSuspect *suspect)
 {
@@ -489,8 +490,8 @@
       g_autofree char *digest = quince_request_digest_format (&suspect->digest);
       quince_log_info ("suspect_released", "digest=%s", digest);
       quince_quarantine_release (quarantine_of (coordinator), now, &suspect->digest);
-      tell_soon (coordinator, &suspect->digest);
+      report_soon (coordinator, &suspect->digest);
     }
-  tell_new_successor (coordinator, all);
+  report_to_new_successor (coordinator, all);
   quince_quarantine_keys_save (coordinator->keys, all);
 }
--- a/daemons/replica/quarantine-keys.c
+++ b/daemons/replica/quarantine-keys.c
@@ -1,5 +1,5 @@
 /*
- * quarantine-keys.c: what is held, as keys of the metadata store.
+ * quarantine-keys.c: held requests as keys of the metadata store.
  */
 #include "quarantine-keys.h"
 
@@ -7,7 +7,7 @@
 #include "forward/suspect-entry.h"
 #include "runtime/clock.h"
 
-/* Between two tries of a write while the store fails: each call is paid for.  Chosen as in meta-presence.c.
+/* Pause after a failed write, us, since each call of the store costs.  Not measured: as in meta-presence.c.
  */
 #define WRITE_PAUSE_US (1 * G_USEC_PER_SEC)
 
@@ -17,8 +17,8 @@
   QuinceMetaStore *store;
   QuinceQuarantine *quarantine;
   GHashTable *saved;    /* digests as text, owned: keys in the store */
-  gboolean writing;     /* a call to the store is under way */
-  gint64 next_write_us; /* not before */
+  gboolean writing;     /* a write is in progress */
+  gint64 next_write_us; /* monotonic: no write before */
 };
 
 QuinceQuarantineKeys *
@@ -91,7 +91,7 @@
   quince_meta_store_change (keys->store, &wanted, 1, write_done, change);
 }
 
-/* A key of a request that is not held any more; %NULL: there is none. */
+/* Returns: (transfer none) (nullable): a key of a request that is no longer held */
 static const char *
 find_outdated (const QuinceQuarantineKeys *keys)
 {
@@ -108,7 +108,7 @@
   return NULL;
 }
 
-/* One change at a time: holds and releases are rare. */
+/* One write at a time suffices: holds and releases are rare. */
 void
 quince_quarantine_keys_save (QuinceQuarantineKeys *keys, const GPtrArray *all)
 {
--- a/daemons/replica/step-demand.c
+++ b/daemons/replica/step-demand.c
@@ -1,5 +1,5 @@
 /*
- * step-demand.c: the work of steps, and how late they are.
+ * step-demand.c: the demand of trainers' steps for workers of their models.
  */
 #include "step-demand.h"
 
@@ -8,8 +8,8 @@
 
 #include "platform.h"
 
-/* Tokens that @batch is expected to generate; reading its prompts takes a few hundredths of the time.  Items
- * that tell no estimate count with all that they may generate. */
+/* Tokens that @batch is expected to generate; reading its prompts takes a few percent of the time and isn't
+ * counted.  Samples without an estimate count with all tokens that they may generate. */
 static double
 work_of (const QuinceBatchJob *batch)
 {
--- a/daemons/replica/step-demand.h
+++ b/daemons/replica/step-demand.h
@@ -1,5 +1,7 @@
 /*
- * step-demand.h: what trainers' steps tell of the workers that their models need.
+ * step-demand.h: the demand of trainers' steps for workers of their models, noted in the model placement.
+ *
+ * Owns no state; the placement belongs to the caller.
  */
 #pragma once
 
@@ -7,12 +9,12 @@
 #include "core/weights/model-placement.h"
 #include "core/routing/routing.h"
 
-/* A step was submitted. @open_samples: of its model that are not done, with those of this step */
+/* A step was submitted.  @open_samples: samples of its model without a result, with those of this step */
 void quince_step_demand_note_batch (QuinceModelPlacement *placement,
                                     const QuinceBatchJob *batch,
                                     guint open_samples);
-/* Its trainer ended it.  @route: (nullable): %NULL: its route is gone, and nothing is known of when it was
- * due */
+/* Its trainer ended it.  @route: (nullable): %NULL: the route no longer exists, so the deadline isn't known
+ * and nothing is noted */
 void quince_step_demand_note_end (QuinceModelPlacement *placement,
                                   const QuinceBatchJob *batch,
                                   const QuinceRoute *route);
--- a/daemons/replica/step-report.c
+++ b/daemons/replica/step-report.c
@@ -15,12 +15,12 @@
 typedef struct
 {
   gint64 submitted_us;
-  gint64 first_start_us; /* 0: none has begun */
-  gint64 last_start_us;
-  GArray *texts; /* gint64: when each text was whole, in that order */
-  gint64 last_listed_us;
-  char *last_item;   /* owned; NULL: none is listed */
-  char *last_worker; /* owned */
+  gint64 first_start_us; /* 0: no sample has started */
+  gint64 last_start_us;  /* 0: as above */
+  GArray *texts;         /* gint64: when each text was complete, in that order */
+  gint64 last_listed_us; /* 0: no result is listed */
+  char *last_item;       /* owned; NULL: no result is listed */
+  char *last_worker;     /* owned; NULL: as above */
   guint64 last_events;
 } Report;
 
@@ -101,7 +101,7 @@
   report->last_worker = g_strdup (worker != NULL ? worker : "");
 }
 
-/* When so many of a hundred texts were whole, ms from the submission; -1: fewer are. */
+/* When @percent of the @n_items texts were complete, ms after the submission; -1: fewer are. */
 static gint64
 texts_ms (const Report *report, guint n_items, guint percent)
 {
@@ -111,7 +111,7 @@
   return (g_array_index (report->texts, gint64, needed - 1) - report->submitted_us) / 1000;
 }
 
-/* Ms from the submission; -1: it has not happened. */
+/* @when_us as ms after the submission; -1 where it is 0: it has not happened. */
 static gint64
 age_ms (const Report *report, gint64 when_us)
 {
--- a/daemons/replica/step-report.h
+++ b/daemons/replica/step-report.h
@@ -1,8 +1,10 @@
 /*
- * step-report.h: how long each part of a trainer's step took, for logs and metrics.
+ * step-report.h: how long each part of a trainer's step took, for the log and metrics.
  *
- * One line event=step_ended a step says when its samples began, when their texts were whole, when they were
- * listed, and which sample was listed last.
+ * One line event=step_ended for each step says when its samples started, when their texts were complete, when
+ * their results were listed, and which one was listed last.
+ *
+ * Owns a report for each batch that runs.  All times are monotonic, us.
  */
 #pragma once
 
@@ -12,21 +14,21 @@
 
 QuinceStepReports *quince_step_reports_new (void);
 void quince_step_reports_free (QuinceStepReports *reports);
-/* A batch is run from now on.  @submitted_us: monotonic */
+/* The samples of a batch run from now on. */
 void
 quince_step_reports_begin (QuinceStepReports *reports, const QuinceBatchEntry *entry, gint64 submitted_us);
-/* A sample of @entry begins its first run. */
+/* A sample of @entry starts its first run. */
 void quince_step_reports_started (QuinceStepReports *reports, const QuinceBatchEntry *entry, gint64 now_us);
-/* A text of @entry is whole. */
+/* A sample of @entry has its complete text. */
 void
 quince_step_reports_text_whole (QuinceStepReports *reports, const QuinceBatchEntry *entry, gint64 now_us);
-/* A result of @entry goes to the ledger.  @item: its id; @worker: (nullable): that made the last of its text
- */
+/* A result of @entry is appended to the ledger.  @item: id of its sample; @worker: (nullable): the one that
+ * generated the last part of its text; @events: of the text */
 void quince_step_reports_listed (QuinceStepReports *reports,
                                  const QuinceBatchEntry *entry,
                                  gint64 now_us,
                                  const char *item,
                                  const char *worker,
                                  guint64 events);
-/* The batch is ended or given up: tells how the step went. */
+/* The batch ended or is given up: writes the line and the metrics, and releases the report. */
 void quince_step_reports_end (QuinceStepReports *reports, const QuinceBatchEntry *entry, gint64 now_us);
--- a/daemons/replica/usage-collector.c
+++ b/daemons/replica/usage-collector.c
@@ -1,5 +1,5 @@
 /*
- * usage-collector.c: usage of tenants, from what fronts tell to the platform's acknowledgement.
+ * usage-collector.c: usage of tenants, from the reports of fronts to the platform's acknowledgement.
  */
 #include "usage-collector.h"
 
@@ -12,24 +12,28 @@
 
 #include "platform.h"
 
-/* A window is closed when this part of the time is over in which its report is due: what is left is for the
- * election of another leader, which orders nothing for 3.2 s, and for a platform that is away. */
+/* A window is closed when this share of the time for its report is over: the rest is for the election of
+ * another leader, which gives no orders for 3.2 s, and for an outage of the platform.  Not measured. */
 #define CLOSE_SHARE 0.5
-/* A new leader closes no window until the fronts have had time to link again (1.2 s to give up on the former
- * leader, 0.15 s to link) and to report; what is reported for a closed window is lost. */
+/* A new leader closes no window for this time, us: fronts link again (1.2 s to give up on the former leader,
+ * 0.15 s to link) and report first, since what is reported of a closed window is lost. */
 #define FRONTS_TELL_US (1500 * 1000)
-/* An answer usually takes some ms; a call that is slower may have been taken, and is made again. */
+/* Longest call of the platform, us: an answer usually takes some ms.  A slower call may have been accepted
+ * and is repeated.  Not measured. */
 #define CALL_TIMEOUT_US (1500 * 1000)
-/* After a failed call, doubled with each failure in a row: a platform that is away is asked a few times in
- * the time in which a report is due. */
+/* Pause after a failed call, us, doubled with each further failure: a few attempts fall into the time in
+ * which a report is due (10 s by default).  Not measured. */
 #define RETRY_MIN_US (300 * 1000)
+/* Longest such pause, us: three doublings. */
 #define RETRY_MAX_US (2400 * 1000)
+/* HTTP status with which the platform accepts a report. */
+#define REPORT_ACCEPTED 200
 
-/* What one front told and is not part of a record yet. */
+/* What one front reported since the last record. */
 typedef struct
 {
   guint64 source;
-  guint64 told;     /* greatest sequence that was told */
+  guint64 reported; /* greatest sequence that was reported */
   QuinceLink *link; /* owned (nullable): where to acknowledge */
   GArray *events;   /* QuinceUsageEvent, owned texts */
 } Source;
@@ -46,14 +50,14 @@
   QuinceUsageBook *book; /* NULL: not leading */
   GHashTable *sources;   /* source (guint64) to Source, owned */
   gboolean leads;
-  gint64 close_after_us; /* by then all fronts have told what they kept; 0: no record was taken yet */
-  guint64 closing;       /* window whose closing is on its way into the ledger; 0: none */
+  gint64 close_after_us; /* monotonic: all fronts have reported what they kept; 0: not known yet */
+  guint64 closing;       /* window whose closing record is not committed yet; 0: none */
 
-  QuinceHttpExchange *exchange; /* the report on its way */
+  QuinceHttpExchange *exchange; /* the report in progress; NULL: none */
   guint64 sending;              /* its window */
-  gboolean acknowledged;        /* the platform took it; the record that says so is on its way */
-  gint64 not_before_us;
-  gint64 retry_us; /* pause after the next failure */
+  gboolean acknowledged;        /* the platform accepted it; the record that says so is not committed yet */
+  gint64 not_before_us;         /* monotonic: no report before */
+  gint64 retry_us;              /* pause after the next failure */
 };
 
 static void
@@ -72,7 +76,7 @@
   g_free (source);
 }
 
-/* ---- What fronts tell --------------------------------------------------- */
+/* ---- Reports of fronts ---------------------------------------------------- */
 
 static Source *
 find_source (QuinceUsageCollector *collector, guint64 id)
@@ -82,7 +86,7 @@
     return source;
   source = g_new0 (Source, 1);
   source->source = id;
-  source->told = quince_usage_book_get_sequence (collector->book, id);
+  source->reported = quince_usage_book_get_sequence (collector->book, id);
   source->events = g_array_new (FALSE, TRUE, sizeof (QuinceUsageEvent));
   g_array_set_clear_func (source->events, clear_event);
   g_hash_table_insert (collector->sources, &source->source, source);
@@ -116,17 +120,17 @@
     {
       g_clear_pointer (&source->link, quince_link_unref);
       source->link = quince_link_ref (link);
-      acknowledge (collector, source); /* the answer of a former link may be lost */
+      acknowledge (collector, source); /* the one on the former link may be lost */
     }
   for (guint i = 0; i < report->events.events_len; i++)
     {
-      const QuinceUsageStart *told = &report->events.events_val[i];
-      if (told->sequence <= source->told)
+      const QuinceUsageStart *start = &report->events.events_val[i];
+      if (start->sequence <= source->reported)
         continue;
-      source->told = told->sequence;
-      QuinceUsageEvent event = { .sequence = told->sequence,
-                                 .tenant = quince_string (told->tenant),
-                                 .begun_ms = (u_quad_t)MAX (wall_ms - (gint64)told->age_ms, 0) };
+      source->reported = start->sequence;
+      QuinceUsageEvent event = { .sequence = start->sequence,
+                                 .tenant = quince_string (start->tenant),
+                                 .begun_ms = (u_quad_t)MAX (wall_ms - (gint64)start->age_ms, 0) };
       g_array_append_val (source->events, event);
     }
 }
@@ -142,7 +146,7 @@
       g_clear_pointer (&((Source *)value)->link, quince_link_unref);
 }
 
-/* All that was told since the last record becomes one more. */
+/* All that was reported since the last record becomes the next one. */
 static void
 keep_events (QuinceUsageCollector *collector)
 {
@@ -168,7 +172,7 @@
   record.QuinceBatchRecord_u.usage.sources.sources_val = (QuinceUsageEvents *)sources->data;
   record.QuinceBatchRecord_u.usage.sources.sources_len = sources->len;
   if (quince_ledger_node_append (collector->ledger, &record) == 0)
-    return; /* told again by the fronts, or kept at the next step */
+    return; /* reported again by the fronts, or appended at the next step */
   for (guint i = 0; i < kept->len; i++)
     g_array_set_size (((Source *)kept->pdata[i])->events, 0);
 }
@@ -234,7 +238,7 @@
   quince_batch_record_free (record);
 }
 
-/* ---- Reports ------------------------------------------------------------ */
+/* ---- Reports to the platform ------------------------------------------------ */
 
 static void
 report_failed (QuinceUsageCollector *collector)
@@ -261,7 +265,7 @@
   quince_log_notice ("usage_reported", "window=%" G_GUINT64_FORMAT " status=%u", collector->sending, status);
   g_autofree char *labels = g_strdup_printf ("status=\"%u\"", status);
   quince_metric_add ("quince_replica_usage_reports_total", labels, 1);
-  if (status == 200)
+  if (status == REPORT_ACCEPTED)
     report_taken (collector);
   else
     report_failed (collector);
--- a/daemons/replica/usage-collector.h
+++ b/daemons/replica/usage-collector.h
@@ -1,9 +1,12 @@
 /*
- * usage-collector.h: tells the platform how many requests of each tenant began in each window of time.
+ * usage-collector.h: reports to the platform how many requests of each tenant began in each usage window.
  *
- * The ledger's leader alone does it, under its epoch as the fence.  What fronts tell becomes a record of the
- * ledger before it is acknowledged, and so do the counts of a window before they are sent: a report that is
- * sent again, by whichever leader, is the same to the byte.
+ * Only the ledger's leader reports, with its epoch as the fencing token.  What fronts report is a record of
+ * the ledger before it is acknowledged, and so are the counts of a window before they are sent: a report that
+ * is repeated, by this leader or a later one, is the same to the byte.
+ *
+ * Owns the usage book, the agreed clock, what fronts reported since the last record, the connections to the
+ * platform and the report in progress.
  */
 #pragma once
 
@@ -16,10 +19,10 @@
 
 /**
  * QuinceUsageCollectorOptions:
- * @holder: name of this machine
- * @address: of the platform's calls
+ * @holder: name of this machine, copied
+ * @address: ip:port of the platform's calls
  * @window_us: length of a window
- * @late_us: after its end a report is late
+ * @late_us: time from the end of a window to the moment at which its report is late
  */
 typedef struct
 {
@@ -29,20 +32,21 @@
   gint64 late_us;
 } QuinceUsageCollectorOptions;
 
+/* @ledger: (transfer none): must outlive the collector */
 QuinceUsageCollector *quince_usage_collector_new (const QuinceUsageCollectorOptions *options,
                                                   QuinceLedgerNode *ledger);
 void quince_usage_collector_free (QuinceUsageCollector *collector);
-/* %TRUE: the record is one of this collector's. */
+/* Returns: whether @record is one of usage, which quince_usage_collector_committed() takes */
 gboolean quince_usage_collector_is_record (const QuinceBatchRecord *record);
-/* (transfer full): @record; only at the leader, in the order of the log. */
+/* A record of usage is committed, at the leader, in the order of the log.  @record: (transfer full) */
 void
 quince_usage_collector_committed (QuinceUsageCollector *collector, guint64 index, QuinceBatchRecord *record);
 void quince_usage_collector_lead (QuinceUsageCollector *collector);
 void quince_usage_collector_stop_leading (QuinceUsageCollector *collector);
-/* A front told of requests; it is acknowledged on @link. */
+/* A front reported requests; they are acknowledged on @link once a record has them. */
 void quince_usage_collector_take_report (QuinceUsageCollector *collector,
                                          QuinceLink *link,
                                          const QuinceUsageReport *report);
 void quince_usage_collector_link_closed (QuinceUsageCollector *collector, QuinceLink *link);
-/* To be called several times a second. */
+/* Appends what fronts reported, closes windows, sends reports; to be called several times a second. */
 void quince_usage_collector_step (QuinceUsageCollector *collector);
--- a/daemons/replica/warmup-coordinator.c
+++ b/daemons/replica/warmup-coordinator.c
@@ -1,14 +1,16 @@
 /*
- * warmup-coordinator.c: one process gives all sends to cold workers: the ledger's leader.
+ * warmup-coordinator.c: the leader's grants of send leases for cold workers, to itself and to the fronts.
  */
 #include "warmup-coordinator.h"
 
 #include "runtime/log.h"
 #include "runtime/clock.h"
 
-/* Chosen: how often what is over is freed, so that workers that are gone keep no memory. */
+/* Interval between two removals of expired leases, us, so that workers that no longer exist keep no memory.
+ * Not measured: any time is short enough. */
 #define EXPIRE_US (5 * G_USEC_PER_SEC)
-/* Fronts ask again no sooner than this, however soon there is room: the answer to one ask comes first. */
+/* Shortest time after which a front may ask again, ms, so that the answer to one request arrives before the
+ * next. Not measured: some round trips. */
 #define AGAIN_MIN_MS 20
 
 struct _QuinceWarmupCoordinator
@@ -16,7 +18,7 @@
   /* All fields belong to the main context. */
   QuinceWarmupSends *sends;
   QuinceWorkerTable *workers;
-  QuinceObserver *observer; /* NULL: not known yet */
+  QuinceObserver *observer; /* not owned; NULL during the start */
   gboolean (*may_give) (gpointer);
   gpointer user_data;
   gint64 expired_us;
@@ -94,7 +96,7 @@
   QuinceWarmupGrant *grant = &answer.QuinceMessage_u.warmup_grant;
   grant->ask = ask->ask;
   grant->worker = ask->worker;
-  /* A worker that is not known here, of whichever service, gets nothing. */
+  /* Nothing is granted for a worker that this process doesn't know: its limit isn't known either. */
   if (worker != NULL)
     grant->sends
         = quince_warmup_sends_give (coordinator->sends, worker->id, worker->service, ask->sends, &again_us);
--- a/daemons/replica/warmup-coordinator.h
+++ b/daemons/replica/warmup-coordinator.h
@@ -1,5 +1,8 @@
 /*
- * warmup-coordinator.h: the ledger's leader gives sends to cold workers, to itself and to the fronts.
+ * warmup-coordinator.h: the leader's grants of send leases for cold workers, to itself and to the fronts.
+ *
+ * One process grants them all, so that the warmup limit holds for all processes together.  Owns the limiter
+ * of sends to cold workers (forward/warmup-sends.h).
  */
 #pragma once
 
@@ -11,23 +14,25 @@
 
 typedef struct _QuinceWarmupCoordinator QuinceWarmupCoordinator;
 
-/* @may_give: whether this process leads, looked at anew: a quorum has followed it lately */
+/* @workers: (transfer none): must outlive the coordinator
+ * @may_give: whether this process may grant now: it leads and a quorum has followed it lately; called for
+ * each grant */
 QuinceWarmupCoordinator *quince_warmup_coordinator_new (const QuinceWarmupBounds *bounds,
                                                         QuinceWorkerTable *workers,
                                                         gboolean (*may_give) (gpointer user_data),
                                                         gpointer user_data);
 void quince_warmup_coordinator_free (QuinceWarmupCoordinator *coordinator);
-/* @observer: knows the services; must outlive the coordinator's sends */
+/* @observer: (transfer none): looks up services; must outlive the last send */
 void quince_warmup_coordinator_set_observer (QuinceWarmupCoordinator *coordinator, QuinceObserver *observer);
-/* (transfer none) */
+/* Returns: (transfer none): the limiter, for quince_backends_set_warmup() */
 QuinceWarmupSends *quince_warmup_coordinator_get_sends (QuinceWarmupCoordinator *coordinator);
-/* This process leads from now on. */
+/* This process leads from now on, and grants nothing until the leases of the former leader have run out. */
 void quince_warmup_coordinator_lead (QuinceWarmupCoordinator *coordinator);
-/* Returns: whether @message was for it */
+/* Returns: whether @message asks for sends, and was answered on @link */
 gboolean quince_warmup_coordinator_take (QuinceWarmupCoordinator *coordinator,
                                          QuinceLink *link,
                                          const QuinceMessage *message);
-/* Called several times a second. */
+/* Removes expired leases; to be called several times a second. */
 void quince_warmup_coordinator_step (QuinceWarmupCoordinator *coordinator);
 
 G_END_DECLS
--- a/daemons/replica/worker-scaler.c
+++ b/daemons/replica/worker-scaler.c
@@ -1,5 +1,5 @@
 /*
- * worker-scaler.c: from what is listed of workers to the platform's answer to an order.
+ * worker-scaler.c: orders workers from the platform in place of lost ones, and gives them back.
  */
 #include "worker-scaler.h"
 
@@ -12,9 +12,11 @@
 
 #include "platform.h"
 
-/* An answer usually takes some ms; a call that is slower may have been taken, and is made again. */
+/* Longest call of the platform, us: an answer usually takes some ms.  A slower call may have been accepted
+ * and is repeated.  Not measured. */
 #define CALL_TIMEOUT_US (1500 * 1000)
-/* Chosen: workers are listed about as seldom, and counting them and the open samples costs some 0.1 ms. */
+/* Interval between two counts of workers, us.  Not measured: the list of workers changes about as seldom, and
+ * counting them and the open samples costs about 0.1 ms. */
 #define CHECK_INTERVAL_US (400 * 1000)
 
 struct _QuinceWorkerScaler
@@ -29,9 +31,9 @@
   QuinceHttpPool *platform;
   QuinceScalePlan *plan;
   gboolean leads;
-  gint64 check_due_us; /* no look before */
+  gint64 check_due_us; /* monotonic: next count */
 
-  QuinceHttpExchange *exchange; /* the order on its way */
+  QuinceHttpExchange *exchange; /* the order in progress; NULL: none */
   QuinceScaleOrder order;
   char *service; /* owned: of that order */
 };
@@ -81,7 +83,7 @@
   scaler->exchange = quince_http_pool_start (scaler->platform, &request, &order_callbacks, scaler);
 }
 
-/* ---- What is seen ------------------------------------------------------- */
+/* ---- Counts of workers ---------------------------------------------------- */
 
 static QuinceZoneStrength *
 find_capacity (GArray *zones, const char *zone)
@@ -94,7 +96,8 @@
   return &g_array_index (zones, QuinceZoneStrength, zones->len - 1);
 }
 
-/* A worker whose entry vanished while the store was away counts as serving: it is likely there. */
+/* A worker whose entry disappeared in an outage of the store still counts as serving: it likely runs.
+ * Returns: (transfer full) (element-type QuinceZoneStrength) */
 static GArray *
 check_zones (QuinceWorkerScaler *scaler, const QuinceService *service)
 {
@@ -115,7 +118,7 @@
   return zones;
 }
 
-/* Workers that the open samples take to end in time; it is not asked where nothing is lost. */
+/* Workers that the open samples need to end in time; 0 where none is lost, when it doesn't matter. */
 static guint
 count_needed (QuinceWorkerScaler *scaler, const QuinceService *service)
 {
--- a/daemons/replica/worker-scaler.h
+++ b/daemons/replica/worker-scaler.h
@@ -1,8 +1,11 @@
 /*
  * worker-scaler.h: orders workers from the platform in place of lost ones, and gives them back.
  *
- * The ledger's leader alone does it, under its epoch as the fence, one call at a time.  All replicas follow
- * how many workers stand in each zone, so that a new leader knows what stood there; see scale-plan.h.
+ * Only the ledger's leader orders, with its epoch as the fencing token, one call at a time.  All replicas
+ * count the workers of each zone, so that a new leader knows how many there were; the decisions are those of
+ * core/scaling/scale-plan.h.
+ *
+ * Owns the plan, the connections to the platform and the order in progress.
  */
 #pragma once
 
@@ -14,11 +17,10 @@
 
 /**
  * QuinceWorkerScalerOptions:
- * @holder: name of this machine
- * @address: of the platform's calls
- * @count_needed: places at workers of a service that its open samples take to end in time
- *
- * @ledger, @backends and @observer are not owned.
+ * @holder: name of this machine, copied
+ * @address: ip:port of the platform's calls
+ * @ledger, @backends, @observer: (transfer none): must outlive the scaler
+ * @count_needed: slots at workers of a service that its open samples need to end in time
  */
 typedef struct
 {
@@ -34,5 +36,7 @@
 void quince_worker_scaler_free (QuinceWorkerScaler *scaler); /* (nullable) */
 void quince_worker_scaler_lead (QuinceWorkerScaler *scaler);
 void quince_worker_scaler_stop_leading (QuinceWorkerScaler *scaler);
-/* To be called several times a second, whether this replica leads or not. */
+/* Counts workers and orders what is due; to be called several times a second, whether this replica leads or
+ * not.
+ */
 void quince_worker_scaler_step (QuinceWorkerScaler *scaler);
