--- a/daemons/replica/sample-dispatch.c
+++ b/daemons/replica/sample-dispatch.c
@@ -5,7 +5,7 @@
  */
 #include "runtime/log.h"
 #include "forward/residency-lookup.h"
-#include "core/batches/sample-plan.h"
+#include "core/decisions/sample-move.h"
 #include "runtime/clock.h"
 
 #include "sample-runner-private.h"
@@ -323,8 +323,8 @@
 {
   double remaining_most = G_MAXINT;
   return !worker->loading
-         && quince_sample_plan_move_pays (remaining_most, quince_worker_get_pace_us (worker, now_us),
-                                          view->fastest_pace_us);
+         && quince_sample_move_pays (remaining_most, quince_worker_get_pace_us (worker, now_us),
+                                     view->fastest_pace_us);
 }
 
 static gboolean
@@ -342,8 +342,8 @@
     {
       gint64 there = best_pace_elsewhere (runner, sample, &view, now_us);
       pays = there > 0
-             && quince_sample_plan_move_pays (remaining_events (runner, sample),
-                                              quince_worker_get_pace_us (worker, now_us), there);
+             && quince_sample_move_pays (remaining_events (runner, sample),
+                                         quince_worker_get_pace_us (worker, now_us), there);
     }
   g_ptr_array_unref (view.workers);
   return pays;
@@ -353,7 +353,7 @@
 quince_sample_dispatch_move (QuinceSampleRunner *runner, gint64 now_us)
 {
   guint moves = 0;
-  if (!quince_sample_plan_may_move (&runner->move_watch, now_us))
+  if (!quince_sample_move_is_time (&runner->move_watch, now_us))
     return;
   for (guint i = 0; i < runner->samples->len && moves < MOVES_AT_ONCE; i++)
     {
--- a/daemons/replica/sample-runner-private.h
+++ b/daemons/replica/sample-runner-private.h
@@ -7,7 +7,7 @@
  */
 #pragma once
 
-#include "core/batches/sample-plan.h"
+#include "core/decisions/sample-move.h"
 #include "core/batches/length-model.h"
 
 #include "sample-runner.h"
--- a/daemons/replica/sample.c
+++ b/daemons/replica/sample.c
@@ -7,7 +7,7 @@
 #include "sample.h"
 
 #include "runtime/log.h"
-#include "core/batches/sample-plan.h"
+#include "core/decisions/sample-move.h"
 #include "runtime/clock.h"
 
 /* A run's silence is looked at so often; how much of it is borne changes with the worker's pace. */
@@ -259,7 +259,7 @@
 {
   const QuinceWorker *worker = worker_of (sample);
   gboolean measured = worker != NULL && !worker->loading && sample->event_us > 0;
-  return quince_sample_plan_silence_ms (measured ? worker->pace_us : 0);
+  return quince_silence_sample_ms (measured ? worker->pace_us : 0);
 }
 
 static gboolean
--- a/lib/core/batches/sample-plan.c
+++ b/lib/core/decisions/sample-move.c
@@ -1,7 +1,7 @@
 /*
- * sample-plan.c: decisions about running samples.
+ * sample-move.c: decisions about running samples.
  */
-#include "core/batches/sample-plan.h"
+#include "core/decisions/sample-move.h"
 
 /* A run that says nothing is given up after this many times its worker's time an event, but not before the
  * least: a load of weights stops a worker for about a second, and one that another leader ordered is not
@@ -26,7 +26,7 @@
 #define MOVE_SETTLE_US (1000 * 1000)
 
 guint
-quince_sample_plan_silence_ms (gint64 pace_us)
+quince_silence_sample_ms (gint64 pace_us)
 {
   if (pace_us <= 0)
     return SILENCE_MAX_MS;
@@ -34,7 +34,7 @@
 }
 
 gboolean
-quince_sample_plan_move_pays (double remaining, gint64 pace_us, gint64 other_pace_us)
+quince_sample_move_pays (double remaining, gint64 pace_us, gint64 other_pace_us)
 {
   double here_us = remaining * (double)pace_us;
   double there_us = remaining * (double)other_pace_us + MOVE_COST_US;
@@ -43,7 +43,7 @@
 }
 
 gboolean
-quince_sample_plan_may_move (QuinceMoveWatch *watch, gint64 now_us)
+quince_sample_move_is_time (QuinceMoveWatch *watch, gint64 now_us)
 {
   gint64 since_us = now_us - watch->checked_us;
   if (watch->checked_us != 0 && since_us < MOVE_CHECK_US)
--- a/tests/unit/test-sample-plan.c
+++ b/tests/unit/test-decisions-sample-move.c
@@ -1,5 +1,5 @@
 /*
- * test-sample-plan.c: expected lengths, workers' paces, and what is decided from them.
+ * test-decisions-sample-move.c: expected lengths, workers' paces, and what is decided from them.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -10,7 +10,7 @@
 
 #include "core/batches/length-model.h"
 #include "core/routing/routing.h"
-#include "core/batches/sample-plan.h"
+#include "core/decisions/sample-move.h"
 
 #define SECOND G_USEC_PER_SEC
 #define EVENT_US (40 * 1000)
@@ -81,22 +81,22 @@
 static void
 test_silence_by_pace (void **state)
 {
-  guint unknown = quince_sample_plan_silence_ms (0);
-  guint fast = quince_sample_plan_silence_ms (EVENT_US);
+  guint unknown = quince_silence_sample_ms (0);
+  guint fast = quince_silence_sample_ms (EVENT_US);
   assert_true (fast < unknown);
   assert_true (fast >= 1200); /* a load of weights stops a worker for 0.9 s and more */
-  assert_int_equal (quince_sample_plan_silence_ms (SECOND), unknown);
+  assert_int_equal (quince_silence_sample_ms (SECOND), unknown);
 }
 
 static void
 test_move_must_pay (void **state)
 {
-  assert_true (quince_sample_plan_move_pays (100, 3 * EVENT_US, EVENT_US));
-  assert_false (quince_sample_plan_move_pays (100, EVENT_US, EVENT_US));
-  assert_false (quince_sample_plan_move_pays (100, 11 * EVENT_US / 10, EVENT_US));
+  assert_true (quince_sample_move_pays (100, 3 * EVENT_US, EVENT_US));
+  assert_false (quince_sample_move_pays (100, EVENT_US, EVENT_US));
+  assert_false (quince_sample_move_pays (100, 11 * EVENT_US / 10, EVENT_US));
   /* Nearly done: it would gain nothing to speak of. */
-  assert_false (quince_sample_plan_move_pays (5, 3 * EVENT_US, EVENT_US));
-  assert_false (quince_sample_plan_move_pays (100, 0, EVENT_US));
+  assert_false (quince_sample_move_pays (5, 3 * EVENT_US, EVENT_US));
+  assert_false (quince_sample_move_pays (100, 0, EVENT_US));
 }
 
 /* While this process is late itself, what it measures of workers moves no run. */
@@ -105,15 +105,15 @@
 {
   QuinceMoveWatch watch = { 0 };
   gint64 now = 1000 * SECOND;
-  assert_true (quince_sample_plan_may_move (&watch, now));
-  assert_false (quince_sample_plan_may_move (&watch, now + SECOND / 100)); /* only just looked */
+  assert_true (quince_sample_move_is_time (&watch, now));
+  assert_false (quince_sample_move_is_time (&watch, now + SECOND / 100)); /* only just looked */
   for (guint i = 0; i < 20; i++)
-    assert_true (quince_sample_plan_may_move (&watch, now += SECOND / 8));
+    assert_true (quince_sample_move_is_time (&watch, now += SECOND / 8));
   now += SECOND / 2; /* this process stood still */
-  assert_false (quince_sample_plan_may_move (&watch, now));
+  assert_false (quince_sample_move_is_time (&watch, now));
   for (guint i = 0; i < 7; i++)
-    assert_false (quince_sample_plan_may_move (&watch, now += SECOND / 8));
-  assert_true (quince_sample_plan_may_move (&watch, now += SECOND / 8));
+    assert_false (quince_sample_move_is_time (&watch, now += SECOND / 8));
+  assert_true (quince_sample_move_is_time (&watch, now += SECOND / 8));
 }
 
 int
