--- a/daemons/front/caller-request.c
+++ b/daemons/front/caller-request.c
@@ -8,6 +8,7 @@
 
 #include <string.h>
 
+#include "core/decisions/retry-after.h"
 #include "forward/stream.h"
 #include "runtime/log.h"
 #include "runtime/metrics.h"
@@ -18,14 +19,6 @@
 
 /* Where a request names no deadline. */
 #define DEADLINE_DEFAULT_MS 30000
-/* A caller that is refused may come back after it. */
-#define RETRY_AFTER_MS 200
-#define LEDGER_RETRY_AFTER_MS 300
-/* Where all workers stand in evacuated zones: that one is back may be known no sooner at every front, and a
- * caller that comes before is refused again. */
-#define EVACUATED_RETRY_AFTER_MS QUINCE_OBSERVER_CHANGE_BOUND_MIN_MS
-/* Where no machine may serve it: an operator has to change something first. */
-#define RESIDENCY_RETRY_AFTER_MS 1000
 /* How long a ledger call may take beyond what its caller lets it wait. */
 #define LEDGER_READ_MS 1500
 #define LEDGER_SUBMIT_MS 4000
@@ -142,13 +135,23 @@
   finish (request, &answer);
 }
 
+/* @known_ms: when the cause may be over, as its owner knows it; 0: not known */
+static guint
+retry_after (QuinceRefusalCause cause, guint known_ms)
+{
+  const QuinceRetryAfterCase refused
+      = { .cause = cause, .known_ms = known_ms, .zone_change_ms = QUINCE_OBSERVER_CHANGE_BOUND_MIN_MS };
+  return quince_retry_after_ms (&refused);
+}
+
 /* No worker has run it, and none will.  @known_retry_after_ms: when a worker may take it; 0: not known */
 static void
 finish_refused (QuinceCallerRequest *request, const char *cause, guint known_retry_after_ms)
 {
   gboolean evacuated = g_strcmp0 (cause, QUINCE_FORWARD_CAUSE_EVACUATED) == 0;
-  guint usual_ms = evacuated ? EVACUATED_RETRY_AFTER_MS : RETRY_AFTER_MS;
-  finish_error (request, 503, cause != NULL ? cause : "no_worker", MAX (known_retry_after_ms, usual_ms));
+  QuinceRefusalCause refusal = evacuated ? QUINCE_REFUSED_EVACUATED : QUINCE_REFUSED_NO_WORKER;
+  finish_error (request, 503, cause != NULL ? cause : "no_worker",
+                retry_after (refusal, known_retry_after_ms));
 }
 
 /* ---- Streams ---------------------------------------------------------- */
@@ -264,7 +267,7 @@
   QuincePolicyAdmission admission;
   quince_backends_admit (request->front->backends, &described, &admission);
   if (admission.refuse)
-    finish_error (request, 503, "policy", MAX (admission.retry_after_ms, RETRY_AFTER_MS));
+    finish_error (request, 503, "policy", retry_after (QUINCE_REFUSED_POLICY, admission.retry_after_ms));
   return !admission.refuse;
 }
 
@@ -279,7 +282,7 @@
   const char *service = quince_front_next_service (request->front, route);
   if (!quince_residency_check_workers (request->front, route, request->tenant, service))
     {
-      finish_error (request, 503, "residency", RESIDENCY_RETRY_AFTER_MS);
+      finish_error (request, 503, "residency", retry_after (QUINCE_REFUSED_RESIDENCY, 0));
       return FALSE;
     }
   if (!admit_request (request, route, service, deadline_ms))
@@ -327,7 +330,7 @@
     }
   if (outcome != QUINCE_LEDGER_CALL_ANSWERED)
     {
-      finish_error (request, 503, "ledger_unreachable", LEDGER_RETRY_AFTER_MS);
+      finish_error (request, 503, "ledger_unreachable", retry_after (QUINCE_REFUSED_LEDGER, 0));
       return;
     }
   if (reply->status >= 500)
@@ -384,7 +387,7 @@
 {
   QuinceRouteTable *routes = quince_observer_get_routes (request->front->observer);
   if (routes == NULL)
-    finish_error (request, 503, "no_configuration", RETRY_AFTER_MS);
+    finish_error (request, 503, "no_configuration", retry_after (QUINCE_REFUSED_NO_CONFIGURATION, 0));
   return routes;
 }
 
@@ -410,7 +413,7 @@
     return forward_request (request, route);
   if (!quince_residency_check_ledger (request->front, route, request->tenant))
     {
-      finish_error (request, 503, "residency_ledger", RESIDENCY_RETRY_AFTER_MS);
+      finish_error (request, 503, "residency_ledger", retry_after (QUINCE_REFUSED_RESIDENCY, 0));
       return FALSE;
     }
   call_ledger (request);
--- /dev/null
+++ b/lib/core/decisions/retry-after.c
@@ -0,0 +1,49 @@
+/*
+ * retry-after.c: the Retry-After that a refused caller is given.
+ */
+#include "core/decisions/retry-after.h"
+
+/* Shortest Retry-After, ms, where workers have no room, the policy refuses, or no configuration is known. Not
+ * measured: several usual runs of a lookup (25 ms), so that places are free again. */
+#define USUAL_MIN_MS 200
+/* Shortest Retry-After of a call about batches, ms.  Not measured: a part of the second or so in which
+ * another leader follows a lost one, so that a submission is late by a fraction of that. */
+#define LEDGER_MIN_MS 300
+/* Shortest Retry-After where no machine of the allowed regions keeps the ledger, ms.  Not measured: an
+ * operator has to change something first. */
+#define RESIDENCY_MIN_MS 1000
+/* Microseconds in a millisecond. */
+#define MILLISECOND_US 1000
+
+static guint
+shortest_ms (const QuinceRetryAfterCase *refused)
+{
+  switch (refused->cause)
+    {
+    case QUINCE_REFUSED_EVACUATED:
+      /* A caller that came sooner would be refused by fronts that don't know of the change yet. */
+      return refused->zone_change_ms;
+    case QUINCE_REFUSED_RESIDENCY:
+      return RESIDENCY_MIN_MS;
+    case QUINCE_REFUSED_LEDGER:
+      return LEDGER_MIN_MS;
+    case QUINCE_REFUSED_NO_WORKER:
+    case QUINCE_REFUSED_POLICY:
+    case QUINCE_REFUSED_NO_CONFIGURATION:
+    default:
+      return USUAL_MIN_MS;
+    }
+}
+
+guint
+quince_retry_after_ms (const QuinceRetryAfterCase *refused)
+{
+  return MAX (refused->known_ms, shortest_ms (refused));
+}
+
+guint
+quince_retry_after_until_ms (gint64 free_us, gint64 now_us)
+{
+  gint64 left_us = MAX (free_us, now_us) - now_us;
+  return (guint)((left_us + MILLISECOND_US - 1) / MILLISECOND_US);
+}
