--- a/daemons/replica/batch-answers.c
+++ b/daemons/replica/batch-answers.c
@@ -3,13 +3,12 @@
  */
 #include "batch-answers.h"
 
+#include "core/decisions/retry-after.h"
 #include "runtime/log.h"
 #include "runtime/clock.h"
 
 #include "platform.h"
 
-/* Retry-After of refusals, ms: electing a new leader takes about a second, so a caller asks a few times. */
-#define RETRY_AFTER_MS 300
 /* Texts of results in one answer; the platform allows 1 MB with all that stands around them. */
 #define RESULTS_MAX_BYTES (700 * 1024)
 
@@ -38,7 +37,9 @@
 void
 quince_batch_answer_status (QuinceLink *link, guint64 id, guint status)
 {
-  reply (link, id, status, "", NULL, status == 503 || status == 429 ? RETRY_AFTER_MS : 0);
+  const QuinceRetryAfterCase refused = { .cause = QUINCE_REFUSED_LEDGER };
+  gboolean may_retry = status == 503 || status == 429;
+  reply (link, id, status, "", NULL, may_retry ? quince_retry_after_ms (&refused) : 0);
 }
 
 /* Decodes the results from @position on, as many as one answer holds. Returns: FALSE with @error: one of them
