--- /dev/null
+++ b/lib/core/decisions/admission.c
@@ -0,0 +1,47 @@
+/*
+ * admission.c: whether the send guard lets a request be sent to a worker now.
+ */
+#include "core/decisions/admission.h"
+
+/* Shortest time for which a request waits for its admission, us.  Not measured: more than the check of a
+ * worker (150 ms) and a run of a lookup (25 ms) take. */
+#define WAIT_MIN_US (200 * 1000)
+
+QuinceAdmission
+quince_admission_of_request (const QuinceAdmissionCase *request)
+{
+  if (request->rule == QUINCE_SEND_HELD)
+    return QUINCE_ADMISSION_HELD;
+  if (request->loss_checked || request->permit_in_use)
+    return QUINCE_ADMISSION_WAIT;
+  if (request->rule == QUINCE_SEND_FREE)
+    return QUINCE_ADMISSION_GRANTED;
+  return request->gives_way ? QUINCE_ADMISSION_WAIT : QUINCE_ADMISSION_PERMIT;
+}
+
+QuinceAdmission
+quince_admission_of_permit (QuincePermitState state, gboolean alone)
+{
+  switch (state)
+    {
+    case QUINCE_PERMIT_GIVEN:
+      return QUINCE_ADMISSION_PERMIT;
+    case QUINCE_PERMIT_NO_LEADER:
+      return alone ? QUINCE_ADMISSION_UNSURE : QUINCE_ADMISSION_CAREFUL;
+    case QUINCE_PERMIT_PENDING:
+    default:
+      return QUINCE_ADMISSION_WAIT;
+    }
+}
+
+gboolean
+quince_admission_allows_hedge (const QuinceAdmissionCase *request)
+{
+  return request->rule == QUINCE_SEND_FREE && !request->loss_checked;
+}
+
+gboolean
+quince_admission_waits_on (gint64 waited_us, gint64 target_latency_us)
+{
+  return waited_us < MAX (target_latency_us, WAIT_MIN_US);
+}
--- /dev/null
+++ b/lib/core/decisions/admission.h
@@ -0,0 +1,89 @@
+/*
+ * admission.h: whether the send guard lets a request, stream or sample be sent to a worker now.
+ *
+ * For: lib/forward/send-guard.c, which collects the inputs.  Owns nothing; pure.  Relies on: the quarantine
+ * (core/request/quarantine.h) and the capacity of the service (core/request/service-capacity.h).
+ */
+#pragma once
+
+#include "core/request/quarantine.h"
+
+G_BEGIN_DECLS
+
+/* Whether a request may be sent now. */
+typedef enum
+{
+  QUINCE_ADMISSION_GRANTED,   /* yes                                                                  */
+  QUINCE_ADMISSION_CAREFUL,   /* yes, to one worker at a time                                         */
+  QUINCE_ADMISSION_PERMIT,    /* the same, under a permit that must be given back                     */
+  QUINCE_ADMISSION_WAIT,      /* not yet: ask again after QUINCE_ADMISSION_RETRY_MS                   */
+  QUINCE_ADMISSION_UNSURE,    /* no: it needs a permit, and there is no leader to give one            */
+  QUINCE_ADMISSION_PROTECTED, /* no: the loss of one more worker would leave too few of the service   */
+  QUINCE_ADMISSION_HELD,      /* no: it is held                                                       */
+} QuinceAdmission;
+
+/* Pause before a waiting request asks again, ms.  Not measured: about a round trip to the leader (up to 6 ms
+ * between the users' zones). */
+#define QUINCE_ADMISSION_RETRY_MS 5
+
+/**
+ * QuinceAdmissionCase:
+ * @rule: the stricter one of what the quarantine knows of the request and of its prompt
+ * @loss_checked: it is not decided yet whether a worker ended under the request or its prompt
+ * @permit_in_use: this process sends another request under the same permit
+ * @gives_way: it shares a suspect prompt with a request that was sent a moment ago
+ */
+typedef struct
+{
+  QuinceSendRule rule;
+  gboolean loss_checked;
+  gboolean permit_in_use;
+  gboolean gives_way;
+} QuinceAdmissionCase;
+
+/**
+ * quince_admission_of_request:
+ *
+ * Decides by what is known of the request.  Reason: a request that makes workers crash must not be repeated
+ * until a service has none left; see docs/design/worker-ends.md.
+ *
+ * Returns: QUINCE_ADMISSION_GRANTED, WAIT or HELD; QUINCE_ADMISSION_PERMIT: it is a suspect, and its service
+ * and the leader have a say as well
+ */
+QuinceAdmission quince_admission_of_request (const QuinceAdmissionCase *request);
+
+/* How far the request for a permit has come. */
+typedef enum
+{
+  QUINCE_PERMIT_PENDING,   /* nothing yet, or another request has the permit */
+  QUINCE_PERMIT_GIVEN,     /* the permit is given                            */
+  QUINCE_PERMIT_NO_LEADER, /* there is no leader to ask                      */
+} QuincePermitState;
+
+/**
+ * quince_admission_of_permit:
+ * @alone: the request may run beside no other suspect of its service
+ *
+ * Decides by the leader's answer.
+ *
+ * Edges: without a leader a request under which one worker ended is sent with care, as far as this process
+ * knows; one that must be alone is not sent, since other processes may send suspects at the same moment.
+ */
+QuinceAdmission quince_admission_of_permit (QuincePermitState state, gboolean alone);
+
+/* Whether a hedge may begin, by what is known of the request: only where nothing is.  The capacity of the
+ * service must allow it as well: quince_service_capacity_allows_hedge().  @rule and @loss_checked are read.
+ */
+gboolean quince_admission_allows_hedge (const QuinceAdmissionCase *request);
+
+/**
+ * quince_admission_waits_on:
+ * @waited_us: since the first QUINCE_ADMISSION_WAIT in a row, us
+ * @target_latency_us: of the request's route, us
+ *
+ * Decides whether a lookup or stream goes on waiting: for as long as its latency target, at least 0.2 s.
+ * After that it counts as QUINCE_ADMISSION_UNSURE.  Samples wait without a bound.
+ */
+gboolean quince_admission_waits_on (gint64 waited_us, gint64 target_latency_us);
+
+G_END_DECLS
--- a/lib/forward/dispatch.c
+++ b/lib/forward/dispatch.c
@@ -6,9 +6,6 @@
 #include "runtime/log.h"
 #include "runtime/clock.h"
 
-/* A request waits at least so long for leave: more than a check of a worker and a run of a lookup take. */
-#define WAIT_MIN_US (200 * 1000)
-
 void
 quince_dispatch_init (QuinceDispatch *dispatch,
                       QuinceBackends *backends,
@@ -200,15 +197,15 @@
   return identity;
 }
 
-/* ---- Leave to send ------------------------------------------------------ */
+/* ---- Admission ------------------------------------------------------- */
 
 static QuinceAdmission
 wait_for_admission (QuinceDispatch *dispatch, gint64 now_us)
 {
   if (dispatch->waits_us == 0)
     dispatch->waits_us = now_us;
-  gboolean patient = now_us - dispatch->waits_us < MAX (dispatch->target_latency_us, WAIT_MIN_US);
-  return patient ? QUINCE_ADMISSION_WAIT : QUINCE_ADMISSION_UNSURE;
+  gboolean waits_on = quince_admission_waits_on (now_us - dispatch->waits_us, dispatch->target_latency_us);
+  return waits_on ? QUINCE_ADMISSION_WAIT : QUINCE_ADMISSION_UNSURE;
 }
 
 QuinceAdmission
@@ -218,16 +215,16 @@
   if (guard == NULL || quince_send_guard_is_idle (guard))
     return QUINCE_ADMISSION_GRANTED;
   const QuinceRequestIdentity *identity = quince_dispatch_get_identity (dispatch);
-  QuinceAdmission leave
+  QuinceAdmission admission
       = quince_send_guard_ask (guard, now_us, identity, dispatch->service, &dispatch->permit);
-  if (leave == QUINCE_ADMISSION_WAIT)
+  if (admission == QUINCE_ADMISSION_WAIT)
     return wait_for_admission (dispatch, now_us);
   dispatch->waits_us = 0;
-  if (leave == QUINCE_ADMISSION_HELD)
+  if (admission == QUINCE_ADMISSION_HELD)
     quince_send_guard_log_held (guard, now_us, identity, dispatch->request_id);
-  else if (leave == QUINCE_ADMISSION_PROTECTED)
+  else if (admission == QUINCE_ADMISSION_PROTECTED)
     quince_send_guard_log_protected (guard, now_us, identity, dispatch->request_id, dispatch->service);
-  return leave;
+  return admission;
 }
 
 void
--- a/lib/forward/dispatch.h
+++ b/lib/forward/dispatch.h
@@ -27,7 +27,7 @@
   QuinceRequestIdentity identity; /* see quince_dispatch_get_identity() */
   gboolean has_identity;
   QuinceSendPermit permit; /* of the send in progress */
-  gint64 waits_us;         /* since when it waits for leave to be sent; 0: it does not */
+  gint64 waits_us;         /* since when it waits for its admission, monotonic; 0: it does not */
   char **prompt;           /* NULL: nothing of it is kept */
   GHashTable *avoid;       /* ids of workers that were tried */
   guint attempts;          /* sends so far */
--- a/lib/forward/send-guard.c
+++ b/lib/forward/send-guard.c
@@ -201,6 +201,15 @@
   g_hash_table_remove_all (guard->asks);
 }
 
+/* @ask: (nullable) */
+static QuincePermitState
+state_of (const Ask *ask)
+{
+  if (ask == NULL)
+    return QUINCE_PERMIT_NO_LEADER;
+  return ask->state == ASK_GIVEN ? QUINCE_PERMIT_GIVEN : QUINCE_PERMIT_PENDING;
+}
+
 static QuinceAdmission
 ask_permit (QuinceSendGuard *guard,
             gint64 now_us,
@@ -212,12 +221,9 @@
   const Ask *ask = g_hash_table_lookup (guard->asks, digest);
   if (ask == NULL || !is_current (ask, now_us, alone))
     ask = ask_again (guard, now_us, digest, service, alone);
-  if (ask == NULL && alone)
-    return QUINCE_ADMISSION_UNSURE;
-  if (ask == NULL)
-    return QUINCE_ADMISSION_CAREFUL;
-  if (ask->state != ASK_GIVEN)
-    return QUINCE_ADMISSION_WAIT;
+  QuinceAdmission admission = quince_admission_of_permit (state_of (ask), alone);
+  if (admission != QUINCE_ADMISSION_PERMIT)
+    return admission;
   *permit = (QuinceSendPermit){ .taken = TRUE, .alone = ask->alone, .digest = *digest };
   g_hash_table_add (guard->held, g_memdup2 (digest, sizeof *digest));
   g_hash_table_remove (guard->asks, digest);
@@ -254,14 +260,14 @@
   QuinceSendRule rule = judge (guard, identity, &of_prompt);
   /* One permit for all that share a suspected prompt. */
   const QuinceRequestDigest *digest = of_prompt != QUINCE_SEND_FREE ? &identity->prompt : &identity->request;
-  if (rule == QUINCE_SEND_HELD)
-    return QUINCE_ADMISSION_HELD;
-  if (is_checked (guard, identity) || g_hash_table_contains (guard->held, digest))
-    return QUINCE_ADMISSION_WAIT;
-  if (rule == QUINCE_SEND_FREE)
-    return QUINCE_ADMISSION_GRANTED;
-  if (quince_quarantine_gives_way (guard->quarantine, now_us, identity))
-    return QUINCE_ADMISSION_WAIT;
+  const QuinceAdmissionCase request
+      = { .rule = rule,
+          .loss_checked = is_checked (guard, identity),
+          .permit_in_use = g_hash_table_contains (guard->held, digest),
+          .gives_way = quince_quarantine_gives_way (guard->quarantine, now_us, identity) };
+  QuinceAdmission admission = quince_admission_of_request (&request);
+  if (admission != QUINCE_ADMISSION_PERMIT)
+    return admission;
   if (!quince_send_guard_bears_end (guard, now_us, service, 0))
     return QUINCE_ADMISSION_PROTECTED;
   return ask_permit (guard, now_us, digest, service, rule == QUINCE_SEND_ALONE, permit);
@@ -274,8 +280,9 @@
                              const char *service)
 {
   QuinceSendRule of_prompt;
-  return judge (guard, identity, &of_prompt) == QUINCE_SEND_FREE && !is_checked (guard, identity)
-         && quince_send_guard_bears_hedge (guard, now_us, service);
+  const QuinceAdmissionCase request
+      = { .rule = judge (guard, identity, &of_prompt), .loss_checked = is_checked (guard, identity) };
+  return quince_admission_allows_hedge (&request) && quince_send_guard_bears_hedge (guard, now_us, service);
 }
 
 void
--- a/lib/forward/send-guard.h
+++ b/lib/forward/send-guard.h
@@ -7,6 +7,7 @@
  */
 #pragma once
 
+#include "core/decisions/admission.h"
 #include "core/request/quarantine.h"
 #include "core/routing/routing.h"
 #include "core/request/service-capacity.h"
@@ -51,20 +52,6 @@
 /* (transfer none) (nullable): @workers must outlive the guard; without them every service bears every end. */
 void quince_send_guard_set_workers (QuinceSendGuard *guard, QuinceWorkerTable *workers);
 
-/* Whether a request may be sent now. */
-typedef enum
-{
-  QUINCE_ADMISSION_GRANTED,   /* yes                                                          */
-  QUINCE_ADMISSION_CAREFUL,   /* yes, to one worker at a time                                 */
-  QUINCE_ADMISSION_PERMIT,    /* the same, under a permit that must be ended by a call below  */
-  QUINCE_ADMISSION_WAIT,      /* ask again after QUINCE_ADMISSION_RETRY_MS                        */
-  QUINCE_ADMISSION_UNSURE,    /* no: it needs a permit, and nobody gives one                  */
-  QUINCE_ADMISSION_PROTECTED, /* no: its end would leave too few workers of the service       */
-  QUINCE_ADMISSION_HELD,      /* no                                                           */
-} QuinceAdmission;
-
-#define QUINCE_ADMISSION_RETRY_MS 5
-
 /* What a send is made under; it must be ended by one of the calls below. */
 typedef struct
 {
