--- /dev/null
+++ b/lib/core/decisions/sample-move.c
@@ -0,0 +1,55 @@
+/*
+ * sample-move.c: when a running sample is cut and resumed at a faster worker.
+ */
+#include "core/decisions/sample-move.h"
+
+/* A run is measured for so long before it moves, us, and moves no more often.  Not measured: the smoothed
+ * pace of a worker has settled after some 16 events of 45 ms. */
+#define MEASURED_MIN_US (700 * 1000)
+/* Runs of one sample that may end by a move: bounds what a wrong pace can cost.  Not measured. */
+#define MOVES_MAX 4
+/* Cost of a move, us: a connection, a place at the other worker and the reading of the text so far take tens
+ * of ms at the users' workers; the rest is room for a busy worker. */
+#define COST_US (150 * 1000)
+/* Shortest time that a move must save, us, or measured paces would send runs to and fro.  Not measured by
+ * itself. */
+#define GAIN_MIN_US (500 * 1000)
+/* Part of the time left that a move must save, for the same reason.  Not measured by itself. */
+#define GAIN_PART 0.25
+/* Interval of the checks, us: a leader that runs a thousand samples begins and ends hundreds of runs a
+ * second. */
+#define CHECK_US (100 * 1000)
+/* A check that comes so much later than it should shows a busy process, us.  Checks are made by a timer of
+ * 100 ms and by events: one that is missed by a hair comes 100 ms late in a calm process. */
+#define LATE_US (200 * 1000)
+/* Time without moves after a late check, us.  Chosen: the smoothed pace of a worker has forgotten one late
+ * event after some 16 of 45 ms. */
+#define SETTLE_US (1000 * 1000)
+
+gboolean
+quince_sample_move_is_allowed (const QuinceSampleMoveCase *sample)
+{
+  return sample->measured && sample->moves < MOVES_MAX && !sample->single_version
+         && sample->run_us >= MEASURED_MIN_US;
+}
+
+gboolean
+quince_sample_move_pays (double remaining, gint64 pace_us, gint64 other_pace_us)
+{
+  double here_us = remaining * (double)pace_us;
+  double there_us = remaining * (double)other_pace_us + COST_US;
+  double gain_us = here_us - there_us;
+  return pace_us > 0 && gain_us >= GAIN_MIN_US && gain_us >= GAIN_PART * here_us;
+}
+
+gboolean
+quince_sample_move_is_time (QuinceMoveWatch *watch, gint64 now_us)
+{
+  gint64 since_us = now_us - watch->checked_us;
+  if (watch->checked_us != 0 && since_us < CHECK_US)
+    return FALSE;
+  if (watch->checked_us != 0 && since_us > CHECK_US + LATE_US)
+    watch->trust_us = now_us + SETTLE_US;
+  watch->checked_us = now_us;
+  return now_us >= watch->trust_us;
+}
