--- a/daemons/front/front.h
+++ b/daemons/front/front.h
@@ -5,6 +5,7 @@
 
 #include "forward/backends.h"
 #include "http1/http1.h"
+#include "meta/meta-presence.h"
 #include "runtime/link.h"
 #include "core/routing/machine-zones.h"
 #include "observer/observer.h"
--- a/daemons/front/suspect-notice.c
+++ b/daemons/front/suspect-notice.c
@@ -3,6 +3,7 @@
  */
 #include "suspect-notice.h"
 
+#include "meta/meta-presence.h"
 #include "observer/observer.h"
 #include "forward/suspect-list.h"
 #include "runtime/clock.h"
--- a/lib/meta/meta-copy.h
+++ b/lib/meta/meta-copy.h
@@ -4,7 +4,7 @@
  */
 #pragma once
 
-#include "meta/meta-store.h"
+#include "meta/meta-item.h"
 
 typedef struct _QuinceMetaCopy QuinceMetaCopy;
 
--- a/lib/meta/meta-mirror.c
+++ b/lib/meta/meta-mirror.c
@@ -7,6 +7,7 @@
 #include "runtime/clock.h"
 
 #include "meta-copy.h"
+#include "meta/meta-mirror.h"
 #include "meta-private.h"
 
 #define RETRY_MIN_MS 100
@@ -354,6 +355,27 @@
   return TRUE;
 }
 
+/* ---- The store's return ----------------------------------------------- */
+
+/* A cut connection gives no sign by itself: a watch that began before the store returned may never be
+ * answered, and is begun anew.  So does a mirror that waits for the store. */
+static void
+store_regained (gint64 regained_us, gpointer data)
+{
+  QuinceMetaMirror *mirror = data;
+  gboolean swallowed = mirror->call != NULL && mirror->watching && mirror->watch_began_us < regained_us;
+  if (!swallowed && !mirror->waiting)
+    return;
+  if (swallowed)
+    quince_meta_call_cancel (mirror->call);
+  mirror->call = NULL;
+  mirror->waiting = FALSE;
+  if (mirror->times.spread_ms > 0)
+    wait_then_call (mirror, (guint)g_random_int_range (0, (gint32)mirror->times.spread_ms));
+  else
+    ask (mirror, 0);
+}
+
 /* ---- Public ----------------------------------------------------------- */
 
 QuinceMetaMirror *
@@ -371,7 +393,7 @@
   mirror->news = new_items ();
   mirror->retry_ms = RETRY_MIN_MS;
   mirror->reason = "start";
-  quince_meta_store_add_mirror (store, mirror);
+  quince_meta_store_add_listener (store, store_regained, mirror);
   begin_list (mirror);
   return mirror;
 }
@@ -381,7 +403,7 @@
 {
   if (mirror == NULL)
     return;
-  quince_meta_store_remove_mirror (mirror->store, mirror);
+  quince_meta_store_remove_listener (mirror->store, mirror);
   if (mirror->call != NULL)
     quince_meta_call_cancel (mirror->call);
   quince_source_clear (&mirror->timer);
@@ -424,19 +446,3 @@
 {
   return mirror->contact_us > 0 && now_us - mirror->contact_us <= (gint64)mirror->times.patience_ms * 1000;
 }
-
-void
-quince_meta_mirror_mark_stale (QuinceMetaMirror *mirror, gint64 regained_us)
-{
-  gboolean swallowed = mirror->call != NULL && mirror->watching && mirror->watch_began_us < regained_us;
-  if (!swallowed && !mirror->waiting)
-    return;
-  if (swallowed)
-    quince_meta_call_cancel (mirror->call);
-  mirror->call = NULL;
-  mirror->waiting = FALSE;
-  if (mirror->times.spread_ms > 0)
-    wait_then_call (mirror, (guint)g_random_int_range (0, (gint32)mirror->times.spread_ms));
-  else
-    ask (mirror, 0);
-}
--- a/lib/meta/meta-presence.c
+++ b/lib/meta/meta-presence.c
@@ -4,7 +4,7 @@
 #include "runtime/log.h"
 #include "runtime/clock.h"
 
-#include "meta-private.h"
+#include "meta/meta-presence.h"
 
 /* Renewals within one time to live. */
 #define RENEWALS_PER_TTL 3
--- a/lib/meta/meta-private.h
+++ b/lib/meta/meta-private.h
@@ -7,8 +7,13 @@
 
 typedef struct _QuinceMetaCall QuinceMetaCall;
 
-void quince_meta_store_add_mirror (QuinceMetaStore *store, QuinceMetaMirror *mirror);
-void quince_meta_store_remove_mirror (QuinceMetaStore *store, QuinceMetaMirror *mirror);
+/* The store answers again since @regained_us (monotonic): a watch that began before may have been swallowed.
+ */
+typedef void (*QuinceMetaStoreRegained) (gint64 regained_us, gpointer user_data);
+void
+quince_meta_store_add_listener (QuinceMetaStore *store, QuinceMetaStoreRegained regained, gpointer user_data);
+/* Removes the listener that was added with @user_data. */
+void quince_meta_store_remove_listener (QuinceMetaStore *store, gpointer user_data);
 /* @reason: why this process reads by itself, for the metric; static */
 QuinceMetaCall *quince_meta_store_list (QuinceMetaStore *store,
                                         const char *prefix,
--- a/lib/meta/meta-store.c
+++ b/lib/meta/meta-store.c
@@ -23,8 +23,6 @@
 #define PROBE_RELAXED_MS 4000
 #define PROBE_KEY "quinceroute/ledger"
 
-G_DEFINE_QUARK (quince - meta - error - quark, quince_meta_error)
-
 typedef enum
 {
   ANSWER_NONE,
@@ -34,13 +32,20 @@
   ANSWER_LEASE,
 } AnswerKind;
 
+/* Waits for the store's return. */
+typedef struct
+{
+  QuinceMetaStoreRegained regained;
+  gpointer user_data;
+} Listener;
+
 struct _QuinceMetaStore
 {
   /* All fields belong to the context that created the store. */
   QuinceHttpPool *pool;
   const QuinceMetaDialect *dialect;
-  GHashTable *calls;  /* Call, owned: those in progress */
-  GPtrArray *mirrors; /* QuinceMetaMirror, not owned */
+  GHashTable *calls; /* Call, owned: those in progress */
+  GArray *listeners; /* Listener */
   QuinceMetaCounters counters;
   gboolean failing;
   GSource *probe_timer; /* while failing */
@@ -66,23 +71,6 @@
   gpointer user_data;
 };
 
-void
-quince_meta_item_free (QuinceMetaItem *item)
-{
-  g_free (item->key);
-  g_clear_pointer (&item->value, g_bytes_unref);
-  g_free (item);
-}
-
-void
-quince_meta_page_free (QuinceMetaPage *page)
-{
-  if (page == NULL)
-    return;
-  g_ptr_array_unref (page->items);
-  g_free (page);
-}
-
 static void
 call_free (gpointer data)
 {
@@ -100,7 +88,7 @@
   store->pool = quince_http_pool_new (address);
   store->dialect = dialect;
   store->calls = g_hash_table_new_full (NULL, NULL, call_free, NULL);
-  store->mirrors = g_ptr_array_new ();
+  store->listeners = g_array_new (FALSE, FALSE, sizeof (Listener));
   return store;
 }
 
@@ -111,7 +99,7 @@
     return;
   quince_source_clear (&store->probe_timer);
   g_hash_table_unref (store->calls);
-  g_ptr_array_unref (store->mirrors);
+  g_array_unref (store->listeners);
   quince_http_pool_unref (store->pool);
   g_free (store);
 }
@@ -123,15 +111,21 @@
 }
 
 void
-quince_meta_store_add_mirror (QuinceMetaStore *store, QuinceMetaMirror *mirror)
+quince_meta_store_add_listener (QuinceMetaStore *store, QuinceMetaStoreRegained regained, gpointer user_data)
 {
-  g_ptr_array_add (store->mirrors, mirror);
+  const Listener listener = { regained, user_data };
+  g_array_append_val (store->listeners, listener);
 }
 
 void
-quince_meta_store_remove_mirror (QuinceMetaStore *store, QuinceMetaMirror *mirror)
-{
-  g_ptr_array_remove_fast (store->mirrors, mirror);
+quince_meta_store_remove_listener (QuinceMetaStore *store, gpointer user_data)
+{
+  for (guint i = 0; i < store->listeners->len; i++)
+    if (g_array_index (store->listeners, Listener, i).user_data == user_data)
+      {
+        g_array_remove_index_fast (store->listeners, i);
+        return;
+      }
 }
 
 gboolean
@@ -215,8 +209,11 @@
   store->probe_ms = PROBE_EVERY_MS;
   if (!good)
     store->probe_timer = quince_timer_add (PROBE_FIRST_MS, probe_store, store);
-  for (guint i = 0; good && i < store->mirrors->len; i++)
-    quince_meta_mirror_mark_stale (store->mirrors->pdata[i], answered_us);
+  for (guint i = 0; good && i < store->listeners->len; i++)
+    {
+      const Listener *listener = &g_array_index (store->listeners, Listener, i);
+      listener->regained (answered_us, listener->user_data);
+    }
 }
 
 static GError *
--- a/lib/observer/observer.h
+++ b/lib/observer/observer.h
@@ -8,7 +8,7 @@
 #include "forward/backends.h"
 #include "runtime/settings.h"
 #include "protocol/codec.h"
-#include "meta/meta-store.h"
+#include "meta/meta-mirror.h"
 #include "core/routing/routing.h"
 
 G_BEGIN_DECLS
--- a/tests/platform/test-meta.c
+++ b/tests/platform/test-meta.c
@@ -1,7 +1,8 @@
 /*
  * test-meta.c: mirrors, presence and feeds of the metadata store, in the platform's words, under its faults.
  */
-#include "meta/meta-store.h"
+#include "meta/meta-mirror.h"
+#include "meta/meta-presence.h"
 #include "runtime/metrics.h"
 
 #include <string.h>
