--- a/daemons/front/front.c
+++ b/daemons/front/front.c
@@ -342,7 +342,8 @@
                                         &quince_platform_meta_dialect);
   QuinceObserverOptions options;
   quince_observer_read_options (settings, &options);
-  front->observer = quince_observer_new (front->store, front->backends, &options, &observer_callbacks, front);
+  front->observer = quince_observer_new (front->store, front->backends, &quince_platform_observer_dialect,
+                                         &options, &observer_callbacks, front);
   quince_warmup_client_set_observer (front->warmup, front->observer);
   if (!open_metrics (front, quince_settings_get_text (settings, "listen", "metrics"), error))
     {
--- a/daemons/replica/replica.c
+++ b/daemons/replica/replica.c
@@ -540,7 +540,8 @@
   QuinceObserverOptions options;
   quince_observer_read_options (settings, &options);
   replica->observer
-      = quince_observer_new (replica->store, replica->backends, &options, &observer_callbacks, replica);
+      = quince_observer_new (replica->store, replica->backends, &quince_platform_observer_dialect, &options,
+                             &observer_callbacks, replica);
   quince_warmup_coordinator_set_observer (replica->warmup, replica->observer);
   guint losses = (guint)quince_settings_get_integer (settings, "ledger", "losses");
   replica->residency = quince_residency_coordinator_new (replica->name, losses + 1, replica->store,
--- a/lib/observer/observer-feed.c
+++ b/lib/observer/observer-feed.c
@@ -6,7 +6,6 @@
 #include "runtime/clock.h"
 
 #include "observer-private.h"
-#include "platform.h"
 
 /* Of the pages without items that several replicas report at once, the leader takes one in this time. */
 #define PAGE_EVERY_US (QUINCE_OBSERVER_READ_EVERY_MS / 2 * 1000)
@@ -19,6 +18,14 @@
 /* The leader sends a heartbeat each 0.25 s to all that it tells; three may be late. */
 #define FEEDER_SILENCE_MS 900
 
+void
+quince_observer_list_mirrors (QuinceObserver *observer, QuinceNamedMirror mirrors[QUINCE_OBSERVER_PREFIXES])
+{
+  mirrors[0] = (QuinceNamedMirror){ observer->dialect->operator_prefix, observer->operator_mirror };
+  mirrors[1] = (QuinceNamedMirror){ observer->dialect->workers_prefix, observer->workers_mirror };
+  mirrors[2] = (QuinceNamedMirror){ QUINCE_OWN_PREFIX, observer->own_mirror };
+}
+
 /* The operator's keys were told just now. */
 static void
 confirm_zones (QuinceObserver *observer)
@@ -41,7 +48,7 @@
     if (g_str_equal (mirrors[i].prefix, prefix))
       taken = quince_meta_mirror_feed (mirrors[i].mirror, page, whole);
   observer->page_may_have_lapsed = FALSE;
-  if (taken && g_str_equal (prefix, QUINCE_PLATFORM_OPERATOR_PREFIX))
+  if (taken && g_str_equal (prefix, observer->dialect->operator_prefix))
     confirm_zones (observer);
   return taken;
 }
--- a/lib/observer/observer.c
+++ b/lib/observer/observer.c
@@ -1,8 +1,6 @@
 /*
  * observer.c: mirrors of the metadata store, as beliefs of this process.
  */
-#include <string.h>
-
 #include "forward/residency-lookup.h"
 #include "runtime/log.h"
 #include "runtime/metrics.h"
@@ -10,7 +8,7 @@
 #include "runtime/clock.h"
 
 #include "observer-private.h"
-#include "platform.h"
+#include "refused-item.h"
 
 /* Starting processes change the own keys all at once: each looks at them this seldom. */
 #define OWN_PACE_MS 100
@@ -42,15 +40,6 @@
 #define OWN_IN_FORCE_MS 3000
 G_STATIC_ASSERT (OWN_READ_EVERY_MS + SLACK_MIN_MS + FIRST_READ_MS <= OWN_IN_FORCE_MS);
 
-void
-quince_observer_log_bad_item (const char *key, const GError *error)
-{
-  g_autofree char *reason = quince_log_quote (error->message);
-  g_autofree char *name = quince_log_quote (key);
-  quince_log_warning ("item_refused", "key=%s error=%s code=%d reason=%s", name,
-                      g_quark_to_string (error->domain), error->code, reason);
-}
-
 /* ---- Workers ---------------------------------------------------------- */
 
 /* Until when a worker whose entry is gone may still live. */
@@ -65,7 +54,7 @@
 worker_item (const QuinceMetaItem *item, gpointer data)
 {
   QuinceObserver *observer = data;
-  const char *id = item->key + strlen (QUINCE_PLATFORM_WORKERS_PREFIX);
+  const char *id = observer->dialect->read_worker_id (item->key);
   if (item->value == NULL)
     {
       gint64 now = quince_now_us ();
@@ -76,11 +65,11 @@
       return;
     }
   g_autoptr (GError) error = NULL;
-  QuinceWorker *worker = quince_platform_read_worker (item->key, item->value, &error);
+  QuinceWorker *worker = observer->dialect->read_worker (item->key, item->value, &error);
   if (worker != NULL)
     quince_backends_update (observer->backends, worker);
   else
-    quince_observer_log_bad_item (item->key, error);
+    quince_log_refused_item (item->key, error);
 }
 
 static void
@@ -110,11 +99,7 @@
 own_synced (gpointer data)
 {
   QuinceObserver *observer = data;
-  if (!observer->knows_policy)
-    {
-      observer->knows_policy = TRUE;
-      quince_observer_tell_configuration (observer);
-    }
+  quince_operator_state_set_policy_known (observer->operator_state);
   if (observer->callbacks->own_synced != NULL)
     observer->callbacks->own_synced (observer->user_data);
 }
@@ -128,6 +113,14 @@
     observer->callbacks->read (prefix, page, observer->user_data);
 }
 
+static void
+operator_item (const QuinceMetaItem *item, gpointer data)
+{
+  QuinceObserver *observer = data;
+  gboolean fed = quince_meta_mirror_is_fed (observer->operator_mirror);
+  quince_operator_state_take (observer->operator_state, item, fed);
+}
+
 /* All that the operator asked at some moment is known. */
 static void
 operator_synced (gpointer data)
@@ -142,13 +135,14 @@
   QuinceObserver *observer = data;
   if (quince_meta_mirror_is_synced (observer->operator_mirror))
     quince_backends_release_sends (observer->backends);
-  pass_on (data, QUINCE_PLATFORM_OPERATOR_PREFIX, page);
+  pass_on (observer, observer->dialect->operator_prefix, page);
 }
 
 static void
 workers_read (const QuinceMetaPage *page, gpointer data)
 {
-  pass_on (data, QUINCE_PLATFORM_WORKERS_PREFIX, page);
+  QuinceObserver *observer = data;
+  pass_on (observer, observer->dialect->workers_prefix, page);
 }
 
 static void
@@ -158,22 +152,10 @@
 }
 
 static const QuinceMetaMirrorCallbacks operator_callbacks
-    = { .item = quince_observer_take_operator_item, .synced = operator_synced, .read = operator_read };
-static const QuinceMetaMirrorCallbacks worker_callbacks = { .item = worker_item,
-                                                            .synced = workers_synced,
-                                                            .read = workers_read,
-                                                            .same = quince_platform_same_worker };
+    = { .item = operator_item, .synced = operator_synced, .read = operator_read };
 static const QuinceMetaMirrorCallbacks own_callbacks
     = { .item = own_item, .synced = own_synced, .read = own_read };
 
-void
-quince_observer_list_mirrors (QuinceObserver *observer, QuinceNamedMirror mirrors[QUINCE_OBSERVER_PREFIXES])
-{
-  mirrors[0] = (QuinceNamedMirror){ QUINCE_PLATFORM_OPERATOR_PREFIX, observer->operator_mirror };
-  mirrors[1] = (QuinceNamedMirror){ QUINCE_PLATFORM_WORKERS_PREFIX, observer->workers_mirror };
-  mirrors[2] = (QuinceNamedMirror){ QUINCE_OWN_PREFIX, observer->own_mirror };
-}
-
 void
 quince_observer_set_reserve_reader (QuinceObserver *observer, gboolean reserve)
 {
@@ -245,6 +227,7 @@
 QuinceObserver *
 quince_observer_new (QuinceMetaStore *store,
                      QuinceBackends *backends,
+                     const QuinceObserverDialect *dialect,
                      const QuinceObserverOptions *options,
                      const QuinceObserverCallbacks *callbacks,
                      gpointer user_data)
@@ -254,16 +237,19 @@
   observer->backends = backends;
   observer->callbacks = callbacks;
   observer->user_data = user_data;
-  observer->versions = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
-  observer->leaving = g_ptr_array_new_with_free_func (g_free);
+  observer->dialect = dialect;
+  observer->operator_state = quince_operator_state_new (backends, dialect, callbacks, user_data);
+  observer->worker_callbacks = (QuinceMetaMirrorCallbacks){
+    .item = worker_item, .synced = workers_synced, .read = workers_read, .same = dialect->same_worker
+  };
   observer->workers_pace_ms = options->workers_pace_ms;
   guint bound_ms = MAX (options->change_bound_ms, QUINCE_OBSERVER_CHANGE_BOUND_MIN_MS);
   guint spare_ms = bound_ms - QUINCE_OBSERVER_CHANGE_BOUND_MIN_MS;
   observer->slack_ms = SLACK_MIN_MS + (guint)(SPARE_SHARE * spare_ms);
   observer->operator_mirror
-      = quince_meta_mirror_new (store, QUINCE_PLATFORM_OPERATOR_PREFIX, &operator_callbacks, observer);
+      = quince_meta_mirror_new (store, dialect->operator_prefix, &operator_callbacks, observer);
   observer->workers_mirror
-      = quince_meta_mirror_new (store, QUINCE_PLATFORM_WORKERS_PREFIX, &worker_callbacks, observer);
+      = quince_meta_mirror_new (store, dialect->workers_prefix, &observer->worker_callbacks, observer);
   observer->own_mirror = quince_meta_mirror_new (store, QUINCE_OWN_PREFIX, &own_callbacks, observer);
   quince_observer_set_reserve_reader (observer, FALSE);
   /* A worker may be known before the word that its zone is evacuated. */
@@ -280,17 +266,14 @@
   quince_meta_mirror_free (observer->operator_mirror);
   quince_meta_mirror_free (observer->workers_mirror);
   quince_meta_mirror_free (observer->own_mirror);
-  quince_backends_set_routes (observer->backends, NULL);
-  quince_route_table_free (observer->routes);
-  g_hash_table_unref (observer->versions);
-  g_ptr_array_unref (observer->leaving);
+  quince_operator_state_free (observer->operator_state);
   g_free (observer);
 }
 
 QuinceRouteTable *
 quince_observer_get_routes (QuinceObserver *observer)
 {
-  return observer->knows_policy ? observer->routes : NULL;
+  return quince_operator_state_get_routes (observer->operator_state);
 }
 
 const QuinceService *
@@ -303,6 +286,5 @@
 guint64
 quince_observer_get_version (QuinceObserver *observer, const char *model)
 {
-  const guint64 *version = g_hash_table_lookup (observer->versions, model);
-  return version != NULL ? *version : 0;
+  return quince_operator_state_get_version (observer->operator_state, model);
 }
--- a/lib/observer/observer.h
+++ b/lib/observer/observer.h
@@ -10,6 +10,7 @@
 #include "protocol/codec.h"
 #include "meta/meta-mirror.h"
 #include "core/routing/routing.h"
+#include "observer/observer-dialect.h"
 
 G_BEGIN_DECLS
 
@@ -69,9 +70,11 @@
  * quince_observer_new:
  * @store: must outlive the observer
  * @backends: must outlive the observer; the listed workers go there
+ * @dialect: decodes the operator's keys and the workers' entries; must outlive the observer
  */
 QuinceObserver *quince_observer_new (QuinceMetaStore *store,
                                      QuinceBackends *backends,
+                                     const QuinceObserverDialect *dialect,
                                      const QuinceObserverOptions *options,
                                      const QuinceObserverCallbacks *callbacks,
                                      gpointer user_data);
--- /dev/null
+++ b/lib/observer/operator-state.c
@@ -0,0 +1,195 @@
+/*
+ * operator-state.c: what the operator and the trainers have asked for, by their keys in the metadata store.
+ */
+#include "operator-state.h"
+
+#include "forward/residency-lookup.h"
+#include "runtime/clock.h"
+#include "runtime/log.h"
+
+#include "refused-item.h"
+
+struct _QuinceOperatorState
+{
+  /* All fields belong to the context that created the observer. */
+  QuinceBackends *backends;
+  const QuinceObserverDialect *dialect;
+  const QuinceObserverCallbacks *callbacks;
+  gpointer user_data;
+  QuinceRouteTable *routes; /* NULL: no configuration was read yet */
+  GHashTable *versions;     /* model to guint64, both owned: newest named version */
+  GPtrArray *retiring;      /* names of machines to be emptied, owned */
+  gboolean policy_known;    /* see quince_operator_state_set_policy_known() */
+};
+
+QuinceOperatorState *
+quince_operator_state_new (QuinceBackends *backends,
+                           const QuinceObserverDialect *dialect,
+                           const QuinceObserverCallbacks *callbacks,
+                           gpointer user_data)
+{
+  QuinceOperatorState *state = g_new0 (QuinceOperatorState, 1);
+  state->backends = backends;
+  state->dialect = dialect;
+  state->callbacks = callbacks;
+  state->user_data = user_data;
+  state->versions = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
+  state->retiring = g_ptr_array_new_with_free_func (g_free);
+  return state;
+}
+
+void
+quince_operator_state_free (QuinceOperatorState *state)
+{
+  quince_backends_set_routes (state->backends, NULL);
+  quince_route_table_free (state->routes);
+  g_hash_table_unref (state->versions);
+  g_ptr_array_unref (state->retiring);
+  g_free (state);
+}
+
+/* For the log: this process read the store, or another one did and fed it. */
+static const char *
+source_name (gboolean fed)
+{
+  return fed ? "feed" : "store";
+}
+
+static void
+report_configuration (QuinceOperatorState *state)
+{
+  if (state->routes != NULL && state->policy_known && state->callbacks->configuration != NULL)
+    state->callbacks->configuration (state->routes, state->user_data);
+}
+
+void
+quince_operator_state_set_policy_known (QuinceOperatorState *state)
+{
+  if (state->policy_known)
+    return;
+  state->policy_known = TRUE;
+  report_configuration (state);
+}
+
+QuinceRouteTable *
+quince_operator_state_get_routes (const QuinceOperatorState *state)
+{
+  return state->policy_known ? state->routes : NULL;
+}
+
+guint64
+quince_operator_state_get_version (const QuinceOperatorState *state, const char *model)
+{
+  const guint64 *version = g_hash_table_lookup (state->versions, model);
+  return version != NULL ? *version : 0;
+}
+
+static void
+take_configuration (QuinceOperatorState *state, const QuinceMetaItem *item, gboolean fed)
+{
+  if (item->value == NULL)
+    return;
+  g_autoptr (GError) error = NULL;
+  g_autoptr (QuinceRouteTable) table = state->dialect->read_configuration (item->value, &error);
+  if (table == NULL)
+    {
+      quince_log_refused_item (item->key, error);
+      return;
+    }
+  guint64 version = quince_route_table_get_version (table);
+  if (state->routes != NULL && version <= quince_route_table_get_version (state->routes))
+    return;
+  quince_log_info ("configuration",
+                   "version=%" G_GUINT64_FORMAT " routes=%u source=%s revision=%" G_GUINT64_FORMAT, version,
+                   quince_route_table_get_n_routes (table), source_name (fed), item->revision);
+  quince_backends_set_routes (state->backends, table);
+  quince_route_table_free (state->routes);
+  state->routes = g_steal_pointer (&table);
+  report_configuration (state);
+}
+
+static void
+take_version (QuinceOperatorState *state, const QuinceMetaItem *item, gboolean fed)
+{
+  if (item->value == NULL)
+    return;
+  g_autoptr (GError) error = NULL;
+  g_autofree char *model = NULL;
+  guint64 version = 0;
+  if (!state->dialect->read_version (item->value, &model, &version, &error))
+    {
+      quince_log_refused_item (item->key, error);
+      return;
+    }
+  if (version <= quince_operator_state_get_version (state, model))
+    return;
+  quince_log_info ("version_named", "model=%s version=%" G_GUINT64_FORMAT " source=%s", model, version,
+                   source_name (fed));
+  g_hash_table_replace (state->versions, g_strdup (model), g_memdup2 (&version, sizeof version));
+  if (state->callbacks->version != NULL)
+    state->callbacks->version (model, version, state->user_data);
+}
+
+static void
+take_retirement (QuinceOperatorState *state, const QuinceMetaItem *item, const char *node)
+{
+  guint index;
+  gboolean known = g_ptr_array_find_with_equal_func (state->retiring, node, g_str_equal, &index);
+  if (known == (item->value != NULL))
+    return;
+  if (known)
+    g_ptr_array_remove_index (state->retiring, index);
+  else
+    g_ptr_array_add (state->retiring, g_strdup (node));
+  g_autofree char *name = quince_log_quote (node);
+  quince_log_info ("machine_leaving", "node=%s asked=%s", name, known ? "false" : "true");
+  if (state->callbacks->leaving == NULL)
+    return;
+  g_autoptr (GPtrArray) nodes = g_ptr_array_new ();
+  for (guint i = 0; i < state->retiring->len; i++)
+    g_ptr_array_add (nodes, state->retiring->pdata[i]);
+  g_ptr_array_add (nodes, NULL);
+  state->callbacks->leaving ((const char *const *)nodes->pdata, state->user_data);
+}
+
+static void
+take_evacuation (QuinceOperatorState *state, const QuinceMetaItem *item, const char *zone, gboolean fed)
+{
+  gboolean evacuated = item->value != NULL;
+  if (!quince_backends_take_zone (state->backends, quince_now_us (), zone, item->revision, evacuated))
+    return;
+  g_autofree char *name = quince_log_quote (zone);
+  if (evacuated)
+    quince_log_notice ("zone_evacuated", "zone=%s source=%s revision=%" G_GUINT64_FORMAT, name,
+                       source_name (fed), item->revision);
+  else
+    quince_log_notice ("zone_returned", "zone=%s source=%s revision=%" G_GUINT64_FORMAT, name,
+                       source_name (fed), item->revision);
+  if (state->callbacks->zones != NULL)
+    state->callbacks->zones (state->user_data);
+}
+
+void
+quince_operator_state_take (QuinceOperatorState *state, const QuinceMetaItem *item, gboolean fed)
+{
+  QuinceOperatorKey key;
+  state->dialect->read_operator_key (item->key, &key);
+  switch (key.kind)
+    {
+    case QUINCE_OPERATOR_KEY_CONFIGURATION:
+      take_configuration (state, item, fed);
+      break;
+    case QUINCE_OPERATOR_KEY_VERSION:
+      take_version (state, item, fed);
+      break;
+    case QUINCE_OPERATOR_KEY_RETIREMENT:
+      take_retirement (state, item, key.name);
+      break;
+    case QUINCE_OPERATOR_KEY_EVACUATION:
+      take_evacuation (state, item, key.name, fed);
+      break;
+    case QUINCE_OPERATOR_KEY_OTHER:
+    default:
+      break;
+    }
+}
--- a/lib/observer/store-feed.c
+++ b/lib/observer/store-feed.c
@@ -6,8 +6,6 @@
 #include "runtime/packed-message.h"
 #include "runtime/clock.h"
 
-#include "platform.h"
-
 struct _QuinceStoreFeed
 {
   /* All fields belong to the context that created the feed. */
--- a/tests/platform/test-freshness.c
+++ b/tests/platform/test-freshness.c
@@ -111,7 +111,8 @@
   const QuinceObserverOptions options
       = { .workers_pace_ms = 100, .change_bound_ms = QUINCE_OBSERVER_CHANGE_BOUND_MIN_MS };
   process->observer
-      = quince_observer_new (process->store, process->backends, &options, &observer_callbacks, process);
+      = quince_observer_new (process->store, process->backends, &quince_platform_observer_dialect, &options,
+                             &observer_callbacks, process);
   quince_observer_set_reserve_reader (process->observer, reports);
   AWAIT (quince_observer_is_synced (process->observer));
 }
@@ -473,8 +474,8 @@
   starter.accepted = g_ptr_array_new ();
   const QuinceObserverOptions options
       = { .workers_pace_ms = 100, .change_bound_ms = QUINCE_OBSERVER_CHANGE_BOUND_MIN_MS };
-  starter.observer
-      = quince_observer_new (starter.store, starter.backends, &options, &observer_callbacks, &starter);
+  starter.observer = quince_observer_new (starter.store, starter.backends, &quince_platform_observer_dialect,
+                                          &options, &observer_callbacks, &starter);
   run_for (500);
   assert_true (quince_backends_holds_sends (starter.backends));
   standin_store_set_fault (starter.standin, STANDIN_STORE_SOUND);
--- a/tests/platform/test-size.c
+++ b/tests/platform/test-size.c
@@ -65,7 +65,8 @@
   world->backends = quince_backends_new (quince_topology_new ("z1", ""));
   const QuinceObserverOptions options
       = { .workers_pace_ms = 100, .change_bound_ms = QUINCE_OBSERVER_CHANGE_BOUND_MIN_MS };
-  world->observer = quince_observer_new (world->store, world->backends, &options, &observer_callbacks, world);
+  world->observer = quince_observer_new (world->store, world->backends, &quince_platform_observer_dialect,
+                                         &options, &observer_callbacks, world);
   world->feed = quince_store_feed_new (world->observer);
   world->server = quince_link_server_new ("127.0.0.1:0", &link_callbacks, on_accepted, world, NULL);
   assert_non_null (world->server);
