--- a/daemons/replica/sample.h
+++ b/daemons/replica/sample.h
@@ -7,7 +7,7 @@
 #include "core/batches/batch-book.h"
 #include "forward/forward.h"
 #include "core/request/request-digest.h"
-#include "core/routing/routing.h"
+#include "core/routing/worker-table.h"
 
 #include "platform.h"
 
--- a/daemons/replica/step-demand.h
+++ b/daemons/replica/step-demand.h
@@ -5,7 +5,7 @@
 
 #include "protocol/codec.h"
 #include "core/weights/model-placement.h"
-#include "core/routing/routing.h"
+#include "core/routing/route-table.h"
 
 /* A step was submitted. @open_samples: of its model that are not done, with those of this step */
 void quince_step_demand_note_batch (QuinceModelPlacement *placement,
--- a/lib/core/routing/route-table.c
+++ b/lib/core/routing/route-table.c
@@ -1,7 +1,7 @@
 /*
  * route-table.c: routes by host and longest prefix; one configuration, which never changes.
  */
-#include "core/routing/routing.h"
+#include "core/routing/route-table.h"
 
 #include <string.h>
 
--- /dev/null
+++ b/lib/core/routing/route-table.h
@@ -0,0 +1,126 @@
+/*
+ * route-table.h: one configuration: its routes, services and tenants, and the route of a request.
+ *
+ * Pure.  A table never changes once it is in force; a new configuration is a new table.
+ */
+#pragma once
+
+#include "core/routing/residency.h"
+#include "core/routing/tenants.h"
+
+G_BEGIN_DECLS
+
+typedef enum
+{
+  QUINCE_ROUTE_IDEMPOTENT,   /* may run more than once                    */
+  QUINCE_ROUTE_AT_MOST_ONCE, /* never a second time                       */
+  QUINCE_ROUTE_STREAMING,    /* a series of events, forwarded as they come */
+  QUINCE_ROUTE_ROLLOUT,      /* batches of samples                        */
+} QuinceRouteKind;
+
+/* One part of a route's traffic. */
+typedef struct
+{
+  char *service;
+  double weight;
+} QuinceRoutePart;
+
+typedef struct
+{
+  char *name;
+  char *host;
+  char *prefix; /* begins and ends with a slash */
+  QuinceRouteKind kind;
+  guint timeout_ms;        /* 0: none */
+  guint target_latency_ms; /* answers within it earn their full credit */
+  guint deadline_ms;       /* rollouts: from submission to the last result; 0: none */
+  guint queue_ttl_ms;      /* rollouts: a sample may be given up after it; 0: never */
+  guint max_attempts;      /* at least 1 */
+  guint priority;          /* 0 first */
+  gboolean resumable;
+  gboolean sticky;
+  gboolean single_version;
+  gboolean is_public; /* callers need no API key, whatever tenants there are */
+  GArray *parts;      /* QuinceRoutePart, at least one */
+  char **regions;     /* where it may be served, NULL-terminated; NULL: anywhere */
+} QuinceRoute;
+
+/* What one zone costs. */
+typedef struct
+{
+  char *zone;
+  double price; /* of a second of a worker, in parts of the service's usual price */
+} QuinceZonePrice;
+
+/**
+ * QuinceScaling: how many workers of a service may be ordered.
+ * @least, @most: bounds of each zone, all kinds of workers together
+ * @boot_ms: from an order until a new worker serves
+ * @prices: (element-type QuinceZonePrice): zones that are not named cost 1
+ */
+typedef struct
+{
+  guint least;
+  guint most;
+  guint boot_ms;
+  GArray *prices;
+} QuinceScaling;
+
+typedef struct
+{
+  char *name;
+  guint max_connections;  /* of one worker, from all callers; 0: no bound told */
+  guint slots;            /* requests that a worker runs at once; 0: not told */
+  GPtrArray *models;      /* names, owned */
+  guint cold_start_ms;    /* how long a worker is cold after a start; 0: never */
+  double cold_per_s;      /* requests a second that a cold worker bears; 0: no bound told */
+  QuinceScaling *scaling; /* NULL: none may be ordered */
+} QuinceService;
+
+/* What a caller may send, and how long it may take. */
+typedef struct
+{
+  guint max_head_bytes;
+  guint max_body_bytes;
+  guint head_timeout_ms;
+  guint idle_timeout_ms;
+} QuinceCallerLimits;
+
+typedef struct _QuinceRouteTable QuinceRouteTable;
+
+QuinceRouteTable *quince_route_table_new (guint64 version, const QuinceCallerLimits *limits);
+void quince_route_table_free (QuinceRouteTable *table);
+G_DEFINE_AUTOPTR_CLEANUP_FUNC (QuinceRouteTable, quince_route_table_free)
+/* (transfer full): @route, @service */
+void quince_route_table_add_route (QuinceRouteTable *table, QuinceRoute *route);
+void quince_route_table_add_service (QuinceRouteTable *table, QuinceService *service);
+/* (transfer full): @tenants; at most once */
+void quince_route_table_set_tenants (QuinceRouteTable *table, QuinceTenantTable *tenants);
+/* (nullable): NULL: the configuration knows no tenants, and callers need no key */
+const QuinceTenantTable *quince_route_table_get_tenants (const QuinceRouteTable *table);
+guint64 quince_route_table_get_version (const QuinceRouteTable *table);
+const QuinceCallerLimits *quince_route_table_get_limits (const QuinceRouteTable *table);
+guint quince_route_table_get_n_routes (const QuinceRouteTable *table);
+const QuinceRoute *quince_route_table_get_route (const QuinceRouteTable *table, guint index);
+guint quince_route_table_get_n_services (const QuinceRouteTable *table);
+const QuinceService *quince_route_table_get_service (const QuinceRouteTable *table, guint index);
+const QuinceService *quince_route_table_find_service (const QuinceRouteTable *table, const char *name);
+/* The route of @host (a port in it is ignored) whose prefix begins @target and is longest, or %NULL. */
+const QuinceRoute *
+quince_route_table_find (const QuinceRouteTable *table, const char *host, const char *target);
+/* The service of the part in which @unit, from 0 to 1, falls by the weights. */
+const char *quince_route_pick_service (const QuinceRoute *route, double unit);
+
+QuinceRoute *quince_route_new (void);
+void quince_route_add_part (QuinceRoute *route, const char *service, double weight);
+void quince_route_free (QuinceRoute *route);
+/* The regions that @route and @tenant (nullable) allow; lives as long as both. */
+void
+quince_route_get_residency (const QuinceRoute *route, const QuinceTenant *tenant, QuinceResidency *residency);
+G_DEFINE_AUTOPTR_CLEANUP_FUNC (QuinceRoute, quince_route_free)
+QuinceService *quince_service_new (const char *name);
+/* For services that are in no table, as tests make them. */
+void quince_service_free (QuinceService *service);
+QuinceScaling *quince_scaling_new (void);
+
+G_END_DECLS
--- a/lib/core/routing/worker-table.c
+++ b/lib/core/routing/worker-table.c
@@ -1,7 +1,7 @@
 /*
  * worker-table.c: the workers that the platform lists, and what this process has seen of them.
  */
-#include "core/routing/routing.h"
+#include "core/routing/worker-table.h"
 
 /* A failing worker is no first choice for a time that doubles with each failure in a row. */
 #define EJECTION_FIRST_US (200 * 1000)
--- a/lib/core/scaling/scale-plan.h
+++ b/lib/core/scaling/scale-plan.h
@@ -14,7 +14,7 @@
  */
 #pragma once
 
-#include "core/routing/routing.h"
+#include "core/routing/route-table.h"
 
 G_BEGIN_DECLS
 
--- a/lib/forward/backends.h
+++ b/lib/forward/backends.h
@@ -8,7 +8,8 @@
 
 #include "http1/http-client.h"
 #include "policy/policy.h"
-#include "core/routing/routing.h"
+#include "core/routing/route-table.h"
+#include "core/routing/worker-table.h"
 #include "forward/send-guard.h"
 #include "runtime/settings.h"
 #include "core/routing/topology.h"
@@ -67,7 +68,7 @@
  * @prompt: (nullable): parts of the prompt, %NULL-terminated, see prompt-table.h: a worker that likely keeps
  * them is marked for the policy
  * @residency: (nullable): regions where the worker may stand; %NULL: anywhere
- * @fastest_pace_us: of the service's workers, see routing.h; 0: the policy is told of no worker's pace
+ * @fastest_pace_us: of the service's workers, see worker-table.h; 0: the policy is told of no worker's pace
  */
 typedef struct
 {
--- a/lib/forward/send-guard.h
+++ b/lib/forward/send-guard.h
@@ -8,7 +8,7 @@
 #pragma once
 
 #include "core/request/quarantine.h"
-#include "core/routing/routing.h"
+#include "core/routing/worker-table.h"
 #include "core/request/service-capacity.h"
 #include "runtime/settings.h"
 
--- a/lib/observer/observer-dialect.h
+++ b/lib/observer/observer-dialect.h
@@ -6,7 +6,8 @@
  */
 #pragma once
 
-#include "core/routing/routing.h"
+#include "core/routing/route-table.h"
+#include "core/routing/worker-table.h"
 
 G_BEGIN_DECLS
 
--- a/lib/observer/observer.h
+++ b/lib/observer/observer.h
@@ -9,7 +9,7 @@
 #include "runtime/settings.h"
 #include "protocol/codec.h"
 #include "meta/meta-mirror.h"
-#include "core/routing/routing.h"
+#include "core/routing/route-table.h"
 #include "observer/observer-dialect.h"
 
 G_BEGIN_DECLS
--- a/tests/unit/test-sample-plan.c
+++ b/tests/unit/test-sample-plan.c
@@ -9,7 +9,7 @@
 #include <cmocka.h>
 
 #include "core/batches/length-model.h"
-#include "core/routing/routing.h"
+#include "core/routing/worker-table.h"
 #include "core/batches/sample-plan.h"
 
 #define SECOND G_USEC_PER_SEC
--- a/tests/unit/test-worker-table.c
+++ b/tests/unit/test-worker-table.c
@@ -9,7 +9,7 @@
 
 #include <cmocka.h>
 
-#include "core/routing/routing.h"
+#include "core/routing/worker-table.h"
 
 static QuinceWorker *
 tell (QuinceWorkerTable *table, const char *id, const char *service, const char *model, guint64 version)
