--- a/daemons/front/front.c
+++ b/daemons/front/front.c
@@ -11,6 +11,7 @@
 
 #include "forward/policy-entry.h"
 #include "http1/text-server.h"
+#include "meta/meta-presence.h"
 #include "observer/store-feed.h"
 #include "runtime/clock.h"
 #include "runtime/metrics.h"
@@ -280,8 +281,8 @@
                                         &quince_platform_meta_dialect);
   QuinceObserverOptions options;
   quince_observer_read_options (settings, &options);
-  context->observer
-      = quince_observer_new (front->store, context->backends, &options, &observer_callbacks, front);
+  context->observer = quince_observer_new (front->store, context->backends, &quince_platform_observer_dialect,
+                                           &options, &observer_callbacks, front);
   front->subscription = quince_feed_subscription_new (context->observer);
   quince_warmup_client_set_observer (front->warmup, context->observer);
 }
--- a/daemons/front/route-splits.h
+++ b/daemons/front/route-splits.h
@@ -5,7 +5,7 @@
  */
 #pragma once
 
-#include "core/routing/routing.h"
+#include "core/routing/route-table.h"
 
 typedef struct _QuinceRouteSplits QuinceRouteSplits;
 
--- a/daemons/replica/replica-setup.c
+++ b/daemons/replica/replica-setup.c
@@ -61,8 +61,8 @@
 {
   QuinceObserverOptions options;
   quince_observer_read_options (settings, &options);
-  parts->observer
-      = quince_observer_new (parts->store, parts->backends, &options, &quince_replica_store_callbacks, parts);
+  parts->observer = quince_observer_new (parts->store, parts->backends, &quince_platform_observer_dialect,
+                                         &options, &quince_replica_store_callbacks, parts);
   quince_warmup_coordinator_set_observer (parts->warmup, parts->observer);
 }
 
--- a/daemons/replica/step-demand.h
+++ b/daemons/replica/step-demand.h
@@ -7,7 +7,7 @@
 
 #include "protocol/codec.h"
 #include "core/weights/model-placement.h"
-#include "core/routing/routing.h"
+#include "core/routing/route-table.h"
 
 /* A step was submitted.  @open_samples: samples of its model without a result, with those of this step */
 void quince_step_demand_note_batch (QuinceModelPlacement *placement,
--- a/lib/forward/send-guard.h
+++ b/lib/forward/send-guard.h
@@ -9,7 +9,7 @@
 
 #include "core/decisions/admission.h"
 #include "core/request/quarantine.h"
-#include "core/routing/routing.h"
+#include "core/routing/worker-table.h"
 #include "core/request/service-capacity.h"
 #include "runtime/settings.h"
 
--- a/tests/unit/test-decisions-sample-move.c
+++ b/tests/unit/test-decisions-sample-move.c
@@ -9,7 +9,7 @@
 #include <cmocka.h>
 
 #include "core/batches/length-model.h"
-#include "core/routing/routing.h"
+#include "core/routing/worker-table.h"
 #include "core/decisions/sample-move.h"
 #include "core/decisions/silence.h"
 
--- a/tools/store-calls.c
+++ b/tools/store-calls.c
@@ -3,6 +3,8 @@
  */
 #include "store-calls.h"
 
+#include "meta/meta-mirror.h"
+
 /* Most time between two reads of a list that is not complete yet, ms; the least of a mirror's times. */
 #define LIST_EVERY_MS 1000
 /* A list that is not complete by then fails, ms.  Not measured: far above what a store that answers
