--- a/daemons/replica/ledger-election.c
+++ b/daemons/replica/ledger-election.c
@@ -124,7 +124,7 @@
 {
   QuinceMessage message = { .kind = QUINCE_MESSAGE_LEDGER_LEAD };
   const QuinceLedgerView *view = quince_ledger_group_get_view (election->group);
-  quince_ledger_group_tell_lead (election->group, &message.QuinceMessage_u.ledger_lead);
+  quince_ledger_group_get_lead (election->group, &message.QuinceMessage_u.ledger_lead);
   for (guint i = 0; i < view->members.members_len; i++)
     {
       const QuinceLedgerMember *member = &view->members.members_val[i];
@@ -166,7 +166,7 @@
 static gint64
 get_pause (QuinceLedgerQueryKind kind)
 {
-  if (kind == QUINCE_LEDGER_QUERY_PRIMARY)
+  if (kind == QUINCE_LEDGER_QUERY_LEADER)
     return QUERY_LEADER_US;
   return kind == QUINCE_LEDGER_QUERY_MEMBERS ? QUERY_MEMBERS_US : 0;
 }
@@ -189,7 +189,7 @@
   for (guint i = 0; i < view->members.members_len; i++)
     {
       const QuinceLedgerMember *member = &view->members.members_val[i];
-      gboolean asked = kind != QUINCE_LEDGER_QUERY_PRIMARY || member->replica == view->primary;
+      gboolean asked = kind != QUINCE_LEDGER_QUERY_LEADER || member->replica == view->primary;
       if (asked && member->replica != election->replica)
         quince_ledger_member_links_send (election->links, member, &message);
     }
@@ -204,7 +204,7 @@
   if (!quince_ledger_storage_keep (election->storage, "note"))
     return;
   QuinceMessage message = { .kind = QUINCE_MESSAGE_LEDGER_LEAD };
-  if (quince_ledger_group_tell_lead (election->group, &message.QuinceMessage_u.ledger_lead))
+  if (quince_ledger_group_get_lead (election->group, &message.QuinceMessage_u.ledger_lead))
     quince_link_send (link, &message);
 }
 
--- a/daemons/replica/ledger-membership.c
+++ b/daemons/replica/ledger-membership.c
@@ -165,7 +165,7 @@
     return;
   guint64 expected = 0; /* revision that the change is made on */
   g_autoptr (QuinceLedgerView) view
-      = quince_ledger_group_step (membership->group, quince_now_us (), &expected);
+      = quince_ledger_group_propose (membership->group, quince_now_us (), &expected);
   /* Promises and notes that the step made are on the disk before the change is sent. */
   quince_ledger_storage_keep_or_abort (membership->storage);
   if (view == NULL)
--- a/daemons/replica/ledger-node.c
+++ b/daemons/replica/ledger-node.c
@@ -71,7 +71,7 @@
 apply_role (QuinceLedgerNode *node)
 {
   const QuinceLedgerView *view = quince_ledger_group_get_view (node->group);
-  gboolean leads = quince_ledger_group_get_role (node->group) == QUINCE_LEDGER_PRIMARY;
+  gboolean leads = quince_ledger_group_get_role (node->group) == QUINCE_LEDGER_LEADER;
   guint64 epoch = quince_ledger_records_get_epoch (node->records);
   if (epoch != 0 && (!leads || view->epoch != epoch))
     stop_leading (node);
@@ -323,7 +323,7 @@
                                                &follower_callbacks, node);
   node->replication
       = quince_ledger_replication_new (quince_ledger_storage_get_log (node->storage), node->group,
-                                       options->several_regions, options->limits.copies_least);
+                                       options->several_regions, options->limits.quorum);
   node->records = quince_ledger_records_new (node->storage, node->group, &records_callbacks, node);
 }
 
--- a/daemons/replica/ledger-replication.c
+++ b/daemons/replica/ledger-replication.c
@@ -16,7 +16,7 @@
   QuinceBatchLog *log;      /* borrowed */
   QuinceLedgerGroup *group; /* borrowed */
   gboolean several_regions;
-  guint copies_least;
+  guint quorum;
 
   guint64 epoch;       /* led; 0: none */
   GHashTable *backups; /* QuinceLedgerBackup by replica, owned */
@@ -31,13 +31,13 @@
 quince_ledger_replication_new (QuinceBatchLog *log,
                                QuinceLedgerGroup *group,
                                gboolean several_regions,
-                               guint copies_least)
+                               guint quorum)
 {
   QuinceLedgerReplication *replication = g_new0 (QuinceLedgerReplication, 1);
   replication->log = log;
   replication->group = group;
   replication->several_regions = several_regions;
-  replication->copies_least = copies_least;
+  replication->quorum = quorum;
   replication->backups
       = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, (GDestroyNotify)quince_ledger_backup_free);
   return replication;
@@ -109,7 +109,7 @@
    * of the first start: no record lies in it. */
   gboolean unknown = replication->several_regions
                      && !(replication->recovered && replication->confinement_known)
-                     && view->members.members_len >= replication->copies_least;
+                     && view->members.members_len >= replication->quorum;
   /* A backup that has records was allowed them by an earlier leader; without it a leader that has lost
    * members may never have a quorum again, and so never read its log. */
   backup->receives = chosen && (member || !unknown || backup->has_records);
@@ -122,7 +122,7 @@
 quince_ledger_replication_choose (QuinceLedgerReplication *replication)
 {
   g_autoptr (GArray) chosen = g_array_new (FALSE, FALSE, sizeof (guint64));
-  quince_ledger_group_choose_fed (replication->group, quince_now_us (), chosen);
+  quince_ledger_group_choose_recipients (replication->group, quince_now_us (), chosen);
   GHashTableIter iter;
   gpointer value;
   g_hash_table_iter_init (&iter, replication->backups);
--- a/daemons/replica/ledger-replication.h
+++ b/daemons/replica/ledger-replication.h
@@ -17,12 +17,12 @@
  * quince_ledger_replication_new:
  * @log, @group: borrowed, must outlive the replication
  * @several_regions: see QuinceLedgerNodeOptions
- * @copies_least: see QuinceLedgerLimits
+ * @quorum: see QuinceLedgerLimits
  */
 QuinceLedgerReplication *quince_ledger_replication_new (QuinceBatchLog *log,
                                                         QuinceLedgerGroup *group,
                                                         gboolean several_regions,
-                                                        guint copies_least);
+                                                        guint quorum);
 /* Closes the links. */
 void quince_ledger_replication_free (QuinceLedgerReplication *replication);
 
--- a/daemons/replica/replica.c
+++ b/daemons/replica/replica.c
@@ -444,10 +444,10 @@
     .several_regions = quince_topology_count_regions (quince_backends_get_topology (replica->backends)) > 1,
     .may_found = quince_settings_get_boolean (settings, "ledger", "found"),
     .limits
-    = { .copies_least = losses + 1,
-        .members_wanted = 2 * losses + 1,
+    = { .quorum = losses + 1,
+        .members_max = 2 * losses + 1,
         .zone_losses = (guint)quince_settings_get_integer (settings, "ledger", "zone_losses"),
-        .primary_silence_us = PRIMARY_SILENCE_US,
+        .leader_silence_us = PRIMARY_SILENCE_US,
         .member_silence_us = MEMBER_SILENCE_US,
         .confirm_us = CONFIRM_US,
         .order_pause_us = quince_settings_get_duration_us (settings, "orders", "pause") + ORDER_MARGIN_US },
--- a/lib/batchlog/batch-log-compact.c
+++ b/lib/batchlog/batch-log-compact.c
@@ -57,12 +57,13 @@
 }
 
 gboolean
-quince_batch_log_compact (QuinceBatchLog *log, guint64 *compacted, guint most, GError **error)
+quince_batch_log_compact (QuinceBatchLog *log, guint64 *compacted, guint max_records, GError **error)
 {
   g_autoptr (GArray) indexes = g_array_new (FALSE, FALSE, sizeof (guint64));
-  Walk walk = {
-    .commit = quince_batch_log_get_commit (log), .last_looked = *compacted, .left = most, .indexes = indexes
-  };
+  Walk walk = { .commit = quince_batch_log_get_commit (log),
+                .last_looked = *compacted,
+                .left = max_records,
+                .indexes = indexes };
   if (!quince_batch_log_walk (log, *compacted + 1, look, &walk, error))
     return FALSE;
   if (indexes->len > 0 && !quince_batch_log_blank (log, (const guint64 *)indexes->data, indexes->len, error))
--- a/lib/batchlog/batch-log.h
+++ b/lib/batchlog/batch-log.h
@@ -43,12 +43,13 @@
 /**
  * quince_batch_log_compact:
  * @compacted: (inout): index up to which the log was already looked at; 0 at first and after a reset
- * @most: records to look at in this call
+ * @max_records: records to look at in this call
  *
  * Empties the records of the batches that committed records forget.  May be called anew over the same
  * records.
  */
-gboolean quince_batch_log_compact (QuinceBatchLog *log, guint64 *compacted, guint most, GError **error);
+gboolean
+quince_batch_log_compact (QuinceBatchLog *log, guint64 *compacted, guint max_records, GError **error);
 
 /* Called for each record; @record lives until the return.  Returning %FALSE ends the walk. */
 typedef gboolean (*QuinceBatchLogVisit) (const QuinceLogEntry *entry, gpointer user_data);
--- a/lib/batchlog/result-cache.c
+++ b/lib/batchlog/result-cache.c
@@ -15,7 +15,7 @@
 {
   GHashTable *by_body; /* Unpacked by its packed bytes, the same object; owned by the queue */
   GQueue order;        /* Unpacked, owned, the oldest first */
-  gsize most_bytes;
+  gsize max_bytes;
   gsize bytes;
 };
 
@@ -35,11 +35,11 @@
 }
 
 QuinceResultCache *
-quince_result_cache_new (gsize most_bytes)
+quince_result_cache_new (gsize max_bytes)
 {
   QuinceResultCache *cache = g_new0 (QuinceResultCache, 1);
   cache->by_body = g_hash_table_new (NULL, NULL);
-  cache->most_bytes = most_bytes;
+  cache->max_bytes = max_bytes;
   g_queue_init (&cache->order);
   return cache;
 }
@@ -75,7 +75,7 @@
 void
 quince_result_cache_trim (QuinceResultCache *cache)
 {
-  while (cache->bytes > cache->most_bytes)
+  while (cache->bytes > cache->max_bytes)
     {
       Unpacked *oldest = g_queue_pop_head (&cache->order);
       cache->bytes -= size_of (oldest);
--- a/lib/batchlog/result-cache.h
+++ b/lib/batchlog/result-cache.h
@@ -12,8 +12,8 @@
 
 typedef struct _QuinceResultCache QuinceResultCache;
 
-/* @most_bytes: of unpacked texts that are kept; the oldest go first */
-QuinceResultCache *quince_result_cache_new (gsize most_bytes);
+/* @max_bytes: of unpacked texts that are kept; the oldest go first */
+QuinceResultCache *quince_result_cache_new (gsize max_bytes);
 void quince_result_cache_free (QuinceResultCache *cache);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (QuinceResultCache, quince_result_cache_free)
 
--- a/lib/core/group/ledger-campaign.c
+++ b/lib/core/group/ledger-campaign.c
@@ -11,7 +11,7 @@
 #define CAMPAIGN_US (600 * 1000)
 
 static gboolean
-goes_further (const QuinceLogEnd *end, const QuinceLogEnd *than)
+is_ahead (const QuinceLogEnd *end, const QuinceLogEnd *than)
 {
   return end->epoch != than->epoch ? end->epoch > than->epoch : end->index > than->index;
 }
@@ -39,14 +39,14 @@
 gboolean
 quince_ledger_group_accepts (QuinceLedgerGroup *group, gint64 now_us, guint64 epoch)
 {
-  if (group->view == NULL || group->role == QUINCE_LEDGER_PRIMARY || epoch != group->view->epoch
+  if (group->view == NULL || group->role == QUINCE_LEDGER_LEADER || epoch != group->view->epoch
       || epoch < group->kept.promised)
     return FALSE;
   /* Who has acknowledged a record follows nobody older, also after it was started anew. */
   if (group->kept.promised != epoch)
     group->promised_to = 0;
   group->kept.promised = epoch;
-  group->primary_contact_us = now_us;
+  group->leader_contact_us = now_us;
   quince_ledger_group_end_campaign (group);
   return TRUE;
 }
@@ -65,7 +65,7 @@
 follows_another (const QuinceLedgerGroup *group, gint64 now_us, guint64 replica)
 {
   gboolean follows = replica == group->view->primary && knows_lead (group);
-  return !follows && now_us - group->primary_contact_us < group->limits.primary_silence_us;
+  return !follows && now_us - group->leader_contact_us < group->limits.leader_silence_us;
 }
 
 /* A primary that nobody follows any more promises too: it may have slept while another one led, and the one
@@ -73,8 +73,8 @@
 static gboolean
 leads_on (const QuinceLedgerGroup *group, gint64 now_us)
 {
-  return group->role == QUINCE_LEDGER_PRIMARY
-         && (now_us - group->became_primary_us < group->limits.primary_silence_us
+  return group->role == QUINCE_LEDGER_LEADER
+         && (now_us - group->leading_since_us < group->limits.leader_silence_us
              || quince_ledger_group_is_confirmed (group, now_us));
 }
 
@@ -93,7 +93,7 @@
   /* Its own next question must be above what others may promise meanwhile. */
   group->last_campaign = MAX (group->last_campaign, epoch);
   if (follows_another (group, now_us, replica) || epoch <= group->kept.promised || epoch <= group->view->epoch
-      || quince_ledger_group_is_elected (group) || goes_further (&group->end, end))
+      || quince_ledger_group_is_elected (group) || is_ahead (&group->end, end))
     return FALSE;
   group->kept.promised = epoch;
   group->promised_to = replica;
@@ -124,29 +124,29 @@
   group->campaign_epoch = 0;
   group->elected_us = 0;
   group->vote_refused = FALSE;
-  g_array_set_size (group->campaign_for, 0);
+  g_array_set_size (group->campaign_promises, 0);
   g_array_set_size (group->votes, 0);
 }
 
 /* How long the primary must have been silent before this replica asks; -1: it does not ask. */
 static gint64
-get_patience (const QuinceLedgerGroup *group)
+get_required_silence (const QuinceLedgerGroup *group)
 {
   if (group->role == QUINCE_LEDGER_WAITING || !quince_ledger_group_has_member (group, group->self.replica))
     return -1;
-  if (group->role == QUINCE_LEDGER_PRIMARY)
+  if (group->role == QUINCE_LEDGER_LEADER)
     return group->refused_with > group->view->epoch ? 0 : -1;
   /* It led until its restart, or was handed the lead. */
   if (group->view->primary == group->self.replica && knows_lead (group))
     return 0;
-  return group->limits.primary_silence_us + (gint64)own_rank (group) * RANK_STEP_US;
+  return group->limits.leader_silence_us + (gint64)own_rank (group) * RANK_STEP_US;
 }
 
 guint64
 quince_ledger_group_campaign (QuinceLedgerGroup *group, gint64 now_us)
 {
-  gint64 patience = get_patience (group);
-  if (patience < 0 || (patience > 0 && now_us - group->primary_contact_us < patience))
+  gint64 patience = get_required_silence (group);
+  if (patience < 0 || (patience > 0 && now_us - group->leader_contact_us < patience))
     return 0;
   if (group->campaign_epoch != 0 && now_us - group->campaign_us < CAMPAIGN_US)
     return group->campaign_epoch; /* the questions may have been lost */
@@ -171,14 +171,14 @@
   if (group->campaign_epoch == 0 || epoch != group->campaign_epoch
       || !quince_ledger_group_has_member (group, replica))
     return;
-  if (goes_further (end, &group->end))
+  if (is_ahead (end, &group->end))
     {
       /* The other one must lead: it may hold what is committed and missing here. */
       quince_ledger_group_end_campaign (group);
       group->campaign_us = now_us + 2 * CAMPAIGN_US;
       return;
     }
-  quince_replica_list_add (group->campaign_for, replica);
+  quince_replica_list_add (group->campaign_promises, replica);
   if (group->elected_us == 0 && quince_ledger_group_is_elected (group))
     group->elected_us = now_us;
 }
@@ -189,6 +189,6 @@
   if (group->campaign_epoch == 0 || group->view == NULL)
     return FALSE;
   guint members = group->view->members.members_len;
-  guint needed = members > group->limits.copies_least ? members - group->limits.copies_least : 0;
-  return group->campaign_for->len >= needed;
+  guint needed = members > group->limits.quorum ? members - group->limits.quorum : 0;
+  return group->campaign_promises->len >= needed;
 }
--- a/lib/core/group/ledger-group-private.h
+++ b/lib/core/group/ledger-group-private.h
@@ -29,33 +29,33 @@
   guint64 revision;       /* of the members; 0: none */
   guint64 store_epoch;    /* what the store shows at that revision; 0: not known */
   guint64 store_primary;
-  gboolean store_answers; /* the primary of that epoch notes before it changes members */
-  guint64 answered;       /* greatest epoch whose primary is known to do so */
-  gboolean view_is_read;  /* the store has answered at least once */
-  gint64 confirmed_us;    /* the view was in force at least until then */
+  gboolean store_leader_notes; /* the primary of that epoch notes before it changes members */
+  guint64 noting_epoch;        /* greatest epoch whose primary is known to do so */
+  gboolean view_is_read;       /* the store has answered at least once */
+  gint64 confirmed_us;         /* the view was in force at least until then */
 
   QuinceLedgerView *proposal; /* on its way */
   gint64 proposed_us;         /* when it was made */
   guint64 proposed_epoch;     /* latest epoch that this process proposed to lead */
   guint64 led_epoch;          /* epoch that it leads or led */
-  GArray *strict_members;     /* replicas of all views that were proposed on this revision */
-  guint strict_least;         /* members of the least of those views */
+  GArray *proposed_members;   /* replicas of all views that were proposed on this revision */
+  guint proposed_members_min; /* members of the least of those views */
   gboolean proposal_may_come; /* one of them may yet be done */
   gboolean hands_over;        /* one of them names another primary */
   gint64 propose_after_us;    /* pause after a failed proposal */
 
   /* At a backup. */
-  gint64 primary_contact_us;
+  gint64 leader_contact_us;
   QuinceLedgerKept kept;
   guint64 promised_at_start; /* as the disk had it when this process was started */
   guint64 promised_to;    /* who has the promise; 0: not known, or it is one to a primary that was followed */
   guint64 campaign_epoch; /* asked for; 0: no campaign */
   guint64 last_campaign;  /* greatest epoch that anybody is known to have asked for */
   gint64 campaign_us;     /* since when, or not before which the next one */
-  GArray *campaign_for;   /* replicas that promised it */
-  GArray *votes;          /* those of them that told since that they know of no change of members */
-  gboolean vote_refused;  /* one of them knows of a change */
-  gint64 elected_us;      /* since when the promises are enough for the store; 0: they are not */
+  GArray *campaign_promises; /* replicas that promised it */
+  GArray *votes;             /* those of them that told since that they know of no change of members */
+  gboolean vote_refused;     /* one of them knows of a change */
+  gint64 elected_us;         /* since when the promises are enough for the store; 0: they are not */
 
   /* At the primary. */
   GHashTable *peers; /* QuinceLedgerPeer by replica */
@@ -65,7 +65,7 @@
   gboolean wants_notes;   /* a change of members waits for them */
   GArray *notes;          /* replicas that noted a change on this revision */
   gint64 order_after_us;
-  gint64 became_primary_us;
+  gint64 leading_since_us;
   GHashTable *zones; /* replica to zone, both owned */
   char **leaving;    /* nodes to be emptied */
   char **confined;   /* nodes that may keep records; NULL: all */
@@ -83,7 +83,7 @@
 /* Members are to be spread over zones. */
 gboolean quince_ledger_group_spreads (const QuinceLedgerGroup *group);
 /* Members that may stand in one zone. */
-guint quince_ledger_group_most_in_zone (const QuinceLedgerGroup *group);
+guint quince_ledger_group_get_zone_max (const QuinceLedgerGroup *group);
 /* Members of @view in the zone of @replica; 0 where it is not known. */
 guint quince_ledger_group_count_in_zone (const QuinceLedgerGroup *group,
                                          const QuinceLedgerView *view,
--- a/lib/core/group/ledger-group.c
+++ b/lib/core/group/ledger-group.c
@@ -33,10 +33,10 @@
   group->promised_at_start = kept->promised;
   group->may_found = may_found;
   /* It may have answered the primary a moment before its restart. */
-  group->primary_contact_us = now_us;
+  group->leader_contact_us = now_us;
   group->peers = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, peer_free);
-  group->strict_members = g_array_new (FALSE, FALSE, sizeof (guint64));
-  group->campaign_for = g_array_new (FALSE, FALSE, sizeof (guint64));
+  group->proposed_members = g_array_new (FALSE, FALSE, sizeof (guint64));
+  group->campaign_promises = g_array_new (FALSE, FALSE, sizeof (guint64));
   group->votes = g_array_new (FALSE, FALSE, sizeof (guint64));
   group->notes = g_array_new (FALSE, FALSE, sizeof (guint64));
   return group;
@@ -50,8 +50,8 @@
   quince_ledger_view_free (group->view);
   quince_ledger_view_free (group->proposal);
   g_hash_table_unref (group->peers);
-  g_array_unref (group->strict_members);
-  g_array_unref (group->campaign_for);
+  g_array_unref (group->proposed_members);
+  g_array_unref (group->campaign_promises);
   g_array_unref (group->votes);
   g_array_unref (group->notes);
   g_strfreev (group->leaving);
--- a/lib/core/group/ledger-group.h
+++ b/lib/core/group/ledger-group.h
@@ -3,7 +3,7 @@
  *
  * One primary and its backups.  The members lie in the metadata store and change there under a condition
  * only, so that there is one history of them.  A record is committed when a quorum of the members has it on
- * disk, @copies_least machines.  A backup that does not hear the primary asks the others; each that does not
+ * disk, @quorum machines.  A backup that does not hear the primary asks the others; each that does not
  * hear it either promises to follow it no more and tells how far its log goes.  With as many promises as make
  * any quorum meet them, the one whose log goes furthest writes itself into the view.
  *
@@ -23,21 +23,21 @@
 
 /**
  * QuinceLedgerLimits:
- * @copies_least: the quorum: machines that must hold a record before it is acknowledged
- * @members_wanted: members while enough machines are there; at most 2 * @copies_least - 1
+ * @quorum: the quorum: machines that must hold a record before it is acknowledged
+ * @members_max: members while enough machines are there; at most 2 * @quorum - 1
  * @zone_losses: zones that may be lost at once: if any, members are spread over zones; 0: they stand anywhere
- * @primary_silence_us: a backup that does not hear its primary for so long may be promised its place, or ask
+ * @leader_silence_us: a backup that does not hear its primary for so long may be promised its place, or ask
  * for it
  * @member_silence_us: the primary takes a silent member out after it
- * @confirm_us: how long a primary may act on the last answers of a quorum; less than @primary_silence_us
+ * @confirm_us: how long a primary may act on the last answers of a quorum; less than @leader_silence_us
  * @order_pause_us: a new primary on another machine gives no orders for this long
  */
 typedef struct
 {
-  guint copies_least;
-  guint members_wanted;
+  guint quorum;
+  guint members_max;
   guint zone_losses;
-  gint64 primary_silence_us;
+  gint64 leader_silence_us;
   gint64 member_silence_us;
   gint64 confirm_us;
   gint64 order_pause_us;
@@ -47,7 +47,7 @@
 {
   QUINCE_LEDGER_WAITING, /* no view is known */
   QUINCE_LEDGER_BACKUP,
-  QUINCE_LEDGER_PRIMARY,
+  QUINCE_LEDGER_LEADER,
 } QuinceLedgerRole;
 
 typedef enum
@@ -133,7 +133,7 @@
 typedef enum
 {
   QUINCE_LEDGER_QUERY_NONE,
-  QUINCE_LEDGER_QUERY_PRIMARY, /* the primary is asked whether it has changes of members noted first */
+  QUINCE_LEDGER_QUERY_LEADER,  /* the primary is asked whether it has changes of members noted first */
   QUINCE_LEDGER_QUERY_MEMBERS, /* the members are asked, now and then */
   QUINCE_LEDGER_QUERY_VOTES,   /* the members are asked after each question for a promise */
   QUINCE_LEDGER_QUERY_NOTES,   /* the members are asked to note a change of members */
@@ -155,7 +155,7 @@
 void
 quince_ledger_group_handle_query (QuinceLedgerGroup *group, gint64 now_us, const QuinceLedgerQuery *query);
 /* The answer; %FALSE: no view is known.  @lead borrows the view until the next call. */
-gboolean quince_ledger_group_tell_lead (const QuinceLedgerGroup *group, QuinceLedgerLead *lead);
+gboolean quince_ledger_group_get_lead (const QuinceLedgerGroup *group, QuinceLedgerLead *lead);
 /* Another replica's answer. */
 void quince_ledger_group_take_lead (QuinceLedgerGroup *group, gint64 now_us, const QuinceLedgerLead *lead);
 /* Becomes primary if a quorum has promised and the store is away or too slow.  %TRUE: it leads now */
@@ -179,15 +179,15 @@
 void quince_ledger_group_peer_left (QuinceLedgerGroup *group, guint64 replica);
 
 /**
- * quince_ledger_group_choose_fed:
+ * quince_ledger_group_choose_recipients:
  * @fed: (inout) (element-type guint64): the replicas that records are to be sent to are appended
  *
  * The members of the view that are linked, those that lack in it, and as many spare ones as a quorum has.
  */
-void quince_ledger_group_choose_fed (const QuinceLedgerGroup *group, gint64 now_us, GArray *fed);
+void quince_ledger_group_choose_recipients (const QuinceLedgerGroup *group, gint64 now_us, GArray *fed);
 
 /**
- * quince_ledger_group_step:
+ * quince_ledger_group_propose:
  * @expected_revision: (out): the condition; 0: no view may be there
  *
  * Not to be called while the metadata store is known to be out of reach.
@@ -195,7 +195,7 @@
  * Returns: (transfer full) (nullable): a view to write; its end is to be told
  */
 QuinceLedgerView *
-quince_ledger_group_step (QuinceLedgerGroup *group, gint64 now_us, guint64 *expected_revision);
+quince_ledger_group_propose (QuinceLedgerGroup *group, gint64 now_us, guint64 *expected_revision);
 
 /* ---- What holds ------------------------------------------------------- */
 
--- a/lib/core/group/ledger-leases.c
+++ b/lib/core/group/ledger-leases.c
@@ -28,7 +28,7 @@
 held_by_quorum (const QuinceLedgerGroup *group)
 {
   const QuinceLedgerView *view = group->view;
-  if (view->members.members_len < group->limits.copies_least)
+  if (view->members.members_len < group->limits.quorum)
     return 0;
   g_autoptr (GArray) held = g_array_new (FALSE, FALSE, sizeof (guint64));
   for (guint i = 0; i < view->members.members_len; i++)
@@ -37,18 +37,18 @@
       g_array_append_val (held, index);
     }
   g_array_sort (held, compare_descending);
-  return g_array_index (held, guint64, group->limits.copies_least - 1);
+  return g_array_index (held, guint64, group->limits.quorum - 1);
 }
 
 guint64
 quince_ledger_group_get_commit_index (QuinceLedgerGroup *group)
 {
-  if (group->role != QUINCE_LEDGER_PRIMARY)
+  if (group->role != QUINCE_LEDGER_LEADER)
     return group->commit_index;
   guint64 held = held_by_quorum (group);
   /* Whichever of the proposed views comes: all of its members know what is committed. */
-  for (guint i = 0; i < group->strict_members->len; i++)
-    held = MIN (held, held_by (group, g_array_index (group->strict_members, guint64, i)));
+  for (guint i = 0; i < group->proposed_members->len; i++)
+    held = MIN (held, held_by (group, g_array_index (group->proposed_members, guint64, i)));
   if (held >= group->recovery_index)
     group->commit_index = MAX (group->commit_index, held);
   return group->commit_index;
@@ -72,26 +72,27 @@
 
 /* Whichever of the proposed views may be in force: a quorum of its members has answered. */
 static gboolean
-strict_follow (const QuinceLedgerGroup *group, gint64 now_us)
+proposed_quorum_follows (const QuinceLedgerGroup *group, gint64 now_us)
 {
   guint silent = 0;
-  for (guint i = 0; i < group->strict_members->len; i++)
+  for (guint i = 0; i < group->proposed_members->len; i++)
     {
-      guint64 replica = g_array_index (group->strict_members, guint64, i);
+      guint64 replica = g_array_index (group->proposed_members, guint64, i);
       const QuinceLedgerPeer *peer = quince_ledger_group_find_peer (group, replica);
       gboolean answers
           = peer != NULL && peer->acked_us > 0 && now_us - peer->acked_us <= group->limits.confirm_us;
       silent += replica != group->self.replica && !answers;
     }
-  return silent + MIN (group->limits.copies_least, group->strict_least) <= group->strict_least;
+  return silent + MIN (group->limits.quorum, group->proposed_members_min) <= group->proposed_members_min;
 }
 
 /* No candidate can have enough promises: a quorum has followed this primary lately. */
 static gboolean
 quorum_follows (const QuinceLedgerGroup *group, gint64 now_us)
 {
-  guint others = MIN (group->limits.copies_least, group->view->members.members_len) - 1;
-  return count_answering (group, now_us, group->limits.confirm_us) >= others && strict_follow (group, now_us);
+  guint others = MIN (group->limits.quorum, group->view->members.members_len) - 1;
+  return count_answering (group, now_us, group->limits.confirm_us) >= others
+         && proposed_quorum_follows (group, now_us);
 }
 
 /* The store's word is enough only where nothing is committed, and nobody elected without it, but with this
@@ -99,7 +100,7 @@
 static gboolean
 store_confirms (const QuinceLedgerGroup *group, gint64 now_us)
 {
-  return group->view->members.members_len <= group->limits.copies_least && group->strict_members->len == 0
+  return group->view->members.members_len <= group->limits.quorum && group->proposed_members->len == 0
          && now_us - group->confirmed_us <= group->limits.confirm_us;
 }
 
@@ -112,7 +113,7 @@
 gboolean
 quince_ledger_group_may_answer (QuinceLedgerGroup *group, gint64 now_us)
 {
-  if (group->role != QUINCE_LEDGER_PRIMARY || group->hands_over)
+  if (group->role != QUINCE_LEDGER_LEADER || group->hands_over)
     return FALSE;
   return quince_ledger_group_is_confirmed (group, now_us)
          && quince_ledger_group_get_commit_index (group) >= group->recovery_index;
@@ -122,13 +123,13 @@
 quince_ledger_group_may_accept (QuinceLedgerGroup *group, gint64 now_us)
 {
   return quince_ledger_group_may_answer (group, now_us) && quorum_follows (group, now_us)
-         && group->view->members.members_len >= group->limits.copies_least;
+         && group->view->members.members_len >= group->limits.quorum;
 }
 
 gboolean
 quince_ledger_group_may_order (QuinceLedgerGroup *group, gint64 now_us)
 {
-  return group->role == QUINCE_LEDGER_PRIMARY && !group->hands_over && quorum_follows (group, now_us)
+  return group->role == QUINCE_LEDGER_LEADER && !group->hands_over && quorum_follows (group, now_us)
          && now_us >= group->order_after_us;
 }
 
--- a/lib/core/group/ledger-proposals.c
+++ b/lib/core/group/ledger-proposals.c
@@ -40,7 +40,7 @@
 moved_view (const QuinceLedgerGroup *group, gint64 now_us)
 {
   gboolean alone = group->view->primary == group->self.replica
-                   || now_us - group->primary_contact_us >= group->limits.primary_silence_us;
+                   || now_us - group->leader_contact_us >= group->limits.leader_silence_us;
   if (!alone || group->store_epoch == 0)
     return NULL;
   g_autoptr (QuinceLedgerView) view = quince_ledger_view_copy (group->view);
@@ -65,7 +65,7 @@
   if (replica == group->self.replica)
     return FALSE;
   const QuinceLedgerPeer *peer = quince_ledger_group_find_peer (group, replica);
-  gint64 heard = MAX (peer != NULL ? peer->acked_us : 0, group->became_primary_us);
+  gint64 heard = MAX (peer != NULL ? peer->acked_us : 0, group->leading_since_us);
   return now_us - heard > group->limits.member_silence_us;
 }
 
@@ -117,7 +117,7 @@
   while (g_hash_table_iter_next (&iter, NULL, &peer))
     if (may_join (group, now_us, view, peer)
         && quince_ledger_group_count_in_zone (group, view, ((const QuinceLedgerPeer *)peer)->replica)
-               < quince_ledger_group_most_in_zone (group))
+               < quince_ledger_group_get_zone_max (group))
       return peer;
   return NULL;
 }
@@ -132,7 +132,7 @@
 {
   return quince_ledger_group_spreads (group) && !quince_ledger_view_has_node (view, peer->node)
          && quince_ledger_group_count_in_zone (group, view, peer->replica)
-                >= quince_ledger_group_most_in_zone (group)
+                >= quince_ledger_group_get_zone_max (group)
          && joiner_elsewhere (group, now_us, view) != NULL;
 }
 
@@ -147,7 +147,7 @@
       guint64 replica = view->members.members_val[i].replica;
       if (replica == group->self.replica
           || quince_ledger_group_count_in_zone (group, view, replica)
-                 <= quince_ledger_group_most_in_zone (group))
+                 <= quince_ledger_group_get_zone_max (group))
         continue;
       quince_ledger_view_remove (view, replica);
       quince_ledger_view_add (view, joiner->node, joiner->address, joiner->replica);
@@ -170,7 +170,7 @@
       if (!may_join (group, now_us, view, peer) || gives_way (group, now_us, view, peer))
         continue;
       const QuinceLedgerMember *replaced = replaceable_by (group, now_us, view, peer);
-      if (replaced == NULL && view->members.members_len >= group->limits.members_wanted)
+      if (replaced == NULL && view->members.members_len >= group->limits.members_max)
         continue;
       if (replaced != NULL)
         quince_ledger_view_remove (view, replaced->replica);
@@ -190,7 +190,7 @@
       gboolean goes = is_silent (group, now_us, member->replica)
                       || (member->replica != group->self.replica
                           && quince_ledger_group_is_leaving (group, member->node));
-      if (goes && view->members.members_len > group->limits.copies_least)
+      if (goes && view->members.members_len > group->limits.quorum)
         {
           quince_ledger_view_remove (view, member->replica);
           changed = TRUE;
@@ -206,7 +206,7 @@
 hand_over (const QuinceLedgerGroup *group, QuinceLedgerView *view)
 {
   if (!quince_ledger_group_is_leaving (group, group->self.node)
-      || view->members.members_len <= group->limits.copies_least)
+      || view->members.members_len <= group->limits.quorum)
     return FALSE;
   for (guint i = 0; i < view->members.members_len; i++)
     {
@@ -236,7 +236,7 @@
 }
 
 static QuinceLedgerView *
-primary_view (QuinceLedgerGroup *group, gint64 now_us)
+leader_view (QuinceLedgerGroup *group, gint64 now_us)
 {
   /* A member has promised to follow another one: this one needs promises above that. */
   if (group->refused_with > group->view->epoch)
@@ -249,7 +249,7 @@
   changed = changed || spread_members (group, now_us, view);
   changed = changed || hand_over (group, view);
   /* An unknown proposal is settled by any newer one; so is a note of a change that is not wanted any more. */
-  if (!changed && (group->strict_members->len > 0 || group->wants_notes))
+  if (!changed && (group->proposed_members->len > 0 || group->wants_notes))
     return g_steal_pointer (&view);
   gboolean sound = changed && is_sound (group, now_us, view);
   return sound && quince_ledger_group_is_noted (group, view) ? g_steal_pointer (&view) : NULL;
@@ -261,28 +261,29 @@
 remember_members (QuinceLedgerGroup *group, const QuinceLedgerView *view)
 {
   guint members = view->members.members_len;
-  group->strict_least = group->strict_members->len > 0 ? MIN (group->strict_least, members) : members;
+  group->proposed_members_min
+      = group->proposed_members->len > 0 ? MIN (group->proposed_members_min, members) : members;
   for (guint i = 0; i < members; i++)
-    quince_replica_list_add (group->strict_members, view->members.members_val[i].replica);
+    quince_replica_list_add (group->proposed_members, view->members.members_val[i].replica);
   /* The one that is named may lead as soon as the store has it. */
   group->hands_over = group->hands_over || view->primary != group->self.replica;
 }
 
 QuinceLedgerView *
-quince_ledger_group_step (QuinceLedgerGroup *group, gint64 now_us, guint64 *expected_revision)
+quince_ledger_group_propose (QuinceLedgerGroup *group, gint64 now_us, guint64 *expected_revision)
 {
   if (group->proposal != NULL || !group->view_is_read || now_us < group->propose_after_us)
     return NULL;
   QuinceLedgerView *view = NULL;
-  if (group->role == QUINCE_LEDGER_PRIMARY)
-    view = primary_view (group, now_us);
+  if (group->role == QUINCE_LEDGER_LEADER)
+    view = leader_view (group, now_us);
   else if (group->role == QUINCE_LEDGER_BACKUP)
     view = backup_view (group, now_us);
   else if (group->may_found)
     view = found_view (group);
   if (view == NULL)
     return NULL;
-  if (group->role == QUINCE_LEDGER_PRIMARY)
+  if (group->role == QUINCE_LEDGER_LEADER)
     remember_members (group, view);
   group->proposal = quince_ledger_view_copy (view);
   group->proposed_us = now_us;
@@ -307,7 +308,7 @@
     group->proposal_may_come = TRUE;
   if (outcome == QUINCE_PROPOSAL_NOT_DONE && !group->proposal_may_come)
     {
-      g_array_set_size (group->strict_members, 0);
+      g_array_set_size (group->proposed_members, 0);
       group->hands_over = FALSE;
     }
 }
--- a/lib/core/group/ledger-feeding.c
+++ b/lib/core/group/ledger-recipients.c
@@ -1,5 +1,5 @@
 /*
- * ledger-feeding.c: which of the linked replicas the primary sends its records to.
+ * ledger-recipients.c: which of the linked replicas the primary sends its records to.
  *
  * Every machine with a disk links to the primary; only the members of the view must hold the log.  A few more
  * are kept at its end, so that the place of a lost member is taken at once; the others wait.
@@ -49,7 +49,7 @@
 }
 
 void
-quince_ledger_group_choose_fed (const QuinceLedgerGroup *group, gint64 now_us, GArray *fed)
+quince_ledger_group_choose_recipients (const QuinceLedgerGroup *group, gint64 now_us, GArray *fed)
 {
   g_autoptr (GPtrArray) spares = g_ptr_array_new ();
   GHashTableIter iter;
@@ -65,8 +65,8 @@
     }
   g_ptr_array_sort (spares, compare_spares);
   guint members = group->view->members.members_len;
-  guint lacking = group->limits.members_wanted > members ? group->limits.members_wanted - members : 0;
-  guint most = lacking + group->limits.copies_least;
+  guint lacking = group->limits.members_max > members ? group->limits.members_max - members : 0;
+  guint most = lacking + group->limits.quorum;
   for (guint i = 0; spares->len > 0 && i < most; i++)
     {
       const QuinceLedgerPeer *spare = g_ptr_array_steal_index (spares, next_spare (group, fed, spares));
--- a/lib/core/group/ledger-roles.c
+++ b/lib/core/group/ledger-roles.c
@@ -12,19 +12,19 @@
 }
 
 static void
-become_primary (QuinceLedgerGroup *group, gint64 now_us, const QuinceLedgerView *before)
+become_leader (QuinceLedgerGroup *group, gint64 now_us, const QuinceLedgerView *before)
 {
-  gboolean goes_on = group->role == QUINCE_LEDGER_PRIMARY;
-  group->role = QUINCE_LEDGER_PRIMARY;
+  gboolean goes_on = group->role == QUINCE_LEDGER_LEADER;
+  group->role = QUINCE_LEDGER_LEADER;
   group->led_epoch = group->view->epoch;
-  group->answered = MAX (group->answered, group->view->epoch);
-  group->store_answers = group->store_answers || group->store_epoch == group->answered;
+  group->noting_epoch = MAX (group->noting_epoch, group->view->epoch);
+  group->store_leader_notes = group->store_leader_notes || group->store_epoch == group->noting_epoch;
   /* A record of its own epoch must be committed before older ones count as committed. */
   group->recovery_index = group->end.index + 1;
   group->commit_index = 0;
   if (!goes_on)
     group->order_after_us = ordered_last (group, before) ? now_us : now_us + group->limits.order_pause_us;
-  group->became_primary_us = now_us;
+  group->leading_since_us = now_us;
   group->refused_with = 0;
   g_hash_table_remove_all (group->peers);
 }
@@ -39,14 +39,14 @@
   if (is_self && group->proposed_epoch == view->epoch && group->kept.promised <= view->epoch)
     {
       /* This process took the lead itself. */
-      become_primary (group, now_us, before);
+      become_leader (group, now_us, before);
       return;
     }
-  if (group->role == QUINCE_LEDGER_PRIMARY)
+  if (group->role == QUINCE_LEDGER_LEADER)
     g_hash_table_remove_all (group->peers);
   group->role = QUINCE_LEDGER_BACKUP;
   if (before == NULL || before->epoch != view->epoch)
-    group->primary_contact_us = now_us;
+    group->leader_contact_us = now_us;
 }
 
 void
@@ -64,7 +64,7 @@
 quince_ledger_group_begin_revision (QuinceLedgerGroup *group, guint64 revision)
 {
   group->revision = revision;
-  g_array_set_size (group->strict_members, 0);
+  g_array_set_size (group->proposed_members, 0);
   g_array_set_size (group->notes, 0);
   group->wants_notes = FALSE;
   group->proposal_may_come = FALSE;
@@ -94,8 +94,8 @@
   gboolean news = revision > group->revision || (revision == group->revision && group->store_epoch == 0);
   if (view == NULL || !news)
     return;
-  group->store_answers
-      = view->epoch == group->answered || (group->store_answers && view->epoch == group->store_epoch);
+  group->store_leader_notes = view->epoch == group->noting_epoch
+                              || (group->store_leader_notes && view->epoch == group->store_epoch);
   group->store_epoch = view->epoch;
   group->store_primary = view->primary;
   group->confirmed_us = requested_us;
--- a/lib/core/group/ledger-succession.c
+++ b/lib/core/group/ledger-succession.c
@@ -22,7 +22,7 @@
 votes_needed (const QuinceLedgerGroup *group)
 {
   guint members = group->view->members.members_len;
-  return MAX (group->limits.copies_least, members / 2 + 1);
+  return MAX (group->limits.quorum, members / 2 + 1);
 }
 
 /* Members, this one counted, that meet each such set. */
@@ -50,7 +50,7 @@
 static void
 take_note (QuinceLedgerGroup *group, const QuinceLedgerLead *lead)
 {
-  if (group->role == QUINCE_LEDGER_PRIMARY && lead->noted >= group->revision
+  if (group->role == QUINCE_LEDGER_LEADER && lead->noted >= group->revision
       && lead->promised == group->view->epoch && quince_ledger_group_has_member (group, lead->replica)
       && lead->replica != group->self.replica)
     quince_replica_list_add (group->notes, lead->replica);
@@ -69,25 +69,25 @@
   *query = (QuinceLedgerQuery){ .revision = group->revision,
                                 .epoch = group->view->epoch,
                                 .replica = group->self.replica,
-                                .changing = group->role == QUINCE_LEDGER_PRIMARY && group->wants_notes };
+                                .changing = group->role == QUINCE_LEDGER_LEADER && group->wants_notes };
   gboolean asks = group->campaign_epoch != 0;
   if (asks && (store_fails || now_us - group->campaign_us >= QUERY_AFTER_US))
     return QUINCE_LEDGER_QUERY_VOTES;
   if (query->changing)
     return QUINCE_LEDGER_QUERY_NOTES;
-  if (group->role == QUINCE_LEDGER_PRIMARY)
+  if (group->role == QUINCE_LEDGER_LEADER)
     return group->refused_with > group->view->epoch ? QUINCE_LEDGER_QUERY_MEMBERS : QUINCE_LEDGER_QUERY_NONE;
-  if (now_us - group->primary_contact_us >= group->limits.primary_silence_us)
+  if (now_us - group->leader_contact_us >= group->limits.leader_silence_us)
     return QUINCE_LEDGER_QUERY_MEMBERS;
-  return group->answered < group->view->epoch && group->view->primary != group->self.replica
-             ? QUINCE_LEDGER_QUERY_PRIMARY
+  return group->noting_epoch < group->view->epoch && group->view->primary != group->self.replica
+             ? QUINCE_LEDGER_QUERY_LEADER
              : QUINCE_LEDGER_QUERY_NONE;
 }
 
 void
 quince_ledger_group_handle_query (QuinceLedgerGroup *group, gint64 now_us, const QuinceLedgerQuery *query)
 {
-  if (!query->changing || group->view == NULL || group->role == QUINCE_LEDGER_PRIMARY
+  if (!query->changing || group->view == NULL || group->role == QUINCE_LEDGER_LEADER
       || query->replica != group->view->primary || query->epoch != group->view->epoch
       || query->epoch < group->kept.promised)
     return;
@@ -98,7 +98,7 @@
 }
 
 gboolean
-quince_ledger_group_tell_lead (const QuinceLedgerGroup *group, QuinceLedgerLead *lead)
+quince_ledger_group_get_lead (const QuinceLedgerGroup *group, QuinceLedgerLead *lead)
 {
   if (group->view == NULL)
     return FALSE;
@@ -108,10 +108,10 @@
                               .promised = group->kept.promised,
                               .promised_to = group->promised_to,
                               .noted = group->kept.noted,
-                              .answered = group->answered,
+                              .answered = group->noting_epoch,
                               .shown_epoch = group->store_epoch,
                               .shown_primary = group->store_primary,
-                              .shown_answers = group->store_answers };
+                              .shown_answers = group->store_leader_notes };
   return TRUE;
 }
 
@@ -123,7 +123,7 @@
 {
   if (group->campaign_epoch == 0 || lead->promised != group->campaign_epoch
       || lead->promised_to != group->self.replica
-      || !quince_replica_list_has (group->campaign_for, lead->replica))
+      || !quince_replica_list_has (group->campaign_promises, lead->replica))
     return;
   if (lead->noted >= group->revision || lead->revision > group->revision)
     group->vote_refused = TRUE;
@@ -135,7 +135,7 @@
 may_lead_without_store (const QuinceLedgerGroup *group, gint64 now_us, gboolean store_fails)
 {
   if (group->campaign_epoch == 0 || !quince_ledger_group_is_elected (group) || group->vote_refused
-      || !group->store_answers || group->kept.noted >= group->revision)
+      || !group->store_leader_notes || group->kept.noted >= group->revision)
     return FALSE;
   gboolean in_time = store_fails || now_us - group->elected_us >= STORE_PATIENCE_US;
   return in_time && group->votes->len + 1 >= votes_needed (group);
@@ -157,7 +157,7 @@
 gboolean
 quince_ledger_group_is_unpublished (const QuinceLedgerGroup *group)
 {
-  return group->role == QUINCE_LEDGER_PRIMARY
+  return group->role == QUINCE_LEDGER_LEADER
          && (group->store_epoch != group->view->epoch || group->store_primary != group->view->primary);
 }
 
@@ -167,7 +167,7 @@
 static void
 take_shown (QuinceLedgerGroup *group, const QuinceLedgerLead *lead)
 {
-  group->answered = MAX (group->answered, lead->answered);
+  group->noting_epoch = MAX (group->noting_epoch, lead->answered);
   if (lead->revision != group->revision)
     return;
   if (group->store_epoch == 0)
@@ -175,8 +175,8 @@
       group->store_epoch = lead->shown_epoch;
       group->store_primary = lead->shown_primary;
     }
-  group->store_answers = group->store_answers || lead->shown_answers
-                         || (group->store_epoch != 0 && lead->answered == group->store_epoch);
+  group->store_leader_notes = group->store_leader_notes || lead->shown_answers
+                              || (group->store_epoch != 0 && lead->answered == group->store_epoch);
 }
 
 /* The members of the newer revision, the lead of the greater epoch. */
@@ -218,7 +218,7 @@
       quince_ledger_group_begin_revision (group, lead->revision);
       group->store_epoch = lead->shown_epoch;
       group->store_primary = lead->shown_primary;
-      group->store_answers = lead->shown_answers;
+      group->store_leader_notes = lead->shown_answers;
     }
   quince_ledger_group_adopt (group, now_us, view);
 }
--- a/lib/core/group/ledger-zones.c
+++ b/lib/core/group/ledger-zones.c
@@ -37,8 +37,8 @@
 }
 
 guint
-quince_ledger_group_most_in_zone (const QuinceLedgerGroup *group)
+quince_ledger_group_get_zone_max (const QuinceLedgerGroup *group)
 {
-  guint may_be_lost = group->limits.members_wanted - group->limits.copies_least;
+  guint may_be_lost = group->limits.members_max - group->limits.quorum;
   return MAX (may_be_lost / MAX (group->limits.zone_losses, 1), 1);
 }
--- a/lib/core/group/send-window.c
+++ b/lib/core/group/send-window.c
@@ -12,16 +12,16 @@
 
 struct _QuinceSendWindow
 {
-  gsize most_bytes;
+  gsize max_bytes;
   gsize bytes;
   GQueue messages; /* Sent, owned, the oldest first */
 };
 
 QuinceSendWindow *
-quince_send_window_new (gsize most_bytes)
+quince_send_window_new (gsize max_bytes)
 {
   QuinceSendWindow *window = g_new0 (QuinceSendWindow, 1);
-  window->most_bytes = most_bytes;
+  window->max_bytes = max_bytes;
   g_queue_init (&window->messages);
   return window;
 }
@@ -57,5 +57,5 @@
 gboolean
 quince_send_window_is_open (const QuinceSendWindow *window)
 {
-  return window->bytes < window->most_bytes;
+  return window->bytes < window->max_bytes;
 }
--- a/lib/core/group/send-window.h
+++ b/lib/core/group/send-window.h
@@ -11,8 +11,8 @@
 
 typedef struct _QuinceSendWindow QuinceSendWindow;
 
-/* @most_bytes: no more is sent while so much is not acknowledged */
-QuinceSendWindow *quince_send_window_new (gsize most_bytes);
+/* @max_bytes: no more is sent while so much is not acknowledged */
+QuinceSendWindow *quince_send_window_new (gsize max_bytes);
 void quince_send_window_free (QuinceSendWindow *window);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (QuinceSendWindow, quince_send_window_free)
 /* Records up to @last_index, @bytes of them, were sent. */
--- a/tests/unit/ledger-parts.h
+++ b/tests/unit/ledger-parts.h
@@ -192,10 +192,10 @@
 world_start (World *world, guint index, gboolean may_found)
 {
   WorldNode *node = &world->nodes[index];
-  const QuinceLedgerLimits limits = { .copies_least = world->losses + 1,
-                                      .members_wanted = 2 * world->losses + 1,
+  const QuinceLedgerLimits limits = { .quorum = world->losses + 1,
+                                      .members_max = 2 * world->losses + 1,
                                       .zone_losses = world->zones > 0,
-                                      .primary_silence_us = 1000 * 1000,
+                                      .leader_silence_us = 1000 * 1000,
                                       .member_silence_us = 1000 * 1000,
                                       .confirm_us = 600 * 1000,
                                       .order_pause_us = 3200 * 1000 };
@@ -327,7 +327,7 @@
   WorldNode *node = &world->nodes[index];
   if (world_store_fails (world, index))
     return;
-  g_autoptr (QuinceLedgerView) view = quince_ledger_group_step (node->group, world->now_us, &expected);
+  g_autoptr (QuinceLedgerView) view = quince_ledger_group_propose (node->group, world->now_us, &expected);
   if (view == NULL)
     return;
   WorldMessage *message = world_send (world, WORLD_STORE_ANSWER, index, index);
@@ -350,7 +350,7 @@
 world_feeds (const World *world, const WorldNode *leader, guint64 replica)
 {
   g_autoptr (GArray) fed = g_array_new (FALSE, FALSE, sizeof (guint64));
-  quince_ledger_group_choose_fed (leader->group, world->now_us, fed);
+  quince_ledger_group_choose_recipients (leader->group, world->now_us, fed);
   for (guint i = 0; i < fed->len; i++)
     if (g_array_index (fed, guint64, i) == replica)
       return TRUE;
--- a/tests/unit/ledger-world.h
+++ b/tests/unit/ledger-world.h
@@ -30,7 +30,7 @@
 {
   WorldNode *node = &world->nodes[index];
   const QuinceLedgerView *view = quince_ledger_group_get_view (node->group);
-  gboolean primary = quince_ledger_group_get_role (node->group) == QUINCE_LEDGER_PRIMARY;
+  gboolean primary = quince_ledger_group_get_role (node->group) == QUINCE_LEDGER_LEADER;
   if (node->led_epoch != 0 && (!primary || view->epoch != node->led_epoch))
     {
       node->led_epoch = 0;
@@ -119,7 +119,7 @@
 world_send_lead (World *world, guint from, guint to)
 {
   QuinceLedgerLead lead;
-  if (!quince_ledger_group_tell_lead (world->nodes[from].group, &lead))
+  if (!quince_ledger_group_get_lead (world->nodes[from].group, &lead))
     return;
   WorldMessage *message = world_send (world, WORLD_LEAD, from, to);
   message->view = quince_ledger_view_copy (&lead.view);
@@ -164,7 +164,7 @@
 static inline void
 world_look_around (World *world, guint index)
 {
-  static const gint64 every_us[] = { [QUINCE_LEDGER_QUERY_PRIMARY] = 1000 * 1000,
+  static const gint64 every_us[] = { [QUINCE_LEDGER_QUERY_LEADER] = 1000 * 1000,
                                      [QUINCE_LEDGER_QUERY_MEMBERS] = 440 * 1000,
                                      [QUINCE_LEDGER_QUERY_VOTES] = 0,
                                      [QUINCE_LEDGER_QUERY_NOTES] = 0 };
@@ -179,8 +179,8 @@
   for (guint i = 0; i < world->n_nodes; i++)
     {
       guint64 replica = world->nodes[i].disk.replica;
-      gboolean asked = kind == QUINCE_LEDGER_QUERY_PRIMARY ? replica == view->primary
-                                                           : quince_ledger_view_find (view, replica) != NULL;
+      gboolean asked = kind == QUINCE_LEDGER_QUERY_LEADER ? replica == view->primary
+                                                          : quince_ledger_view_find (view, replica) != NULL;
       if (i != index && asked)
         world_send (world, WORLD_LOOK, index, i)->look = look;
     }
--- a/tests/unit/test-ledger-succession.c
+++ b/tests/unit/test-ledger-succession.c
@@ -241,9 +241,9 @@
 {
   static QuinceLedgerMember self = { .node = "n1", .address = "n1", .replica = SELF };
   const QuinceLedgerKept kept = { .promised = promised };
-  const QuinceLedgerLimits limits = { .copies_least = 2,
-                                      .members_wanted = 3,
-                                      .primary_silence_us = G_USEC_PER_SEC,
+  const QuinceLedgerLimits limits = { .quorum = 2,
+                                      .members_max = 3,
+                                      .leader_silence_us = G_USEC_PER_SEC,
                                       .member_silence_us = G_USEC_PER_SEC,
                                       .confirm_us = 600 * 1000,
                                       .order_pause_us = 3200 * 1000 };
@@ -269,7 +269,7 @@
   guint64 epoch = quince_ledger_group_campaign (group, now_us);
   quince_ledger_group_promised_by (group, now_us, SECOND, epoch, &end);
   guint64 expected = 0;
-  g_autoptr (QuinceLedgerView) view = quince_ledger_group_step (group, now_us, &expected);
+  g_autoptr (QuinceLedgerView) view = quince_ledger_group_propose (group, now_us, &expected);
   assert_non_null (view);
   assert_int_equal (view->primary, SELF);
   assert_int_equal (view->epoch, epoch);
@@ -305,7 +305,7 @@
   guint64 epoch = propose_lead (group, now);
   quince_ledger_group_proposal_ended (group, now, QUINCE_PROPOSAL_UNKNOWN, 0);
   show_view (group, now + 4 * G_USEC_PER_SEC, epoch, SELF, 6);
-  assert_int_equal (quince_ledger_group_get_role (group), QUINCE_LEDGER_PRIMARY);
+  assert_int_equal (quince_ledger_group_get_role (group), QUINCE_LEDGER_LEADER);
   quince_ledger_group_free (group);
 }
 
@@ -363,14 +363,14 @@
   guint64 expected = 0;
   QuinceLedgerGroup *group = make_primary (now);
   quince_ledger_group_set_leaving (group, leaving);
-  assert_null (quince_ledger_group_step (group, now, &expected));
+  assert_null (quince_ledger_group_propose (group, now, &expected));
   assert_int_equal (quince_ledger_group_get_kept (group)->noted, 6);
   QuinceLedgerQuery look;
   assert_int_equal (quince_ledger_group_get_query (group, now, FALSE, &look), QUINCE_LEDGER_QUERY_NOTES);
   assert_true (look.changing);
   const QuinceLedgerLead lead = { .revision = 6, .replica = SECOND, .promised = look.epoch, .noted = 6 };
   quince_ledger_group_take_lead (group, now, &lead);
-  g_autoptr (QuinceLedgerView) view = quince_ledger_group_step (group, now, &expected);
+  g_autoptr (QuinceLedgerView) view = quince_ledger_group_propose (group, now, &expected);
   assert_non_null (view);
   assert_int_not_equal (view->primary, SELF);
   quince_ledger_group_proposal_ended (group, now, QUINCE_PROPOSAL_UNKNOWN, 0);
