--- a/daemons/replica/heartbeats.c
+++ b/daemons/replica/heartbeats.c
@@ -1,5 +1,5 @@
 /*
- * heartbeats.c: the leader's heartbeats to fronts, and which of the listed fronts answer none.
+ * heartbeats.c: heartbeats of the leader to fronts, and its log of silent fronts.
  */
 #include "heartbeats.h"
 
@@ -7,20 +7,21 @@
 #include "runtime/log.h"
 #include "runtime/clock.h"
 
+/* Period of the heartbeats, ms.  Not measured: a silent front is out of the directory within a second. */
 #define HEARTBEAT_MS 250
-/* Two heartbeats without an answer, and the way there and back. */
+/* A front that answers nothing for this long is silent, us: two heartbeats, and the way there and back. */
 #define SILENCE_US (650 * 1000)
 
 struct _QuinceHeartbeats
 {
   /* All fields belong to the main context. */
   QuinceFailureDetector *fronts;
-  GHashTable *links;  /* QuinceLink, of the owner; NULL: not leading */
-  GHashTable *silent; /* names that were told last */
+  GHashTable *links;  /* borrowed set of QuinceLink; NULL: this replica does not lead */
+  GHashTable *silent; /* names, owned: fronts that were silent at the last heartbeat */
   GSource *timer;
 };
 
-/* One line for each front that falls silent, or is heard again. */
+/* Logs each front that falls silent, and each that answers again. */
 static void
 log_changes (QuinceHeartbeats *heartbeats, gint64 now_us, const GPtrArray *silent)
 {
@@ -58,7 +59,7 @@
 }
 
 static gboolean
-beat (gpointer data)
+send_heartbeat (gpointer data)
 {
   QuinceHeartbeats *heartbeats = data;
   g_autoptr (GPtrArray) silent = g_ptr_array_new ();
@@ -103,7 +104,7 @@
   heartbeats->links = links;
   quince_failure_detector_restart (heartbeats->fronts, quince_now_us ());
   g_hash_table_remove_all (heartbeats->silent);
-  heartbeats->timer = quince_timer_add (HEARTBEAT_MS, beat, heartbeats);
+  heartbeats->timer = quince_timer_add (HEARTBEAT_MS, send_heartbeat, heartbeats);
 }
 
 void
--- a/daemons/replica/progress-file.c
+++ b/daemons/replica/progress-file.c
@@ -1,9 +1,9 @@
 /*
  * progress-file.c: progress of samples on this machine's disk.
  *
- * Two files take turns.  Each holds frames: a header and an encoded message of kind PROGRESS.  When the one
- * that is written to is full, the other one is emptied and written to next, so the newer half at least is
- * always there.  A frame that is torn ends its file: what follows it cannot be trusted.
+ * Two files take turns.  Each has frames: a header and an encoded message of kind PROGRESS.  When the one
+ * that is written is full, the other one is emptied and written next, so the newer half at least is always
+ * there.  A torn frame ends its file: later bytes cannot be trusted.
  */
 #include "progress-file.h"
 
@@ -18,7 +18,8 @@
 #include "runtime/log.h"
 #include "protocol/request-id.h"
 
-/* What is older is of no use to another leader. */
+/* Greatest age that is assumed for progress on the disk, ms: the wall clock may be stepped.  Not measured:
+ * far above the 5 s after which progress is not passed on any more. */
 #define AGE_MAX_MS (20 * 1000)
 
 #define PROGRESS_FILE_ERROR (g_quark_from_static_string ("quince-progress-file-error"))
@@ -30,13 +31,13 @@
   PROGRESS_FILE_ERROR_ENCODE, /* the progress does not encode */
 } ProgressFileError;
 
-#define FILES 2
-/* Of one file; the users' busiest trainers make about half a megabyte of text a second, and a sample runs for
- * ten seconds. */
+#define FILES 2 /* one is full while the other one is written */
+/* Size of one file, bytes: the busiest trainers make about half a megabyte of text a second, and a sample
+ * runs for ten seconds. */
 #define FILE_MAX_BYTES (8 * 1024 * 1024)
-#define HASH_SEED 0x70726f67 /* any fixed number */
+#define HASH_SEED 0x70726f67 /* no unit: any fixed number does */
 
-/* As it lies on the disk, in this machine's byte order: no other machine reads it. */
+/* As written to the disk, in this machine's byte order: no other machine reads it. */
 typedef struct
 {
   guint64 sequence; /* rises with each frame over both files */
@@ -107,8 +108,7 @@
   return header.sequence;
 }
 
-/* How long ago @path was written last; by the wall clock, which may be stepped: some seconds at the most
- * count. */
+/* How long ago @path was last written, us, by the wall clock; bounded, since that may be stepped. */
 static gint64
 age_us (const char *path)
 {
--- a/daemons/replica/progress-file.h
+++ b/daemons/replica/progress-file.h
@@ -1,9 +1,9 @@
 /*
- * progress-file.h: progress of samples on this machine's disk, so that half texts outlive a loss of power of
- * all machines at once.
+ * progress-file.h: progress of samples on this machine's disk, so that partial texts survive a loss of power
+ * of all machines at once.
  *
- * Soft state: a write that fails is told and costs tokens only.  What is older than a few seconds of all
- * samples' texts is overwritten.
+ * Soft state: a write that fails is logged and costs tokens only; the oldest progress is overwritten.  Owns
+ * two open files.  All calls belong to the main context; a write blocks until the disk has it.
  */
 #pragma once
 
@@ -14,7 +14,10 @@
 /**
  * quince_progress_file_open:
  * @folder: existing
- * @store: takes what earlier runs of this process have written
+ * @store: (inout): is given the progress that earlier runs of this process have written
+ * @error: the system refused; the message says why
+ *
+ * Returns: (transfer full) (nullable): %NULL with @error
  */
 QuinceProgressFile *
 quince_progress_file_open (const char *folder, QuinceProgressStore *store, gint64 now_us, GError **error);
--- a/daemons/replica/progress.c
+++ b/daemons/replica/progress.c
@@ -1,17 +1,21 @@
 /*
- * progress.c: texts of samples as far as they are made, at a backup.
+ * progress.c: progress of samples, in memory.
  */
 #include "progress.h"
 
 #include <string.h>
 
-/* What is not spoken of for so long is done or given up. */
+/* Progress that was not reported for this long is forgotten, us: the sample is done or abandoned.  Not
+ * measured. */
 #define FORGET_US (40 * G_USEC_PER_SEC)
+/* Samples of which progress is kept; more are ignored.  Not measured: the samples of one large step, so that
+ * a damaged message cannot take unbounded memory. */
 #define ENTRIES_MAX 8192
-/* A leader tells of each text that grows five times a second, and another one leads a second or two after its
- * end. */
+/* Age of progress that is passed on, us: a leader reports each text that grows five times a second, and the
+ * next one leads a second or two after its end. */
 #define FRESH_US (5 * G_USEC_PER_SEC)
-/* Half texts of 400 samples of 8 kB; two thirds as much when packed. */
+/* Texts that are passed on together, bytes: partial texts of 400 samples of 8 kB, two thirds as much when
+ * packed. */
 #define LISTED_MAX_BYTES (4 * 1024 * 1024)
 
 typedef struct
@@ -23,7 +27,7 @@
   guint64 last_event;
   guint failures;
   gint64 reported_us;
-  guint64 turn; /* the greater, the later it was told */
+  guint64 turn; /* the greater, the later it was reported */
 } Entry;
 
 struct _QuinceProgressStore
@@ -110,7 +114,7 @@
   if (item->from_event == 0)
     g_string_truncate (entry->text, 0);
   else if (item->from_event != entry->last_event)
-    return; /* a piece is missing: what is here stays true */
+    return; /* a piece is missing: the text that is here stays correct */
   g_string_append_len (entry->text, item->text.text_val, item->text.text_len);
   entry->last_event = item->last_event;
   g_array_set_size (entry->versions, 0);
@@ -129,7 +133,7 @@
     take_item (store, now_us, &progress->items.items_val[i]);
 }
 
-/* Told last first. */
+/* The last reported first. */
 static gint
 compare_turns (gconstpointer a, gconstpointer b)
 {
--- a/daemons/replica/progress.h
+++ b/daemons/replica/progress.h
@@ -1,8 +1,10 @@
 /*
- * progress.h: texts of samples as far as they are made, told by the leader to its backups.
+ * progress.h: progress of samples that are being generated: text, events, weight versions and failures.
  *
- * Soft state: it saves tokens, and runs of samples that fail each time.  A new leader goes on behind the last
- * event, and from the number of failures, that it was told of.
+ * The leader reports it to its successor.  Soft state: its loss costs tokens and repeated runs only.  A new
+ * leader resumes each sample behind the last event that is known here, and counts its failures on.
+ *
+ * Owns copies of all texts.  Time is an argument, in us of the monotonic clock.
  */
 #pragma once
 
@@ -12,20 +14,27 @@
 
 QuinceProgressStore *quince_progress_store_new (void);
 void quince_progress_store_free (QuinceProgressStore *store);
-/* At a backup: news of the leader. */
+/* At a backup: a report of the leader. */
 void
 quince_progress_store_take (QuinceProgressStore *store, gint64 now_us, const QuinceSampleProgress *progress);
-/* At a new leader: how often workers answered that they failed the sample, as far as is known. */
+/* At a new leader: how often workers failed the sample; 0: not known. */
 guint quince_progress_store_get_failures (QuinceProgressStore *store, const char *batch, guint item);
-/* At a new leader.  %TRUE: something is known; @text and @versions (guint64) are appended to, @last_event is
- * set */
+/**
+ * quince_progress_store_get:
+ * @text: (inout): the text so far is appended
+ * @versions: (inout) (element-type guint64): versions of the weights that made it are appended
+ * @last_event: (out): number of the last event that is in @text
+ *
+ * At a new leader.  Returns: whether any progress is known
+ */
 gboolean quince_progress_store_get (QuinceProgressStore *store,
                                     const char *batch,
                                     guint item,
                                     GString *text,
                                     GArray *versions,
                                     guint64 *last_event);
-/* Adds what was told in the last few seconds to @items (QuinceProgressItem), some megabytes of whole texts at
- * the most, told last first; they point into the store and are good until it changes. */
+/* Appends the progress that was reported in the last 5 s to @items (element-type QuinceProgressItem), the
+ * last reported first, up to 4 MiB of texts.  The items borrow from the store and are valid until it changes.
+ */
 void quince_progress_store_list (QuinceProgressStore *store, gint64 now_us, GArray *items);
 void quince_progress_store_clear (QuinceProgressStore *store);
--- a/daemons/replica/residency-coordinator.c
+++ b/daemons/replica/residency-coordinator.c
@@ -1,5 +1,5 @@
 /*
- * residency-coordinator.c: regions of batches against those of the machines that keep them.
+ * residency-coordinator.c: regions that batches may be kept in, and the machines in them.
  */
 #include "residency-coordinator.h"
 
@@ -12,9 +12,11 @@
 #include "forward/residency-lookup.h"
 #include "runtime/clock.h"
 
-/* A place that the store did not take is written again after this: few calls while it is away. */
+/* Pause before this machine's zone is written again after the store did not take it, or the next one is
+ * removed, us.  Not measured: few calls while the store is away. */
 #define WRITE_AGAIN_US (2 * G_USEC_PER_SEC)
-/* Least time between two log lines about members that may not keep the ledger. */
+/* Least time between two log lines about members that may not keep the ledger, us.  Not measured: the state
+ * lasts for minutes. */
 #define UNMET_EVERY_US (5 * G_USEC_PER_SEC)
 
 struct _QuinceResidencyCoordinator
@@ -28,14 +30,14 @@
   const QuinceTopology *topology;
   QuinceMachineZones *zones;
   QuinceLedgerNode *ledger;
-  gboolean several_regions; /* regions */
-  gboolean place_written;   /* the store has this machine's zone */
-  gint64 write_after_us;
-  char **leaving; /* (nullable): machines to be emptied */
-  gint64 remove_after_us;
-  char **confined; /* as the ledger was told; NULL: not confined */
+  gboolean several_regions; /* the platform has more than one */
+  gboolean zone_written;    /* the store has this machine's zone */
+  gint64 write_after_us;    /* it is not written before */
+  char **leaving;           /* (nullable): machines to be emptied */
+  gint64 remove_after_us;   /* the next zone is not removed before */
+  char **confined;          /* machines that the ledger is confined to; NULL: not confined */
   gint64 unmet_logged_us;
-  GHashTable *admitted; /* ids to Admitted, both owned: batches that lie in the log, not committed yet */
+  GHashTable *admitted; /* ids to Admitted, both owned: batches in the log that are not committed yet */
 };
 
 typedef struct
@@ -55,13 +57,13 @@
   g_free (admitted);
 }
 
-/* ---- This machine's place ----------------------------------------------- */
+/* ---- Zones of machines ---------------------------------------------------- */
 
 static void
-place_answered (const QuinceMetaPage *page, guint64 number, const GError *error, gpointer data)
+zone_write_ended (const QuinceMetaPage *page, guint64 number, const GError *error, gpointer data)
 {
   QuinceResidencyCoordinator *coordinator = data;
-  coordinator->place_written = error == NULL;
+  coordinator->zone_written = error == NULL;
   if (error != NULL)
     quince_log_warning ("place_not_written", "node=%s code=%d", coordinator->name, error->code);
 }
@@ -73,9 +75,9 @@
 }
 
 static void
-write_place (QuinceResidencyCoordinator *coordinator, gint64 now_us)
+write_zone (QuinceResidencyCoordinator *coordinator, gint64 now_us)
 {
-  if (!coordinator->several_regions || coordinator->place_written || now_us < coordinator->write_after_us
+  if (!coordinator->several_regions || coordinator->zone_written || now_us < coordinator->write_after_us
       || is_leaving (coordinator, coordinator->name) || !quince_observer_is_synced (coordinator->observer)
       || quince_meta_store_is_failing (coordinator->store))
     return;
@@ -84,7 +86,7 @@
   g_autofree char *key = g_strconcat (QUINCE_MACHINE_ZONES_PREFIX, coordinator->name, NULL);
   g_autoptr (GBytes) value = g_bytes_new (zone, strlen (zone));
   const QuinceMetaChange change = { .key = key, .expected_revision = -1, .value = value };
-  quince_meta_store_change (coordinator->store, &change, 1, place_answered, coordinator);
+  quince_meta_store_change (coordinator->store, &change, 1, zone_write_ended, coordinator);
 }
 
 void
@@ -95,22 +97,22 @@
   g_autofree char *zone
       = value != NULL ? g_strndup (g_bytes_get_data (value, NULL), g_bytes_get_size (value)) : NULL;
   if (g_str_equal (node, coordinator->name))
-    coordinator->place_written = g_strcmp0 (zone, quince_topology_get_own_zone (coordinator->topology)) == 0;
+    coordinator->zone_written = g_strcmp0 (zone, quince_topology_get_own_zone (coordinator->topology)) == 0;
   else
     quince_machine_zones_set (coordinator->zones, node, zone);
 }
 
 static void
-place_removed (const QuinceMetaPage *page, guint64 number, const GError *error, gpointer data)
+zone_removed (const QuinceMetaPage *page, guint64 number, const GError *error, gpointer data)
 {
   if (error != NULL)
     quince_log_warning ("place_not_removed", "code=%d", error->code);
 }
 
-/* The place of a machine that was emptied: it counts no more among those where batches may lie.  One at a
- * time, since the store tells of it before the next. */
+/* Removes the zone of a machine that was emptied from the store: batches may not be kept there any more.  One
+ * at a time: the store reports each removal before the next. */
 static void
-remove_place (QuinceResidencyCoordinator *coordinator, gint64 now_us)
+remove_zone (QuinceResidencyCoordinator *coordinator, gint64 now_us)
 {
   const QuinceLedgerView *view = quince_ledger_node_get_view (coordinator->ledger);
   if (now_us < coordinator->remove_after_us || view == NULL
@@ -124,7 +126,7 @@
       coordinator->remove_after_us = now_us + WRITE_AGAIN_US;
       g_autofree char *key = g_strconcat (QUINCE_MACHINE_ZONES_PREFIX, *node, NULL);
       const QuinceMetaChange change = { .key = key, .expected_revision = -1 };
-      quince_meta_store_change (coordinator->store, &change, 1, place_removed, coordinator);
+      quince_meta_store_change (coordinator->store, &change, 1, zone_removed, coordinator);
       return;
     }
 }
@@ -165,7 +167,7 @@
     g_array_append_val (bounds, *residency);
 }
 
-/* Of all batches that the configuration allows. (transfer full) */
+/* Residency of all batches that the configuration allows. (transfer full) */
 static GArray *
 collect_configured (QuinceResidencyCoordinator *coordinator)
 {
@@ -190,7 +192,7 @@
   return bounds;
 }
 
-/* Of the batches that lie in the ledger, committed or not. (transfer full) */
+/* Residency of the batches in the ledger, committed or not. (transfer full) */
 static GArray *
 collect_kept (QuinceResidencyCoordinator *coordinator, const GPtrArray *entries)
 {
@@ -215,7 +217,7 @@
   return bounds;
 }
 
-/* ---- Where the ledger lies ------------------------------------------------ */
+/* ---- Confinement of the ledger --------------------------------------------- */
 
 static GPtrArray *
 choose_machines (QuinceResidencyCoordinator *coordinator, const GArray *bounds)
@@ -244,13 +246,14 @@
       g_strfreev (coordinator->confined);
       coordinator->confined = g_steal_pointer (&names);
     }
-  /* Also what is the same: a new leader feeds members alone until it is told. */
+  /* Also where nothing changed: a new leader sends records to members alone until it is confined. */
   quince_ledger_node_confine (coordinator->ledger, (const char *const *)coordinator->confined);
 }
 
-/* Confines the ledger to where all batches of the configuration may lie, or else those in it. */
+/* Confines the ledger to the machines where all batches of the configuration may be kept; where those are
+ * fewer than a quorum, to the machines where the batches in it may be kept. */
 static void
-place_ledger (QuinceResidencyCoordinator *coordinator, const GPtrArray *entries)
+confine_ledger (QuinceResidencyCoordinator *coordinator, const GPtrArray *entries)
 {
   if (!quince_backends_has_region_rules (coordinator->backends))
     {
@@ -267,7 +270,8 @@
     confine (coordinator, kept->len > 0 ? for_kept : NULL);
 }
 
-/* Members that may not keep what lies in the ledger: too few others are there to take their zones. */
+/* Logs members that may not keep the batches in the ledger: too few other machines are there to replace them.
+ */
 static void
 report_unmet (QuinceResidencyCoordinator *coordinator, gint64 now_us)
 {
@@ -288,14 +292,14 @@
 quince_residency_coordinator_step (QuinceResidencyCoordinator *coordinator, const GPtrArray *entries)
 {
   gint64 now = quince_now_us ();
-  write_place (coordinator, now);
+  write_zone (coordinator, now);
   if (coordinator->several_regions && entries == NULL)
-    quince_metric_set ("quince_replica_members_outside", "", 0); /* the leader's to tell */
+    quince_metric_set ("quince_replica_members_outside", "", 0); /* the leader reports it */
   if (!coordinator->several_regions || entries == NULL
       || quince_observer_get_routes (coordinator->observer) == NULL)
-    return; /* which regions bind is not known yet: what was said before stands */
-  remove_place (coordinator, now);
-  place_ledger (coordinator, entries);
+    return; /* the regions are not known yet: the ledger stays confined as it is */
+  remove_zone (coordinator, now);
+  confine_ledger (coordinator, entries);
   report_unmet (coordinator, now);
 }
 
@@ -308,7 +312,7 @@
                                     const char *tenant)
 {
   if (coordinator->several_regions && quince_observer_get_routes (coordinator->observer) == NULL)
-    return FALSE; /* which regions bind is not known yet */
+    return FALSE; /* the regions are not known yet */
   QuinceResidency residency;
   get_residency (coordinator, host, path, tenant, &residency);
   if (quince_residency_is_free (&residency))
@@ -324,7 +328,7 @@
   admitted->path = g_strdup (path);
   admitted->tenant = g_strdup (tenant);
   g_hash_table_replace (coordinator->admitted, g_strdup (id), admitted);
-  place_ledger (coordinator, entries);
+  confine_ledger (coordinator, entries);
   return TRUE;
 }
 
--- a/daemons/replica/retirement.c
+++ b/daemons/replica/retirement.c
@@ -1,5 +1,5 @@
 /*
- * retirement.c: machines to be emptied: the ledger is told, and the operator how far it is.
+ * retirement.c: machines to be emptied, and the status of each for the operator.
  */
 #include "retirement.h"
 
@@ -18,8 +18,8 @@
   /* All fields belong to the main context. */
   QuinceMetaStore *store;
   QuinceLedgerNode *ledger;
-  char **nodes;     /* to be emptied; NULL: none */
-  GHashTable *told; /* node name, owned, to RetirementState: what was written */
+  char **nodes;         /* to be emptied; NULL: none */
+  GHashTable *reported; /* node name, owned, to RetirementState: last written to the store */
 };
 
 /* One write to the store. */
@@ -35,7 +35,7 @@
   QuinceRetirement *retirement = g_new0 (QuinceRetirement, 1);
   retirement->store = store;
   retirement->ledger = ledger;
-  retirement->told = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
+  retirement->reported = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   return retirement;
 }
 
@@ -44,7 +44,7 @@
 {
   if (retirement == NULL)
     return;
-  g_hash_table_unref (retirement->told);
+  g_hash_table_unref (retirement->reported);
   g_strfreev (retirement->nodes);
   g_free (retirement);
 }
@@ -60,28 +60,28 @@
 static void
 report_ended (const QuinceMetaPage *page, guint64 number, const GError *error, gpointer data)
 {
-  Report *report = data;
+  Report *ended = data;
   if (error != NULL)
-    g_hash_table_remove (report->retirement->told, report->node); /* tell it again */
-  g_free (report->node);
-  g_free (report);
+    g_hash_table_remove (ended->retirement->reported, ended->node); /* the next step writes it again */
+  g_free (ended->node);
+  g_free (ended);
 }
 
 static void
-tell (QuinceRetirement *retirement, const char *node, RetirementState state)
+report (QuinceRetirement *retirement, const char *node, RetirementState state)
 {
-  if (GPOINTER_TO_INT (g_hash_table_lookup (retirement->told, node)) >= (gint)state)
+  if (GPOINTER_TO_INT (g_hash_table_lookup (retirement->reported, node)) >= (gint)state)
     return;
-  g_hash_table_replace (retirement->told, g_strdup (node), GINT_TO_POINTER (state));
-  Report *report = g_new0 (Report, 1);
-  report->retirement = retirement;
-  report->node = g_strdup (node);
+  g_hash_table_replace (retirement->reported, g_strdup (node), GINT_TO_POINTER (state));
+  Report *pending = g_new0 (Report, 1);
+  pending->retirement = retirement;
+  pending->node = g_strdup (node);
   g_autofree char *key = quince_platform_retire_status_key (node);
   g_autoptr (GBytes) value = quince_platform_format_retire_status (state == RETIREMENT_DONE);
   const QuinceMetaChange change = { .key = key, .expected_revision = -1, .value = value };
   quince_log_info ("machine_emptied", "node=%s state=%s", node,
                    state == RETIREMENT_DONE ? "done" : "running");
-  quince_meta_store_change (retirement->store, &change, 1, report_ended, report);
+  quince_meta_store_change (retirement->store, &change, 1, report_ended, pending);
 }
 
 void
@@ -91,6 +91,6 @@
     return;
   const QuinceLedgerView *view = quince_ledger_node_get_view (retirement->ledger);
   for (char **node = retirement->nodes; *node != NULL; node++)
-    tell (retirement, *node,
-          quince_ledger_view_has_node (view, *node) ? RETIREMENT_RUNNING : RETIREMENT_DONE);
+    report (retirement, *node,
+            quince_ledger_view_has_node (view, *node) ? RETIREMENT_RUNNING : RETIREMENT_DONE);
 }
--- a/daemons/replica/retirement.h
+++ b/daemons/replica/retirement.h
@@ -1,5 +1,8 @@
 /*
- * retirement.h: machines with a replica that the operator wants to be emptied, and how far that is.
+ * retirement.h: machines whose replica the operator wants to be emptied, and the status of each.
+ *
+ * The ledger's leader takes their replicas out of the view.  Owns the list of machines.  Relies on the ledger
+ * for the members and on the metadata store for the status.  All calls belong to the main context.
  */
 #pragma once
 
@@ -14,5 +17,6 @@
 void quince_retirement_free (QuinceRetirement *retirement);
 /* The machines @nodes, %NULL-terminated, are to be emptied; all others may stay. */
 void quince_retirement_set_nodes (QuinceRetirement *retirement, const char *const *nodes);
-/* At the leader tells the operator what has changed since; called several times a second. */
+/* At the leader: writes each status that has changed into the metadata store; to be called several times a
+ * second. */
 void quince_retirement_step (QuinceRetirement *retirement);
--- a/lib/batchlog/batch-log-compact.c
+++ b/lib/batchlog/batch-log-compact.c
@@ -10,14 +10,14 @@
 
 #include <string.h>
 
-#define KIND_BYTES 4 /* an XDR union begins with its kind, big-endian */
+#define KIND_BYTES 4 /* bytes; an XDR union begins with its kind, big-endian */
 
 typedef struct
 {
   guint64 commit;
-  guint64 last_looked; /* index of the last record that was looked at */
-  guint left;          /* records that may still be looked at */
-  GArray *indexes;     /* guint64: records to empty */
+  guint64 last_read; /* index of the last record that was read */
+  guint left;        /* records that may still be read */
+  GArray *indexes;   /* guint64: records to empty */
 } Walk;
 
 static gboolean
@@ -31,7 +31,7 @@
 }
 
 static void
-note_forgotten (Walk *walk, const QuinceLogEntry *entry)
+add_forgotten (Walk *walk, const QuinceLogEntry *entry)
 {
   g_autoptr (QuinceBatchRecord) record
       = quince_batch_record_unpack (entry->record.record_val, entry->record.record_len, NULL);
@@ -44,15 +44,15 @@
 }
 
 static gboolean
-look (const QuinceLogEntry *entry, gpointer data)
+read_record (const QuinceLogEntry *entry, gpointer data)
 {
   Walk *walk = data;
   if (entry->index > walk->commit || walk->left == 0)
     return FALSE;
   walk->left--;
-  walk->last_looked = entry->index;
+  walk->last_read = entry->index;
   if (is_forget (entry))
-    note_forgotten (walk, entry);
+    add_forgotten (walk, entry);
   return TRUE;
 }
 
@@ -61,13 +61,13 @@
 {
   g_autoptr (GArray) indexes = g_array_new (FALSE, FALSE, sizeof (guint64));
   Walk walk = { .commit = quince_batch_log_get_commit (log),
-                .last_looked = *compacted,
+                .last_read = *compacted,
                 .left = max_records,
                 .indexes = indexes };
-  if (!quince_batch_log_walk (log, *compacted + 1, look, &walk, error))
+  if (!quince_batch_log_walk (log, *compacted + 1, read_record, &walk, error))
     return FALSE;
   if (indexes->len > 0 && !quince_batch_log_blank (log, (const guint64 *)indexes->data, indexes->len, error))
     return FALSE;
-  *compacted = walk.last_looked;
+  *compacted = walk.last_read;
   return TRUE;
 }
--- a/lib/batchlog/batch-log.h
+++ b/lib/batchlog/batch-log.h
@@ -4,6 +4,10 @@
  * Each append is one synchronous commit: when it returns, its records survive a loss of power.  An index that
  * is appended again with another epoch replaces that record and all after it.  The replica id is random and
  * made with the file: an empty disk is another replica.
+ *
+ * Owns the database file, which one process may open.  Each @error says that the file cannot be opened, read
+ * or written, with SQLite's text; its domain and code are private, since no caller tells several failures
+ * apart.
  */
 #pragma once
 
@@ -14,7 +18,13 @@
 
 typedef struct _QuinceBatchLog QuinceBatchLog;
 
-/* A file that cannot be read as a log is put aside as if the disk were empty; @was_empty tells. */
+/**
+ * quince_batch_log_open:
+ * @folder: existing
+ * @was_empty: (out): the log was created; a file that cannot be read as a log is removed first
+ *
+ * Returns: (transfer full) (nullable): the log
+ */
 QuinceBatchLog *quince_batch_log_open (const char *folder, gboolean *was_empty, GError **error);
 void quince_batch_log_close (QuinceBatchLog *log);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (QuinceBatchLog, quince_batch_log_close)
@@ -22,14 +32,21 @@
 guint64 quince_batch_log_get_replica (const QuinceBatchLog *log);
 guint64 quince_batch_log_get_last_index (const QuinceBatchLog *log);
 const QuinceLedgerKept *quince_batch_log_get_kept (const QuinceBatchLog *log);
-/* Writes what differs; when it returns, that survives a loss of power. */
+/* Writes the numbers that differ; when it returns, they survive a loss of power. */
 gboolean quince_batch_log_keep (QuinceBatchLog *log, const QuinceLedgerKept *kept, GError **error);
-/* 0 where no record has that index. */
+/* Epoch of the record @index; 0 where there is none. */
 guint64 quince_batch_log_get_epoch (QuinceBatchLog *log, guint64 index);
-/* The greatest index known to be committed, as last kept; it may lag. */
+/* The greatest index that was known to be committed when records were last appended. */
 guint64 quince_batch_log_get_commit (const QuinceBatchLog *log);
 
-/* Appends @entries, cuts what lies beyond @end_index and keeps @commit.  @reset: drop all records first. */
+/**
+ * quince_batch_log_append:
+ * @reset: drop all records first
+ * @end_index: records beyond it are removed
+ * @commit: commit index, kept with the records
+ *
+ * In one transaction: %FALSE: nothing has changed.
+ */
 gboolean quince_batch_log_append (QuinceBatchLog *log,
                                   const QuinceLogEntry *entries,
                                   guint n_entries,
@@ -37,15 +54,15 @@
                                   guint64 end_index,
                                   guint64 commit,
                                   GError **error);
-/* Empties the records at @indexes: their batch is forgotten. */
+/* Empties the records at @indexes, whose batch is forgotten; the indexes stay. */
 gboolean
 quince_batch_log_blank (QuinceBatchLog *log, const guint64 *indexes, guint n_indexes, GError **error);
 /**
  * quince_batch_log_compact:
- * @compacted: (inout): index up to which the log was already looked at; 0 at first and after a reset
- * @max_records: records to look at in this call
+ * @compacted: (inout): index up to which the log was searched already; 0 at first and after a reset
+ * @max_records: records to read in this call
  *
- * Empties the records of the batches that committed records forget.  May be called anew over the same
+ * Empties the records of the batches that committed records forget.  May be called again over the same
  * records.
  */
 gboolean
--- a/lib/batchlog/result-cache.c
+++ b/lib/batchlog/result-cache.c
@@ -1,5 +1,5 @@
 /*
- * result-cache.c: unpacked results, the oldest of which go first.
+ * result-cache.c: unpacked results in the order in which they were unpacked.
  */
 #include "batchlog/result-cache.h"
 
@@ -7,7 +7,7 @@
 
 typedef struct
 {
-  GBytes *body; /* owned: the packed bytes, by which it is found */
+  GBytes *body; /* owned reference: the packed bytes, by which it is found */
   QuinceBatchResult *result;
 } Unpacked;
 
--- a/lib/core/group/ledger-campaign.c
+++ b/lib/core/group/ledger-campaign.c
@@ -1,13 +1,16 @@
 /*
- * ledger-campaign.c: a backup asks to follow a primary that nobody hears.
+ * ledger-campaign.c: promises, given and asked for.
  *
- * Asking changes nothing at the asker: only a member that promises stops to follow the former primary.  The
- * asker promises itself at last, once enough others have.
+ * A campaign changes nothing at the candidate: only a member that promises stops following the former leader.
+ * The candidate promises itself last, once enough others have.
  */
 #include "ledger-group-private.h"
 
-/* Backups ask one after the other, so that they do not compete. */
+/* Backups begin to campaign this long after each other, us, in the order of the view, so that they do not
+ * compete. Not measured: longer than the exchange of a request and a promise that is on the disk. */
 #define RANK_STEP_US (250 * 1000)
+/* How long a campaign goes on with one epoch, us; also the pause after a promise to another candidate.  Not
+ * measured: longer than two steps of rank. */
 #define CAMPAIGN_US (600 * 1000)
 
 static gboolean
@@ -16,8 +19,8 @@
   return end->epoch != than->epoch ? end->epoch > than->epoch : end->index > than->index;
 }
 
-/* The place of this replica among the backups; the primary itself comes after them.  No two have the same
- * one: members that ask at the same moments promise each other, and neither goes on. */
+/* The place of this replica among the backups; the leader itself comes after them.  No two have the same one:
+ * members that campaign at the same moments promise each other, and neither goes on. */
 static guint
 own_rank (const QuinceLedgerGroup *group)
 {
@@ -34,7 +37,7 @@
   return rank;
 }
 
-/* ---- At the asked member ---------------------------------------------- */
+/* ---- Promises that are given ------------------------------------------ */
 
 gboolean
 quince_ledger_group_accepts (QuinceLedgerGroup *group, gint64 now_us, guint64 epoch)
@@ -42,7 +45,7 @@
   if (group->view == NULL || group->role == QUINCE_LEDGER_LEADER || epoch != group->view->epoch
       || epoch < group->kept.promised)
     return FALSE;
-  /* Who has acknowledged a record follows nobody older, also after it was started anew. */
+  /* A replica that has acknowledged a record follows no older leader, also after a restart. */
   if (group->kept.promised != epoch)
     group->promised_to = 0;
   group->kept.promised = epoch;
@@ -51,16 +54,16 @@
   return TRUE;
 }
 
-/* What the disk promised before this process was started is no later than the lead that it knows: it has not
- * followed another primary then, which might still act on its answers.  Since its start it has followed none
- * but those that it knew. */
+/* The promise that the disk had when this process was started is no later than the lead that it knows: it has
+ * not followed another leader then, which might still act on its answers.  Since its start it has followed
+ * only leaders that it knew. */
 static gboolean
 knows_lead (const QuinceLedgerGroup *group)
 {
   return group->promised_at_start <= group->view->epoch;
 }
 
-/* The primary that is followed may ask at once: the answers on which it acts are its own. */
+/* The leader that is followed may campaign at once: the lease that its backups gave is its own. */
 static gboolean
 follows_another (const QuinceLedgerGroup *group, gint64 now_us, guint64 replica)
 {
@@ -68,8 +71,8 @@
   return !follows && now_us - group->leader_contact_us < group->limits.leader_silence_us;
 }
 
-/* A primary that nobody follows any more promises too: it may have slept while another one led, and the one
- * that knows all needs its promise. */
+/* A leader that no quorum follows any more promises too: it may have been suspended while another one led,
+ * and the candidate that knows all needs its promise. */
 static gboolean
 leads_on (const QuinceLedgerGroup *group, gint64 now_us)
 {
@@ -78,7 +81,7 @@
              || quince_ledger_group_is_confirmed (group, now_us));
 }
 
-/* Whoever lacks records that are here is not followed: this replica asks by itself soon. */
+/* A candidate that lacks records of this log is refused: this replica campaigns itself soon. */
 gboolean
 quince_ledger_group_promise (QuinceLedgerGroup *group,
                              gint64 now_us,
@@ -90,14 +93,14 @@
     return FALSE;
   if (epoch == group->kept.promised && replica == group->promised_to)
     return TRUE; /* its answer was lost */
-  /* Its own next question must be above what others may promise meanwhile. */
+  /* Its own next campaign must be above the epochs that others may promise meanwhile. */
   group->last_campaign = MAX (group->last_campaign, epoch);
   if (follows_another (group, now_us, replica) || epoch <= group->kept.promised || epoch <= group->view->epoch
       || quince_ledger_group_is_elected (group) || is_ahead (&group->end, end))
     return FALSE;
   group->kept.promised = epoch;
   group->promised_to = replica;
-  /* Its own log counts for nothing in a lower epoch from now on. */
+  /* From now on it commits nothing in a lower epoch. */
   group->role = QUINCE_LEDGER_BACKUP;
   quince_ledger_group_end_campaign (group);
   group->campaign_us = now_us + CAMPAIGN_US + (gint64)own_rank (group) * RANK_STEP_US;
@@ -116,7 +119,7 @@
   return TRUE;
 }
 
-/* ---- At the asker ----------------------------------------------------- */
+/* ---- The campaign of this replica ------------------------------------- */
 
 void
 quince_ledger_group_end_campaign (QuinceLedgerGroup *group)
@@ -128,7 +131,7 @@
   g_array_set_size (group->votes, 0);
 }
 
-/* How long the primary must have been silent before this replica asks; -1: it does not ask. */
+/* How long the leader must have been silent before this replica campaigns, us; -1: it does not campaign. */
 static gint64
 get_required_silence (const QuinceLedgerGroup *group)
 {
@@ -145,15 +148,15 @@
 guint64
 quince_ledger_group_campaign (QuinceLedgerGroup *group, gint64 now_us)
 {
-  gint64 patience = get_required_silence (group);
-  if (patience < 0 || (patience > 0 && now_us - group->leader_contact_us < patience))
+  gint64 silence = get_required_silence (group);
+  if (silence < 0 || (silence > 0 && now_us - group->leader_contact_us < silence))
     return 0;
   if (group->campaign_epoch != 0 && now_us - group->campaign_us < CAMPAIGN_US)
-    return group->campaign_epoch; /* the questions may have been lost */
+    return group->campaign_epoch; /* the requests may have been lost */
   if (group->campaign_epoch == 0 && now_us < group->campaign_us)
     return 0;
   quince_ledger_group_end_campaign (group);
-  /* Whoever promised an earlier one of its campaigns promises the next one too. */
+  /* Above all epochs that are known: a member that promised an earlier campaign promises this one too. */
   guint64 above = MAX (MAX (group->view->epoch, group->kept.promised), group->refused_with);
   group->last_campaign = MAX (above, group->last_campaign) + 1;
   group->campaign_epoch = group->last_campaign;
@@ -173,7 +176,7 @@
     return;
   if (is_ahead (end, &group->end))
     {
-      /* The other one must lead: it may hold what is committed and missing here. */
+      /* The other one must lead: it may have committed records that this log lacks. */
       quince_ledger_group_end_campaign (group);
       group->campaign_us = now_us + 2 * CAMPAIGN_US;
       return;
--- a/lib/core/group/ledger-group.c
+++ b/lib/core/group/ledger-group.c
@@ -32,7 +32,7 @@
   group->kept = *kept;
   group->promised_at_start = kept->promised;
   group->may_found = may_found;
-  /* It may have answered the primary a moment before its restart. */
+  /* It may have acknowledged the leader's records a moment before its restart. */
   group->leader_contact_us = now_us;
   group->peers = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, peer_free);
   group->proposed_members = g_array_new (FALSE, FALSE, sizeof (guint64));
@@ -127,7 +127,7 @@
   if (peer == NULL)
     return;
   if (requested_us < peer->cleared_us)
-    return; /* it told of what it has dropped since */
+    return; /* it answers for records that it has dropped since */
   peer->last_index = MAX (peer->last_index, last_index);
   peer->acked_us = MAX (peer->acked_us, requested_us);
 }
--- a/lib/core/group/ledger-group.h
+++ b/lib/core/group/ledger-group.h
@@ -1,17 +1,18 @@
 /*
- * ledger-group.h: who leads the batch ledger, who keeps it, and what is safely kept.
+ * ledger-group.h: who leads the batch ledger, who keeps it, and which records are committed.
  *
- * One primary and its backups.  The members lie in the metadata store and change there under a condition
- * only, so that there is one history of them.  A record is committed when a quorum of the members has it on
- * disk, @quorum machines.  A backup that does not hear the primary asks the others; each that does not
- * hear it either promises to follow it no more and tells how far its log goes.  With as many promises as make
- * any quorum meet them, the one whose log goes furthest writes itself into the view.
+ * One leader and its backups.  The members lie in the metadata store and change there under a condition only,
+ * so that they have one history.  A record is committed when a quorum of the members has it on disk.  A
+ * backup that does not hear the leader campaigns: each other member that does not hear the leader either
+ * promises not to follow it any more, and says how far its log goes.  With as many promises as meet each
+ * quorum, the candidate whose log goes furthest writes itself into the view.
  *
- * While the metadata store is away the promises of a quorum make a primary; the store is told when it is
- * back.  Members change in the store alone, and only after as many of them as meet each quorum have noted it.
- * docs/design/succession.md says why no epoch is led twice and nothing committed is lost.
+ * While the metadata store is away the promises of a quorum make a leader; the store is updated when it is
+ * back. Members change in the store alone, and only after as many of them as meet each quorum have noted the
+ * change. docs/design/succession.md says why no epoch is led twice and no committed record is lost.
  *
- * Pure: time is an argument, in microseconds of this process's monotonic clock.
+ * Owns copies of all that it is given.  Pure: time is an argument, in microseconds of this process's
+ * monotonic clock; messages, the disk and the store are its user's.
  */
 #pragma once
 
@@ -23,14 +24,14 @@
 
 /**
  * QuinceLedgerLimits:
- * @quorum: the quorum: machines that must hold a record before it is acknowledged
+ * @quorum: machines that must have a record on disk before it is acknowledged
  * @members_max: members while enough machines are there; at most 2 * @quorum - 1
- * @zone_losses: zones that may be lost at once: if any, members are spread over zones; 0: they stand anywhere
- * @leader_silence_us: a backup that does not hear its primary for so long may be promised its place, or ask
- * for it
- * @member_silence_us: the primary takes a silent member out after it
- * @confirm_us: how long a primary may act on the last answers of a quorum; less than @leader_silence_us
- * @order_pause_us: a new primary on another machine gives no orders for this long
+ * @zone_losses: zones that may be lost at once: if any, members are spread over zones; 0: they are not
+ * @leader_silence_us: a backup that has not heard its leader for this long may promise another one to follow
+ *   it, or campaign
+ * @member_silence_us: the leader takes a member that is silent for this long out of the view
+ * @confirm_us: how long a leader may act on the last answers of a quorum; less than @leader_silence_us
+ * @order_pause_us: a new leader on another machine gives no orders for this long
  */
 typedef struct
 {
@@ -69,7 +70,8 @@
 
 /**
  * quince_ledger_group_new:
- * @kept: what this disk keeps
+ * @self: this replica
+ * @kept: what its disk keeps
  * @may_found: this is the first start of the whole system: the first view may be written
  */
 QuinceLedgerGroup *quince_ledger_group_new (const QuinceLedgerMember *self,
@@ -80,47 +82,53 @@
 void quince_ledger_group_free (QuinceLedgerGroup *group);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (QuinceLedgerGroup, quince_ledger_group_free)
 
-/* What the metadata store holds, read at @requested_us; NULL and 0 where it holds none. An older revision is
- * ignored; a newer one with a lower epoch than is known changes the members alone. */
+/**
+ * quince_ledger_group_set_view:
+ * @requested_us: when the read began; 0: not known, the view may be an old one
+ * @view: (nullable): what the metadata store holds; %NULL: no view
+ * @revision: of @view in the store; 0 without one
+ *
+ * An older revision is ignored; a newer one with a lower epoch than is known changes the members alone.
+ */
 void quince_ledger_group_set_view (QuinceLedgerGroup *group,
                                    gint64 now_us,
                                    gint64 requested_us,
                                    const QuinceLedgerView *view,
                                    guint64 revision);
-/* How the proposal that step() gave ended; @revision of the view where it is done. */
+/* How the proposal of quince_ledger_group_propose() ended; @revision of the view where it is done. */
 void quince_ledger_group_proposal_ended (QuinceLedgerGroup *group,
                                          gint64 now_us,
                                          QuinceProposalOutcome outcome,
                                          guint64 revision);
-/* Node names whose machines are to be emptied, %NULL-terminated. */
+/* Names of machines that are to be emptied, %NULL-terminated: their replicas leave the view. */
 void quince_ledger_group_set_leaving (QuinceLedgerGroup *group, const char *const *nodes);
-/* Only the machines @nodes (nullable, %NULL-terminated) may keep records: others are treated as those that
+/* Only the machines @nodes (nullable, %NULL-terminated) may keep records: others are treated as machines that
  * are to be emptied.  %NULL: all may. */
 void quince_ledger_group_confine (QuinceLedgerGroup *group, const char *const *nodes);
-/* Where the machine of @replica stands, this one or another; one that was never told stands in no zone. */
+/* The zone of @replica, this one or another; a replica whose zone was never set is in no zone. */
 void quince_ledger_group_set_zone (QuinceLedgerGroup *group, guint64 replica, const char *zone);
 /* End of the log on this machine's disk. */
 void quince_ledger_group_set_log_end (QuinceLedgerGroup *group, const QuinceLogEnd *end);
 
-/* Must be on disk before anything that follows from it is told or written. */
+/* Must be on disk before a message or record that follows from it is sent or written. (transfer none) */
 const QuinceLedgerKept *quince_ledger_group_get_kept (const QuinceLedgerGroup *group);
 
 /* ---- At a backup ------------------------------------------------------ */
 
-/* Whether records of the primary of @epoch may be taken; if so it is heard, and @epoch is kept as promised.
- */
+/* Whether records of the leader of @epoch may be taken; if so this counts as its contact, and @epoch is kept
+ * as promised. */
 gboolean quince_ledger_group_accepts (QuinceLedgerGroup *group, gint64 now_us, guint64 epoch);
-/* The member @replica, whose log ends at @end, asks to be followed with @epoch.  %TRUE: promised, or promised
- * before, once it is on disk */
+/* The member @replica, whose log ends at @end, campaigns with @epoch.  Returns: whether it is promised, or
+ * was before; the answer may be sent once that is on disk */
 gboolean quince_ledger_group_promise (QuinceLedgerGroup *group,
                                       gint64 now_us,
                                       guint64 replica,
                                       guint64 epoch,
                                       const QuinceLogEnd *end);
-/* Epoch to ask the other members for now; 0: nothing to ask.  A former primary that was started anew, and one
- * that was refused, ask at once. */
+/* Epoch to ask the other members a promise for now; 0: this replica does not campaign.  A former leader that
+ * was restarted, and one that was refused, campaign at once. */
 guint64 quince_ledger_group_campaign (QuinceLedgerGroup *group, gint64 now_us);
-/* A member promised @epoch; its log ends at @end. */
+/* The member @replica promised @epoch; its log ends at @end. */
 void quince_ledger_group_promised_by (QuinceLedgerGroup *group,
                                       gint64 now_us,
                                       guint64 replica,
@@ -133,18 +141,18 @@
 typedef enum
 {
   QUINCE_LEDGER_QUERY_NONE,
-  QUINCE_LEDGER_QUERY_LEADER,  /* the primary is asked whether it has changes of members noted first */
-  QUINCE_LEDGER_QUERY_MEMBERS, /* the members are asked, now and then */
-  QUINCE_LEDGER_QUERY_VOTES,   /* the members are asked after each question for a promise */
-  QUINCE_LEDGER_QUERY_NOTES,   /* the members are asked to note a change of members */
+  QUINCE_LEDGER_QUERY_LEADER,  /* the leader: whether it has changes of members noted first */
+  QUINCE_LEDGER_QUERY_MEMBERS, /* all members: who leads */
+  QUINCE_LEDGER_QUERY_VOTES, /* all members, after each request for a promise: whether they know of a note */
+  QUINCE_LEDGER_QUERY_NOTES, /* all members: to note a change of members */
 } QuinceLedgerQueryKind;
 
 /**
  * quince_ledger_group_get_query:
  * @store_fails: the metadata store is known to be out of reach
- * @query: (out): what to ask
+ * @query: (out): the query to send
  *
- * Returns: whom to ask
+ * Returns: which members to send it to
  */
 QuinceLedgerQueryKind quince_ledger_group_get_query (const QuinceLedgerGroup *group,
                                                      gint64 now_us,
@@ -158,41 +166,47 @@
 gboolean quince_ledger_group_get_lead (const QuinceLedgerGroup *group, QuinceLedgerLead *lead);
 /* Another replica's answer. */
 void quince_ledger_group_take_lead (QuinceLedgerGroup *group, gint64 now_us, const QuinceLedgerLead *lead);
-/* Becomes primary if a quorum has promised and the store is away or too slow.  %TRUE: it leads now */
+/* Becomes leader if a quorum has promised and the store is away or too slow.  Returns: whether it leads now
+ */
 gboolean
 quince_ledger_group_lead_without_store (QuinceLedgerGroup *group, gint64 now_us, gboolean store_fails);
-/* This primary is not the one that the store is known to show. */
+/* This replica leads, and the store is not known to show it. */
 gboolean quince_ledger_group_is_unpublished (const QuinceLedgerGroup *group);
 
-/* ---- At the primary --------------------------------------------------- */
+/* ---- At the leader ---------------------------------------------------- */
 
-/* A replica introduced itself; holds this log up to @last_index; has promised a greater epoch; went. */
+/* A replica introduced itself as a backup. */
 void
 quince_ledger_group_peer_joined (QuinceLedgerGroup *group, gint64 now_us, const QuinceLedgerMember *member);
+/* It has this log on disk up to @last_index; @requested_us: when the message that it answers was sent. */
 void quince_ledger_group_peer_acked (QuinceLedgerGroup *group,
                                      guint64 replica,
                                      guint64 last_index,
                                      gint64 requested_us);
-/* It is told to drop all that it holds: answers to what was asked before count no more. */
+/* It was ordered to drop all its records: answers to what was sent before are ignored. */
 void quince_ledger_group_peer_cleared (QuinceLedgerGroup *group, guint64 replica, gint64 now_us);
+/* A backup refused this leader, since it has promised the greater epoch @promised. */
 void quince_ledger_group_peer_refused (QuinceLedgerGroup *group, guint64 promised);
+/* Its link closed. */
 void quince_ledger_group_peer_left (QuinceLedgerGroup *group, guint64 replica);
 
 /**
  * quince_ledger_group_choose_recipients:
- * @fed: (inout) (element-type guint64): the replicas that records are to be sent to are appended
+ * @recipients: (inout) (element-type guint64): the replicas that records are to be sent to are appended
  *
- * The members of the view that are linked, those that lack in it, and as many spare ones as a quorum has.
+ * The members of the view that are linked, as many others as the view lacks, and as many spare ones as a
+ * quorum has.
  */
-void quince_ledger_group_choose_recipients (const QuinceLedgerGroup *group, gint64 now_us, GArray *fed);
+void
+quince_ledger_group_choose_recipients (const QuinceLedgerGroup *group, gint64 now_us, GArray *recipients);
 
 /**
  * quince_ledger_group_propose:
- * @expected_revision: (out): the condition; 0: no view may be there
+ * @expected_revision: (out): the condition of the write; 0: no view may be there
  *
  * Not to be called while the metadata store is known to be out of reach.
  *
- * Returns: (transfer full) (nullable): a view to write; its end is to be told
+ * Returns: (transfer full) (nullable): a view to write; quince_ledger_group_proposal_ended() must follow
  */
 QuinceLedgerView *
 quince_ledger_group_propose (QuinceLedgerGroup *group, gint64 now_us, guint64 *expected_revision);
@@ -201,18 +215,18 @@
 
 QuinceLedgerRole quince_ledger_group_get_role (const QuinceLedgerGroup *group);
 /* The members of the newest revision that is known, and the lead of the greatest epoch: the store may show a
- * lower one. (nullable) */
+ * lower one. (transfer none) (nullable) */
 const QuinceLedgerView *quince_ledger_group_get_view (const QuinceLedgerGroup *group);
-/* Every record up to it is held by a quorum, for good. */
+/* A quorum holds every record up to this index, for good. */
 guint64 quince_ledger_group_get_commit_index (QuinceLedgerGroup *group);
-/* The primary knows all that was ever acknowledged and is surely still the primary. */
+/* This leader knows all that was ever acknowledged, and no other replica can lead now. */
 gboolean quince_ledger_group_may_answer (QuinceLedgerGroup *group, gint64 now_us);
 /* It can also have new records committed now. */
 gboolean quince_ledger_group_may_accept (QuinceLedgerGroup *group, gint64 now_us);
-/* Nobody else can have given orders within the pause. */
+/* No other replica can have given orders within the pause. */
 gboolean quince_ledger_group_may_order (QuinceLedgerGroup *group, gint64 now_us);
-/* Keeps that this replica may give orders in its epoch; called again and again at a primary that knows all.
- */
+/* Keeps that this replica may give orders in its epoch; to be called several times a second at a leader that
+ * has read its log. */
 void quince_ledger_group_note_orders (QuinceLedgerGroup *group, gint64 now_us);
 gboolean quince_ledger_group_has_member (const QuinceLedgerGroup *group, guint64 replica);
 
--- a/lib/core/group/ledger-leases.c
+++ b/lib/core/group/ledger-leases.c
@@ -46,7 +46,7 @@
   if (group->role != QUINCE_LEDGER_LEADER)
     return group->commit_index;
   guint64 held = held_by_quorum (group);
-  /* Whichever of the proposed views comes: all of its members know what is committed. */
+  /* Any of the proposed views may come into force: all members of each hold what is committed. */
   for (guint i = 0; i < group->proposed_members->len; i++)
     held = MIN (held, held_by (group, g_array_index (group->proposed_members, guint64, i)));
   if (held >= group->recovery_index)
@@ -70,7 +70,7 @@
   return count;
 }
 
-/* Whichever of the proposed views may be in force: a quorum of its members has answered. */
+/* Any of the proposed views may be in force: a quorum of the members of each has answered lately. */
 static gboolean
 proposed_quorum_follows (const QuinceLedgerGroup *group, gint64 now_us)
 {
@@ -86,7 +86,7 @@
   return silent + MIN (group->limits.quorum, group->proposed_members_min) <= group->proposed_members_min;
 }
 
-/* No candidate can have enough promises: a quorum has followed this primary lately. */
+/* No candidate can have enough promises: a quorum has followed this leader lately. */
 static gboolean
 quorum_follows (const QuinceLedgerGroup *group, gint64 now_us)
 {
@@ -95,7 +95,7 @@
          && proposed_quorum_follows (group, now_us);
 }
 
-/* The store's word is enough only where nothing is committed, and nobody elected without it, but with this
+/* An answer of the store is enough only where no record is committed, and no leader elected, without this
  * replica. */
 static gboolean
 store_confirms (const QuinceLedgerGroup *group, gint64 now_us)
--- a/lib/core/group/ledger-proposals.c
+++ b/lib/core/group/ledger-proposals.c
@@ -5,9 +5,11 @@
 
 #include <string.h>
 
+/* Pause after a proposal that failed, us.  Not measured: a few calls of the store, short against the 1 s of
+ * silence of a member that is to be replaced. */
 #define RETRY_US (300 * 1000)
 
-/* ---- A backup, or nobody yet ------------------------------------------ */
+/* ---- At a backup, and at the first start ------------------------------- */
 
 static QuinceLedgerView *
 found_view (QuinceLedgerGroup *group)
@@ -20,7 +22,7 @@
   return view;
 }
 
-/* The members stay: which of them hold all that is committed is not known yet. */
+/* The members stay: it is not known yet which of them have all committed records. */
 static QuinceLedgerView *
 takeover_view (QuinceLedgerGroup *group)
 {
@@ -34,8 +36,8 @@
   return view;
 }
 
-/* Members that were started anew elsewhere find each other by the view alone: the lead and the members stay,
- * its own address is set right.  Where a primary is heard that does it. */
+/* Members that were all restarted at other addresses find each other by the view alone: the lead and the
+ * members stay, this replica's address is corrected.  A leader that is heard does that itself. */
 static QuinceLedgerView *
 moved_view (const QuinceLedgerGroup *group, gint64 now_us)
 {
@@ -57,7 +59,7 @@
   return view != NULL ? view : moved_view (group, now_us);
 }
 
-/* ---- The primary ------------------------------------------------------- */
+/* ---- At the leader ----------------------------------------------------- */
 
 static gboolean
 is_silent (const QuinceLedgerGroup *group, gint64 now_us, guint64 replica)
@@ -65,8 +67,8 @@
   if (replica == group->self.replica)
     return FALSE;
   const QuinceLedgerPeer *peer = quince_ledger_group_find_peer (group, replica);
-  gint64 heard = MAX (peer != NULL ? peer->acked_us : 0, group->leading_since_us);
-  return now_us - heard > group->limits.member_silence_us;
+  gint64 last_answer_us = MAX (peer != NULL ? peer->acked_us : 0, group->leading_since_us);
+  return now_us - last_answer_us > group->limits.member_silence_us;
 }
 
 static gboolean
@@ -99,7 +101,7 @@
   return found;
 }
 
-/* @peer holds all that is committed and is no member yet. */
+/* @peer has all committed records and is no member yet. */
 static gboolean
 may_join (QuinceLedgerGroup *group, gint64 now_us, const QuinceLedgerView *view, const QuinceLedgerPeer *peer)
 {
@@ -107,7 +109,7 @@
          && !quince_ledger_group_is_leaving (group, peer->node);
 }
 
-/* One that may join, in a zone that bears one more member; %NULL: there is none. */
+/* A peer that may join, in a zone that may have one more member; %NULL: there is none. */
 static const QuinceLedgerPeer *
 joiner_elsewhere (QuinceLedgerGroup *group, gint64 now_us, const QuinceLedgerView *view)
 {
@@ -122,8 +124,8 @@
   return NULL;
 }
 
-/* Its zone has members enough, and another replica can take the place.  A machine that came back with another
- * disk takes its own place. */
+/* The zone of @peer has members enough, and a replica of another zone can take the place.  A machine that
+ * came back with another disk takes its own place. */
 static gboolean
 gives_way (QuinceLedgerGroup *group,
            gint64 now_us,
@@ -201,7 +203,7 @@
   return changed;
 }
 
-/* The machine of this primary is to be emptied: another member leads. */
+/* The machine of this leader is to be emptied: proposes that another member leads. */
 static gboolean
 hand_over (const QuinceLedgerGroup *group, QuinceLedgerView *view)
 {
@@ -221,7 +223,7 @@
   return FALSE;
 }
 
-/* Whoever of its members leads next knows all that is committed. */
+/* Each member that may lead next has all committed records. */
 static gboolean
 is_sound (QuinceLedgerGroup *group, gint64 now_us, const QuinceLedgerView *view)
 {
@@ -238,7 +240,7 @@
 static QuinceLedgerView *
 leader_view (QuinceLedgerGroup *group, gint64 now_us)
 {
-  /* A member has promised to follow another one: this one needs promises above that. */
+  /* A member has promised to follow another replica: this one needs promises of a greater epoch. */
   if (group->refused_with > group->view->epoch)
     return takeover_view (group);
   g_autoptr (QuinceLedgerView) view = quince_ledger_view_copy (group->view);
@@ -248,7 +250,8 @@
   changed = take_silent_out (group, now_us, view) || changed;
   changed = changed || spread_members (group, now_us, view);
   changed = changed || hand_over (group, view);
-  /* An unknown proposal is settled by any newer one; so is a note of a change that is not wanted any more. */
+  /* A proposal with unknown outcome is settled by any newer one; so is a note of a change that is not wanted
+   * any more. */
   if (!changed && (group->proposed_members->len > 0 || group->wants_notes))
     return g_steal_pointer (&view);
   gboolean sound = changed && is_sound (group, now_us, view);
@@ -265,7 +268,7 @@
       = group->proposed_members->len > 0 ? MIN (group->proposed_members_min, members) : members;
   for (guint i = 0; i < members; i++)
     quince_replica_list_add (group->proposed_members, view->members.members_val[i].replica);
-  /* The one that is named may lead as soon as the store has it. */
+  /* The replica that it names may lead as soon as the store has it. */
   group->hands_over = group->hands_over || view->primary != group->self.replica;
 }
 
--- a/lib/core/group/ledger-recipients.c
+++ b/lib/core/group/ledger-recipients.c
@@ -1,8 +1,9 @@
 /*
- * ledger-recipients.c: which of the linked replicas the primary sends its records to.
+ * ledger-recipients.c: which of the linked replicas the leader sends its records to.
  *
- * Every machine with a disk links to the primary; only the members of the view must hold the log.  A few more
- * are kept at its end, so that the place of a lost member is taken at once; the others wait.
+ * Every machine with a disk links to the leader; only the members of the view must have the log.  A few spare
+ * replicas are kept at its end, so that the place of a lost member is taken at once; the others get
+ * heartbeats alone.
  */
 #include "ledger-group-private.h"
 
@@ -20,36 +21,38 @@
 may_be_spare (const QuinceLedgerGroup *group, gint64 now_us, const QuinceLedgerPeer *peer)
 {
   gboolean leaving = quince_ledger_group_is_leaving (group, peer->node);
-  /* One that has not answered yet may do so; one that has and does not is no use. */
+  /* One that has not answered yet may do so; one that has and does not any more is of no use. */
   gboolean silent = peer->acked_us > 0 && now_us - peer->acked_us > group->limits.member_silence_us;
   return !leaving && !silent;
 }
 
-/* How many of @fed stand in the zone of @peer. */
+/* How many of @recipients are in the zone of @peer. */
 static guint
-fed_in_zone (const QuinceLedgerGroup *group, const GArray *fed, const QuinceLedgerPeer *peer)
+count_in_zone (const QuinceLedgerGroup *group, const GArray *recipients, const QuinceLedgerPeer *peer)
 {
   const char *zone = g_hash_table_lookup (group->zones, &peer->replica);
   guint count = 0;
-  for (guint i = 0; zone != NULL && i < fed->len; i++)
-    count += g_strcmp0 (g_hash_table_lookup (group->zones, &g_array_index (fed, guint64, i)), zone) == 0;
+  for (guint i = 0; zone != NULL && i < recipients->len; i++)
+    count
+        += g_strcmp0 (g_hash_table_lookup (group->zones, &g_array_index (recipients, guint64, i)), zone) == 0;
   return count;
 }
 
-/* The first of @spares in the zone of which fewest are fed: a member of a lost zone is replaced from another
+/* The first of @spares in the zone with fewest recipients: a member of a lost zone is replaced from another
  * one. */
 static guint
-next_spare (const QuinceLedgerGroup *group, const GArray *fed, const GPtrArray *spares)
+next_spare (const QuinceLedgerGroup *group, const GArray *recipients, const GPtrArray *spares)
 {
   guint best = 0;
   for (guint i = 1; quince_ledger_group_spreads (group) && i < spares->len; i++)
-    if (fed_in_zone (group, fed, spares->pdata[i]) < fed_in_zone (group, fed, spares->pdata[best]))
+    if (count_in_zone (group, recipients, spares->pdata[i])
+        < count_in_zone (group, recipients, spares->pdata[best]))
       best = i;
   return best;
 }
 
 void
-quince_ledger_group_choose_recipients (const QuinceLedgerGroup *group, gint64 now_us, GArray *fed)
+quince_ledger_group_choose_recipients (const QuinceLedgerGroup *group, gint64 now_us, GArray *recipients)
 {
   g_autoptr (GPtrArray) spares = g_ptr_array_new ();
   GHashTableIter iter;
@@ -59,17 +62,18 @@
     {
       QuinceLedgerPeer *peer = value;
       if (quince_ledger_view_find (group->view, peer->replica) != NULL)
-        g_array_append_val (fed, peer->replica);
+        g_array_append_val (recipients, peer->replica);
       else if (may_be_spare (group, now_us, peer))
         g_ptr_array_add (spares, peer);
     }
   g_ptr_array_sort (spares, compare_spares);
   guint members = group->view->members.members_len;
   guint lacking = group->limits.members_max > members ? group->limits.members_max - members : 0;
-  guint most = lacking + group->limits.quorum;
-  for (guint i = 0; spares->len > 0 && i < most; i++)
+  guint spares_max = lacking + group->limits.quorum;
+  for (guint i = 0; spares->len > 0 && i < spares_max; i++)
     {
-      const QuinceLedgerPeer *spare = g_ptr_array_steal_index (spares, next_spare (group, fed, spares));
-      g_array_append_val (fed, spare->replica);
+      const QuinceLedgerPeer *spare
+          = g_ptr_array_steal_index (spares, next_spare (group, recipients, spares));
+      g_array_append_val (recipients, spare->replica);
     }
 }
--- a/lib/core/group/ledger-roles.c
+++ b/lib/core/group/ledger-roles.c
@@ -3,8 +3,8 @@
  */
 #include "ledger-group-private.h"
 
-/* Nobody but this replica can have given orders since it did: whoever did had a record of a later epoch on a
- * quorum, and so in the log of each later primary. */
+/* No other replica can have given orders since this one did: one that did had a record of a later epoch on a
+ * quorum, and so in the log of each later leader. */
 static gboolean
 ordered_last (const QuinceLedgerGroup *group, const QuinceLedgerView *before)
 {
@@ -19,7 +19,7 @@
   group->led_epoch = group->view->epoch;
   group->noting_epoch = MAX (group->noting_epoch, group->view->epoch);
   group->store_leader_notes = group->store_leader_notes || group->store_epoch == group->noting_epoch;
-  /* A record of its own epoch must be committed before older ones count as committed. */
+  /* Older records count as committed only together with one of its own epoch, as in Raft. */
   group->recovery_index = group->end.index + 1;
   group->commit_index = 0;
   if (!goes_on)
@@ -71,7 +71,7 @@
   group->hands_over = FALSE;
 }
 
-/* The lead never goes back to a lower epoch: members may have promised a higher one without the store. */
+/* The lead never returns to a lower epoch: members may have promised a higher one without the store. */
 static void
 keep_lead (QuinceLedgerView *view, const QuinceLedgerView *known)
 {
--- a/lib/core/group/ledger-succession.c
+++ b/lib/core/group/ledger-succession.c
@@ -1,23 +1,24 @@
 /*
- * ledger-succession.c: the lead without the metadata store: who tells whom of it, votes, and notes of
+ * ledger-succession.c: the lead without the metadata store: queries of who leads, votes, and notes of
  * changes.
  *
- * Members change in the store alone.  A primary that is about to change them has it noted by as many members
- * as meet each set of votes; a candidate that hears of a note waits for the store.  So nobody leads without
- * the store over members that are replaced meanwhile.
+ * Members change in the store alone.  A leader that is about to change them has the change noted by as many
+ * members as meet each set of votes; a candidate that learns of a note waits for the store.  So no replica
+ * leads without the store over members that are replaced meanwhile.
  */
 #include "ledger-group-private.h"
 
-/* A candidate waits so long for the store to take its view: 75 times what a call takes, a third of the
- * silence that made it ask. */
+/* How long a candidate waits for the store to take its view before it leads without it, us: 75 times the
+ * duration of a call, a third of the silence after which it campaigned. */
 #define STORE_PATIENCE_US (300 * 1000)
-/* A campaign that has not ended by then looks who leads: some member does not promise. */
+/* A campaign that has not ended after this asks who leads, us: some member does not promise.  Not measured:
+ * half of the time for which a campaign goes on with one epoch. */
 #define QUERY_AFTER_US (300 * 1000)
 
 /* ---- Quorums ---------------------------------------------------------- */
 
-/* Members, this one counted, whose promises make a primary without the store: a quorum.  They meet each other
- * such set, and each set that may write itself into the store. */
+/* Members, this one counted, whose promises make a leader without the store: a quorum.  Any two such sets
+ * have a member in common, and so has one with each set whose candidate may write itself into the store. */
 static guint
 votes_needed (const QuinceLedgerGroup *group)
 {
@@ -25,7 +26,7 @@
   return MAX (group->limits.quorum, members / 2 + 1);
 }
 
-/* Members, this one counted, that meet each such set. */
+/* Members, this one counted, that have one in common with each such set. */
 static guint
 notes_needed (const QuinceLedgerGroup *group)
 {
@@ -56,7 +57,7 @@
     quince_replica_list_add (group->notes, lead->replica);
 }
 
-/* ---- Looks ------------------------------------------------------------ */
+/* ---- Queries ---------------------------------------------------------- */
 
 QuinceLedgerQueryKind
 quince_ledger_group_get_query (const QuinceLedgerGroup *group,
@@ -70,8 +71,8 @@
                                 .epoch = group->view->epoch,
                                 .replica = group->self.replica,
                                 .changing = group->role == QUINCE_LEDGER_LEADER && group->wants_notes };
-  gboolean asks = group->campaign_epoch != 0;
-  if (asks && (store_fails || now_us - group->campaign_us >= QUERY_AFTER_US))
+  gboolean campaigns = group->campaign_epoch != 0;
+  if (campaigns && (store_fails || now_us - group->campaign_us >= QUERY_AFTER_US))
     return QUINCE_LEDGER_QUERY_VOTES;
   if (query->changing)
     return QUINCE_LEDGER_QUERY_NOTES;
@@ -117,7 +118,7 @@
 
 /* ---- Votes ------------------------------------------------------------ */
 
-/* What a member tells after its promise: whether members may change on this revision. */
+/* The answer of a member that has promised: whether members may change on this revision. */
 static void
 take_vote (QuinceLedgerGroup *group, const QuinceLedgerLead *lead)
 {
@@ -163,7 +164,7 @@
 
 /* ---- The lead that others know ---------------------------------------- */
 
-/* What the store shows at the revision that both know. */
+/* The lead that the store shows at the revision that both replicas know. */
 static void
 take_shown (QuinceLedgerGroup *group, const QuinceLedgerLead *lead)
 {
@@ -191,8 +192,8 @@
   return view;
 }
 
-/* Epochs and revisions only rise: what a damaged message tells would be believed for good, and its replica
- * would take no view of the store any more. */
+/* Epochs and revisions only rise: those of a damaged message would hold for good, and this replica would take
+ * no view of the store any more. */
 static gboolean
 is_sound_lead (const QuinceLedgerLead *lead)
 {
--- a/lib/core/group/ledger-zones.c
+++ b/lib/core/group/ledger-zones.c
@@ -1,8 +1,8 @@
 /*
- * ledger-zones.c: members of the ledger over zones, so that the loss of a zone leaves a quorum.
+ * ledger-zones.c: the spread of members over zones, so that the loss of a zone leaves a quorum.
  *
- * With no more members in a zone than a quorum can do without, each record that is acknowledged lies in two
- * zones at least.
+ * With no more members in a zone than the group can lose, each acknowledged record lies in two zones at
+ * least.
  */
 #include "ledger-group-private.h"
 
--- a/lib/core/group/send-window.c
+++ b/lib/core/group/send-window.c
@@ -1,9 +1,9 @@
 /*
- * send-window.c: bytes on their way to a backup.
+ * send-window.c: bytes on their way to a backup, by message.
  */
 #include "core/group/send-window.h"
 
-/* One message that is not acknowledged. */
+/* One message that is not acknowledged yet. */
 typedef struct
 {
   guint64 last_index;
--- a/lib/core/group/send-window.h
+++ b/lib/core/group/send-window.h
@@ -1,7 +1,8 @@
 /*
- * send-window.h: how much a leader sends to a backup that has not acknowledged it yet.  Pure.
+ * send-window.h: bounds the bytes that a leader has sent to a backup without an acknowledgement.
  *
- * Without a bound the whole log would wait in the memory of a leader for each backup that reads slowly.
+ * Without a bound the whole log would wait in the memory of a leader for each backup that reads slowly.  Owns
+ * the list of messages on their way.  Pure.
  */
 #pragma once
 
@@ -11,13 +12,13 @@
 
 typedef struct _QuinceSendWindow QuinceSendWindow;
 
-/* @max_bytes: no more is sent while so much is not acknowledged */
+/* @max_bytes: the window is closed while so many bytes are not acknowledged */
 QuinceSendWindow *quince_send_window_new (gsize max_bytes);
 void quince_send_window_free (QuinceSendWindow *window);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (QuinceSendWindow, quince_send_window_free)
-/* Records up to @last_index, @bytes of them, were sent. */
+/* A message with records up to @last_index was sent; @bytes: size of the records */
 void quince_send_window_sent (QuinceSendWindow *window, guint64 last_index, gsize bytes);
-/* The backup holds all records up to @last_index. */
+/* The backup has all records up to @last_index on disk. */
 void quince_send_window_acknowledged (QuinceSendWindow *window, guint64 last_index);
 gboolean quince_send_window_is_open (const QuinceSendWindow *window);
 
--- a/tests/unit/ledger-parts.h
+++ b/tests/unit/ledger-parts.h
@@ -16,7 +16,7 @@
 #define WORLD_MAX 12
 #define WORLD_TICK_US (10 * 1000)
 #define WORLD_NODE_TICK_US (150 * 1000)
-#define WORLD_TELL_US (440 * 1000)
+#define WORLD_INFORM_US (440 * 1000)
 
 typedef struct
 {
@@ -38,7 +38,7 @@
   WORLD_ACK,
   WORLD_ASK,
   WORLD_PROMISE,
-  WORLD_LOOK,
+  WORLD_QUERY,
   WORLD_LEAD,
   WORLD_STORE_ANSWER,
   WORLD_STORE_VIEW,
@@ -62,9 +62,9 @@
   QuinceProposalOutcome outcome;
   QuinceLedgerView *view;
   guint64 revision;
-  QuinceLedgerQuery look;
+  QuinceLedgerQuery query;
   QuinceLedgerLead lead; /* its view is @view's, not owned */
-  gboolean late;         /* a change that the store does on its own, also while it answers nobody */
+  gboolean late;         /* a change that reaches the store also while it does not answer */
 } WorldMessage;
 
 typedef struct
@@ -73,14 +73,14 @@
   QuinceLedgerGroup *group; /* NULL: down */
   guint64 incarnation;
   guint64 led_epoch;
-  gboolean told_lead;
-  guint64 told_commit;
+  gboolean recovered;
+  guint64 reported_commit;
   gint64 next_tick_us;
-  guint64 hello_incarnation; /* of the primary that knows this node, and its epoch */
+  guint64 hello_incarnation; /* of the leader that knows this node, and its epoch */
   guint64 hello_epoch;
-  gint64 heard_view_us;
+  gint64 read_view_us;
   gint64 queried_us;  /* when it last asked who leads */
-  gint64 reported_us; /* when it last told members that were not linked */
+  gint64 reported_us; /* when it last informed members that were not linked */
   gboolean frozen;
 } WorldNode;
 
@@ -91,7 +91,7 @@
   gint64 now_us;
   guint n_nodes;
   guint losses;
-  guint zones; /* that the nodes stand in by turns; 0: none is told, and any may be lost but a zone */
+  guint zones; /* that the nodes are in by turns; 0: their zones are not set */
   WorldNode nodes[WORLD_MAX];
   gboolean cut[WORLD_MAX][WORLD_MAX];
   gint64 link_us[WORLD_MAX][WORLD_MAX]; /* latest arrival on that link */
@@ -100,12 +100,12 @@
   gboolean store_away[WORLD_MAX]; /* the store turns that machine away */
   QuinceLedgerView *view;         /* in the store */
   guint64 revision;
-  GArray *committed; /* WorldRecord: what was told as committed, by index */
+  GArray *committed; /* WorldRecord: records that a leader reported as committed, by index */
   guint64 next_value;
   guint64 next_replica;
   gint64 last_commit_us;
-  guint leads;   /* times that a primary knew all */
-  guint unaided; /* times that one became primary without the store */
+  guint leads;   /* times that a leader knew all */
+  guint unaided; /* times that one became leader without the store */
   gboolean founded;
   GHashTable *leaders; /* epoch to WorldLeader, owned */
   gint orderer;        /* machine that could give orders last, -1: none */
@@ -204,10 +204,10 @@
                                          world->now_us);
   world_tell_zone (world, node, index);
   node->led_epoch = 0;
-  node->told_lead = FALSE;
+  node->recovered = FALSE;
   node->frozen = FALSE;
   node->next_tick_us = world->now_us + g_rand_int_range (world->random, 1, WORLD_NODE_TICK_US);
-  node->heard_view_us = 0;
+  node->read_view_us = 0;
   node->hello_incarnation = 0;
   world_note_end (node);
 }
@@ -347,7 +347,7 @@
 
 /* Who is not fed gets the leader's word alone. */
 static inline gboolean
-world_feeds (const World *world, const WorldNode *leader, guint64 replica)
+world_is_recipient (const World *world, const WorldNode *leader, guint64 replica)
 {
   g_autoptr (GArray) fed = g_array_new (FALSE, FALSE, sizeof (guint64));
   quince_ledger_group_choose_recipients (leader->group, world->now_us, fed);
@@ -377,7 +377,7 @@
   g_hash_table_insert (world->leaders, &kept->epoch, kept);
 }
 
-/* Whoever may answer knows all that anybody was told. */
+/* A leader that may answer has all records that were reported as committed. */
 static inline void
 world_judge_answers (World *world, guint index)
 {
@@ -406,7 +406,7 @@
 world_judge (World *world)
 {
   for (guint i = 0; i < world->n_nodes; i++)
-    if (world->nodes[i].group != NULL && !world->nodes[i].frozen && world->nodes[i].told_lead)
+    if (world->nodes[i].group != NULL && !world->nodes[i].frozen && world->nodes[i].recovered)
       {
         world_judge_answers (world, i);
         world_judge_orders (world, i);
--- a/tests/unit/ledger-world.h
+++ b/tests/unit/ledger-world.h
@@ -2,8 +2,9 @@
  * ledger-world.h: replicas of the batch ledger in virtual time: disks, links, a metadata store, and their
  * faults.
  *
- * Each replica is driven as the daemon drives it.  What any primary tells as committed is kept here for good
- * and compared with what every later primary holds.  At each step the judges look at all of them.
+ * Each replica is driven as the daemon drives it.  Each record that a leader reports as committed is
+ * kept here for good and compared with the log of every later leader.  At each step the judges look at all of
+ * them.
  */
 #pragma once
 
@@ -19,24 +20,24 @@
   message->index = node->disk.log->len;
   message->commit = quince_ledger_group_get_commit_index (node->group);
   message->sent_us = world->now_us;
-  if (world_feeds (world, node, message->replica))
+  if (world_is_recipient (world, node, message->replica))
     message->records = g_array_copy (node->disk.log);
 }
 
 /* ---- A replica -------------------------------------------------------- */
 
 static inline void
-world_look (World *world, guint index)
+world_update_role (World *world, guint index)
 {
   WorldNode *node = &world->nodes[index];
   const QuinceLedgerView *view = quince_ledger_group_get_view (node->group);
-  gboolean primary = quince_ledger_group_get_role (node->group) == QUINCE_LEDGER_LEADER;
-  if (node->led_epoch != 0 && (!primary || view->epoch != node->led_epoch))
+  gboolean leader = quince_ledger_group_get_role (node->group) == QUINCE_LEDGER_LEADER;
+  if (node->led_epoch != 0 && (!leader || view->epoch != node->led_epoch))
     {
       node->led_epoch = 0;
-      node->told_lead = FALSE;
+      node->recovered = FALSE;
     }
-  if (primary && node->led_epoch == 0)
+  if (leader && node->led_epoch == 0)
     {
       node->led_epoch = view->epoch;
       world_judge_leader (world, index, view->epoch);
@@ -47,18 +48,18 @@
     }
 }
 
-/* Every record that was told as committed must be in the log of whoever leads. */
+/* Every record that was reported as committed must be in the log of each leader. */
 static inline void
 world_check_lead (World *world, WorldNode *node)
 {
   if (node->disk.log->len < world->committed->len)
-    fail_msg ("seed %u: a primary holds %u records, %u were committed", world->seed, node->disk.log->len,
+    fail_msg ("seed %u: a leader holds %u records, %u were committed", world->seed, node->disk.log->len,
               world->committed->len);
   for (guint i = 0; i < world->committed->len; i++)
     {
-      const WorldRecord *told = &g_array_index (world->committed, WorldRecord, i);
+      const WorldRecord *committed = &g_array_index (world->committed, WorldRecord, i);
       const WorldRecord *held = &g_array_index (node->disk.log, WorldRecord, i);
-      if (told->value != held->value || told->epoch != held->epoch)
+      if (committed->value != held->value || committed->epoch != held->epoch)
         fail_msg ("seed %u: record %u was committed with another value", world->seed, i + 1);
     }
 }
@@ -69,15 +70,15 @@
   WorldNode *node = &world->nodes[index];
   if (node->led_epoch == 0)
     return;
-  if (!node->told_lead && quince_ledger_group_may_answer (node->group, world->now_us))
+  if (!node->recovered && quince_ledger_group_may_answer (node->group, world->now_us))
     {
-      node->told_lead = TRUE;
+      node->recovered = TRUE;
       world->leads++;
       g_autofree char *what = g_strdup_printf ("LEADS n%u", index);
       world_trace (world, what, NULL);
       world_check_lead (world, node);
     }
-  if (!node->told_lead)
+  if (!node->recovered)
     return;
   guint64 commit = quince_ledger_group_get_commit_index (node->group);
   for (guint64 i = world->committed->len; i < commit; i++)
@@ -87,30 +88,30 @@
     }
   for (guint64 i = 0; i < MIN (commit, world->committed->len); i++)
     {
-      const WorldRecord *told = &g_array_index (world->committed, WorldRecord, i);
+      const WorldRecord *committed = &g_array_index (world->committed, WorldRecord, i);
       const WorldRecord *held = &g_array_index (node->disk.log, WorldRecord, i);
-      if (told->value != held->value || told->epoch != held->epoch)
-        fail_msg ("seed %u: two primaries committed different records at %" G_GUINT64_FORMAT, world->seed,
+      if (committed->value != held->value || committed->epoch != held->epoch)
+        fail_msg ("seed %u: two leaders committed different records at %" G_GUINT64_FORMAT, world->seed,
                   i + 1);
     }
 }
 
-/* A link to the primary stands until one of its ends is started anew, or the primary has a new epoch. */
+/* A link to the leader lasts until one of its ends is restarted, or the leader has a new epoch. */
 static inline void
 world_follow (World *world, guint index)
 {
   WorldNode *node = &world->nodes[index];
   const QuinceLedgerView *view = quince_ledger_group_get_view (node->group);
-  gint primary = view != NULL ? world_node_of (world, view->primary) : -1;
-  if (primary < 0 || (guint)primary == index || world->cut[index][primary])
+  gint leader = view != NULL ? world_node_of (world, view->primary) : -1;
+  if (leader < 0 || (guint)leader == index || world->cut[index][leader])
     return;
-  const WorldNode *leader = &world->nodes[primary];
-  if (leader->led_epoch != view->epoch
-      || (node->hello_incarnation == leader->incarnation && node->hello_epoch == view->epoch))
+  const WorldNode *leader_node = &world->nodes[leader];
+  if (leader_node->led_epoch != view->epoch
+      || (node->hello_incarnation == leader_node->incarnation && node->hello_epoch == view->epoch))
     return;
-  node->hello_incarnation = leader->incarnation;
+  node->hello_incarnation = leader_node->incarnation;
   node->hello_epoch = view->epoch;
-  world_send (world, WORLD_HELLO, index, (guint)primary)->replica = node->disk.replica;
+  world_send (world, WORLD_HELLO, index, (guint)leader)->replica = node->disk.replica;
 }
 
 /* ---- Who leads -------------------------------------------------------- */
@@ -127,13 +128,13 @@
   message->lead.view = *message->view;
 }
 
-/* Members that are not linked are told again and again while the store is away. */
+/* Informs members that are not linked, several times a second while the store is away. */
 static inline void
-world_tell_members (World *world, guint index)
+world_inform_members (World *world, guint index)
 {
   WorldNode *node = &world->nodes[index];
   if (node->led_epoch == 0 || !world_store_fails (world, index)
-      || world->now_us - node->reported_us < WORLD_TELL_US)
+      || world->now_us - node->reported_us < WORLD_INFORM_US)
     return;
   node->reported_us = world->now_us;
   for (guint i = 0; i < world->n_nodes; i++)
@@ -146,7 +147,7 @@
     }
 }
 
-/* A quorum that promised makes a primary where the store is away or slow; it tells the members at once. */
+/* A quorum that promised makes a leader where the store is away or slow; it informs the members at once. */
 static inline void
 world_lead (World *world, guint index)
 {
@@ -155,23 +156,23 @@
     return;
   world->unaided++;
   world_trace (world, "LEADS WITHOUT STORE", quince_ledger_group_get_view (node->group));
-  world_look (world, index);
+  world_update_role (world, index);
   for (guint i = 0; i < world->n_nodes; i++)
     if (i != index && quince_ledger_group_has_member (node->group, world->nodes[i].disk.replica))
       world_send_lead (world, index, i);
 }
 
 static inline void
-world_look_around (World *world, guint index)
+world_query_leader (World *world, guint index)
 {
   static const gint64 every_us[] = { [QUINCE_LEDGER_QUERY_LEADER] = 1000 * 1000,
                                      [QUINCE_LEDGER_QUERY_MEMBERS] = 440 * 1000,
                                      [QUINCE_LEDGER_QUERY_VOTES] = 0,
                                      [QUINCE_LEDGER_QUERY_NOTES] = 0 };
   WorldNode *node = &world->nodes[index];
-  QuinceLedgerQuery look;
+  QuinceLedgerQuery query;
   QuinceLedgerQueryKind kind
-      = quince_ledger_group_get_query (node->group, world->now_us, world_store_fails (world, index), &look);
+      = quince_ledger_group_get_query (node->group, world->now_us, world_store_fails (world, index), &query);
   if (kind == QUINCE_LEDGER_QUERY_NONE || world->now_us - node->queried_us < every_us[kind])
     return;
   node->queried_us = world->now_us;
@@ -182,7 +183,7 @@
       gboolean asked = kind == QUINCE_LEDGER_QUERY_LEADER ? replica == view->primary
                                                           : quince_ledger_view_find (view, replica) != NULL;
       if (i != index && asked)
-        world_send (world, WORLD_LOOK, index, i)->look = look;
+        world_send (world, WORLD_QUERY, index, i)->query = query;
     }
 }
 
@@ -191,7 +192,7 @@
 {
   WorldNode *node = &world->nodes[index];
   quince_ledger_group_take_lead (node->group, world->now_us, &message->lead);
-  world_look (world, index);
+  world_update_role (world, index);
   world_propose (world, index);
   world_lead (world, index);
 }
@@ -201,9 +202,9 @@
 {
   WorldNode *node = &world->nodes[index];
   node->next_tick_us = world->now_us + WORLD_NODE_TICK_US;
-  if (world->now_us - node->heard_view_us > 300 * 1000)
+  if (world->now_us - node->read_view_us > 300 * 1000)
     {
-      node->heard_view_us = world->now_us;
+      node->read_view_us = world->now_us;
       world_ask_view (world, index);
     }
   guint64 epoch = quince_ledger_group_campaign (node->group, world->now_us);
@@ -215,16 +216,16 @@
         ask->replica = node->disk.replica;
         ask->end = world_log_end (node);
       }
-  world_look_around (world, index);
-  world_tell_members (world, index);
+  world_query_leader (world, index);
+  world_inform_members (world, index);
   world_propose (world, index);
   world_lead (world, index);
-  world_look (world, index);
+  world_update_role (world, index);
   if (quince_ledger_group_get_role (node->group) == QUINCE_LEDGER_BACKUP)
     world_follow (world, index);
   if (node->led_epoch == 0)
     return;
-  if (quince_ledger_group_may_accept (node->group, world->now_us) && node->told_lead)
+  if (quince_ledger_group_may_accept (node->group, world->now_us) && node->recovered)
     {
       const WorldRecord record = { .epoch = node->led_epoch, .value = ++world->next_value };
       g_array_append_val (node->disk.log, record);
@@ -234,7 +235,7 @@
     if (i != index)
       world_send_append (world, index, i);
   world_advance (world, index);
-  if (node->told_lead)
+  if (node->recovered)
     quince_ledger_group_note_orders (node->group, world->now_us);
 }
 
@@ -245,8 +246,8 @@
 {
   WorldNode *node = &world->nodes[index];
   const QuinceLedgerView *view = quince_ledger_group_get_view (node->group);
-  gint primary = view != NULL ? world_node_of (world, view->primary) : -1;
-  if (message->replica != node->disk.replica || primary != (gint)message->from)
+  gint leader = view != NULL ? world_node_of (world, view->primary) : -1;
+  if (message->replica != node->disk.replica || leader != (gint)message->from)
     return;
   gboolean accepted = quince_ledger_group_accepts (node->group, world->now_us, message->epoch);
   guint64 promised = quince_ledger_group_get_kept (node->group)->promised;
@@ -294,14 +295,14 @@
   if (!quince_ledger_group_promise (node->group, world->now_us, message->replica, message->epoch,
                                     &message->end))
     return;
-  world_look (world, index);
+  world_update_role (world, index);
   WorldMessage *promise = world_send (world, WORLD_PROMISE, index, message->from);
   promise->replica = node->disk.replica;
   promise->epoch = message->epoch;
   promise->end = world_log_end (node);
 }
 
-/* The change reaches the store now, whether its answer is heard or not. */
+/* The change reaches the store now, whether its answer arrives or not. */
 static inline void
 world_store_answer (World *world, WorldMessage *message)
 {
@@ -321,7 +322,7 @@
       world_change_later (world, message);
     }
   quince_ledger_group_proposal_ended (node->group, world->now_us, outcome, world->revision);
-  world_look (world, message->to);
+  world_update_role (world, message->to);
 }
 
 static inline void
@@ -341,7 +342,7 @@
     case WORLD_STORE_VIEW:
       quince_ledger_group_set_view (node->group, world->now_us, message->sent_us, message->view,
                                     message->revision);
-      world_look (world, message->to);
+      world_update_role (world, message->to);
       break;
     case WORLD_HELLO:
       if (node->led_epoch != 0 && world->nodes[message->from].disk.replica == message->replica)
@@ -361,8 +362,8 @@
                                        &message->end);
       world_propose (world, message->to);
       break;
-    case WORLD_LOOK:
-      quince_ledger_group_handle_query (node->group, world->now_us, &message->look);
+    case WORLD_QUERY:
+      quince_ledger_group_handle_query (node->group, world->now_us, &message->query);
       world_send_lead (world, message->to, message->from);
       break;
     case WORLD_LEAD:
@@ -469,10 +470,10 @@
 
 /* The node that leads and knows all, or -1. */
 static inline gint
-world_primary (World *world)
+world_leader (World *world)
 {
   for (guint i = 0; i < world->n_nodes; i++)
-    if (world->nodes[i].group != NULL && world->nodes[i].told_lead
+    if (world->nodes[i].group != NULL && world->nodes[i].recovered
         && quince_ledger_group_may_answer (world->nodes[i].group, world->now_us))
       return (gint)i;
   return -1;
@@ -488,3 +489,12 @@
                && quince_ledger_view_find (world->view, world->nodes[i].disk.replica) != NULL;
   return members >= MIN (world->n_nodes, 2 * world->losses + 1);
 }
+
+static inline void
+assert_commits_go_on (World *world, guint within_ms)
+{
+  guint before = world->committed->len;
+  world_run (world, within_ms);
+  if (world->committed->len <= before)
+    fail_msg ("no record was committed within %u ms", within_ms);
+}
--- a/tests/unit/test-ledger-group.c
+++ b/tests/unit/test-ledger-group.c
@@ -5,23 +5,14 @@
 
 #include <stdlib.h>
 
-static void
-assert_commits_go_on (World *world, guint within_ms)
-{
-  guint before = world->committed->len;
-  world_run (world, within_ms);
-  if (world->committed->len <= before)
-    fail_msg ("no record was committed within %u ms", within_ms);
-}
-
 /* All members are taken in; the store may answer late meanwhile. */
 static void
 settle (World *world)
 {
-  for (guint i = 0; i < 100 && !(world_is_whole (world) && world_primary (world) >= 0); i++)
+  for (guint i = 0; i < 100 && !(world_is_whole (world) && world_leader (world) >= 0); i++)
     world_run (world, 100);
   assert_true (world_is_whole (world));
-  assert_int_not_equal (world_primary (world), -1);
+  assert_int_not_equal (world_leader (world), -1);
 }
 
 static void
@@ -29,7 +20,7 @@
 {
   World *world = world_new (1, 3, 1);
   settle (world);
-  assert_int_not_equal (world_primary (world), -1);
+  assert_int_not_equal (world_leader (world), -1);
   assert_commits_go_on (world, 500);
   world_free (world);
 }
@@ -51,8 +42,8 @@
 {
   World *world = world_new (3, 3, 1);
   settle (world);
-  guint primary = (guint)world_primary (world);
-  world_kill (world, (primary + 1) % 3);
+  guint leader = (guint)world_leader (world);
+  world_kill (world, (leader + 1) % 3);
   assert_commits_go_on (world, 1500);
   world_free (world);
 }
@@ -63,25 +54,25 @@
 {
   World *world = world_new (4, 3, 1);
   settle (world);
-  guint primary = (guint)world_primary (world);
+  guint leader = (guint)world_leader (world);
   world->store_down = TRUE;
-  world_cut_off (world, (primary + 1) % 3, TRUE);
+  world_cut_off (world, (leader + 1) % 3, TRUE);
   for (guint i = 0; i < 8; i++)
     assert_commits_go_on (world, 1500);
   world_free (world);
 }
 
 static void
-test_lost_primary_is_followed (void **state)
+test_lost_leader_is_followed (void **state)
 {
   World *world = world_new (5, 3, 1);
   settle (world);
-  guint primary = (guint)world_primary (world);
-  world_kill (world, primary);
-  for (guint i = 0; i < 60 && world_primary (world) < 0; i++)
+  guint leader = (guint)world_leader (world);
+  world_kill (world, leader);
+  for (guint i = 0; i < 60 && world_leader (world) < 0; i++)
     world_run (world, 100);
-  assert_int_not_equal (world_primary (world), -1);
-  assert_int_not_equal (world_primary (world), (gint)primary);
+  assert_int_not_equal (world_leader (world), -1);
+  assert_int_not_equal (world_leader (world), (gint)leader);
   assert_commits_go_on (world, 500);
   world_free (world);
 }
@@ -113,8 +104,8 @@
       World *world = world_new (100 + seed, 3, 1);
       settle (world);
       world_run (world, seed * 17);
-      guint primary = (guint)world_primary (world);
-      guint wiped = (primary + seed) % 3;
+      guint leader = (guint)world_leader (world);
+      guint wiped = (leader + seed) % 3;
       for (guint i = 0; i < 3; i++)
         world_kill (world, i);
       world_wipe (world, wiped);
@@ -133,7 +124,7 @@
 {
   World *world = world_new (7, 3, 1);
   settle (world);
-  guint leaving = (guint)world_primary (world);
+  guint leaving = (guint)world_leader (world);
   g_autofree char *name = g_strdup_printf ("n%u", leaving);
   const char *const nodes[] = { name, NULL };
   for (guint i = 0; i < 3; i++)
@@ -152,23 +143,23 @@
   world_free (world);
 }
 
-/* A frozen primary that wakes does not speak for the ledger, and gives no orders. */
+/* A frozen leader that wakes does not speak for the ledger, and gives no orders. */
 static void
-test_frozen_primary_wakes (void **state)
+test_frozen_leader_wakes (void **state)
 {
   World *world = world_new (8, 3, 1);
   settle (world);
-  guint former = (guint)world_primary (world);
+  guint former = (guint)world_leader (world);
   world->nodes[former].frozen = TRUE;
   world_run (world, 3500);
   assert_false (quince_ledger_group_may_answer (world->nodes[former].group, world->now_us));
   assert_false (quince_ledger_group_may_order (world->nodes[former].group, world->now_us));
-  gint now = world_primary (world);
+  gint now = world_leader (world);
   assert_int_not_equal (now, -1);
   assert_false (quince_ledger_group_may_order (world->nodes[now].group, world->now_us));
   world->nodes[former].frozen = FALSE;
   world_run (world, 4500);
-  now = world_primary (world);
+  now = world_leader (world);
   assert_true (quince_ledger_group_may_order (world->nodes[now].group, world->now_us));
   world_free (world);
 }
@@ -204,7 +195,7 @@
       break;
     case 6:
       /* Another disk may go once the machine that lost the last one holds all again. */
-      if (*wiped >= 0 && !(world_is_whole (world) && world_primary (world) >= 0))
+      if (*wiped >= 0 && !(world_is_whole (world) && world_leader (world) >= 0))
         break;
       world_wipe (world, node);
       *wiped = (gint)node;
@@ -247,8 +238,8 @@
         {
           heal (world);
           world_run (world, 9000);
-          if (world_primary (world) < 0)
-            fail_msg ("seed %u: nobody leads 9 s after the last fault", seed);
+          if (world_leader (world) < 0)
+            fail_msg ("seed %u: no replica leads 9 s after the last fault", seed);
           assert_true (world_is_whole (world));
         }
     }
@@ -261,10 +252,10 @@
 static guint
 count_fed (World *world)
 {
-  const WorldNode *leader = &world->nodes[world_primary (world)];
+  const WorldNode *leader = &world->nodes[world_leader (world)];
   guint count = 0;
   for (guint i = 0; i < world->n_nodes; i++)
-    count += world_feeds (world, leader, world->nodes[i].disk.replica);
+    count += world_is_recipient (world, leader, world->nodes[i].disk.replica);
   return count;
 }
 
@@ -279,12 +270,12 @@
   assert_int_equal (count_fed (world), 4); /* two members beside the leader, two spare ones */
   for (guint round = 0; round < 6; round++)
     {
-      guint lost = ((guint)world_primary (world) + 1 + round % 2) % world->n_nodes;
+      guint lost = ((guint)world_leader (world) + 1 + round % 2) % world->n_nodes;
       world_kill (world, lost);
       world_run (world, 6000);
       assert_commits_go_on (world, 1000);
       assert_int_equal (count_fed (world), 4);
-      const QuinceLedgerView *view = quince_ledger_group_get_view (world->nodes[world_primary (world)].group);
+      const QuinceLedgerView *view = quince_ledger_group_get_view (world->nodes[world_leader (world)].group);
       assert_int_equal (view->members.members_len, 3);
       world_start (world, lost, FALSE);
     }
@@ -321,10 +312,10 @@
   world_run (world, 8000);
   assert_int_equal (count_members_outside (world, three), 0);
   assert_int_equal (world->view->members.members_len, 3);
-  assert_true (world_primary (world) % 2 == 1);
-  const WorldNode *leader = &world->nodes[world_primary (world)];
+  assert_true (world_leader (world) % 2 == 1);
+  const WorldNode *leader = &world->nodes[world_leader (world)];
   for (guint i = 0; i < world->n_nodes; i += 2)
-    assert_false (world_feeds (world, leader, world->nodes[i].disk.replica));
+    assert_false (world_is_recipient (world, leader, world->nodes[i].disk.replica));
   assert_commits_go_on (world, 500);
   confine_all (world, one);
   world_run (world, 8000);
@@ -360,11 +351,11 @@
     cmocka_unit_test (test_one_machine_acknowledges_nothing),
     cmocka_unit_test (test_lost_backup_does_not_stop_commits),
     cmocka_unit_test (test_backup_cut_while_store_is_down),
-    cmocka_unit_test (test_lost_primary_is_followed),
+    cmocka_unit_test (test_lost_leader_is_followed),
     cmocka_unit_test (test_disks_lost_in_turn),
     cmocka_unit_test (test_lost_disk_while_all_others_lose_power),
     cmocka_unit_test (test_retire_then_lost_disk),
-    cmocka_unit_test (test_frozen_primary_wakes),
+    cmocka_unit_test (test_frozen_leader_wakes),
     cmocka_unit_test (test_spare_replicas),
     cmocka_unit_test (test_confined),
     cmocka_unit_test (test_seeded_faults),
--- a/tests/unit/test-ledger-succession.c
+++ b/tests/unit/test-ledger-succession.c
@@ -2,8 +2,9 @@
  * test-ledger-succession.c: who leads the batch ledger next while the metadata store is away, in virtual
  * time.
  *
- * The world judges at each step: no epoch is led by two processes, what was committed is in each later
- * leader's log, whoever answers knows all that was told, and no two machines give orders within 3 s.
+ * The world checks at each step: no epoch is led by two processes, each committed record is in each later
+ * leader's log, a leader that may answer has all committed records, and no two machines give orders within 3
+ * s.
  */
 #include "ledger-world.h"
 
@@ -17,29 +18,20 @@
 static void
 settle (World *world)
 {
-  for (guint i = 0; i < 200 && !(world_is_whole (world) && world_primary (world) >= 0); i++)
+  for (guint i = 0; i < 200 && !(world_is_whole (world) && world_leader (world) >= 0); i++)
     world_run (world, 100);
   assert_true (world_is_whole (world));
-  assert_int_not_equal (world_primary (world), -1);
+  assert_int_not_equal (world_leader (world), -1);
   /* What the last change of members left to settle is settled. */
   world_run (world, 2000);
 }
 
-static void
-assert_commits_go_on (World *world, guint within_ms)
-{
-  guint before = world->committed->len;
-  world_run (world, within_ms);
-  if (world->committed->len <= before)
-    fail_msg ("no record was committed within %u ms", within_ms);
-}
-
 static guint
-lose_primary (World *world)
+lose_leader (World *world)
 {
-  guint primary = (guint)world_primary (world);
-  world_kill (world, primary);
-  return primary;
+  guint leader = (guint)world_leader (world);
+  world_kill (world, leader);
+  return leader;
 }
 
 /* Milliseconds until another machine than @former leads; fails after @within_ms. */
@@ -48,25 +40,25 @@
 {
   for (guint waited = 0; waited <= within_ms; waited += 10)
     {
-      gint primary = world_primary (world);
-      if (primary >= 0 && primary != (gint)former)
+      gint leader = world_leader (world);
+      if (leader >= 0 && leader != (gint)former)
         return waited;
       world_run (world, 10);
     }
-  fail_msg ("nobody leads within %u ms", within_ms);
+  fail_msg ("no replica leads within %u ms", within_ms);
   return 0;
 }
 
 static void
 assert_store_shows_leader (World *world)
 {
-  gint primary = world_primary (world);
-  assert_int_not_equal (primary, -1);
-  assert_int_equal (world_node_of (world, world->view->primary), primary);
-  assert_int_equal (world->view->epoch, world->nodes[primary].led_epoch);
+  gint leader = world_leader (world);
+  assert_int_not_equal (leader, -1);
+  assert_int_equal (world_node_of (world, world->view->primary), leader);
+  assert_int_equal (world->view->epoch, world->nodes[leader].led_epoch);
 }
 
-/* Failed first: nobody led before the store was back. */
+/* A leader is found although the store is away. */
 static void
 test_store_down (void **state)
 {
@@ -77,7 +69,7 @@
       settle (world);
       world->store_down = TRUE;
       world_run (world, seed * 37);
-      guint former = lose_primary (world);
+      guint former = lose_leader (world);
       guint waited = await_leader (world, former, LEAD_MS);
       slowest = MAX (slowest, waited);
       assert_commits_go_on (world, 500);
@@ -98,7 +90,7 @@
     {
       World *world = world_new (1000 + seed, 3, 1);
       settle (world);
-      guint former = lose_primary (world);
+      guint former = lose_leader (world);
       guint waited = await_leader (world, former, LEAD_MS + 500);
       slowest = MAX (slowest, waited);
       world_run (world, 2000);
@@ -114,7 +106,7 @@
 {
   World *world = world_new (2001, 3, 1);
   settle (world);
-  guint former = (guint)world_primary (world);
+  guint former = (guint)world_leader (world);
   for (guint i = 0; i < world->n_nodes; i++)
     world->store_away[i] = i != former;
   world_kill (world, former);
@@ -122,7 +114,7 @@
   assert_commits_go_on (world, 500);
   world_start (world, former, FALSE); /* and reads in the store that it leads */
   world_run (world, 3000);
-  assert_int_not_equal (world_primary (world), (gint)former);
+  assert_int_not_equal (world_leader (world), (gint)former);
   for (guint i = 0; i < world->n_nodes; i++)
     world->store_away[i] = FALSE;
   world_run (world, 3000);
@@ -138,7 +130,7 @@
     {
       World *world = world_new (3000 + seed, 3, 1);
       settle (world);
-      guint former = (guint)world_primary (world);
+      guint former = (guint)world_leader (world);
       for (guint i = 0; i < world->n_nodes; i++)
         world->store_away[i] = i != former;
       world_cut_off (world, former, TRUE);
@@ -163,7 +155,7 @@
   world->store_down = TRUE;
   for (guint round = 0; round < 8; round++)
     {
-      guint former = (guint)world_primary (world);
+      guint former = (guint)world_leader (world);
       world->nodes[former].frozen = TRUE;
       await_leader (world, former, LEAD_MS);
       assert_commits_go_on (world, 500);
@@ -186,7 +178,7 @@
       World *world = world_new (5000 + seed, 3, 1);
       settle (world);
       world->store_down = TRUE;
-      guint former = lose_primary (world);
+      guint former = lose_leader (world);
       await_leader (world, former, LEAD_MS);
       assert_commits_go_on (world, 700);
       for (guint i = 0; i < world->n_nodes; i++)
@@ -202,8 +194,8 @@
     }
 }
 
-/* Failed first: a member that was started anew while the store was away stayed out, and its group without a
- * quorum, until the store was back. */
+/* A member that is restarted while the store is away is informed who leads, and counts for the quorum again.
+ */
 static void
 test_member_starts_anew (void **state)
 {
@@ -212,9 +204,9 @@
       World *world = world_new (6000 + seed, 3, 1);
       settle (world);
       world->store_down = TRUE;
-      guint former = lose_primary (world);
+      guint former = lose_leader (world);
       await_leader (world, former, LEAD_MS);
-      guint other = 3 - former - (guint)world_primary (world);
+      guint other = 3 - former - (guint)world_leader (world);
       world_kill (world, other);
       world_run (world, 700);
       world_start (world, other, FALSE);
@@ -222,7 +214,7 @@
       assert_commits_go_on (world, 500);
       world_start (world, former, FALSE);
       world_run (world, 1000);
-      world_kill (world, (guint)world_primary (world));
+      world_kill (world, (guint)world_leader (world));
       await_leader (world, WORLD_MAX, LEAD_MS);
       assert_commits_go_on (world, 500);
       world_free (world);
@@ -251,13 +243,13 @@
 }
 
 static void
-show_view (QuinceLedgerGroup *group, gint64 now_us, guint64 epoch, guint64 primary, guint64 revision)
+show_view (QuinceLedgerGroup *group, gint64 now_us, guint64 epoch, guint64 leader, guint64 revision)
 {
   static QuinceLedgerMember members[] = { { .node = "n1", .address = "n1", .replica = SELF },
                                           { .node = "n2", .address = "n2", .replica = SECOND },
                                           { .node = "n3", .address = "n3", .replica = THIRD } };
   const QuinceLedgerView view
-      = { .epoch = epoch, .primary = primary, .members = { G_N_ELEMENTS (members), members } };
+      = { .epoch = epoch, .primary = leader, .members = { G_N_ELEMENTS (members), members } };
   quince_ledger_group_set_view (group, now_us, now_us, &view, revision);
 }
 
@@ -309,7 +301,7 @@
   quince_ledger_group_free (group);
 }
 
-/* Of a damaged message: it names no members, nobody who tells it, or no lead. Epochs and revisions only rise,
+/* Of a damaged message: it names no members, no sender, or no lead. Epochs and revisions only rise,
  * so that it would be believed for good. */
 static void
 test_damaged_lead (void **state)
@@ -353,7 +345,7 @@
   return group;
 }
 
-/* Members note a change on the disk before it is proposed; a primary that proposed to hand over answers
+/* Members note a change on the disk before it is proposed; a leader that proposed to hand over answers
  * nothing until that is settled: the one that it named is promised at once. */
 static void
 test_hand_over_is_noted_and_silent (void **state)
@@ -365,10 +357,10 @@
   quince_ledger_group_set_leaving (group, leaving);
   assert_null (quince_ledger_group_propose (group, now, &expected));
   assert_int_equal (quince_ledger_group_get_kept (group)->noted, 6);
-  QuinceLedgerQuery look;
-  assert_int_equal (quince_ledger_group_get_query (group, now, FALSE, &look), QUINCE_LEDGER_QUERY_NOTES);
-  assert_true (look.changing);
-  const QuinceLedgerLead lead = { .revision = 6, .replica = SECOND, .promised = look.epoch, .noted = 6 };
+  QuinceLedgerQuery query;
+  assert_int_equal (quince_ledger_group_get_query (group, now, FALSE, &query), QUINCE_LEDGER_QUERY_NOTES);
+  assert_true (query.changing);
+  const QuinceLedgerLead lead = { .revision = 6, .replica = SECOND, .promised = query.epoch, .noted = 6 };
   quince_ledger_group_take_lead (group, now, &lead);
   g_autoptr (QuinceLedgerView) view = quince_ledger_group_propose (group, now, &expected);
   assert_non_null (view);
@@ -396,7 +388,7 @@
 static void
 lose_disk (World *world, guint node, gint *wiped)
 {
-  if (*wiped >= 0 && !(world_is_whole (world) && world_primary (world) >= 0))
+  if (*wiped >= 0 && !(world_is_whole (world) && world_leader (world) >= 0))
     return;
   world_wipe (world, node);
   *wiped = (gint)node;
@@ -421,10 +413,10 @@
   gint32 kind = g_rand_int_range (world->random, 0, 16);
   g_autofree char *what = g_strdup_printf ("FAULT %d on n%u n%u", kind, node, other);
   world_trace (world, what, NULL);
-  if (kind <= 1 && world_primary (world) >= 0)
-    world_kill (world, (guint)world_primary (world));
-  else if (kind == 2 && world_primary (world) >= 0)
-    world->nodes[world_primary (world)].frozen = TRUE;
+  if (kind <= 1 && world_leader (world) >= 0)
+    world_kill (world, (guint)world_leader (world));
+  else if (kind == 2 && world_leader (world) >= 0)
+    world->nodes[world_leader (world)].frozen = TRUE;
   else if (kind == 3)
     world_cut_off (world, node, TRUE);
   else if (kind == 4)
@@ -477,7 +469,7 @@
         continue;
       heal (world);
       world_run (world, HEAL_MS);
-      if (world_primary (world) < 0 || !world_is_whole (world))
+      if (world_leader (world) < 0 || !world_is_whole (world))
         fail_msg ("seed %u: not whole %u ms after the last fault", seed, HEAL_MS);
       assert_store_shows_leader (world);
     }
--- a/tests/unit/test-ledger-zones.c
+++ b/tests/unit/test-ledger-zones.c
@@ -36,7 +36,7 @@
 static gboolean
 is_settled (World *world)
 {
-  return world_is_whole (world) && world_primary (world) >= 0 && is_spread (world);
+  return world_is_whole (world) && world_leader (world) >= 0 && is_spread (world);
 }
 
 static void
@@ -45,19 +45,10 @@
   for (guint i = 0; i < 200 && !is_settled (world); i++)
     world_run (world, 100);
   assert_true (world_is_whole (world));
-  assert_int_not_equal (world_primary (world), -1);
+  assert_int_not_equal (world_leader (world), -1);
   assert_true (is_spread (world));
 }
 
-static void
-assert_commits_go_on (World *world, guint within_ms)
-{
-  guint before = world->committed->len;
-  world_run (world, within_ms);
-  if (world->committed->len <= before)
-    fail_msg ("no record was committed within %u ms", within_ms);
-}
-
 static void
 lose_zone (World *world, guint zone)
 {
@@ -136,7 +127,7 @@
 {
   World *world = world_new_in_zones (11, MACHINES, LOSSES, ZONES);
   settle (world);
-  guint primary_zone = zone_of_node ((guint)world_primary (world));
+  guint primary_zone = zone_of_node ((guint)world_leader (world));
   guint lost = (primary_zone + 1) % ZONES;
   lose_zone (world, lost);
   world_run (world, 6000);
@@ -151,7 +142,7 @@
 member_of_zone (World *world, guint zone)
 {
   for (guint i = 0; i < world->n_nodes; i++)
-    if (zone_of_node (i) == zone && world_primary (world) != (gint)i
+    if (zone_of_node (i) == zone && world_leader (world) != (gint)i
         && quince_ledger_view_find (world->view, world->nodes[i].disk.replica) != NULL)
       return i;
   return G_MAXUINT;
@@ -177,7 +168,7 @@
   world_free (world);
 }
 
-/* The primary dies while members are spread, and a zone just after: the next one knows no zone but its own.
+/* The leader dies while members are spread, and a zone just after: the next one knows no zone but its own.
  */
 static void
 test_zone_lost_under_a_new_primary (void **state)
@@ -186,12 +177,12 @@
     {
       World *world = world_new_in_zones (300 + seed, MACHINES, LOSSES, ZONES);
       settle (world);
-      guint primary = (guint)world_primary (world);
-      world_kill (world, primary);
+      guint leader = (guint)world_leader (world);
+      world_kill (world, leader);
       world_run (world, 100 * seed);
-      world_start (world, primary, FALSE);
+      world_start (world, leader, FALSE);
       settle (world);
-      lose_zone (world, (zone_of_node (primary) + 1) % ZONES);
+      lose_zone (world, (zone_of_node (leader) + 1) % ZONES);
       world_run (world, 5000);
       assert_commits_go_on (world, 2000);
       world_free (world);
@@ -203,7 +194,7 @@
 test_zones_without_losses_count_for_nothing (void **state)
 {
   World *world = world_new (13, MACHINES, LOSSES);
-  for (guint i = 0; i < 100 && !(world_is_whole (world) && world_primary (world) >= 0); i++)
+  for (guint i = 0; i < 100 && !(world_is_whole (world) && world_leader (world) >= 0); i++)
     world_run (world, 100);
   assert_true (world_is_whole (world));
   guint64 revision = world->revision;
