--- a/daemons/replica/ledger-backup.h
+++ b/daemons/replica/ledger-backup.h
@@ -36,8 +36,8 @@
   QuinceSendWindow *window;
 } QuinceLedgerBackup;
 
-/* The replica that introduced itself by @hello on @link; it is sent what lies behind the point where its log
- * and @log part. */
+/* The replica that introduced itself by @hello on @link; it is sent the records of @log from the point on
+ * where its own log differs. */
 QuinceLedgerBackup *quince_ledger_backup_new (QuinceLink *link,
                                               const QuinceLedgerHello *hello,
                                               guint64 serial,
--- a/daemons/replica/ledger-node.h
+++ b/daemons/replica/ledger-node.h
@@ -91,7 +91,7 @@
 
 /* At a backup: its link to the leader, while it is up. (transfer none) (nullable) */
 QuinceLink *quince_ledger_node_get_leader (QuinceLedgerNode *node);
-/* At the leader: a number that stands for the link to the successor; 0: there is none.  Another number means
+/* At the leader: a number that identifies the link to the successor; 0: there is none.  Another number means
  * that the successor knows nothing that was sent before. */
 guint64 quince_ledger_node_get_successor (QuinceLedgerNode *node);
 /* The link to the successor. (transfer none) (nullable) */
--- a/daemons/replica/ledger-replication.c
+++ b/daemons/replica/ledger-replication.c
@@ -106,7 +106,7 @@
   gboolean outside = replication->confined != NULL
                      && !g_strv_contains ((const char *const *)replication->confined, backup->node);
   /* Until the log is read it is not known what may lie where.  A view of fewer members than a quorum is that
-   * of the first start: no record lies in it. */
+   * of the first start: it has no record. */
   gboolean unknown = replication->several_regions
                      && !(replication->recovered && replication->confinement_known)
                      && view->members.members_len >= replication->quorum;
--- a/lib/batchlog/batch-log.c
+++ b/lib/batchlog/batch-log.c
@@ -6,6 +6,8 @@
 #include <glib/gstdio.h>
 #include <sqlite3.h>
 
+#include "runtime/log.h"
+
 #define LOG_FILE "batches.sqlite"
 
 /* The only error is that the file cannot be opened, read or written: no caller tells several apart. */
@@ -168,9 +170,11 @@
 quince_batch_log_open (const char *folder, gboolean *was_empty, GError **error)
 {
   g_autofree char *path = g_build_filename (folder, LOG_FILE, NULL);
-  g_autoptr (QuinceBatchLog) log = try_open (path, NULL);
+  g_autoptr (GError) unreadable = NULL;
+  g_autoptr (QuinceBatchLog) log = try_open (path, &unreadable);
   if (log == NULL)
     {
+      quince_log_failure ("ledger_disk_failed", "doing=open reason=\"%s\"", unreadable->message);
       remove_files (path);
       log = try_open (path, error);
     }
--- a/lib/core/group/ledger-group-private.h
+++ b/lib/core/group/ledger-group-private.h
@@ -75,7 +75,7 @@
   gint64 leading_since_us;
 };
 
-/* The files below are ordered: each calls only those that stand before it. */
+/* The files below are ordered: each calls only files that are listed before it. */
 
 /* ---- ledger-group.c: the state itself, peers, getters ---- */
 /* (transfer none) (nullable) */
--- a/lib/core/group/ledger-zones.c
+++ b/lib/core/group/ledger-zones.c
@@ -1,7 +1,7 @@
 /*
  * ledger-zones.c: the spread of members over zones, so that the loss of a zone leaves a quorum.
  *
- * With no more members in a zone than the group can lose, each acknowledged record lies in two zones at
+ * With no more members in a zone than the group can lose, each acknowledged record is in two zones at
  * least.
  */
 #include "ledger-group-private.h"
--- a/tests/unit/ledger-parts.h
+++ b/tests/unit/ledger-parts.h
@@ -58,7 +58,7 @@
   guint64 promised;
   gint64 sent_us;
   QuinceLogEnd end;
-  GArray *records; /* APPEND: all from index 1 on, as the sender has them; NULL: not fed */
+  GArray *records; /* APPEND: all from index 1 on, as the sender has them; NULL: the receiver is sent none */
   QuinceProposalOutcome outcome;
   QuinceLedgerView *view;
   guint64 revision;
@@ -232,7 +232,7 @@
 
 /* ---- Sending ---------------------------------------------------------- */
 
-/* What a replica promised is on its disk before it tells anybody anything. */
+/* The promises of a replica are on its disk before it sends a message. */
 static inline void
 world_keep (WorldNode *node)
 {
@@ -345,14 +345,14 @@
   world_change_later (world, message);
 }
 
-/* Who is not fed gets the leader's word alone. */
+/* Whether the leader sends records to @replica, and not heartbeats alone. */
 static inline gboolean
 world_is_recipient (const World *world, const WorldNode *leader, guint64 replica)
 {
-  g_autoptr (GArray) fed = g_array_new (FALSE, FALSE, sizeof (guint64));
-  quince_ledger_group_choose_recipients (leader->group, world->now_us, fed);
-  for (guint i = 0; i < fed->len; i++)
-    if (g_array_index (fed, guint64, i) == replica)
+  g_autoptr (GArray) recipients = g_array_new (FALSE, FALSE, sizeof (guint64));
+  quince_ledger_group_choose_recipients (leader->group, world->now_us, recipients);
+  for (guint i = 0; i < recipients->len; i++)
+    if (g_array_index (recipients, guint64, i) == replica)
       return TRUE;
   return FALSE;
 }
--- a/tests/unit/ledger-world.h
+++ b/tests/unit/ledger-world.h
@@ -3,8 +3,8 @@
  * faults.
  *
  * Each replica is driven as the daemon drives it.  Each record that a leader reports as committed is
- * kept here for good and compared with the log of every later leader.  At each step the judges look at all of
- * them.
+ * kept here for good and compared with the log of every later leader.  All replicas are checked
+ * at each step.
  */
 #pragma once
 
--- a/tests/unit/test-batch-log.c
+++ b/tests/unit/test-batch-log.c
@@ -85,7 +85,7 @@
   return world->last_index;
 }
 
-/* A batch's records: the end stands for all that name it; the body makes them large. */
+/* A batch's records: the end is one for all that name it; the body makes them large. */
 static guint64
 append_batch_record (World *world, const char *batch)
 {
@@ -127,7 +127,7 @@
 {
   GStatBuf status;
   g_autofree char *path = g_build_filename (world->folder, "batches.sqlite", NULL);
-  reopen (world); /* what lies in the write-ahead log goes into the file */
+  reopen (world); /* writes the write-ahead log into the file */
   assert_int_equal (g_stat (path, &status), 0);
   return status.st_size;
 }
--- a/tests/unit/test-ledger-succession.c
+++ b/tests/unit/test-ledger-succession.c
@@ -100,7 +100,7 @@
   print_message ("slowest: %u ms\n", slowest);
 }
 
-/* The store turns the members away that are left. */
+/* The store refuses the remaining members. */
 static void
 test_store_turns_members_away (void **state)
 {
@@ -122,7 +122,7 @@
   world_free (world);
 }
 
-/* A leader that is cut off from the members, and still sees the store, tells nothing old. */
+/* A leader that is cut off from the members, and still sees the store, answers with nothing old. */
 static void
 test_former_leader_sees_the_store (void **state)
 {
@@ -169,7 +169,7 @@
   world_free (world);
 }
 
-/* Members that lost their memory while the store was away know it again when it is back. */
+/* Members that were all restarted while the store was away lead again when it is back. */
 static void
 test_all_start_anew (void **state)
 {
