--- a/tests/unit/ledger-parts.h
+++ b/tests/unit/ledger-parts.h
@@ -13,10 +13,10 @@
 
 #include "core/group/ledger-group.h"
 
-#define WORLD_MAX 12
-#define WORLD_TICK_US (10 * 1000)
-#define WORLD_NODE_TICK_US (150 * 1000)
-#define WORLD_INFORM_US (440 * 1000)
+#define WORLD_MAX 12                    /* nodes of a world */
+#define WORLD_TICK_US (10 * 1000)       /* step of virtual time */
+#define WORLD_NODE_TICK_US (150 * 1000) /* period of a replica's steps, as TICK_MS of the daemon */
+#define WORLD_INFORM_US (440 * 1000) /* pause between two informations, as QUERY_MEMBERS_US of the daemon */
 
 typedef struct
 {
--- a/tests/unit/test-batch-log.c
+++ b/tests/unit/test-batch-log.c
@@ -12,8 +12,8 @@
 
 #include "batchlog/batch-log.h"
 
-#define BODY_BYTES 50000
-#define ITEMS 8
+#define BODY_BYTES 50000 /* of a record: so large that the file shows when they are emptied */
+#define ITEMS 8          /* records of a batch */
 
 typedef struct
 {
--- a/tests/unit/test-ledger-succession.c
+++ b/tests/unit/test-ledger-succession.c
@@ -10,9 +10,10 @@
 
 #include <stdlib.h>
 
-/* 1 s of silence, the later turn of a second backup, two exchanges of which one is sent again. */
+/* Time in which another leader must lead, ms: 1 s of silence, the later turn of a second backup, two
+ * exchanges of which one is sent again. */
 #define LEAD_MS 2500
-/* All is well again so long after the last fault. */
+/* Time in which a leader must lead and all members follow after the last fault, ms. */
 #define HEAL_MS 9000
 
 static void
@@ -26,6 +27,14 @@
   world_run (world, 2000);
 }
 
+static World *
+settled_world (guint32 seed, guint n_nodes, guint losses)
+{
+  World *world = world_new (seed, n_nodes, losses);
+  settle (world);
+  return world;
+}
+
 static guint
 lose_leader (World *world)
 {
@@ -65,8 +74,7 @@
   guint slowest = 0;
   for (guint32 seed = 1; seed <= 30; seed++)
     {
-      World *world = world_new (1000 + seed, seed % 2 == 0 ? 3 : 6, seed % 2 == 0 ? 1 : 2);
-      settle (world);
+      World *world = settled_world (1000 + seed, seed % 2 == 0 ? 3 : 6, seed % 2 == 0 ? 1 : 2);
       world->store_down = TRUE;
       world_run (world, seed * 37);
       guint former = lose_leader (world);
@@ -88,8 +96,7 @@
   guint slowest = 0;
   for (guint32 seed = 1; seed <= 30; seed++)
     {
-      World *world = world_new (1000 + seed, 3, 1);
-      settle (world);
+      World *world = settled_world (1000 + seed, 3, 1);
       guint former = lose_leader (world);
       guint waited = await_leader (world, former, LEAD_MS + 500);
       slowest = MAX (slowest, waited);
@@ -104,8 +111,7 @@
 static void
 test_store_turns_members_away (void **state)
 {
-  World *world = world_new (2001, 3, 1);
-  settle (world);
+  World *world = settled_world (2001, 3, 1);
   guint former = (guint)world_leader (world);
   for (guint i = 0; i < world->n_nodes; i++)
     world->store_away[i] = i != former;
@@ -128,8 +134,7 @@
 {
   for (guint32 seed = 1; seed <= 20; seed++)
     {
-      World *world = world_new (3000 + seed, 3, 1);
-      settle (world);
+      World *world = settled_world (3000 + seed, 3, 1);
       guint former = (guint)world_leader (world);
       for (guint i = 0; i < world->n_nodes; i++)
         world->store_away[i] = i != former;
@@ -150,8 +155,7 @@
 static void
 test_leaders_freeze_in_turn (void **state)
 {
-  World *world = world_new (4001, 3, 1);
-  settle (world);
+  World *world = settled_world (4001, 3, 1);
   world->store_down = TRUE;
   for (guint round = 0; round < 8; round++)
     {
@@ -175,8 +179,7 @@
 {
   for (guint32 seed = 1; seed <= 20; seed++)
     {
-      World *world = world_new (5000 + seed, 3, 1);
-      settle (world);
+      World *world = settled_world (5000 + seed, 3, 1);
       world->store_down = TRUE;
       guint former = lose_leader (world);
       await_leader (world, former, LEAD_MS);
@@ -201,8 +204,7 @@
 {
   for (guint32 seed = 1; seed <= 20; seed++)
     {
-      World *world = world_new (6000 + seed, 3, 1);
-      settle (world);
+      World *world = settled_world (6000 + seed, 3, 1);
       world->store_down = TRUE;
       guint former = lose_leader (world);
       await_leader (world, former, LEAD_MS);
@@ -223,10 +225,10 @@
 
 /* ---- One replica, step by step ---------------------------------------- */
 
-#define SELF 1
-#define SECOND 2
-#define THIRD 3
-#define START_US (100 * G_USEC_PER_SEC)
+#define SELF 1                          /* id of the replica that is tested */
+#define SECOND 2                        /* ids of the other members */
+#define THIRD 3                         /* likewise */
+#define START_US (100 * G_USEC_PER_SEC) /* when the test begins; any time does */
 
 static QuinceLedgerGroup *
 make_group (guint64 promised)
--- a/tests/unit/test-ledger-zones.c
+++ b/tests/unit/test-ledger-zones.c
@@ -3,10 +3,10 @@
  */
 #include "ledger-world.h"
 
-#define MACHINES 9
-#define ZONES 3
-#define LOSSES 2
-#define SEEDS 20
+#define MACHINES 9 /* three a zone */
+#define ZONES 3    /* the fewest over which five members can be spread two a zone at most */
+#define LOSSES 2   /* machines that may be lost: five members, quorum of three */
+#define SEEDS 20   /* schedules that each case is played with */
 
 static guint
 zone_of_node (guint node)
--- a/tests/unit/test-result-cache.c
+++ b/tests/unit/test-result-cache.c
@@ -13,8 +13,8 @@
 #include "runtime/packed-message.h"
 #include "batchlog/result-cache.h"
 
-#define TEXT_BYTES 8000
-#define MAX_BYTES (10 * TEXT_BYTES)
+#define TEXT_BYTES 8000             /* of a result */
+#define MAX_BYTES (10 * TEXT_BYTES) /* bound of the cache: some of the results that are read */
 
 /* A packed result whose text begins with @number. */
 static GBytes *
