--- a/daemons/replica/progress.h
+++ b/daemons/replica/progress.h
@@ -34,7 +34,8 @@
                                     GArray *versions,
                                     guint64 *last_event);
 /* Appends the progress that was reported in the last 5 s to @items (element-type QuinceProgressItem), the
- * last reported first, up to 4 MiB of texts.  The items borrow from the store and are valid until it changes.
+ * last reported first, about 4 MiB of texts at most.  The items borrow from the store and are valid until it
+ * changes.
  */
 void quince_progress_store_list (QuinceProgressStore *store, gint64 now_us, GArray *items);
 void quince_progress_store_clear (QuinceProgressStore *store);
--- a/lib/batchlog/batch-log.h
+++ b/lib/batchlog/batch-log.h
@@ -68,7 +68,8 @@
 gboolean
 quince_batch_log_compact (QuinceBatchLog *log, guint64 *compacted, guint max_records, GError **error);
 
-/* Called for each record; @record lives until the return.  Returning %FALSE ends the walk. */
+/* Called for each record in the order of the log; @entry is valid until the return.  Returning %FALSE ends
+ * the walk, which then succeeds. */
 typedef gboolean (*QuinceBatchLogVisit) (const QuinceLogEntry *entry, gpointer user_data);
 gboolean quince_batch_log_walk (QuinceBatchLog *log,
                                 guint64 first_index,
