--- a/daemons/replica/ledger-follower.c
+++ b/daemons/replica/ledger-follower.c
@@ -74,6 +74,17 @@
   return connected ? follower->link : NULL;
 }
 
+/* The link is down: it is begun anew by a later step. */
+static void
+note_lost (QuinceLedgerFollower *follower)
+{
+  if (!follower->lost)
+    quince_log_warning ("dependency_lost", "what=ledger_primary address=%s", follower->address);
+  follower->lost = TRUE;
+  g_clear_pointer (&follower->link, quince_link_unref);
+  follower->callbacks->unfollowed (follower->user_data);
+}
+
 /* ---- Records ------------------------------------------------------------ */
 
 /* @promised: 0, or the greater epoch that forbids to follow this leader */
@@ -119,6 +130,25 @@
   return FALSE;
 }
 
+/* Whether the leader counts on records that this log lacks: records that it sent on this link were refused,
+ * since their epoch was not known here yet. */
+static gboolean
+has_gap (const QuinceLedgerFollower *follower, const QuinceLedgerAppend *append)
+{
+  guint64 last_index = append->reset ? 0 : quince_batch_log_get_last_index (follower->log);
+  if (append->entries.entries_len > 0)
+    return append->entries.entries_val[0].index > last_index + 1;
+  return append->held_index > last_index;
+}
+
+/* Drops the link: the leader learns where this log ends when the follower introduces itself again. */
+static void
+rejoin (QuinceLedgerFollower *follower)
+{
+  quince_link_close (follower->link);
+  note_lost (follower);
+}
+
 static void
 take_append (QuinceLedgerFollower *follower, const QuinceLedgerAppend *append)
 {
@@ -129,6 +159,12 @@
       refuse (follower, append);
       return;
     }
+  /* An acknowledgement of records that are not here would commit them by a copy that does not exist. */
+  if (has_gap (follower, append))
+    {
+      rejoin (follower);
+      return;
+    }
   /* The promise first: a replica that has acknowledged a record follows no older epoch, also after a restart.
    */
   if (quince_ledger_storage_keep (follower->storage, "follow") && write_append (follower, append))
@@ -170,12 +206,7 @@
 static void
 link_closed (QuinceLink *link, const GError *error, gpointer data)
 {
-  QuinceLedgerFollower *follower = data;
-  if (!follower->lost)
-    quince_log_warning ("dependency_lost", "what=ledger_primary address=%s", follower->address);
-  follower->lost = TRUE;
-  g_clear_pointer (&follower->link, quince_link_unref);
-  follower->callbacks->unfollowed (follower->user_data);
+  note_lost (data);
 }
 
 static const QuinceLinkCallbacks link_callbacks
