--- a/lib/core/group/ledger-campaign.c
+++ b/lib/core/group/ledger-campaign.c
@@ -1,23 +1,26 @@
 /*
- * ledger-campaign.c: a backup asks to follow a primary that nobody hears.
+ * ledger-campaign.c: promises, given and asked for.
  *
- * Asking changes nothing at the asker: only a member that promises stops to follow the former primary.  The
- * asker promises itself at last, once enough others have.
+ * A campaign changes nothing at the candidate: only a member that promises stops following the former leader.
+ * The candidate promises itself last, once enough others have.
  */
 #include "ledger-group-private.h"
 
-/* Backups ask one after the other, so that they do not compete. */
+/* Backups begin to campaign this long after each other, us, in the order of the view, so that they do not
+ * compete. Not measured: longer than the exchange of a request and a promise that is on the disk. */
 #define RANK_STEP_US (250 * 1000)
+/* How long a campaign goes on with one epoch, us; also the pause after a promise to another candidate.  Not
+ * measured: longer than two steps of rank. */
 #define CAMPAIGN_US (600 * 1000)
 
 static gboolean
-goes_further (const QuinceLogEnd *end, const QuinceLogEnd *than)
+is_ahead (const QuinceLogEnd *end, const QuinceLogEnd *than)
 {
   return end->epoch != than->epoch ? end->epoch > than->epoch : end->index > than->index;
 }
 
-/* The place of this replica among the backups; the primary itself comes after them.  No two have the same
- * one: members that ask at the same moments promise each other, and neither goes on. */
+/* The place of this replica among the backups; the leader itself comes after them.  No two have the same one:
+ * members that campaign at the same moments promise each other, and neither goes on. */
 static guint
 own_rank (const QuinceLedgerGroup *group)
 {
@@ -34,51 +37,51 @@
   return rank;
 }
 
-/* ---- At the asked member ---------------------------------------------- */
+/* ---- Promises that are given ------------------------------------------ */
 
 gboolean
 quince_ledger_group_accepts (QuinceLedgerGroup *group, gint64 now_us, guint64 epoch)
 {
-  if (group->view == NULL || group->role == QUINCE_LEDGER_PRIMARY || epoch != group->view->epoch
+  if (group->view == NULL || group->role == QUINCE_LEDGER_LEADER || epoch != group->view->epoch
       || epoch < group->kept.promised)
     return FALSE;
-  /* Who has acknowledged a record follows nobody older, also after it was started anew. */
+  /* A replica that has acknowledged a record follows no older leader, also after a restart. */
   if (group->kept.promised != epoch)
     group->promised_to = 0;
   group->kept.promised = epoch;
-  group->primary_contact_us = now_us;
+  group->leader_contact_us = now_us;
   quince_ledger_group_end_campaign (group);
   return TRUE;
 }
 
-/* What the disk promised before this process was started is no later than the lead that it knows: it has not
- * followed another primary then, which might still act on its answers.  Since its start it has followed none
- * but those that it knew. */
+/* The promise that the disk had when this process was started is no later than the lead that it knows: it has
+ * not followed another leader then, which might still act on its answers.  Since its start it has followed
+ * only leaders that it knew. */
 static gboolean
 knows_lead (const QuinceLedgerGroup *group)
 {
   return group->promised_at_start <= group->view->epoch;
 }
 
-/* The primary that is followed may ask at once: the answers on which it acts are its own. */
+/* The leader that is followed may campaign at once: the lease that its backups gave is its own. */
 static gboolean
 follows_another (const QuinceLedgerGroup *group, gint64 now_us, guint64 replica)
 {
   gboolean follows = replica == group->view->primary && knows_lead (group);
-  return !follows && now_us - group->primary_contact_us < group->limits.primary_silence_us;
+  return !follows && now_us - group->leader_contact_us < group->limits.leader_silence_us;
 }
 
-/* A primary that nobody follows any more promises too: it may have slept while another one led, and the one
- * that knows all needs its promise. */
+/* A leader that no quorum follows any more promises too: it may have been suspended while another one led,
+ * and the candidate that knows all needs its promise. */
 static gboolean
 leads_on (const QuinceLedgerGroup *group, gint64 now_us)
 {
-  return group->role == QUINCE_LEDGER_PRIMARY
-         && (now_us - group->became_primary_us < group->limits.primary_silence_us
+  return group->role == QUINCE_LEDGER_LEADER
+         && (now_us - group->leading_since_us < group->limits.leader_silence_us
              || quince_ledger_group_is_confirmed (group, now_us));
 }
 
-/* Whoever lacks records that are here is not followed: this replica asks by itself soon. */
+/* A candidate that lacks records of this log is refused: this replica campaigns itself soon. */
 gboolean
 quince_ledger_group_promise (QuinceLedgerGroup *group,
                              gint64 now_us,
@@ -90,14 +93,14 @@
     return FALSE;
   if (epoch == group->kept.promised && replica == group->promised_to)
     return TRUE; /* its answer was lost */
-  /* Its own next question must be above what others may promise meanwhile. */
+  /* Its own next campaign must be above the epochs that others may promise meanwhile. */
   group->last_campaign = MAX (group->last_campaign, epoch);
   if (follows_another (group, now_us, replica) || epoch <= group->kept.promised || epoch <= group->view->epoch
-      || quince_ledger_group_is_elected (group) || goes_further (&group->end, end))
+      || quince_ledger_group_is_elected (group) || is_ahead (&group->end, end))
     return FALSE;
   group->kept.promised = epoch;
   group->promised_to = replica;
-  /* Its own log counts for nothing in a lower epoch from now on. */
+  /* From now on it commits nothing in a lower epoch. */
   group->role = QUINCE_LEDGER_BACKUP;
   quince_ledger_group_end_campaign (group);
   group->campaign_us = now_us + CAMPAIGN_US + (gint64)own_rank (group) * RANK_STEP_US;
@@ -116,7 +119,7 @@
   return TRUE;
 }
 
-/* ---- At the asker ----------------------------------------------------- */
+/* ---- The campaign of this replica ------------------------------------- */
 
 void
 quince_ledger_group_end_campaign (QuinceLedgerGroup *group)
@@ -124,36 +127,36 @@
   group->campaign_epoch = 0;
   group->elected_us = 0;
   group->vote_refused = FALSE;
-  g_array_set_size (group->campaign_for, 0);
+  g_array_set_size (group->campaign_promises, 0);
   g_array_set_size (group->votes, 0);
 }
 
-/* How long the primary must have been silent before this replica asks; -1: it does not ask. */
+/* How long the leader must have been silent before this replica campaigns, us; -1: it does not campaign. */
 static gint64
-get_patience (const QuinceLedgerGroup *group)
+get_required_silence (const QuinceLedgerGroup *group)
 {
   if (group->role == QUINCE_LEDGER_WAITING || !quince_ledger_group_has_member (group, group->self.replica))
     return -1;
-  if (group->role == QUINCE_LEDGER_PRIMARY)
+  if (group->role == QUINCE_LEDGER_LEADER)
     return group->refused_with > group->view->epoch ? 0 : -1;
   /* It led until its restart, or was handed the lead. */
   if (group->view->primary == group->self.replica && knows_lead (group))
     return 0;
-  return group->limits.primary_silence_us + (gint64)own_rank (group) * RANK_STEP_US;
+  return group->limits.leader_silence_us + (gint64)own_rank (group) * RANK_STEP_US;
 }
 
 guint64
 quince_ledger_group_campaign (QuinceLedgerGroup *group, gint64 now_us)
 {
-  gint64 patience = get_patience (group);
-  if (patience < 0 || (patience > 0 && now_us - group->primary_contact_us < patience))
+  gint64 silence = get_required_silence (group);
+  if (silence < 0 || (silence > 0 && now_us - group->leader_contact_us < silence))
     return 0;
   if (group->campaign_epoch != 0 && now_us - group->campaign_us < CAMPAIGN_US)
-    return group->campaign_epoch; /* the questions may have been lost */
+    return group->campaign_epoch; /* the requests may have been lost */
   if (group->campaign_epoch == 0 && now_us < group->campaign_us)
     return 0;
   quince_ledger_group_end_campaign (group);
-  /* Whoever promised an earlier one of its campaigns promises the next one too. */
+  /* Above all epochs that are known: a member that promised an earlier campaign promises this one too. */
   guint64 above = MAX (MAX (group->view->epoch, group->kept.promised), group->refused_with);
   group->last_campaign = MAX (above, group->last_campaign) + 1;
   group->campaign_epoch = group->last_campaign;
@@ -171,14 +174,14 @@
   if (group->campaign_epoch == 0 || epoch != group->campaign_epoch
       || !quince_ledger_group_has_member (group, replica))
     return;
-  if (goes_further (end, &group->end))
+  if (is_ahead (end, &group->end))
     {
-      /* The other one must lead: it may hold what is committed and missing here. */
+      /* The other one must lead: it may have committed records that this log lacks. */
       quince_ledger_group_end_campaign (group);
       group->campaign_us = now_us + 2 * CAMPAIGN_US;
       return;
     }
-  quince_replica_list_add (group->campaign_for, replica);
+  quince_replica_list_add (group->campaign_promises, replica);
   if (group->elected_us == 0 && quince_ledger_group_is_elected (group))
     group->elected_us = now_us;
 }
@@ -189,6 +192,6 @@
   if (group->campaign_epoch == 0 || group->view == NULL)
     return FALSE;
   guint members = group->view->members.members_len;
-  guint needed = members > group->limits.copies_least ? members - group->limits.copies_least : 0;
-  return group->campaign_for->len >= needed;
+  guint needed = members > group->limits.quorum ? members - group->limits.quorum : 0;
+  return group->campaign_promises->len >= needed;
 }
--- a/lib/core/group/ledger-succession.c
+++ b/lib/core/group/ledger-succession.c
@@ -1,31 +1,32 @@
 /*
- * ledger-succession.c: the lead without the metadata store: who tells whom of it, votes, and notes of
+ * ledger-succession.c: the lead without the metadata store: queries of who leads, votes, and notes of
  * changes.
  *
- * Members change in the store alone.  A primary that is about to change them has it noted by as many members
- * as meet each set of votes; a candidate that hears of a note waits for the store.  So nobody leads without
- * the store over members that are replaced meanwhile.
+ * Members change in the store alone.  A leader that is about to change them has the change noted by as many
+ * members as meet each set of votes; a candidate that learns of a note waits for the store.  So no replica
+ * leads without the store over members that are replaced meanwhile.
  */
 #include "ledger-group-private.h"
 
-/* A candidate waits so long for the store to take its view: 75 times what a call takes, a third of the
- * silence that made it ask. */
+/* How long a candidate waits for the store to take its view before it leads without it, us: 75 times the
+ * duration of a call, a third of the silence after which it campaigned. */
 #define STORE_PATIENCE_US (300 * 1000)
-/* A campaign that has not ended by then looks who leads: some member does not promise. */
+/* A campaign that has not ended after this asks who leads, us: some member does not promise.  Not measured:
+ * half of the time for which a campaign goes on with one epoch. */
 #define QUERY_AFTER_US (300 * 1000)
 
 /* ---- Quorums ---------------------------------------------------------- */
 
-/* Members, this one counted, whose promises make a primary without the store: a quorum.  They meet each other
- * such set, and each set that may write itself into the store. */
+/* Members, this one counted, whose promises make a leader without the store: a quorum.  Any two such sets
+ * have a member in common, and so has one with each set whose candidate may write itself into the store. */
 static guint
 votes_needed (const QuinceLedgerGroup *group)
 {
   guint members = group->view->members.members_len;
-  return MAX (group->limits.copies_least, members / 2 + 1);
+  return MAX (group->limits.quorum, members / 2 + 1);
 }
 
-/* Members, this one counted, that meet each such set. */
+/* Members, this one counted, that have one in common with each such set. */
 static guint
 notes_needed (const QuinceLedgerGroup *group)
 {
@@ -50,13 +51,13 @@
 static void
 take_note (QuinceLedgerGroup *group, const QuinceLedgerLead *lead)
 {
-  if (group->role == QUINCE_LEDGER_PRIMARY && lead->noted >= group->revision
+  if (group->role == QUINCE_LEDGER_LEADER && lead->noted >= group->revision
       && lead->promised == group->view->epoch && quince_ledger_group_has_member (group, lead->replica)
       && lead->replica != group->self.replica)
     quince_replica_list_add (group->notes, lead->replica);
 }
 
-/* ---- Looks ------------------------------------------------------------ */
+/* ---- Queries ---------------------------------------------------------- */
 
 QuinceLedgerQueryKind
 quince_ledger_group_get_query (const QuinceLedgerGroup *group,
@@ -69,25 +70,25 @@
   *query = (QuinceLedgerQuery){ .revision = group->revision,
                                 .epoch = group->view->epoch,
                                 .replica = group->self.replica,
-                                .changing = group->role == QUINCE_LEDGER_PRIMARY && group->wants_notes };
-  gboolean asks = group->campaign_epoch != 0;
-  if (asks && (store_fails || now_us - group->campaign_us >= QUERY_AFTER_US))
+                                .changing = group->role == QUINCE_LEDGER_LEADER && group->wants_notes };
+  gboolean campaigns = group->campaign_epoch != 0;
+  if (campaigns && (store_fails || now_us - group->campaign_us >= QUERY_AFTER_US))
     return QUINCE_LEDGER_QUERY_VOTES;
   if (query->changing)
     return QUINCE_LEDGER_QUERY_NOTES;
-  if (group->role == QUINCE_LEDGER_PRIMARY)
+  if (group->role == QUINCE_LEDGER_LEADER)
     return group->refused_with > group->view->epoch ? QUINCE_LEDGER_QUERY_MEMBERS : QUINCE_LEDGER_QUERY_NONE;
-  if (now_us - group->primary_contact_us >= group->limits.primary_silence_us)
+  if (now_us - group->leader_contact_us >= group->limits.leader_silence_us)
     return QUINCE_LEDGER_QUERY_MEMBERS;
-  return group->answered < group->view->epoch && group->view->primary != group->self.replica
-             ? QUINCE_LEDGER_QUERY_PRIMARY
+  return group->noting_epoch < group->view->epoch && group->view->primary != group->self.replica
+             ? QUINCE_LEDGER_QUERY_LEADER
              : QUINCE_LEDGER_QUERY_NONE;
 }
 
 void
 quince_ledger_group_handle_query (QuinceLedgerGroup *group, gint64 now_us, const QuinceLedgerQuery *query)
 {
-  if (!query->changing || group->view == NULL || group->role == QUINCE_LEDGER_PRIMARY
+  if (!query->changing || group->view == NULL || group->role == QUINCE_LEDGER_LEADER
       || query->replica != group->view->primary || query->epoch != group->view->epoch
       || query->epoch < group->kept.promised)
     return;
@@ -98,7 +99,7 @@
 }
 
 gboolean
-quince_ledger_group_tell_lead (const QuinceLedgerGroup *group, QuinceLedgerLead *lead)
+quince_ledger_group_get_lead (const QuinceLedgerGroup *group, QuinceLedgerLead *lead)
 {
   if (group->view == NULL)
     return FALSE;
@@ -108,22 +109,22 @@
                               .promised = group->kept.promised,
                               .promised_to = group->promised_to,
                               .noted = group->kept.noted,
-                              .answered = group->answered,
+                              .answered = group->noting_epoch,
                               .shown_epoch = group->store_epoch,
                               .shown_primary = group->store_primary,
-                              .shown_answers = group->store_answers };
+                              .shown_answers = group->store_leader_notes };
   return TRUE;
 }
 
 /* ---- Votes ------------------------------------------------------------ */
 
-/* What a member tells after its promise: whether members may change on this revision. */
+/* The answer of a member that has promised: whether members may change on this revision. */
 static void
 take_vote (QuinceLedgerGroup *group, const QuinceLedgerLead *lead)
 {
   if (group->campaign_epoch == 0 || lead->promised != group->campaign_epoch
       || lead->promised_to != group->self.replica
-      || !quince_replica_list_has (group->campaign_for, lead->replica))
+      || !quince_replica_list_has (group->campaign_promises, lead->replica))
     return;
   if (lead->noted >= group->revision || lead->revision > group->revision)
     group->vote_refused = TRUE;
@@ -135,7 +136,7 @@
 may_lead_without_store (const QuinceLedgerGroup *group, gint64 now_us, gboolean store_fails)
 {
   if (group->campaign_epoch == 0 || !quince_ledger_group_is_elected (group) || group->vote_refused
-      || !group->store_answers || group->kept.noted >= group->revision)
+      || !group->store_leader_notes || group->kept.noted >= group->revision)
     return FALSE;
   gboolean in_time = store_fails || now_us - group->elected_us >= STORE_PATIENCE_US;
   return in_time && group->votes->len + 1 >= votes_needed (group);
@@ -157,17 +158,17 @@
 gboolean
 quince_ledger_group_is_unpublished (const QuinceLedgerGroup *group)
 {
-  return group->role == QUINCE_LEDGER_PRIMARY
+  return group->role == QUINCE_LEDGER_LEADER
          && (group->store_epoch != group->view->epoch || group->store_primary != group->view->primary);
 }
 
 /* ---- The lead that others know ---------------------------------------- */
 
-/* What the store shows at the revision that both know. */
+/* The lead that the store shows at the revision that both replicas know. */
 static void
 take_shown (QuinceLedgerGroup *group, const QuinceLedgerLead *lead)
 {
-  group->answered = MAX (group->answered, lead->answered);
+  group->noting_epoch = MAX (group->noting_epoch, lead->answered);
   if (lead->revision != group->revision)
     return;
   if (group->store_epoch == 0)
@@ -175,8 +176,8 @@
       group->store_epoch = lead->shown_epoch;
       group->store_primary = lead->shown_primary;
     }
-  group->store_answers = group->store_answers || lead->shown_answers
-                         || (group->store_epoch != 0 && lead->answered == group->store_epoch);
+  group->store_leader_notes = group->store_leader_notes || lead->shown_answers
+                              || (group->store_epoch != 0 && lead->answered == group->store_epoch);
 }
 
 /* The members of the newer revision, the lead of the greater epoch. */
@@ -191,8 +192,8 @@
   return view;
 }
 
-/* Epochs and revisions only rise: what a damaged message tells would be believed for good, and its replica
- * would take no view of the store any more. */
+/* Epochs and revisions only rise: those of a damaged message would hold for good, and this replica would take
+ * no view of the store any more. */
 static gboolean
 is_sound_lead (const QuinceLedgerLead *lead)
 {
@@ -218,7 +219,7 @@
       quince_ledger_group_begin_revision (group, lead->revision);
       group->store_epoch = lead->shown_epoch;
       group->store_primary = lead->shown_primary;
-      group->store_answers = lead->shown_answers;
+      group->store_leader_notes = lead->shown_answers;
     }
   quince_ledger_group_adopt (group, now_us, view);
 }
--- a/lib/core/group/ledger-zones.c
+++ b/lib/core/group/ledger-zones.c
@@ -1,8 +1,8 @@
 /*
- * ledger-zones.c: members of the ledger over zones, so that the loss of a zone leaves a quorum.
+ * ledger-zones.c: the spread of members over zones, so that the loss of a zone leaves a quorum.
  *
- * With no more members in a zone than a quorum can do without, each record that is acknowledged lies in two
- * zones at least.
+ * With no more members in a zone than the group can lose, each acknowledged record is in two zones at
+ * least.
  */
 #include "ledger-group-private.h"
 
@@ -37,8 +37,8 @@
 }
 
 guint
-quince_ledger_group_most_in_zone (const QuinceLedgerGroup *group)
+quince_ledger_group_get_zone_max (const QuinceLedgerGroup *group)
 {
-  guint may_be_lost = group->limits.members_wanted - group->limits.copies_least;
+  guint may_be_lost = group->limits.members_max - group->limits.quorum;
   return MAX (may_be_lost / MAX (group->limits.zone_losses, 1), 1);
 }
--- a/tests/unit/ledger-parts.h
+++ b/tests/unit/ledger-parts.h
@@ -13,10 +13,10 @@
 
 #include "core/group/ledger-group.h"
 
-#define WORLD_MAX 12
-#define WORLD_TICK_US (10 * 1000)
-#define WORLD_NODE_TICK_US (150 * 1000)
-#define WORLD_TELL_US (440 * 1000)
+#define WORLD_MAX 12                    /* nodes of a world */
+#define WORLD_TICK_US (10 * 1000)       /* step of virtual time */
+#define WORLD_NODE_TICK_US (150 * 1000) /* period of a replica's steps, as TICK_MS of the daemon */
+#define WORLD_INFORM_US (440 * 1000) /* pause between two informations, as QUERY_MEMBERS_US of the daemon */
 
 typedef struct
 {
@@ -38,7 +38,7 @@
   WORLD_ACK,
   WORLD_ASK,
   WORLD_PROMISE,
-  WORLD_LOOK,
+  WORLD_QUERY,
   WORLD_LEAD,
   WORLD_STORE_ANSWER,
   WORLD_STORE_VIEW,
@@ -58,13 +58,13 @@
   guint64 promised;
   gint64 sent_us;
   QuinceLogEnd end;
-  GArray *records; /* APPEND: all from index 1 on, as the sender has them; NULL: not fed */
+  GArray *records; /* APPEND: all from index 1 on, as the sender has them; NULL: the receiver is sent none */
   QuinceProposalOutcome outcome;
   QuinceLedgerView *view;
   guint64 revision;
-  QuinceLedgerQuery look;
+  QuinceLedgerQuery query;
   QuinceLedgerLead lead; /* its view is @view's, not owned */
-  gboolean late;         /* a change that the store does on its own, also while it answers nobody */
+  gboolean late;         /* a change that reaches the store also while it does not answer */
 } WorldMessage;
 
 typedef struct
@@ -73,14 +73,14 @@
   QuinceLedgerGroup *group; /* NULL: down */
   guint64 incarnation;
   guint64 led_epoch;
-  gboolean told_lead;
-  guint64 told_commit;
+  gboolean recovered;
+  guint64 reported_commit;
   gint64 next_tick_us;
-  guint64 hello_incarnation; /* of the primary that knows this node, and its epoch */
+  guint64 hello_incarnation; /* of the leader that knows this node, and its epoch */
   guint64 hello_epoch;
-  gint64 heard_view_us;
+  gint64 read_view_us;
   gint64 queried_us;  /* when it last asked who leads */
-  gint64 reported_us; /* when it last told members that were not linked */
+  gint64 reported_us; /* when it last informed members that were not linked */
   gboolean frozen;
 } WorldNode;
 
@@ -91,7 +91,7 @@
   gint64 now_us;
   guint n_nodes;
   guint losses;
-  guint zones; /* that the nodes stand in by turns; 0: none is told, and any may be lost but a zone */
+  guint zones; /* that the nodes are in by turns; 0: their zones are not set */
   WorldNode nodes[WORLD_MAX];
   gboolean cut[WORLD_MAX][WORLD_MAX];
   gint64 link_us[WORLD_MAX][WORLD_MAX]; /* latest arrival on that link */
@@ -100,12 +100,12 @@
   gboolean store_away[WORLD_MAX]; /* the store turns that machine away */
   QuinceLedgerView *view;         /* in the store */
   guint64 revision;
-  GArray *committed; /* WorldRecord: what was told as committed, by index */
+  GArray *committed; /* WorldRecord: records that a leader reported as committed, by index */
   guint64 next_value;
   guint64 next_replica;
   gint64 last_commit_us;
-  guint leads;   /* times that a primary knew all */
-  guint unaided; /* times that one became primary without the store */
+  guint leads;   /* times that a leader knew all */
+  guint unaided; /* times that one became leader without the store */
   gboolean founded;
   GHashTable *leaders; /* epoch to WorldLeader, owned */
   gint orderer;        /* machine that could give orders last, -1: none */
@@ -192,10 +192,10 @@
 world_start (World *world, guint index, gboolean may_found)
 {
   WorldNode *node = &world->nodes[index];
-  const QuinceLedgerLimits limits = { .copies_least = world->losses + 1,
-                                      .members_wanted = 2 * world->losses + 1,
+  const QuinceLedgerLimits limits = { .quorum = world->losses + 1,
+                                      .members_max = 2 * world->losses + 1,
                                       .zone_losses = world->zones > 0,
-                                      .primary_silence_us = 1000 * 1000,
+                                      .leader_silence_us = 1000 * 1000,
                                       .member_silence_us = 1000 * 1000,
                                       .confirm_us = 600 * 1000,
                                       .order_pause_us = 3200 * 1000 };
@@ -204,10 +204,10 @@
                                          world->now_us);
   world_tell_zone (world, node, index);
   node->led_epoch = 0;
-  node->told_lead = FALSE;
+  node->recovered = FALSE;
   node->frozen = FALSE;
   node->next_tick_us = world->now_us + g_rand_int_range (world->random, 1, WORLD_NODE_TICK_US);
-  node->heard_view_us = 0;
+  node->read_view_us = 0;
   node->hello_incarnation = 0;
   world_note_end (node);
 }
@@ -232,7 +232,7 @@
 
 /* ---- Sending ---------------------------------------------------------- */
 
-/* What a replica promised is on its disk before it tells anybody anything. */
+/* The promises of a replica are on its disk before it sends a message. */
 static inline void
 world_keep (WorldNode *node)
 {
@@ -327,7 +327,7 @@
   WorldNode *node = &world->nodes[index];
   if (world_store_fails (world, index))
     return;
-  g_autoptr (QuinceLedgerView) view = quince_ledger_group_step (node->group, world->now_us, &expected);
+  g_autoptr (QuinceLedgerView) view = quince_ledger_group_propose (node->group, world->now_us, &expected);
   if (view == NULL)
     return;
   WorldMessage *message = world_send (world, WORLD_STORE_ANSWER, index, index);
@@ -345,14 +345,14 @@
   world_change_later (world, message);
 }
 
-/* Who is not fed gets the leader's word alone. */
+/* Whether the leader sends records to @replica, and not heartbeats alone. */
 static inline gboolean
-world_feeds (const World *world, const WorldNode *leader, guint64 replica)
+world_is_recipient (const World *world, const WorldNode *leader, guint64 replica)
 {
-  g_autoptr (GArray) fed = g_array_new (FALSE, FALSE, sizeof (guint64));
-  quince_ledger_group_choose_fed (leader->group, world->now_us, fed);
-  for (guint i = 0; i < fed->len; i++)
-    if (g_array_index (fed, guint64, i) == replica)
+  g_autoptr (GArray) recipients = g_array_new (FALSE, FALSE, sizeof (guint64));
+  quince_ledger_group_choose_recipients (leader->group, world->now_us, recipients);
+  for (guint i = 0; i < recipients->len; i++)
+    if (g_array_index (recipients, guint64, i) == replica)
       return TRUE;
   return FALSE;
 }
@@ -377,7 +377,7 @@
   g_hash_table_insert (world->leaders, &kept->epoch, kept);
 }
 
-/* Whoever may answer knows all that anybody was told. */
+/* A leader that may answer has all records that were reported as committed. */
 static inline void
 world_judge_answers (World *world, guint index)
 {
@@ -406,7 +406,7 @@
 world_judge (World *world)
 {
   for (guint i = 0; i < world->n_nodes; i++)
-    if (world->nodes[i].group != NULL && !world->nodes[i].frozen && world->nodes[i].told_lead)
+    if (world->nodes[i].group != NULL && !world->nodes[i].frozen && world->nodes[i].recovered)
       {
         world_judge_answers (world, i);
         world_judge_orders (world, i);
--- a/tests/unit/test-ledger-succession.c
+++ b/tests/unit/test-ledger-succession.c
@@ -2,44 +2,45 @@
  * test-ledger-succession.c: who leads the batch ledger next while the metadata store is away, in virtual
  * time.
  *
- * The world judges at each step: no epoch is led by two processes, what was committed is in each later
- * leader's log, whoever answers knows all that was told, and no two machines give orders within 3 s.
+ * The world checks at each step: no epoch is led by two processes, each committed record is in each later
+ * leader's log, a leader that may answer has all committed records, and no two machines give orders within 3
+ * s.
  */
 #include "ledger-world.h"
 
 #include <stdlib.h>
 
-/* 1 s of silence, the later turn of a second backup, two exchanges of which one is sent again. */
+/* Time in which another leader must lead, ms: 1 s of silence, the later turn of a second backup, two
+ * exchanges of which one is sent again. */
 #define LEAD_MS 2500
-/* All is well again so long after the last fault. */
+/* Time in which a leader must lead and all members follow after the last fault, ms. */
 #define HEAL_MS 9000
 
 static void
 settle (World *world)
 {
-  for (guint i = 0; i < 200 && !(world_is_whole (world) && world_primary (world) >= 0); i++)
+  for (guint i = 0; i < 200 && !(world_is_whole (world) && world_leader (world) >= 0); i++)
     world_run (world, 100);
   assert_true (world_is_whole (world));
-  assert_int_not_equal (world_primary (world), -1);
+  assert_int_not_equal (world_leader (world), -1);
   /* What the last change of members left to settle is settled. */
   world_run (world, 2000);
 }
 
-static void
-assert_commits_go_on (World *world, guint within_ms)
+static World *
+settled_world (guint32 seed, guint n_nodes, guint losses)
 {
-  guint before = world->committed->len;
-  world_run (world, within_ms);
-  if (world->committed->len <= before)
-    fail_msg ("no record was committed within %u ms", within_ms);
+  World *world = world_new (seed, n_nodes, losses);
+  settle (world);
+  return world;
 }
 
 static guint
-lose_primary (World *world)
+lose_leader (World *world)
 {
-  guint primary = (guint)world_primary (world);
-  world_kill (world, primary);
-  return primary;
+  guint leader = (guint)world_leader (world);
+  world_kill (world, leader);
+  return leader;
 }
 
 /* Milliseconds until another machine than @former leads; fails after @within_ms. */
@@ -48,36 +49,35 @@
 {
   for (guint waited = 0; waited <= within_ms; waited += 10)
     {
-      gint primary = world_primary (world);
-      if (primary >= 0 && primary != (gint)former)
+      gint leader = world_leader (world);
+      if (leader >= 0 && leader != (gint)former)
         return waited;
       world_run (world, 10);
     }
-  fail_msg ("nobody leads within %u ms", within_ms);
+  fail_msg ("no replica leads within %u ms", within_ms);
   return 0;
 }
 
 static void
 assert_store_shows_leader (World *world)
 {
-  gint primary = world_primary (world);
-  assert_int_not_equal (primary, -1);
-  assert_int_equal (world_node_of (world, world->view->primary), primary);
-  assert_int_equal (world->view->epoch, world->nodes[primary].led_epoch);
+  gint leader = world_leader (world);
+  assert_int_not_equal (leader, -1);
+  assert_int_equal (world_node_of (world, world->view->primary), leader);
+  assert_int_equal (world->view->epoch, world->nodes[leader].led_epoch);
 }
 
-/* Failed first: nobody led before the store was back. */
+/* A leader is found although the store is away. */
 static void
 test_store_down (void **state)
 {
   guint slowest = 0;
   for (guint32 seed = 1; seed <= 30; seed++)
     {
-      World *world = world_new (1000 + seed, seed % 2 == 0 ? 3 : 6, seed % 2 == 0 ? 1 : 2);
-      settle (world);
+      World *world = settled_world (1000 + seed, seed % 2 == 0 ? 3 : 6, seed % 2 == 0 ? 1 : 2);
       world->store_down = TRUE;
       world_run (world, seed * 37);
-      guint former = lose_primary (world);
+      guint former = lose_leader (world);
       guint waited = await_leader (world, former, LEAD_MS);
       slowest = MAX (slowest, waited);
       assert_commits_go_on (world, 500);
@@ -96,9 +96,8 @@
   guint slowest = 0;
   for (guint32 seed = 1; seed <= 30; seed++)
     {
-      World *world = world_new (1000 + seed, 3, 1);
-      settle (world);
-      guint former = lose_primary (world);
+      World *world = settled_world (1000 + seed, 3, 1);
+      guint former = lose_leader (world);
       guint waited = await_leader (world, former, LEAD_MS + 500);
       slowest = MAX (slowest, waited);
       world_run (world, 2000);
@@ -108,13 +107,12 @@
   print_message ("slowest: %u ms\n", slowest);
 }
 
-/* The store turns the members away that are left. */
+/* The store refuses the remaining members. */
 static void
 test_store_turns_members_away (void **state)
 {
-  World *world = world_new (2001, 3, 1);
-  settle (world);
-  guint former = (guint)world_primary (world);
+  World *world = settled_world (2001, 3, 1);
+  guint former = (guint)world_leader (world);
   for (guint i = 0; i < world->n_nodes; i++)
     world->store_away[i] = i != former;
   world_kill (world, former);
@@ -122,7 +120,7 @@
   assert_commits_go_on (world, 500);
   world_start (world, former, FALSE); /* and reads in the store that it leads */
   world_run (world, 3000);
-  assert_int_not_equal (world_primary (world), (gint)former);
+  assert_int_not_equal (world_leader (world), (gint)former);
   for (guint i = 0; i < world->n_nodes; i++)
     world->store_away[i] = FALSE;
   world_run (world, 3000);
@@ -130,15 +128,14 @@
   world_free (world);
 }
 
-/* A leader that is cut off from the members, and still sees the store, tells nothing old. */
+/* A leader that is cut off from the members, and still sees the store, answers with nothing old. */
 static void
 test_former_leader_sees_the_store (void **state)
 {
   for (guint32 seed = 1; seed <= 20; seed++)
     {
-      World *world = world_new (3000 + seed, 3, 1);
-      settle (world);
-      guint former = (guint)world_primary (world);
+      World *world = settled_world (3000 + seed, 3, 1);
+      guint former = (guint)world_leader (world);
       for (guint i = 0; i < world->n_nodes; i++)
         world->store_away[i] = i != former;
       world_cut_off (world, former, TRUE);
@@ -158,12 +155,11 @@
 static void
 test_leaders_freeze_in_turn (void **state)
 {
-  World *world = world_new (4001, 3, 1);
-  settle (world);
+  World *world = settled_world (4001, 3, 1);
   world->store_down = TRUE;
   for (guint round = 0; round < 8; round++)
     {
-      guint former = (guint)world_primary (world);
+      guint former = (guint)world_leader (world);
       world->nodes[former].frozen = TRUE;
       await_leader (world, former, LEAD_MS);
       assert_commits_go_on (world, 500);
@@ -177,16 +173,15 @@
   world_free (world);
 }
 
-/* Members that lost their memory while the store was away know it again when it is back. */
+/* Members that were all restarted while the store was away lead again when it is back. */
 static void
 test_all_start_anew (void **state)
 {
   for (guint32 seed = 1; seed <= 20; seed++)
     {
-      World *world = world_new (5000 + seed, 3, 1);
-      settle (world);
+      World *world = settled_world (5000 + seed, 3, 1);
       world->store_down = TRUE;
-      guint former = lose_primary (world);
+      guint former = lose_leader (world);
       await_leader (world, former, LEAD_MS);
       assert_commits_go_on (world, 700);
       for (guint i = 0; i < world->n_nodes; i++)
@@ -202,19 +197,18 @@
     }
 }
 
-/* Failed first: a member that was started anew while the store was away stayed out, and its group without a
- * quorum, until the store was back. */
+/* A member that is restarted while the store is away is informed who leads, and counts for the quorum again.
+ */
 static void
 test_member_starts_anew (void **state)
 {
   for (guint32 seed = 1; seed <= 20; seed++)
     {
-      World *world = world_new (6000 + seed, 3, 1);
-      settle (world);
+      World *world = settled_world (6000 + seed, 3, 1);
       world->store_down = TRUE;
-      guint former = lose_primary (world);
+      guint former = lose_leader (world);
       await_leader (world, former, LEAD_MS);
-      guint other = 3 - former - (guint)world_primary (world);
+      guint other = 3 - former - (guint)world_leader (world);
       world_kill (world, other);
       world_run (world, 700);
       world_start (world, other, FALSE);
@@ -222,7 +216,7 @@
       assert_commits_go_on (world, 500);
       world_start (world, former, FALSE);
       world_run (world, 1000);
-      world_kill (world, (guint)world_primary (world));
+      world_kill (world, (guint)world_leader (world));
       await_leader (world, WORLD_MAX, LEAD_MS);
       assert_commits_go_on (world, 500);
       world_free (world);
@@ -231,19 +225,19 @@
 
 /* ---- One replica, step by step ---------------------------------------- */
 
-#define SELF 1
-#define SECOND 2
-#define THIRD 3
-#define START_US (100 * G_USEC_PER_SEC)
+#define SELF 1                          /* id of the replica that is tested */
+#define SECOND 2                        /* ids of the other members */
+#define THIRD 3                         /* likewise */
+#define START_US (100 * G_USEC_PER_SEC) /* when the test begins; any time does */
 
 static QuinceLedgerGroup *
 make_group (guint64 promised)
 {
   static QuinceLedgerMember self = { .node = "n1", .address = "n1", .replica = SELF };
   const QuinceLedgerKept kept = { .promised = promised };
-  const QuinceLedgerLimits limits = { .copies_least = 2,
-                                      .members_wanted = 3,
-                                      .primary_silence_us = G_USEC_PER_SEC,
+  const QuinceLedgerLimits limits = { .quorum = 2,
+                                      .members_max = 3,
+                                      .leader_silence_us = G_USEC_PER_SEC,
                                       .member_silence_us = G_USEC_PER_SEC,
                                       .confirm_us = 600 * 1000,
                                       .order_pause_us = 3200 * 1000 };
@@ -251,13 +245,13 @@
 }
 
 static void
-show_view (QuinceLedgerGroup *group, gint64 now_us, guint64 epoch, guint64 primary, guint64 revision)
+show_view (QuinceLedgerGroup *group, gint64 now_us, guint64 epoch, guint64 leader, guint64 revision)
 {
   static QuinceLedgerMember members[] = { { .node = "n1", .address = "n1", .replica = SELF },
                                           { .node = "n2", .address = "n2", .replica = SECOND },
                                           { .node = "n3", .address = "n3", .replica = THIRD } };
   const QuinceLedgerView view
-      = { .epoch = epoch, .primary = primary, .members = { G_N_ELEMENTS (members), members } };
+      = { .epoch = epoch, .primary = leader, .members = { G_N_ELEMENTS (members), members } };
   quince_ledger_group_set_view (group, now_us, now_us, &view, revision);
 }
 
@@ -269,7 +263,7 @@
   guint64 epoch = quince_ledger_group_campaign (group, now_us);
   quince_ledger_group_promised_by (group, now_us, SECOND, epoch, &end);
   guint64 expected = 0;
-  g_autoptr (QuinceLedgerView) view = quince_ledger_group_step (group, now_us, &expected);
+  g_autoptr (QuinceLedgerView) view = quince_ledger_group_propose (group, now_us, &expected);
   assert_non_null (view);
   assert_int_equal (view->primary, SELF);
   assert_int_equal (view->epoch, epoch);
@@ -305,11 +299,11 @@
   guint64 epoch = propose_lead (group, now);
   quince_ledger_group_proposal_ended (group, now, QUINCE_PROPOSAL_UNKNOWN, 0);
   show_view (group, now + 4 * G_USEC_PER_SEC, epoch, SELF, 6);
-  assert_int_equal (quince_ledger_group_get_role (group), QUINCE_LEDGER_PRIMARY);
+  assert_int_equal (quince_ledger_group_get_role (group), QUINCE_LEDGER_LEADER);
   quince_ledger_group_free (group);
 }
 
-/* Of a damaged message: it names no members, nobody who tells it, or no lead. Epochs and revisions only rise,
+/* Of a damaged message: it names no members, no sender, or no lead. Epochs and revisions only rise,
  * so that it would be believed for good. */
 static void
 test_damaged_lead (void **state)
@@ -353,7 +347,7 @@
   return group;
 }
 
-/* Members note a change on the disk before it is proposed; a primary that proposed to hand over answers
+/* Members note a change on the disk before it is proposed; a leader that proposed to hand over answers
  * nothing until that is settled: the one that it named is promised at once. */
 static void
 test_hand_over_is_noted_and_silent (void **state)
@@ -363,14 +357,14 @@
   guint64 expected = 0;
   QuinceLedgerGroup *group = make_primary (now);
   quince_ledger_group_set_leaving (group, leaving);
-  assert_null (quince_ledger_group_step (group, now, &expected));
+  assert_null (quince_ledger_group_propose (group, now, &expected));
   assert_int_equal (quince_ledger_group_get_kept (group)->noted, 6);
-  QuinceLedgerQuery look;
-  assert_int_equal (quince_ledger_group_get_query (group, now, FALSE, &look), QUINCE_LEDGER_QUERY_NOTES);
-  assert_true (look.changing);
-  const QuinceLedgerLead lead = { .revision = 6, .replica = SECOND, .promised = look.epoch, .noted = 6 };
+  QuinceLedgerQuery query;
+  assert_int_equal (quince_ledger_group_get_query (group, now, FALSE, &query), QUINCE_LEDGER_QUERY_NOTES);
+  assert_true (query.changing);
+  const QuinceLedgerLead lead = { .revision = 6, .replica = SECOND, .promised = query.epoch, .noted = 6 };
   quince_ledger_group_take_lead (group, now, &lead);
-  g_autoptr (QuinceLedgerView) view = quince_ledger_group_step (group, now, &expected);
+  g_autoptr (QuinceLedgerView) view = quince_ledger_group_propose (group, now, &expected);
   assert_non_null (view);
   assert_int_not_equal (view->primary, SELF);
   quince_ledger_group_proposal_ended (group, now, QUINCE_PROPOSAL_UNKNOWN, 0);
@@ -396,7 +390,7 @@
 static void
 lose_disk (World *world, guint node, gint *wiped)
 {
-  if (*wiped >= 0 && !(world_is_whole (world) && world_primary (world) >= 0))
+  if (*wiped >= 0 && !(world_is_whole (world) && world_leader (world) >= 0))
     return;
   world_wipe (world, node);
   *wiped = (gint)node;
@@ -421,10 +415,10 @@
   gint32 kind = g_rand_int_range (world->random, 0, 16);
   g_autofree char *what = g_strdup_printf ("FAULT %d on n%u n%u", kind, node, other);
   world_trace (world, what, NULL);
-  if (kind <= 1 && world_primary (world) >= 0)
-    world_kill (world, (guint)world_primary (world));
-  else if (kind == 2 && world_primary (world) >= 0)
-    world->nodes[world_primary (world)].frozen = TRUE;
+  if (kind <= 1 && world_leader (world) >= 0)
+    world_kill (world, (guint)world_leader (world));
+  else if (kind == 2 && world_leader (world) >= 0)
+    world->nodes[world_leader (world)].frozen = TRUE;
   else if (kind == 3)
     world_cut_off (world, node, TRUE);
   else if (kind == 4)
@@ -477,7 +471,7 @@
         continue;
       heal (world);
       world_run (world, HEAL_MS);
-      if (world_primary (world) < 0 || !world_is_whole (world))
+      if (world_leader (world) < 0 || !world_is_whole (world))
         fail_msg ("seed %u: not whole %u ms after the last fault", seed, HEAL_MS);
       assert_store_shows_leader (world);
     }
