--- /dev/null
+++ b/lib/http1/http-connection-input.c
@@ -0,0 +1,260 @@
+/*
+ * http-connection-input.c: reads a connection and parses its messages, one at a time.
+ *
+ * Input is parsed as it comes; after a whole message parsing stops until the owner asks for the next one, and
+ * what comes meanwhile is kept, within a bound.
+ */
+#include "http-connection-private.h"
+
+#include <string.h>
+
+/* Bytes of one read: a whole request or answer of the usual size.  Not measured. */
+#define READ_BYTES (32 * 1024)
+/* Bytes that may come before the owner asks for the next message; beyond them the connection fails.  Not
+ * measured: room for many small requests that a caller sends ahead, little beside the largest body. */
+#define EARLY_MAX_BYTES (256 * 1024)
+
+static void
+take_header (QuinceHttpConnection *connection)
+{
+  if (connection->value_began)
+    quince_http_headers_add (connection->head->headers, connection->field->str, connection->value->str);
+  g_string_truncate (connection->field, 0);
+  g_string_truncate (connection->value, 0);
+  connection->value_began = FALSE;
+}
+
+static int
+on_message_begin (http_parser *parser)
+{
+  QuinceHttpConnection *connection = parser->data;
+  quince_http_head_free (connection->head);
+  connection->head = g_new0 (QuinceHttpHead, 1);
+  connection->head->headers = quince_http_headers_new ();
+  connection->reading = TRUE;
+  return 0;
+}
+
+static int
+on_url (http_parser *parser, const char *at, size_t length)
+{
+  QuinceHttpConnection *connection = parser->data;
+  char *old = connection->head->target;
+  g_autofree char *part = g_strndup (at, length);
+  connection->head->target = g_strconcat (old != NULL ? old : "", part, NULL);
+  g_free (old);
+  return 0;
+}
+
+static int
+on_header_field (http_parser *parser, const char *at, size_t length)
+{
+  QuinceHttpConnection *connection = parser->data;
+  if (connection->value_began)
+    take_header (connection);
+  g_string_append_len (connection->field, at, (gssize)length);
+  return 0;
+}
+
+static int
+on_header_value (http_parser *parser, const char *at, size_t length)
+{
+  QuinceHttpConnection *connection = parser->data;
+  connection->value_began = TRUE;
+  g_string_append_len (connection->value, at, (gssize)length);
+  return 0;
+}
+
+/* Bytes of the head on the wire, but for optional spaces. */
+static gsize
+head_size (const QuinceHttpHead *head)
+{
+  gsize size = strlen (head->method) + strlen (head->target) + strlen ("  HTTP/1.1\r\n\r\n");
+  for (guint i = 0; i < quince_http_headers_get_length (head->headers); i++)
+    {
+      const QuinceHttpHeader *line = quince_http_headers_index (head->headers, i);
+      size += strlen (line->name) + strlen (line->value) + strlen (": \r\n");
+    }
+  return size;
+}
+
+static int
+on_headers_complete (http_parser *parser)
+{
+  QuinceHttpConnection *connection = parser->data;
+  take_header (connection);
+  QuinceHttpHead *head = g_steal_pointer (&connection->head);
+  if (connection->is_client)
+    head->status = parser->status_code;
+  else
+    head->method = g_strdup (http_method_str ((enum http_method)parser->method));
+  if (!connection->is_client && connection->max_head_bytes > 0
+      && head_size (head) > connection->max_head_bytes)
+    {
+      connection->too_large = TRUE;
+      quince_http_head_free (head);
+      return -1;
+    }
+  head->keep_alive = http_should_keep_alive (parser) != 0;
+  if (connection->is_client && head->status < 200)
+    quince_http_head_free (head); /* an interim answer: the real one follows */
+  else
+    connection->callbacks->head (connection, head, connection->user_data);
+  return quince_http_connection_is_alive (connection) ? 0 : -1;
+}
+
+static int
+on_body (http_parser *parser, const char *at, size_t length)
+{
+  QuinceHttpConnection *connection = parser->data;
+  if (connection->callbacks->body != NULL)
+    connection->callbacks->body (connection, at, length, connection->user_data);
+  return quince_http_connection_is_alive (connection) ? 0 : -1;
+}
+
+static int
+on_message_complete (http_parser *parser)
+{
+  QuinceHttpConnection *connection = parser->data;
+  if (connection->is_client && parser->status_code < 200)
+    return 0;
+  connection->reading = FALSE;
+  connection->waiting = TRUE;
+  connection->head_bytes = 0;
+  http_parser_pause (parser, 1);
+  return 0;
+}
+
+static const http_parser_settings parser_settings = {
+  .on_message_begin = on_message_begin,
+  .on_url = on_url,
+  .on_header_field = on_header_field,
+  .on_header_value = on_header_value,
+  .on_headers_complete = on_headers_complete,
+  .on_body = on_body,
+  .on_message_complete = on_message_complete,
+};
+
+/* A head that does not end. */
+static gboolean
+head_too_large (QuinceHttpConnection *connection, gsize length)
+{
+  if (connection->max_head_bytes == 0 || (connection->head == NULL && connection->reading))
+    return FALSE;
+  connection->head_bytes += length;
+  return connection->head != NULL && connection->head_bytes > connection->max_head_bytes;
+}
+
+/* Nothing more is read from the peer.  A server's owner may answer it first. */
+static void
+refuse_input (QuinceHttpConnection *connection, QuinceHttp1Error code, const char *text)
+{
+  if (connection->is_client || connection->callbacks->refused == NULL)
+    {
+      quince_http_connection_fail (connection, code, text);
+      return;
+    }
+  g_autoptr (GError) error = g_error_new_literal (QUINCE_HTTP1_ERROR, code, text);
+  connection->callbacks->refused (connection, error, connection->user_data);
+}
+
+static void
+refuse_message (QuinceHttpConnection *connection, enum http_errno parse_error)
+{
+  gboolean too_large = connection->too_large || parse_error == HPE_HEADER_OVERFLOW;
+  refuse_input (connection, too_large ? QUINCE_HTTP1_ERROR_TOO_LARGE : QUINCE_HTTP1_ERROR_MALFORMED,
+                too_large ? "head is too large" : http_errno_description (parse_error));
+}
+
+/* Parses @data up to the end of one message; keeps the rest. */
+static void
+parse (QuinceHttpConnection *connection, const char *data, gsize length)
+{
+  quince_http_connection_ref (connection);
+  gsize used = http_parser_execute (&connection->parser, &parser_settings, data, length);
+  enum http_errno parse_error = HTTP_PARSER_ERRNO (&connection->parser);
+  if (quince_http_connection_is_alive (connection) && parse_error != HPE_OK && parse_error != HPE_PAUSED)
+    refuse_message (connection, parse_error);
+  else if (quince_http_connection_is_alive (connection) && head_too_large (connection, length))
+    refuse_input (connection, QUINCE_HTTP1_ERROR_TOO_LARGE, "head is too large");
+  if (quince_http_connection_is_alive (connection) && connection->waiting)
+    {
+      http_parser_pause (&connection->parser, 0);
+      if (length > used)
+        g_byte_array_append (connection->early, (const guint8 *)data + used, (guint)(length - used));
+      connection->callbacks->complete (connection, connection->user_data);
+    }
+  quince_http_connection_unref (connection);
+}
+
+void
+quince_http_connection_next (QuinceHttpConnection *connection)
+{
+  if (!quince_http_connection_is_alive (connection) || !connection->waiting)
+    return;
+  connection->waiting = FALSE;
+  if (connection->early->len == 0)
+    return;
+  g_autoptr (GByteArray) bytes = g_steal_pointer (&connection->early);
+  connection->early = g_byte_array_new ();
+  parse (connection, (const char *)bytes->data, bytes->len);
+}
+
+static void
+input_ended (QuinceHttpConnection *connection)
+{
+  if (connection->waiting || !connection->reading)
+    {
+      quince_http_connection_over (connection, NULL);
+      return;
+    }
+  /* An answer without a length is whole when its connection ends in order. */
+  quince_http_connection_ref (connection);
+  http_parser_execute (&connection->parser, &parser_settings, NULL, 0);
+  if (connection->open && connection->waiting)
+    connection->callbacks->complete (connection, connection->user_data);
+  quince_http_connection_fail (connection, QUINCE_HTTP1_ERROR_CLOSED, "peer closed in a message");
+  quince_http_connection_unref (connection);
+}
+
+static gboolean
+input_ready (GSocket *socket, GIOCondition condition, gpointer data)
+{
+  QuinceHttpConnection *connection = data;
+  char buffer[READ_BYTES];
+  g_autoptr (GError) error = NULL;
+  gssize length = g_socket_receive (socket, buffer, sizeof buffer, NULL, &error);
+  if (length < 0 && g_error_matches (error, G_IO_ERROR, G_IO_ERROR_WOULD_BLOCK))
+    return G_SOURCE_CONTINUE;
+  quince_http_connection_ref (connection);
+  if (length < 0)
+    quince_http_connection_fail (connection, QUINCE_HTTP1_ERROR_RESET, error->message);
+  else if (length == 0)
+    input_ended (connection);
+  else if (connection->finishing)
+    ; /* what comes after our last answer is not read */
+  else if (connection->waiting && connection->early->len > EARLY_MAX_BYTES)
+    quince_http_connection_fail (connection, QUINCE_HTTP1_ERROR_TOO_LARGE, "too much before its turn");
+  else if (connection->waiting)
+    g_byte_array_append (connection->early, (const guint8 *)buffer, (guint)length);
+  else
+    parse (connection, buffer, (gsize)length);
+  gboolean open = connection->open;
+  quince_http_connection_unref (connection);
+  return open ? G_SOURCE_CONTINUE : G_SOURCE_REMOVE;
+}
+
+void
+quince_http_connection_watch_input (QuinceHttpConnection *connection)
+{
+  connection->input_source = g_socket_create_source (connection->socket, G_IO_IN, NULL);
+  g_source_set_callback (connection->input_source, G_SOURCE_FUNC (input_ready), connection, NULL);
+  g_source_attach (connection->input_source, g_main_context_get_thread_default ());
+}
+
+void
+quince_http_connection_init_parser (QuinceHttpConnection *connection)
+{
+  http_parser_init (&connection->parser, connection->is_client ? HTTP_RESPONSE : HTTP_REQUEST);
+  connection->parser.data = connection;
+}
--- /dev/null
+++ b/lib/http1/http-connection-output.c
@@ -0,0 +1,100 @@
+/*
+ * http-connection-output.c: writes to a connection, and ends it in order.
+ *
+ * Output is handed to the kernel at once and kept only where the kernel takes no more.
+ */
+#include "http-connection-private.h"
+
+#include "runtime/clock.h"
+
+/* Longest wait for the peer's close after the last answer, ms.  Not measured: above a round trip between
+ * regions, so that the peer has read the answer before a reset can reach it. */
+#define FINISH_MS 2000
+
+static void
+output_done (QuinceHttpConnection *connection)
+{
+  if (connection->finishing)
+    g_socket_shutdown (connection->socket, FALSE, TRUE, NULL);
+  else if (connection->callbacks->drained != NULL)
+    connection->callbacks->drained (connection, connection->user_data);
+}
+
+gssize
+quince_http_connection_send_kept (QuinceHttpConnection *connection)
+{
+  g_autoptr (GError) error = NULL;
+  GByteArray *output = connection->output;
+  gssize taken = g_socket_send (connection->socket, (const char *)output->data, output->len, NULL, &error);
+  if (taken > 0)
+    g_byte_array_remove_range (output, 0, (guint)taken);
+  if (taken < 0 && g_error_matches (error, G_IO_ERROR, G_IO_ERROR_WOULD_BLOCK))
+    return 0;
+  if (taken < 0)
+    quince_http_connection_fail (connection, QUINCE_HTTP1_ERROR_RESET, error->message);
+  return taken;
+}
+
+static gboolean
+output_ready (GSocket *socket, GIOCondition condition, gpointer data)
+{
+  QuinceHttpConnection *connection = data;
+  quince_http_connection_ref (connection);
+  quince_http_connection_send_kept (connection);
+  gboolean more = connection->open && connection->output->len > 0;
+  if (connection->open && !more)
+    {
+      quince_source_clear (&connection->output_source);
+      output_done (connection);
+    }
+  quince_http_connection_unref (connection);
+  return more ? G_SOURCE_CONTINUE : G_SOURCE_REMOVE;
+}
+
+void
+quince_http_connection_watch_output (QuinceHttpConnection *connection)
+{
+  if (connection->output_source != NULL || connection->connecting)
+    return;
+  connection->output_source = g_socket_create_source (connection->socket, G_IO_OUT, NULL);
+  g_source_set_callback (connection->output_source, G_SOURCE_FUNC (output_ready), connection, NULL);
+  g_source_attach (connection->output_source, g_main_context_get_thread_default ());
+}
+
+/* A failed write is reported from the loop, like every other failure: a callback out of write() would
+ * surprise its caller. */
+void
+quince_http_connection_write (QuinceHttpConnection *connection, const char *data, gsize length)
+{
+  if (!connection->open || connection->finishing)
+    return;
+  gsize taken = 0;
+  if (!connection->connecting && connection->output->len == 0)
+    {
+      gssize now = g_socket_send (connection->socket, data, length, NULL, NULL);
+      taken = now > 0 ? (gsize)now : 0;
+    }
+  if (taken == length)
+    return;
+  g_byte_array_append (connection->output, (const guint8 *)data + taken, (guint)(length - taken));
+  quince_http_connection_watch_output (connection);
+}
+
+static gboolean
+finish_late (gpointer data)
+{
+  quince_http_connection_over (data, NULL);
+  return G_SOURCE_REMOVE;
+}
+
+void
+quince_http_connection_finish (QuinceHttpConnection *connection)
+{
+  if (!connection->open || connection->finishing)
+    return;
+  connection->finishing = TRUE;
+  quince_http_connection_ref (connection);
+  connection->finish_timer = quince_timer_add (FINISH_MS, finish_late, connection);
+  if (connection->output->len == 0)
+    output_done (connection);
+}
--- /dev/null
+++ b/lib/http1/http-connection-private.h
@@ -0,0 +1,63 @@
+/*
+ * http-connection-private.h: one HTTP/1.1 connection, shared by its files:
+ *
+ *   http-connection-state.c    lifetime and failures; calls none of the others
+ *   http-connection-input.c    reads and parses; over state
+ *   http-connection-output.c   writes and the orderly end; over state
+ *   http-connection.c          connects, accepts and tells what the connection is doing; over all
+ */
+#pragma once
+
+#include <http_parser.h>
+
+#include "http1/http1.h"
+
+G_BEGIN_DECLS
+
+struct _QuinceHttpConnection
+{
+  /* All fields belong to the context that created the connection. */
+  grefcount references;
+  const QuinceHttpConnectionCallbacks *callbacks;
+  gpointer user_data;
+  GSocket *socket;
+  GSource *input_source;
+  GSource *output_source;
+  GSource *finish_timer;
+  GByteArray *output; /* bytes that the kernel has not taken */
+  GByteArray *early;  /* bytes beyond the message that is whole */
+  http_parser parser;
+  QuinceHttpHead *head; /* being read */
+  GString *field;
+  GString *value;
+  gboolean value_began;
+  gsize max_head_bytes; /* 0: the parser's limit alone */
+  gsize head_bytes;
+  gboolean is_client;
+  gboolean connecting;
+  gboolean open;
+  gboolean waiting;   /* a whole message waits for next() */
+  gboolean reading;   /* a message has begun */
+  gboolean too_large; /* the head that was read last */
+  gboolean finishing;
+};
+
+/* Closes, and calls the owner's closed() unless the connection is finishing.  @error: (nullable): the peer
+ * closed between two messages */
+void quince_http_connection_over (QuinceHttpConnection *connection, const GError *error);
+void quince_http_connection_fail (QuinceHttpConnection *connection, QuinceHttp1Error code, const char *text);
+/* The owner still gets callbacks. */
+gboolean quince_http_connection_is_alive (const QuinceHttpConnection *connection);
+
+/* Reads from now on; the socket is connected. */
+void quince_http_connection_watch_input (QuinceHttpConnection *connection);
+/* The parser of a new connection. */
+void quince_http_connection_init_parser (QuinceHttpConnection *connection);
+
+/* Sends what is kept as soon as the kernel takes more. */
+void quince_http_connection_watch_output (QuinceHttpConnection *connection);
+/* Sends once what is kept, as far as the kernel takes it.
+ * Returns: bytes taken, -1 when the connection failed and was closed */
+gssize quince_http_connection_send_kept (QuinceHttpConnection *connection);
+
+G_END_DECLS
--- a/lib/http1/http1.h
+++ b/lib/http1/http1.h
@@ -5,7 +5,9 @@
  * without a length and the exact moment of a close decide whether a request may be sent again, and HTTP
  * libraries such as libsoup show none of these.  Messages are parsed by the library http-parser.
  *
- * Everything belongs to the thread-default context that created it.
+ * A connection owns its socket, the bytes that the kernel has not taken and the message being read; an
+ * acceptor owns its listening socket.  Everything belongs to the thread-default context that created it.
+ * Relies on runtime/ for timers and addresses.
  */
 #pragma once
 
@@ -78,7 +80,7 @@
  * @complete: the message is whole; no further message is parsed before quince_http_connection_next()
  * @refused: (nullable): at a server, the peer's bytes are no request or too many; nothing more is read, and
  * the owner answers and calls quince_http_connection_finish().  Without it the connection closes
- * @closed: the connection is over, called once at the most; not after quince_http_connection_close().
+ * @closed: the connection is over, called at most once; not after quince_http_connection_close().
  *   @error is %NULL when the peer closed between two messages
  * @drained: (nullable): all output has been handed to the kernel
  */
@@ -106,6 +108,7 @@
 QuinceHttpConnection *quince_http_connection_connect (const char *address,
                                                       const QuinceHttpConnectionCallbacks *callbacks,
                                                       gpointer user_data);
+/* Callers hold a reference while a callback may release theirs. */
 QuinceHttpConnection *quince_http_connection_ref (QuinceHttpConnection *connection);
 void quince_http_connection_unref (QuinceHttpConnection *connection);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (QuinceHttpConnection, quince_http_connection_unref)
@@ -115,7 +118,7 @@
 void quince_http_connection_next (QuinceHttpConnection *connection);
 /* Closes without further callbacks. */
 void quince_http_connection_close (QuinceHttpConnection *connection);
-/* Closes for writing once all output is out, then reads until the peer closes (two seconds at the most). */
+/* Closes for writing once all output is sent, then reads until the peer closes, for up to 2 s. */
 void quince_http_connection_finish (QuinceHttpConnection *connection);
 gboolean quince_http_connection_is_open (QuinceHttpConnection *connection);
 /* Bytes beyond the last whole message have come: on a client's side they belong to no request. */
@@ -151,9 +154,4 @@
 void quince_http_acceptor_free (QuinceHttpAcceptor *acceptor);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (QuinceHttpAcceptor, quince_http_acceptor_free)
 
-/* Sets what every TCP socket of the system has: no delay, and an end to silence after @QUINCE_TCP_SILENCE_MS.
- */
-#define QUINCE_TCP_SILENCE_MS 3000
-void quince_tcp_prepare (GSocket *socket);
-
 G_END_DECLS
--- a/lib/runtime/link.c
+++ b/lib/runtime/link.c
@@ -22,7 +22,7 @@
  * machines. */
 #define READ_BYTES (16 * 1024)
 /* A peer that acknowledges nothing for so long is taken for lost, ms (TCP_USER_TIMEOUT).  Not measured: as
- * QUINCE_TCP_SILENCE_MS of callers' and workers' connections. */
+ * on connections of callers and workers. */
 #define SILENCE_MS 3000
 /* Output that waits for a peer, bytes, above which its link is closed: an eighth of the memory of the
  * smallest leaders (270 MB). */
