--- a/rehearsal/demo.c
+++ b/rehearsal/demo.c
@@ -14,13 +14,16 @@
 #include "demo-cluster.h"
 #include "demo-trainer.h"
 
+/* Longest wait until the policy is in force at all processes, ms: above the 3 s that are promised. */
 #define POLICY_TIMEOUT_MS 10000
+/* Longest wait for the answers of the burst, ms: far above the callers' deadlines (3 s). */
 #define BURST_TIMEOUT_MS 30000
+/* Longest training, ms.  Not measured: far above the 10 s of the examples, below the time of the test. */
 #define TRAINING_TIMEOUT_MS 100000
-/* After the event's start, so that calls and samples are in progress. */
+/* The leader is killed so long after the event's start, ms, so that calls and samples are in progress. */
 #define KILL_AFTER_MS 200
-#define EXIT_BROKEN 1
-#define EXIT_USAGE 2
+#define EXIT_BROKEN 1 /* exit status: a promise was broken, or the run failed */
+#define EXIT_USAGE 2  /* exit status: bad flags or deployment */
 
 typedef struct
 {
--- a/rehearsal/kit/deployment.c
+++ b/rehearsal/kit/deployment.c
@@ -3,7 +3,7 @@
  */
 #include "deployment.h"
 
-#define MINUTE (60 * G_USEC_PER_SEC)
+#define MINUTE (60 * G_USEC_PER_SEC) /* us */
 
 /* clang-format off: one setting a line */
 static const QuinceSettingSpec specs[] = {
--- a/rehearsal/platform/demo-cluster.c
+++ b/rehearsal/platform/demo-cluster.c
@@ -8,18 +8,26 @@
 
 #include <glib/gstdio.h>
 
-#include "demo-configuration.h"
 #include "template.h"
 
-/* Each process has an address of its own, so that all may listen at the ports that the platform names. */
+/* Each process has a loopback address of its own, so that all may listen at the same ports, as on machines of
+ * their own.  Last part of the address of the first front. */
 #define FRONT_HOST 10
+/* Last part of the address of the first replica; a demo has fewer than 50 zones. */
 #define REPLICA_HOST 60
+/* Ports of a front, any that are free at its own address: for callers, */
 #define CALLERS_PORT 8080
+/* for checks of readiness, */
 #define READY_PORT 8081
+/* and for the directory of fronts. */
 #define DIRECTORY_PORT 8082
+/* Port of a replica's links. */
 #define LINK_PORT 7000
+/* Sleep where the main context has nothing to do, us: short beside all that the demo waits for. */
 #define POLL_US 1000
+/* Longest wait for the first leader, ms.  Not measured: far above the 2 s that it takes. */
 #define START_TIMEOUT_MS 20000
+/* Longest wait for the end of an operator's command, ms: above the 16 s for which it tries a silent store. */
 #define OPERATOR_TIMEOUT_MS 20000
 
 gboolean
@@ -36,15 +44,6 @@
   return TRUE;
 }
 
-gboolean
-demo_is_model_service (const QuinceDeployment *deployment, const char *service)
-{
-  for (guint i = 0; i < deployment->trainers->len; i++)
-    if (g_str_equal (((QuinceTrainerPlan *)deployment->trainers->pdata[i])->service, service))
-      return TRUE;
-  return FALSE;
-}
-
 /* ---- Settings ----------------------------------------------------------- */
 
 static const char *
--- a/rehearsal/platform/demo-cluster.h
+++ b/rehearsal/platform/demo-cluster.h
@@ -1,22 +1,16 @@
 /*
  * demo-cluster.h: a deployment as real fronts and replicas on loopback, with the platform's stand-ins.
  *
- * The stand-ins live in the main context of the program that starts the cluster.
+ * A cluster owns its processes and its stand-ins, which live in the main context of the program that starts
+ * it. Relies on the kit for processes, on the templates in deploy/ for their settings.
  */
 #pragma once
 
-#include "deployment.h"
+#include "demo-configuration.h"
 #include "process.h"
 #include "standin-store.h"
 #include "standin-worker.h"
 
-/* Each text has so many events. */
-#define DEMO_EVENTS 8
-#define DEMO_HOST "demo.example"
-#define DEMO_MODEL "model-a" /* of the stand-ins of workers */
-#define DEMO_ROLLOUT_PREFIX "/rollout/"
-#define DEMO_SCORE_PREFIX "/score/"
-
 typedef struct
 {
   const QuinceDeployment *deployment;
@@ -30,7 +24,7 @@
   gboolean is_founded;
 } DemoCluster;
 
-/* Waits, with the main context running. Returns: whether @condition holds */
+/* Runs the main context until @condition holds. Returns: %FALSE: it did not within @timeout_ms */
 gboolean demo_await (gboolean (*condition) (gpointer data), gpointer data, guint timeout_ms);
 
 DemoCluster *demo_cluster_start (const char *build,
@@ -40,8 +34,6 @@
 void demo_cluster_free (DemoCluster *cluster);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (DemoCluster, demo_cluster_free)
 const char *demo_cluster_get_front (const DemoCluster *cluster, guint index);
-/* Whether weights of a trainer run on @service: its workers stream. */
-gboolean demo_is_model_service (const QuinceDeployment *deployment, const char *service);
 /* Runs the operators' command on the store. Returns: its exit status */
 int demo_cluster_operate (DemoCluster *cluster, const char *const *words);
 /* The greatest policy revision is in force at every process. */
--- a/rehearsal/platform/demo-configuration.c
+++ b/rehearsal/platform/demo-configuration.c
@@ -3,9 +3,14 @@
  */
 #include "demo-configuration.h"
 
-#include "demo-cluster.h"
-
-#define MODEL_SLOTS 16
+gboolean
+demo_is_model_service (const QuinceDeployment *deployment, const char *service)
+{
+  for (guint i = 0; i < deployment->trainers->len; i++)
+    if (g_str_equal (((QuinceTrainerPlan *)deployment->trainers->pdata[i])->service, service))
+      return TRUE;
+  return FALSE;
+}
 
 static const char *
 route_kind (const QuinceDeployment *deployment, const QuinceMemberPlan *member)
@@ -56,7 +61,7 @@
                               i > 0 ? "," : "", service->name);
       if (demo_is_model_service (deployment, service->name))
         g_string_append_printf (text, ",\"engine\":{\"slots\":%u,\"models\":[{\"name\":\"" DEMO_MODEL "\"}]}",
-                                service->capacity > 0 ? service->capacity : MODEL_SLOTS);
+                                service->capacity);
       g_string_append_c (text, '}');
     }
 }
--- a/rehearsal/platform/demo-trainer.c
+++ b/rehearsal/platform/demo-trainer.c
@@ -8,7 +8,10 @@
 #include <json-glib/json-glib.h>
 #include "http1/http-client.h"
 
+/* Between two steps of the trainer, ms: short beside a training (500 ms). */
 #define POLL_INTERVAL_MS 50
+/* Longest call, us.  Not measured: above the change of a leader (some 3 s), after which a call is sent again.
+ */
 #define CALL_TIMEOUT_US (10 * G_USEC_PER_SEC)
 
 typedef struct
@@ -251,7 +254,7 @@
 }
 
 static gboolean
-look (gpointer data)
+advance (gpointer data)
 {
   DemoTrainer *trainer = data;
   if (trainer->trained_us != 0 && g_get_monotonic_time () >= trainer->trained_us)
@@ -281,7 +284,7 @@
 demo_trainer_start (DemoTrainer *trainer)
 {
   trainer->waiting_since = g_get_monotonic_time ();
-  trainer->timer = g_timeout_add (POLL_INTERVAL_MS, look, trainer);
+  trainer->timer = g_timeout_add (POLL_INTERVAL_MS, advance, trainer);
 }
 
 gboolean
--- /dev/null
+++ b/rehearsal/platform/standin-store-calls.c
@@ -0,0 +1,280 @@
+/*
+ * standin-store-calls.c: calls and watches of the metadata store's stand-in, and its faults.
+ */
+#include "standin-store-private.h"
+
+#include <string.h>
+
+#include <json-glib/json-glib.h>
+
+/* Items of one page of a list, so that every test sees pages. */
+#define PAGE_ITEMS 2
+
+/* ---- JSON ------------------------------------------------------------- */
+
+static void
+append_item (GString *text, const StandinItem *item)
+{
+  if (text->str[text->len - 1] != '[' && text->str[text->len - 1] != '{')
+    g_string_append_c (text, ',');
+  g_string_append_printf (text, "{\"tlsKey\":\"%s\",\"revision\":%" G_GUINT64_FORMAT, item->key,
+                          item->revision);
+  if (item->value != NULL)
+    g_string_append_printf (text, ",\"value\":\"%s\",\"made\":1,\"lease\":%" G_GUINT64_FORMAT "}",
+                            item->value, item->lease);
+  else
+    g_string_append (text, ",\"gone\":true}");
+}
+
+static void
+answer_json (StandinCall *call, guint status, const char *text)
+{
+  standin_answer (call, status, "Content-Type: application/json\r\n", text, -1);
+}
+
+/* ---- Watches ---------------------------------------------------------- */
+
+static gboolean
+answer_watch (StandinStore *store, StandinWatch *watch, gboolean even_empty)
+{
+  g_autoptr (GString) text = g_string_new ("{\"events\":[");
+  guint count = 0;
+  gint64 first_us = 0;
+  for (guint i = 0; i < store->history->len; i++)
+    {
+      const StandinItem *item = store->history->pdata[i];
+      if (item->revision <= watch->after || !g_str_has_prefix (item->key, watch->prefix))
+        continue;
+      append_item (text, item);
+      if (count++ == 0)
+        first_us = item->at_us;
+    }
+  if (count == 0 && !even_empty)
+    return FALSE;
+  if (count > 0 && g_get_monotonic_time () < first_us + store->watch_delay_us)
+    return FALSE;
+  g_string_append_printf (text, "],\"at\":%" G_GUINT64_FORMAT "}", store->revision);
+  answer_json (watch->call, 200, text->str);
+  return TRUE;
+}
+
+void
+standin_store_check_watches (StandinStore *store)
+{
+  if (store->fault == STANDIN_STORE_SILENT)
+    return; /* nor are watches answered that waited before */
+  gint64 now = g_get_monotonic_time ();
+  for (guint i = store->watches->len; i > 0; i--)
+    {
+      StandinWatch *watch = store->watches->pdata[i - 1];
+      if (watch->call->gone)
+        standin_done (watch->call);
+      else if (!answer_watch (store, watch, now >= watch->end_us))
+        continue;
+      g_ptr_array_remove_index (store->watches, i - 1);
+    }
+}
+
+/* ---- Calls ------------------------------------------------------------ */
+
+static char *
+query (const StandinCall *call, const char *name)
+{
+  const char *start = strchr (call->head->target, '?');
+  if (start == NULL)
+    return g_strdup ("");
+  g_autoptr (GHashTable) values = g_uri_parse_params (start + 1, -1, "&", G_URI_PARAMS_NONE, NULL);
+  const char *value = values != NULL ? g_hash_table_lookup (values, name) : NULL;
+  return g_strdup (value != NULL ? value : "");
+}
+
+static void
+get_key (StandinStore *store, StandinCall *call)
+{
+  g_autofree char *key = query (call, "tlsKey");
+  const StandinItem *item = g_hash_table_lookup (store->items, key);
+  if (item == NULL)
+    {
+      answer_json (call, 404, "{}");
+      return;
+    }
+  g_autoptr (GString) text = g_string_new ("{");
+  append_item (text, item);
+  g_string_erase (text, 0, 1);
+  g_string_truncate (text, text->len - 1);
+  g_string_append_printf (text, ",\"at\":%" G_GUINT64_FORMAT "}", store->revision);
+  answer_json (call, 200, text->str);
+}
+
+static gint
+compare_keys (gconstpointer a, gconstpointer b)
+{
+  return g_strcmp0 ((*(const StandinItem *const *)a)->key, (*(const StandinItem *const *)b)->key);
+}
+
+static void
+get_range (StandinStore *store, StandinCall *call)
+{
+  g_autofree char *prefix = query (call, "pathPrefix");
+  g_autofree char *after = query (call, "afterRev");
+  g_autoptr (GPtrArray) found = g_ptr_array_new ();
+  GHashTableIter iter;
+  gpointer value;
+  g_hash_table_iter_init (&iter, store->items);
+  while (g_hash_table_iter_next (&iter, NULL, &value))
+    if (g_str_has_prefix (((StandinItem *)value)->key, prefix)
+        && strcmp (((StandinItem *)value)->key, after) > 0)
+      g_ptr_array_add (found, value);
+  g_ptr_array_sort (found, compare_keys);
+  g_autoptr (GString) text = g_string_new ("{\"items\":[");
+  for (guint i = 0; i < MIN (found->len, PAGE_ITEMS); i++)
+    append_item (text, found->pdata[i]);
+  g_string_append_printf (text, "],\"more\":%s,\"at\":%" G_GUINT64_FORMAT "}",
+                          found->len > PAGE_ITEMS ? "true" : "false", store->revision);
+  answer_json (call, 200, text->str);
+}
+
+static void
+begin_watch (StandinStore *store, StandinCall *call)
+{
+  g_autofree char *after = query (call, "afterRev");
+  g_autofree char *wait = query (call, "waitMs");
+  guint64 revision = g_ascii_strtoull (after, NULL, 10);
+  if (revision < store->oldest)
+    {
+      answer_json (call, 410, "{}");
+      return;
+    }
+  StandinWatch *watch = g_new0 (StandinWatch, 1);
+  watch->call = call;
+  watch->prefix = query (call, "pathPrefix");
+  watch->after = revision;
+  watch->end_us = g_get_monotonic_time () + g_ascii_strtoll (wait, NULL, 10) * 1000;
+  g_ptr_array_add (store->watches, watch);
+  standin_store_check_watches (store);
+}
+
+static gboolean
+conditions_hold (StandinStore *store, JsonArray *conditions)
+{
+  for (guint i = 0; i < json_array_get_length (conditions); i++)
+    {
+      JsonObject *condition = json_array_get_object_element (conditions, i);
+      const StandinItem *item
+          = g_hash_table_lookup (store->items, json_object_get_string_member (condition, "tlsKey"));
+      guint64 expected = (guint64)json_object_get_int_member (condition, "revision");
+      if ((item != NULL ? item->revision : 0) != expected)
+        return FALSE;
+    }
+  return TRUE;
+}
+
+static void
+transact (StandinStore *store, StandinCall *call)
+{
+  g_autoptr (JsonParser) parser = json_parser_new ();
+  g_assert_true (json_parser_load_from_data (parser, (const char *)call->body->data, call->body->len, NULL));
+  JsonObject *object = json_node_get_object (json_parser_get_root (parser));
+  if (!conditions_hold (store, json_object_get_array_member (object, "expected")))
+    {
+      answer_json (call, 412, "{\"items\":[]}");
+      return;
+    }
+  JsonArray *puts = json_object_get_array_member (object, "put");
+  for (guint i = 0; i < json_array_get_length (puts); i++)
+    {
+      JsonObject *put = json_array_get_object_element (puts, i);
+      guint64 lease
+          = json_object_has_member (put, "lease") ? (guint64)json_object_get_int_member (put, "lease") : 0;
+      standin_store_change (store, json_object_get_string_member (put, "tlsKey"),
+                            json_object_get_string_member (put, "value"), lease);
+    }
+  JsonArray *removes = json_object_get_array_member (object, "remove");
+  for (guint i = 0; i < json_array_get_length (removes); i++)
+    standin_store_change (store, json_array_get_string_element (removes, i), NULL, 0);
+  if (store->fault == STANDIN_STORE_LOSES || store->fault == STANDIN_STORE_LOSES_AND_HIDES)
+    standin_close (call);
+  else
+    {
+      g_autofree char *text = g_strdup_printf ("{\"revision\":%" G_GUINT64_FORMAT "}", store->revision);
+      answer_json (call, 200, text);
+    }
+  standin_store_check_watches (store);
+}
+
+static void
+open_lease (StandinStore *store, StandinCall *call)
+{
+  g_autofree char *body = g_strndup ((const char *)call->body->data, call->body->len);
+  const char *number = strchr (body, ':');
+  StandinLease *lease = g_new0 (StandinLease, 1);
+  lease->id = ++store->next_lease;
+  lease->ttl_us = g_ascii_strtoll (number + 1, NULL, 10) * 1000;
+  lease->end_us = g_get_monotonic_time () + lease->ttl_us;
+  g_hash_table_insert (store->leases, &lease->id, lease);
+  g_autofree char *text = g_strdup_printf ("{\"lease\":%" G_GUINT64_FORMAT ",\"ttl_ms\":1000}", lease->id);
+  answer_json (call, 200, text);
+}
+
+static void
+keep_lease (StandinStore *store, StandinCall *call, const char *id_text)
+{
+  gint64 id = g_ascii_strtoll (id_text, NULL, 10);
+  StandinLease *lease = g_hash_table_lookup (store->leases, &id);
+  if (lease == NULL)
+    {
+      answer_json (call, 404, "{}");
+      return;
+    }
+  lease->end_us = g_get_monotonic_time () + lease->ttl_us;
+  answer_json (call, 200, "{\"ttl_ms\":1000}");
+}
+
+static gboolean
+reads_own_keys (const char *target)
+{
+  return strstr (target, "pathPrefix=quinceroute") != NULL;
+}
+
+void
+standin_store_handle (StandinCall *call, gpointer data)
+{
+  StandinStore *store = data;
+  const char *target = call->head->target;
+  store->calls++;
+  if (store->fault == STANDIN_STORE_SILENT)
+    g_ptr_array_add (store->unanswered, call);
+  else if (store->fault == STANDIN_STORE_NONSENSE)
+    answer_json (call, 200, store->nonsense);
+  else if (store->fault == STANDIN_STORE_BUSY)
+    answer_json (call, 503, "{}");
+  else if (store->fault == STANDIN_STORE_RESETS)
+    standin_close (call);
+  else if (store->fault == STANDIN_STORE_LISTS_NOTHING && g_str_has_prefix (target, "/quinceroute/kv-range?"))
+    answer_json (call, 503, "{}");
+  else if (store->fault == STANDIN_STORE_HIDES_OWN && reads_own_keys (target))
+    answer_json (call, 503, "{}");
+  else if (store->fault == STANDIN_STORE_LOSES_AND_HIDES && g_str_has_prefix (target, "/quinceroute/kv-key?"))
+    answer_json (call, 503, "{}");
+  else if (g_str_has_prefix (target, "/quinceroute/kv-key?"))
+    get_key (store, call);
+  else if (g_str_has_prefix (target, "/quinceroute/kv-range?"))
+    get_range (store, call);
+  else if (g_str_has_prefix (target, "/quinceroute/kv-watch?"))
+    begin_watch (store, call);
+  else if (g_str_equal (target, "/quinceroute/kv-txn"))
+    transact (store, call);
+  else if (g_str_equal (target, "/quinceroute/kv-lease"))
+    open_lease (store, call);
+  else if (g_str_has_prefix (target, "/quinceroute/kv-keep/"))
+    keep_lease (store, call, target + strlen ("/quinceroute/kv-keep/"));
+  else if (g_str_has_prefix (target, "/quinceroute/kv-lease-end/"))
+    {
+      standin_store_end_lease (store,
+                               g_ascii_strtoull (target + strlen ("/quinceroute/kv-lease-end/"), NULL, 10));
+      answer_json (call, 200, "{}");
+      standin_store_check_watches (store);
+    }
+  else
+    answer_json (call, 404, "{}");
+}
--- /dev/null
+++ b/rehearsal/platform/standin-store-private.h
@@ -0,0 +1,67 @@
+/*
+ * standin-store-private.h: the state of the metadata store's stand-in, shared by its files:
+ * standin-store-data.c holds keys and leases, standin-store-calls.c answers calls and watches,
+ * standin-store.c is what a test does.
+ */
+#pragma once
+
+#include "standin-store.h"
+
+typedef struct
+{
+  char *key;
+  char *value; /* base64; NULL: removed */
+  guint64 revision;
+  guint64 lease;
+  gint64 at_us; /* monotonic; when it was changed */
+} StandinItem;
+
+typedef struct
+{
+  StandinCall *call;
+  char *prefix;
+  guint64 after;
+  gint64 end_us;
+} StandinWatch;
+
+typedef struct
+{
+  guint64 id;
+  gint64 ttl_us;
+  gint64 end_us;
+} StandinLease;
+
+struct _StandinStore
+{
+  StandinServer *server;
+  GHashTable *items;  /* StandinItem by key, owned */
+  GPtrArray *history; /* StandinItem, owned: every change since `oldest` */
+  GPtrArray *watches;
+  GPtrArray *unanswered; /* StandinCall, owned: taken while it was silent */
+  GHashTable *leases;
+  GPtrArray *saved; /* StandinItem, owned; NULL: none */
+  guint64 saved_revision;
+  gint64 watch_delay_us;
+  guint64 revision;
+  guint64 oldest;
+  guint64 next_lease;
+  StandinStoreFault fault;
+  char *nonsense;
+  guint calls;
+  guint timer;
+};
+
+void standin_item_free (gpointer item);
+/* (transfer full) */
+StandinItem *standin_item_copy (const StandinItem *item);
+/* Writes @key, or removes it where @encoded is %NULL, at the next revision.  Watches are not answered yet. */
+void standin_store_change (StandinStore *store, const char *key, const char *encoded, guint64 lease);
+/* Removes the lease and its keys. */
+void standin_store_end_lease (StandinStore *store, guint64 lease);
+/* Ends the leases whose time is over. */
+void standin_store_end_leases (StandinStore *store);
+
+/* Takes one call; @data: the store */
+void standin_store_handle (StandinCall *call, gpointer data);
+/* Answers watches that have news or waited long enough. */
+void standin_store_check_watches (StandinStore *store);
--- /dev/null
+++ b/rehearsal/platform/standin-worker-orders.c
@@ -0,0 +1,124 @@
+/*
+ * standin-worker-orders.c: a worker's answers to orders to load weights, and their faults.
+ */
+#include "standin-worker-private.h"
+
+#include <json-glib/json-glib.h>
+
+/* An order of @version ends. */
+static void
+load (StandinWorker *worker, guint64 version)
+{
+  if (worker->swap_times == 0)
+    {
+      worker->version = version;
+      return;
+    }
+  if (worker->swap_times != G_MAXUINT)
+    worker->swap_times--;
+  worker->failed_swaps++;
+  if (worker->swap_version != 0)
+    worker->version = worker->swap_version;
+}
+
+static void
+carry_out (StandinWorker *worker, StandinCall *call)
+{
+  g_autoptr (JsonParser) parser = json_parser_new ();
+  g_assert_true (json_parser_load_from_data (parser, (const char *)call->body->data, call->body->len, NULL));
+  JsonObject *order = json_node_get_object (json_parser_get_root (parser));
+  if ((guint64)json_object_get_int_member (order, "expected") != worker->orders)
+    {
+      worker->refused_orders++;
+      standin_answer (call, 409, "", "", 0);
+      return;
+    }
+  guint64 fence = (guint64)json_object_get_int_member (order, "fence");
+  worker->orders++;
+  g_array_append_val (worker->fences, fence);
+  g_ptr_array_add (worker->holders, g_strdup (json_object_get_string_member (order, "holder")));
+  g_free (worker->mode);
+  worker->mode = g_strdup (json_object_get_string_member (order, "mode"));
+  load (worker, (guint64)json_object_get_int_member (order, "version"));
+  standin_answer (call, 202, "", "", 0);
+}
+
+void
+standin_worker_take_order (StandinWorker *worker, StandinCall *call)
+{
+  if (worker->holds_orders)
+    g_ptr_array_add (worker->held_orders, call);
+  else
+    carry_out (worker, call);
+}
+
+void
+standin_worker_drop_orders (StandinWorker *worker)
+{
+  for (guint i = 0; i < worker->held_orders->len; i++)
+    standin_done (worker->held_orders->pdata[i]);
+  g_ptr_array_set_size (worker->held_orders, 0);
+}
+
+void
+standin_worker_fail_swaps (StandinWorker *worker, guint64 version, guint times)
+{
+  worker->swap_version = version;
+  worker->swap_times = times;
+}
+
+guint
+standin_worker_get_failed_swaps (const StandinWorker *worker)
+{
+  return worker->failed_swaps;
+}
+
+void
+standin_worker_set_orders_held (StandinWorker *worker, gboolean held)
+{
+  worker->holds_orders = held;
+}
+
+guint
+standin_worker_count_held_orders (const StandinWorker *worker)
+{
+  return worker->held_orders->len;
+}
+
+void
+standin_worker_deliver_orders (StandinWorker *worker)
+{
+  for (guint i = 0; i < worker->held_orders->len; i++)
+    carry_out (worker, worker->held_orders->pdata[i]);
+  g_ptr_array_set_size (worker->held_orders, 0);
+}
+
+guint
+standin_worker_get_refused_orders (const StandinWorker *worker)
+{
+  return worker->refused_orders;
+}
+
+guint
+standin_worker_get_orders (const StandinWorker *worker)
+{
+  return (guint)worker->orders;
+}
+
+const GArray *
+standin_worker_get_fences (const StandinWorker *worker)
+{
+  return worker->fences;
+}
+
+const char *
+standin_worker_get_order_mode (const StandinWorker *worker)
+{
+  return worker->mode;
+}
+
+const GPtrArray *
+standin_worker_get_holders (const StandinWorker *worker)
+{
+  return worker->holders;
+}
--- /dev/null
+++ b/rehearsal/platform/standin-worker-private.h
@@ -0,0 +1,72 @@
+/*
+ * standin-worker-private.h: the state of a worker's stand-in, shared by its files: standin-worker.c takes
+ * calls, standin-worker-streams.c streams answers, standin-worker-orders.c takes orders to load weights.
+ */
+#pragma once
+
+#include "standin-worker.h"
+
+#define STANDIN_MODEL "model-a" /* that every worker serves */
+
+typedef struct
+{
+  StandinWorker *worker;
+  StandinCall *call;
+  StandinRun *run;
+  guint next;      /* event */
+  guint64 version; /* of its latest event */
+  guint timer;
+  StandinWorkerFault fault;
+} StandinStream;
+
+struct _StandinWorker
+{
+  StandinServer *server;
+  char *id;
+  char *software;
+  char *zone;
+  gint cold_ms;
+  guint slots;
+  /* requests that end it */
+  char *fatal_text; /* NULL: none does */
+  guint fatal_after_ms;
+  guint fatal_times;
+  guint delay_ms;
+  guint most; /* requests that it works on at once */
+  gboolean dead;
+  GPtrArray *delayed; /* answers or ends that are due later, owned */
+  StandinWorkerFault fault;
+  guint fault_times;
+  guint events;
+  guint pause_ms;
+  guint event_bytes; /* more, after the name of each event */
+  GPtrArray *runs;
+  GPtrArray *streams; /* StandinStream, owned */
+  GPtrArray *silent;  /* StandinCall: never answered */
+  guint64 version;
+  guint64 orders;
+  GArray *fences;     /* guint64: of each order, in the order they came */
+  GPtrArray *holders; /* owned texts: of the same */
+  char *mode;         /* of the latest; NULL: none */
+  char *nonsense;     /* NULL: it makes sense */
+  gboolean holds_orders;
+  GPtrArray *held_orders; /* StandinCall: did not arrive */
+  guint refused_orders;
+  guint64 swap_version; /* that orders end on; 0: the version before */
+  guint swap_times;     /* orders that end so; G_MAXUINT: all */
+  guint failed_swaps;
+};
+
+/* Writes the head with @headers, lines with their ends, and then an event at a time. */
+void standin_worker_begin_stream (StandinWorker *worker,
+                                  StandinCall *call,
+                                  StandinRun *run,
+                                  StandinWorkerFault fault,
+                                  const char *headers);
+/* Ends all streams without an answer: their connections are gone. */
+void standin_worker_drop_streams (StandinWorker *worker);
+
+/* Answers an order to load weights, or holds it. */
+void standin_worker_take_order (StandinWorker *worker, StandinCall *call);
+/* Drops orders that are held: their connections are gone. */
+void standin_worker_drop_orders (StandinWorker *worker);
--- /dev/null
+++ b/rehearsal/platform/standin-worker-streams.c
@@ -0,0 +1,127 @@
+/*
+ * standin-worker-streams.c: a worker's answers in events, one each pause, and their faults.
+ */
+#include "standin-worker-private.h"
+
+#include <string.h>
+
+static void
+stream_free (gpointer data)
+{
+  StandinStream *stream = data;
+  if (stream->timer != 0)
+    g_source_remove (stream->timer);
+  g_free (stream);
+}
+
+/* The stream is over: nothing more is written to its call. */
+static void
+stream_remove (StandinStream *stream)
+{
+  stream->timer = 0;
+  g_ptr_array_remove (stream->worker->streams, stream);
+  stream_free (stream);
+}
+
+static void
+write_event (StandinStream *stream)
+{
+  const StandinWorker *worker = stream->worker;
+  g_autofree char *change
+      = stream->version == worker->version
+            ? g_strdup ("")
+            : g_strdup_printf ("weight-versions: %" G_GUINT64_FORMAT "\n", worker->version);
+  stream->version = worker->version;
+  g_autofree char *more = g_strnfill (worker->event_bytes, 'x');
+  g_autofree char *event
+      = g_strdup_printf ("%sid: %u\ndata: e%u%s\n\n", change, stream->next, stream->next, more);
+  g_autofree char *chunk = g_strdup_printf ("%x\r\n%s\r\n", (guint)strlen (event), event);
+  standin_write (stream->call, chunk);
+  const StandinEvent made = { .number = stream->next, .version = worker->version };
+  g_array_append_val (stream->run->events, made);
+  stream->next++;
+}
+
+/* In the middle of an event. */
+static void
+cut_stream (StandinStream *stream)
+{
+  g_autofree char *part = g_strdup_printf ("10\r\nid: %u\nda", stream->next);
+  standin_write (stream->call, part);
+  standin_close (stream->call);
+  stream_remove (stream);
+}
+
+static void
+end_stream (StandinStream *stream)
+{
+  standin_write (stream->call, "0\r\n\r\n");
+  standin_done (stream->call);
+  stream_remove (stream);
+}
+
+static gboolean
+stream_step (gpointer data)
+{
+  StandinStream *stream = data;
+  gboolean half = stream->next > stream->worker->events / 2;
+  if (stream->call->gone)
+    {
+      stream->run->gone = TRUE;
+      standin_done (stream->call);
+      stream_remove (stream);
+      return G_SOURCE_REMOVE;
+    }
+  if (half && stream->fault == STANDIN_WORKER_CUTS)
+    {
+      cut_stream (stream);
+      return G_SOURCE_REMOVE;
+    }
+  if (half && stream->fault == STANDIN_WORKER_SKIPS)
+    {
+      stream->next++;
+      stream->fault = STANDIN_WORKER_SOUND;
+    }
+  if (stream->next > stream->worker->events)
+    {
+      end_stream (stream);
+      return G_SOURCE_REMOVE;
+    }
+  write_event (stream);
+  return G_SOURCE_CONTINUE;
+}
+
+void
+standin_worker_begin_stream (StandinWorker *worker,
+                             StandinCall *call,
+                             StandinRun *run,
+                             StandinWorkerFault fault,
+                             const char *headers)
+{
+  g_autofree char *head = g_strdup_printf (
+      "HTTP/1.1 200 OK\r\n%sContent-Type: text/event-stream\r\nWeight-Versions: %" G_GUINT64_FORMAT
+      "\r\nTransfer-Encoding: chunked\r\n\r\n",
+      headers, worker->version);
+  standin_write (call, head);
+  StandinStream *stream = g_new0 (StandinStream, 1);
+  stream->worker = worker;
+  stream->call = call;
+  stream->run = run;
+  stream->fault = fault;
+  stream->version = worker->version;
+  stream->next = run->resume != NULL ? (guint)g_ascii_strtoull (run->resume, NULL, 10) + 1 : 1;
+  stream->timer = g_timeout_add (MAX (worker->pause_ms, 1), stream_step, stream);
+  g_ptr_array_add (worker->streams, stream);
+}
+
+void
+standin_worker_drop_streams (StandinWorker *worker)
+{
+  for (guint i = 0; i < worker->streams->len; i++)
+    {
+      StandinStream *stream = worker->streams->pdata[i];
+      standin_done (stream->call);
+      stream_free (stream);
+    }
+  g_ptr_array_set_size (worker->streams, 0);
+}
--- a/rehearsal/platform/standin-worker.c
+++ b/rehearsal/platform/standin-worker.c
@@ -1,25 +1,10 @@
 /*
- * standin-worker.c: a worker of the platform.
+ * standin-worker.c: a worker of the platform: takes calls, answers plain ones, reports, and dies.
  */
-#include "standin-worker.h"
+#include "standin-worker-private.h"
 
 #include <string.h>
 
-#include <json-glib/json-glib.h>
-
-#define MODEL "model-a"
-
-typedef struct
-{
-  StandinWorker *worker;
-  StandinCall *call;
-  StandinRun *run;
-  guint next;      /* event */
-  guint64 version; /* of its latest event */
-  guint timer;
-  StandinWorkerFault fault;
-} Stream;
-
 /* A plain request that is answered later, or that ends the worker. */
 typedef struct
 {
@@ -29,43 +14,6 @@
   guint timer;
 } Delayed;
 
-struct _StandinWorker
-{
-  StandinServer *server;
-  char *id;
-  char *software;
-  char *zone;
-  gint cold_ms;
-  guint slots;
-  char *fatal_text; /* NULL: no request ends it */
-  guint fatal_after_ms;
-  guint fatal_times;
-  guint delay_ms;
-  guint most; /* requests that it works on at once */
-  gboolean dead;
-  GPtrArray *delayed; /* Delayed, owned */
-  StandinWorkerFault fault;
-  guint fault_times;
-  guint events;
-  guint pause_ms;
-  guint event_bytes; /* more, after the name of each event */
-  GPtrArray *runs;
-  GPtrArray *streams; /* Stream, owned */
-  GPtrArray *silent;  /* StandinCall: never answered */
-  guint64 version;
-  guint64 orders;
-  GArray *fences;     /* guint64: of each order, in the order they came */
-  GPtrArray *holders; /* owned texts: of the same */
-  char *mode;         /* of the latest; NULL: none */
-  char *nonsense;     /* NULL: it makes sense */
-  gboolean holds_orders;
-  GPtrArray *held_orders; /* StandinCall: did not arrive */
-  guint refused_orders;
-  guint64 swap_version; /* that orders end on; 0: the version before */
-  guint swap_times;     /* orders that end so; G_MAXUINT: all */
-  guint failed_swaps;
-};
-
 static void
 run_free (gpointer data)
 {
@@ -112,90 +60,7 @@
                           is_signed ? worker->id : "", is_signed ? "\r\n" : "");
 }
 
-/* ---- Streams ---------------------------------------------------------- */
-
-static void
-stream_free (gpointer data)
-{
-  Stream *stream = data;
-  if (stream->timer != 0)
-    g_source_remove (stream->timer);
-  g_free (stream);
-}
-
-static gboolean
-stream_step (gpointer data)
-{
-  Stream *stream = data;
-  StandinWorker *worker = stream->worker;
-  if (stream->call->gone)
-    {
-      stream->run->gone = TRUE;
-      stream->timer = 0;
-      standin_done (stream->call);
-      g_ptr_array_remove (worker->streams, stream);
-      return G_SOURCE_REMOVE;
-    }
-  gboolean half = stream->next > worker->events / 2;
-  if (half && stream->fault == STANDIN_WORKER_CUTS)
-    {
-      g_autofree char *part = g_strdup_printf ("10\r\nid: %u\nda", stream->next);
-      standin_write (stream->call, part);
-      stream->timer = 0;
-      standin_close (stream->call);
-      g_ptr_array_remove (worker->streams, stream);
-      return G_SOURCE_REMOVE;
-    }
-  if (half && stream->fault == STANDIN_WORKER_SKIPS)
-    {
-      stream->next++;
-      stream->fault = STANDIN_WORKER_SOUND;
-    }
-  if (stream->next <= worker->events)
-    {
-      g_autofree char *change
-          = stream->version == worker->version
-                ? g_strdup ("")
-                : g_strdup_printf ("weight-versions: %" G_GUINT64_FORMAT "\n", worker->version);
-      stream->version = worker->version;
-      g_autofree char *more = g_strnfill (worker->event_bytes, 'x');
-      g_autofree char *event
-          = g_strdup_printf ("%sid: %u\ndata: e%u%s\n\n", change, stream->next, stream->next, more);
-      g_autofree char *chunk = g_strdup_printf ("%x\r\n%s\r\n", (guint)strlen (event), event);
-      standin_write (stream->call, chunk);
-      const StandinEvent made = { .number = stream->next, .version = worker->version };
-      g_array_append_val (stream->run->events, made);
-      stream->next++;
-      return G_SOURCE_CONTINUE;
-    }
-  standin_write (stream->call, "0\r\n\r\n");
-  stream->timer = 0;
-  standin_done (stream->call);
-  g_ptr_array_remove (worker->streams, stream);
-  return G_SOURCE_REMOVE;
-}
-
-static void
-begin_stream (StandinWorker *worker, StandinCall *call, StandinRun *run, StandinWorkerFault fault)
-{
-  g_autofree char *headers = answer_headers (worker, run->id, TRUE);
-  g_autofree char *head = g_strdup_printf (
-      "HTTP/1.1 200 OK\r\n%sContent-Type: text/event-stream\r\nWeight-Versions: %" G_GUINT64_FORMAT
-      "\r\nTransfer-Encoding: chunked\r\n\r\n",
-      headers, worker->version);
-  standin_write (call, head);
-  Stream *stream = g_new0 (Stream, 1);
-  stream->worker = worker;
-  stream->call = call;
-  stream->run = run;
-  stream->fault = fault;
-  stream->version = worker->version;
-  stream->next = run->resume != NULL ? (guint)g_ascii_strtoull (run->resume, NULL, 10) + 1 : 1;
-  stream->timer = g_timeout_add (MAX (worker->pause_ms, 1), stream_step, stream);
-  g_ptr_array_add (worker->streams, stream);
-}
-
-/* ---- Requests --------------------------------------------------------- */
+/* ---- Requests ---------------------------------------------------------- */
 
 static void
 answer_plain (StandinWorker *worker, StandinCall *call, const StandinRun *run, StandinWorkerFault fault)
@@ -304,58 +169,20 @@
   else if (worker->events > 0 && fault == STANDIN_WORKER_FAILS)
     standin_answer (call, 500, headers, "", 0);
   else if (worker->events > 0)
-    begin_stream (worker, call, run, fault);
+    standin_worker_begin_stream (worker, call, run, fault, headers);
   else if (worker->delay_ms > 0)
     delay (worker, call, run, worker->delay_ms, answer_due);
   else
     answer_plain (worker, call, run, fault);
 }
 
-/* ---- Orders ----------------------------------------------------------- */
-
-/* An order of @version ends. */
-static void
-load (StandinWorker *worker, guint64 version)
-{
-  if (worker->swap_times == 0)
-    {
-      worker->version = version;
-      return;
-    }
-  if (worker->swap_times != G_MAXUINT)
-    worker->swap_times--;
-  worker->failed_swaps++;
-  if (worker->swap_version != 0)
-    worker->version = worker->swap_version;
-}
-
-static void
-take_order (StandinWorker *worker, StandinCall *call)
-{
-  g_autoptr (JsonParser) parser = json_parser_new ();
-  g_assert_true (json_parser_load_from_data (parser, (const char *)call->body->data, call->body->len, NULL));
-  JsonObject *order = json_node_get_object (json_parser_get_root (parser));
-  if ((guint64)json_object_get_int_member (order, "expected") != worker->orders)
-    {
-      worker->refused_orders++;
-      standin_answer (call, 409, "", "", 0);
-      return;
-    }
-  guint64 fence = (guint64)json_object_get_int_member (order, "fence");
-  worker->orders++;
-  g_array_append_val (worker->fences, fence);
-  g_ptr_array_add (worker->holders, g_strdup (json_object_get_string_member (order, "holder")));
-  g_free (worker->mode);
-  worker->mode = g_strdup (json_object_get_string_member (order, "mode"));
-  load (worker, (guint64)json_object_get_int_member (order, "version"));
-  standin_answer (call, 202, "", "", 0);
-}
+/* ---- Calls ------------------------------------------------------------- */
 
 static void
 report (StandinWorker *worker, StandinCall *call)
 {
   g_autofree char *text = g_strdup_printf (
-      "{\"stage\":\"hybrid\",\"models\":[{\"name\":\"" MODEL "\",\"version\":%" G_GUINT64_FORMAT
+      "{\"stage\":\"hybrid\",\"models\":[{\"name\":\"" STANDIN_MODEL "\",\"version\":%" G_GUINT64_FORMAT
       ",\"adapters\":[]}],\"busy\":false,\"seq\":%" G_GUINT64_FORMAT
       ",\"queuedRequests\":0,\"running\":0,\"kvUsed\":0,\"kvTotal\":1000,\"handles\":0}",
       worker->version, worker->orders);
@@ -371,10 +198,8 @@
     standin_answer (call, 421, "Instance-Id: another\r\n", "", 0);
   else if (worker->nonsense != NULL && g_str_has_prefix (call->head->target, "/quinceroute/"))
     standin_answer (call, 200, "Content-Type: application/json\r\n", worker->nonsense, -1);
-  else if (g_str_equal (call->head->target, "/quinceroute/order") && worker->holds_orders)
-    g_ptr_array_add (worker->held_orders, call);
   else if (g_str_equal (call->head->target, "/quinceroute/order"))
-    take_order (worker, call);
+    standin_worker_take_order (worker, call);
   else if (g_str_equal (call->head->target, "/quinceroute/report"))
     report (worker, call);
   else
@@ -394,7 +219,7 @@
   worker->version = 1;
   worker->most = G_MAXUINT;
   worker->runs = g_ptr_array_new_with_free_func (run_free);
-  worker->streams = g_ptr_array_new_with_free_func (stream_free);
+  worker->streams = g_ptr_array_new ();
   worker->silent = g_ptr_array_new ();
   worker->held_orders = g_ptr_array_new ();
   worker->fences = g_array_new (FALSE, FALSE, sizeof (guint64));
@@ -409,13 +234,9 @@
 {
   for (guint i = 0; i < worker->silent->len; i++)
     standin_done (worker->silent->pdata[i]);
-  for (guint i = 0; i < worker->streams->len; i++)
-    standin_done (((Stream *)worker->streams->pdata[i])->call);
-  for (guint i = 0; i < worker->held_orders->len; i++)
-    standin_done (worker->held_orders->pdata[i]);
-  g_ptr_array_set_size (worker->held_orders, 0);
+  standin_worker_drop_streams (worker);
+  standin_worker_drop_orders (worker);
   g_ptr_array_set_size (worker->silent, 0);
-  g_ptr_array_set_size (worker->streams, 0);
   g_ptr_array_set_size (worker->delayed, 0);
 }
 
@@ -556,19 +377,6 @@
   return worker->version;
 }
 
-void
-standin_worker_fail_swaps (StandinWorker *worker, guint64 version, guint times)
-{
-  worker->swap_version = version;
-  worker->swap_times = times;
-}
-
-guint
-standin_worker_get_failed_swaps (const StandinWorker *worker)
-{
-  return worker->failed_swaps;
-}
-
 void
 standin_worker_set_nonsense (StandinWorker *worker, const char *text)
 {
@@ -576,56 +384,6 @@
   worker->nonsense = g_strdup (text);
 }
 
-void
-standin_worker_set_orders_held (StandinWorker *worker, gboolean held)
-{
-  worker->holds_orders = held;
-}
-
-guint
-standin_worker_count_held_orders (const StandinWorker *worker)
-{
-  return worker->held_orders->len;
-}
-
-void
-standin_worker_deliver_orders (StandinWorker *worker)
-{
-  for (guint i = 0; i < worker->held_orders->len; i++)
-    take_order (worker, worker->held_orders->pdata[i]);
-  g_ptr_array_set_size (worker->held_orders, 0);
-}
-
-guint
-standin_worker_get_refused_orders (const StandinWorker *worker)
-{
-  return worker->refused_orders;
-}
-
-guint
-standin_worker_get_orders (const StandinWorker *worker)
-{
-  return (guint)worker->orders;
-}
-
-const GArray *
-standin_worker_get_fences (const StandinWorker *worker)
-{
-  return worker->fences;
-}
-
-const char *
-standin_worker_get_order_mode (const StandinWorker *worker)
-{
-  return worker->mode;
-}
-
-const GPtrArray *
-standin_worker_get_holders (const StandinWorker *worker)
-{
-  return worker->holders;
-}
-
 void
 standin_worker_set_cold (StandinWorker *worker, gint cold_ms)
 {
@@ -639,7 +397,7 @@
       = worker->cold_ms >= 0 ? g_strdup_printf ("\"coldRemainingMs\":%d,", worker->cold_ms) : g_strdup ("");
   return g_strdup_printf (
       "{\"service\":\"%s\",\"address\":\"%s\",\"zone\":\"%s\",\"version\":\"%s\",\"slots\":%u,"
-      "\"state\":\"%s\",%s\"stage\":\"hybrid\",\"models\":[{\"name\":\"" MODEL
+      "\"state\":\"%s\",%s\"stage\":\"hybrid\",\"models\":[{\"name\":\"" STANDIN_MODEL
       "\",\"version\":%" G_GUINT64_FORMAT ",\"adapters\":[]}],\"seq\":1}",
       service, standin_worker_get_address (worker), worker->zone, worker->software, worker->slots, state,
       cold, worker->version);
