--- a/lib/http1/http-acceptor.c
+++ b/lib/http1/http-acceptor.c
@@ -1,5 +1,5 @@
 /*
- * http-acceptor.c: a listening socket that hands on what it accepts.
+ * http-acceptor.c: a listening socket that passes accepted sockets to its owner.
  */
 #include "http1/http1.h"
 
@@ -8,8 +8,10 @@
 #include "runtime/log.h"
 #include "runtime/clock.h"
 
+/* Connections that wait to be accepted.  Not measured: a burst of callers between two turns of the main loop.
+ */
 #define BACKLOG 512
-/* Connections taken in one turn of the loop. */
+/* Connections accepted in one turn of the main loop, so that those that exist are served in between. */
 #define ACCEPT_MAX 16
 
 struct _QuinceHttpAcceptor
--- a/lib/http1/http-client.h
+++ b/lib/http1/http-client.h
@@ -1,8 +1,10 @@
 /*
- * http-client.h: kept connections to one address, and one request and answer on them.
+ * http-client.h: persistent connections to one address, and exchanges (a request and its answer) on them.
  *
- * An exchange says of a failure whether the request can have reached the other side, which is what decides if
- * it may be sent again.  Nothing is sent twice by itself.
+ * The outcome of a failed exchange states whether the request can have reached the other side, which decides
+ * whether it may be sent again; a pool never sends it again by itself.  A pool owns its connections, an
+ * exchange its request and answer; both belong to the thread-default context that created them.  Relies on
+ * http1.h.
  */
 #pragma once
 
--- a/lib/http1/http-pool.c
+++ b/lib/http1/http-pool.c
@@ -8,14 +8,18 @@
 
 #include "runtime/clock.h"
 
-/* An idle connection is used again only while this part of the time that its server announced is left. */
+/* Part of the idle time that a server announced during which its connection is used again: the rest allows
+ * for clocks and the way there.  Not measured. */
 #define KEEP_ALIVE_USABLE 0.8
-/* Where the server announces nothing. */
+/* Where the server announces nothing, us.  Not measured: below the 5 s after which common servers close. */
 #define KEEP_ALIVE_DEFAULT_US (4 * G_USEC_PER_SEC)
+/* Longest wait for a connection, ms.  Not measured: some round trips between regions (24 ms) and less than
+ * the 1 s after which the kernel sends a lost first packet again. */
 #define CONNECT_MS 700
-/* An exchange that times out while bytes are waiting is read on: READ_FIRST_MS more at a time,
- * READ_FIRST_MAX times.  An answer of 64 kB takes four reads. */
+/* An exchange that times out while bytes are waiting is read on for so much longer at a time, ms: one turn of
+ * a busy main loop. */
 #define READ_FIRST_MS 2
+/* So many times: an answer of 64 kB takes four reads. */
 #define READ_FIRST_MAX 8
 
 typedef struct
@@ -36,7 +40,7 @@
   GPtrArray *exchanges; /* QuinceHttpExchange, in progress */
   guint busy;
   guint64 opened;
-  gboolean abandoned; /* the owner has let go: nothing stays idle */
+  gboolean abandoned; /* the owner's reference is gone: nothing stays idle */
 };
 
 struct _QuinceHttpExchange
@@ -182,7 +186,7 @@
   keep = keep && !pool->abandoned && quince_http_connection_is_open (channel->connection);
   if (!keep)
     {
-      /* Nobody waits for it any more: it must not arrive once a link heals. */
+      /* No caller waits for it any more: it must not arrive when a network recovers. */
       if (exchange->head == NULL && quince_http_connection_has_unacknowledged (channel->connection))
         quince_http_connection_discard_at_close (channel->connection);
       channel_free (channel);
--- a/lib/http1/http-text-server.c
+++ b/lib/http1/http-text-server.c
@@ -5,7 +5,10 @@
 
 #include <string.h>
 
+/* Largest head of a request, bytes.  Not measured: far above that of a metrics reader. */
 #define HEAD_MAX_BYTES 8192
+/* Connections at once; more are closed.  Not measured: readers of metrics are few, and the bound keeps others
+ * from taking the process's descriptors. */
 #define CONNECTIONS_MAX 32
 
 struct _QuinceTextServer
--- a/lib/http1/text-server.h
+++ b/lib/http1/text-server.h
@@ -1,5 +1,7 @@
 /*
- * text-server.h: one text at one path, for example metrics; each connection serves one request.
+ * text-server.h: serves one text at one path, for example metrics; each connection serves one request.
+ *
+ * A server owns its listening socket and its connections; relies on http1.h.
  */
 #pragma once
 
--- a/lib/runtime/address.c
+++ b/lib/runtime/address.c
@@ -5,8 +5,6 @@
 
 #include <string.h>
 
-G_DEFINE_QUARK (quince - address - error - quark, quince_address_error)
-
 GSocketAddress *
 quince_address_parse (const char *text, GError **error)
 {
@@ -22,7 +20,7 @@
       if (address != NULL)
         return address;
     }
-  g_set_error (error, QUINCE_ADDRESS_ERROR, QUINCE_ADDRESS_ERROR_FORM, "'%s' is not a numeric ip:port",
+  g_set_error (error, G_IO_ERROR, G_IO_ERROR_INVALID_ARGUMENT, "'%s' is not a numeric ip:port",
                text != NULL ? text : "");
   return NULL;
 }
--- a/lib/runtime/address.h
+++ b/lib/runtime/address.h
@@ -7,15 +7,7 @@
 
 G_BEGIN_DECLS
 
-#define QUINCE_ADDRESS_ERROR (quince_address_error_quark ())
-GQuark quince_address_error_quark (void);
-
-typedef enum
-{
-  QUINCE_ADDRESS_ERROR_FORM, /* not a numeric ip:port */
-} QuinceAddressError;
-
-/* Returns: (transfer full) (nullable): %NULL with QUINCE_ADDRESS_ERROR_FORM */
+/* Returns: (transfer full) (nullable): %NULL with G_IO_ERROR_INVALID_ARGUMENT */
 GSocketAddress *quince_address_parse (const char *text, GError **error);
 /* @address: of an internet family.  Returns: (transfer full): as parse() takes it */
 char *quince_address_format (GSocketAddress *address);
--- a/lib/runtime/answer-allowance.h
+++ b/lib/runtime/answer-allowance.h
@@ -1,8 +1,8 @@
 /*
- * answer-allowance.h: how large an answer may be that is sent on a link, so that a slow one neither fills the
- * sender's memory nor holds up the heartbeats behind it.
+ * answer-allowance.h: how large an answer on a link may be, so that a slow link neither fills the sender's
+ * memory nor delays the heartbeats behind the answer.
  *
- * Pure: time is an argument, in microseconds of one clock.
+ * Keeps one QuinceAnswerAllowance for each link.  Pure: time is an argument, in microseconds of one clock.
  */
 #pragma once
 
@@ -12,9 +12,9 @@
 
 /**
  * QuinceAnswerAllowance:
- * @bytes: that one answer may have; 0: none was asked for yet
- * @sent_backlog: bytes that were on their way once the last answer was sent, at the most
- * @sent_us: when that was
+ * @bytes: bound of one answer; 0: there was none yet
+ * @sent_backlog: upper bound of the bytes on their way just after the last answer was sent
+ * @sent_us: when it was sent
  *
  * Of one link; all zero at first.
  */
@@ -27,11 +27,11 @@
 
 /**
  * quince_answer_allowance_take:
- * @backlog: bytes that were sent on the link and have not arrived
- * @most: that any answer may have
+ * @backlog: bytes sent on the link and not acknowledged
+ * @most: bound of any answer, bytes
  *
- * Returns: how many bytes the next answer may have, which counts as sent; 0: it is not to be sent, since it
- * would only wait behind others
+ * Returns: bound of the next answer, bytes, which from now on counts as sent; 0: it must not be sent, since
+ * it would only wait behind others
  */
 gsize
 quince_answer_allowance_take (QuinceAnswerAllowance *allowance, gint64 now_us, gsize backlog, gsize most);
--- a/lib/runtime/json-check.c
+++ b/lib/runtime/json-check.c
@@ -1,17 +1,19 @@
 /*
  * json-check.c: whether a text is JSON that json-glib can be trusted with.
  *
- * json-glib calls itself for each level of nesting, so that deep text ends
- * the process, and it takes more than JSON: comments, and escapes that are
- * not whole, after which it sees the ends of strings where RFC 8259 does not.
- * This check is strict in both, and leaves the rest of the grammar to it.
+ * json-glib calls itself for each level of nesting, so that deep text overruns the stack and ends the
+ * process, and it accepts more than JSON: comments, and incomplete escapes, after which it sees the ends of
+ * strings where RFC 8259 does not.  This check is strict in both and leaves the rest of the grammar to
+ * json-glib.
  */
 #include "runtime/json-check.h"
 
 #include <string.h>
 
-/* Far above what any message of ours nests. */
+/* Deepest nesting.  Not measured: far above the nesting of any message of the platform, far below the
+ * depth at which json-glib overruns the stack. */
 #define DEPTH_MAX 64
+/* Length of the escape "\uXXXX", bytes (RFC 8259, 7). */
 #define UNIT_ESCAPE_BYTES 6
 #define IS_HIGH_SURROGATE(unit) ((unit) >= 0xd800 && (unit) <= 0xdbff)
 #define IS_LOW_SURROGATE(unit) ((unit) >= 0xdc00 && (unit) <= 0xdfff)
--- a/lib/runtime/json-check.h
+++ b/lib/runtime/json-check.h
@@ -1,5 +1,5 @@
 /*
- * json-check.h: what must hold of a text from outside before a JSON library sees it.
+ * json-check.h: a check of text from outside before a JSON library parses it.  Keeps no state.
  */
 #pragma once
 
@@ -10,11 +10,10 @@
 /**
  * quince_json_check:
  *
- * To be asked before any text from outside goes to json-glib.
+ * To be called before any text from outside is given to json-glib.
  *
- * Returns: %FALSE when @text is not UTF-8, nests deeper than 64 levels, or has strings, escapes or
- * bytes that JSON has not; also for "\u0000", which no C string holds.  %TRUE says nothing of the
- * rest of the grammar.
+ * Returns: %FALSE when @text is not UTF-8, nests deeper than 64 levels, or has strings, escapes or bytes that
+ * are not JSON; also for "\u0000", which no C string holds.  %TRUE does not cover the rest of the grammar.
  */
 gboolean quince_json_check (const char *text, gsize length);
 
--- a/lib/runtime/listen-filter.c
+++ b/lib/runtime/listen-filter.c
@@ -6,9 +6,11 @@
 #include <linux/filter.h>
 #include <sys/socket.h>
 
-/* In the TCP header: where the flags are, and which of them tell a first packet. */
+/* Byte of the TCP header that holds the flags (RFC 9293). */
 #define TCP_FLAGS_OFFSET 13
+/* Flags of the first packet of a connection: SYN without ACK. */
 #define TCP_FLAGS_SYN 0x02
+/* The flags that are compared: SYN and ACK. */
 #define TCP_FLAGS_SYN_ACK 0x12
 
 gboolean
--- a/lib/runtime/listen-filter.h
+++ b/lib/runtime/listen-filter.h
@@ -11,9 +11,9 @@
  * quince_listen_filter_ignore_new:
  * @socket: listens for TCP connections
  *
- * Closing a socket resets connections that it has not accepted yet, and their callers would never hear
- * whether their request ran.  So first packets are dropped for a while before: callers send them again by
- * themselves, and what was connected before is accepted and answered meanwhile.
+ * Closing a socket resets connections that it has not accepted yet, whose callers then cannot know whether
+ * their request ran.  So first packets are dropped for a while before: the callers' kernels send them again,
+ * and connections made before are accepted and answered meanwhile.
  *
  * Returns: %FALSE when the system refuses it
  */
--- a/lib/runtime/log.h
+++ b/lib/runtime/log.h
@@ -6,7 +6,7 @@
  *   time=2026-01-02T03:04:05.678Z level=info program=quinceroute-front name=f1 event=request_answered
  * request=r1 status=200
  *
- * Thread safe.
+ * Owns the process's log writer and its counts of lines.  Thread safe.
  */
 #pragma once
 
@@ -30,8 +30,8 @@
  * @lines_per_second: more are left out and counted; failures, warnings and notices have as many again for
  * themselves
  *
- * Lines are also left out while the reader of @descriptor does not read: writing never waits.  What was left
- * out is told by one line event=log_lines_left_out as soon as there is room.
+ * Lines are also left out while the reader of @descriptor does not read: writing never waits.  The number
+ * of lines left out is logged as event=log_lines_left_out as soon as there is room.
  */
 void quince_log_bound (int descriptor, guint lines_per_second);
 
--- a/lib/runtime/packed-message.c
+++ b/lib/runtime/packed-message.c
@@ -8,18 +8,22 @@
 #include <gio/gio.h>
 #include <zlib.h>
 
-/* A smaller message goes as it is: it fits into two packets. */
+/* Smaller messages are sent as they are, bytes: they fit into two packets. */
 #define PACK_MIN_BYTES (2 * 1024)
-/* What shrinks less goes as it is: unpacking costs its reader more than the bytes. */
+/* Part of its size to which a message must shrink; otherwise it is sent as it is, since unpacking costs the
+ * reader more than the bytes save.  Not measured. */
 #define SHARE_MAX 0.9
-/* The least effort.  Entries of workers shrink to a tenth.  QUINCE_PACK_FAST does not look for repetitions at
- * all: 400 kB of random letters shrink to 0.60 at 107 MB/s, against 0.66 at 53 MB/s with them. */
+/* zlib's level of least effort: entries of workers shrink to a tenth.  QUINCE_PACK_FAST does not look for
+ * repetitions at all: 400 kB of random letters shrink to 0.60 at 107 MB/s, against 0.66 at 53 MB/s with them.
+ */
 #define LEVEL 1
-/* Room for what is unpacked: at least this, and so many times what is left to unpack. */
+/* Least growth of the buffer of unpacked bytes. */
 #define PIECE_MIN_BYTES 1024
+/* The buffer grows by so many times the bytes that are left to unpack.  Not measured. */
 #define GROWTH 3
-/* zlib's defaults: a window of 32 KiB and 128 KiB for its tables. */
+/* Window of 2^15 bytes: zlib's default, and the one of which ZLIB_FIRST_BYTE tells. */
 #define WINDOW_BITS 15
+/* 128 KiB for zlib's tables, its default. */
 #define MEMORY_LEVEL 8
 
 static GBytes *
--- a/lib/runtime/packed-message.h
+++ b/lib/runtime/packed-message.h
@@ -1,9 +1,9 @@
 /*
- * packed-message.h: a message, compressed: bytes between zones are paid for, and what many processes are
- * told at once must not fill the memory of the one that tells it.
+ * packed-message.h: compressed messages and records: bytes between zones are paid for, and a message to many
+ * processes must not fill the memory of its sender.
  *
- * Who sends a message decides whether it is packed, since packing costs the leader's processor: what goes to
- * many is packed once.  Links unpack what they receive.
+ * The sender decides whether a message is packed, since packing costs processor time: a message to many is
+ * packed once.  Links unpack what they receive.  Keeps no state; relies on zlib.
  */
 #pragma once
 
@@ -13,8 +13,8 @@
 
 typedef enum
 {
-  QUINCE_PACK_FAST,  /* for texts of samples: bytes are coded by their frequency alone */
-  QUINCE_PACK_SMALL, /* for what many get: repetitions are found as well               */
+  QUINCE_PACK_FAST,  /* for texts of samples: Huffman codes alone */
+  QUINCE_PACK_SMALL, /* for what many processes get: with a search for repetitions */
 } QuincePackEffort;
 
 /**
--- a/lib/runtime/program.h
+++ b/lib/runtime/program.h
@@ -1,9 +1,10 @@
 /*
- * program.h: what every daemon's main has in common.
+ * program.h: what every daemon's main has in common: flags, settings, the main loop, signals.
  *
- * Flags (argp): --config FILE, --set SECTION.KEY=VALUE (repeatable),
- * --check (validate the settings and exit), --help-settings, --log-level.
- * Exit statuses: 0 done, 1 failed while running, 2 bad flags or settings.
+ * Flags (argp): --config FILE, --set SECTION.KEY=VALUE (repeatable), --check (validate the settings and
+ * exit),
+ * --help-settings, --log-level.  Owns the one main loop of the process and its settings; main thread only.
+ * Relies on settings.h and log.h.
  */
 #pragma once
 
@@ -13,9 +14,9 @@
 
 G_BEGIN_DECLS
 
-#define QUINCE_EXIT_OK 0
-#define QUINCE_EXIT_FAILURE 1
-#define QUINCE_EXIT_USAGE 2
+#define QUINCE_EXIT_OK 0      /* exit status: done */
+#define QUINCE_EXIT_FAILURE 1 /* exit status: failed while running */
+#define QUINCE_EXIT_USAGE 2   /* exit status: bad flags or settings */
 
 /**
  * QuinceProgram:
--- a/lib/runtime/suspension.c
+++ b/lib/runtime/suspension.c
@@ -6,8 +6,8 @@
 #include "runtime/log.h"
 #include "runtime/clock.h"
 
-/* A suspension shorter than this is like a busy machine: every bound of the product allows for more.  It is
- * far above what two readings of clocks lie apart. */
+/* Shortest suspension that is reported, us.  A shorter one is like a busy machine, for which every time bound
+ * of the product allows; far above the time between two readings of the clocks.  Not measured. */
 #define AWAY_MIN_US (100 * 1000)
 
 struct _QuinceSuspensionWatch
--- a/lib/runtime/suspension.h
+++ b/lib/runtime/suspension.h
@@ -1,9 +1,10 @@
 /*
- * suspension.h: notices that the machine was suspended, or this process stopped for as long as that matters.
+ * suspension.h: detects that the machine was suspended.
  *
- * quince_now_us() counts the time of a suspension; GLib's timers and the kernel's time-outs of connections do
- * not, and go off as much later.  So what is trusted until a timer goes off, and every connection whose peer
- * may have given up meanwhile, has to be looked at anew after it.
+ * quince_now_us() counts the time of a suspension; GLib's timers and the kernel's timeouts of connections do
+ * not, and go off as much later.  So whatever is trusted until a timer goes off, and every connection whose
+ * peer may have given up meanwhile, must be checked again after a suspension.  A watch owns one source of the
+ * calling thread's main context; relies on clock.h.
  */
 #pragma once
 
@@ -17,7 +18,7 @@
  * quince_suspension_watch_new:
  * @resumed: called before any other event that the loop finds after a suspension
  *
- * Looks at each turn of the calling thread's default context.
+ * Compares the clocks at each turn of the calling thread's default context.
  */
 QuinceSuspensionWatch *quince_suspension_watch_new (void (*resumed) (gint64 away_us, gpointer user_data),
                                                     gpointer user_data);
--- a/rehearsal/platform/standin-relay.c
+++ b/rehearsal/platform/standin-relay.c
@@ -5,12 +5,14 @@
 
 #include <sys/socket.h>
 
-#define CHUNK 65536
-/* With a rate: a chunk is what passes in so long. */
+/* Bytes of one read, without a rate or at most. */
+#define CHUNK_MAX_BYTES 65536
+/* With a rate: a read is what passes in so long, ms. */
 #define RATE_SLICE_MS 100
-#define CHUNK_MIN 512
-/* With a rate: bytes that wait in the system's buffers are few, as on a link that is full. */
-#define RATE_BUFFER 16384
+/* With a rate: bytes of one read at least. */
+#define CHUNK_MIN_BYTES 512
+/* With a rate: size of the kernel's buffers, bytes: few wait there, as on a link that is full. */
+#define RATE_BUFFER_BYTES 16384
 
 typedef struct _Pair Pair;
 
@@ -101,7 +103,7 @@
 chunk_bytes (const StandinRelay *relay)
 {
   gsize slice = (gsize)relay->bytes_per_s * RATE_SLICE_MS / 1000;
-  return relay->bytes_per_s == 0 ? CHUNK : CLAMP (slice, CHUNK_MIN, CHUNK);
+  return relay->bytes_per_s == 0 ? CHUNK_MAX_BYTES : CLAMP (slice, CHUNK_MIN_BYTES, CHUNK_MAX_BYTES);
 }
 
 /* When what came just now is at the other end. */
@@ -117,7 +119,7 @@
 static gboolean
 receive (Way *way)
 {
-  guint8 chunk[CHUNK];
+  guint8 chunk[CHUNK_MAX_BYTES];
   g_autoptr (GError) error = NULL;
   gssize length = g_socket_receive (way->from, (char *)chunk, chunk_bytes (way->pair->relay), NULL, &error);
   if (length > 0)
@@ -276,7 +278,7 @@
       return G_SOURCE_CONTINUE;
     }
   if (relay->bytes_per_s > 0)
-    g_socket_set_option (client, SOL_SOCKET, SO_RCVBUF, RATE_BUFFER, NULL);
+    g_socket_set_option (client, SOL_SOCKET, SO_RCVBUF, RATE_BUFFER_BYTES, NULL);
   Pair *pair = g_new0 (Pair, 1);
   pair->relay = relay;
   pair->client = client;
--- a/tools/line-diff.c
+++ b/tools/line-diff.c
@@ -5,9 +5,11 @@
 
 #include <string.h>
 
+/* Equal lines before and after a change, as diff -u prints. */
 #define CONTEXT_LINES 3
-/* Bound of the table of common lengths. */
-#define MAX_CELLS (16 * 1024 * 1024)
+/* Cells of the table of common lengths: 64 MiB, programs of 4,000 changed lines; beyond it the texts are
+ * shown as wholly replaced. */
+#define CELLS_MAX (16 * 1024 * 1024)
 
 typedef struct
 {
@@ -72,7 +74,7 @@
 static void
 diff_middle (const Lines *a, const Lines *b, guint first, guint n, guint m, GArray *out)
 {
-  gboolean too_large = (guint64)(n + 1) * (m + 1) > MAX_CELLS;
+  gboolean too_large = (guint64)(n + 1) * (m + 1) > CELLS_MAX;
   g_autofree guint32 *lengths = too_large ? NULL : common_lengths (a, b, first, n, m);
   guint i = 0;
   guint j = 0;
