--- a/lib/http1/http-connection-private.h
+++ b/lib/http1/http-connection-private.h
@@ -4,7 +4,7 @@
  *   http-connection-state.c    lifetime and failures; calls none of the others
  *   http-connection-input.c    reads and parses; over state
  *   http-connection-output.c   writes and the orderly end; over state
- *   http-connection.c          connects, accepts and tells what the connection is doing; over all
+ *   http-connection.c          set-up of both sides and the state as its owner sees it; over all
  */
 #pragma once
 
--- a/lib/http1/http1.h
+++ b/lib/http1/http1.h
@@ -149,7 +149,7 @@
                                               gpointer user_data,
                                               GError **error);
 const char *quince_http_acceptor_get_address (QuinceHttpAcceptor *acceptor);
-/* No new connection is begun; those that were are accepted until the acceptor is freed. */
+/* New connections are ignored; those made before are accepted until the acceptor is freed. */
 void quince_http_acceptor_ignore_new (QuinceHttpAcceptor *acceptor);
 void quince_http_acceptor_free (QuinceHttpAcceptor *acceptor);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (QuinceHttpAcceptor, quince_http_acceptor_free)
--- a/lib/protocol/quince_protocol.x
+++ b/lib/protocol/quince_protocol.x
@@ -322,7 +322,7 @@
     QuinceDigest   digest;
     unsigned hyper release;           /* how often an operator released it; only grows */
     unsigned hyper workers<8>;        /* hashes of the ids of workers that ended under it */
-    unsigned int   alone;             /* of these ends, those that it met alone */
+    unsigned int   alone;             /* of these ends, the number that it met alone */
     bool           held;              /* it is not sent any more           */
     bool           cleared;           /* a worker answered it: the other fields do not count */
     unsigned hyper age_ms;            /* since the last end, when this is sent */
--- a/lib/runtime/log.c
+++ b/lib/runtime/log.c
@@ -16,7 +16,7 @@
 static int log_descriptor = STDERR_FILENO;
 static guint log_lines_per_second; /* 0: no bound */
 
-/* The lines of this second and what was left out; guarded by log_lock. */
+/* Lines written in this second and lines left out; guarded by log_lock. */
 static GMutex log_lock;
 static gint64 log_second;
 static guint log_written;
@@ -76,7 +76,7 @@
   return g_strdup_printf ("\"%s\"", escaped);
 }
 
-/* A reader that does not read must not hold the process up. */
+/* A slow reader of the log must not block the process. */
 static gboolean
 can_write (void)
 {
@@ -95,7 +95,7 @@
   strftime (log_second_text, sizeof log_second_text, "%Y-%m-%dT%H:%M:%S", &parts);
 }
 
-/* Whether the line fits this second's budget; what matters more has twice as much. */
+/* Whether the line fits this second's budget; notices, warnings and failures have twice as much. */
 static gboolean
 has_budget (GLogLevelFlags level)
 {
--- a/lib/runtime/log.h
+++ b/lib/runtime/log.h
@@ -63,7 +63,6 @@
  */
 char *quince_log_quote (const char *text);
 
-#define quince_log_debug(event, ...) quince_log_event (G_LOG_LEVEL_DEBUG, event, __VA_ARGS__)
 #define quince_log_info(event, ...) quince_log_event (G_LOG_LEVEL_INFO, event, __VA_ARGS__)
 /* A decision that the reading of a failure needs, such as what becomes of a batch: few lines a minute. */
 #define quince_log_notice(event, ...) quince_log_event (G_LOG_LEVEL_MESSAGE, event, __VA_ARGS__)
--- a/lib/runtime/program.c
+++ b/lib/runtime/program.c
@@ -100,7 +100,7 @@
                                (const char *const *)flags->overrides->pdata, error);
 }
 
-/* Settings that are not valid change nothing. */
+/* Invalid settings change nothing. */
 static gboolean
 reload_signal (gpointer data)
 {
@@ -134,7 +134,7 @@
   fflush (stdout);
 }
 
-/* The setting goes before the flag. */
+/* The setting log.level has precedence over the flag. */
 static void
 begin_log (const QuinceProgram *program, const Flags *flags, const QuinceSettings *settings)
 {
@@ -162,7 +162,7 @@
     }
   Running running = { .program = program, .flags = flags, .self = self };
   signal (SIGPIPE, SIG_IGN);
-  /* Never removed: a late signal must not end the process while it puts its parts away. */
+  /* Never removed: a late signal must not end the process while it releases its parts. */
   g_unix_signal_add (SIGTERM, stop_signal, &running);
   g_unix_signal_add (SIGINT, stop_signal, &running);
   g_unix_signal_add (SIGHUP, reload_signal, &running);
--- a/lib/runtime/settings.h
+++ b/lib/runtime/settings.h
@@ -37,8 +37,8 @@
 
 /**
  * QuinceSettingSpec:
- * @section: section name; one that ends in " *", such as "engine *", stands
- *   for any number of sections "[engine NAME]"
+ * @section: section name; one that ends in " *", such as "engine *", matches
+ *   any number of sections "[engine NAME]"
  * @key: key name
  * @type: type of the value
  * @required: the key must be given
--- a/rehearsal/demo.h
+++ b/rehearsal/demo.h
@@ -1,5 +1,5 @@
 /*
- * demo.h: the main job of the product, once, on one deployment.
+ * demo.h: the main job of the product, run once on one deployment of real processes and stand-ins.
  */
 #pragma once
 
--- a/rehearsal/kit/deployment.c
+++ b/rehearsal/kit/deployment.c
@@ -1,5 +1,5 @@
 /*
- * deployment.c: reads a deployment description.
+ * deployment.c: reads a deployment description; see deployment.h.
  */
 #include "deployment.h"
 
@@ -15,9 +15,9 @@
   { "event", "after", QUINCE_SETTING_DURATION, FALSE, "5s", 0, MINUTE, NULL,
     "start of the event, from the start of the run" },
   { "event", "duration", QUINCE_SETTING_DURATION, FALSE, "5s", 0, 10 * MINUTE, NULL, "length of the event" },
-  { "service *", "workers", QUINCE_SETTING_INTEGER, TRUE, NULL, 1, 256, NULL, "engines" },
+  { "service *", "workers", QUINCE_SETTING_INTEGER, TRUE, NULL, 1, 256, NULL, "workers" },
   { "service *", "capacity", QUINCE_SETTING_INTEGER, FALSE, "16", 1, 4096, NULL,
-    "sequences an engine runs at once" },
+    "sequences that a worker runs at once" },
   { "service *", "token", QUINCE_SETTING_DURATION, FALSE, "2ms", 0, G_USEC_PER_SEC, NULL,
     "a token in a batch of one" },
   { "member *", "service", QUINCE_SETTING_NAME, TRUE, NULL, 0, 0, NULL, "service asked" },
--- a/rehearsal/kit/deployment.h
+++ b/rehearsal/kit/deployment.h
@@ -1,6 +1,8 @@
 /*
- * deployment.h: description of a deployment to rehearse, from a settings file
- * such as examples/consortium.ini.
+ * deployment.h: description of a deployment for the demo, from a settings file such as
+ * examples/consortium.ini.
+ *
+ * A QuinceDeployment owns its plans and never changes.  Relies on runtime/settings.h.
  */
 #pragma once
 
@@ -11,7 +13,7 @@
 typedef struct
 {
   char *name;
-  guint workers;    /* engines, spread over the zones in turn    */
+  guint workers;    /* spread over the zones in turn             */
   guint capacity;   /* sequences that run at once                */
   guint64 token_us; /* a token in a batch of one                 */
 } QuinceServicePlan;
@@ -52,6 +54,8 @@
   GPtrArray *trainers; /* QuinceTrainerPlan */
 } QuinceDeployment;
 
+/* Returns: (transfer full) (nullable): or %NULL with QUINCE_SETTINGS_ERROR, every problem of the file in its
+ * message */
 QuinceDeployment *quince_deployment_load (const char *path, GError **error);
 void quince_deployment_free (QuinceDeployment *deployment);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (QuinceDeployment, quince_deployment_free)
--- a/rehearsal/platform/demo-callers.h
+++ b/rehearsal/platform/demo-callers.h
@@ -1,5 +1,8 @@
 /*
- * demo-callers.h: the burst of an event, and what its callers and the workers saw.
+ * demo-callers.h: the burst of an event: its calls, and the verdict on their answers.
+ *
+ * Owns the calls and their connections to the fronts.  Relies on a started cluster, whose workers' records it
+ * compares with what callers got.
  */
 #pragma once
 
@@ -25,7 +28,9 @@
 DemoCallers *demo_callers_new (DemoCluster *cluster);
 void demo_callers_free (DemoCallers *callers);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (DemoCallers, demo_callers_free)
-/* All members' requests at once, through the fronts in turn. */
+/* Sends all members' requests at once, through the fronts in turn. */
 void demo_callers_send (DemoCallers *callers);
+/* A condition for demo_await(). */
 gboolean demo_callers_are_answered (gpointer callers);
+/* @verdict: (out) */
 void demo_callers_judge (const DemoCallers *callers, DemoVerdict *verdict);
--- a/rehearsal/platform/demo-trainer.c
+++ b/rehearsal/platform/demo-trainer.c
@@ -1,5 +1,5 @@
 /*
- * demo-trainer.c: a trainer that submits steps of samples, reads them and names new weights.
+ * demo-trainer.c: see demo-trainer.h.
  */
 #include "demo-trainer.h"
 
@@ -19,21 +19,21 @@
   guint index;
   gboolean is_submitted;
   guint64 position;  /* the next result to read */
-  GHashTable *items; /* ids of those that were delivered, owned */
+  GHashTable *items; /* ids of delivered samples, owned */
 } Step;
 
 struct _DemoTrainer
 {
   DemoCluster *cluster;
   const QuinceTrainerPlan *plan;
-  GPtrArray *steps;     /* Step, owned; those that were begun */
+  GPtrArray *steps;     /* Step, owned; those begun so far */
   guint current;        /* the step that is read */
   guint64 version;      /* of the weights that it trains */
   gint64 waiting_since; /* monotonic; 0: it trains */
   gint64 trained_us;    /* monotonic: when the training in progress ends */
   QuinceHttpPool *pool; /* of the call in progress */
   gboolean is_calling;
-  guint front; /* asked next */
+  guint front; /* that gets the next call */
   guint timer;
   DemoTraining training;
 };
--- a/rehearsal/platform/demo-trainer.h
+++ b/rehearsal/platform/demo-trainer.h
@@ -1,5 +1,8 @@
 /*
- * demo-trainer.h: a trainer that submits steps of samples, reads them and names new weights.
+ * demo-trainer.h: a trainer that submits batches of samples, reads their results and writes new weight
+ * versions.
+ *
+ * Owns its steps, one call at a time and a timer of the main context.  Relies on a started cluster.
  */
 #pragma once
 
@@ -22,7 +25,9 @@
 /* @plan: outlives the trainer */
 DemoTrainer *demo_trainer_new (DemoCluster *cluster, const QuinceTrainerPlan *plan);
 void demo_trainer_free (DemoTrainer *trainer);
-/* Goes on by itself while the main context runs. */
+/* Proceeds while the main context runs. */
 void demo_trainer_start (DemoTrainer *trainer);
+/* A condition for demo_await(). */
 gboolean demo_trainer_is_done (gpointer trainer);
+/* @training: (out) */
 void demo_trainer_count (const DemoTrainer *trainer, DemoTraining *training);
--- a/rehearsal/platform/standin-relay.c
+++ b/rehearsal/platform/standin-relay.c
@@ -1,5 +1,5 @@
 /*
- * standin-relay.c: the network from one process to one address, which a test can take away.
+ * standin-relay.c: see standin-relay.h.
  */
 #include "standin-relay.h"
 
@@ -7,7 +7,7 @@
 
 /* Bytes of one read, without a rate or at most. */
 #define CHUNK_MAX_BYTES 65536
-/* With a rate: a read is what passes in so long, ms. */
+/* With a rate: a read is what passes in this time, ms. */
 #define RATE_SLICE_MS 100
 /* With a rate: bytes of one read at least. */
 #define CHUNK_MIN_BYTES 512
@@ -26,7 +26,7 @@
   GSource *source; /* NULL while the way is held */
   gint64 due_us;   /* what is pending is sent then */
   guint passed;    /* bytes */
-  gboolean ended;  /* the receiver was told that it is over */
+  gboolean ended;  /* the receiver's end is shut down */
 } Way;
 
 struct _Pair
@@ -165,7 +165,7 @@
   return way->pair->relay->half_closed == name_way (way);
 }
 
-/* Throws away what waits, and tells the receiver that nothing more comes. */
+/* Drops what waits and shuts the receiver's end down. */
 static void
 end_way (Way *way)
 {
@@ -235,7 +235,7 @@
   g_source_attach (way->source, NULL);
 }
 
-/* Returns: %FALSE when nobody listens. */
+/* Returns: %FALSE when the connection is refused. */
 static gboolean
 open_upstream (Pair *pair)
 {
--- a/rehearsal/platform/standin-server.h
+++ b/rehearsal/platform/standin-server.h
@@ -1,5 +1,8 @@
 /*
  * standin-server.h: an HTTP server whose answers a test writes byte by byte.
+ *
+ * A server owns its listening socket and connections, a call its request.  Belongs to the main context of the
+ * test.  Relies on lib/http1.
  */
 #pragma once
 
@@ -18,11 +21,13 @@
   gboolean gone; /* its caller closed */
 };
 
-/* A call stays valid until the handler is told that it is gone, or it was answered and released. */
+/* @handler: called with each request; a call stays valid until a function below releases it, also when its
+ * caller has gone meanwhile */
 StandinServer *standin_server_new (void (*handler) (StandinCall *call, gpointer user_data),
                                    gpointer user_data);
 void standin_server_free (StandinServer *server);
 const char *standin_server_get_address (const StandinServer *server);
+/* Connections that are open now. */
 guint standin_server_get_open (const StandinServer *server);
 /* Closes all connections; new ones are taken. */
 void standin_server_drop_all (StandinServer *server);
@@ -36,6 +41,7 @@
  * there meanwhile. */
 GSocket *standin_reserve_port (const char *address);
 
+/* (nullable): the first value of the request's header @name */
 const char *standin_header (const StandinCall *call, const char *name);
 /* A whole answer; @headers: lines with their ends, or "". Releases the call. */
 void standin_answer (StandinCall *call, guint status, const char *headers, const char *body, gssize length);
--- a/rehearsal/platform/standin-store.h
+++ b/rehearsal/platform/standin-store.h
@@ -1,5 +1,9 @@
 /*
- * standin-store.h: the platform's metadata store, small: keys, conditions, watches, leases, and its faults.
+ * standin-store.h: a stand-in of the platform's metadata store: keys, conditions, watches, leases, and its
+ * faults.
+ *
+ * Owns all keys with their history, leases, and the calls that wait.  Belongs to the main context of the
+ * test.
  */
 #pragma once
 
@@ -33,6 +37,7 @@
 /* All keys and values but those of @key, one after the other; bytes that are no text become spaces.
  * (transfer full) */
 char *standin_store_all_but (const StandinStore *store, const char *key);
+/* 0: not there */
 guint64 standin_store_get_revision (const StandinStore *store, const char *key);
 void standin_store_set_fault (StandinStore *store, StandinStoreFault fault);
 void standin_store_set_nonsense (StandinStore *store, const char *text);
@@ -40,7 +45,7 @@
 void standin_store_compact (StandinStore *store);
 /* Waiting watches are cut. */
 void standin_store_drop_connections (StandinStore *store);
-/* Watches tell of a change @delay_ms late; reads do not. */
+/* Watches report a change @delay_ms late; reads do not. */
 void standin_store_set_watch_delay (StandinStore *store, guint delay_ms);
 /* All that it holds now, for standin_store_restore(). */
 void standin_store_save (StandinStore *store);
@@ -48,4 +53,5 @@
 void standin_store_restore (StandinStore *store);
 /* All leases end at once. */
 void standin_store_lapse (StandinStore *store);
+/* Calls so far, of all kinds. */
 guint standin_store_get_calls (const StandinStore *store);
--- a/rehearsal/platform/standin-worker.h
+++ b/rehearsal/platform/standin-worker.h
@@ -1,6 +1,9 @@
 /*
- * standin-worker.h: a worker of the platform: answers requests, streams samples, takes orders; and its
- * faults.
+ * standin-worker.h: a stand-in of a worker of the platform: answers requests, streams samples, takes orders
+ * to load weights; and its faults.
+ *
+ * Owns its server, its calls in progress and the record of its runs.  Belongs to the main context of the
+ * test.
  */
 #pragma once
 
@@ -54,11 +57,11 @@
 /* @times: how many requests meet the fault; G_MAXUINT: all */
 void standin_worker_set_fault (StandinWorker *worker, StandinWorkerFault fault, guint times);
 /* Requests whose body or target holds @text end the worker @after_ms after it began them; NULL: none does.
- * @times: so often at the most; G_MAXUINT: always */
+ * @times: how many requests do; G_MAXUINT: all */
 void standin_worker_set_fatal (StandinWorker *worker, const char *text, guint after_ms, guint times);
-/* Plain answers take that long. */
+/* Time that plain answers take. */
 void standin_worker_set_delay (StandinWorker *worker, guint delay_ms);
-/* It refuses, as not run, what comes while it works on so many requests; G_MAXUINT, as at first: never. */
+/* It refuses requests, as not run, while it works on @requests; G_MAXUINT, the default: never. */
 void standin_worker_set_most (StandinWorker *worker, guint requests);
 /* As when its process dies. */
 void standin_worker_die (StandinWorker *worker);
@@ -66,14 +69,14 @@
 /* Another incarnation at the same address; its runs are counted on. */
 void standin_worker_revive (StandinWorker *worker, const char *id);
 const char *standin_worker_get_id (const StandinWorker *worker);
-/* As it is listed; in zone "z1" with 8 slots at first. */
+/* As it is listed; zone "z1" with 8 slots by default. */
 void standin_worker_set_place (StandinWorker *worker, const char *zone, guint slots);
-/* Of its software, as it is listed; "v1" at first. */
+/* Version of its software, as it is listed; "v1" by default. */
 void standin_worker_set_software (StandinWorker *worker, const char *software);
-/* Where it stands, as it is listed; "z1" at first. */
+/* Its zone, as it is listed; "z1" by default. */
 void standin_worker_set_zone (StandinWorker *worker, const char *zone);
 void standin_worker_set_events (StandinWorker *worker, guint events, guint pause_ms);
-/* Each event has so many bytes more, after its name; 0 at first. */
+/* Each event has @bytes more after its name; 0 by default. */
 void standin_worker_set_event_bytes (StandinWorker *worker, guint bytes);
 /* Runs so far, StandinRun. */
 const GPtrArray *standin_worker_get_runs (const StandinWorker *worker);
@@ -81,16 +84,15 @@
 /* Its reports, and its answers to orders, are this text; NULL: what they should be. */
 void standin_worker_set_nonsense (StandinWorker *worker, const char *text);
 /* Orders are taken, and end on @version instead of the one ordered; 0: on the version before.
- * @times: so many of them; G_MAXUINT: all */
+ * @times: how many orders do; G_MAXUINT: all */
 void standin_worker_fail_swaps (StandinWorker *worker, guint64 version, guint times);
-/* How many orders ended so. */
+/* Orders that ended on a wrong version. */
 guint standin_worker_get_failed_swaps (const StandinWorker *worker);
-/* While it is set orders do not arrive; they do, in their turn, when standin_worker_deliver_orders() is
- * called. */
+/* While it is set orders wait unanswered, until standin_worker_deliver_orders() takes them in turn. */
 void standin_worker_set_orders_held (StandinWorker *worker, gboolean held);
 guint standin_worker_count_held_orders (const StandinWorker *worker);
 void standin_worker_deliver_orders (StandinWorker *worker);
-/* Orders that were refused since they counted on fewer orders before them. */
+/* Orders refused since they expected another number of orders before them. */
 guint standin_worker_get_refused_orders (const StandinWorker *worker);
 guint standin_worker_get_orders (const StandinWorker *worker);
 /* Fences (guint64) and holders (texts) of the orders, as they came. */
@@ -98,7 +100,7 @@
 const GPtrArray *standin_worker_get_holders (const StandinWorker *worker);
 /* How runs are treated by the latest order; NULL: there was none. */
 const char *standin_worker_get_order_mode (const StandinWorker *worker);
-/* How long it says to be cold, in its entry; -1: its entry does not say.  0 at first. */
+/* How long it is still cold, ms, as its entry says; -1: its entry does not say.  0 by default. */
 void standin_worker_set_cold (StandinWorker *worker, gint cold_ms);
-/* What the platform lists of it. (transfer full) */
+/* Its entry in the store. (transfer full) */
 char *standin_worker_entry (const StandinWorker *worker, const char *service, const char *state);
--- a/tools/cold-commands.c
+++ b/tools/cold-commands.c
@@ -1,5 +1,6 @@
 /*
- * cold-commands.c: workers that say they are cold, and how many requests they may get meanwhile.
+ * cold-commands.c: quinceroute cold: workers that say they are cold, and how many requests they may get
+ * meanwhile.
  */
 #include <stdio.h>
 #include <string.h>
@@ -17,7 +18,7 @@
 typedef struct
 {
   QuinceRouteTable *routes; /* owned (nullable) */
-  GPtrArray *workers;       /* QuinceWorker, owned: those that are cold, or do not say */
+  GPtrArray *workers;       /* QuinceWorker, owned: cold, or of unknown state */
 } Listing;
 
 static void
--- a/tools/line-diff.h
+++ b/tools/line-diff.h
@@ -1,6 +1,5 @@
 /*
- * line-diff.h: unified differences of two texts by longest common
- * subsequence of lines.  Pure.
+ * line-diff.h: unified differences of two texts, by the longest common subsequence of lines.  Pure.
  */
 #pragma once
 
@@ -11,9 +10,8 @@
 /**
  * quince_line_diff:
  *
- * Returns: (transfer full) (nullable): hunks with three lines of context,
- * %NULL when the texts are equal.  Very long texts without common lines near
- * their ends are shown as wholly replaced.
+ * Returns: (transfer full) (nullable): hunks with three lines of context, %NULL when the texts are equal.
+ * Very long texts without common lines near their ends are shown as wholly replaced.
  */
 char *
 quince_line_diff (const char *old_text, const char *new_text, const char *old_name, const char *new_name);
--- a/tools/log-commands.c
+++ b/tools/log-commands.c
@@ -1,5 +1,5 @@
 /*
- * log-commands.c: "explain" and "log check": reads logs of processes.
+ * log-commands.c: quinceroute explain and log check, which read logs of processes and need no store.
  */
 #include "commands.h"
 
@@ -58,7 +58,7 @@
 {
   guint *refused = data;
   g_autoptr (GError) error = NULL;
-  /* The line by which a process tells its addresses. */
+  /* "ready ...", by which a process prints its addresses, is no log line. */
   if (*line == '\0' || g_str_has_prefix (line, "ready ") || quince_log_line_check (line, &error))
     return;
   (*refused)++;
--- a/tools/policy-program.h
+++ b/tools/policy-program.h
@@ -1,5 +1,6 @@
 /*
- * policy-program.h: policy program files of the operator.
+ * policy-program.h: reads and checks policy program files of the operator.  Relies on lib/policy; keeps no
+ * state.
  */
 #pragma once
 
--- a/tools/quarantine-commands.c
+++ b/tools/quarantine-commands.c
@@ -1,5 +1,6 @@
 /*
- * quarantine-commands.c: requests that are held because workers ended under them.
+ * quarantine-commands.c: quinceroute quarantine list and release: requests held because workers ended under
+ * them.
  */
 #include <stdio.h>
 #include <string.h>
@@ -19,7 +20,7 @@
   g_autoptr (GError) error = NULL;
   if (!quince_suspect_entry_parse (value, &suspect, &ended_wall_ms, &error))
     {
-      fprintf (stderr, "quinceroute: %s is no entry of the quarantine\n", name);
+      fprintf (stderr, "quinceroute: %s is not an entry of the quarantine\n", name);
       return;
     }
   g_autoptr (GDateTime) ended = g_date_time_new_from_unix_utc (ended_wall_ms / 1000);
--- a/tools/store-calls.h
+++ b/tools/store-calls.h
@@ -12,7 +12,8 @@
 G_BEGIN_DECLS
 
 /* Sends of one write at most, of which each waits for its answer for up to 1 s.  Not measured: enough for an
- * operator to outlast a change of the store's leader, few enough to be told within half a minute. */
+ * operator to outlast a change of the store's leader, few enough that the outcome is known within half a
+ * minute. */
 #define QUINCE_STORE_SENDS_MAX 8
 
 /* What the store answered to one call. */
--- a/tools/table.h
+++ b/tools/table.h
@@ -1,5 +1,5 @@
 /*
- * table.h: aligned tables for people.
+ * table.h: aligned tables for the terminal.  A table owns its cells.
  */
 #pragma once
 
--- a/tools/zone-commands.c
+++ b/tools/zone-commands.c
@@ -1,5 +1,5 @@
 /*
- * zone-commands.c: the zones of a deployment, and which of them the operator has evacuated.
+ * zone-commands.c: quinceroute zones: the zones of a deployment, their workers and evacuations.
  */
 #include <stdio.h>
 #include <string.h>
