--- a/lib/forward/suspect-message.c
+++ b/lib/forward/suspect-message.c
@@ -52,7 +52,7 @@
 quince_suspect_news_encode (const GPtrArray *suspects, gint64 now_us, const char *own_name)
 {
   g_autofree QuinceSuspectReport *told = g_new0 (QuinceSuspectReport, suspects->len + 1);
-  guint n_reports = MIN (suspects->len, QUINCE_MAX_SUSPECTS);
+  guint n_reports = MIN (suspects->len, QUINCE_SUSPECTS_MAX);
   for (guint i = 0; i < n_reports; i++)
     describe (suspects->pdata[i], now_us, own_name, &told[i]);
   return encode (told, n_reports);
--- a/lib/protocol/codec.c
+++ b/lib/protocol/codec.c
@@ -12,7 +12,7 @@
 {
   /* XDR functions take the value without const; encoding does not write it. */
   gulong size = xdr_sizeof (proc, (gpointer)value);
-  if (size == 0 || size > QUINCE_MAX_FRAME)
+  if (size == 0 || size > QUINCE_FRAME_MAX_BYTES)
     {
       g_set_error_literal (error, QUINCE_CODEC_ERROR, QUINCE_CODEC_ERROR_ENCODE,
                            "value does not fit its type");
@@ -37,7 +37,7 @@
 gpointer
 quince_xdr_decode (xdrproc_t proc, gsize size, gconstpointer data, gsize length, GError **error)
 {
-  if (length > QUINCE_MAX_FRAME)
+  if (length > QUINCE_FRAME_MAX_BYTES)
     {
       g_set_error (error, QUINCE_CODEC_ERROR, QUINCE_CODEC_ERROR_DECODE,
                    "%" G_GSIZE_FORMAT " bytes are too many", length);
--- a/lib/protocol/quince_protocol.x
+++ b/lib/protocol/quince_protocol.x
@@ -14,14 +14,14 @@
 
 /* Bounds that a decoder checks before it allocates.  Not measured: each is far above what a deployment holds, and
  * the bound of a frame is the one that bounds the memory of a message. */
-const QUINCE_MAX_TEXT    = 4194304;   /* bytes of a name, a path or a value of the store: 4 MiB */
-const QUINCE_MAX_ITEMS   = 16384;     /* items of a batch; a larger submission is refused */
-const QUINCE_MAX_INDEXES = 65536;     /* elements of other lists: records of a batch, tenants, keys of a page */
-const QUINCE_MAX_FRAME   = 67108864;  /* bytes of a frame and of an opaque part: 64 MiB */
+const QUINCE_TEXT_MAX_BYTES  = 4194304;  /* bytes of a name, a path or a value of the store: 4 MiB */
+const QUINCE_ITEMS_MAX       = 16384;    /* items of a batch; a larger submission is refused */
+const QUINCE_INDEXES_MAX     = 65536;    /* elements of other lists: records of a batch, tenants, keys of a page */
+const QUINCE_FRAME_MAX_BYTES = 67108864; /* bytes of a frame and of an opaque part: 64 MiB */
 
 /* ---- Batches: what the batch ledger keeps ---------------------------- */
 
-typedef string QuinceText<QUINCE_MAX_TEXT>;
+typedef string QuinceText<QUINCE_TEXT_MAX_BYTES>;
 
 struct QuinceTextPair {
     QuinceText name;
@@ -33,14 +33,14 @@
     QuinceText id;
     QuinceText host;
     QuinceText path;
-    opaque     body<QUINCE_MAX_FRAME>;
+    opaque     body<QUINCE_FRAME_MAX_BYTES>;
 };
 
 struct QuinceBatchItem {
     QuinceText       id;
     QuinceText       path;
     QuinceTextPair   headers<64>;
-    opaque           body<QUINCE_MAX_FRAME>;
+    opaque           body<QUINCE_FRAME_MAX_BYTES>;
     unsigned int     tokens;          /* of the prompt, and the limit of the answer */
     QuinceText       group;           /* "": a group of its own            */
     QuinceRewardCall reward<1>;
@@ -55,14 +55,14 @@
     unsigned hyper  step;
     unsigned hyper  minimum_version;
     unsigned int    wanted_groups;
-    QuinceBatchItem items<QUINCE_MAX_ITEMS>;
+    QuinceBatchItem items<QUINCE_ITEMS_MAX>;
 };
 
 struct QuinceBatchResult {
     QuinceText     batch;
     unsigned int   item;              /* index in QuinceBatchJob.items     */
     bool           abandoned;
-    opaque         text<QUINCE_MAX_FRAME>;
+    opaque         text<QUINCE_FRAME_MAX_BYTES>;
     unsigned hyper versions<256>;
     QuinceText     score;
 };
@@ -72,7 +72,7 @@
 struct QuinceListedResult {
     QuinceText     batch;
     unsigned int   item;
-    opaque         body<QUINCE_MAX_FRAME>; /* QuinceBatchResult, encoded, perhaps packed */
+    opaque         body<QUINCE_FRAME_MAX_BYTES>; /* QuinceBatchResult, encoded, perhaps packed */
 };
 
 /* A batch that a tenant submitted.  Logs of versions without tenants hold QuinceBatchJob alone. */
@@ -84,7 +84,7 @@
 /* The records of the batch at these indexes, its submission first, may be dropped. */
 struct QuinceBatchForget {
     QuinceText     batch;
-    unsigned hyper indexes<QUINCE_MAX_INDEXES>;
+    unsigned hyper indexes<QUINCE_INDEXES_MAX>;
 };
 
 /* ---- Usage: requests of each tenant that began, by usage window -------- */
@@ -98,10 +98,10 @@
 
 struct QuinceUsageEvents {
     unsigned hyper   source;          /* random, one for each start of a front */
-    QuinceUsageEvent events<QUINCE_MAX_INDEXES>;
+    QuinceUsageEvent events<QUINCE_INDEXES_MAX>;
 };
 
-struct QuinceUsageRecord { QuinceUsageEvents sources<QUINCE_MAX_INDEXES>; };
+struct QuinceUsageRecord { QuinceUsageEvents sources<QUINCE_INDEXES_MAX>; };
 
 struct QuinceUsageCount {
     QuinceText   tenant;
@@ -112,7 +112,7 @@
  * same. */
 struct QuinceUsageWindow {
     unsigned hyper   window;          /* its number since 1970             */
-    QuinceUsageCount counts<QUINCE_MAX_INDEXES>; /* sorted by tenant       */
+    QuinceUsageCount counts<QUINCE_INDEXES_MAX>; /* sorted by tenant       */
 };
 
 enum QuinceBatchRecordKind {
@@ -157,7 +157,7 @@
 struct QuinceLogEntry {
     unsigned hyper index;
     unsigned hyper epoch;
-    opaque         record<QUINCE_MAX_FRAME>;
+    opaque         record<QUINCE_FRAME_MAX_BYTES>;
 };
 
 /* A backup to the leader, first on a link. */
@@ -233,12 +233,12 @@
     unsigned int   item;
     unsigned hyper from_event;        /* the text follows this event; 0: it is whole */
     unsigned hyper last_event;
-    opaque         text<QUINCE_MAX_FRAME>;
+    opaque         text<QUINCE_FRAME_MAX_BYTES>;
     unsigned hyper versions<256>;     /* of the whole text so far          */
     unsigned int   failures;          /* answers of 500 so far             */
 };
 
-struct QuinceSampleProgress { QuinceProgressItem items<QUINCE_MAX_ITEMS>; };
+struct QuinceSampleProgress { QuinceProgressItem items<QUINCE_ITEMS_MAX>; };
 
 /* ---- Store feed: what the leader reads from the metadata store, for other processes ---- */
 
@@ -246,7 +246,7 @@
     QuinceText     key;
     unsigned hyper revision;
     bool           gone;
-    opaque         value<QUINCE_MAX_TEXT>;
+    opaque         value<QUINCE_TEXT_MAX_BYTES>;
 };
 
 /* Sent once on a link: the revision up to which the subscriber has each prefix, 0: nothing, in the order in
@@ -260,20 +260,20 @@
     unsigned hyper revision;          /* of the store when it was read     */
     bool           whole;             /* all keys of the prefix            */
     bool           may_have_lapsed;   /* removed keys may have expired in an outage of the store */
-    QuinceFeedItem   items<QUINCE_MAX_INDEXES>;
+    QuinceFeedItem   items<QUINCE_INDEXES_MAX>;
 };
 
 /* From the leader to all subscribers, four a second. */
 struct QuinceHeartbeat {
     bool           certain;           /* all other fronts that the leader knows answered */
-    QuinceText     silent<QUINCE_MAX_INDEXES>;
+    QuinceText     silent<QUINCE_INDEXES_MAX>;
 };
 
 /* A front's answer to each heartbeat. */
 struct QuinceHeartbeatAck { QuinceText node; };
 
 /* An encoded message, compressed (runtime/packed-message.h). */
-struct QuincePacked { opaque data<QUINCE_MAX_FRAME>; };
+struct QuincePacked { opaque data<QUINCE_FRAME_MAX_BYTES>; };
 
 /* A caller's call that the leader answers, passed on by a front as it came. */
 struct QuinceServiceCall {
@@ -281,7 +281,7 @@
     QuinceText     method;
     QuinceText     target;
     QuinceTextPair headers<128>;
-    opaque         body<QUINCE_MAX_FRAME>;
+    opaque         body<QUINCE_FRAME_MAX_BYTES>;
 };
 
 struct QuinceServiceReply {
@@ -289,7 +289,7 @@
     unsigned int   status;
     unsigned int   retry_after_ms;    /* 0: none                           */
     QuinceText     content_type;
-    opaque         body<QUINCE_MAX_FRAME>;
+    opaque         body<QUINCE_FRAME_MAX_BYTES>;
 };
 
 /* A request that began at a worker to which a front sent it. */
@@ -303,7 +303,7 @@
 struct QuinceUsageReport {
     unsigned hyper  source;
     unsigned hyper  wall_ms;          /* wall clock of the front           */
-    QuinceUsageStart events<QUINCE_MAX_INDEXES>;
+    QuinceUsageStart events<QUINCE_INDEXES_MAX>;
 };
 
 /* The leader's answer: events up to this sequence number are replicated. */
@@ -315,7 +315,7 @@
 /* ---- Quarantine: requests under which workers ended (core/request/quarantine.h) ---- */
 
 const QUINCE_DIGEST_BYTES = 16;     /* of a request: 128 bits */
-const QUINCE_MAX_SUSPECTS = 4096;   /* requests in one message; a sender leaves the rest out */
+const QUINCE_SUSPECTS_MAX = 4096;   /* requests in one message; a sender leaves the rest out */
 typedef opaque QuinceDigest[QUINCE_DIGEST_BYTES];
 
 struct QuinceSuspectReport {
@@ -335,7 +335,7 @@
 
 /* As SUSPECT_NEWS, between fronts and the leader, both ways: all that the sender knows of these requests.  As
  * SUSPECT_SENDING, from the leader to its successor: what holds if the worker of a permitted send ends. */
-struct QuinceSuspectReports { QuinceSuspectReport suspects<QUINCE_MAX_SUSPECTS>; };
+struct QuinceSuspectReports { QuinceSuspectReport suspects<QUINCE_SUSPECTS_MAX>; };
 
 /* A front asks the leader for a permit; PERMIT_BACK, a QuincePermitAnswer, returns it. */
 struct QuincePermitAsk {
--- a/lib/runtime/link.c
+++ b/lib/runtime/link.c
@@ -239,7 +239,7 @@
   guint32 header;
   memcpy (&header, data, FRAME_HEADER_BYTES);
   gsize length = GUINT32_FROM_BE (header);
-  if (length > QUINCE_MAX_FRAME)
+  if (length > QUINCE_FRAME_MAX_BYTES)
     {
       link_fail_code (link, QUINCE_LINK_ERROR_TOO_LARGE, "frame is too large");
       return 0;
--- a/lib/runtime/link.h
+++ b/lib/runtime/link.h
@@ -21,7 +21,7 @@
 typedef enum
 {
   QUINCE_LINK_ERROR_CLOSED,    /* the peer closed                          */
-  QUINCE_LINK_ERROR_TOO_LARGE, /* frame above QUINCE_MAX_FRAME             */
+  QUINCE_LINK_ERROR_TOO_LARGE, /* frame above QUINCE_FRAME_MAX_BYTES             */
   QUINCE_LINK_ERROR_MALFORMED, /* frame that does not decode               */
   QUINCE_LINK_ERROR_ADDRESS,   /* not a numeric ip:port                    */
   QUINCE_LINK_ERROR_SLOW,      /* peer reads too slowly, output limit hit  */
--- a/lib/runtime/packed-message.c
+++ b/lib/runtime/packed-message.c
@@ -79,7 +79,7 @@
 static gboolean
 inflate_all (z_stream *stream, GByteArray *bytes)
 {
-  while (bytes->len <= QUINCE_MAX_FRAME)
+  while (bytes->len <= QUINCE_FRAME_MAX_BYTES)
     {
       guint before = bytes->len;
       /* Texts shrink to a half, entries of workers to a tenth: few turns, and little room left over. */
@@ -90,7 +90,7 @@
       int status = inflate (stream, Z_NO_FLUSH);
       g_byte_array_set_size (bytes, before + room - stream->avail_out);
       if (status == Z_STREAM_END)
-        return bytes->len <= QUINCE_MAX_FRAME;
+        return bytes->len <= QUINCE_FRAME_MAX_BYTES;
       if (status != Z_OK)
         return FALSE;
     }
@@ -107,7 +107,7 @@
   inflateEnd (&stream);
   if (good)
     return g_steal_pointer (&bytes);
-  gboolean large = bytes->len > QUINCE_MAX_FRAME;
+  gboolean large = bytes->len > QUINCE_FRAME_MAX_BYTES;
   g_set_error_literal (error, G_IO_ERROR, large ? G_IO_ERROR_MESSAGE_TOO_LARGE : G_IO_ERROR_INVALID_DATA,
                        large ? "more than a frame may hold" : "compressed bytes are broken");
   return NULL;
--- a/tests/unit/test-hostile.c
+++ b/tests/unit/test-hostile.c
@@ -20,7 +20,7 @@
 
 #define RANDOM_MESSAGES 20000
 #define RANDOM_PROGRAMS 2000
-#define MAX_WORDS 64
+#define WORDS_MAX 64
 /* Kinds that there are, and those before them that are gone. */
 #define KIND_FIRST QUINCE_MESSAGE_LEDGER_HELLO
 #define KINDS (QUINCE_MESSAGE_LEDGER_LEAD + 1)
@@ -100,11 +100,11 @@
 test_random_messages (void **state)
 {
   g_autoptr (GRand) random = g_rand_new_with_seed (7);
-  guint32 words[MAX_WORDS];
+  guint32 words[WORDS_MAX];
   for (guint i = 0; i < RANDOM_MESSAGES; i++)
     {
       gsize length = (gsize)g_rand_int_range (random, 1, sizeof words + 1);
-      for (guint j = 0; j < MAX_WORDS; j++)
+      for (guint j = 0; j < WORDS_MAX; j++)
         words[j] = pick_word (random);
       if (i % 2 == 0)
         words[0] = GUINT32_TO_BE (i / 2 % KINDS);
@@ -123,15 +123,15 @@
   g_autoptr (GRand) random = g_rand_new_with_seed (8);
   for (guint kind = KIND_FIRST; kind < KINDS; kind++)
     {
-      guint32 words[MAX_WORDS] = { GUINT32_TO_BE (kind) };
+      guint32 words[WORDS_MAX] = { GUINT32_TO_BE (kind) };
       gsize count = 1;
-      while (count < MAX_WORDS
+      while (count < WORDS_MAX
              && !try_decode ((xdrproc_t)xdr_QuinceMessage, sizeof (QuinceMessage), words, count * 4))
         count++;
-      assert_true (count < MAX_WORDS);
+      assert_true (count < WORDS_MAX);
       for (guint i = 0; i < 50 * count; i++)
         {
-          guint32 changed[MAX_WORDS];
+          guint32 changed[WORDS_MAX];
           memcpy (changed, words, sizeof words);
           changed[i % count] = pick_word (random);
           try_decode ((xdrproc_t)xdr_QuinceMessage, sizeof (QuinceMessage), changed, count * 4);
