--- a/lib/http1/http-client.h
+++ b/lib/http1/http-client.h
@@ -1,8 +1,10 @@
 /*
- * http-client.h: kept connections to one address, and one request and answer on them.
+ * http-client.h: persistent connections to one address, and exchanges (a request and its answer) on them.
  *
- * An exchange says of a failure whether the request can have reached the other side, which is what decides if
- * it may be sent again.  Nothing is sent twice by itself.
+ * The outcome of a failed exchange states whether the request can have reached the other side, which decides
+ * whether it may be sent again; a pool never sends it again by itself.  A pool owns its connections, an
+ * exchange its request and answer; both belong to the thread-default context that created them.  Relies on
+ * http1.h.
  */
 #pragma once
 
@@ -68,6 +70,7 @@
 /* Gives up exchanges whose request has not arrived whole: it never will.  Their done() is called.
  * Returns: how many */
 guint quince_http_pool_withdraw (QuinceHttpPool *pool, QuinceHttpProgress progress);
+/* Connections with and without an exchange.  For tests, which check that none is lost or kept too long. */
 guint quince_http_pool_get_busy (const QuinceHttpPool *pool);
 guint quince_http_pool_get_idle (const QuinceHttpPool *pool);
 /* Connections made since the start. */
@@ -91,7 +94,6 @@
 const QuinceHttpHead *quince_http_exchange_get_head (const QuinceHttpExchange *exchange);
 /* The body as collected so far. */
 const GByteArray *quince_http_exchange_get_body (const QuinceHttpExchange *exchange);
-gboolean quince_http_exchange_may_have_run (const QuinceHttpExchange *exchange);
 /* The connection will not be used again, for example because the answer belongs to another request. */
 void quince_http_exchange_distrust (QuinceHttpExchange *exchange);
 
--- a/lib/runtime/address.c
+++ b/lib/runtime/address.c
@@ -1,7 +1,7 @@
 /*
- * address.c: numeric addresses.
+ * address.c: numeric addresses; see address.h.
  */
-#include "runtime/link.h"
+#include "runtime/address.h"
 
 #include <string.h>
 
@@ -20,7 +20,7 @@
       if (address != NULL)
         return address;
     }
-  g_set_error (error, QUINCE_LINK_ERROR, QUINCE_LINK_ERROR_ADDRESS, "'%s' is not a numeric ip:port",
+  g_set_error (error, G_IO_ERROR, G_IO_ERROR_INVALID_ARGUMENT, "'%s' is not a numeric ip:port",
                text != NULL ? text : "");
   return NULL;
 }
--- a/rehearsal/platform/demo-trainer.c
+++ b/rehearsal/platform/demo-trainer.c
@@ -1,5 +1,5 @@
 /*
- * demo-trainer.c: a trainer that submits steps of samples, reads them and names new weights.
+ * demo-trainer.c: see demo-trainer.h.
  */
 #include "demo-trainer.h"
 
@@ -8,7 +8,10 @@
 #include <json-glib/json-glib.h>
 #include "http1/http-client.h"
 
+/* Between two steps of the trainer, ms: short beside a training (500 ms). */
 #define POLL_INTERVAL_MS 50
+/* Longest call, us.  Not measured: above the change of a leader (some 3 s), after which a call is sent again.
+ */
 #define CALL_TIMEOUT_US (10 * G_USEC_PER_SEC)
 
 typedef struct
@@ -16,21 +19,21 @@
   guint index;
   gboolean is_submitted;
   guint64 position;  /* the next result to read */
-  GHashTable *items; /* ids of those that were delivered, owned */
+  GHashTable *items; /* ids of delivered samples, owned */
 } Step;
 
 struct _DemoTrainer
 {
   DemoCluster *cluster;
   const QuinceTrainerPlan *plan;
-  GPtrArray *steps;     /* Step, owned; those that were begun */
+  GPtrArray *steps;     /* Step, owned; those begun so far */
   guint current;        /* the step that is read */
   guint64 version;      /* of the weights that it trains */
   gint64 waiting_since; /* monotonic; 0: it trains */
   gint64 trained_us;    /* monotonic: when the training in progress ends */
   QuinceHttpPool *pool; /* of the call in progress */
   gboolean is_calling;
-  guint front; /* asked next */
+  guint front; /* that gets the next call */
   guint timer;
   DemoTraining training;
 };
@@ -251,7 +254,7 @@
 }
 
 static gboolean
-look (gpointer data)
+advance (gpointer data)
 {
   DemoTrainer *trainer = data;
   if (trainer->trained_us != 0 && g_get_monotonic_time () >= trainer->trained_us)
@@ -281,7 +284,7 @@
 demo_trainer_start (DemoTrainer *trainer)
 {
   trainer->waiting_since = g_get_monotonic_time ();
-  trainer->timer = g_timeout_add (POLL_INTERVAL_MS, look, trainer);
+  trainer->timer = g_timeout_add (POLL_INTERVAL_MS, advance, trainer);
 }
 
 gboolean
--- a/rehearsal/platform/standin-relay.c
+++ b/rehearsal/platform/standin-relay.c
@@ -1,16 +1,18 @@
 /*
- * standin-relay.c: the network from one process to one address, which a test can take away.
+ * standin-relay.c: see standin-relay.h.
  */
 #include "standin-relay.h"
 
 #include <sys/socket.h>
 
-#define CHUNK 65536
-/* With a rate: a chunk is what passes in so long. */
+/* Bytes of one read, without a rate or at most. */
+#define CHUNK_MAX_BYTES 65536
+/* With a rate: a read is what passes in this time, ms. */
 #define RATE_SLICE_MS 100
-#define CHUNK_MIN 512
-/* With a rate: bytes that wait in the system's buffers are few, as on a link that is full. */
-#define RATE_BUFFER 16384
+/* With a rate: bytes of one read at least. */
+#define CHUNK_MIN_BYTES 512
+/* With a rate: size of the kernel's buffers, bytes: few wait there, as on a link that is full. */
+#define RATE_BUFFER_BYTES 16384
 
 typedef struct _Pair Pair;
 
@@ -24,7 +26,7 @@
   GSource *source; /* NULL while the way is held */
   gint64 due_us;   /* what is pending is sent then */
   guint passed;    /* bytes */
-  gboolean ended;  /* the receiver was told that it is over */
+  gboolean ended;  /* the receiver's end is shut down */
 } Way;
 
 struct _Pair
@@ -101,7 +103,7 @@
 chunk_bytes (const StandinRelay *relay)
 {
   gsize slice = (gsize)relay->bytes_per_s * RATE_SLICE_MS / 1000;
-  return relay->bytes_per_s == 0 ? CHUNK : CLAMP (slice, CHUNK_MIN, CHUNK);
+  return relay->bytes_per_s == 0 ? CHUNK_MAX_BYTES : CLAMP (slice, CHUNK_MIN_BYTES, CHUNK_MAX_BYTES);
 }
 
 /* When what came just now is at the other end. */
@@ -117,7 +119,7 @@
 static gboolean
 receive (Way *way)
 {
-  guint8 chunk[CHUNK];
+  guint8 chunk[CHUNK_MAX_BYTES];
   g_autoptr (GError) error = NULL;
   gssize length = g_socket_receive (way->from, (char *)chunk, chunk_bytes (way->pair->relay), NULL, &error);
   if (length > 0)
@@ -163,7 +165,7 @@
   return way->pair->relay->half_closed == name_way (way);
 }
 
-/* Throws away what waits, and tells the receiver that nothing more comes. */
+/* Drops what waits and shuts the receiver's end down. */
 static void
 end_way (Way *way)
 {
@@ -233,7 +235,7 @@
   g_source_attach (way->source, NULL);
 }
 
-/* Returns: %FALSE when nobody listens. */
+/* Returns: %FALSE when the connection is refused. */
 static gboolean
 open_upstream (Pair *pair)
 {
@@ -276,7 +278,7 @@
       return G_SOURCE_CONTINUE;
     }
   if (relay->bytes_per_s > 0)
-    g_socket_set_option (client, SOL_SOCKET, SO_RCVBUF, RATE_BUFFER, NULL);
+    g_socket_set_option (client, SOL_SOCKET, SO_RCVBUF, RATE_BUFFER_BYTES, NULL);
   Pair *pair = g_new0 (Pair, 1);
   pair->relay = relay;
   pair->client = client;
