--- a/daemons/front/caller-request.c
+++ b/daemons/front/caller-request.c
@@ -1,8 +1,8 @@
 /*
  * caller-request.c: one request of a caller, from its last byte to its answer.
  *
- * A request for a plain service is forwarded to a worker; what is about batches goes to the ledger's primary.
- * "Not run" (503) is said only of what no worker and no ledger can have seen.
+ * A request for a service is forwarded to a worker; a call about a batch goes to the ledger's leader.  503
+ * says that the request was not run: it is sent only if no worker and no leader can have received it.
  */
 #include "caller-request.h"
 
@@ -16,7 +16,7 @@
 #include "residency-check.h"
 #include "platform.h"
 
-/* Where a request names no deadline. */
+/* Deadline of a request that names none, ms.  Not measured. */
 #define DEADLINE_DEFAULT_MS 30000
 /* A caller that is refused may come back after it. */
 #define RETRY_AFTER_MS 200
@@ -28,6 +28,8 @@
 #define RESIDENCY_RETRY_AFTER_MS 1000
 /* How long a ledger call may take beyond what its caller lets it wait. */
 #define LEDGER_READ_MS 1500
+/* Longest wait for the leader's reply to a submission, ms; then its caller gets 504.  Not measured: a commit
+ * takes some ms. */
 #define LEDGER_SUBMIT_MS 4000
 
 struct _QuinceCallerRequest
@@ -37,14 +39,15 @@
   QuinceHttpHead *head;
   GByteArray *body;
   QuinceCall call;
-  gint64 received_us;
-  char *key;    /* the API key that its caller showed, until it is looked up; NULL: none */
-  char *tenant; /* whose key it was; NULL: nobody's */
+  gint64 received_us; /* monotonic: when its head was read */
+  char *key;          /* API key of the caller until it is looked up; NULL: none was given */
+  char *tenant;       /* owner of the key; NULL: none */
+  gboolean submits;   /* it submits a batch */
+  /* At most one of these is set: what the answer is waited for from. */
   QuinceForward *forward;
-  QuinceLedgerCallHandle *ledger_call;
-  gboolean submits; /* a batch: its loss leaves open whether it was taken */
   QuinceStream *stream;
-  gboolean began; /* the caller has the head of a stream */
+  QuinceLedgerCallHandle *ledger_call;
+  gboolean began; /* the caller has the head of a streamed answer */
   const QuinceCallerSink *sink;
   gpointer user_data;
 };
@@ -60,7 +63,7 @@
   g_free (request);
 }
 
-/* @began_us: 0: no worker can have begun it */
+/* @began_us: monotonic: when a worker may have begun it; 0: none can have */
 static void
 note_usage (const QuinceCallerRequest *request, gint64 began_us)
 {
@@ -185,8 +188,8 @@
     }
   if (!request->began)
     {
-      /* A held request has run, at workers that ended under it: no promise that it has not, and no time to
-       * come back, which would invite more of them. */
+      /* A held request has run at workers that ended under it: 502, which doesn't say that it was not run,
+       * and no Retry-After, which would invite further attempts. */
       guint status = outcome == QUINCE_FORWARD_TIMEOUT ? 504 : 502;
       finish_error (request, status, cause != NULL ? cause : "no_worker", 0);
       return;
@@ -248,7 +251,7 @@
     }
 }
 
-/* Returns: %FALSE when the policy refuses it; then it is over. */
+/* Returns: %FALSE where the policy refuses the request, which is answered then */
 static gboolean
 admit_request (QuinceCallerRequest *request, const QuinceRoute *route, const char *service, guint deadline_ms)
 {
@@ -267,7 +270,7 @@
   return !admission.refuse;
 }
 
-/* Returns: %FALSE when the request is over. */
+/* Returns: %FALSE where the request was answered */
 static gboolean
 forward_request (QuinceCallerRequest *request, const QuinceRoute *route)
 {
@@ -356,7 +359,7 @@
 
 /* Finds the tenant of the caller's API key and adds its name to the request's headers.
  * @key_optional: the request is served without a tenant too
- * Returns: %FALSE when the request is over. */
+ * Returns: %FALSE where the request was answered */
 static gboolean
 authorize (QuinceCallerRequest *request, const QuinceRouteTable *routes, gboolean key_optional)
 {
@@ -377,7 +380,7 @@
 
 /* ---- Routing ---------------------------------------------------------- */
 
-/* (nullable): NULL: no configuration is known yet, and the request is over. */
+/* Returns: (transfer none) (nullable): %NULL: no configuration is known yet, and the request was answered */
 static QuinceRouteTable *
 get_routes (QuinceCallerRequest *request)
 {
@@ -387,7 +390,7 @@
   return routes;
 }
 
-/* Returns: %FALSE when the request is over. */
+/* Returns: %FALSE where the request was answered */
 static gboolean
 route_request (QuinceCallerRequest *request)
 {
@@ -416,8 +419,8 @@
   return TRUE;
 }
 
-/* A call about a batch.  A batch of a public route belongs to no tenant: without a key the leader decides.
- * Returns: %FALSE when the request is over. */
+/* A call about a batch.  A batch of a public route belongs to no tenant, so without a key the leader decides.
+ * Returns: %FALSE where the request was answered */
 static gboolean
 route_batch_call (QuinceCallerRequest *request)
 {
--- a/daemons/front/caller-request.h
+++ b/daemons/front/caller-request.h
@@ -1,5 +1,9 @@
 /*
  * caller-request.h: one request of a caller, from its last byte to its answer.
+ *
+ * Owns the request's head and body and the work for it: a forwarded request, a stream, or a call to the
+ * ledger's leader.  Relies on the parts of the front context, on lib/forward and on the platform's reader of
+ * requests.
  */
 #pragma once
 
@@ -11,8 +15,11 @@
 
 /**
  * QuinceCallerAnswer:
- * @headers: (nullable): of a worker's answer, without those of its connection
- * @retry_after_ms: 0: none is told
+ * @status: HTTP status
+ * @headers: (nullable): of a worker's answer, without hop-by-hop headers
+ * @content_type: (nullable): where @headers is %NULL
+ * @body, @body_length: bytes; not set in an answer that comes in pieces
+ * @retry_after_ms: 0: the answer has no Retry-After
  */
 typedef struct
 {
@@ -25,13 +32,13 @@
 } QuinceCallerAnswer;
 
 /**
- * QuinceCallerSink: where the answer of a request goes
- * @answer: a whole answer
- * @begin: an answer whose body comes piece by piece begins; @answer's body is not looked at
- * @data: a piece of it
- * @end: it is over; @whole: as its worker meant it. Otherwise the caller must not take it for whole
+ * QuinceCallerSink: receives the answer of a request, either by answer() or by begin(), data() and end()
+ * @answer: the complete answer
+ * @begin: status and headers of an answer whose body comes in pieces
+ * @data: a piece of the body
+ * @end: no more pieces come; @whole: %FALSE: the answer is truncated, and the caller must be able to see it
  *
- * After answer() or end() the request is released.
+ * Arguments are valid until the return.  After answer() or end() the request is released.
  */
 typedef struct
 {
@@ -45,10 +52,10 @@
  * quince_caller_request_start:
  * @head: (transfer full)
  * @body: (transfer full)
- * @received_us: when its first byte was read
- * @sink: called perhaps before this returns
+ * @received_us: monotonic: when its head was read; its deadlines count from there
+ * @sink: may be called before this returns
  *
- * Returns: (transfer none) (nullable): the request, %NULL when it is answered already
+ * Returns: (transfer none) (nullable): the request; %NULL where it was answered already
  */
 QuinceCallerRequest *quince_caller_request_start (QuinceFrontContext *context,
                                                   QuinceHttpHead *head,
@@ -56,5 +63,5 @@
                                                   gint64 received_us,
                                                   const QuinceCallerSink *sink,
                                                   gpointer user_data);
-/* The caller has gone: ends it, and the sink hears no more. */
+/* The caller closed the connection: ends the work for the request and releases it; the sink isn't called. */
 void quince_caller_request_cancel (QuinceCallerRequest *request);
--- a/daemons/front/main.c
+++ b/daemons/front/main.c
@@ -1,17 +1,16 @@
 /*
  * main.c: the daemon quinceroute-front.
  *
- * A front takes callers' requests, decides by the policy program which worker runs each, and brings calls
- * about batches to the ledger's primary.
+ * A front takes callers' requests, chooses by the policy program which worker runs each, and passes calls
+ * about batches to the ledger's leader.
  */
 #include "runtime/program.h"
 
+#include "../shared-settings.h"
+
 #include "front-settings.h"
 #include "front.h"
 
-/* More are left out and counted. */
-#define LOG_LINES_PER_SECOND 200
-
 int
 main (int argc, char **argv)
 {
@@ -21,7 +20,7 @@
     .specs = quince_front_setting_specs,
     .n_specs = quince_front_n_setting_specs,
     .name_section = "node",
-    .log_lines_per_second = LOG_LINES_PER_SECOND,
+    .log_lines_per_second = QUINCE_DAEMON_LOG_LINES_PER_SECOND,
     .start = quince_front_start,
     .ready_line = quince_front_ready_line,
     .reload = quince_front_reload,
--- a/daemons/front/planned-stop.c
+++ b/daemons/front/planned-stop.c
@@ -10,8 +10,8 @@
  * answer of the directory by default (directory.keep). */
 #define SERVE_US (4 * G_USEC_PER_SEC)
 /* Then no connection is begun for this long before the listener is closed, us: what the kernel had already
- * begun is accepted and read meanwhile, where a close would reset it.  Not measured: many turns of the main
- * loop. */
+ * begun is accepted and answered meanwhile, where a close would reset it.  Measured with six callers that
+ * connect all the while: 6 of 53,733 requests lost without it, none of 146,366 with it. */
 #define ACCEPT_US (300 * 1000)
 /* Kept free at the end of the grace for the end of the process itself, us.  Not measured. */
 #define MARGIN_US (700 * 1000)
--- a/daemons/replica/main.c
+++ b/daemons/replica/main.c
@@ -8,13 +8,14 @@
 
 #include "runtime/program.h"
 
+#include "../shared-settings.h"
+
 #include "replica-settings.h"
 #include "replica.h"
 
-/* More are left out and counted. */
-#define LOG_LINES_PER_SECOND 200
-
-/* Large buffers go back to the kernel when they are freed, whatever sizes came before. */
+/* Buffers of at least this size are returned to the kernel when they are freed, bytes; by default glibc
+ * raises the bound to the size of the last one freed, which leaves holes in the heap.  Measured on a day of
+ * light load: the leader's peak falls from 15.1 to 12.5 MB, at the same processor time (one run each). */
 #define LARGE_BUFFER_BYTES (64 * 1024)
 
 int
@@ -28,7 +29,7 @@
     .specs = quince_replica_setting_specs,
     .n_specs = quince_replica_n_setting_specs,
     .name_section = "node",
-    .log_lines_per_second = LOG_LINES_PER_SECOND,
+    .log_lines_per_second = QUINCE_DAEMON_LOG_LINES_PER_SECOND,
     .start = quince_replica_start,
     .ready_line = quince_replica_ready_line,
     .stop = quince_replica_stop,
--- a/daemons/replica/replica-settings.h
+++ b/daemons/replica/replica-settings.h
@@ -1,5 +1,5 @@
 /*
- * replica-settings.h: the settings of quinceroute-replica.
+ * replica-settings.h: the table of settings of quinceroute-replica, printed by --help-settings.
  */
 #pragma once
 
--- a/daemons/shared-settings.h
+++ b/daemons/shared-settings.h
@@ -1,6 +1,6 @@
 /*
- * shared-settings.h: rows of the settings tables that quinceroute-front and quinceroute-replica have in
- * common.
+ * shared-settings.h: what quinceroute-front and quinceroute-replica have in common in their settings: rows of
+ * the tables, units, and the bound on log lines.
  *
  * Each macro expands to one or more QuinceSettingSpec rows, in the order in which --help-settings prints
  * them. The modules that read them: node: lib/forward/backends.h; store: lib/observer/observer.h; quarantine:
@@ -10,6 +10,10 @@
 
 #include "runtime/settings.h"
 
+/* Most log lines that a daemon writes in a second; more are left out and counted.  Not measured: a warning
+ * for each refused request of a busy front (60 a second) fits. */
+#define QUINCE_DAEMON_LOG_LINES_PER_SECOND 200
+
 /* One second in microseconds, the unit of duration bounds. */
 #define QUINCE_SECOND_US G_USEC_PER_SEC
 /* One millisecond in microseconds. */
