--- a/daemons/replica/worker-scaler.c
+++ b/daemons/replica/worker-scaler.c
@@ -85,35 +85,35 @@
 
 /* ---- Counts of workers ---------------------------------------------------- */
 
-static QuinceZoneStrength *
-find_capacity (GArray *zones, const char *zone)
+static QuinceZoneWorkers *
+find_zone_workers (GArray *zones, const char *zone)
 {
   for (guint i = 0; i < zones->len; i++)
-    if (g_str_equal (g_array_index (zones, QuinceZoneStrength, i).zone, zone))
-      return &g_array_index (zones, QuinceZoneStrength, i);
-  QuinceZoneStrength added = { .zone = zone };
+    if (g_str_equal (g_array_index (zones, QuinceZoneWorkers, i).zone, zone))
+      return &g_array_index (zones, QuinceZoneWorkers, i);
+  QuinceZoneWorkers added = { .zone = zone };
   g_array_append_val (zones, added);
-  return &g_array_index (zones, QuinceZoneStrength, zones->len - 1);
+  return &g_array_index (zones, QuinceZoneWorkers, zones->len - 1);
 }
 
 /* A worker whose entry disappeared in an outage of the store still counts as serving: it likely runs.
- * Returns: (transfer full) (element-type QuinceZoneStrength) */
+ * Returns: (transfer full) (element-type QuinceZoneWorkers) */
 static GArray *
-check_zones (QuinceWorkerScaler *scaler, const QuinceService *service)
+count_workers (QuinceWorkerScaler *scaler, const QuinceService *service)
 {
   const QuinceZoneTable *evacuated = quince_backends_get_zones (scaler->backends);
   QuinceWorkerTable *table = quince_backends_get_workers (scaler->backends);
   g_autoptr (GPtrArray) workers = quince_worker_table_list (table, service->name);
-  GArray *zones = g_array_new (FALSE, FALSE, sizeof (QuinceZoneStrength));
+  GArray *zones = g_array_new (FALSE, FALSE, sizeof (QuinceZoneWorkers));
   for (guint i = 0; i < workers->len; i++)
     {
       const QuinceWorker *worker = workers->pdata[i];
-      QuinceZoneStrength *zone = find_capacity (zones, worker->zone);
+      QuinceZoneWorkers *zone = find_zone_workers (zones, worker->zone);
       zone->evacuated = quince_zone_table_is_evacuated (evacuated, worker->zone);
       if (worker->draining || zone->evacuated)
         continue;
       zone->serving++;
-      zone->may_go += worker->may_go;
+      zone->spot += worker->may_go;
     }
   return zones;
 }
@@ -130,7 +130,7 @@
 static void
 step_service (QuinceWorkerScaler *scaler, const QuinceService *service)
 {
-  g_autoptr (GArray) zones = check_zones (scaler, service);
+  g_autoptr (GArray) zones = count_workers (scaler, service);
   gboolean may_order
       = scaler->leads && scaler->exchange == NULL && quince_ledger_node_may_order (scaler->ledger);
   guint needed = count_needed (scaler, service);
--- a/lib/core/scaling/scale-loss.c
+++ b/lib/core/scaling/scale-loss.c
@@ -1,20 +1,24 @@
 /*
- * scale-loss.c: which workers of a service are lost, and how many of them there is work for.
+ * scale-loss.c: counts the workers of a service: which are lost, and for how many of them there is work.
  */
 #include "scale-plan-private.h"
 
-/* What stands there is learned once no zone's count has changed for so long: workers are listed over about a
- * second when a deployment starts. */
+/* The initial workers are learned once no zone's count has changed for this time, us: when a deployment
+ * starts, its workers are listed over about a second. */
 #define SETTLE_US (2 * G_USEC_PER_SEC)
-/* Workers that are gone without a word are replaced no sooner: one that crashed, or whose entry lapsed while
- * the store was away, is back in less.  Where a start takes longer, so long a loss is waited for instead. */
+/* Workers that disappear without an evacuation are replaced after this time, us, or after the time of a start
+ * where that is longer: one that crashed, or whose entry lapsed in an outage of the store, is back earlier.
+ * Not measured. */
 #define LOSS_MIN_US (3 * G_USEC_PER_SEC)
-/* Steps come some seconds apart: the most work of so long counts. */
+/* The need for workers is the greatest of this time, us, since steps of trainers come some seconds apart. Not
+ * measured. */
 #define NEED_KEEP_US (5 * G_USEC_PER_SEC)
-/* Work is to be done within this part of the time in which it is due: the longest texts of a step take as
- * long as the rest once they have begun. */
+/* Share of the time in which work is due that is planned for: the longest texts of a step, once started, take
+ * as long as all the rest.  Not measured; that samples count by it and not with a slot each saved 583 paid
+ * seconds of workers with one of three zones evacuated, the whole day's worth unchanged. */
 #define DUE_SHARE 0.5
-/* A need that has stood for this part of the time until a new worker is warm is expected to outlast it. */
+/* A need that has lasted for this share of the time until a new worker is warm is expected to outlast that
+ * time; where a start takes a minute a step of a few seconds orders nothing.  Not measured. */
 #define NEED_SHARE 0.25
 
 static void
@@ -62,13 +66,13 @@
 guint
 quince_scale_count_zone (const QuinceScaleZone *zone)
 {
-  return zone->serving + zone->may_go;
+  return zone->serving + zone->spot;
 }
 
 static guint
-count_zone_stood (const QuinceScaleZone *zone)
+count_zone_initial (const QuinceScaleZone *zone)
 {
-  return zone->stood + zone->may_go_stood;
+  return zone->initial + zone->initial_spot;
 }
 
 guint
@@ -81,20 +85,20 @@
 }
 
 guint
-quince_scale_count_stood (const QuinceScaleService *service)
+quince_scale_count_initial (const QuinceScaleService *service)
 {
   guint count = 0;
   for (guint i = 0; i < service->zones->len; i++)
-    count += count_zone_stood (service->zones->pdata[i]);
+    count += count_zone_initial (service->zones->pdata[i]);
   return count;
 }
 
-static const QuinceZoneStrength *
-find_capacity (const GArray *zones, const char *name)
+static const QuinceZoneWorkers *
+find_zone_workers (const GArray *zones, const char *name)
 {
   for (guint i = 0; i < zones->len; i++)
     {
-      const QuinceZoneStrength *capacity = &g_array_index (zones, QuinceZoneStrength, i);
+      const QuinceZoneWorkers *capacity = &g_array_index (zones, QuinceZoneWorkers, i);
       if (g_str_equal (capacity->zone, name))
         return capacity;
     }
@@ -110,50 +114,50 @@
   return count;
 }
 
-/* Workers beyond those that stood there, and that come where some are lost, are in place of those, as many as
- * were lost: whoever ordered them, they are given back when they are not needed any more.  Others are left
- * alone: a zone that was gone when this process began comes back whole, and stays. */
+/* Workers beyond the initial ones that arrive while some are lost, up to the number of lost ones, replace
+ * those: whoever ordered them, they are given back when no longer needed.  Other arrivals are left alone, for
+ * instance a zone that was away when this process started and comes back. */
 static void
-check_added (const QuinceScaleService *service, QuinceScaleZone *zone, guint serving, gboolean replaces)
+count_arrivals (const QuinceScaleService *service, QuinceScaleZone *zone, guint serving, gboolean replaces)
 {
-  guint before = zone->serving > zone->stood ? zone->serving - zone->stood : 0;
-  guint beyond = serving > zone->stood ? serving - zone->stood : 0;
+  guint extra_before = zone->serving > zone->initial ? zone->serving - zone->initial : 0;
+  guint extra = serving > zone->initial ? serving - zone->initial : 0;
   guint added = count_added (service);
-  guint may_be = service->seen_lost > added ? service->seen_lost - added : 0;
-  if (replaces && beyond > before)
-    zone->added += MIN (beyond - before, may_be);
-  /* What is given back, or goes, is of the added ones first: it is not given back twice. */
-  if (beyond < before)
-    zone->added -= MIN (zone->added, before - beyond);
+  guint replaceable = service->seen_lost > added ? service->seen_lost - added : 0;
+  if (replaces && extra > extra_before)
+    zone->added += MIN (extra - extra_before, replaceable);
+  /* Workers that go are counted off the added ones first, so that none is given back twice. */
+  if (extra < extra_before)
+    zone->added -= MIN (zone->added, extra_before - extra);
   zone->serving = serving;
 }
 
 static void
-check_zone (QuinceScaleService *service,
-            QuinceScaleZone *zone,
-            const QuinceZoneStrength *seen,
-            gboolean replaces,
-            gint64 now_us)
+update_zone (QuinceScaleService *service,
+             QuinceScaleZone *zone,
+             const QuinceZoneWorkers *seen,
+             gboolean replaces,
+             gint64 now_us)
 {
   guint before = quince_scale_count_zone (zone);
   guint serving = seen != NULL ? seen->serving : 0;
-  zone->may_go = seen != NULL ? MIN (seen->may_go, serving) : 0;
-  check_added (service, zone, serving - zone->may_go, replaces);
+  zone->spot = seen != NULL ? MIN (seen->spot, serving) : 0;
+  count_arrivals (service, zone, serving - zone->spot, replaces);
   if (seen != NULL)
     zone->evacuated = seen->evacuated;
   if (quince_scale_count_zone (zone) != before)
     service->changed_us = now_us;
 }
 
-/* Whether a worker that comes now may have been ordered in place of a lost one. */
+/* Whether a worker that arrives now may have been ordered in place of a lost one. */
 static gboolean
-may_replace (QuinceScaleService *service, const QuinceScaling *scaling, gint64 now_us)
+arrivals_may_replace (QuinceScaleService *service, const QuinceScaling *scaling, gint64 now_us)
 {
   guint lost = quince_scale_count_lost (service);
   if (lost > 0)
     service->seen_lost_us = now_us;
   service->seen_lost = MAX (service->seen_lost, lost);
-  gint64 keep_us = (gint64)scaling->boot_ms * 1000 + QUINCE_SCALE_LISTED_US;
+  gint64 keep_us = (gint64)scaling->boot_ms * 1000 + QUINCE_SCALE_LISTING_US;
   gboolean recently = service->seen_lost_us != 0 && now_us - service->seen_lost_us <= keep_us;
   if (!recently)
     service->seen_lost = 0;
@@ -161,19 +165,19 @@
 }
 
 static void
-check_zones (QuinceScaleService *service, const QuinceScaling *scaling, const GArray *zones, gint64 now_us)
+update_zones (QuinceScaleService *service, const QuinceScaling *scaling, const GArray *zones, gint64 now_us)
 {
-  gboolean replaces = may_replace (service, scaling, now_us);
+  gboolean replaces = arrivals_may_replace (service, scaling, now_us);
   for (guint i = 0; i < zones->len; i++)
     {
-      const char *name = g_array_index (zones, QuinceZoneStrength, i).zone;
+      const char *name = g_array_index (zones, QuinceZoneWorkers, i).zone;
       if (quince_scale_find_zone (service, name) == NULL)
         add_zone (service, name);
     }
   for (guint i = 0; i < service->zones->len; i++)
     {
       QuinceScaleZone *zone = service->zones->pdata[i];
-      check_zone (service, zone, find_capacity (zones, zone->name), replaces, now_us);
+      update_zone (service, zone, find_zone_workers (zones, zone->name), replaces, now_us);
     }
 }
 
@@ -185,12 +189,12 @@
     return;
   for (guint i = 0; i < service->zones->len; i++)
     if (((const QuinceScaleZone *)service->zones->pdata[i])->evacuated)
-      return; /* how many stood there is not seen */
+      return; /* its workers aren't counted as serving */
   for (guint i = 0; i < service->zones->len; i++)
     {
       QuinceScaleZone *zone = service->zones->pdata[i];
-      zone->stood = zone->serving;
-      zone->may_go_stood = zone->may_go;
+      zone->initial = zone->serving;
+      zone->initial_spot = zone->spot;
     }
   service->learned = TRUE;
 }
@@ -209,12 +213,12 @@
 guint
 quince_scale_count_lost (const QuinceScaleService *service)
 {
-  guint stood = quince_scale_count_stood (service);
+  guint initial = quince_scale_count_initial (service);
   guint serving = quince_scale_count_serving (service);
-  return service->learned && stood > serving ? stood - serving : 0;
+  return service->learned && initial > serving ? initial - serving : 0;
 }
 
-/* The part of the lost ones that an evacuation takes, which is told. */
+/* Initial workers of evacuated zones: their loss is known to last. */
 static guint
 count_evacuated (const QuinceScaleService *service)
 {
@@ -222,31 +226,31 @@
   for (guint i = 0; i < service->zones->len; i++)
     {
       const QuinceScaleZone *zone = service->zones->pdata[i];
-      count += zone->evacuated ? count_zone_stood (zone) : 0;
+      count += zone->evacuated ? count_zone_initial (zone) : 0;
     }
   return count;
 }
 
 guint
-quince_scale_on_the_way (const QuinceScaleZone *zone, gint64 now_us)
+quince_scale_count_pending_in (const QuinceScaleZone *zone, gint64 now_us)
 {
-  gboolean comes = zone->desired > zone->serving && now_us < zone->listed_us;
-  return comes ? zone->desired - zone->serving : 0;
+  gboolean pending = zone->desired > zone->serving && now_us < zone->listed_us;
+  return pending ? zone->desired - zone->serving : 0;
 }
 
 guint
-quince_scale_count_on_the_way (const QuinceScaleService *service, gint64 now_us)
+quince_scale_count_pending (const QuinceScaleService *service, gint64 now_us)
 {
   guint count = 0;
   for (guint i = 0; i < service->zones->len; i++)
-    count += quince_scale_on_the_way (service->zones->pdata[i], now_us);
+    count += quince_scale_count_pending_in (service->zones->pdata[i], now_us);
   return count;
 }
 
-/* Of @gone workers that went without a word, those that do not come back: the least that were gone at any
- * moment of the time in which they would. */
+/* Of @gone workers that disappeared without an evacuation, those that don't come back: the fewest that were
+ * gone at any moment of the time @wait_us in which they would. */
 static guint
-count_for_good (QuinceScaleService *service, guint gone, gint64 wait_us, gint64 now_us)
+count_lost_for_good (QuinceScaleService *service, guint gone, gint64 wait_us, gint64 now_us)
 {
   service->lost_for_good = MIN (service->lost_for_good, gone);
   if (service->lost_us == 0 || gone == 0)
@@ -264,22 +268,23 @@
   return service->lost_for_good;
 }
 
-/* How many workers there is work for, of those that are lost for long enough. */
 guint
 quince_scale_count_missing (QuinceScaleService *service, const QuinceScaling *scaling, gint64 now_us)
 {
   guint lost = quince_scale_count_lost (service);
-  guint told = MIN (count_evacuated (service), lost);
+  guint evacuated = MIN (count_evacuated (service), lost);
   gint64 wait_us = MAX ((gint64)scaling->boot_ms * 1000, LOSS_MIN_US);
-  lost = told + count_for_good (service, lost - told, wait_us, now_us);
+  lost = evacuated + count_lost_for_good (service, lost - evacuated, wait_us, now_us);
   guint serving = quince_scale_count_serving (service);
   guint busy = service->needed > serving ? service->needed - serving : 0;
   return MIN (lost, busy);
 }
 
-/* Whether @missing has stood so long that a worker that is ordered now is expected to be of use. */
 gboolean
-quince_scale_will_last (QuinceScaleService *service, const QuinceService *told, guint missing, gint64 now_us)
+quince_scale_will_last (QuinceScaleService *service,
+                        const QuinceService *configured,
+                        guint missing,
+                        gint64 now_us)
 {
   if (missing == 0)
     {
@@ -288,18 +293,18 @@
     }
   if (service->short_us == 0)
     service->short_us = now_us;
-  gint64 warm_us = ((gint64)told->scaling->boot_ms + told->cold_start_ms) * 1000;
+  gint64 warm_us = ((gint64)configured->scaling->boot_ms + configured->cold_start_ms) * 1000;
   return now_us - service->short_us >= (gint64)(NEED_SHARE * (double)warm_us);
 }
 
 void
-quince_scale_check_losses (QuinceScaleService *service,
-                           const QuinceScaling *scaling,
-                           const GArray *zones,
-                           guint needed,
-                           gint64 now_us)
+quince_scale_update (QuinceScaleService *service,
+                     const QuinceScaling *scaling,
+                     const GArray *zones,
+                     guint needed,
+                     gint64 now_us)
 {
-  check_zones (service, scaling, zones, now_us);
+  update_zones (service, scaling, zones, now_us);
   learn (service, now_us);
   note_needed (service, needed, now_us);
 }
--- a/lib/core/scaling/scale-plan-private.h
+++ b/lib/core/scaling/scale-plan-private.h
@@ -1,73 +1,82 @@
 /*
- * scale-plan-private.h: state shared by the files of the plan of workers.
+ * scale-plan-private.h: the state of one service, shared by the two files of the plan.
  *
- * scale-loss.c: what stands in each zone, what is lost, and what is missing.
- * scale-plan.c: what is ordered and given back.
+ * scale-loss.c counts the workers of each zone, the lost and the missing ones; scale-plan.c orders and gives
+ * back. The calls go one way, from scale-plan.c to scale-loss.c.  All times are monotonic, us.
  */
 #pragma once
 
 #include "core/scaling/scale-plan.h"
 
-/* Beyond the time of a start, until an ordered worker is listed: heartbeats and a look at the list. */
-#define QUINCE_SCALE_LISTED_US (2 * G_USEC_PER_SEC)
-/* Pause after a refusal, doubled with each in a row. */
+/* Time beyond a worker's start until it is listed, us: its first heartbeat and the next read of the list (0.6
+ * s). Not measured. */
+#define QUINCE_SCALE_LISTING_US (2 * G_USEC_PER_SEC)
+/* Pause after a refused order, us, doubled with each further refusal.  Not measured: a start takes seconds,
+ * so an earlier attempt would gain little. */
 #define QUINCE_SCALE_REFUSED_MIN_US (2 * G_USEC_PER_SEC)
 
+/* One zone of a service. */
 typedef struct
 {
   char *name;
   gboolean evacuated;
-  guint serving;      /* workers now, but for those that may go; only this kind is ordered */
-  guint stood;        /* such workers before any was lost */
-  guint added;        /* of serving: above stood, in place of lost workers, whoever ordered them */
-  guint may_go;       /* workers now that the platform may take away at any moment */
-  guint may_go_stood; /* such workers before any was lost */
+  guint serving; /* workers now, without spot workers */
+  guint initial; /* the same when the plan learned the service, before any was lost */
+  guint added;   /* of serving: beyond the initial ones, in place of lost workers, whoever ordered them */
+  guint spot;    /* spot workers now */
+  guint initial_spot; /* the same when the plan learned the service */
 
-  /* What this process ordered since it leads. */
-  guint desired;    /* last; 0: nothing was ordered */
-  gint64 listed_us; /* what was ordered is listed by then, or does not come */
-  gint64 not_before_us;
-  gint64 refused_us; /* pause after the next refusal */
-  gboolean repeat;   /* the last order may not have been taken */
+  /* Orders of this process since it leads. */
+  guint desired;        /* count of the last order; 0: none */
+  gint64 listed_us;     /* workers that were ordered are listed by then, or don't come */
+  gint64 not_before_us; /* no order before, after a refusal */
+  gint64 refused_us;    /* pause after the next refusal */
+  gboolean repeat;      /* the last order may not have been accepted */
 } QuinceScaleZone;
 
+/* One service. */
 typedef struct
 {
-  GPtrArray *zones; /* QuinceScaleZone, owned */
-  gboolean learned; /* what stood there is known */
-  gint64 changed_us;
-  guint needed; /* the most of late */
-  gint64 needed_us;
-  gint64 seen_lost_us; /* when workers were last seen to be lost; 0: never */
+  GPtrArray *zones;    /* QuinceScaleZone, owned */
+  gboolean learned;    /* the initial workers are known */
+  gint64 changed_us;   /* when the count of a zone last changed */
+  guint needed;        /* most workers that open work needed lately */
+  gint64 needed_us;    /* when it was noted */
+  gint64 seen_lost_us; /* when workers were last lost; 0: never */
   guint seen_lost;  /* most workers lost at once lately; at most this many arrivals count as replacements */
   gint64 lost_us;   /* start of the wait for lost workers to come back; 0: none are lost */
   guint lost_least; /* fewest lost at any moment since lost_us */
-  guint lost_for_good; /* result of the last full wait: workers that will not come back */
-  gint64 short_us;     /* since when workers are missing; 0: none is */
-  gint64 spare_us;     /* since when there are too many; 0: there are not */
-  gint64 not_before_us;
+  guint lost_for_good;  /* result of the last full wait: workers that will not come back */
+  gint64 short_us;      /* since when workers are missing; 0: none are */
+  gint64 spare_us;      /* since when there are too many; 0: there are not */
+  gint64 not_before_us; /* no order before, for any zone */
 } QuinceScaleService;
 
-void quince_scale_service_free (QuinceScaleService *service);
 QuinceScaleService *quince_scale_service_new (void);
+void quince_scale_service_free (QuinceScaleService *service);
+/* Returns: (transfer none) (nullable) */
 QuinceScaleZone *quince_scale_find_zone (const QuinceScaleService *service, const char *name);
-/* Workers that serve: in a zone, in all, and in all before any was lost. */
+/* Workers that serve, spot workers included: in a zone, in all zones, and in all zones initially. */
 guint quince_scale_count_zone (const QuinceScaleZone *zone);
 guint quince_scale_count_serving (const QuinceScaleService *service);
-guint quince_scale_count_stood (const QuinceScaleService *service);
+guint quince_scale_count_initial (const QuinceScaleService *service);
+/* Initial workers that don't serve now; 0 while the initial ones aren't known. */
 guint quince_scale_count_lost (const QuinceScaleService *service);
-/* Workers that were ordered and are still to be listed. */
-guint quince_scale_on_the_way (const QuinceScaleZone *zone, gint64 now_us);
-guint quince_scale_count_on_the_way (const QuinceScaleService *service, gint64 now_us);
-/* Takes what is seen now. */
-void quince_scale_check_losses (QuinceScaleService *service,
-                                const QuinceScaling *scaling,
-                                const GArray *zones,
-                                guint needed,
-                                gint64 now_us);
-/* How many workers there is work for, of those that are lost for long enough; to be called at each look. */
+/* Workers that were ordered and are still to be listed: in a zone, and in all zones. */
+guint quince_scale_count_pending_in (const QuinceScaleZone *zone, gint64 now_us);
+guint quince_scale_count_pending (const QuinceScaleService *service, gint64 now_us);
+/* Takes the list of workers; to be called at each step, before the functions below.
+ * @zones: (element-type QuinceZoneWorkers); @needed: as in quince_scale_plan_step() */
+void quince_scale_update (QuinceScaleService *service,
+                          const QuinceScaling *scaling,
+                          const GArray *zones,
+                          guint needed,
+                          gint64 now_us);
+/* Workers that are lost for long enough and that there is work for; to be called at each step. */
 guint quince_scale_count_missing (QuinceScaleService *service, const QuinceScaling *scaling, gint64 now_us);
-/* Whether @missing has stood so long that a worker that is ordered now is expected to be of use; to be called
- * at each look. */
-gboolean
-quince_scale_will_last (QuinceScaleService *service, const QuinceService *told, guint missing, gint64 now_us);
+/* Whether @missing workers have been needed for so long that one that is ordered now is expected to be of
+ * use; to be called at each step. */
+gboolean quince_scale_will_last (QuinceScaleService *service,
+                                 const QuinceService *configured,
+                                 guint missing,
+                                 gint64 now_us);
--- a/lib/core/scaling/scale-plan.c
+++ b/lib/core/scaling/scale-plan.c
@@ -1,25 +1,28 @@
 /*
- * scale-plan.c: replaces the workers that a service lost, in the zones that stay.
+ * scale-plan.c: orders workers in place of those that a service lost, and gives them back.
  */
 #include "scale-plan-private.h"
 
-/* Between two orders for one service: twice a second at most. */
+/* Shortest time between two orders for one service, us: at most two a second.  Not measured. */
 #define ORDER_PAUSE_US (500 * 1000)
-/* After a refusal, doubled with each in a row. */
+/* Longest pause after a refused order, us: three doublings of QUINCE_SCALE_REFUSED_MIN_US.  Not measured. */
 #define REFUSED_MAX_US (16 * G_USEC_PER_SEC)
-/* What is too much is given back once it was too much for so long, so that a zone that comes and goes does
- * not make workers come and go; then a part at a time, since workers that came back are cold at first. */
+/* Workers are given back once there have been too many for this time, us, so that a zone that comes and goes
+ * doesn't make added workers come and go.  Not measured. */
 #define SPARE_US (8 * G_USEC_PER_SEC)
+/* Time from one part that is given back to the next, us: workers that came back are cold at first.  Not
+ * measured. */
 #define GIVE_BACK_PAUSE_US (2 * G_USEC_PER_SEC)
+/* In how many parts the added workers of a zone are given back.  Not measured. */
 #define GIVE_BACK_PARTS 4
 
 struct _QuinceScalePlan
 {
   GHashTable *services; /* QuinceScaleService by name, both owned */
-  gint64 led_us;
+  gint64 led_us;        /* when this process began to lead */
 };
 
-/* A zone, and the price of its workers. */
+/* A zone and the price of its workers, relative to the usual price. */
 typedef struct
 {
   QuinceScaleZone *zone;
@@ -90,7 +93,7 @@
   return g_strcmp0 (first->zone->name, second->zone->name);
 }
 
-/* All zones, cheapest first. (transfer full) */
+/* Returns: (transfer full) (element-type Offer): all zones, cheapest first */
 static GArray *
 list_offers (const QuinceScaleService *service, const QuinceScaling *scaling)
 {
@@ -105,12 +108,12 @@
   return offers;
 }
 
-/* How many more workers @zone may get. */
+/* How many more workers @zone may have by its bound, spot workers and pending ones included. */
 static guint
-room_in (const QuinceScaleZone *zone, const QuinceScaling *scaling, gint64 now_us)
+count_room_in (const QuinceScaleZone *zone, const QuinceScaling *scaling, gint64 now_us)
 {
-  guint there = quince_scale_count_zone (zone) + quince_scale_on_the_way (zone, now_us);
-  return scaling->most > there ? scaling->most - there : 0;
+  guint count = quince_scale_count_zone (zone) + quince_scale_count_pending_in (zone, now_us);
+  return scaling->most > count ? scaling->most - count : 0;
 }
 
 static void
@@ -127,8 +130,9 @@
   order->desired = desired;
 }
 
-/* An order that may not have been taken goes first, with the same count: another one would be a second one.
- * One that is not needed any more is left as it is: what it brought, if anything, is given back later. */
+/* An order that may not have been accepted is repeated first, with the same count, since a different one
+ * might come on top of it.  An order that is no longer needed is not repeated; workers that it brought are
+ * given back later. */
 static gboolean
 repeat_order (QuinceScaleService *service,
               const QuinceScaling *scaling,
@@ -140,37 +144,38 @@
   for (guint i = 0; i < offers->len; i++)
     {
       QuinceScaleZone *zone = g_array_index (offers, Offer, i).zone;
-      gboolean more = zone->desired > zone->serving;
-      zone->repeat = zone->repeat && more == (missing > 0) && !zone->evacuated;
+      gboolean adds = zone->desired > zone->serving;
+      zone->repeat = zone->repeat && adds == (missing > 0) && !zone->evacuated;
       if (!zone->repeat || now_us < zone->not_before_us)
         continue;
-      if (more)
-        zone->listed_us = now_us + (gint64)scaling->boot_ms * 1000 + QUINCE_SCALE_LISTED_US;
+      if (adds)
+        zone->listed_us = now_us + (gint64)scaling->boot_ms * 1000 + QUINCE_SCALE_LISTING_US;
       give_order (service, zone, zone->desired, now_us, order);
       return TRUE;
     }
   return FALSE;
 }
 
-/* Orders what is missing in @zone, as far as it may hold more. */
+/* Orders up to @missing workers in @zone, within its bound. */
 static gboolean
-order_there (QuinceScaleService *service,
-             const QuinceScaling *scaling,
-             QuinceScaleZone *zone,
-             guint missing,
-             gint64 now_us,
-             QuinceScaleOrder *order)
+order_in_zone (QuinceScaleService *service,
+               const QuinceScaling *scaling,
+               QuinceScaleZone *zone,
+               guint missing,
+               gint64 now_us,
+               QuinceScaleOrder *order)
 {
-  guint more = MIN (missing, room_in (zone, scaling, now_us));
+  guint more = MIN (missing, count_room_in (zone, scaling, now_us));
   if (zone->evacuated || more == 0 || now_us < zone->not_before_us)
     return FALSE;
-  guint there = zone->serving + quince_scale_on_the_way (zone, now_us);
-  zone->listed_us = now_us + (gint64)scaling->boot_ms * 1000 + QUINCE_SCALE_LISTED_US;
-  give_order (service, zone, there + more, now_us, order);
+  guint count = zone->serving + quince_scale_count_pending_in (zone, now_us);
+  zone->listed_us = now_us + (gint64)scaling->boot_ms * 1000 + QUINCE_SCALE_LISTING_US;
+  give_order (service, zone, count + more, now_us, order);
   return TRUE;
 }
 
-/* Zones without any worker left may be without power: they are the last choice. */
+/* The cheapest zone that may have more.  Zones without any worker left may be without power, so they come
+ * last. */
 static gboolean
 order_more (QuinceScaleService *service,
             const QuinceScaling *scaling,
@@ -179,15 +184,15 @@
             gint64 now_us,
             QuinceScaleOrder *order)
 {
-  guint coming = quince_scale_count_on_the_way (service, now_us);
-  if (missing <= coming)
+  guint pending = quince_scale_count_pending (service, now_us);
+  if (missing <= pending)
     return FALSE;
   for (guint empty = 0; empty < 2; empty++)
     for (guint i = 0; i < offers->len; i++)
       {
         QuinceScaleZone *zone = g_array_index (offers, Offer, i).zone;
         if ((quince_scale_count_zone (zone) == 0) == (empty == 1)
-            && order_there (service, scaling, zone, missing - coming, now_us, order))
+            && order_in_zone (service, scaling, zone, missing - pending, now_us, order))
           return TRUE;
       }
   return FALSE;
@@ -195,19 +200,22 @@
 
 /* ---- Giving back -------------------------------------------------------- */
 
+/* Returns: workers beyond the initial ones, once there have been some for SPARE_US and none is pending */
 static guint
 count_spare (QuinceScaleService *service, gint64 now_us)
 {
   guint serving = quince_scale_count_serving (service);
-  guint stood = quince_scale_count_stood (service);
-  gboolean more = service->learned && serving > stood && quince_scale_count_on_the_way (service, now_us) == 0;
-  if (!more)
+  guint initial = quince_scale_count_initial (service);
+  gboolean too_many
+      = service->learned && serving > initial && quince_scale_count_pending (service, now_us) == 0;
+  if (!too_many)
     service->spare_us = 0;
   else if (service->spare_us == 0)
     service->spare_us = now_us;
-  return more && now_us - service->spare_us >= SPARE_US ? serving - stood : 0;
+  return too_many && now_us - service->spare_us >= SPARE_US ? serving - initial : 0;
 }
 
+/* The dearest zone first; only added workers, and never below the zone's lower bound. */
 static gboolean
 give_back (QuinceScaleService *service,
            const QuinceScaling *scaling,
@@ -219,14 +227,14 @@
   for (guint i = offers->len; i > 0 && spare > 0; i--)
     {
       QuinceScaleZone *zone = g_array_index (offers, Offer, i - 1).zone;
-      guint there = quince_scale_count_zone (zone);
-      guint most = there > scaling->least ? there - scaling->least : 0;
-      guint less = MIN (MIN (zone->added, zone->serving), MIN (spare, most));
-      if (less == 0 || now_us < zone->not_before_us)
+      guint count = quince_scale_count_zone (zone);
+      guint above_least = count > scaling->least ? count - scaling->least : 0;
+      guint returned = MIN (MIN (zone->added, zone->serving), MIN (spare, above_least));
+      if (returned == 0 || now_us < zone->not_before_us)
         continue;
-      less = MIN (less, MAX (zone->added / GIVE_BACK_PARTS, 1));
+      returned = MIN (returned, MAX (zone->added / GIVE_BACK_PARTS, 1));
       zone->listed_us = 0;
-      give_order (service, zone, zone->serving - less, now_us, order);
+      give_order (service, zone, zone->serving - returned, now_us, order);
       service->not_before_us = now_us + GIVE_BACK_PAUSE_US;
       return TRUE;
     }
@@ -265,18 +273,18 @@
 gboolean
 quince_scale_plan_step (QuinceScalePlan *plan,
                         gint64 now_us,
-                        const QuinceService *told,
+                        const QuinceService *configured,
                         const GArray *zones,
                         guint needed,
                         QuinceScaleOrder *order)
 {
-  const QuinceScaling *scaling = told->scaling;
-  QuinceScaleService *service = find_service (plan, told->name);
-  quince_scale_check_losses (service, scaling, zones, needed, now_us);
+  const QuinceScaling *scaling = configured->scaling;
+  QuinceScaleService *service = find_service (plan, configured->name);
+  quince_scale_update (service, scaling, zones, needed, now_us);
   guint missing = quince_scale_count_missing (service, scaling, now_us);
-  gboolean lasts = quince_scale_will_last (service, told, missing, now_us);
+  gboolean lasts = quince_scale_will_last (service, configured, missing, now_us);
   guint spare = count_spare (service, now_us);
-  gint64 others_listed_us = plan->led_us + (gint64)scaling->boot_ms * 1000 + QUINCE_SCALE_LISTED_US;
+  gint64 others_listed_us = plan->led_us + (gint64)scaling->boot_ms * 1000 + QUINCE_SCALE_LISTING_US;
   if (order == NULL || now_us < service->not_before_us || now_us < others_listed_us)
     return FALSE;
   g_autoptr (GArray) offers = list_offers (service, scaling);
--- a/lib/core/scaling/scale-plan.h
+++ b/lib/core/scaling/scale-plan.h
@@ -1,16 +1,16 @@
 /*
- * scale-plan.h: how many workers of a service each zone is to have.
+ * scale-plan.h: how many workers of a service each zone should have: orders in place of lost workers.
  *
- * Workers that a zone lost, or that an evacuation takes, are replaced in the zones that stay, and given back
- * once they are not needed.  What is planned is a count, not a difference: an order that is repeated changes
+ * Workers that a zone lost, or that an evacuation takes away, are replaced in the other zones, and given back
+ * once they are no longer needed.  An order is a count, not a difference, so that repeating it changes
  * nothing.
  *
- * What stood in each zone before anything was lost is learned from what is listed, by leaders and others
- * alike, so that a new leader knows it from its own observation.  What is unknown makes a plan order less.
+ * The initial workers of each zone are learned from the list of workers by leaders and other replicas alike,
+ * so a new leader knows them from its own observation.  Where something isn't known the plan orders less.
  *
- * Cheaper workers that may be taken away are counted and not ordered: they go just when others are lost.
+ * Spot workers are counted but never ordered, since the platform takes them away just when others are lost.
  *
- * Pure: time is an argument, in microseconds of this process's monotonic clock.
+ * Owns the counts and orders of each service.  Pure: time is an argument, us of a monotonic clock.
  */
 #pragma once
 
@@ -18,27 +18,27 @@
 
 G_BEGIN_DECLS
 
-/* One zone of one service, as it is seen now. */
+/* The workers of one service in one zone, as listed now. */
 typedef struct
 {
   const char *zone;
-  guint serving;      /* listed, not leaving, not evacuated */
-  guint may_go;       /* of these, workers that may be taken away at any moment */
-  gboolean evacuated; /* nothing is sent to its workers */
-} QuinceZoneStrength;
+  guint serving;      /* listed, neither draining nor evacuated; with spot workers */
+  guint spot;         /* of serving: spot workers */
+  gboolean evacuated; /* by an operator */
+} QuinceZoneWorkers;
 
-/* How many workers of the usual kind are to be in @zone. */
+/* How many workers, without spot workers, @zone should have. */
 typedef struct
 {
-  char *zone;
+  char *zone; /* owned */
   guint desired;
 } QuinceScaleOrder;
 
 typedef enum
 {
-  QUINCE_SCALE_TAKEN,
-  QUINCE_SCALE_NONE_THERE, /* refused: none are to be had there now */
-  QUINCE_SCALE_UNKNOWN,    /* no answer, or none that tells: it may have been taken */
+  QUINCE_SCALE_TAKEN,      /* accepted: the workers start */
+  QUINCE_SCALE_NONE_THERE, /* refused: the zone has no capacity now */
+  QUINCE_SCALE_UNKNOWN,    /* no answer, or an unclear one: it may have been accepted */
 } QuinceScaleOutcome;
 
 typedef struct _QuinceScalePlan QuinceScalePlan;
@@ -46,20 +46,23 @@
 QuinceScalePlan *quince_scale_plan_new (void);
 void quince_scale_plan_free (QuinceScalePlan *plan);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (QuinceScalePlan, quince_scale_plan_free)
+/* Releases the fields of @order. */
 void quince_scale_order_clear (QuinceScaleOrder *order);
 
-/* This process orders from now on.  What another one ordered may not be listed yet: nothing is ordered until
- * it must be. */
+/* This process orders from now on.  Workers that a former leader ordered may not be listed yet, so nothing is
+ * ordered for the time in which they must be (the time of a start and QUINCE_SCALE_LISTING_US). */
 void quince_scale_plan_lead (QuinceScalePlan *plan, gint64 now_us);
 
 /**
  * quince_scale_plan_step:
- * @zones: (element-type QuinceZoneStrength)
- * @needed: workers that the service's open work takes to end in time; 0: none, or not known
- * @order: (out) (nullable): %NULL: it is only looked; owned by the caller where %TRUE is returned
+ * @service: with its bounds, prices and time of a start; its scaling is set
+ * @zones: (element-type QuinceZoneWorkers)
+ * @needed: workers that the service's open work needs to end in time; 0: none, or not known
+ * @order: (out) (nullable): %NULL: only updates the counts; to be cleared by the caller where %TRUE is
+ * returned
  *
- * Returns: whether there is an order to be given now; quince_scale_plan_order_ended() tells how it ended, and
- * no other one is asked for before
+ * Returns: whether @order is to be given now.  The caller says by quince_scale_plan_order_ended() how it
+ * ended, and passes %NULL until then
  */
 gboolean quince_scale_plan_step (QuinceScalePlan *plan,
                                  gint64 now_us,
@@ -72,11 +75,18 @@
                                     const char *service,
                                     const QuinceScaleOrder *order,
                                     QuinceScaleOutcome outcome);
-/* Of a worker's places, the part that open work of @work_us keeps taken if it is to end in time, @age_us
- * after it was asked for where @due_us are allowed; all of one where it is late, or where not all is known
- * (0). */
+/**
+ * quince_scale_slots_needed:
+ * @work_us: work that is left; 0: not known
+ * @age_us: time since it was submitted
+ * @due_us: time from its submission in which it is due; 0: not known
+ *
+ * Returns: the share of one worker's slot, 0 to 1, that ends the work in time; 1 where it is late or where
+ * something isn't known
+ */
 double quince_scale_slots_needed (gint64 work_us, gint64 age_us, gint64 due_us);
-/* Workers of @service that stood there and do not serve now; 0 also where that is not known. */
+/* Returns: how many initial workers of @service don't serve now; 0 also while the initial ones aren't known
+ */
 guint quince_scale_plan_get_lost (const QuinceScalePlan *plan, const char *service);
 
 G_END_DECLS
--- a/lib/core/usage/agreed-clock.c
+++ b/lib/core/usage/agreed-clock.c
@@ -1,27 +1,28 @@
 /*
- * agreed-clock.c: the median of what machines tell of their wall clocks.
+ * agreed-clock.c: a wall clock that a minority of wrong clocks does not move.
  */
 #include "core/usage/agreed-clock.h"
 
-/* A clock that was not told for so long is left out: wall clocks drift slowly, but machines are replaced. */
-#define VOICE_MAX_MS 30000
+/* Reports older than this are left out, ms: wall clocks drift slowly, but machines are replaced.  Not
+ * measured. */
+#define REPORT_AGE_MAX_MS 30000
 
 typedef struct
 {
   gint64 reported_ms; /* monotonic */
   gint64 offset_ms;   /* wall clock less monotonic clock */
-} Voice;
+} ClockReport;
 
 struct _QuinceAgreedClock
 {
-  GHashTable *voices; /* source (guint64) to Voice, both owned */
+  GHashTable *reports; /* source (guint64) to ClockReport, both owned */
 };
 
 QuinceAgreedClock *
 quince_agreed_clock_new (void)
 {
   QuinceAgreedClock *clock = g_new0 (QuinceAgreedClock, 1);
-  clock->voices = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, g_free);
+  clock->reports = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, g_free);
   return clock;
 }
 
@@ -30,15 +31,16 @@
 {
   if (clock == NULL)
     return;
-  g_hash_table_unref (clock->voices);
+  g_hash_table_unref (clock->reports);
   g_free (clock);
 }
 
 void
 quince_agreed_clock_note (QuinceAgreedClock *clock, guint64 source, gint64 monotonic_ms, gint64 wall_ms)
 {
-  const Voice voice = { .reported_ms = monotonic_ms, .offset_ms = wall_ms - monotonic_ms };
-  g_hash_table_replace (clock->voices, g_memdup2 (&source, sizeof source), g_memdup2 (&voice, sizeof voice));
+  const ClockReport report = { .reported_ms = monotonic_ms, .offset_ms = wall_ms - monotonic_ms };
+  g_hash_table_replace (clock->reports, g_memdup2 (&source, sizeof source),
+                        g_memdup2 (&report, sizeof report));
 }
 
 static gint
@@ -57,14 +59,14 @@
   g_array_append_val (offsets, own_offset_ms);
   GHashTableIter iter;
   gpointer value;
-  g_hash_table_iter_init (&iter, clock->voices);
+  g_hash_table_iter_init (&iter, clock->reports);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
-      const Voice *voice = value;
-      if (monotonic_ms - voice->reported_ms > VOICE_MAX_MS)
+      const ClockReport *report = value;
+      if (monotonic_ms - report->reported_ms > REPORT_AGE_MAX_MS)
         g_hash_table_iter_remove (&iter);
       else
-        g_array_append_val (offsets, voice->offset_ms);
+        g_array_append_val (offsets, report->offset_ms);
     }
   g_array_sort (offsets, compare_offsets);
   return monotonic_ms + g_array_index (offsets, gint64, (offsets->len - 1) / 2);
--- a/lib/core/usage/agreed-clock.h
+++ b/lib/core/usage/agreed-clock.h
@@ -1,7 +1,8 @@
 /*
- * agreed-clock.h: a wall clock that a minority of wrong clocks does not move.
+ * agreed-clock.h: a wall clock that a minority of wrong clocks does not move: the median of those that
+ * machines reported lately.
  *
- * Machines tell their wall clocks; the median of what they told lately counts.  Pure: times in milliseconds.
+ * Owns the last report of each machine.  Pure: times are arguments, ms.
  */
 #pragma once
 
@@ -14,10 +15,11 @@
 QuinceAgreedClock *quince_agreed_clock_new (void);
 void quince_agreed_clock_free (QuinceAgreedClock *clock);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (QuinceAgreedClock, quince_agreed_clock_free)
-/* @source: names the machine or process; @wall_ms: its wall clock at @monotonic_ms of this process */
+/* A machine reported its wall clock.  @source: identifies its process; @wall_ms: since 1970, at @monotonic_ms
+ * of this process */
 void quince_agreed_clock_note (QuinceAgreedClock *clock, guint64 source, gint64 monotonic_ms, gint64 wall_ms);
-/* The agreed wall clock at @monotonic_ms; @own_wall_ms: of this machine, which is one voice and counts alone
- * where no other was heard lately. */
+/* Returns: the agreed wall clock at @monotonic_ms, since 1970.  @own_wall_ms: of this machine, which is one
+ * of those compared and the only one while no other was reported lately */
 gint64 quince_agreed_clock_get (QuinceAgreedClock *clock, gint64 monotonic_ms, gint64 own_wall_ms);
 
 G_END_DECLS
--- a/lib/core/usage/usage-book.c
+++ b/lib/core/usage/usage-book.c
@@ -1,5 +1,5 @@
 /*
- * usage-book.c: events, closed windows and acknowledged reports.
+ * usage-book.c: how many requests of each tenant began in each usage window, and which windows are reported.
  */
 #include "core/usage/usage-book.h"
 
@@ -12,7 +12,7 @@
   GHashTable *counts; /* tenant, owned, to GUINT: requests */
 } OpenWindow;
 
-/* A record of the log that still counts, and the last window that it speaks of. */
+/* A record of the log that is still needed, and the last window that it concerns. */
 typedef struct
 {
   guint64 index;
@@ -99,7 +99,7 @@
   g_hash_table_replace (counts, g_strdup (event->tenant), GUINT_TO_POINTER (count + 1));
 }
 
-/* Returns: the last window that the events speak of. */
+/* Returns: the last window that the events fall into */
 static guint64
 apply_events (QuinceUsageBook *book, const QuinceUsageEvents *events)
 {
@@ -135,7 +135,7 @@
 apply_closed (QuinceUsageBook *book, const QuinceUsageWindow *closed)
 {
   if (closed->window <= book->closed_up_to)
-    return; /* the first record of a window counts */
+    return; /* two leaders may close it: the first record counts */
   book->closed_up_to = closed->window;
   while (book->open->len > 0 && ((OpenWindow *)book->open->pdata[0])->number <= closed->window)
     g_ptr_array_remove_index (book->open, 0);
@@ -179,7 +179,7 @@
   return sequence != NULL ? *sequence : 0;
 }
 
-/* ---- What is to be done ------------------------------------------------ */
+/* ---- Windows to close and to report ------------------------------------- */
 
 static gint
 compare_counts (gconstpointer a, gconstpointer b)
@@ -230,8 +230,9 @@
 {
   GArray *indexes = g_array_new (FALSE, FALSE, sizeof (guint64));
   const QuinceUsageWindow *unsent = quince_usage_book_next_to_send (book);
-  /* The last closing stays, or old windows would open again, and so does what tells that it was sent: both go
-   * in one step, or another leader would find a closed window that was never sent. */
+  /* The record that closed the last window stays, or events would open older windows again; so does the one
+   * that says that it was sent.  Both go in one step: otherwise another leader might find a closed window
+   * that was never sent. */
   guint64 needed_from = unsent != NULL ? MIN (unsent->window, book->closed_up_to) : book->closed_up_to;
   for (guint i = book->records->len; i > 0; i--)
     {
--- a/lib/core/usage/usage-book.h
+++ b/lib/core/usage/usage-book.h
@@ -1,11 +1,12 @@
 /*
- * usage-book.h: which requests of each tenant began in which window of time, and what is reported of it.
+ * usage-book.h: how many requests of each tenant began in each usage window, and which windows are reported.
  *
- * The book is what the ledger's committed records say, so each leader has the same one.  Pure: time is an
- * argument, in milliseconds of the wall clock that machines agree on (agreed-clock.h).
+ * The book is computed from the ledger's committed records alone, so each leader has the same one.  Windows
+ * are closed in the order of their numbers; events of a closed window that come later are ignored, so that
+ * its report, repeated until it is acknowledged, is always the same.
  *
- * Windows are closed in the order of their numbers.  What is told of a closed window later changes nothing:
- * its counts are what is reported, again and again until the report is acknowledged.
+ * Owns the counts and what it needs to know of the records.  Pure: time is an argument, ms of the agreed
+ * clock (agreed-clock.h).
  */
 #pragma once
 
@@ -15,26 +16,29 @@
 
 typedef struct _QuinceUsageBook QuinceUsageBook;
 
-/* @window_ms: length of a window; window k begins k times that after the start of 1970 */
+/* @window_ms: length of a window; window k begins at k * @window_ms since 1970 */
 QuinceUsageBook *quince_usage_book_new (guint64 window_ms);
 void quince_usage_book_free (QuinceUsageBook *book);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (QuinceUsageBook, quince_usage_book_free)
 
-/* Takes in a committed record of one of the kinds USAGE, USAGE_CLOSED and USAGE_SENT. */
+/* Applies a committed record of one of the kinds USAGE, USAGE_CLOSED and USAGE_SENT, in the order of the log.
+ * @index: in the log */
 void quince_usage_book_apply (QuinceUsageBook *book, guint64 index, const QuinceBatchRecord *record);
-/* The greatest sequence of @source that is committed; 0: none. */
+/* Returns: the greatest sequence of @source in a committed record; 0: none */
 guint64 quince_usage_book_get_sequence (const QuinceUsageBook *book, guint64 source);
 
 /**
  * quince_usage_book_next_to_close:
- * @delay_ms: how long after the end of a window its events may still come
+ * @now_ms: agreed clock
+ * @delay_ms: how long after the end of a window its events may still arrive
  *
  * Returns: (transfer full) (nullable): the oldest window that is over and has events, with its counts
  */
 QuinceUsageWindow *quince_usage_book_next_to_close (QuinceUsageBook *book, guint64 now_ms, guint64 delay_ms);
-/* (transfer none) (nullable): the oldest closed window whose report is not acknowledged. */
+/* Returns: (transfer none) (nullable): the oldest closed window whose report is not acknowledged */
 const QuinceUsageWindow *quince_usage_book_next_to_send (const QuinceUsageBook *book);
-/* (transfer full): indexes (guint64) of records that nobody needs any more; each is told once. */
+/* Returns: (transfer full) (element-type guint64): indexes of records that no replica needs any more; each is
+ * returned once */
 GArray *quince_usage_book_take_forgettable (QuinceUsageBook *book);
 
 void quince_usage_window_free (QuinceUsageWindow *window);
--- a/tests/unit/test-scale-plan.c
+++ b/tests/unit/test-scale-plan.c
@@ -22,7 +22,7 @@
   QuinceService *service;
   gint64 now_us;
   guint usual[ZONES];
-  guint may_go[ZONES];
+  guint spot[ZONES];
   gboolean evacuated[ZONES];
   guint needed;
   gboolean none_there[ZONES];
@@ -89,7 +89,7 @@
 {
   guint count = 0;
   for (guint i = 0; i < ZONES; i++)
-    count += world->evacuated[i] ? 0 : world->usual[i] + world->may_go[i];
+    count += world->evacuated[i] ? 0 : world->usual[i] + world->spot[i];
   return count;
 }
 
@@ -134,12 +134,12 @@
 {
   world->now_us += STEP_US;
   bring (world);
-  g_autoptr (GArray) zones = g_array_new (FALSE, TRUE, sizeof (QuinceZoneStrength));
+  g_autoptr (GArray) zones = g_array_new (FALSE, TRUE, sizeof (QuinceZoneWorkers));
   for (guint i = 0; i < ZONES; i++)
     {
-      QuinceZoneStrength zone = { .zone = names[i], .evacuated = world->evacuated[i] };
-      zone.serving = world->evacuated[i] ? 0 : world->usual[i] + world->may_go[i];
-      zone.may_go = world->evacuated[i] ? 0 : world->may_go[i];
+      QuinceZoneWorkers zone = { .zone = names[i], .evacuated = world->evacuated[i] };
+      zone.serving = world->evacuated[i] ? 0 : world->usual[i] + world->spot[i];
+      zone.spot = world->evacuated[i] ? 0 : world->spot[i];
       g_array_append_val (zones, zone);
     }
   assert_false (quince_scale_plan_step (world->heir, world->now_us, world->service, zones, 0, NULL));
@@ -291,7 +291,7 @@
   for (guint i = 0; i < ZONES; i++)
     {
       world->usual[i] = STOOD - 6;
-      world->may_go[i] = 6;
+      world->spot[i] = 6;
     }
   run (world, 10);
   assert_int_equal (world->orders, 0);
@@ -320,13 +320,13 @@
 {
   World *world = mixed_world ();
   for (guint i = 0; i < ZONES; i++)
-    world->may_go[i] = 0;
+    world->spot[i] = 0;
   run (world, 15);
   assert_int_equal (world->orders, 1);
   assert_int_equal (serving (world), ZONES * STOOD);
   assert_int_equal (world->usual[0], STOOD - 6 + 3 * 6);
   for (guint i = 0; i < ZONES; i++)
-    world->may_go[i] = 6;
+    world->spot[i] = 6;
   run (world, 60);
   assert_int_equal (serving (world), ZONES * STOOD);
   assert_int_equal (world->usual[0], STOOD - 6);
@@ -450,7 +450,7 @@
           world->usual[zone] -= MIN (world->usual[zone], crashed);
           break;
         case 2:
-          world->may_go[zone] = crashed;
+          world->spot[zone] = crashed;
           break;
         case 3:
           world->none_there[zone] = !world->none_there[zone];
