--- a/daemons/front/caller-connection.h
+++ b/daemons/front/caller-connection.h
@@ -22,7 +22,7 @@
   QUINCE_LISTEN_KINDS,     /* how many there are */
 } QuinceListenKind;
 
-/* @connection is about to be released, whoever ended it. */
+/* @connection is about to be released, by either side. */
 typedef void (*QuinceCallerConnectionClosed) (QuinceCallerConnection *connection, gpointer user_data);
 
 /**
--- a/daemons/front/directory.c
+++ b/daemons/front/directory.c
@@ -1,5 +1,5 @@
 /*
- * directory.c: which fronts callers are told to use.
+ * directory.c: the fronts that callers may use.
  *
  * A front whose key disappears while it was serving may only have lost its lease in an outage of the store,
  * so it is named for a while longer; a front that is leaving is removed at once.  A front that answers no
--- a/daemons/front/directory.h
+++ b/daemons/front/directory.h
@@ -1,5 +1,5 @@
 /*
- * directory.h: which fronts callers are told to use.
+ * directory.h: the fronts that callers may use.
  *
  * Owns the list of fronts, from their keys in the metadata store, and the set of fronts that answer no
  * heartbeat of the ledger's leader.  Relies on the topology for distances.  The caller passes the time.
--- a/daemons/front/front-context.h
+++ b/daemons/front/front-context.h
@@ -21,7 +21,7 @@
  * @observer: configuration in force, as read from the metadata store
  * @ledger: link to the ledger's leader, for calls about batches
  * @usage: counts requests of tenants
- * @directory: fronts that callers are told to use
+ * @directory: fronts that callers may use
  * @replica_zones: zones of the machines that keep the ledger
  * @splits: turns of the services of split routes
  * @directory_keep_s: how long callers may keep an answer of the directory, s
--- a/daemons/front/front.c
+++ b/daemons/front/front.c
@@ -165,7 +165,7 @@
 
 /* ---- Suspension --------------------------------------------------------- */
 
-/* The process was suspended: what it was told before may be outdated, and connections may have been closed by
+/* The process was suspended: what it knows may be outdated, and connections may have been closed by
  * the other side without a sign of it here. */
 static void
 resumed (gint64 away_us, gpointer data)
--- a/daemons/front/leader-search.c
+++ b/daemons/front/leader-search.c
@@ -13,8 +13,8 @@
 /* Time from one question to the next at first, ms: of five members the two that surely know the leader are
  * found within 0.75 s. */
 #define ASK_FIRST_MS 250
-/* Longest time between two questions, ms; each question without news makes it longer by half.  A hundred
- * fronts then ask a ledger without a leader a hundred times a second in all. */
+/* Longest time between two questions, ms; each question without a newer leader makes it longer by half.  A
+ * hundred fronts then ask a ledger without a leader a hundred times a second in all. */
 #define ASK_MAX_MS 1000
 
 struct _QuinceLeaderSearch
@@ -46,9 +46,9 @@
   if (link == search->link && message->kind == QUINCE_MESSAGE_LEDGER_LEAD)
     {
       const QuinceLedgerLead *lead = &message->QuinceMessage_u.ledger_lead;
-      gboolean news = lead->view.epoch > search->view->epoch;
+      gboolean newer = lead->view.epoch > search->view->epoch;
       drop_link (search);
-      if (news)
+      if (newer)
         {
           quince_log_info ("ledger_lead_told", "epoch=%" G_GUINT64_FORMAT, (guint64)lead->view.epoch);
           search->found (&lead->view, search->user_data);
--- a/daemons/front/quarantine-client.c
+++ b/daemons/front/quarantine-client.c
@@ -50,7 +50,7 @@
 /* ---- Permits, requested by the guard ------------------------------------- */
 
 static gboolean
-ask (const QuinceRequestDigest *digest, const char *service, gboolean alone, gpointer data)
+request_permit (const QuinceRequestDigest *digest, const char *service, gboolean alone, gpointer data)
 {
   QuinceQuarantineClient *client = data;
   if (!is_reached (client))
@@ -65,7 +65,7 @@
 }
 
 static void
-give_back (const QuinceRequestDigest *digest, gpointer data)
+return_permit (const QuinceRequestDigest *digest, gpointer data)
 {
   QuinceQuarantineClient *client = data;
   if (!is_linked (client))
@@ -155,7 +155,7 @@
 }
 
 static const QuinceSendGuardCallbacks guard_callbacks
-    = { .ask = ask, .give_back = give_back, .ended = ended, .cleared = cleared };
+    = { .ask = request_permit, .give_back = return_permit, .ended = ended, .cleared = cleared };
 
 /* ---- Life and messages ------------------------------------------------------ */
 
@@ -235,9 +235,9 @@
     return FALSE;
   gint64 now = quince_now_us ();
   g_autoptr (GArray) changed = g_array_new (FALSE, FALSE, sizeof (QuinceRequestDigest));
-  g_autoptr (GArray) gone = g_array_new (FALSE, FALSE, sizeof (QuinceSuspectCleared));
+  g_autoptr (GArray) cleared_suspects = g_array_new (FALSE, FALSE, sizeof (QuinceSuspectCleared));
   quince_suspect_news_take (quince_send_guard_get_quarantine (client->guard), now,
-                            &message->QuinceMessage_u.suspect_news, changed, gone);
+                            &message->QuinceMessage_u.suspect_news, changed, cleared_suspects);
   forward_reports (client, now, changed);
   return TRUE;
 }
--- a/daemons/replica/batch-service.c
+++ b/daemons/replica/batch-service.c
@@ -211,7 +211,7 @@
 }
 
 static void
-tell_allowed (QuinceBatchService *service, const GArray *items)
+send_allowed (QuinceBatchService *service, const GArray *items)
 {
   g_autoptr (GArray) allowed
       = select_allowed (service, items, quince_ledger_node_get_successor_name (service->ledger));
@@ -224,7 +224,7 @@
 }
 
 void
-quince_batch_service_tell_progress (QuinceBatchService *service)
+quince_batch_service_send_progress (QuinceBatchService *service)
 {
   if (service->runner == NULL)
     return;
@@ -237,7 +237,7 @@
   QuinceMessage message = { .kind = QUINCE_MESSAGE_PROGRESS };
   message.QuinceMessage_u.progress.items.items_val = (QuinceProgressItem *)items->data;
   message.QuinceMessage_u.progress.items.items_len = items->len;
-  tell_allowed (service, items);
+  send_allowed (service, items);
   quince_progress_file_keep (service->progress_file, &message.QuinceMessage_u.progress);
 }
 
--- a/daemons/replica/batch-service.h
+++ b/daemons/replica/batch-service.h
@@ -23,7 +23,7 @@
 /**
  * quince_batch_service_new:
  * @backends, @observer: (transfer none): of this process
- * @placement: (transfer none): is told of the demand for each model
+ * @placement: (transfer none): notes the demand for each model
  * @progress: (transfer none): texts of samples that a former leader sent to this replica
  * @keep_us: a batch that is ended, or whose samples all have a result, is forgotten this long after its
  *   submission, by the wall clock
@@ -59,7 +59,7 @@
 void quince_batch_service_take_progress (QuinceBatchService *service, const QuinceSampleProgress *progress);
 /* At the leader, a few times a second: writes what samples have so far to the progress file and sends it to
  * the successor. */
-void quince_batch_service_tell_progress (QuinceBatchService *service);
+void quince_batch_service_send_progress (QuinceBatchService *service);
 
 /* ---- Samples -------------------------------------------------------------- */
 
--- a/daemons/replica/quarantine-coordinator.c
+++ b/daemons/replica/quarantine-coordinator.c
@@ -12,29 +12,19 @@
 #include "runtime/clock.h"
 
 #include "quarantine-keys.h"
+#include "suspect-reporter.h"
 
 /* A permit expires after this time, us, so that others can send the request when its holder died or was cut
  * off. Not measured: above the deadlines of lookups (0.8 to 2 s). */
 #define PERMIT_KEEP_US (3 * G_USEC_PER_SEC)
-/* Reports are collected for this time and sent together, ms.  One message for each request would make 100,000
- * when 400 requests lose their workers at once before 250 fronts (calculated).  Not measured: shorter than a
- * usual run of a lookup (25 ms). */
-#define REPORT_MS 10
 
 struct _QuinceQuarantineCoordinator
 {
   /* All fields belong to the main context. */
   QuinceSendGuard *guard;
   QuincePermits *permits;
-  char *name;
-  QuinceWorkerTable *workers;
-  QuinceLedgerNode *ledger;         /* not owned; NULL during the start */
-  guint64 informed_successor;       /* the successor that was sent all suspects; 0: none */
-  GHashTable *links;                /* QuinceLink, of the owner; NULL: not leading */
-  GHashTable *unreported;           /* QuinceRequestDigest, owned: changes not sent to all yet */
-  GHashTable *unreported_successor; /* the same, not sent to the successor yet */
-  GSource *report_timer;
-  GSource *successor_timer;
+  QuinceWorkerTable *workers; /* not owned */
+  QuinceSuspectReporter *reporter;
   QuinceQuarantineKeys *keys;
   QuinceExpectedEnds *expected; /* sends of the leader, at other replicas */
 };
@@ -45,128 +35,6 @@
   return quince_send_guard_get_quarantine (coordinator->guard);
 }
 
-/* ---- Reports to other processes -------------------------------------------- */
-
-static void
-send_to_all (const QuinceQuarantineCoordinator *coordinator, GBytes *encoded)
-{
-  if (coordinator->links == NULL || encoded == NULL)
-    return;
-  GHashTableIter iter;
-  gpointer link;
-  g_hash_table_iter_init (&iter, coordinator->links);
-  while (g_hash_table_iter_next (&iter, &link, NULL))
-    quince_link_send_bytes (link, encoded);
-}
-
-static void
-report_suspects (const QuinceQuarantineCoordinator *coordinator, const GPtrArray *suspects)
-{
-  if (suspects->len == 0)
-    return;
-  g_autoptr (GBytes) encoded = quince_suspect_news_encode (suspects, quince_now_us (), coordinator->name);
-  send_to_all (coordinator, encoded);
-}
-
-/* Returns: (transfer none) (nullable): the link to the successor */
-static QuinceLink *
-find_successor (const QuinceQuarantineCoordinator *coordinator)
-{
-  return coordinator->ledger != NULL ? quince_ledger_node_get_successor_link (coordinator->ledger) : NULL;
-}
-
-static void
-report_to_successor (const QuinceQuarantineCoordinator *coordinator, const GPtrArray *suspects)
-{
-  QuinceLink *next = find_successor (coordinator);
-  if (suspects->len == 0 || next == NULL)
-    return;
-  g_autoptr (GBytes) encoded = quince_suspect_news_encode (suspects, quince_now_us (), coordinator->name);
-  if (encoded != NULL)
-    quince_link_send_bytes (next, encoded);
-}
-
-/* Returns: (transfer container): the known suspects of the set @digests, which is emptied */
-static GPtrArray *
-take_unreported (const QuinceQuarantineCoordinator *coordinator, GHashTable *digests)
-{
-  GPtrArray *suspects = g_ptr_array_new ();
-  GHashTableIter iter;
-  gpointer digest;
-  g_hash_table_iter_init (&iter, digests);
-  while (g_hash_table_iter_next (&iter, &digest, NULL))
-    {
-      const QuinceSuspect *suspect = quince_quarantine_find (quarantine_of (coordinator), digest);
-      if (suspect != NULL)
-        g_ptr_array_add (suspects, (gpointer)suspect);
-    }
-  g_hash_table_remove_all (digests);
-  return suspects;
-}
-
-static gboolean
-report_now (gpointer data)
-{
-  QuinceQuarantineCoordinator *coordinator = data;
-  quince_source_clear (&coordinator->report_timer);
-  g_autoptr (GPtrArray) suspects = take_unreported (coordinator, coordinator->unreported);
-  report_suspects (coordinator, suspects);
-  return G_SOURCE_REMOVE;
-}
-
-static gboolean
-report_to_successor_now (gpointer data)
-{
-  QuinceQuarantineCoordinator *coordinator = data;
-  quince_source_clear (&coordinator->successor_timer);
-  g_autoptr (GPtrArray) suspects = take_unreported (coordinator, coordinator->unreported_successor);
-  report_to_successor (coordinator, suspects);
-  return G_SOURCE_REMOVE;
-}
-
-static void
-report_soon (QuinceQuarantineCoordinator *coordinator, const QuinceRequestDigest *digest)
-{
-  if (coordinator->links == NULL)
-    return;
-  g_hash_table_add (coordinator->unreported, g_memdup2 (digest, sizeof *digest));
-  if (coordinator->report_timer == NULL)
-    coordinator->report_timer = quince_timer_add (REPORT_MS, report_now, coordinator);
-}
-
-/* At the end of this turn of the main loop, together with the other runs of the same worker.  Not later: what
- * the successor doesn't know when the leader dies is sent to workers once more. */
-static void
-report_to_successor_soon (QuinceQuarantineCoordinator *coordinator, const QuinceRequestDigest *digest)
-{
-  if (coordinator->links == NULL)
-    return;
-  g_hash_table_add (coordinator->unreported_successor, g_memdup2 (digest, sizeof *digest));
-  if (coordinator->successor_timer == NULL)
-    coordinator->successor_timer = quince_timer_add (0, report_to_successor_now, coordinator);
-}
-
-static void
-report_cleared (const QuinceQuarantineCoordinator *coordinator,
-                const QuinceRequestDigest *digest,
-                QuinceSuspectScope scope)
-{
-  g_autoptr (GBytes) encoded = quince_suspect_cleared_encode (digest, scope);
-  send_to_all (coordinator, encoded);
-}
-
-/* A new successor knows nothing of requests that ended one worker. */
-static void
-report_to_new_successor (QuinceQuarantineCoordinator *coordinator, const GPtrArray *all)
-{
-  guint64 successor
-      = coordinator->ledger != NULL ? quince_ledger_node_get_successor (coordinator->ledger) : 0;
-  if (successor == coordinator->informed_successor)
-    return;
-  coordinator->informed_successor = successor;
-  report_to_successor (coordinator, all);
-}
-
 /* ---- Permits and reports, caused by the leader's own guard ------------------- */
 
 static gboolean
@@ -185,10 +53,10 @@
 }
 
 static gboolean
-ask (const QuinceRequestDigest *digest, const char *service, gboolean alone, gpointer data)
+request_permit (const QuinceRequestDigest *digest, const char *service, gboolean alone, gpointer data)
 {
   QuinceQuarantineCoordinator *coordinator = data;
-  if (coordinator->links == NULL)
+  if (!quince_suspect_reporter_is_active (coordinator->reporter))
     return FALSE;
   quince_send_guard_answer (coordinator->guard, digest,
                             take_permit (coordinator, digest, service, alone, coordinator));
@@ -196,7 +64,7 @@
 }
 
 static void
-give_back (const QuinceRequestDigest *digest, gpointer data)
+return_permit (const QuinceRequestDigest *digest, gpointer data)
 {
   QuinceQuarantineCoordinator *coordinator = data;
   quince_permits_return (coordinator->permits, digest, coordinator);
@@ -207,11 +75,7 @@
 sending (const QuinceSuspect *expected, gpointer data)
 {
   QuinceQuarantineCoordinator *coordinator = data;
-  QuinceLink *next = find_successor (coordinator);
-  g_autoptr (GBytes) encoded
-      = next != NULL ? quince_suspect_sending_encode (expected, quince_now_us (), coordinator->name) : NULL;
-  if (encoded != NULL)
-    quince_link_send_bytes (next, encoded);
+  quince_suspect_reporter_sending (coordinator->reporter, expected);
 }
 
 /* Only the leader sends samples and reward calls: fronts need no report of a single end, the successor does.
@@ -220,9 +84,9 @@
 ended (const QuinceSuspect *suspect, gpointer data)
 {
   QuinceQuarantineCoordinator *coordinator = data;
-  report_to_successor_soon (coordinator, &suspect->digest);
+  quince_suspect_reporter_changed_for_successor (coordinator->reporter, &suspect->digest);
   if (suspect->n_workers >= QUINCE_QUARANTINE_ENDS_ALONE)
-    report_soon (coordinator, &suspect->digest);
+    quince_suspect_reporter_changed (coordinator->reporter, &suspect->digest);
 }
 
 static void
@@ -230,18 +94,16 @@
 {
   QuinceQuarantineCoordinator *coordinator = data;
   if (ends >= QUINCE_QUARANTINE_ENDS_ALONE)
-    {
-      report_cleared (coordinator, digest, scope);
-      return;
-    }
-  QuinceLink *next = find_successor (coordinator);
-  g_autoptr (GBytes) encoded = next != NULL ? quince_suspect_cleared_encode (digest, scope) : NULL;
-  if (encoded != NULL)
-    quince_link_send_bytes (next, encoded);
+    quince_suspect_reporter_cleared (coordinator->reporter, digest, scope);
+  else
+    quince_suspect_reporter_cleared_for_successor (coordinator->reporter, digest, scope);
 }
 
-static const QuinceSendGuardCallbacks guard_callbacks
-    = { .ask = ask, .give_back = give_back, .sending = sending, .ended = ended, .cleared = cleared };
+static const QuinceSendGuardCallbacks guard_callbacks = { .ask = request_permit,
+                                                          .give_back = return_permit,
+                                                          .sending = sending,
+                                                          .ended = ended,
+                                                          .cleared = cleared };
 
 /* ---- Life ---------------------------------------------------------------- */
 
@@ -252,14 +114,10 @@
                                    QuinceWorkerTable *workers)
 {
   QuinceQuarantineCoordinator *coordinator = g_new0 (QuinceQuarantineCoordinator, 1);
-  coordinator->name = g_strdup (name);
   coordinator->workers = workers;
   coordinator->guard = quince_send_guard_new (limits, &guard_callbacks, coordinator);
   coordinator->permits = quince_permits_new ();
-  coordinator->unreported
-      = g_hash_table_new_full (quince_request_digest_hash, quince_request_digest_equal, g_free, NULL);
-  coordinator->unreported_successor
-      = g_hash_table_new_full (quince_request_digest_hash, quince_request_digest_equal, g_free, NULL);
+  coordinator->reporter = quince_suspect_reporter_new (quarantine_of (coordinator), name);
   coordinator->expected = quince_expected_ends_new ();
   coordinator->keys = quince_quarantine_keys_new (store, quarantine_of (coordinator));
   return coordinator;
@@ -274,11 +132,7 @@
   quince_quarantine_keys_free (coordinator->keys);
   quince_send_guard_free (coordinator->guard);
   quince_permits_free (coordinator->permits);
-  quince_source_clear (&coordinator->report_timer);
-  quince_source_clear (&coordinator->successor_timer);
-  g_hash_table_unref (coordinator->unreported);
-  g_hash_table_unref (coordinator->unreported_successor);
-  g_free (coordinator->name);
+  quince_suspect_reporter_free (coordinator->reporter);
   g_free (coordinator);
 }
 
@@ -291,14 +145,13 @@
 void
 quince_quarantine_coordinator_set_ledger (QuinceQuarantineCoordinator *coordinator, QuinceLedgerNode *ledger)
 {
-  coordinator->ledger = ledger;
+  quince_suspect_reporter_set_ledger (coordinator->reporter, ledger);
 }
 
 void
 quince_quarantine_coordinator_lead (QuinceQuarantineCoordinator *coordinator, GHashTable *links)
 {
-  coordinator->links = links;
-  coordinator->informed_successor = 0;
+  quince_suspect_reporter_set_links (coordinator->reporter, links);
   quince_permits_free (coordinator->permits);
   coordinator->permits = quince_permits_new ();
   quince_expected_ends_count (coordinator->expected, quince_now_us (), quarantine_of (coordinator));
@@ -306,30 +159,20 @@
    * each new leader would send the same item of a suspected prompt first, which says nothing new of the
    * prompt. */
   quince_quarantine_resume (quarantine_of (coordinator), quince_now_us ());
-  g_autoptr (GPtrArray) all = quince_quarantine_list (quarantine_of (coordinator));
-  report_suspects (coordinator, all);
+  quince_suspect_reporter_send_all (coordinator->reporter);
 }
 
 void
 quince_quarantine_coordinator_stop_leading (QuinceQuarantineCoordinator *coordinator)
 {
-  coordinator->links = NULL;
-  quince_source_clear (&coordinator->report_timer);
-  quince_source_clear (&coordinator->successor_timer);
-  g_hash_table_remove_all (coordinator->unreported);
-  g_hash_table_remove_all (coordinator->unreported_successor);
+  quince_suspect_reporter_set_links (coordinator->reporter, NULL);
   quince_send_guard_forget_requested (coordinator->guard);
 }
 
 void
-quince_quarantine_coordinator_add (QuinceQuarantineCoordinator *coordinator, QuinceLink *link)
+quince_quarantine_coordinator_add_link (QuinceQuarantineCoordinator *coordinator, QuinceLink *link)
 {
-  g_autoptr (GPtrArray) all = quince_quarantine_list (quarantine_of (coordinator));
-  if (coordinator->links == NULL || all->len == 0)
-    return;
-  g_autoptr (GBytes) encoded = quince_suspect_news_encode (all, quince_now_us (), coordinator->name);
-  if (encoded != NULL)
-    quince_link_send_bytes (link, encoded);
+  quince_suspect_reporter_send_all_to (coordinator->reporter, link);
 }
 
 void
@@ -341,25 +184,25 @@
 /* ---- Messages ------------------------------------------------------------ */
 
 static void
-take_sending (QuinceQuarantineCoordinator *coordinator, const QuinceSuspectReports *news)
+take_sending (QuinceQuarantineCoordinator *coordinator, const QuinceSuspectReports *reports)
 {
   gint64 now = quince_now_us ();
-  for (guint i = 0; i < news->suspects.suspects_len; i++)
+  for (guint i = 0; i < reports->suspects.suspects_len; i++)
     {
       QuinceSuspect expected;
-      quince_suspect_read (&news->suspects.suspects_val[i], now, &expected);
+      quince_suspect_read (&reports->suspects.suspects_val[i], now, &expected);
       quince_expected_ends_add (coordinator->expected, now, &expected);
     }
 }
 
 /* The outcome of a send is known, so no end is expected of it. */
 static void
-forget_expected (QuinceQuarantineCoordinator *coordinator, const QuinceSuspectReports *news)
+forget_expected (QuinceQuarantineCoordinator *coordinator, const QuinceSuspectReports *reports)
 {
-  for (guint i = 0; i < news->suspects.suspects_len; i++)
+  for (guint i = 0; i < reports->suspects.suspects_len; i++)
     {
       QuinceRequestDigest digest;
-      memcpy (digest.bytes, news->suspects.suspects_val[i].digest, sizeof digest.bytes);
+      memcpy (digest.bytes, reports->suspects.suspects_val[i].digest, sizeof digest.bytes);
       quince_expected_ends_remove (coordinator->expected, &digest);
     }
 }
@@ -371,28 +214,29 @@
     {
       const QuinceRequestDigest *digest = &g_array_index (changed, QuinceRequestDigest, i);
       quince_send_guard_note_report (coordinator->guard, now_us, digest);
-      report_soon (coordinator, digest);
+      quince_suspect_reporter_changed (coordinator->reporter, digest);
     }
 }
 
 static void
-take_news (QuinceQuarantineCoordinator *coordinator, const QuinceSuspectReports *news)
+take_reports (QuinceQuarantineCoordinator *coordinator, const QuinceSuspectReports *reports)
 {
-  forget_expected (coordinator, news);
+  forget_expected (coordinator, reports);
   g_autoptr (GArray) changed = g_array_new (FALSE, FALSE, sizeof (QuinceRequestDigest));
-  g_autoptr (GArray) gone = g_array_new (FALSE, FALSE, sizeof (QuinceSuspectCleared));
+  g_autoptr (GArray) cleared_suspects = g_array_new (FALSE, FALSE, sizeof (QuinceSuspectCleared));
   gint64 now = quince_now_us ();
-  quince_suspect_news_take (quarantine_of (coordinator), now, news, changed, gone);
+  quince_suspect_news_take (quarantine_of (coordinator), now, reports, changed, cleared_suspects);
   forward_reports (coordinator, now, changed);
-  for (guint i = 0; coordinator->links != NULL && i < gone->len; i++)
+  for (guint i = 0; quince_suspect_reporter_is_active (coordinator->reporter) && i < cleared_suspects->len;
+       i++)
     {
-      const QuinceSuspectCleared *one = &g_array_index (gone, QuinceSuspectCleared, i);
-      report_cleared (coordinator, &one->digest, one->scope);
+      const QuinceSuspectCleared *one = &g_array_index (cleared_suspects, QuinceSuspectCleared, i);
+      quince_suspect_reporter_cleared (coordinator->reporter, &one->digest, one->scope);
     }
 }
 
 static void
-answer_ask (QuinceQuarantineCoordinator *coordinator, QuinceLink *link, const QuincePermitAsk *wanted)
+answer_permit_ask (QuinceQuarantineCoordinator *coordinator, QuinceLink *link, const QuincePermitAsk *wanted)
 {
   QuinceRequestDigest digest;
   memcpy (digest.bytes, wanted->digest, sizeof digest.bytes);
@@ -402,7 +246,7 @@
   QuinceMessage message = { .kind = QUINCE_MESSAGE_PERMIT_ANSWER };
   QuincePermitAnswer *answer = &message.QuinceMessage_u.permit_answer;
   memcpy (answer->digest, wanted->digest, sizeof answer->digest);
-  answer->given = coordinator->links != NULL && known
+  answer->given = quince_suspect_reporter_is_active (coordinator->reporter) && known
                   && take_permit (coordinator, &digest, wanted->service, wanted->alone, link);
   quince_link_send (link, &message);
 }
@@ -416,13 +260,13 @@
   switch (message->kind)
     {
     case QUINCE_MESSAGE_SUSPECT_NEWS:
-      take_news (coordinator, &message->QuinceMessage_u.suspect_news);
+      take_reports (coordinator, &message->QuinceMessage_u.suspect_news);
       return TRUE;
     case QUINCE_MESSAGE_SUSPECT_SENDING:
       take_sending (coordinator, &message->QuinceMessage_u.suspect_sending);
       return TRUE;
     case QUINCE_MESSAGE_PERMIT_ASK:
-      answer_ask (coordinator, link, &message->QuinceMessage_u.permit_ask);
+      answer_permit_ask (coordinator, link, &message->QuinceMessage_u.permit_ask);
       return TRUE;
     case QUINCE_MESSAGE_PERMIT_BACK:
       memcpy (digest.bytes, message->QuinceMessage_u.permit_back.digest, sizeof digest.bytes);
@@ -479,7 +323,7 @@
 {
   gint64 now = quince_now_us ();
   quince_quarantine_expire (quarantine_of (coordinator), now);
-  if (coordinator->links == NULL)
+  if (!quince_suspect_reporter_is_active (coordinator->reporter))
     return;
   g_autoptr (GPtrArray) all = quince_quarantine_list (quarantine_of (coordinator));
   for (guint i = 0; i < all->len; i++)
@@ -490,8 +334,8 @@
       g_autofree char *digest = quince_request_digest_format (&suspect->digest);
       quince_log_info ("suspect_released", "digest=%s", digest);
       quince_quarantine_release (quarantine_of (coordinator), now, &suspect->digest);
-      report_soon (coordinator, &suspect->digest);
+      quince_suspect_reporter_changed (coordinator->reporter, &suspect->digest);
     }
-  report_to_new_successor (coordinator, all);
+  quince_suspect_reporter_step (coordinator->reporter, all);
   quince_quarantine_keys_save (coordinator->keys, all);
 }
--- a/daemons/replica/quarantine-coordinator.h
+++ b/daemons/replica/quarantine-coordinator.h
@@ -7,7 +7,7 @@
  * them can lead at once.
  *
  * Owns the send guard with its quarantine, the permits, the ends expected from the leader's own sends, and
- * the timers of reports that are sent in batches.
+ * the reporter (suspect-reporter.h).
  */
 #pragma once
 
@@ -36,7 +36,7 @@
 void quince_quarantine_coordinator_lead (QuinceQuarantineCoordinator *coordinator, GHashTable *links);
 void quince_quarantine_coordinator_stop_leading (QuinceQuarantineCoordinator *coordinator);
 /* @link was added to the set: sends it what is known. */
-void quince_quarantine_coordinator_add (QuinceQuarantineCoordinator *coordinator, QuinceLink *link);
+void quince_quarantine_coordinator_add_link (QuinceQuarantineCoordinator *coordinator, QuinceLink *link);
 /* The permits that were granted on @link are taken back. */
 void quince_quarantine_coordinator_link_closed (QuinceQuarantineCoordinator *coordinator, QuinceLink *link);
 /* Returns: whether @message is one of the quarantine's, and was taken */
--- a/daemons/replica/replica-leadership.c
+++ b/daemons/replica/replica-leadership.c
@@ -122,7 +122,7 @@
   g_hash_table_replace (leadership->subscribers, quince_link_ref (link), subscribe_copy (subscribe));
   if (leadership->feed != NULL)
     quince_store_feed_add (leadership->feed, link, subscribe);
-  quince_quarantine_coordinator_add (leadership->parts->quarantine, link);
+  quince_quarantine_coordinator_add_link (leadership->parts->quarantine, link);
 }
 
 void
--- a/daemons/replica/replica-leadership.h
+++ b/daemons/replica/replica-leadership.h
@@ -3,7 +3,7 @@
  *
  * Owns the weight orders and the store feed of the leader, and the set of links whose processes subscribed to
  * the feed; the set is kept while another replica leads too, since this one may lead a moment later.  Relies
- * on the other parts, which it tells in a fixed order that the lead begins and ends.
+ * on the other parts, which begin and end their part of the lead in a fixed order.
  */
 #pragma once
 
--- a/daemons/replica/replica.c
+++ b/daemons/replica/replica.c
@@ -30,7 +30,7 @@
 step (gpointer data)
 {
   const QuinceReplicaParts *parts = data;
-  quince_batch_service_tell_progress (parts->batches);
+  quince_batch_service_send_progress (parts->batches);
   quince_replica_leadership_step_residency (parts->leadership);
   if (parts->usage != NULL)
     quince_usage_collector_step (parts->usage);
@@ -43,7 +43,7 @@
   return G_SOURCE_CONTINUE;
 }
 
-/* The process was suspended: what it was told before may be outdated, and connections may have been closed by
+/* The process was suspended: what it knows may be outdated, and connections may have been closed by
  * the other side without a sign of it here. */
 static void
 resumed (gint64 away_us, gpointer data)
--- /dev/null
+++ b/daemons/replica/suspect-reporter.c
@@ -0,0 +1,262 @@
+/*
+ * suspect-reporter.c: sends what the leader knows of suspects to the other processes.
+ */
+#include "suspect-reporter.h"
+
+#include "forward/suspect-message.h"
+#include "runtime/clock.h"
+
+/* Changes are collected for this time and sent together to all, ms.  One message for each request would make
+ * 100,000 when 400 requests lose their workers at once before 250 fronts (calculated).  Not measured: shorter
+ * than a usual run of a lookup (25 ms). */
+#define REPORT_MS 10
+/* The same for the successor, ms: the end of this turn of the main loop. */
+#define SUCCESSOR_REPORT_MS 0
+
+/* Changes that were not sent to one receiver yet. */
+typedef struct
+{
+  QuinceSuspectReporter *reporter;
+  GHashTable *digests; /* QuinceRequestDigest, owned */
+  GSource *timer;      /* NULL: none */
+  guint delay_ms;      /* from the first change to the message */
+  void (*send) (QuinceSuspectReporter *reporter, GBytes *encoded);
+} Queue;
+
+struct _QuinceSuspectReporter
+{
+  /* All fields belong to the main context. */
+  const QuinceQuarantine *quarantine;
+  char *name;
+  QuinceLedgerNode *ledger;   /* not owned; NULL during the start */
+  GHashTable *links;          /* QuinceLink, of the owner; NULL: not leading */
+  guint64 informed_successor; /* the successor that was sent all suspects; 0: none */
+  Queue all;
+  Queue successor;
+};
+
+/* ---- Receivers ------------------------------------------------------------ */
+
+static void
+send_to_all (QuinceSuspectReporter *reporter, GBytes *encoded)
+{
+  if (reporter->links == NULL || encoded == NULL)
+    return;
+  GHashTableIter iter;
+  gpointer link;
+  g_hash_table_iter_init (&iter, reporter->links);
+  while (g_hash_table_iter_next (&iter, &link, NULL))
+    quince_link_send_bytes (link, encoded);
+}
+
+/* Returns: (transfer none) (nullable) */
+static QuinceLink *
+find_successor (const QuinceSuspectReporter *reporter)
+{
+  return reporter->ledger != NULL ? quince_ledger_node_get_successor_link (reporter->ledger) : NULL;
+}
+
+static void
+send_to_successor (QuinceSuspectReporter *reporter, GBytes *encoded)
+{
+  QuinceLink *successor = find_successor (reporter);
+  if (successor != NULL && encoded != NULL)
+    quince_link_send_bytes (successor, encoded);
+}
+
+/* Returns: (transfer full) (nullable): a message with @suspects (QuinceSuspect); %NULL where there are none
+ */
+static GBytes *
+encode_suspects (const QuinceSuspectReporter *reporter, const GPtrArray *suspects)
+{
+  return suspects->len > 0 ? quince_suspect_news_encode (suspects, quince_now_us (), reporter->name) : NULL;
+}
+
+/* ---- Queues ---------------------------------------------------------------- */
+
+static void
+queue_init (Queue *queue,
+            QuinceSuspectReporter *reporter,
+            guint delay_ms,
+            void (*send) (QuinceSuspectReporter *reporter, GBytes *encoded))
+{
+  queue->reporter = reporter;
+  queue->delay_ms = delay_ms;
+  queue->send = send;
+  queue->digests
+      = g_hash_table_new_full (quince_request_digest_hash, quince_request_digest_equal, g_free, NULL);
+}
+
+static void
+queue_empty (Queue *queue)
+{
+  quince_source_clear (&queue->timer);
+  g_hash_table_remove_all (queue->digests);
+}
+
+static void
+queue_clear (Queue *queue)
+{
+  quince_source_clear (&queue->timer);
+  g_hash_table_unref (queue->digests);
+}
+
+/* Returns: (transfer container) (element-type QuinceSuspect): the queued suspects that are still known */
+static GPtrArray *
+queue_list (const Queue *queue)
+{
+  GPtrArray *suspects = g_ptr_array_new ();
+  GHashTableIter iter;
+  gpointer digest;
+  g_hash_table_iter_init (&iter, queue->digests);
+  while (g_hash_table_iter_next (&iter, &digest, NULL))
+    {
+      const QuinceSuspect *suspect = quince_quarantine_find (queue->reporter->quarantine, digest);
+      if (suspect != NULL)
+        g_ptr_array_add (suspects, (gpointer)suspect);
+    }
+  return suspects;
+}
+
+static gboolean
+queue_send (gpointer data)
+{
+  Queue *queue = data;
+  g_autoptr (GPtrArray) suspects = queue_list (queue);
+  queue_empty (queue);
+  g_autoptr (GBytes) encoded = encode_suspects (queue->reporter, suspects);
+  queue->send (queue->reporter, encoded);
+  return G_SOURCE_REMOVE;
+}
+
+static void
+queue_add (Queue *queue, const QuinceRequestDigest *digest)
+{
+  if (!quince_suspect_reporter_is_active (queue->reporter))
+    return;
+  g_hash_table_add (queue->digests, g_memdup2 (digest, sizeof *digest));
+  if (queue->timer == NULL)
+    queue->timer = quince_timer_add (queue->delay_ms, queue_send, queue);
+}
+
+/* ---- Reports ----------------------------------------------------------------- */
+
+void
+quince_suspect_reporter_changed (QuinceSuspectReporter *reporter, const QuinceRequestDigest *digest)
+{
+  queue_add (&reporter->all, digest);
+}
+
+void
+quince_suspect_reporter_changed_for_successor (QuinceSuspectReporter *reporter,
+                                               const QuinceRequestDigest *digest)
+{
+  queue_add (&reporter->successor, digest);
+}
+
+void
+quince_suspect_reporter_cleared (QuinceSuspectReporter *reporter,
+                                 const QuinceRequestDigest *digest,
+                                 QuinceSuspectScope scope)
+{
+  g_autoptr (GBytes) encoded = quince_suspect_cleared_encode (digest, scope);
+  send_to_all (reporter, encoded);
+}
+
+void
+quince_suspect_reporter_cleared_for_successor (QuinceSuspectReporter *reporter,
+                                               const QuinceRequestDigest *digest,
+                                               QuinceSuspectScope scope)
+{
+  if (find_successor (reporter) == NULL)
+    return;
+  g_autoptr (GBytes) encoded = quince_suspect_cleared_encode (digest, scope);
+  send_to_successor (reporter, encoded);
+}
+
+void
+quince_suspect_reporter_sending (QuinceSuspectReporter *reporter, const QuinceSuspect *expected)
+{
+  if (find_successor (reporter) == NULL)
+    return;
+  g_autoptr (GBytes) encoded = quince_suspect_sending_encode (expected, quince_now_us (), reporter->name);
+  send_to_successor (reporter, encoded);
+}
+
+void
+quince_suspect_reporter_send_all (QuinceSuspectReporter *reporter)
+{
+  g_autoptr (GPtrArray) all = quince_quarantine_list (reporter->quarantine);
+  g_autoptr (GBytes) encoded = encode_suspects (reporter, all);
+  send_to_all (reporter, encoded);
+}
+
+void
+quince_suspect_reporter_send_all_to (QuinceSuspectReporter *reporter, QuinceLink *link)
+{
+  if (!quince_suspect_reporter_is_active (reporter))
+    return;
+  g_autoptr (GPtrArray) all = quince_quarantine_list (reporter->quarantine);
+  g_autoptr (GBytes) encoded = encode_suspects (reporter, all);
+  if (encoded != NULL)
+    quince_link_send_bytes (link, encoded);
+}
+
+/* A new successor knows nothing of requests that ended one worker. */
+void
+quince_suspect_reporter_step (QuinceSuspectReporter *reporter, const GPtrArray *all)
+{
+  guint64 successor = reporter->ledger != NULL ? quince_ledger_node_get_successor (reporter->ledger) : 0;
+  if (successor == reporter->informed_successor)
+    return;
+  reporter->informed_successor = successor;
+  g_autoptr (GBytes) encoded = encode_suspects (reporter, all);
+  send_to_successor (reporter, encoded);
+}
+
+/* ---- Life ---------------------------------------------------------------------- */
+
+QuinceSuspectReporter *
+quince_suspect_reporter_new (const QuinceQuarantine *quarantine, const char *name)
+{
+  QuinceSuspectReporter *reporter = g_new0 (QuinceSuspectReporter, 1);
+  reporter->quarantine = quarantine;
+  reporter->name = g_strdup (name);
+  queue_init (&reporter->all, reporter, REPORT_MS, send_to_all);
+  queue_init (&reporter->successor, reporter, SUCCESSOR_REPORT_MS, send_to_successor);
+  return reporter;
+}
+
+void
+quince_suspect_reporter_free (QuinceSuspectReporter *reporter)
+{
+  queue_clear (&reporter->all);
+  queue_clear (&reporter->successor);
+  g_free (reporter->name);
+  g_free (reporter);
+}
+
+void
+quince_suspect_reporter_set_ledger (QuinceSuspectReporter *reporter, QuinceLedgerNode *ledger)
+{
+  reporter->ledger = ledger;
+}
+
+void
+quince_suspect_reporter_set_links (QuinceSuspectReporter *reporter, GHashTable *links)
+{
+  reporter->links = links;
+  if (links != NULL)
+    {
+      reporter->informed_successor = 0;
+      return;
+    }
+  queue_empty (&reporter->all);
+  queue_empty (&reporter->successor);
+}
+
+gboolean
+quince_suspect_reporter_is_active (const QuinceSuspectReporter *reporter)
+{
+  return reporter->links != NULL;
+}
--- a/lib/core/scaling/scale-loss.c
+++ b/lib/core/scaling/scale-loss.c
@@ -14,8 +14,8 @@
  * measured. */
 #define NEED_KEEP_US (5 * G_USEC_PER_SEC)
 /* Share of the time in which work is due that is planned for: the longest texts of a step, once started, take
- * as long as all the rest.  Not measured; that samples count by it and not with a slot each saved 583 paid
- * seconds of workers with one of three zones evacuated, the whole day's worth unchanged. */
+ * as long as all the rest.  The share itself is not measured; that samples count by it and not with a slot
+ * each saved 583 paid seconds of workers with one of three zones evacuated, and all work was still done. */
 #define DUE_SHARE 0.5
 /* A need that has lasted for this share of the time until a new worker is warm is expected to outlast that
  * time; where a start takes a minute a step of a few seconds orders nothing.  Not measured. */
@@ -115,8 +115,8 @@
 }
 
 /* Workers beyond the initial ones that arrive while some are lost, up to the number of lost ones, replace
- * those: whoever ordered them, they are given back when no longer needed.  Other arrivals are left alone, for
- * instance a zone that was away when this process started and comes back. */
+ * those: they are given back, also where another leader ordered them, when no longer needed.  Other arrivals
+ * are left alone, for instance a zone that was away when this process started and comes back. */
 static void
 count_arrivals (const QuinceScaleService *service, QuinceScaleZone *zone, guint serving, gboolean replaces)
 {
--- a/lib/core/scaling/scale-plan-private.h
+++ b/lib/core/scaling/scale-plan-private.h
@@ -22,8 +22,8 @@
   gboolean evacuated;
   guint serving; /* workers now, without spot workers */
   guint initial; /* the same when the plan learned the service, before any was lost */
-  guint added;   /* of serving: beyond the initial ones, in place of lost workers, whoever ordered them */
-  guint spot;    /* spot workers now */
+  guint added; /* of serving: beyond the initial ones, in place of lost workers, ordered here or elsewhere */
+  guint spot;  /* spot workers now */
   guint initial_spot; /* the same when the plan learned the service */
 
   /* Orders of this process since it leads. */
