--- a/daemons/front/directory.c
+++ b/daemons/front/directory.c
@@ -127,7 +127,10 @@
   g_autofree char *text = g_strndup (g_bytes_get_data (entry, NULL), g_bytes_get_size (entry));
   g_auto (GStrv) fields = g_strsplit (text, SEPARATOR, ENTRY_FIELDS);
   if (g_strv_length (fields) != ENTRY_FIELDS)
-    return;
+    {
+      quince_log_warning ("entry_refused", "what=front front=%s reason=fields", name);
+      return;
+    }
   quince_log_info ("front_changed", "front=%s state=%s", name, fields[0]);
   if (g_str_equal (fields[0], STATE_LEAVING))
     {
--- a/daemons/front/front.c
+++ b/daemons/front/front.c
@@ -13,6 +13,7 @@
 #include "http1/text-server.h"
 #include "observer/store-feed.h"
 #include "runtime/clock.h"
+#include "runtime/log.h"
 #include "runtime/metrics.h"
 #include "runtime/suspension.h"
 
@@ -44,15 +45,19 @@
 /* ---- Events of the observer -------------------------------------------- */
 
 static void
-take_ledger_view (Front *front, GBytes *value)
+take_ledger_view (Front *front, GBytes *value, guint64 revision)
 {
   if (value == NULL)
     return;
   gsize length;
   gconstpointer data = g_bytes_get_data (value, &length);
-  g_autoptr (QuinceLedgerView) view = quince_ledger_view_decode (data, length, NULL);
+  g_autoptr (GError) error = NULL;
+  g_autoptr (QuinceLedgerView) view = quince_ledger_view_decode (data, length, &error);
   if (view != NULL)
     quince_ledger_caller_set_view (front->context.ledger, view);
+  else
+    quince_log_warning ("entry_refused", "what=ledger_view revision=%" G_GUINT64_FORMAT " code=%d", revision,
+                        error->code);
 }
 
 static void
@@ -76,7 +81,7 @@
 {
   Front *front = data;
   if (g_str_equal (key, QUINCE_LEDGER_KEY))
-    take_ledger_view (front, value);
+    take_ledger_view (front, value, revision);
   else if (g_str_has_prefix (key, QUINCE_FRONTS_PREFIX))
     take_front_entry (front, key + strlen (QUINCE_FRONTS_PREFIX), value);
   else if (g_str_has_prefix (key, QUINCE_MACHINE_ZONES_PREFIX))
