--- a/daemons/front/caller-connection.c
+++ b/daemons/front/caller-connection.c
@@ -12,8 +12,8 @@
 #include "caller-request.h"
 #include "platform.h"
 
-/* Limits while no configuration is known; after that the configuration's own count.  Not measured: above what
- * any configuration seen so far asks for, since a request refused by them might have been a good one. */
+/* Limits while no configuration is known; after that the configuration's own count.  Not measured: generous,
+ * since the configuration may allow a request that they refuse. */
 /* Longest request head, bytes. */
 #define HEAD_MAX_BYTES (64 * 1024)
 /* Longest request body, bytes. */
--- a/daemons/front/front-settings.c
+++ b/daemons/front/front-settings.c
@@ -8,13 +8,12 @@
 #include "../shared-settings.h"
 
 /* Where the fallbacks come from:
- * store.workers_pace 1 s: not measured; a front reads the list itself only while the leader's store feed is
- *   lacking.
- * store.presence 6 s: a lease of 3 s is renewed each second by each front (466 of 4,600 store calls of a
- * day); a dead front is left out earlier than that, by the leader's heartbeats, after 0.65 s. directory.keep
- * 2 s: not measured; a stopping front serves 4 s more, which covers answers kept for 2 s. */
+ * - store.workers_pace 1 s: not measured; a front reads the list itself only while it has no store feed.
+ * - store.presence 6 s: a lease of 3 s is renewed each second by each front (466 of 4,600 store calls of a
+ * day); a dead front is left out earlier than that, by the leader's heartbeats, after 0.65 s.
+ * - directory.keep 2 s: not measured; a stopping front serves 4 s more, which covers answers kept for 2 s. */
 
-/* clang-format off: one setting a line */
+/* clang-format off */
 const QuinceSettingSpec quince_front_setting_specs[] = {
   QUINCE_NODE_SETTINGS,
   { "listen", "callers", QUINCE_SETTING_ADDRESS, TRUE, NULL, 0, 0, NULL, "address for callers' requests" },
--- a/daemons/front/usage-reporter.c
+++ b/daemons/front/usage-reporter.c
@@ -3,7 +3,6 @@
  */
 #include "usage-reporter.h"
 
-#include "runtime/log.h"
 #include "runtime/metrics.h"
 #include "runtime/clock.h"
 
--- a/daemons/replica/replica-settings.c
+++ b/daemons/replica/replica-settings.c
@@ -8,13 +8,13 @@
 #include "../shared-settings.h"
 
 /* Where the fallbacks come from:
- * store.workers_pace 600 ms: not measured; the leader reads the list of workers for all processes, often
- * enough for an operator's bound of 2 s (docs/DESIGN.md, "Who reads the store"). ledger.losses,
- * ledger.zone_losses, ledger.keep, orders.pause and [duties]: not measured; deploy/replica.ini fills in the
- * deployment's own figures. stop.grace is accepted since the deploy file names it; a replica stops at once
- * and does not read it. */
+ * - store.workers_pace 600 ms: not measured; the leader reads the list of workers for all processes, often
+ *   enough for an operator's bound of 2 s (docs/DESIGN.md, "Who reads the store").
+ * - ledger.losses, zone_losses and keep, orders.pause, [duties]: not measured; deploy/replica.ini fills in
+ * the deployment's own figures.
+ * - stop.grace: a replica stops at once and does not read it; the deploy file names it. */
 
-/* clang-format off: one setting a line */
+/* clang-format off */
 const QuinceSettingSpec quince_replica_setting_specs[] = {
   QUINCE_NODE_SETTINGS,
   { "listen", "link", QUINCE_SETTING_ADDRESS, TRUE, NULL, 0, 0, NULL,
--- a/daemons/replica/warmup-coordinator.c
+++ b/daemons/replica/warmup-coordinator.c
@@ -3,7 +3,6 @@
  */
 #include "warmup-coordinator.h"
 
-#include "runtime/log.h"
 #include "runtime/clock.h"
 
 /* Interval between two removals of expired leases, us, so that workers that no longer exist keep no memory.
--- a/daemons/shared-settings.h
+++ b/daemons/shared-settings.h
@@ -20,106 +20,70 @@
 #define QUINCE_MILLISECOND_US (G_USEC_PER_SEC / 1000)
 /* One day in microseconds; the product needs 64 bits. */
 #define QUINCE_DAY_US (G_GINT64_CONSTANT (86400) * QUINCE_SECOND_US)
+/* Bounds of the settings store.change_bound, drain_bound and evacuation_bound, us. */
+#define QUINCE_BOUND_MIN_US (100 * QUINCE_MILLISECOND_US)
+/* As above. */
+#define QUINCE_BOUND_MAX_US (60 * QUINCE_SECOND_US)
 
-/* clang-format off: one setting a line */
-#define QUINCE_NODE_SETTINGS                                                                                 \
-  { "node", "name", QUINCE_SETTING_NAME, TRUE, NULL, 0, 0, NULL, "name of this machine" },                   \
-      { "node", "zone", QUINCE_SETTING_NAME, TRUE, NULL, 0, 0, NULL, "zone that it stands in" },             \
-      { "node", "region", QUINCE_SETTING_NAME, FALSE, NULL, 0, 0, NULL, "region of that zone" },             \
-  {                                                                                                          \
-    "node", "zones", QUINCE_SETTING_TEXT, FALSE, NULL, 0, 0, NULL,                                           \
-        "all zones with their regions, as zone=region,zone=region"                                           \
-  }
+/* clang-format off */
+/* One setting a row. */
 
-#define QUINCE_METRICS_SETTINGS                                                                              \
-  {                                                                                                          \
-    "listen", "metrics", QUINCE_SETTING_ADDRESS, FALSE, NULL, 0, 0, NULL,                                    \
-        "address of /metrics; none where absent"                                                             \
-  }
+#define QUINCE_NODE_SETTINGS \
+  { "node", "name", QUINCE_SETTING_NAME, TRUE, NULL, 0, 0, NULL, "name of this machine" }, \
+  { "node", "zone", QUINCE_SETTING_NAME, TRUE, NULL, 0, 0, NULL, "zone that it stands in" }, \
+  { "node", "region", QUINCE_SETTING_NAME, FALSE, NULL, 0, 0, NULL, "region of that zone" }, \
+  { "node", "zones", QUINCE_SETTING_TEXT, FALSE, NULL, 0, 0, NULL, \
+    "all zones with their regions, as zone=region,zone=region" }
 
-/* @workers_pace: fallback of store.workers_pace.  The bounds of change, drain and evacuation come from the
- * deployment's bounds; their fallbacks of 2 s are the least that quinceroute keeps
+#define QUINCE_METRICS_SETTINGS \
+  { "listen", "metrics", QUINCE_SETTING_ADDRESS, FALSE, NULL, 0, 0, NULL, \
+    "address of /metrics; none where absent" }
+
+/* @pace: fallback of store.workers_pace.  The deployment's bounds replace those of change, drain and
+ * evacuation; their fallbacks of 2 s are the least that quinceroute keeps
  * (QUINCE_OBSERVER_CHANGE_BOUND_MIN_MS), and 60 s leaves the decision to the other two. */
-#define QUINCE_STORE_SETTINGS(workers_pace)                                                                  \
-  { "store", "address", QUINCE_SETTING_ADDRESS, TRUE, NULL, 0, 0, NULL, "address of the metadata store" },   \
-      { "store",                                                                                             \
-        "workers_pace",                                                                                      \
-        QUINCE_SETTING_DURATION,                                                                             \
-        FALSE,                                                                                               \
-        workers_pace,                                                                                        \
-        10 * QUINCE_MILLISECOND_US,                                                                          \
-        QUINCE_SECOND_US,                                                                                    \
-        NULL,                                                                                                \
-        "least time between two looks at the list of workers" },                                             \
-      { "store",                                                                                             \
-        "change_bound",                                                                                      \
-        QUINCE_SETTING_DURATION,                                                                             \
-        FALSE,                                                                                               \
-        "2s",                                                                                                \
-        100 * QUINCE_MILLISECOND_US,                                                                         \
-        60 * QUINCE_SECOND_US,                                                                               \
-        NULL,                                                                                                \
-        "a change of the operator is in force so long after the store took it" },                            \
-      { "store",                                                                                             \
-        "drain_bound",                                                                                       \
-        QUINCE_SETTING_DURATION,                                                                             \
-        FALSE,                                                                                               \
-        "2s",                                                                                                \
-        100 * QUINCE_MILLISECOND_US,                                                                         \
-        60 * QUINCE_SECOND_US,                                                                               \
-        NULL,                                                                                                \
-        "a leaving worker gets no more requests so long after the store took it" },                          \
-  {                                                                                                          \
-    "store", "evacuation_bound", QUINCE_SETTING_DURATION, FALSE, "60s", 100 * QUINCE_MILLISECOND_US,         \
-        60 * QUINCE_SECOND_US, NULL,                                                                         \
-        "workers of an evacuated zone get no more requests so long after the store took the operator's "     \
-        "word; the "                                                                                         \
-        "least of the three bounds counts"                                                                   \
-  }
+#define QUINCE_STORE_SETTINGS(pace) \
+  { "store", "address", QUINCE_SETTING_ADDRESS, TRUE, NULL, 0, 0, NULL, "address of the metadata store" }, \
+  { "store", "workers_pace", QUINCE_SETTING_DURATION, FALSE, pace, 10 * QUINCE_MILLISECOND_US, \
+    QUINCE_SECOND_US, NULL, "least time between two looks at the list of workers" }, \
+  { "store", "change_bound", QUINCE_SETTING_DURATION, FALSE, "2s", QUINCE_BOUND_MIN_US, QUINCE_BOUND_MAX_US, \
+    NULL, "a change of the operator is in force so long after the store took it" }, \
+  { "store", "drain_bound", QUINCE_SETTING_DURATION, FALSE, "2s", QUINCE_BOUND_MIN_US, QUINCE_BOUND_MAX_US, \
+    NULL, "a leaving worker gets no more requests so long after the store took it" }, \
+  { "store", "evacuation_bound", QUINCE_SETTING_DURATION, FALSE, "60s", QUINCE_BOUND_MIN_US, \
+    QUINCE_BOUND_MAX_US, NULL, \
+    "workers of an evacuated zone get no more requests so long after the store took the operator's word; " \
+    "the least of the three bounds counts" }
 
 /* 8 s: not measured; the deployment's bound of a planned stop (bounds.graceS) replaces it. */
-#define QUINCE_STOP_SETTINGS                                                                                 \
-  {                                                                                                          \
-    "stop", "grace", QUINCE_SETTING_DURATION, FALSE, "8s", QUINCE_SECOND_US, 600 * QUINCE_SECOND_US, NULL,   \
-        "time from a planned stop to the end of the process"                                                 \
-  }
+#define QUINCE_STOP_SETTINGS \
+  { "stop", "grace", QUINCE_SETTING_DURATION, FALSE, "8s", QUINCE_SECOND_US, 600 * QUINCE_SECOND_US, NULL, \
+    "time from a planned stop to the end of the process" }
 
-/* Not measured: 1024 entries of 512 bytes hold the requests of several lost workers (some hundred requests
- * run at one at a time), so that a flood pushes out only what met one end.  docs/incidents/ describes the
- * rules. */
-#define QUINCE_QUARANTINE_SETTINGS                                                                           \
-  { "quarantine", "entries", QUINCE_SETTING_INTEGER,                                                         \
-    FALSE,        "1024",    16,                                                                             \
-    4000,         NULL,      "requests under which workers ended that are remembered" },                     \
-      { "quarantine", "kilobytes", QUINCE_SETTING_INTEGER,     FALSE, "512", 16,                             \
-        65536,        NULL,        "memory that they may take" },                                            \
-      { "quarantine",  "doubt_keep", QUINCE_SETTING_DURATION,                                                \
-        FALSE,         "600s",       QUINCE_SECOND_US,                                                       \
-        QUINCE_DAY_US, NULL,         "a request that is not held is forgotten so long after the last end" }, \
-  {                                                                                                          \
-    "quarantine", "hold_keep", QUINCE_SETTING_DURATION, FALSE, "86400s", QUINCE_SECOND_US,                   \
-        7 * QUINCE_DAY_US, NULL, "a held request is forgotten so long after the last end"                    \
-  }
+/* Not measured: 1024 entries of 512 bytes hold the requests of several lost workers, some hundred each, so that
+ * a flood pushes out only what met one end.  docs/incidents/ describes the rules. */
+#define QUINCE_QUARANTINE_SETTINGS \
+  { "quarantine", "entries", QUINCE_SETTING_INTEGER, FALSE, "1024", 16, 4000, NULL, \
+    "requests under which workers ended that are remembered" }, \
+  { "quarantine", "kilobytes", QUINCE_SETTING_INTEGER, FALSE, "512", 16, 65536, NULL, \
+    "memory that they may take" }, \
+  { "quarantine", "doubt_keep", QUINCE_SETTING_DURATION, FALSE, "600s", QUINCE_SECOND_US, QUINCE_DAY_US, \
+    NULL, "a request that is not held is forgotten so long after the last end" }, \
+  { "quarantine", "hold_keep", QUINCE_SETTING_DURATION, FALSE, "86400s", QUINCE_SECOND_US, \
+    7 * QUINCE_DAY_US, NULL, "a held request is forgotten so long after the last end" }
 
 /* 1 and 0: exactly what a cold worker says that it takes, unless the deployment's bounds allow more. */
-#define QUINCE_WARMUP_SETTINGS                                                                               \
-  { "warmup", "overage", QUINCE_SETTING_NUMBER,                                                              \
-    FALSE,    "1",       1,                                                                                  \
-    100,      NULL,      "times what a cold worker bears that it gets in a second" },                        \
-  {                                                                                                          \
-    "warmup", "slack", QUINCE_SETTING_NUMBER, FALSE, "0", 0, 1000, NULL,                                     \
-        "requests that it gets in a second beyond that"                                                      \
-  }
+#define QUINCE_WARMUP_SETTINGS \
+  { "warmup", "overage", QUINCE_SETTING_NUMBER, FALSE, "1", 1, 100, NULL, \
+    "times what a cold worker bears that it gets in a second" }, \
+  { "warmup", "slack", QUINCE_SETTING_NUMBER, FALSE, "0", 0, 1000, NULL, \
+    "requests that it gets in a second beyond that" }
 
-#define QUINCE_POLICY_SETTINGS                                                                               \
-  {                                                                                                          \
-    "policy", "file", QUINCE_SETTING_TEXT, FALSE, NULL, 0, 0, NULL,                                          \
-        "policy program until operators accept another one"                                                  \
-  }
+#define QUINCE_POLICY_SETTINGS \
+  { "policy", "file", QUINCE_SETTING_TEXT, FALSE, NULL, 0, 0, NULL, \
+    "policy program until operators accept another one" }
 
-#define QUINCE_LOG_SETTINGS                                                                                  \
-  {                                                                                                          \
-    "log", "level", QUINCE_SETTING_CHOICE, FALSE, "info", 0, 0, "debug|info|warning|error",                  \
-        "least severe level written"                                                                         \
-  }
+#define QUINCE_LOG_SETTINGS \
+  { "log", "level", QUINCE_SETTING_CHOICE, FALSE, "info", 0, 0, "debug|info|warning|error", \
+    "least severe level written" }
 /* clang-format on */
