--- a/daemons/front/caller-connection.c
+++ b/daemons/front/caller-connection.c
@@ -107,8 +107,7 @@
   connection->timer = quince_timer_add (MAX (wait_ms, 1), check_time, connection);
 }
 
-/* The one timer of a connection: checks the limits and is set to the next time at which one may be exceeded.
- */
+/* The one timer of a connection: checks the limits, and is set to when the next may be exceeded. */
 static gboolean
 check_time (gpointer data)
 {
--- a/daemons/front/quarantine-client.h
+++ b/daemons/front/quarantine-client.h
@@ -30,8 +30,7 @@
 /* For each message of the leader, of any kind: it is a sign of life.
  * Returns: whether it is one of the quarantine's, and was taken */
 gboolean quince_quarantine_client_take (QuinceQuarantineClient *client, const QuinceMessage *message);
-/* The suspect notice of another front, which reaches no leader; @value: (nullable): %NULL: it was withdrawn.
- */
+/* The suspect notice of a front that reaches no leader; @value: (nullable): %NULL: it was withdrawn. */
 void quince_quarantine_client_take_list (QuinceQuarantineClient *client, const char *front, GBytes *value);
 /* The entry of a held request in the metadata store; @name: last part of its key, the digest as text; @value:
  * (nullable): %NULL: it was removed. */
--- a/daemons/replica/quarantine-coordinator.c
+++ b/daemons/replica/quarantine-coordinator.c
@@ -78,8 +78,8 @@
   quince_suspect_reporter_sending (coordinator->reporter, expected);
 }
 
-/* Only the leader sends samples and reward calls: fronts need no report of a single end, the successor does.
- */
+/* Only the leader sends samples and reward calls: fronts need no report of a single end; the successor does,
+ * to count it. */
 static void
 ended (const QuinceSuspect *suspect, gpointer data)
 {
--- a/daemons/replica/quarantine-keys.c
+++ b/daemons/replica/quarantine-keys.c
@@ -7,8 +7,7 @@
 #include "forward/suspect-entry.h"
 #include "runtime/clock.h"
 
-/* Pause after a failed write, us, since each call of the store costs.  Not measured: as in meta-presence.c.
- */
+/* Pause after a failed write, us: each call of the store costs.  Not measured: as in meta-presence.c. */
 #define WRITE_PAUSE_US (1 * G_USEC_PER_SEC)
 
 struct _QuinceQuarantineKeys
--- a/daemons/replica/replica-setup.c
+++ b/daemons/replica/replica-setup.c
@@ -15,12 +15,9 @@
 /* A leader acts on the last answers of a quorum for this long, us.  Shorter than the silence after which
  * members follow another leader, so that two never act at once (docs/DESIGN.md, "Lease"). */
 #define CONFIRM_US (600 * 1000)
-/* A backup without a message of the leader for this long may follow another one, us: four heartbeats of 250
- * ms.
- */
+/* A backup without a message of the leader for this long may follow another one, us: four heartbeats. */
 #define PRIMARY_SILENCE_US (1000 * 1000)
-/* The leader takes a member out of the view after this silence, us; as long as the members wait for a silent
- * leader. */
+/* The leader takes a member out of the view after this silence, us; as long as members wait for a leader. */
 #define MEMBER_SILENCE_US (1000 * 1000)
 /* Added to orders.pause, us: a former leader has stopped giving orders when another one can be promised its
  * place; its last orders may still be on their way.  Not measured: above any round trip between machines. */
--- a/daemons/replica/replica.h
+++ b/daemons/replica/replica.h
@@ -13,7 +13,6 @@
 gpointer quince_replica_start (const QuinceSettings *settings, GError **error);
 /* Returns: (transfer full): the name of this machine */
 char *quince_replica_ready_line (gpointer self);
-/* Ends the process a moment later: all that a replica has acknowledged is on disk, so nothing is waited for.
- */
+/* Ends the process a moment later: what a replica has acknowledged is on disk, so nothing is waited for. */
 void quince_replica_stop (gpointer self);
 void quince_replica_free (gpointer self);
--- a/daemons/replica/suspect-reporter.c
+++ b/daemons/replica/suspect-reporter.c
@@ -64,8 +64,7 @@
     quince_link_send_bytes (successor, encoded);
 }
 
-/* Returns: (transfer full) (nullable): a message with @suspects (QuinceSuspect); %NULL where there are none
- */
+/* Returns: (transfer full) (nullable): a message with @suspects (QuinceSuspect); %NULL where it is empty */
 static GBytes *
 encode_suspects (const QuinceSuspectReporter *reporter, const GPtrArray *suspects)
 {
--- a/lib/core/scaling/scale-plan.h
+++ b/lib/core/scaling/scale-plan.h
@@ -85,8 +85,7 @@
  * something isn't known
  */
 double quince_scale_slots_needed (gint64 work_us, gint64 age_us, gint64 due_us);
-/* Returns: how many initial workers of @service don't serve now; 0 also while the initial ones aren't known
- */
+/* Returns: how many initial workers of @service don't serve now; 0 also while those aren't known */
 guint quince_scale_plan_get_lost (const QuinceScalePlan *plan, const char *service);
 
 G_END_DECLS
