--- a/daemons/front/caller-connection.c
+++ b/daemons/front/caller-connection.c
@@ -12,8 +12,8 @@
 #include "caller-request.h"
 #include "platform.h"
 
-/* Limits while no configuration is known; after that the configuration's own count.  Not measured: above what
- * any configuration seen so far asks for, since a request refused by them might have been a good one. */
+/* Limits while no configuration is known; after that the configuration's own count.  Not measured: generous,
+ * since the configuration may allow a request that they refuse. */
 /* Longest request head, bytes. */
 #define HEAD_MAX_BYTES (64 * 1024)
 /* Longest request body, bytes. */
@@ -107,8 +107,7 @@
   connection->timer = quince_timer_add (MAX (wait_ms, 1), check_time, connection);
 }
 
-/* The one timer of a connection: checks the limits and is set to the next time at which one may be exceeded.
- */
+/* The one timer of a connection: checks the limits, and is set to when the next may be exceeded. */
 static gboolean
 check_time (gpointer data)
 {
