--- /dev/null
+++ b/daemons/replica/sample-moves.c
@@ -0,0 +1,97 @@
+/*
+ * sample-moves.c: moves running samples to workers that end them sooner.
+ */
+#include "sample-moves.h"
+
+#include "forward/residency-lookup.h"
+
+#include "sample-dispatch.h"
+
+/* The least pace among workers that could take @sample now; 0: there is none. */
+static gint64
+best_pace_elsewhere (QuinceSampleSet *set,
+                     const QuinceSample *sample,
+                     const QuinceSampleServiceView *view,
+                     gint64 now_us)
+{
+  QuinceResidency residency;
+  quince_sample_set_get_residency (set, sample->entry, &residency);
+  const QuinceBatchJob *batch = sample->entry->batch;
+  gint64 best = 0;
+  g_autoptr (GPtrArray) workers = quince_worker_table_list_version (
+      quince_backends_get_workers (set->backends), view->service, batch->model, batch->minimum_version);
+  for (guint i = 0; i < workers->len; i++)
+    {
+      const QuinceWorker *worker = workers->pdata[i];
+      gint64 pace = quince_worker_get_pace_us (worker, now_us);
+      if (pace == 0 || (best > 0 && pace >= best))
+        continue;
+      gboolean free_now = quince_sample_move_takes (worker, now_us, view->slots)
+                          && quince_backends_may_send (set->backends, worker);
+      if (!free_now || !quince_backends_allow (set->backends, worker, &residency)
+          || g_str_equal (worker->id, sample->worker_id))
+        continue;
+      best = pace;
+    }
+  return best;
+}
+
+static gboolean
+may_move (const QuinceSample *sample, gint64 now_us)
+{
+  const QuinceSampleMoveCase move = { .single_version = sample->single_version,
+                                      .moves = sample->moves,
+                                      .run_us = now_us - sample->started_us,
+                                      .measured = sample->event_us > 0 };
+  return sample->state == QUINCE_SAMPLE_RUNNING && quince_sample_move_is_allowed (&move);
+}
+
+/* Its worker is slower than the fastest by so much that a move may pay at all. */
+static gboolean
+is_slow (const QuinceWorker *worker, const QuinceSampleServiceView *view, gint64 now_us)
+{
+  double remaining_most = G_MAXINT;
+  return !worker->loading
+         && quince_sample_move_pays (remaining_most, quince_worker_get_pace_us (worker, now_us),
+                                     view->fastest_pace_us);
+}
+
+static gboolean
+move_pays (QuinceSampleSet *set, const QuinceSample *sample, gint64 now_us)
+{
+  const QuinceRoute *route = quince_sample_set_route_of_batch (set, sample->entry->batch);
+  const QuinceWorker *worker
+      = quince_worker_table_find (quince_backends_get_workers (set->backends), sample->worker_id);
+  if (route == NULL || worker == NULL)
+    return FALSE;
+  QuinceSampleServiceView view;
+  quince_sample_set_view_service (set, route, sample, now_us, &view);
+  gboolean pays = FALSE;
+  if (is_slow (worker, &view, now_us))
+    {
+      gint64 there = best_pace_elsewhere (set, sample, &view, now_us);
+      pays = there > 0
+             && quince_sample_move_pays (quince_sample_set_remaining_events (set, sample),
+                                         quince_worker_get_pace_us (worker, now_us), there);
+    }
+  quince_sample_service_view_clear (&view);
+  return pays;
+}
+
+void
+quince_sample_moves_check (QuinceSampleSet *set, QuinceMoveWatch *watch, gint64 now_us)
+{
+  guint moves = 0;
+  if (!quince_sample_move_is_time (watch, now_us))
+    return;
+  for (guint i = 0; i < set->samples->len && moves < QUINCE_SAMPLE_MOVES_AT_ONCE_MAX; i++)
+    {
+      QuinceSample *sample = set->samples->pdata[i];
+      if (!may_move (sample, now_us) || !move_pays (set, sample, now_us))
+        continue;
+      moves++;
+      sample->moves++;
+      quince_sample_cut (sample, QUINCE_RUN_MOVED, "moved");
+      quince_sample_dispatch (set, sample, now_us);
+    }
+}
--- /dev/null
+++ b/daemons/replica/sample-reward.c
@@ -0,0 +1,71 @@
+/*
+ * sample-reward.c: the reward call of a sample whose text is whole.
+ */
+#include "sample-reward.h"
+
+#include "runtime/clock.h"
+
+#include "sample-result.h"
+
+static guint
+reward_attempts (QuinceSampleSet *set, const QuinceRewardCall *call)
+{
+  const QuinceRoute *route = quince_sample_set_find_route (set, call->host, call->path);
+  return route != NULL ? route->max_attempts : 1;
+}
+
+static void
+reward_done (const QuinceForwardResult *result, gpointer data)
+{
+  QuinceSample *sample = data;
+  QuinceSampleSet *set = sample->user_data;
+  sample->reward = NULL;
+  sample->reward_failures += result->failed_runs;
+  const QuinceRewardCall *call = quince_sample_get_item (sample)->reward.reward_val;
+  gboolean good = result->outcome == QUINCE_FORWARD_ANSWERED && result->head->status >= 200
+                  && result->head->status < 300 && result->signature != NULL;
+  if (good)
+    {
+      quince_sample_result_complete (set, sample, result->signature, "scored");
+      return;
+    }
+  const QuinceSampleNext next
+      = quince_sample_next_after_reward (sample->reward_failures, reward_attempts (set, call));
+  if (next.action == QUINCE_SAMPLE_NEXT_ABANDON)
+    quince_sample_result_abandon (set, sample, "reward_failed");
+  else
+    sample->not_before_us = quince_now_us () + next.pause_us; /* the pump begins it again */
+}
+
+void
+quince_sample_reward_begin (QuinceSampleSet *set, QuinceSample *sample)
+{
+  const QuinceRewardCall *call = quince_sample_get_item (sample)->reward.reward_val;
+  const QuinceRoute *route = quince_sample_set_find_route (set, call->host, call->path);
+  gint64 now = quince_now_us ();
+  if (route == NULL)
+    {
+      sample->not_before_us = now + quince_sample_reward_pause_us ();
+      return;
+    }
+  g_autoptr (QuinceHttpHeaders) headers = quince_http_headers_new ();
+  quince_http_headers_add (headers, "Host", call->host);
+  quince_platform_write_request_id (headers, call->id);
+  g_autoptr (GBytes) body = g_bytes_new_static (call->body.body_val, call->body.body_len);
+  gint64 time_us = (gint64)quince_sample_reward_time_ms (route->timeout_ms) * 1000;
+  const QuinceForwardRequest request = { .service = quince_route_pick_service (route, g_random_double ()),
+                                         .tenant = sample->entry->tenant,
+                                         .kind = route->name,
+                                         .method = "POST",
+                                         .target = call->path,
+                                         .request_id = call->id,
+                                         .headers = headers,
+                                         .body = body,
+                                         .repeatable = TRUE,
+                                         .max_attempts = route->max_attempts,
+                                         .target_latency_ms = route->target_latency_ms,
+                                         .deadline_us = now + time_us,
+                                         .give_up_us = now + time_us };
+  sample->reward
+      = quince_forward_start (set->backends, &quince_platform_forward_dialect, &request, reward_done, sample);
+}
--- /dev/null
+++ b/daemons/replica/sample-set.c
@@ -0,0 +1,147 @@
+/*
+ * sample-set.c: the samples of open batches, and what is looked up for them.
+ */
+#include "sample-set.h"
+
+#include "forward/residency-lookup.h"
+#include "runtime/clock.h"
+
+/* Requests at one worker where the configuration names no slots.  Not measured. */
+#define SLOTS_UNTOLD 8
+/* Time for which the pace of a service's fastest worker is kept, us: a leader asks for it for each sample.
+ * Not measured: two or three events of a worker. */
+#define FASTEST_KEEP_US (100 * 1000)
+/* The pace of a service's fastest worker, as it was found a moment ago. */
+typedef struct
+{
+  gint64 found_us;
+  gint64 fastest_us;
+} ServicePace;
+
+void
+quince_sample_set_init (QuinceSampleSet *set,
+                        QuinceBackends *backends,
+                        QuinceObserver *observer,
+                        const QuinceSampleSetEvents *events,
+                        gpointer owner)
+{
+  *set = (QuinceSampleSet){
+    .backends = backends,
+    .observer = observer,
+    .reports = quince_step_reports_new (),
+    .samples = g_ptr_array_new_with_free_func ((GDestroyNotify)quince_sample_free),
+    .lengths
+    = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, (GDestroyNotify)quince_length_model_free),
+    .paces = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free),
+    .events = events,
+    .owner = owner,
+  };
+}
+
+void
+quince_sample_set_clear (QuinceSampleSet *set)
+{
+  g_ptr_array_unref (set->samples);
+  quince_step_reports_free (set->reports);
+  g_hash_table_unref (set->lengths);
+  g_hash_table_unref (set->paces);
+}
+
+/* ---- Routes and lengths ------------------------------------------------- */
+
+const QuinceRoute *
+quince_sample_set_find_route (const QuinceSampleSet *set, const char *host, const char *path)
+{
+  QuinceRouteTable *routes = quince_observer_get_routes (set->observer);
+  return routes != NULL ? quince_route_table_find (routes, host, path) : NULL;
+}
+
+const QuinceRoute *
+quince_sample_set_route_of_batch (const QuinceSampleSet *set, const QuinceBatchJob *batch)
+{
+  return quince_sample_set_find_route (set, batch->host, batch->path);
+}
+
+void
+quince_sample_set_get_residency (const QuinceSampleSet *set,
+                                 const QuinceBatchEntry *entry,
+                                 QuinceResidency *residency)
+{
+  *residency = (QuinceResidency){ NULL, NULL };
+  if (!quince_backends_has_region_rules (set->backends))
+    return;
+  const QuinceRoute *route = quince_sample_set_route_of_batch (set, entry->batch);
+  if (route == NULL)
+    return; /* nothing of it is sent then */
+  const QuinceTenantTable *tenants
+      = quince_route_table_get_tenants (quince_observer_get_routes (set->observer));
+  const QuinceTenant *tenant = tenants != NULL ? quince_tenant_table_find (tenants, entry->tenant) : NULL;
+  quince_route_get_residency (route, tenant, residency);
+}
+
+QuinceLengthModel *
+quince_sample_set_get_lengths (QuinceSampleSet *set, const char *model)
+{
+  QuinceLengthModel *lengths = g_hash_table_lookup (set->lengths, model);
+  if (lengths == NULL)
+    {
+      lengths = quince_length_model_new ();
+      g_hash_table_insert (set->lengths, g_strdup (model), lengths);
+    }
+  return lengths;
+}
+
+double
+quince_sample_set_remaining_events (QuinceSampleSet *set, const QuinceSample *sample)
+{
+  return quince_length_model_remaining (quince_sample_set_get_lengths (set, sample->entry->batch->model),
+                                        sample->estimated_tokens, sample->last_event);
+}
+
+/* ---- Services ----------------------------------------------------------- */
+
+/* 0: no worker's pace is measured. */
+static gint64
+fastest_pace_us (QuinceSampleSet *set, const char *service, const GPtrArray *workers, gint64 now_us)
+{
+  ServicePace *pace = g_hash_table_lookup (set->paces, service);
+  if (pace != NULL && now_us - pace->found_us < FASTEST_KEEP_US)
+    return pace->fastest_us;
+  if (pace == NULL)
+    {
+      pace = g_new0 (ServicePace, 1);
+      g_hash_table_insert (set->paces, g_strdup (service), pace);
+    }
+  pace->found_us = now_us;
+  pace->fastest_us = quince_workers_fastest_pace_us (workers, now_us);
+  return pace->fastest_us;
+}
+
+const char *
+quince_sample_set_pick_service (const QuinceRoute *route, const QuinceSample *sample)
+{
+  /* The samples of a group stay in one part of the route's traffic. */
+  const QuinceBatchItem *item = quince_sample_get_item (sample);
+  return quince_route_pick_service (route, (g_str_hash (item->group) % 1000) / 1000.0);
+}
+
+void
+quince_sample_set_view_service (QuinceSampleSet *set,
+                                const QuinceRoute *route,
+                                const QuinceSample *sample,
+                                gint64 now_us,
+                                QuinceSampleServiceView *view)
+{
+  QuinceRouteTable *routes = quince_observer_get_routes (set->observer);
+  view->service = quince_sample_set_pick_service (route, sample);
+  const QuinceService *service = quince_route_table_find_service (routes, view->service);
+  view->slots = service != NULL && service->slots > 0 ? service->slots : SLOTS_UNTOLD;
+  view->workers = quince_worker_table_list (quince_backends_get_workers (set->backends), view->service);
+  view->fastest_pace_us = fastest_pace_us (set, view->service, view->workers, now_us);
+}
+
+void
+quince_sample_service_view_clear (QuinceSampleServiceView *view)
+{
+  g_clear_pointer (&view->workers, g_ptr_array_unref);
+}
--- a/lib/core/decisions/sample-move.c
+++ b/lib/core/decisions/sample-move.c
@@ -42,6 +42,14 @@
   return pace_us > 0 && gain_us >= GAIN_MIN_US && gain_us >= GAIN_PART * here_us;
 }
 
+gboolean
+quince_sample_move_takes (const QuinceWorker *worker, gint64 now_us, guint slots)
+{
+  return !worker->draining && !worker->loading && worker->gone_after_us == 0
+         && now_us >= worker->ejected_until_us && worker->running < slots
+         && !quince_worker_is_cold (worker, now_us);
+}
+
 gboolean
 quince_sample_move_is_time (QuinceMoveWatch *watch, gint64 now_us)
 {
--- a/lib/core/decisions/sample-move.h
+++ b/lib/core/decisions/sample-move.h
@@ -6,7 +6,7 @@
  */
 #pragma once
 
-#include <glib.h>
+#include "core/routing/routing.h"
 
 G_BEGIN_DECLS
 
@@ -46,6 +46,10 @@
  */
 gboolean quince_sample_move_pays (double remaining, gint64 pace_us, gint64 other_pace_us);
 
+/* Whether a sample may be moved to @worker now, which has its weights: a worker that serves, is not ejected
+ * or cold, and runs fewer samples than its @slots.  The time is monotonic, us. */
+gboolean quince_sample_move_takes (const QuinceWorker *worker, gint64 now_us, guint slots);
+
 /* When runs are checked for moves, and whether recent measurements can be relied on. */
 typedef struct
 {
