--- /dev/null
+++ b/lib/core/decisions/worker-choice.c
@@ -0,0 +1,117 @@
+/*
+ * worker-choice.c: which workers may take a request now, which of them the policy scores, and which is
+ * chosen.
+ */
+#include "core/decisions/worker-choice.h"
+
+#include <math.h>
+
+/* How often in a second all slots of a warm worker may be filled.  Not measured: far above what samples of
+ * 0.3 s and longer need. */
+#define WARM_REFILLS_PER_SECOND 2
+/* Without a bound on running requests a returning worker takes part in its share of so many choices in a row.
+ * Not measured: steps of an eighth. */
+#define RETURNING_TURNS 8
+
+gboolean
+quince_choice_was_tried (const QuinceWorker *worker, const QuinceWorkerNeed *need)
+{
+  return need->avoid != NULL && g_hash_table_contains (need->avoid, worker->id);
+}
+
+static gboolean
+has_weights (const QuinceWorker *worker, const QuinceWorkerNeed *need)
+{
+  guint64 version = quince_worker_get_version (worker, need->model);
+  return version > 0 && version >= need->minimum_version;
+}
+
+gboolean
+quince_choice_is_suitable (const QuinceWorker *worker, gint64 now_us, const QuinceWorkerNeed *need)
+{
+  if (worker->draining || (worker->gone_after_us != 0 && now_us >= worker->gone_after_us))
+    return FALSE;
+  if (quince_choice_was_tried (worker, need))
+    return FALSE;
+  return need->model == NULL || (!worker->loading && has_weights (worker, need));
+}
+
+gboolean
+quince_choice_has_room (const QuinceWorker *worker, const QuinceWorkerNeed *need)
+{
+  return need->running_max == 0 || worker->running < need->running_max;
+}
+
+gboolean
+quince_choice_is_trusted (const QuinceWorker *worker, gint64 now_us)
+{
+  return now_us >= worker->ejected_until_us && worker->gone_after_us == 0;
+}
+
+guint
+quince_choice_cold_limit (guint limit, gboolean is_cold, gboolean is_sample, guint slots)
+{
+  if (is_cold)
+    return limit;
+  return is_sample ? MAX (limit, WARM_REFILLS_PER_SECOND * slots) : G_MAXUINT;
+}
+
+gboolean
+quince_choice_has_returning_turn (double share, guint running, guint running_max, guint turn)
+{
+  if (running_max > 0)
+    return running < (guint)ceil (share * running_max);
+  return turn % RETURNING_TURNS < (guint)lround (share * RETURNING_TURNS);
+}
+
+gboolean
+quince_choice_compares_all (guint workers, gboolean zone_returns)
+{
+  return workers <= QUINCE_CHOICE_COMPARE_ALL_MAX || zone_returns;
+}
+
+guint
+quince_choice_pick_candidates (const GPtrArray *found,
+                               guint first,
+                               const char *keeper,
+                               guint candidates_max,
+                               QuinceWorker **candidates)
+{
+  guint count = MIN (found->len, candidates_max);
+  gboolean has_keeper = keeper == NULL;
+  for (guint i = 0; i < count; i++)
+    {
+      candidates[i] = found->pdata[(first + i) % found->len];
+      has_keeper = has_keeper || g_str_equal (candidates[i]->id, keeper);
+    }
+  for (guint i = count; i < found->len && !has_keeper; i++)
+    {
+      QuinceWorker *worker = found->pdata[(first + i) % found->len];
+      has_keeper = g_str_equal (worker->id, keeper);
+      if (has_keeper)
+        candidates[0] = worker;
+    }
+  return count;
+}
+
+gint
+quince_choice_best (const double *scores, guint n_scores)
+{
+  gint best = -1;
+  for (guint i = 0; i < n_scores; i++)
+    if (isfinite (scores[i]) && (best < 0 || scores[i] > scores[best]))
+      best = (gint)i;
+  return best;
+}
+
+QuinceBackendOutcome
+quince_choice_outcome (const QuinceChoiceFacts *facts)
+{
+  if (facts->found)
+    return QUINCE_BACKEND_CHOSEN;
+  if (facts->limited && !facts->full)
+    return QUINCE_BACKEND_COLD;
+  if (facts->suitable)
+    return QUINCE_BACKEND_FULL;
+  return facts->evacuated && !facts->tried ? QUINCE_BACKEND_EVACUATED : QUINCE_BACKEND_NONE;
+}
--- a/lib/forward/backends-private.h
+++ b/lib/forward/backends-private.h
@@ -3,7 +3,9 @@
  */
 #pragma once
 
+#include "forward/event-table.h"
 #include "forward/policy-entry.h"
+#include "forward/worker-pools.h"
 #include "core/routing/prompt-table.h"
 #include "core/routing/topology.h"
 #include "core/routing/zone-table.h"
@@ -13,16 +15,15 @@
   /* All fields belong to the context that created it. */
   QuinceTopology *topology;
   QuinceWorkerTable *workers;
-  GHashTable *pools;              /* QuinceHttpPool by worker id */
+  QuinceWorkerPools *pools;       /* owned */
   const QuinceRouteTable *routes; /* not owned: the configuration in force; NULL: none is known */
   gboolean has_region_rules;      /* a route or tenant of it names regions */
-  guint64 opened_before;          /* by pools that are gone */
   QuincePolicy *policy;
   gboolean listed;           /* the first listing of workers was read */
   QuinceWarmupSends *warmup; /* not owned; NULL: no worker counts as cold */
   gint64 limited_until_us;   /* of the last choice: when a cold worker may have room */
   QuinceSendGuard *guard;    /* not owned; NULL: none */
-  GHashTable *events;        /* QuinceEventEntry by name, owned */
+  QuinceEventTable *events;  /* owned */
   QuincePromptTable *prompts;
   guint tie;  /* turns among equals */
   guint turn; /* where long lists of workers are looked at next; see find_few() */
@@ -34,6 +35,20 @@
   GQueue vanished;     /* ids, owned: of workers that are not listed, perhaps by the store's own doing */
 };
 
+/* ---- backends.c --------------------------------------------------------- */
+
+/* Removes workers that vanished from the list and have not come back in time. */
+void quince_backends_forget_removed (QuinceBackends *backends, gint64 now_us);
+
+/* ---- policy-calls.c ----------------------------------------------------- */
+
+/* Fills in a score for each of @engines, by the policy in force. */
+void quince_backends_score (QuinceBackends *backends,
+                            const QuincePolicyRequest *request,
+                            const QuincePolicyEngine *engines,
+                            guint n_engines,
+                            double *scores);
+
 /* ---- evacuation.c ------------------------------------------------------- */
 
 /* Takes workers of zones that are coming back out of @found (QuinceWorker), by their share of new work; the
--- a/lib/forward/backends.h
+++ b/lib/forward/backends.h
@@ -11,17 +11,13 @@
 #include "policy/policy.h"
 #include "core/routing/routing.h"
 #include "forward/send-guard.h"
-#include "runtime/settings.h"
+#include "forward/topology-settings.h"
 #include "core/routing/topology.h"
 #include "forward/warmup-sends.h"
 #include "core/routing/zone-table.h"
 
 G_BEGIN_DECLS
 
-/* (transfer full) (nullable): from the settings of a process: section "node", keys "zone", "region" and
- * "zones" */
-QuinceTopology *quince_topology_read (const QuinceSettings *settings, GError **error);
-
 typedef struct _QuinceBackends QuinceBackends;
 
 /* (transfer full): @topology: where this process and the workers stand */
--- /dev/null
+++ b/lib/forward/choose-worker.c
@@ -0,0 +1,186 @@
+/*
+ * choose-worker.c: the choice of a worker for an attempt: the workers that can take it are collected, the
+ * policy scores some of them, and the best one is taken.
+ *
+ * For: lookups, streams and samples alike.  Owns nothing; its turns are kept in the backends.  Relies on:
+ * core/decisions/worker-choice.h for the rules, warmth.c for cold workers, evacuation.c for zones.
+ */
+#include "backends-private.h"
+
+#include "core/decisions/worker-choice.h"
+#include "forward/residency-lookup.h"
+
+/* Failures in a row that the policy sees at most.  Not measured: scores need no more. */
+#define FAILURES_SHOWN_MAX 10
+
+/* What a choice has found out about the workers so far. */
+typedef struct
+{
+  QuinceBackends *backends;
+  gint64 now_us;
+  const QuinceBackendQuery *query;
+  QuinceWorkerNeed need;
+  QuinceColdChoice cold;
+  QuinceChoiceFacts facts;
+} Choice;
+
+/* Returns: whether @worker can take the request now.  @trusted: only as a first choice */
+static gboolean
+can_take (Choice *choice, QuinceWorker *worker, gboolean trusted)
+{
+  QuinceChoiceFacts *facts = &choice->facts;
+  gboolean may_send = quince_backends_may_send (choice->backends, worker);
+  facts->tried = facts->tried || (quince_choice_was_tried (worker, &choice->need) && may_send);
+  if (!quince_choice_is_suitable (worker, choice->now_us, &choice->need)
+      || !quince_backends_allow (choice->backends, worker, choice->query->residency))
+    return FALSE;
+  if (!may_send)
+    {
+      facts->evacuated = TRUE;
+      return FALSE;
+    }
+  gboolean has_room = quince_choice_has_room (worker, &choice->need);
+  facts->suitable = TRUE;
+  facts->full = facts->full || !has_room;
+  return has_room && (!trusted || quince_choice_is_trusted (worker, choice->now_us))
+         && quince_warmth_has_room (&choice->cold, worker);
+}
+
+/* The one that keeps the prompt, and those after the first of the last choice. */
+static void
+find_few (Choice *choice, const GPtrArray *all, const char *keeps_prompt, gboolean trusted, GPtrArray *found)
+{
+  QuinceBackends *backends = choice->backends;
+  QuinceWorker *keeper
+      = keeps_prompt != NULL ? quince_worker_table_find (backends->workers, keeps_prompt) : NULL;
+  if (keeper != NULL && g_str_equal (keeper->service, choice->query->request->service)
+      && can_take (choice, keeper, trusted))
+    g_ptr_array_add (found, keeper);
+  guint from = backends->turn % all->len;
+  guint others = 0;
+  for (guint i = 0; i < all->len && found->len < QUINCE_POLICY_MAX_CANDIDATES; i++)
+    {
+      QuinceWorker *worker = all->pdata[(from + i) % all->len];
+      if (worker == keeper || !can_take (choice, worker, trusted))
+        continue;
+      g_ptr_array_add (found, worker);
+      if (others++ == 0)
+        backends->turn += i + 1; /* whatever the length of the list: shorter ones do not set others back */
+    }
+}
+
+static void
+find_all (Choice *choice, const GPtrArray *all, gboolean trusted, GPtrArray *found)
+{
+  for (guint i = 0; i < all->len; i++)
+    if (can_take (choice, all->pdata[i], trusted))
+      g_ptr_array_add (found, all->pdata[i]);
+}
+
+/* Finds suitable workers with room: first choices, or where there are none the others. */
+static QuinceBackendOutcome
+collect (QuinceBackends *backends,
+         const GPtrArray *all,
+         gint64 now_us,
+         const QuinceBackendQuery *query,
+         const char *keeps_prompt,
+         GPtrArray *found)
+{
+  Choice choice = { .backends = backends,
+                    .now_us = now_us,
+                    .query = query,
+                    .need = { .model = query->model,
+                              .minimum_version = query->minimum_version,
+                              .avoid = query->avoid,
+                              .running_max = query->most_running } };
+  gboolean compares_all
+      = quince_choice_compares_all (all->len, quince_zone_table_is_returning (backends->zones, now_us));
+  quince_warmth_begin_choice (backends, now_us, query, &choice.cold);
+  for (guint trusted = 1; found->len == 0 && !quince_warmth_is_limited (&choice.cold) && trusted < 2;
+       trusted--)
+    if (compares_all)
+      find_all (&choice, all, trusted == 1, found);
+    else
+      find_few (&choice, all, keeps_prompt, trusted == 1, found);
+  choice.facts.limited = quince_warmth_end_choice (&choice.cold, found->len > 0);
+  choice.facts.found = found->len > 0;
+  return quince_choice_outcome (&choice.facts);
+}
+
+static void
+describe (const QuinceBackends *backends,
+          gint64 now_us,
+          const QuinceWorker *worker,
+          const QuinceBackendQuery *query,
+          const char *keeps_prompt,
+          QuincePolicyEngine *engine)
+{
+  guint capacity = MAX (worker->slots, 1);
+  gboolean preferred = keeps_prompt != NULL && g_str_equal (keeps_prompt, worker->id);
+  guint64 version = query->model != NULL ? quince_worker_get_version (worker, query->model) : 0;
+  *engine = (QuincePolicyEngine){
+    .name = worker->id,
+    .running = worker->running,
+    .capacity = capacity,
+    .load = (double)worker->running / capacity,
+    .prefix_match = preferred ? 1.0 : 0.0,
+    .weight_version = version,
+    .target_version = version,
+    .recent_ms = worker->service_us / 1000,
+    .recent_failures = MIN (worker->failures, FAILURES_SHOWN_MAX),
+    .same_zone = g_str_equal (worker->zone, quince_topology_get_own_zone (backends->topology)),
+  };
+  gint64 pace_us = quince_worker_get_pace_us (worker, now_us);
+  if (query->fastest_pace_us > 0 && pace_us > 0)
+    engine->slowness = (double)pace_us / (double)query->fastest_pace_us;
+}
+
+/* (transfer container): those of the service that have what the request wants. */
+static GPtrArray *
+list_workers (QuinceBackends *backends, const QuinceBackendQuery *query)
+{
+  const char *service = query->request->service;
+  if (query->model == NULL)
+    return quince_worker_table_list (backends->workers, service);
+  return quince_worker_table_list_version (backends->workers, service, query->model, query->minimum_version);
+}
+
+QuinceBackendOutcome
+quince_backends_choose (QuinceBackends *backends,
+                        gint64 now_us,
+                        const QuinceBackendQuery *query,
+                        QuinceWorker **worker)
+{
+  *worker = NULL;
+  if (backends->holds_sends)
+    return QUINCE_BACKEND_ZONES_UNKNOWN;
+  quince_backends_forget_removed (backends, now_us);
+  g_autoptr (GPtrArray) all = list_workers (backends, query);
+  g_autoptr (GPtrArray) found = g_ptr_array_new ();
+  const char *keeps_prompt
+      = query->prompt != NULL ? quince_prompt_table_find (backends->prompts, query->prompt) : NULL;
+  QuinceBackendOutcome outcome = collect (backends, all, now_us, query, keeps_prompt, found);
+  if (outcome != QUINCE_BACKEND_CHOSEN)
+    return outcome;
+  quince_backends_limit_returning (backends, now_us, query->most_running, found);
+  QuinceWorker *candidates[QUINCE_POLICY_MAX_CANDIDATES];
+  QuincePolicyEngine engines[QUINCE_POLICY_MAX_CANDIDATES];
+  double scores[QUINCE_POLICY_MAX_CANDIDATES];
+  /* Where @found was collected by turns its first is due; see find_few(). */
+  gboolean in_turn = all->len > QUINCE_CHOICE_COMPARE_ALL_MAX && found->len <= QUINCE_POLICY_MAX_CANDIDATES;
+  guint first = in_turn ? 0 : backends->tie++ % found->len;
+  guint n_engines
+      = quince_choice_pick_candidates (found, first, keeps_prompt, QUINCE_POLICY_MAX_CANDIDATES, candidates);
+  for (guint i = 0; i < n_engines; i++)
+    describe (backends, now_us, candidates[i], query, keeps_prompt, &engines[i]);
+  quince_backends_score (backends, query->request, engines, n_engines, scores);
+  gint best = quince_choice_best (scores, n_engines);
+  if (best < 0)
+    return QUINCE_BACKEND_FULL;
+  if (!quince_warmth_take (backends, now_us, query, candidates[best]))
+    return QUINCE_BACKEND_COLD;
+  *worker = candidates[best];
+  if (query->prompt != NULL)
+    quince_prompt_table_note (backends->prompts, query->prompt, (*worker)->id);
+  return QUINCE_BACKEND_CHOSEN;
+}
--- a/lib/forward/evacuation.c
+++ b/lib/forward/evacuation.c
@@ -5,21 +5,17 @@
  * gone, and a request that may not be repeated would be lost.  What has not arrived yet is given up, since it
  * would arrive late.
  */
-#include <math.h>
-
+#include "core/decisions/worker-choice.h"
 #include "runtime/log.h"
 #include "runtime/clock.h"
 
 #include "backends-private.h"
 
-/* A request that the worker's machine has not acknowledged so long after its zone was evacuated is stuck on a
- * cut or slow link: a round trip takes some ms. */
+/* Time after its zone was evacuated from which a request that the worker's machine has not acknowledged is
+ * stuck on a cut or slow link, ms.  Not measured: a round trip takes some ms. */
 #define ARRIVAL_MS 500
-/* How long requests that do not arrive are looked for. */
+/* Time for which such requests are looked for, us: three checks. */
 #define CHECK_INTERVAL_US (3 * ARRIVAL_MS * 1000)
-/* Without a bound on running requests a returning worker takes part in its share of so many choices. */
-#define TURNS 8
-
 /* ---- Requests that have not arrived ------------------------------------- */
 
 /* (transfer container): ids, owned: of workers in evacuated zones with kept connections.  Callbacks of what
@@ -27,17 +23,14 @@
 static GPtrArray *
 list_evacuated (const QuinceBackends *backends, gint64 before_us)
 {
-  GPtrArray *ids = g_ptr_array_new_with_free_func (g_free);
-  GHashTableIter iter;
-  gpointer id;
-  g_hash_table_iter_init (&iter, backends->pools);
-  while (g_hash_table_iter_next (&iter, &id, NULL))
+  GPtrArray *ids = quince_worker_pools_list (backends->pools);
+  for (guint i = ids->len; i > 0; i--)
     {
-      const QuinceWorker *worker = quince_worker_table_find (backends->workers, id);
+      const QuinceWorker *worker = quince_worker_table_find (backends->workers, ids->pdata[i - 1]);
       gint64 since_us
           = worker != NULL ? quince_zone_table_get_evacuated_us (backends->zones, worker->zone) : 0;
-      if (since_us != 0 && since_us <= before_us)
-        g_ptr_array_add (ids, g_strdup (id));
+      if (since_us == 0 || since_us > before_us)
+        g_ptr_array_remove_index (ids, i - 1);
     }
   return ids;
 }
@@ -49,7 +42,7 @@
   guint count = 0;
   for (guint i = 0; i < ids->len; i++)
     {
-      QuinceHttpPool *pool = g_hash_table_lookup (backends->pools, ids->pdata[i]);
+      QuinceHttpPool *pool = quince_worker_pools_find (backends->pools, ids->pdata[i]);
       if (pool != NULL)
         count += quince_http_pool_withdraw (pool, progress);
     }
@@ -126,9 +119,7 @@
     {
       const QuinceWorker *worker = found->pdata[i];
       double share = quince_zone_table_get_share (backends->zones, now_us, worker->zone);
-      gboolean has_turn = most_running > 0 ? worker->running < (guint)ceil (share * most_running)
-                                           : (backends->tie + i) % TURNS < (guint)lround (share * TURNS);
-      if (has_turn)
+      if (quince_choice_has_returning_turn (share, worker->running, most_running, backends->tie + i))
         g_ptr_array_add (kept, found->pdata[i]);
     }
   if (kept->len == 0)
--- a/lib/forward/policy-entry.c
+++ b/lib/forward/policy-entry.c
@@ -9,6 +9,8 @@
 
 #include "backends-private.h"
 
+/* Lines of an entry: the number of the proposal, author, comment, and the program as the last, with its own
+ * line feeds. */
 #define LINES 4
 
 G_DEFINE_QUARK (quince - policy - entry - error - quark, quince_policy_entry_error)
@@ -133,7 +135,7 @@
   if (value == NULL)
     {
       quince_log_info ("event_deleted", "name=%s", quoted);
-      g_hash_table_remove (backends->events, name);
+      quince_event_table_remove (backends->events, name);
       return;
     }
   if (!quince_event_entry_parse (value, &entry, &error))
@@ -144,5 +146,5 @@
   quince_log_info ("event_known",
                    "name=%s start_ms=%" G_GINT64_FORMAT " duration_ms=%" G_GINT64_FORMAT " service=%s",
                    quoted, entry.start_ms, entry.duration_ms, entry.service);
-  g_hash_table_replace (backends->events, g_strdup (name), g_memdup2 (&entry, sizeof entry));
+  quince_event_table_set (backends->events, name, &entry);
 }
--- a/lib/forward/policy-entry.h
+++ b/lib/forward/policy-entry.h
@@ -6,6 +6,7 @@
 #pragma once
 
 #include "forward/backends.h"
+#include "forward/event-table.h"
 
 G_BEGIN_DECLS
 
@@ -31,14 +32,7 @@
 void quince_policy_entry_free (QuincePolicyEntry *entry);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (QuincePolicyEntry, quince_policy_entry_free)
 
-/* "START_MS DURATION_MS SERVICE": wall clock; service "-": every one. */
-typedef struct
-{
-  gint64 start_ms;
-  gint64 duration_ms;
-  char *service;
-} QuinceEventEntry;
-
+/* "START_MS DURATION_MS SERVICE": wall clock, ms; service "-": every one. */
 GBytes *quince_event_entry_format (const QuinceEventEntry *entry);
 gboolean quince_event_entry_parse (GBytes *value, QuinceEventEntry *entry, GError **error);
 
--- a/lib/forward/warmth.c
+++ b/lib/forward/warmth.c
@@ -6,13 +6,10 @@
  */
 #include "backends-private.h"
 
+#include "core/decisions/worker-choice.h"
 #include "runtime/log.h"
 #include "runtime/clock.h"
 
-/* How often in a second all slots of a warm worker may be filled.  Chosen: far above what samples of
- * 0.3 s and longer need. */
-#define WARM_REFILLS_PER_SECOND 2
-
 /* ---- What is known ------------------------------------------------------- */
 
 /* An entry that first appears after the first listing is of a worker that starts. */
@@ -72,15 +69,12 @@
 
 /* ---- The choice ---------------------------------------------------------- */
 
-/* Most requests in a second at @worker.  A warm one may turn cold at any moment, and its entry tells that
- * late. Only samples are held to the bound before: one process sends them all, and only runs that take less
- * than half a second would come to it. */
+/* Most requests in a second at @worker. */
 static guint
 most_of (const QuinceBackendQuery *query, gint64 now_us, const QuinceWorker *worker, guint most)
 {
-  if (quince_worker_is_cold (worker, now_us))
-    return most;
-  return query->model != NULL ? MAX (most, WARM_REFILLS_PER_SECOND * query->most_running) : G_MAXUINT;
+  return quince_choice_cold_limit (most, quince_worker_is_cold (worker, now_us), query->model != NULL,
+                                   query->most_running);
 }
 
 void
--- /dev/null
+++ b/lib/forward/worker-pools.c
@@ -0,0 +1,89 @@
+/*
+ * worker-pools.c: kept connections to workers, one pool for each.
+ */
+#include "forward/worker-pools.h"
+
+struct _QuinceWorkerPools
+{
+  /* All fields belong to the context that created it. */
+  GHashTable *by_worker; /* QuinceHttpPool by worker id, both owned */
+  guint64 opened_before; /* by pools that were removed */
+};
+
+QuinceWorkerPools *
+quince_worker_pools_new (void)
+{
+  QuinceWorkerPools *pools = g_new0 (QuinceWorkerPools, 1);
+  pools->by_worker
+      = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, (GDestroyNotify)quince_http_pool_unref);
+  return pools;
+}
+
+void
+quince_worker_pools_free (QuinceWorkerPools *pools)
+{
+  g_hash_table_unref (pools->by_worker);
+  g_free (pools);
+}
+
+QuinceHttpPool *
+quince_worker_pools_find (const QuinceWorkerPools *pools, const char *worker_id)
+{
+  return g_hash_table_lookup (pools->by_worker, worker_id);
+}
+
+QuinceHttpPool *
+quince_worker_pools_get (QuinceWorkerPools *pools, const QuinceWorker *worker)
+{
+  QuinceHttpPool *pool = quince_worker_pools_find (pools, worker->id);
+  if (pool == NULL)
+    {
+      pool = quince_http_pool_new (worker->address);
+      g_hash_table_insert (pools->by_worker, g_strdup (worker->id), pool);
+    }
+  return pool;
+}
+
+GPtrArray *
+quince_worker_pools_list (const QuinceWorkerPools *pools)
+{
+  GPtrArray *ids = g_ptr_array_new_with_free_func (g_free);
+  GHashTableIter iter;
+  gpointer id;
+  g_hash_table_iter_init (&iter, pools->by_worker);
+  while (g_hash_table_iter_next (&iter, &id, NULL))
+    g_ptr_array_add (ids, g_strdup (id));
+  return ids;
+}
+
+void
+quince_worker_pools_remove (QuinceWorkerPools *pools, const char *worker_id)
+{
+  const QuinceHttpPool *pool = quince_worker_pools_find (pools, worker_id);
+  if (pool == NULL)
+    return;
+  pools->opened_before += quince_http_pool_get_opened (pool);
+  g_hash_table_remove (pools->by_worker, worker_id);
+}
+
+void
+quince_worker_pools_drop_idle (QuinceWorkerPools *pools)
+{
+  GHashTableIter iter;
+  gpointer pool;
+  g_hash_table_iter_init (&iter, pools->by_worker);
+  while (g_hash_table_iter_next (&iter, NULL, &pool))
+    quince_http_pool_drop_idle (pool);
+}
+
+guint64
+quince_worker_pools_get_opened (const QuinceWorkerPools *pools)
+{
+  guint64 opened = pools->opened_before;
+  GHashTableIter iter;
+  gpointer pool;
+  g_hash_table_iter_init (&iter, pools->by_worker);
+  while (g_hash_table_iter_next (&iter, NULL, &pool))
+    opened += quince_http_pool_get_opened (pool);
+  return opened;
+}
