--- a/daemons/replica/sample.c
+++ b/daemons/replica/sample.c
@@ -10,9 +10,10 @@
 #include "core/decisions/silence.h"
 #include "runtime/clock.h"
 
-/* A run's silence is looked at so often; how much of it is borne changes with the worker's pace. */
+/* Interval of the checks for silence, ms: the longest silence changes with the worker's pace.  Not measured.
+ */
 #define SILENCE_CHECK_MS 300
-/* Told to the worker where the sample has no end. */
+/* Time that a worker is given for a sample without a give-up time, ms.  Not measured. */
 #define TIME_MAX_MS 60000
 
 QuinceSample *
--- a/daemons/replica/sample.h
+++ b/daemons/replica/sample.h
@@ -1,5 +1,8 @@
 /*
- * sample.h: one sample: its text as far as it is made, the stream that makes it, and its reward call.
+ * sample.h: one sample: its text so far, the run that makes it, and its reward call.
+ *
+ * For: the parts of the sample runner; see sample-set.h.  Owns: the text, the exchange with the worker, the
+ * reward call. Relies on: the backends for connections, core/decisions/silence.h.
  */
 #pragma once
 
--- a/daemons/replica/weight-load.h
+++ b/daemons/replica/weight-load.h
@@ -1,5 +1,10 @@
 /*
- * weight-load.h: one worker that is being brought to a version of a model.
+ * weight-load.h: brings one worker to a version of a model: asks for its report, orders the load, polls until
+ * it has loaded.
+ *
+ * For: weight-orders.c.  Owns: one exchange with the worker, one timer.  Relies on:
+ * core/decisions/load-next.h for the rules; the worker, which refuses an order whose fence is old or whose
+ * number of orders taken is not its own.
  */
 #pragma once
 
--- a/daemons/replica/weight-orders.h
+++ b/daemons/replica/weight-orders.h
@@ -1,7 +1,10 @@
 /*
  * weight-orders.h: brings workers to the versions of the weights that trainers name.
  *
- * Only the ledger's leader orders, with its epoch as the fence.
+ * Only the ledger's leader orders, with its epoch as the fencing token.
+ *
+ * For: the replica, while it leads.  Owns: the loads in progress, the load window of each service.  Relies
+ * on: core/weights for which worker loads, weight-load.c for each load.
  */
 #pragma once
 
--- a/lib/core/batches/batch-book.h
+++ b/lib/core/batches/batch-book.h
@@ -1,8 +1,10 @@
 /*
- * batch-book.h: batches, their items and listed results, as the log of the batch ledger tells them.
+ * batch-book.h: batches, their items and listed results, as the records of the ledger give them.
  *
- * Pure and deterministic: the same records in the same order give the same book.  A position that was given
- * to a result never changes; what a record says a second time changes nothing.
+ * The same records in the same order give the same book.  The position of a result never changes, and a
+ * record that is applied twice changes nothing.
+ *
+ * For: each replica.  Owns: the batches.  Relies on: the order of the ledger; pure.
  */
 #pragma once
 
--- a/lib/core/batches/length-model.c
+++ b/lib/core/batches/length-model.c
@@ -3,11 +3,11 @@
  */
 #include "core/batches/length-model.h"
 
-/* What one whole text keeps of the weight of those before it: the last 200 texts or so count, which is about
- * one step of the users' trainers. */
+/* Part of the weight of earlier texts that each whole text keeps: the last 200 texts or so count, about one
+ * step of the users' trainers. */
 #define KEEP_WEIGHT 0.995
-/* A text that is already longer than expected: this part of what was made is still to come.  Lengths are
- * spread widely, so what has outgrown its estimate is likely far from its end. */
+/* Part of its length so far that is still to come of a text longer than expected: lengths are spread widely,
+ * so that a text which has outgrown its estimate is likely far from its end.  Not measured by itself. */
 #define OVERSHOOT_PART 0.3
 
 struct _QuinceLengthModel
@@ -45,8 +45,8 @@
   model->estimated_events = model->estimated_events * KEEP_WEIGHT + (double)events;
 }
 
-double
-quince_length_model_expect (const QuinceLengthModel *model, guint estimated_tokens)
+static double
+expect (const QuinceLengthModel *model, guint estimated_tokens)
 {
   if (estimated_tokens == 0)
     return model->texts > 0 ? model->events / model->texts : 1;
@@ -59,7 +59,7 @@
 double
 quince_length_model_remaining (const QuinceLengthModel *model, guint estimated_tokens, guint64 made)
 {
-  double expected = quince_length_model_expect (model, estimated_tokens);
+  double expected = expect (model, estimated_tokens);
   double left = MAX (expected - (double)made, OVERSHOOT_PART * (double)made);
   if (model->longest > made)
     left = MIN (left, (double)(model->longest - made));
--- a/lib/core/batches/length-model.h
+++ b/lib/core/batches/length-model.h
@@ -2,9 +2,11 @@
  * length-model.h: how many events a sample's text will have, from its caller's estimate and from texts that
  * ended.
  *
- * Callers estimate in tokens, workers make events of several tokens.  How many tokens an event holds is not
- * told anywhere: the model learns it, with the estimates' mean error, from each text that became whole.
- * Pure: no clock and no random source.
+ * Callers estimate in tokens; workers make events of several tokens.  How many tokens an event holds is not
+ * known beforehand: the model learns it, and the estimates' mean error, from each text that became whole.
+ *
+ * For: the ledger's leader, one for each model.  Owns: its averages, in memory.  Pure: no clock and no random
+ * source.
  */
 #pragma once
 
@@ -20,8 +22,6 @@
 
 /* A text became whole with @events events; @estimated_tokens: what its caller had estimated, 0: nothing. */
 void quince_length_model_note (QuinceLengthModel *model, guint estimated_tokens, guint64 events);
-/* Events that the whole text will likely have; without an estimate the mean of the texts so far. */
-double quince_length_model_expect (const QuinceLengthModel *model, guint estimated_tokens);
 /* Events still to come for a text that has @made of them. */
 double quince_length_model_remaining (const QuinceLengthModel *model, guint estimated_tokens, guint64 made);
 
--- a/lib/core/request/expected-ends.c
+++ b/lib/core/request/expected-ends.c
@@ -3,9 +3,10 @@
  */
 #include "core/request/expected-ends.h"
 
-/* A permit holds no longer, and so a send under one: see quarantine-coordinator.c. */
+/* Longest send under a permit, us: a permit ends after it; see quarantine-coordinator.c. */
 #define SEND_MAX_US (3 * G_USEC_PER_SEC)
-/* One send of a digest at a time is permitted, and few requests are suspected; far above both. */
+/* Sends that are remembered.  Not measured: one send of a digest at a time is permitted, and few requests are
+ * suspected. */
 #define ENTRIES_MAX 256
 
 typedef struct
--- a/lib/core/request/expected-ends.h
+++ b/lib/core/request/expected-ends.h
@@ -1,10 +1,11 @@
 /*
- * expected-ends.h: what the leader sends by permit, kept by its likely successor.
+ * expected-ends.h: the leader's sends under a permit, as its likely successor keeps them.
  *
- * A leader that dies with its send under way cannot tell whether the worker ended.  Its successor counts such
- * a send as an end when it takes the lead; while the leader lives it counts for nothing.
+ * A leader that dies during such a send cannot report whether the worker ended.  Its successor counts the
+ * send as an end when it takes the lead; while the leader lives it counts for nothing.
  *
- * Pure: time is an argument, in microseconds of one clock that counts suspensions too.
+ * For: the replica that follows the leader.  Owns: the sends.  Relies on: nothing; pure: time is an argument,
+ * in microseconds of one clock that counts suspensions too.
  */
 #pragma once
 
--- a/lib/core/request/permits.c
+++ b/lib/core/request/permits.c
@@ -3,9 +3,9 @@
  */
 #include "core/request/quarantine.h"
 
-/* A run keeps other suspects from its service for so long at the most.  A lookup takes 25 to 80 ms on the
- * users' sheets; a sample takes a second or more, and ten of them that each met two ends would wait for ten.
- */
+/* Longest time for which a run keeps other suspects from its service, us.  A lookup takes 25 to 80 ms at the
+ * users' workers.  A sample takes a second or more, and ten suspect ones would wait for each other for ten
+ * seconds. */
 #define ALONE_MAX_US (300 * 1000)
 
 typedef struct
--- a/lib/core/request/quarantine.c
+++ b/lib/core/request/quarantine.c
@@ -7,14 +7,14 @@
 
 #include <xxhash.h>
 
-/* An answer speaks for its prompt so long.  Chosen: longer than the deadlines of the users' batches (12 s),
- * in which the group of a prompt is made, and short against a change of what workers run. */
+/* Time for which an answer clears its prompt, us.  Not measured: longer than the deadlines of the users'
+ * batches (12 s), in which the group of a prompt is made, and short against a change of what workers run. */
 #define CLEARED_KEEP_US (60 * G_USEC_PER_SEC)
-/* A worker that ended is listed for some seconds more (three heartbeats of 1.2 s); the next incarnation has
- * another id. */
+/* Time for which the ids of workers that ended are kept, us: such a worker is listed for some seconds more
+ * (three heartbeats of 1.2 s); the next incarnation has another id.  Not measured. */
 #define ENDED_KEEP_US (60 * G_USEC_PER_SEC)
-/* A request gives way to others of its prompt so long: the leader looks at those that wait several times a
- * second. */
+/* Time for which a request gives way to others of its prompt, us: the leader checks waiting samples several
+ * times a second.  Not measured. */
 #define GIVE_WAY_US (1 * G_USEC_PER_SEC)
 
 struct _QuinceQuarantine
--- a/lib/core/request/quarantine.h
+++ b/lib/core/request/quarantine.h
@@ -1,18 +1,20 @@
 /*
- * quarantine.h: requests under which workers ended, and who may send them once more.
+ * quarantine.h: requests under which workers ended, and the rule by which each may be sent again.
  *
- * A request that ends each worker that runs it must be told from one that was only near when workers ended:
- * a neighbour in the slots of a worker, or a request that met workers which died for reasons of their own. So
- * an end alone holds nothing.  A request under which workers ended is sent on by permit, one at a time; from
- * the second end on nothing else that is suspected runs at its service meanwhile.  An answer proves that it
- * is innocent and forgets it.  Ends that it met alone count against it, and hold it in the end.
+ * A request that ends every worker that runs it must be told apart from one that was only running when
+ * workers ended: beside it in the slots of a worker, or at workers that died for other reasons.  So one end
+ * alone holds nothing.  A request under which workers ended is a suspect and is sent by permit, once at a
+ * time; from the second end on no other suspect runs at its service meanwhile.  An answer proves it innocent
+ * and clears it.  Ends that it met alone count against it, and hold it at last.
  *
  * A shared prompt is a suspect of its own, beside the requests that share it: their ends add up, so that a
  * prompt which ends workers is held after as many ends as a single request.  The answer of any of them clears
- * it, and for a while no end counts against it but those that are met alone.  One request alone never holds
- * the prompt that it shares.
+ * it, and for a minute only ends that are met alone count against it.  One request alone never holds its
+ * prompt.
  *
- * Pure: time is an argument, in microseconds of one clock that counts suspensions too.
+ * For: the send guard of each process, and the leader, which gives permits.  Owns: what is known of each
+ * suspect, in memory, within limits.  Relies on: nothing; pure: time is an argument, in microseconds of one
+ * clock that counts suspensions too.
  */
 #pragma once
 
@@ -20,13 +22,13 @@
 
 G_BEGIN_DECLS
 
-/* From so many ends on a request is sent only alone. */
+/* Ends of workers from which on a request is sent only alone.  Not measured: one end may be chance. */
 #define QUINCE_QUARANTINE_ENDS_ALONE 2
-/* A request is held after so many ends, of which it met so many alone: three ends may be chance, and the
- * fourth is met alone, as the one before. */
+/* Ends of workers after which a request is held, if it met some of them alone: three may be chance. */
 #define QUINCE_QUARANTINE_ENDS_MIN 4
+/* How many of these it must have met alone: the last two are, by the rule above. */
 #define QUINCE_QUARANTINE_ALONE_MIN 2
-/* Workers that are remembered of one request, those that ended last. */
+/* Workers remembered of one request, the last ones: twice the ends after which it is held. */
 #define QUINCE_QUARANTINE_WORKERS_MAX 8
 
 /* What is suspected. */
--- a/lib/core/request/request-digest.h
+++ b/lib/core/request/request-digest.h
@@ -1,7 +1,9 @@
 /*
- * request-digest.h: what stands for a request that is asked again under another id.
+ * request-digest.h: identifies a request that is sent again under another id.
  *
- * Equal for equal callers, hosts, methods, targets and bodies; it tells nothing of any of them.
+ * Equal for equal callers, hosts, methods, targets and bodies; nothing of them can be read from it.
+ *
+ * For: the quarantine and its messages.  Owns nothing; pure.
  */
 #pragma once
 
@@ -9,6 +11,7 @@
 
 G_BEGIN_DECLS
 
+/* Length of a digest, bytes: 128 bits, so that no two requests share one by chance. */
 #define QUINCE_REQUEST_DIGEST_BYTES 16
 
 typedef struct
--- a/lib/core/request/service-capacity.c
+++ b/lib/core/request/service-capacity.c
@@ -3,23 +3,24 @@
  */
 #include "core/request/service-capacity.h"
 
-/* A service that had fewer workers for so long has no more.  Chosen far above the time in which a worker that
- * ended comes back (some seconds). */
+/* Time after which a service that has fewer workers counts as smaller, us.  Not measured: far above the time
+ * in which a worker that ended comes back (some seconds). */
 #define MAX_KEEP_US (30 * G_USEC_PER_SEC)
-/* Each end leaves a single-worker service with none.  Callers are served for the greater part of
- * the time if such a request is sent this seldom; it is held after a few ends. */
+/* Time between two sends of suspects to a service with a single worker, us: each end leaves it with none. Not
+ * measured: its callers are served for the greater part of the time, and the suspect is held after a few
+ * ends. */
 #define SINGLE_PAUSE_US (10 * G_USEC_PER_SEC)
-/* Requests that end workers come in series.  For so long after an end a service of a few workers is sent none
- * of them twice at once: a second run before the first one is known to have ended its worker would leave one
- * of three.  Without any end second runs serve callers of slow workers. */
+/* Time after an end in which a service of a few workers gets no hedges, us: requests that end workers come in
+ * series, and a hedge before the first worker is known to have ended would leave one of three.  Not measured.
+ */
 #define HEDGE_CALM_US (60 * G_USEC_PER_SEC)
-/* How long a service takes to be whole again, where that was never seen: the entry of a worker that ended
+/* Time in which a service is whole again, us, where that was never seen: the entry of a worker that ended
  * lapses after three heartbeats, 3.6 s, before another one takes its place. */
 #define RECOVERY_UNKNOWN_US (4 * G_USEC_PER_SEC)
-/* A service is looked at only while something is suspected, so a recovery may be noticed minutes after it.
- * Chosen: above the time of a new worker's start. */
+/* Longest recovery that counts, us: services are checked only while something is suspected, so that a
+ * recovery may be noticed minutes after it.  Not measured: above the time of a worker's start. */
 #define RECOVERY_MAX_US (10 * G_USEC_PER_SEC)
-/* Callers are never told to come back sooner. */
+/* Shortest Retry-After of a protected service, us.  Not measured. */
 #define WAIT_MIN_US (500 * 1000)
 
 typedef struct
--- a/lib/core/request/service-capacity.h
+++ b/lib/core/request/service-capacity.h
@@ -1,11 +1,13 @@
 /*
- * service-capacity.h: how many workers of a service are ready, of how many, and whether it bears the end of
- * one more.
+ * service-capacity.h: how many workers of a service are ready, of how many, and whether it survives the loss
+ * of one more.
  *
- * A request under which workers ended may end the next one too.  It is sent only while its service keeps half
- * of its workers, and one at least, if that happens.
+ * A request under which workers ended may end the next one too.  It is sent only while its service would keep
+ * half of its workers, and at least one.
  *
- * Pure: time is an argument, in microseconds of one clock that counts suspensions too.
+ * For: the send guard of each process, and the leader before it gives a permit.  Owns: the last counts of
+ * each service, in memory.  Relies on: its caller to count the workers; pure: time is an argument, in
+ * microseconds of one clock that counts suspensions too.
  */
 #pragma once
 
--- a/lib/core/weights/load-plan.c
+++ b/lib/core/weights/load-plan.c
@@ -3,15 +3,17 @@
  */
 #include "core/weights/load-plan.h"
 
-/* A run that lasts longer may be the last one of its step, and a load under it makes the step later by as
- * much. Chosen: twice the second that a load takes. */
+/* Duration of a run, us, from which on its worker's load waits: it may be the last run of its step, and a
+ * load under it makes the step later by as much.  Twice the second that a load takes; measured with the whole
+ * rule: 7.0 s in place of 8.0 s for a step (unit test load-plan). */
 #define LONG_RUN_US (2 * G_USEC_PER_SEC)
-/* A trainer names a version and asks for its next step: the batch is taken 0.1 to 0.3 s later, and its
- * samples are to find the workers open. */
+/* Time after a version was named in which no worker that still serves loads it, us: the trainer's next batch
+ * comes 0.1 to 0.3 s later, and its samples are to find the workers open. */
 #define NEXT_STEP_US (400 * 1000)
-/* A worker that serves does not stay behind for longer: the next version makes it useless all at once. */
+/* Longest time for which a load waits, us: the next version would make the worker useless all at once.  Not
+ * measured: about two steps of the users' trainers. */
 #define PUT_OFF_MAX_US (8 * G_USEC_PER_SEC)
-/* Versions that a worker may be behind and still serve a step that is asked for later. */
+/* Versions that a worker may be behind and still serve the next step: the users' trainers allow one. */
 #define BEHIND_MAX 1
 
 typedef struct
--- a/lib/core/weights/load-plan.h
+++ b/lib/core/weights/load-plan.h
@@ -5,7 +5,7 @@
  * version old, so a worker that is one version behind still serves it: it loads once the step's samples have
  * begun and its own long runs have ended.  A worker that serves no step loads at once.
  *
- * Pure: a plan is filled with what is known at one moment and asked for that moment.
+ * For: weight-orders.c, which fills a plan for each check.  Owns: the plan's counts.  Pure.
  */
 #pragma once
 
--- a/lib/core/weights/load-turns.h
+++ b/lib/core/weights/load-turns.h
@@ -1,11 +1,11 @@
 /*
  * load-turns.h: which of the workers that are behind loads next, where they cannot all load at once.
  *
- * Models share the loads: the next one goes to the model of which the least part of its workers has the
- * version named last, so that one that names versions more often than others takes no more than its share.
- * Within a model the worker goes first that is the furthest behind, then the one that runs the least.
+ * Models share the loads: the next one goes to the model with the smallest part of its workers at the newest
+ * version, so that a model with frequent versions takes no more than its share.  Within a model the worker
+ * goes first that is the furthest behind, then the one that runs the least.
  *
- * Pure: turns are filled with what is known at one moment and used for that moment.
+ * For: weight-orders.c, which fills turns for each check.  Owns: the candidates.  Pure.
  */
 #pragma once
 
--- a/lib/core/weights/load-window.c
+++ b/lib/core/weights/load-window.c
@@ -3,19 +3,21 @@
  */
 #include "core/weights/load-window.h"
 
-/* Loads at once before any has ended, bounded by what the service can do without: a source of weights that
- * bears fewer is found out within one load. */
+/* Loads at once before any has ended, within the bound of the service.  Not measured: a source of weights
+ * that is too slow for so many shows it within one load. */
 #define START_LOADS 8
-/* A load alone takes about a second; a worker that had the version already is no measure of that. */
+/* Shortest time of a load that counts, us: a load alone takes 0.9 s (measured); a shorter one found the
+ * version there already. */
 #define ALONE_MIN_US (900 * 1000)
-/* A load that takes so many times as long as one alone was slowed down by others.  Reports lag by 0.1 s, and
- * a late look adds as much. */
+/* Times the duration of a load alone from which on it was slowed down by others.  Reports lag by 0.1 s, and a
+ * late poll adds as much. */
 #define SLOW_TIMES 1.5
-/* For each load that was not slow the number grows by this: it doubles with each round of loads until one was
- * slow, and grows by a tenth after that. */
+/* Growth of the number of loads for each load that was not slow, before the first slow one: it doubles with
+ * each round. */
 #define GROWTH_FIRST 1.0
+/* The same after the first slow one: a tenth.  Not measured. */
 #define GROWTH 0.1
-/* What is left of the number after a slow load. */
+/* Part of the number that is left after a slow load.  Not measured. */
 #define SHRINK 0.7
 
 static double
--- a/lib/core/weights/load-window.h
+++ b/lib/core/weights/load-window.h
@@ -1,11 +1,12 @@
 /*
  * load-window.h: how many workers of a service load new weights at the same time.
  *
- * Where weights come from bears only so many loads at once, and nobody tells how many: with more of them each
- * load takes longer, and a worker that loads serves nothing.  So the number follows the time that loads take:
- * it grows while they take as long as one alone, and falls when they take longer.
+ * The source of weights is fast enough for some number of loads at once that is not known: with more of them
+ * each load takes longer, and a worker that loads serves nothing.  So the number follows the duration of
+ * loads: it grows while they take as long as one alone, and falls when they take longer.
  *
- * Pure: time is an argument, in microseconds of one monotonic clock.
+ * For: weight-orders.c, one for each service.  Owns: the window.  Pure: time is an argument, in microseconds
+ * of one monotonic clock.
  */
 #pragma once
 
--- a/lib/core/weights/model-placement.c
+++ b/lib/core/weights/model-placement.c
@@ -5,31 +5,38 @@
 
 #include <math.h>
 
-/* A model's demand begins to fade so long after its last step.  Chosen: above the deadline of a step (12 s).
- */
+/* Time after its last step from which on a model's demand fades, us.  Not measured: above the deadline of a
+ * step (12 s). */
 #define STEP_KEEP_US (15 * G_USEC_PER_SEC)
+/* Time in which it halves then, us.  Not measured. */
 #define HALF_LIFE_US (12 * G_USEC_PER_SEC)
+/* Time between two moves of workers, us.  Not measured. */
 #define MOVE_EVERY_US (2 * G_USEC_PER_SEC)
-/* Weight of the newest step in the work and the lateness of a model's steps. */
+/* Weight of the newest step in the smoothed work and lateness of a model's steps.  Not measured. */
 #define NEWEST_STEP_WEIGHT 0.5
-/* A step that could not run at all (a leader lost, the store away) says little of the workers that its model
- * needs. */
+/* Least lateness of a step that counts, as a part of its deadline.  Not measured. */
 #define LATENESS_MIN 0.5
+/* Greatest such lateness: a step that could not run at all (a leader lost, the store away) says little of the
+ * workers that its model needs.  Not measured. */
 #define LATENESS_MAX 2.0
-/* A worker moves when a model lacks this much of one, and another has that much too many. */
+/* Part of a worker that a model must lack before one moves to it.  Not measured: keeps workers from moving to
+ * and fro. */
 #define LACK_MIN 0.6
+/* Part of a worker that the other model must have beyond its share.  Not measured. */
 #define SURPLUS_MIN 0.4
-/* A worker without a model gets one where any is lacking at all. */
+/* Part of a worker that a model must lack to get one from the reserve: anything at all. */
 #define LACK_ANY 0.01
-/* Every model has this many workers where there are enough: one may be slow or lost. */
+/* Workers of every model where there are enough: one may be slow or lost.  Not measured. */
 #define EACH_MIN 2
-/* Samples of a model at once: the most of late, and this much more. */
+/* Time in which the remembered peak of a model's samples halves, us.  Not measured. */
 #define PEAK_HALF_LIFE_US (60 * G_USEC_PER_SEC)
+/* Room above that peak, as a factor.  Not measured. */
 #define PEAK_ROOM 1.5
-/* Workers of a model beyond what its samples need; more than that again and one is let go. */
+/* Workers of a model beyond what its samples can fill.  Not measured. */
 #define SPARE 2
+/* Workers beyond its share from which on one goes to the reserve.  Not measured: more than the spare ones. */
 #define RELEASE_SURPLUS 3
-/* The model of a worker that is not listed is forgotten after it. */
+/* Time after which the placement of a worker that is not listed is forgotten, us.  Not measured. */
 #define PLACEMENT_KEEP_US (60 * G_USEC_PER_SEC)
 
 typedef struct
@@ -44,12 +51,12 @@
 {
   char *model;
   gint64 seen_us;
-} Home;
+} Placed;
 
 struct _QuinceModelPlacement
 {
   GHashTable *demand;    /* Demand by model, owned */
-  GHashTable *placement; /* Home by worker id, owned */
+  GHashTable *placement; /* Placed by worker id, owned */
   gint64 move_after_us;
 };
 
@@ -64,7 +71,7 @@
 static void
 assignment_free (gpointer data)
 {
-  Home *model = data;
+  Placed *model = data;
   g_free (model->model);
   g_free (model);
 }
@@ -149,7 +156,7 @@
 const char *
 quince_model_placement_get (QuinceModelPlacement *placement, const char *worker)
 {
-  const Home *model = g_hash_table_lookup (placement->placement, worker);
+  const Placed *model = g_hash_table_lookup (placement->placement, worker);
   return model != NULL ? model->model : NULL;
 }
 
@@ -235,25 +242,25 @@
   return found;
 }
 
-/* ---- Homes ------------------------------------------------------------ */
+/* ---- Placement ------------------------------------------------------------ */
 
 static void
 set_assignment (QuinceModelPlacement *placement, gint64 now_us, const char *worker, Share *share)
 {
-  Home *model = g_new0 (Home, 1);
+  Placed *model = g_new0 (Placed, 1);
   model->model = g_strdup (share->model);
   model->seen_us = now_us;
   g_hash_table_replace (placement->placement, g_strdup (worker), model);
   share->count++;
 }
 
-/* Counts the placement that there are, and forgets those of workers long gone. */
+/* Counts the workers of each model, and forgets workers that are gone for long. */
 static void
 count_assigned (QuinceModelPlacement *placement, gint64 now_us, GArray *shares, const GArray *workers)
 {
   for (guint i = 0; i < workers->len; i++)
     {
-      Home *model
+      Placed *model
           = g_hash_table_lookup (placement->placement, g_array_index (workers, QuincePlacementWorker, i).id);
       Share *share = model != NULL ? share_of (shares, model->model) : NULL;
       if (share == NULL)
@@ -265,11 +272,11 @@
   gpointer value;
   g_hash_table_iter_init (&iter, placement->placement);
   while (g_hash_table_iter_next (&iter, NULL, &value))
-    if (now_us - ((const Home *)value)->seen_us > PLACEMENT_KEEP_US)
+    if (now_us - ((const Placed *)value)->seen_us > PLACEMENT_KEEP_US)
       g_hash_table_iter_remove (&iter);
 }
 
-/* Homes for workers without one, while a model lacks some: with what they hold, then with any. */
+/* Models for workers without one, while a model lacks some: with what they hold, then with any. */
 static void
 fill (QuinceModelPlacement *placement, gint64 now_us, GArray *shares, const GArray *workers, gboolean as_held)
 {
--- a/lib/core/weights/model-placement.h
+++ b/lib/core/weights/model-placement.h
@@ -2,10 +2,11 @@
  * model-placement.h: which model each worker of a service serves, and which workers are in reserve.
  *
  * Each version that a worker loads has its price, so a worker is kept at the newest version of one model
- * only, its model.  Homes follow the demand for each model, one worker at a time; workers that no model needs
- * have none, and load nothing until one does.
+ * only.  The placement follows the demand for each model, one worker at a time; a worker that no model needs
+ * is in reserve and loads nothing.
  *
- * Pure: time is an argument, in microseconds of one monotonic clock.
+ * For: weight-orders.c and step-demand.c.  Owns: the placement and the demand, in memory of the leader. Pure:
+ * time is an argument, in microseconds of one monotonic clock.
  */
 #pragma once
 
--- a/lib/forward/backends-private.h
+++ b/lib/forward/backends-private.h
@@ -1,5 +1,5 @@
 /*
- * backends-private.h: state shared by the files of lib/forward.
+ * backends-private.h: state of the backends, shared by the files that they consist of; see backends.c.
  */
 #pragma once
 
--- a/lib/forward/dispatch.c
+++ b/lib/forward/dispatch.c
@@ -52,6 +52,24 @@
   g_free (dispatch->request_id);
 }
 
+/* Made when it is first asked for: most requests never need it. */
+static const QuinceRequestIdentity *
+get_identity (QuinceDispatch *dispatch)
+{
+  QuinceRequestIdentity *identity = &dispatch->identity;
+  if (dispatch->has_identity)
+    return identity;
+  const char *host = quince_http_headers_get (dispatch->headers, "Host");
+  gsize length = 0;
+  gconstpointer body = dispatch->body != NULL ? g_bytes_get_data (dispatch->body, &length) : NULL;
+  quince_request_digest_make (&identity->request, dispatch->caller, host, dispatch->method, dispatch->target,
+                              body, length);
+  identity->has_prompt = quince_request_digest_make_prompt (&identity->prompt, dispatch->caller, host,
+                                                            (const char *const *)dispatch->prompt);
+  dispatch->has_identity = TRUE;
+  return identity;
+}
+
 QuinceBackendOutcome
 quince_dispatch_choose (QuinceDispatch *dispatch, gint64 now_us, QuinceWorker **worker)
 {
@@ -154,7 +172,7 @@
   QuinceSendGuard *guard = quince_backends_get_guard (dispatch->backends);
   if (guard != NULL && !quince_send_guard_is_idle (guard))
     {
-      const QuinceRequestIdentity *identity = quince_dispatch_get_identity (dispatch);
+      const QuinceRequestIdentity *identity = get_identity (dispatch);
       quince_send_guard_log_sent (guard, now_us, identity, &dispatch->permit, dispatch->request_id,
                                   worker->id);
       quince_send_guard_sending (guard, now_us, identity, &dispatch->permit, worker->id);
@@ -180,23 +198,6 @@
     worker->running--;
 }
 
-const QuinceRequestIdentity *
-quince_dispatch_get_identity (QuinceDispatch *dispatch)
-{
-  QuinceRequestIdentity *identity = &dispatch->identity;
-  if (dispatch->has_identity)
-    return identity;
-  const char *host = quince_http_headers_get (dispatch->headers, "Host");
-  gsize length = 0;
-  gconstpointer body = dispatch->body != NULL ? g_bytes_get_data (dispatch->body, &length) : NULL;
-  quince_request_digest_make (&identity->request, dispatch->caller, host, dispatch->method, dispatch->target,
-                              body, length);
-  identity->has_prompt = quince_request_digest_make_prompt (&identity->prompt, dispatch->caller, host,
-                                                            (const char *const *)dispatch->prompt);
-  dispatch->has_identity = TRUE;
-  return identity;
-}
-
 /* ---- Admission ------------------------------------------------------- */
 
 static QuinceAdmission
@@ -214,7 +215,7 @@
   QuinceSendGuard *guard = quince_backends_get_guard (dispatch->backends);
   if (guard == NULL || quince_send_guard_is_idle (guard))
     return QUINCE_ADMISSION_GRANTED;
-  const QuinceRequestIdentity *identity = quince_dispatch_get_identity (dispatch);
+  const QuinceRequestIdentity *identity = get_identity (dispatch);
   QuinceAdmission admission
       = quince_send_guard_ask (guard, now_us, identity, dispatch->service, &dispatch->permit);
   if (admission == QUINCE_ADMISSION_WAIT)
@@ -241,8 +242,7 @@
   if (guard == NULL || quince_send_guard_is_idle (guard))
     return TRUE;
   return !dispatch->permit.taken
-         && quince_send_guard_may_hedge (guard, now_us, quince_dispatch_get_identity (dispatch),
-                                         dispatch->service);
+         && quince_send_guard_may_hedge (guard, now_us, get_identity (dispatch), dispatch->service);
 }
 
 void
@@ -251,13 +251,13 @@
   QuinceSendGuard *guard = quince_backends_get_guard (dispatch->backends);
   if (guard == NULL || quince_send_guard_is_idle (guard))
     return;
-  quince_send_guard_answered (guard, quince_dispatch_get_identity (dispatch), &dispatch->permit);
+  quince_send_guard_answered (guard, get_identity (dispatch), &dispatch->permit);
 }
 
 void
 quince_dispatch_lost (QuinceDispatch *dispatch, const char *worker_id)
 {
-  const QuinceRequestIdentity *identity = quince_dispatch_get_identity (dispatch);
+  const QuinceRequestIdentity *identity = get_identity (dispatch);
   g_autofree char *digest = quince_request_digest_format (&identity->request);
   quince_log_info ("run_lost", "request=%s worker=%s digest=%s", dispatch->request_id, worker_id, digest);
   QuinceSendGuard *guard = quince_backends_get_guard (dispatch->backends);
--- a/lib/forward/dispatch.h
+++ b/lib/forward/dispatch.h
@@ -1,6 +1,9 @@
 /*
- * dispatch.h: what plain requests and streams share: the request, the choice of a worker for each attempt,
- * and what a worker is sent.
+ * dispatch.h: what lookups and streams share: the request, its attempts so far, the choice of a worker for
+ * the next one, and its admission by the send guard.
+ *
+ * For: forward.c and stream.c, which own one each.  Owns: copies of the request, and the permit of the send
+ * in progress. Relies on: the backends; core/decisions for each rule.
  */
 #pragma once
 
@@ -24,7 +27,7 @@
   char *request_id;
   QuinceHttpHeaders *headers;
   GBytes *body;
-  QuinceRequestIdentity identity; /* see quince_dispatch_get_identity() */
+  QuinceRequestIdentity identity; /* made when it is first needed */
   gboolean has_identity;
   QuinceSendPermit permit; /* of the send in progress */
   gint64 waits_us;         /* since when it waits for its admission, monotonic; 0: it does not */
@@ -67,8 +70,6 @@
 void quince_dispatch_release_worker (QuinceDispatch *dispatch, const char *worker_id);
 /* (nullable): @worker_id where it is still listed */
 QuinceWorker *quince_dispatch_find (const QuinceDispatch *dispatch, const char *worker_id);
-/* Made when it is first asked for: most requests never need it. */
-const QuinceRequestIdentity *quince_dispatch_get_identity (QuinceDispatch *dispatch);
 /* Whether the next attempt may be made; see send-guard.h.  QUINCE_ADMISSION_UNSURE also where the request has
  * waited for as long as its target latency. */
 QuinceAdmission quince_dispatch_request_admission (QuinceDispatch *dispatch, gint64 now_us);
--- a/lib/forward/forward.h
+++ b/lib/forward/forward.h
@@ -1,8 +1,11 @@
 /*
- * forward.h: one request brought to a worker and its answer back: attempts, retries, deadlines.
+ * forward.h: brings one request to a worker and its answer back: attempts, retries, hedges, deadlines.
  *
- * A forward says of a failure whether any worker can have run the request.  Requests that must not be
- * repeated are sent again only after a worker said that it did not run them, or when nothing was sent.
+ * The outcome says whether any worker can have run the request.  An at-most-once request is sent again only
+ * after a worker refused it, or when nothing was sent.
+ *
+ * For: lookups at fronts, reward calls at the leader.  Owns: the attempts in progress, their timers.  Relies
+ * on: the backends for workers and connections; core/decisions (retry, hedge, no-worker) for the rules.
  */
 #pragma once
 
--- a/lib/forward/policy-entry.c
+++ b/lib/forward/policy-entry.c
@@ -64,8 +64,8 @@
   return g_bytes_new_take (text, strlen (text));
 }
 
-gboolean
-quince_event_entry_parse (GBytes *value, QuinceEventEntry *entry, GError **error)
+static gboolean
+parse_event (GBytes *value, QuinceEventEntry *entry, GError **error)
 {
   g_autofree char *text = g_strndup (g_bytes_get_data (value, NULL), g_bytes_get_size (value));
   g_auto (GStrv) words = g_strsplit (text, " ", 3);
@@ -138,7 +138,7 @@
       quince_event_table_remove (backends->events, name);
       return;
     }
-  if (!quince_event_entry_parse (value, &entry, &error))
+  if (!parse_event (value, &entry, &error))
     {
       log_refusal ("event", 0, error);
       return;
--- a/lib/forward/policy-entry.h
+++ b/lib/forward/policy-entry.h
@@ -1,7 +1,10 @@
 /*
- * policy-entry.h: policy programs and events as operators keep them in the metadata store.
+ * policy-entry.h: policy programs and events, as keys of the metadata store.
  *
  * A policy's revision is that of its key, so it only rises.
+ *
+ * For: the observer, which reads the keys; tools, which write them.  Owns nothing.  Relies on: backends.h,
+ * which holds what is in force.
  */
 #pragma once
 
@@ -34,7 +37,6 @@
 
 /* "START_MS DURATION_MS SERVICE": wall clock, ms; service "-": every one. */
 GBytes *quince_event_entry_format (const QuinceEventEntry *entry);
-gboolean quince_event_entry_parse (GBytes *value, QuinceEventEntry *entry, GError **error);
 
 /* Puts the program of a file in force as revision 0, until operators accept one. */
 gboolean quince_backends_load_policy (QuinceBackends *backends, const char *path, GError **error);
--- a/lib/forward/residency-lookup.h
+++ b/lib/forward/residency-lookup.h
@@ -1,8 +1,10 @@
 /*
- * residency-lookup.h: the regions in which requests may be served, by the configuration in force.
+ * residency-lookup.h: the regions in which a request may be served, by the configuration in force.
  *
- * A request that is on its way looks them up before each send, so that a change of the configuration binds
- * what is sent next.
+ * A request looks them up before each send, so that a change of the configuration binds the next send.
+ *
+ * For: dispatch.c, the leader's samples.  Owns: copies of the regions, in each lookup.  Relies on: the route
+ * table of the backends.
  */
 #pragma once
 
--- a/lib/forward/send-guard.c
+++ b/lib/forward/send-guard.c
@@ -7,19 +7,19 @@
 #include "send-guard-private.h"
 #include "worker-check.h"
 
-/* Another request has the permit: ask again after a usual run of a lookup, about 25 ms on the users' sheets.
- */
+/* Time after which a permit that another request has is asked for again, us: a usual run of a lookup takes
+ * about 25 ms at the users' workers. */
 #define BUSY_PAUSE_US (20 * 1000)
-/* An answer that is lost with its link is asked for again.  Chosen: far above a round trip to the leader (6
- * ms). */
+/* Time after which an unanswered request for a permit is made again, us.  Not measured: far above a round
+ * trip to the leader (6 ms). */
 #define ANSWER_PATIENCE_US (500 * 1000)
-/* A permit whose asker has gone meanwhile may serve another one of the same request so long: less than
- * whoever gave it keeps it (3 s). */
+/* Time for which a permit whose request has gone may serve another one of the same digest, us: less than the
+ * leader keeps it (3 s). */
 #define GIVEN_KEEP_US (1 * G_USEC_PER_SEC)
-/* A worker that was found to have ended is not checked again for each further connection that broke.  Chosen
- * above the 3.6 s (three heartbeats of 1.2 s) after which its entry lapses. */
+/* Time for which a worker that was found to have ended is not checked again for further broken connections,
+ * us: above the 3.6 s (three heartbeats of 1.2 s) after which its entry lapses. */
 #define ENDED_KEEP_US (5 * G_USEC_PER_SEC)
-/* A look at all suspects, up to some thousands, is not made for each request. */
+/* Interval of the checks for outdated suspects, us: there may be some thousands.  Not measured. */
 #define EXPIRE_EVERY_US (1 * G_USEC_PER_SEC)
 
 typedef enum
--- a/lib/forward/send-guard.h
+++ b/lib/forward/send-guard.h
@@ -1,9 +1,12 @@
 /*
- * send-guard.h: whether a request may be sent to a worker, by the workers that ended under it.
+ * send-guard.h: admits requests to workers, by the workers that ended under them.
  *
  * The guard of a process finds out which broken connections were ends of workers, keeps what is known of
- * requests under which workers ended (quarantine.h), and asks for permits where one is needed.  Who gives
- * permits, and how others are told, is its owner's.
+ * suspects (quarantine.h), and asks for permits where one is needed.
+ *
+ * For: dispatch.c, the leader's samples.  Owns: the quarantine, permits that were asked for, checks of
+ * workers.  Relies on: its owner for the way to the leader and to other processes; core/decisions/admission.h
+ * for the rule.
  */
 #pragma once
 
--- a/lib/forward/stream.h
+++ b/lib/forward/stream.h
@@ -2,8 +2,11 @@
  * stream.h: one request whose answer is a series of events, forwarded as they come.
  *
  * A stream that may be resumed goes on at another worker when its own breaks off, behind the last whole event
- * that was passed on; the answer keeps the head of its first worker.  Any other stream is a request that must
- * not be repeated: its bytes are passed on as they come, and it ends where its worker ends it.
+ * that was passed on; the answer keeps the head of its first worker.  Any other stream is an at-most-once
+ * request: its bytes are passed on as they come, and it ends where its worker ends it.
+ *
+ * For: fronts.  Owns: the attempt in progress, its timers.  Relies on: the backends; core/decisions (retry,
+ * no-worker, silence) for the rules.
  */
 #pragma once
 
--- a/lib/forward/suspect-entry.h
+++ b/lib/forward/suspect-entry.h
@@ -1,6 +1,7 @@
 /*
- * suspect-entry.h: held requests (quarantine.h) as keys of the metadata store: for operators, and for
- * processes that no other one tells.
+ * suspect-entry.h: held requests (quarantine.h) as keys of the metadata store.
+ *
+ * For: operators, and processes that are not reached by the leader.  Owns nothing.
  */
 #pragma once
 
--- a/lib/forward/suspect-list.h
+++ b/lib/forward/suspect-list.h
@@ -1,6 +1,8 @@
 /*
- * suspect-list.h: suspected requests (quarantine.h) that a process met while it reached no leader of the
- * ledger, as one key of the metadata store: for others that reach the store but not that process.
+ * suspect-list.h: the suspects (quarantine.h) that a process met while it reached no leader, as one key of
+ * the metadata store.
+ *
+ * For: processes that reach the store but not that process.  Owns nothing.
  */
 #pragma once
 
@@ -8,8 +10,8 @@
 
 G_BEGIN_DECLS
 
-/* Of one list, the latest ones.  Chosen: requests that end workers are a few at a time, and each takes about
- * 300 bytes in a key that all processes read. */
+/* Suspects of one list, the latest ones.  Not measured: requests that end workers are a few at a time, and
+ * each takes about 300 bytes in a key that all processes read. */
 #define QUINCE_SUSPECT_LIST_MAX 16
 
 /* @suspects: QuinceSuspect, not more than QUINCE_SUSPECT_LIST_MAX of them count; @wall_ms: the time of day
--- a/lib/forward/suspect-message.h
+++ b/lib/forward/suspect-message.h
@@ -1,5 +1,7 @@
 /*
- * suspect-message.h: what is known of suspected requests (quarantine.h) as messages between processes.
+ * suspect-message.h: what is known of suspects (quarantine.h) as messages between processes.
+ *
+ * For: fronts and replicas.  Owns nothing.
  */
 #pragma once
 
--- a/lib/forward/warmup-sends.c
+++ b/lib/forward/warmup-sends.c
@@ -7,14 +7,15 @@
 #include "runtime/metrics.h"
 #include "runtime/clock.h"
 
-/* An ask that got no answer is made again after it: its giver is frozen or gone. */
+/* Time after which an unanswered request for a lease is made again, us: its giver is frozen or gone.  Not
+ * measured: far above a round trip (26 ms at most between the users' regions). */
 #define ASK_PATIENCE_US (300 * 1000)
-/* Sends asked for at once: one, since an unused lease still takes a place of the limit. */
+/* Sends of one lease: one, since an unused lease still counts against the limit. */
 #define ASK_SENDS 1
-/* Asks of one process: with a hundred fronts 2,000 a second reach the leader while workers are cold (worked
- * out). */
+/* Time between two requests for a lease by one process, us: with a hundred fronts 2,000 a second reach the
+ * leader while workers are cold (worked out). */
 #define ASK_EVERY_US (50 * 1000)
-/* Time until the next ask where there is no leader to ask. */
+/* Time until the next request where there is no leader, us.  Not measured. */
 #define NOBODY_US (500 * 1000)
 
 struct _QuinceWarmupSends
--- a/lib/forward/warmup-sends.h
+++ b/lib/forward/warmup-sends.h
@@ -1,8 +1,11 @@
 /*
  * warmup-sends.h: whether this process may send one more request to a worker that may be cold.
  *
- * One process gives sends, for itself and for all others; any other one sends to a cold worker under a lease
- * alone (warmup.h).  Who asks whom, and over what, is the owner's.
+ * The leader grants sends, for itself and for all others; any other process sends to a cold worker under a
+ * send lease (warmup.h).
+ *
+ * For: warmth.c.  Owns: the leases of this process, and as the leader all of them.  Relies on: its owner for
+ * the way to the leader.
  */
 #pragma once
 
@@ -22,17 +25,17 @@
 /* From the settings of a process, section "warmup". */
 void quince_warmup_read_bounds (const QuinceSettings *settings, QuinceWarmupBounds *bounds);
 
-/* A lease holds so long from the moment at which it was asked for.  Chosen: several times the way to the
- * giver and back, 26 ms at most between the users' regions; longer leases that are not used waste more. */
+/* Duration of a lease from the moment at which it was asked for, us.  Not measured: several times the round
+ * trip to the giver, 26 ms at most between the users' regions; longer leases that are not used waste more. */
 #define QUINCE_WARMUP_VALID_US (200 * 1000)
-/* A send to a cold worker that has no connection so long after its choice is taken back.  Chosen: above the
- * time of a connect at a busy worker; with it a worker still gets more than it bears, 1.55 s for each send.
- */
+/* Time after its choice in which a send to a cold worker must have a connection, us; else it is withdrawn.
+ * Not measured: above the time of a connect at a busy worker; each send counts for 1.55 s with it: the second
+ * of the limit, a lease, this time and the margin. */
 #define QUINCE_WARMUP_SEND_WITHIN_US (250 * 1000)
-/* What a send may take on its way.  Chosen: eight times the way between the users' regions. */
+/* Longest way of a send, us.  Not measured: eight times the way between the users' regions. */
 #define QUINCE_WARMUP_MARGIN_US (100 * 1000)
-/* A worker whose zone was taken back is treated as cold so long: the next entry that it writes tells whether
- * it is, 1.2 s later at most, and its news take as long as a usual read. */
+/* Time for which a worker of a returning zone counts as cold, us: the next entry that it writes says whether
+ * it is, 1.2 s later at most, and a usual read follows. */
 #define QUINCE_WARMUP_ASSUME_COLD_US (2 * G_USEC_PER_SEC)
 
 typedef struct _QuinceWarmupSends QuinceWarmupSends;
--- a/lib/forward/worker-check.c
+++ b/lib/forward/worker-check.c
@@ -6,7 +6,8 @@
 #include "http1/http1.h"
 #include "runtime/clock.h"
 
-/* A dead port refuses within a round trip, 6 ms at most between the users' zones; requests wait meanwhile. */
+/* Time for an answer of the worker's port, ms: a dead port refuses within a round trip, 6 ms at most between
+ * the users' zones; requests wait meanwhile. */
 #define PATIENCE_MS 150
 
 struct _QuinceWorkerCheck
--- a/lib/forward/worker-check.h
+++ b/lib/forward/worker-check.h
@@ -1,8 +1,10 @@
 /*
  * worker-check.h: whether a worker whose connection broke has ended.
  *
- * A worker that ended refuses new connections at once.  One that lives, and reset a connection or broke off
- * an answer, takes them.  One that is cut off or frozen does neither.
+ * A worker that ended refuses new connections at once.  One that is alive, and reset a connection or broke
+ * off an answer, accepts them.  One that is cut off or frozen does neither.
+ *
+ * For: send-guard.c.  Owns: one connection and one timer for each check.
  */
 #pragma once
 
--- a/tests/unit/test-decisions-sample-move.c
+++ b/tests/unit/test-decisions-sample-move.c
@@ -22,10 +22,11 @@
 test_events_of_a_token_are_learned (void **state)
 {
   g_autoptr (QuinceLengthModel) model = quince_length_model_new ();
-  assert_true (quince_length_model_expect (model, 1000) > quince_length_model_expect (model, 500));
+  assert_true (quince_length_model_remaining (model, 1000, 0)
+               > quince_length_model_remaining (model, 500, 0));
   for (guint i = 1; i <= 100; i++)
     quince_length_model_note (model, 50 * i, i);
-  double expected = quince_length_model_expect (model, 1000);
+  double expected = quince_length_model_remaining (model, 1000, 0);
   assert_true (expected > 19.9 && expected < 20.1);
   double remaining = quince_length_model_remaining (model, 1000, 15);
   assert_true (remaining > 4.9 && remaining < 5.1);
@@ -37,7 +38,7 @@
   g_autoptr (QuinceLengthModel) model = quince_length_model_new ();
   for (guint i = 0; i < 50; i++)
     quince_length_model_note (model, 0, i % 2 == 0 ? 10 : 30);
-  double expected = quince_length_model_expect (model, 0);
+  double expected = quince_length_model_remaining (model, 0, 0);
   assert_true (expected > 19 && expected < 21);
 }
 
