--- a/lib/core/decisions/admission.c
+++ b/lib/core/decisions/admission.c
@@ -40,6 +40,12 @@
   return request->rule == QUINCE_SEND_FREE && !request->loss_checked;
 }
 
+gboolean
+quince_admission_protected_waits (gboolean began)
+{
+  return began;
+}
+
 gboolean
 quince_admission_waits_on (gint64 waited_us, gint64 target_latency_us)
 {
--- a/lib/core/decisions/admission.h
+++ b/lib/core/decisions/admission.h
@@ -26,6 +26,10 @@
  * between the users' zones). */
 #define QUINCE_ADMISSION_RETRY_MS 5
 
+/* Pause of a protected request that waits before it asks again, ms.  Not measured: workers come back after
+ * seconds, and each time the service's workers are counted. */
+#define QUINCE_ADMISSION_PROTECTED_RETRY_MS 200
+
 /**
  * QuinceAdmissionCase:
  * @rule: the stricter one of what the quarantine knows of the request and of its prompt
@@ -76,6 +80,17 @@
  */
 gboolean quince_admission_allows_hedge (const QuinceAdmissionCase *request);
 
+/**
+ * quince_admission_protected_waits:
+ * @began: its caller has a part of the answer
+ *
+ * Decides whether a protected lookup or stream waits for its service to be whole again,
+ * QUINCE_ADMISSION_PROTECTED_RETRY_MS at a time.  A stream that its caller reads already goes on later; any
+ * other request is refused at once with a Retry-After, since workers are back after seconds, longer than a
+ * lookup may wait.
+ */
+gboolean quince_admission_protected_waits (gboolean began);
+
 /**
  * quince_admission_waits_on:
  * @waited_us: since the first QUINCE_ADMISSION_WAIT in a row, us
--- a/lib/core/decisions/sample-next.c
+++ b/lib/core/decisions/sample-next.c
@@ -23,9 +23,6 @@
 /* Interval at which a held sample is checked, us: to be abandoned when its time is up, or sent when it is
  * released.  Not measured: operators release by hand. */
 #define HELD_PAUSE_US (1 * G_USEC_PER_SEC)
-/* Interval at which a sample of a protected service is checked, us.  Not measured: workers come back after
- * seconds. */
-#define PROTECTED_PAUSE_US (200 * 1000)
 /* Microseconds in a millisecond. */
 #define MILLISECOND_US 1000
 
@@ -108,7 +105,7 @@
     case QUINCE_ADMISSION_HELD:
       return HELD_PAUSE_US;
     case QUINCE_ADMISSION_PROTECTED:
-      return PROTECTED_PAUSE_US;
+      return QUINCE_ADMISSION_PROTECTED_RETRY_MS * MILLISECOND_US;
     default:
       return QUINCE_ADMISSION_RETRY_MS * MILLISECOND_US;
     }
--- a/lib/forward/choose-worker.c
+++ b/lib/forward/choose-worker.c
@@ -135,7 +135,29 @@
     engine->slowness = (double)pace_us / (double)query->fastest_pace_us;
 }
 
-/* (transfer container): those of the service that have what the request wants. */
+/* Of the candidates from @first of @found on the one that the policy scores highest; %NULL: it scores none.
+ */
+static QuinceWorker *
+find_best (QuinceBackends *backends,
+           gint64 now_us,
+           const QuinceBackendQuery *query,
+           const GPtrArray *found,
+           guint first,
+           const char *keeps_prompt)
+{
+  QuinceWorker *candidates[QUINCE_POLICY_MAX_CANDIDATES];
+  QuincePolicyEngine engines[QUINCE_POLICY_MAX_CANDIDATES];
+  double scores[QUINCE_POLICY_MAX_CANDIDATES];
+  guint n_engines
+      = quince_choice_pick_candidates (found, first, keeps_prompt, QUINCE_POLICY_MAX_CANDIDATES, candidates);
+  for (guint i = 0; i < n_engines; i++)
+    describe (backends, now_us, candidates[i], query, keeps_prompt, &engines[i]);
+  quince_backends_score (backends, query->request, engines, n_engines, scores);
+  gint best = quince_choice_best (scores, n_engines);
+  return best >= 0 ? candidates[best] : NULL;
+}
+
+/* (transfer container): workers of the service that have the weights which the request needs. */
 static GPtrArray *
 list_workers (QuinceBackends *backends, const QuinceBackendQuery *query)
 {
@@ -163,23 +185,15 @@
   if (outcome != QUINCE_BACKEND_CHOSEN)
     return outcome;
   quince_backends_limit_returning (backends, now_us, query->most_running, found);
-  QuinceWorker *candidates[QUINCE_POLICY_MAX_CANDIDATES];
-  QuincePolicyEngine engines[QUINCE_POLICY_MAX_CANDIDATES];
-  double scores[QUINCE_POLICY_MAX_CANDIDATES];
   /* Where @found was collected by turns its first is due; see find_few(). */
   gboolean in_turn = all->len > QUINCE_CHOICE_COMPARE_ALL_MAX && found->len <= QUINCE_POLICY_MAX_CANDIDATES;
   guint first = in_turn ? 0 : backends->tie++ % found->len;
-  guint n_engines
-      = quince_choice_pick_candidates (found, first, keeps_prompt, QUINCE_POLICY_MAX_CANDIDATES, candidates);
-  for (guint i = 0; i < n_engines; i++)
-    describe (backends, now_us, candidates[i], query, keeps_prompt, &engines[i]);
-  quince_backends_score (backends, query->request, engines, n_engines, scores);
-  gint best = quince_choice_best (scores, n_engines);
-  if (best < 0)
+  QuinceWorker *best = find_best (backends, now_us, query, found, first, keeps_prompt);
+  if (best == NULL)
     return QUINCE_BACKEND_FULL;
-  if (!quince_warmth_take (backends, now_us, query, candidates[best]))
+  if (!quince_warmth_take (backends, now_us, query, best))
     return QUINCE_BACKEND_COLD;
-  *worker = candidates[best];
+  *worker = best;
   if (query->prompt != NULL)
     quince_prompt_table_note (backends->prompts, query->prompt, (*worker)->id);
   return QUINCE_BACKEND_CHOSEN;
--- a/lib/forward/dispatch.c
+++ b/lib/forward/dispatch.c
@@ -209,8 +209,8 @@
   return waits_on ? QUINCE_ADMISSION_WAIT : QUINCE_ADMISSION_UNSURE;
 }
 
-QuinceAdmission
-quince_dispatch_request_admission (QuinceDispatch *dispatch, gint64 now_us)
+static QuinceAdmission
+request_admission (QuinceDispatch *dispatch, gint64 now_us)
 {
   QuinceSendGuard *guard = quince_backends_get_guard (dispatch->backends);
   if (guard == NULL || quince_send_guard_is_idle (guard))
@@ -228,11 +228,41 @@
   return admission;
 }
 
-void
-quince_dispatch_note_protected (QuinceDispatch *dispatch, gint64 now_us)
+/* Its end would leave too few workers of its service. */
+static QuinceDispatchAction
+protect (QuinceDispatch *dispatch, gboolean began, gint64 now_us, guint *wait_ms)
 {
   QuinceSendGuard *guard = quince_backends_get_guard (dispatch->backends);
+  dispatch->cause = "workers_spared";
+  *wait_ms = QUINCE_ADMISSION_PROTECTED_RETRY_MS;
+  if (quince_admission_protected_waits (began))
+    return QUINCE_DISPATCH_WAIT;
   dispatch->retry_after_ms = quince_send_guard_get_wait_ms (guard, now_us, dispatch->service);
+  return QUINCE_DISPATCH_GIVE_UP;
+}
+
+QuinceDispatchAction
+quince_dispatch_admit (QuinceDispatch *dispatch, gboolean began, gint64 now_us, guint *wait_ms)
+{
+  switch (request_admission (dispatch, now_us))
+    {
+    case QUINCE_ADMISSION_HELD:
+      dispatch->cause = "request_held";
+      return QUINCE_DISPATCH_HOLD;
+    case QUINCE_ADMISSION_PROTECTED:
+      return protect (dispatch, began, now_us, wait_ms);
+    case QUINCE_ADMISSION_UNSURE:
+      dispatch->cause = "no_permit";
+      return QUINCE_DISPATCH_GIVE_UP;
+    case QUINCE_ADMISSION_WAIT:
+      *wait_ms = QUINCE_ADMISSION_RETRY_MS;
+      return QUINCE_DISPATCH_WAIT;
+    case QUINCE_ADMISSION_GRANTED:
+    case QUINCE_ADMISSION_CAREFUL:
+    case QUINCE_ADMISSION_PERMIT:
+    default:
+      return QUINCE_DISPATCH_SEND;
+    }
 }
 
 gboolean
--- a/lib/forward/dispatch.h
+++ b/lib/forward/dispatch.h
@@ -70,11 +70,24 @@
 void quince_dispatch_release_worker (QuinceDispatch *dispatch, const char *worker_id);
 /* (nullable): @worker_id where it is still listed */
 QuinceWorker *quince_dispatch_find (const QuinceDispatch *dispatch, const char *worker_id);
-/* Whether the next attempt may be made; see send-guard.h.  QUINCE_ADMISSION_UNSURE also where the request has
- * waited for as long as its target latency. */
-QuinceAdmission quince_dispatch_request_admission (QuinceDispatch *dispatch, gint64 now_us);
-/* The request got QUINCE_ADMISSION_PROTECTED and is refused: notes when its service may be whole again. */
-void quince_dispatch_note_protected (QuinceDispatch *dispatch, gint64 now_us);
+/* What follows when the next attempt asks for its admission. */
+typedef enum
+{
+  QUINCE_DISPATCH_SEND,    /* choose a worker and send                                      */
+  QUINCE_DISPATCH_WAIT,    /* ask again later                                               */
+  QUINCE_DISPATCH_GIVE_UP, /* refuse or fail; the cause and Retry-After are noted           */
+  QUINCE_DISPATCH_HOLD,    /* it is held: it is not sent any more                           */
+} QuinceDispatchAction;
+
+/**
+ * quince_dispatch_admit:
+ * @began: the caller has a part of the answer
+ * @wait_ms: (out): QUINCE_DISPATCH_WAIT: for how long
+ *
+ * Asks the send guard whether the next attempt may be made; see core/decisions/admission.h.
+ */
+QuinceDispatchAction
+quince_dispatch_admit (QuinceDispatch *dispatch, gboolean began, gint64 now_us, guint *wait_ms);
 /* Whether another attempt may be made beside the one in progress. */
 gboolean quince_dispatch_may_hedge (QuinceDispatch *dispatch, gint64 now_us);
 /* How the attempt ended: see send-guard.h. */
--- a/lib/forward/forward.c
+++ b/lib/forward/forward.c
@@ -96,44 +96,23 @@
 }
 
 static void
-forward_end (QuinceForward *forward, QuinceForwardResult *result)
+forward_end (QuinceForward *forward, QuinceForwardResult result)
 {
-  result->attempts = forward->dispatch.attempts;
-  result->failed_runs = forward->failed_runs;
-  result->cause = forward->dispatch.cause;
-  result->began_us = forward->began_us;
-  result->retry_after_ms = forward->dispatch.retry_after_ms;
-  forward->done (result, forward->user_data);
+  result.attempts = forward->dispatch.attempts;
+  result.failed_runs = forward->failed_runs;
+  result.cause = forward->dispatch.cause;
+  result.began_us = forward->began_us;
+  result.retry_after_ms = forward->dispatch.retry_after_ms;
+  forward->done (&result, forward->user_data);
   forward_free (forward);
 }
 
-static void
-forward_hold (QuinceForward *forward)
-{
-  QuinceForwardResult result = { .outcome = QUINCE_FORWARD_HELD };
-  forward->dispatch.cause = "request_held";
-  forward_end (forward, &result);
-}
-
-/* Its end would leave too few workers of its service.  Its caller is told at once: the workers that ended are
- * back after seconds, longer than a lookup may wait. */
-static void
-forward_spare (QuinceForward *forward, gint64 now_us)
-{
-  gboolean may_have_run = forward->dispatch.retry.runs > 0;
-  QuinceForwardResult result = { .outcome = quince_dispatch_give_up (may_have_run, FALSE) };
-  if (!may_have_run)
-    quince_dispatch_note_protected (&forward->dispatch, now_us);
-  forward->dispatch.cause = "workers_spared";
-  forward_end (forward, &result);
-}
-
 static void
 forward_fail (QuinceForward *forward, gboolean late)
 {
   QuinceForwardResult result
       = { .outcome = quince_dispatch_give_up (forward->dispatch.retry.runs > 0, late) };
-  forward_end (forward, &result);
+  forward_end (forward, result);
 }
 
 /* ---- After an attempt ------------------------------------------------- */
@@ -211,7 +190,7 @@
                                  .worker = worker,
                                  .worker_us = quince_now_us () - attempt->started_us };
   drop_attempt (attempt);
-  forward_end (forward, &result);
+  forward_end (forward, result);
 }
 
 static void
@@ -365,24 +344,20 @@
 {
   if (forward->live->len > 0)
     return quince_dispatch_may_hedge (&forward->dispatch, now_us);
-  switch (quince_dispatch_request_admission (&forward->dispatch, now_us))
+  guint wait_ms = 0;
+  const QuinceForwardResult held = { .outcome = QUINCE_FORWARD_HELD };
+  switch (quince_dispatch_admit (&forward->dispatch, FALSE, now_us, &wait_ms))
     {
-    case QUINCE_ADMISSION_HELD:
-      forward_hold (forward);
-      return FALSE;
-    case QUINCE_ADMISSION_PROTECTED:
-      forward_spare (forward, now_us);
+    case QUINCE_DISPATCH_HOLD:
+      forward_end (forward, held);
       return FALSE;
-    case QUINCE_ADMISSION_UNSURE:
-      forward->dispatch.cause = "no_permit";
+    case QUINCE_DISPATCH_GIVE_UP:
       forward_fail (forward, FALSE);
       return FALSE;
-    case QUINCE_ADMISSION_WAIT:
-      try_later (forward, QUINCE_ADMISSION_RETRY_MS * 1000);
+    case QUINCE_DISPATCH_WAIT:
+      try_later (forward, (gint64)wait_ms * 1000);
       return FALSE;
-    case QUINCE_ADMISSION_GRANTED:
-    case QUINCE_ADMISSION_CAREFUL:
-    case QUINCE_ADMISSION_PERMIT:
+    case QUINCE_DISPATCH_SEND:
     default:
       return TRUE;
     }
--- a/lib/forward/stream.c
+++ b/lib/forward/stream.c
@@ -11,10 +11,6 @@
 
 #include "dispatch.h"
 
-/* Pause of a stream whose service is protected before it asks again, ms.  Not measured: workers come back
- * after seconds, and each time the service's workers are counted. */
-#define PROTECTED_RETRY_MS 200
-
 struct _QuinceStream
 {
   /* All fields belong to the context that started it. */
@@ -287,44 +283,23 @@
   stream->silence = quince_timer_add (1, check_time, stream);
 }
 
-/* The end of one more worker would leave too few of its service.  A caller that has seen nothing is told when
- * to come back; one that has seen a part keeps its stream, and it goes on once workers are back. */
-static void
-spare (QuinceStream *stream, gint64 now_us)
-{
-  stream->dispatch.cause = "workers_spared";
-  if (stream->head_passed)
-    {
-      try_later (stream, PROTECTED_RETRY_MS);
-      return;
-    }
-  quince_dispatch_note_protected (&stream->dispatch, now_us);
-  stream_fail (stream);
-}
-
 /* Returns: %FALSE when no attempt is to be made now. */
 static gboolean
 is_admitted (QuinceStream *stream, gint64 now_us)
 {
-  switch (quince_dispatch_request_admission (&stream->dispatch, now_us))
+  guint wait_ms = 0;
+  switch (quince_dispatch_admit (&stream->dispatch, stream->head_passed, now_us, &wait_ms))
     {
-    case QUINCE_ADMISSION_HELD:
-      stream->dispatch.cause = "request_held";
+    case QUINCE_DISPATCH_HOLD:
       stream_end (stream, QUINCE_FORWARD_HELD);
       return FALSE;
-    case QUINCE_ADMISSION_PROTECTED:
-      spare (stream, now_us);
-      return FALSE;
-    case QUINCE_ADMISSION_UNSURE:
-      stream->dispatch.cause = "no_permit";
+    case QUINCE_DISPATCH_GIVE_UP:
       stream_fail (stream);
       return FALSE;
-    case QUINCE_ADMISSION_WAIT:
-      try_later (stream, QUINCE_ADMISSION_RETRY_MS);
+    case QUINCE_DISPATCH_WAIT:
+      try_later (stream, wait_ms);
       return FALSE;
-    case QUINCE_ADMISSION_GRANTED:
-    case QUINCE_ADMISSION_CAREFUL:
-    case QUINCE_ADMISSION_PERMIT:
+    case QUINCE_DISPATCH_SEND:
     default:
       return TRUE;
     }
--- a/tests/unit/test-decisions-admission.c
+++ b/tests/unit/test-decisions-admission.c
@@ -55,6 +55,14 @@
   assert_int_equal (quince_admission_of_permit (QUINCE_PERMIT_NO_LEADER, TRUE), QUINCE_ADMISSION_UNSURE);
 }
 
+/* Only a caller that has a part of the answer waits. */
+static void
+test_protected_requests (void **state)
+{
+  assert_true (quince_admission_protected_waits (TRUE));
+  assert_false (quince_admission_protected_waits (FALSE));
+}
+
 static void
 test_waiting_ends (void **state)
 {
@@ -71,6 +79,7 @@
   const struct CMUnitTest tests[] = {
     cmocka_unit_test (test_by_what_is_known),
     cmocka_unit_test (test_by_the_leader),
+    cmocka_unit_test (test_protected_requests),
     cmocka_unit_test (test_waiting_ends),
   };
   return cmocka_run_group_tests (tests, NULL, NULL);
