--- a/daemons/replica/sample-replication.c
+++ b/daemons/replica/sample-replication.c
@@ -60,7 +60,7 @@
       g_array_append_val (sample->versions, version);
     }
   sample->last_event = item->last_event;
-  sample->replicated_event = sample->replicated_bytes = 0; /* whoever leads next is told all of it */
+  sample->replicated_event = sample->replicated_bytes = 0; /* the next successor is sent all of it */
   return TRUE;
 }
 
--- a/daemons/replica/sample-replication.h
+++ b/daemons/replica/sample-replication.h
@@ -10,6 +10,7 @@
 /* Appends what has been made since the last call to @items (QuinceProgressItem); @all: everything again.
  * Lives until samples change. */
 void quince_sample_replication_collect (QuinceSampleSet *set, gboolean all, GArray *items);
-/* Takes what another replica knows of samples: those that have not begun go on from there.  Returns: how many
+/* Takes what another replica knows of samples: samples that have not begun go on from there.  Returns: how
+ * many
  */
 guint quince_sample_replication_take (QuinceSampleSet *set, const QuinceSampleProgress *progress);
--- a/daemons/replica/sample-runner.c
+++ b/daemons/replica/sample-runner.c
@@ -1,5 +1,5 @@
 /*
- * sample-runner.c: the owner of the open batches' samples: when each is checked, and what is told to the
+ * sample-runner.c: the owner of the open batches' samples: when each is checked, and what goes to the
  * replica.
  *
  * Samples begin in the order of their batches, since the next step waits for the oldest one; within a batch
@@ -43,7 +43,8 @@
 
 /* ---- The pump --------------------------------------------------------- */
 
-/* What samples share that find the same workers full: a batch that may not go everywhere stands for itself.
+/* Key of the samples that find the same workers full: the model, or the batch where its regions are
+ * restricted.
  */
 static const char *
 room_key (const QuinceSampleRunner *runner, const QuinceSample *sample)
@@ -176,7 +177,7 @@
   g_free (runner);
 }
 
-/* Those that take longest first; equals in the order of their batch. */
+/* Longest first; equals in the order of their batch. */
 static gint
 compare_lengths (gconstpointer a, gconstpointer b)
 {
--- a/daemons/replica/sample-runner.h
+++ b/daemons/replica/sample-runner.h
@@ -23,7 +23,7 @@
   gboolean (*may_run) (gpointer user_data);
 } QuinceSampleRunnerCallbacks;
 
-/* @progress: texts that a former leader told of; not owned */
+/* @progress: texts as a former leader sent them; not owned */
 QuinceSampleRunner *quince_sample_runner_new (QuinceBackends *backends,
                                               QuinceObserver *observer,
                                               QuinceProgressStore *progress,
@@ -33,12 +33,12 @@
 void quince_sample_runner_free (QuinceSampleRunner *runner);
 /* All samples of @entry that are not listed are run; @entry lives until forget(). */
 void quince_sample_runner_add (QuinceSampleRunner *runner, QuinceBatchEntry *entry);
-/* What has been made since the last call, to be told to backups; @all: everything again. Lives until samples
- * change. */
+/* What has been made since the last call, to be sent to the successor; @all: everything again. Lives until
+ * samples change. */
 void quince_sample_runner_collect (QuinceSampleRunner *runner, gboolean all, GArray *items);
 /* A new leader has waiting samples of which another replica may know more: nothing begins for a moment. */
 void quince_sample_runner_await_progress (QuinceSampleRunner *runner);
-/* What another replica was told of samples: those that have not begun go on from there. */
+/* Progress that another replica knows: samples that have not begun go on from there. */
 void quince_sample_runner_take_progress (QuinceSampleRunner *runner, const QuinceSampleProgress *progress);
 /* The batch is ended or forgotten: its samples are cancelled. */
 void quince_sample_runner_remove (QuinceSampleRunner *runner, const QuinceBatchEntry *entry);
--- a/daemons/replica/sample.c
+++ b/daemons/replica/sample.c
@@ -33,8 +33,8 @@
   return &sample->entry->batch->items.items_val[sample->item];
 }
 
-/* By the parts of the prompt, which stay the same when a group is sent again; where none are told by the
- * group. */
+/* By the parts of the prompt, which stay the same when a group is sent again; where its caller names none by
+ * the group. */
 static gboolean
 make_prompt_digest (const QuinceSample *sample, QuinceRequestDigest *digest)
 {
--- a/daemons/replica/sample.h
+++ b/daemons/replica/sample.h
@@ -47,12 +47,12 @@
   gint64 give_up_us;    /* monotonic; 0: never */
   gint64 submitted_us;  /* monotonic */
   gboolean single_version;
-  guint estimated_tokens;         /* by its caller; 0: not told */
+  guint estimated_tokens;         /* by its caller; 0: none */
   guint moves;                    /* runs that were cut to go on elsewhere */
   QuinceRequestIdentity identity; /* see quince_sample_get_identity() */
   gboolean has_identity;
   QuinceSendPermit permit; /* of the run in progress */
-  QuinceAdmission logged;  /* that it is held, or spared; else QUINCE_ADMISSION_GRANTED */
+  QuinceAdmission logged;  /* that it is held or protected; else QUINCE_ADMISSION_GRANTED */
 
   /* The run in progress. */
   char *worker_id;
--- a/daemons/replica/weight-load.c
+++ b/daemons/replica/weight-load.c
@@ -168,9 +168,9 @@
 {
   for (guint i = 0; i < report->models->len; i++)
     {
-      const QuinceWorkerModel *told = &g_array_index (report->models, QuinceWorkerModel, i);
-      if (g_str_equal (told->name, model))
-        return told->version;
+      const QuinceWorkerModel *model_report = &g_array_index (report->models, QuinceWorkerModel, i);
+      if (g_str_equal (model_report->name, model))
+        return model_report->version;
     }
   return 0;
 }
--- a/lib/core/request/expected-ends.h
+++ b/lib/core/request/expected-ends.h
@@ -19,9 +19,9 @@
 void quince_expected_ends_free (QuinceExpectedEnds *ends);
 /* @expected: what will be known if the worker ends; copied. */
 void quince_expected_ends_add (QuinceExpectedEnds *ends, gint64 now_us, const QuinceSuspect *expected);
-/* A worker answered it, or the end was told. */
+/* A worker answered it, or its end was reported. */
 void quince_expected_ends_remove (QuinceExpectedEnds *ends, const QuinceRequestDigest *digest);
-/* Takes those that may still be under way into @quarantine, and forgets all. */
+/* Takes the sends that may still be under way into @quarantine, and forgets all. */
 void quince_expected_ends_count (QuinceExpectedEnds *ends, gint64 now_us, QuinceQuarantine *quarantine);
 
 G_END_DECLS
--- a/lib/core/request/quarantine.c
+++ b/lib/core/request/quarantine.c
@@ -194,13 +194,13 @@
   return at_us != NULL && now_us - *at_us < CLEARED_KEEP_US;
 }
 
-/* An answer cleared it after all that is told, or what is told came later but met no end alone. */
+/* An answer cleared it after all that is reported, or the report is of a later end that was not met alone. */
 static gboolean
-is_superseded (const QuinceQuarantine *quarantine, gint64 now_us, const QuinceSuspect *told)
+is_superseded (const QuinceQuarantine *quarantine, gint64 now_us, const QuinceSuspect *reported)
 {
-  const gint64 *at_us = g_hash_table_lookup (quarantine->cleared, &told->digest);
-  gboolean later = at_us != NULL && told->ended_us > *at_us && (told->held || told->alone > 0);
-  return was_cleared (quarantine, now_us, &told->digest) && !later;
+  const gint64 *at_us = g_hash_table_lookup (quarantine->cleared, &reported->digest);
+  gboolean later = at_us != NULL && reported->ended_us > *at_us && (reported->held || reported->alone > 0);
+  return was_cleared (quarantine, now_us, &reported->digest) && !later;
 }
 
 /* Two ends that the same request met alone say no more of its prompt than one. */
@@ -302,13 +302,13 @@
     count_alone (expected, seen);
 }
 
-/* What was told of a newer release replaces what is known of older ones. */
+/* A report of a newer release replaces what is known of older ones. */
 static gboolean
-take_release (QuinceSuspect *suspect, const QuinceSuspect *told)
+take_release (QuinceSuspect *suspect, const QuinceSuspect *reported)
 {
-  if (told->release <= suspect->release)
+  if (reported->release <= suspect->release)
     return FALSE;
-  suspect->release = told->release;
+  suspect->release = reported->release;
   suspect->alone = 0;
   suspect->member = 0;
   suspect->held = FALSE;
@@ -325,28 +325,28 @@
 }
 
 gboolean
-quince_quarantine_merge (QuinceQuarantine *quarantine, gint64 now_us, const QuinceSuspect *told)
+quince_quarantine_merge (QuinceQuarantine *quarantine, gint64 now_us, const QuinceSuspect *reported)
 {
-  const QuinceSuspect *known = quince_quarantine_find (quarantine, &told->digest);
-  if (known != NULL && told->release < known->release)
+  const QuinceSuspect *known = quince_quarantine_find (quarantine, &reported->digest);
+  if (known != NULL && reported->release < known->release)
     return FALSE;
-  gint64 keep = told->held ? quarantine->limits.hold_keep_us : quarantine->limits.suspect_keep_us;
-  if (now_us - told->ended_us >= keep || is_superseded (quarantine, now_us, told))
+  gint64 keep = reported->held ? quarantine->limits.hold_keep_us : quarantine->limits.suspect_keep_us;
+  if (now_us - reported->ended_us >= keep || is_superseded (quarantine, now_us, reported))
     return FALSE;
   gboolean changed = known == NULL;
-  QuinceSuspect *suspect = find_or_add (quarantine, &told->digest);
-  suspect->scope = told->scope;
-  changed = take_release (suspect, told) || changed;
-  for (guint i = 0; i < MIN (told->n_workers, QUINCE_QUARANTINE_WORKERS_MAX); i++)
-    changed = take_worker (quarantine, suspect, told->workers[i], told->ended_us) || changed;
-  changed = changed || told->alone > suspect->alone || (told->held && !suspect->held);
-  if (told->alone > suspect->alone)
-    suspect->member = told->member;
-  suspect->alone = MAX (suspect->alone, told->alone);
-  suspect->held = suspect->held || told->held;
+  QuinceSuspect *suspect = find_or_add (quarantine, &reported->digest);
+  suspect->scope = reported->scope;
+  changed = take_release (suspect, reported) || changed;
+  for (guint i = 0; i < MIN (reported->n_workers, QUINCE_QUARANTINE_WORKERS_MAX); i++)
+    changed = take_worker (quarantine, suspect, reported->workers[i], reported->ended_us) || changed;
+  changed = changed || reported->alone > suspect->alone || (reported->held && !suspect->held);
+  if (reported->alone > suspect->alone)
+    suspect->member = reported->member;
+  suspect->alone = MAX (suspect->alone, reported->alone);
+  suspect->held = suspect->held || reported->held;
   judge_ends (suspect);
   if (changed)
-    take_details (quarantine, suspect, told);
+    take_details (quarantine, suspect, reported);
   keep_bounds (quarantine, suspect);
   return changed;
 }
--- a/lib/core/request/quarantine.h
+++ b/lib/core/request/quarantine.h
@@ -38,7 +38,7 @@
   QUINCE_SUSPECT_PROMPT,  /* what several requests share             */
 } QuinceSuspectScope;
 
-/* As it stands in logs and in the metadata store. */
+/* As logs and the metadata store write it. */
 const char *quince_suspect_scope_name (QuinceSuspectScope scope);
 
 /**
@@ -58,14 +58,14 @@
 
 /**
  * QuinceSuspect:
- * @release: how often it was released before; what is told of an older release is out of date
+ * @release: how often it was released before; reports of an older release are out of date
  * @workers: hashes of the ids of workers that ended under it, @n_workers of them
  * @alone: of these, ended while it ran alone; of a prompt, counted once for each request in a row
  * @member: of a prompt: hash of the request that last met an end alone; 0: none
  * @ended_us: when the last one ended
  * @service: (nullable): of the last one
  * @software: (nullable): version of its software
- * @reported_by: (nullable): process that told of the last one; %NULL: seen here
+ * @reported_by: (nullable): process that reported the last one; %NULL: seen here
  */
 typedef struct
 {
@@ -115,7 +115,7 @@
                                    const QuinceSuspect *seen,
                                    QuinceSuspect *expected);
 /* Takes in what another process knows.  Returns: whether more is known now */
-gboolean quince_quarantine_merge (QuinceQuarantine *quarantine, gint64 now_us, const QuinceSuspect *told);
+gboolean quince_quarantine_merge (QuinceQuarantine *quarantine, gint64 now_us, const QuinceSuspect *reported);
 /* A worker answered the request.  Returns: whether it was suspected */
 gboolean quince_quarantine_clear (QuinceQuarantine *quarantine, const QuinceRequestDigest *digest);
 /* The same of a prompt: one of its requests was answered. */
@@ -140,16 +140,16 @@
 /* (transfer container): QuinceSuspect, until the next change */
 GPtrArray *quince_quarantine_list (const QuinceQuarantine *quarantine);
 
-/* What stands for a worker in QuinceSuspect. */
+/* The hash of a worker in QuinceSuspect. */
 guint64 quince_quarantine_hash_worker (const char *worker_id);
-/* What stands for a request in QuinceSuspect.member. */
+/* The hash of a request in QuinceSuspect.member. */
 guint64 quince_quarantine_hash_request (const QuinceRequestDigest *request);
 /* Whether another request of the prompt had better be sent first: this one met the last end alone, and says
  * nothing more of what they share. */
 gboolean quince_quarantine_gives_way (const QuinceQuarantine *quarantine,
                                       gint64 now_us,
                                       const QuinceRequestIdentity *identity);
-/* Nothing was sent by anybody until now: requests give way as if their ends were met now. */
+/* No process sent anything until now: requests give way as if their ends were met now. */
 void quince_quarantine_resume (QuinceQuarantine *quarantine, gint64 now_us);
 
 /* ---- Permits ----------------------------------------------------------- */
@@ -162,7 +162,7 @@
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (QuincePermits, quince_permits_free)
 /**
  * quince_permits_take:
- * @holder: whoever asks
+ * @holder: identifies the process that asks
  * @until_us: it ends by itself then
  *
  * Returns: whether it is given
--- a/lib/core/request/request-digest.c
+++ b/lib/core/request/request-digest.c
@@ -1,11 +1,11 @@
 /*
- * request-digest.c: what stands for a request that is asked again under another id.
+ * request-digest.c: identifies a request that is sent again under another id.
  */
 #include "core/request/request-digest.h"
 
 #include <string.h>
 
-/* Stands where a request has its method, which has no space in it. */
+/* In place of a method, which has no space in it. */
 #define NOT_A_METHOD "shared prompt"
 
 /* The zero at the end divides it from what follows. */
--- a/lib/core/request/request-digest.h
+++ b/lib/core/request/request-digest.h
@@ -39,7 +39,7 @@
  * quince_request_digest_make_prompt:
  * @parts: of a prompt, %NULL-terminated; the last one is the request's own
  *
- * Stands for what a request shares with others of its prompt: equal for equal callers, hosts and shared
+ * Identifies what a request shares with others of its prompt: equal for equal callers, hosts and shared
  * parts. Never equal to a digest of the call above.  Returns: %FALSE where nothing is shared
  */
 gboolean quince_request_digest_make_prompt (QuinceRequestDigest *digest,
@@ -55,7 +55,7 @@
 
 /**
  * QuinceRequestIdentity:
- * @request: stands for this request alone
+ * @request: identifies this request alone
  * @prompt: for all requests that share its prompt, where @has_prompt
  */
 typedef struct
--- a/lib/core/request/service-capacity.h
+++ b/lib/core/request/service-capacity.h
@@ -19,7 +19,7 @@
  * QuinceServiceCapacity:
  * @ready: workers that are listed and are not known to have ended
  * @most: the most that were listed of late
- * @at_risk: of those that are ready, may be ended by requests that were sent a moment ago
+ * @at_risk: ready workers that may be ended by requests sent a moment ago
  * @calm_us: since the last end at the service
  */
 typedef struct
--- a/lib/core/weights/model-placement.h
+++ b/lib/core/weights/model-placement.h
@@ -27,7 +27,7 @@
                                         double tokens,
                                         guint samples);
 
-/* A step of @model took @took_us where @due_us were allowed: models that are late get workers of those that
+/* A step of @model took @took_us where @due_us were allowed: models that are late get workers of models that
  * are early. */
 void quince_model_placement_note_step (QuinceModelPlacement *placement,
                                        const char *model,
--- a/lib/forward/backends-private.h
+++ b/lib/forward/backends-private.h
@@ -71,8 +71,8 @@
   gint64 free_us;     /* when the first of them may have room */
 } QuinceColdChoice;
 
-/* @told is about to be taken in. */
-void quince_warmth_note_listed (QuinceBackends *backends, QuinceWorker *told);
+/* @entry is about to be taken into the worker table. */
+void quince_warmth_note_listed (QuinceBackends *backends, QuinceWorker *entry);
 void quince_warmth_begin_choice (QuinceBackends *backends,
                                  gint64 now_us,
                                  const QuinceBackendQuery *query,
--- a/lib/forward/backends.c
+++ b/lib/forward/backends.c
@@ -132,11 +132,11 @@
 }
 
 void
-quince_backends_update (QuinceBackends *backends, QuinceWorker *told)
+quince_backends_update (QuinceBackends *backends, QuinceWorker *entry)
 {
-  g_autofree char *id = g_strdup (told->id);
-  quince_warmth_note_listed (backends, told);
-  if (!quince_worker_table_update (backends->workers, told))
+  g_autofree char *id = g_strdup (entry->id);
+  quince_warmth_note_listed (backends, entry);
+  if (!quince_worker_table_update (backends->workers, entry))
     return;
   const QuinceWorker *worker = quince_worker_table_find (backends->workers, id);
   guint64 version
--- a/lib/forward/backends.h
+++ b/lib/forward/backends.h
@@ -43,7 +43,7 @@
 /* All that is listed now was read: entries that come from now on are of workers that start. */
 void quince_backends_note_first_listing (QuinceBackends *backends);
 /* (transfer full): what the platform lists of a worker */
-void quince_backends_update (QuinceBackends *backends, QuinceWorker *told);
+void quince_backends_update (QuinceBackends *backends, QuinceWorker *entry);
 void quince_backends_remove (QuinceBackends *backends, const char *id);
 /* @id vanished from the list while the store was in trouble: the worker may serve on.  Where no other is left
  * it gets requests until @until_us; then it is as removed, unless it is listed again. */
@@ -65,7 +65,7 @@
  * @prompt: (nullable): parts of the prompt, %NULL-terminated, see prompt-table.h: a worker that likely keeps
  * them is marked for the policy
  * @residency: (nullable): regions where the worker may stand; %NULL: anywhere
- * @fastest_pace_us: of the service's workers, see routing.h; 0: the policy is told of no worker's pace
+ * @fastest_pace_us: of the service's workers, see routing.h; 0: the policy sees no worker's pace
  */
 typedef struct
 {
@@ -110,13 +110,13 @@
                                     guint64 revision,
                                     gboolean evacuated);
 const QuinceZoneTable *quince_backends_get_zones (const QuinceBackends *backends);
-/* @worker (nullable) stands in an evacuated zone: sends to it are withdrawn by this process itself, so that a
+/* @worker (nullable) is in an evacuated zone: sends to it are withdrawn by this process itself, so that a
  * lost one is no end of the worker. */
 gboolean quince_backends_is_evacuated (const QuinceBackends *backends, const QuinceWorker *worker);
 /* Whether @worker may be sent anything now. */
 gboolean quince_backends_may_send (const QuinceBackends *backends, const QuinceWorker *worker);
 /* Nothing is sent until quince_backends_release_sends(), since what the operator asks of the zones is not
- * known.  @most_ms: at the most for so long; 0: no bound */
+ * known.  @most_ms: longest time; 0: no bound */
 void quince_backends_hold_sends (QuinceBackends *backends, guint most_ms);
 void quince_backends_release_sends (QuinceBackends *backends);
 gboolean quince_backends_holds_sends (const QuinceBackends *backends);
--- a/lib/forward/dispatch.h
+++ b/lib/forward/dispatch.h
@@ -18,8 +18,8 @@
   QuinceBackends *backends;
   const QuinceForwardDialect *dialect;
   char *service;
-  char *caller; /* NULL: nobody in particular */
-  char *tenant; /* whose regions bind; NULL: nobody's */
+  char *caller; /* NULL: not known */
+  char *tenant; /* whose regions bind; NULL: none */
   QuinceResidencyLookup lookup;
   char *kind;
   char *method;
@@ -60,7 +60,8 @@
                                            gboolean is_stream,
                                            gboolean began,
                                            gint64 now_us);
-/* The attempt at @worker_id, begun or last heard of at @since_us, gave no answer that counts: logs it. */
+/* The attempt at @worker_id, begun, or with its last data, at @since_us, gave no answer that counts: logs it.
+ */
 void quince_dispatch_log_retried (const QuinceDispatch *dispatch, const char *worker_id, gint64 since_us);
 /* How the request ends without an answer; see retry.h. */
 QuinceForwardOutcome quince_dispatch_give_up (gboolean may_have_run, gboolean late);
--- a/lib/forward/forward.c
+++ b/lib/forward/forward.c
@@ -227,7 +227,7 @@
     attempt_answered (attempt, exchange, signature);
 }
 
-/* An answer to another request: whatever follows on this connection belongs to nobody. */
+/* An answer to another request: what follows on this connection cannot be matched. */
 static void
 exchange_head (QuinceHttpExchange *exchange, const QuinceHttpHead *head, gpointer data)
 {
@@ -289,7 +289,7 @@
   return TRUE;
 }
 
-/* All workers may be tried again, but for those that have the request now. */
+/* All workers may be tried again, except those with an attempt in progress. */
 static void
 forget_tried (QuinceForward *forward)
 {
@@ -330,7 +330,7 @@
     }
   quince_dispatch_note_no_worker (&forward->dispatch, outcome);
   gboolean waits = quince_dispatch_waits_for_worker (&forward->dispatch, outcome, FALSE, FALSE, now_us);
-  /* The others may have room by now, and so may those that refused. */
+  /* Other workers may have room by now, also workers that refused. */
   forget_tried (forward);
   if (waits)
     try_later (forward, QUINCE_NO_WORKER_PAUSE_US);
--- a/lib/forward/residency-lookup.c
+++ b/lib/forward/residency-lookup.c
@@ -69,7 +69,7 @@
       = tenants != NULL && tenant != NULL ? quince_tenant_table_find (tenants, tenant) : NULL;
   g_strfreev (lookup->tenant_regions);
   lookup->tenant_regions = found != NULL ? g_strdupv (found->regions) : NULL;
-  /* A route that was withdrawn binds those that are under way as it did before. */
+  /* A route that was withdrawn binds requests under way as it did before. */
   if (route == NULL)
     return;
   g_strfreev (lookup->route_regions);
--- a/lib/forward/residency-lookup.h
+++ b/lib/forward/residency-lookup.h
@@ -16,12 +16,12 @@
 void quince_backends_set_routes (QuinceBackends *backends, const QuinceRouteTable *routes);
 /* Whether any route or tenant of the configuration in force names regions: without, nothing is looked up. */
 gboolean quince_backends_has_region_rules (const QuinceBackends *backends);
-/* Whether @worker stands where @residency (nullable) allows. A worker whose region is not known stands
+/* Whether @worker is where @residency (nullable) allows. A worker whose region is not known is
  * nowhere. */
 gboolean quince_backends_allow (const QuinceBackends *backends,
                                 const QuinceWorker *worker,
                                 const QuinceResidency *residency);
-/* Whether any worker of @service that is not leaving stands where @residency allows. */
+/* Whether any worker of @service that is not draining is where @residency allows. */
 gboolean quince_backends_has_allowed_worker (QuinceBackends *backends,
                                              const char *service,
                                              const QuinceResidency *residency);
--- a/lib/forward/send-guard-capacity.c
+++ b/lib/forward/send-guard-capacity.c
@@ -1,5 +1,5 @@
 /*
- * send-guard-capacity.c: whether the service of a suspected request bears one more end.
+ * send-guard-capacity.c: whether the service of a suspected request survives one more end.
  */
 #include "send-guard-private.h"
 
@@ -22,7 +22,7 @@
 }
 
 gboolean
-quince_send_guard_bears_end (QuinceSendGuard *guard, gint64 now_us, const char *service, guint at_risk)
+quince_send_guard_survives_end (QuinceSendGuard *guard, gint64 now_us, const char *service, guint at_risk)
 {
   if (guard->workers == NULL)
     return TRUE;
@@ -34,7 +34,7 @@
 }
 
 gboolean
-quince_send_guard_bears_hedge (QuinceSendGuard *guard, gint64 now_us, const char *service)
+quince_send_guard_allows_hedge (QuinceSendGuard *guard, gint64 now_us, const char *service)
 {
   if (guard->workers == NULL)
     return TRUE;
--- a/lib/forward/send-guard-private.h
+++ b/lib/forward/send-guard-private.h
@@ -2,7 +2,7 @@
  * send-guard-private.h: state shared by the files of the send guard.
  *
  * send-guard.c: whether a request may be sent, and which broken connections were ends of workers.
- * send-guard-capacity.c: whether the service of a request bears one more end.
+ * send-guard-capacity.c: whether the service of a request survives one more end.
  * send-guard-log.c: log lines and metrics.
  */
 #pragma once
@@ -29,4 +29,4 @@
 /* Counts the workers of @service. */
 void quince_send_guard_note_service (QuinceSendGuard *guard, gint64 now_us, const char *service);
 /* Whether a request of which nothing is known may run twice at once at @service. */
-gboolean quince_send_guard_bears_hedge (QuinceSendGuard *guard, gint64 now_us, const char *service);
+gboolean quince_send_guard_allows_hedge (QuinceSendGuard *guard, gint64 now_us, const char *service);
--- a/lib/forward/send-guard.c
+++ b/lib/forward/send-guard.c
@@ -162,7 +162,7 @@
   return now_us - ask->at_us < keep_us[ask->state] && (ask->alone || !alone);
 }
 
-/* Returns: (nullable): %NULL when there is nobody to ask. */
+/* Returns: (nullable): %NULL when there is no leader to ask. */
 static const Ask *
 ask_again (QuinceSendGuard *guard,
            gint64 now_us,
@@ -268,7 +268,7 @@
   QuinceAdmission admission = quince_admission_of_request (&request);
   if (admission != QUINCE_ADMISSION_PERMIT)
     return admission;
-  if (!quince_send_guard_bears_end (guard, now_us, service, 0))
+  if (!quince_send_guard_survives_end (guard, now_us, service, 0))
     return QUINCE_ADMISSION_PROTECTED;
   return ask_permit (guard, now_us, digest, service, rule == QUINCE_SEND_ALONE, permit);
 }
@@ -282,7 +282,7 @@
   QuinceSendRule of_prompt;
   const QuinceAdmissionCase request
       = { .rule = judge (guard, identity, &of_prompt), .loss_checked = is_checked (guard, identity) };
-  return quince_admission_allows_hedge (&request) && quince_send_guard_bears_hedge (guard, now_us, service);
+  return quince_admission_allows_hedge (&request) && quince_send_guard_allows_hedge (guard, now_us, service);
 }
 
 void
@@ -429,7 +429,7 @@
   return loss;
 }
 
-/* A worker that is to leave, or is not listed, ends without any request's doing. */
+/* The end of a worker that drains, or is not listed, is not caused by a request. */
 static gboolean
 is_expected_to_end (const QuinceWorker *worker)
 {
--- a/lib/forward/send-guard.h
+++ b/lib/forward/send-guard.h
@@ -23,7 +23,7 @@
 /**
  * QuinceSendGuardCallbacks:
  * @ask: a permit is wanted; quince_send_guard_answer() follows, perhaps before this returns.  Returns: %FALSE
- *   when there is nobody to ask
+ *   when there is no leader to ask
  * @give_back: a permit is needed no more
  * @sending: (nullable): this is sent by permit; what will be known if its worker ends
  * @ended: a worker ended under this request; what is known now
@@ -52,7 +52,8 @@
 void quince_send_guard_free (QuinceSendGuard *guard);
 /* (transfer none) */
 QuinceQuarantine *quince_send_guard_get_quarantine (QuinceSendGuard *guard);
-/* (transfer none) (nullable): @workers must outlive the guard; without them every service bears every end. */
+/* (transfer none) (nullable): @workers must outlive the guard; without them every service survives every end.
+ */
 void quince_send_guard_set_workers (QuinceSendGuard *guard, QuinceWorkerTable *workers);
 
 /* What a send is made under; it must be ended by one of the calls below. */
@@ -72,21 +73,21 @@
                                        const char *service,
                                        QuinceSendPermit *permit);
 /* Whether a second run may begin at @service beside one in progress: nothing is suspected of the request, no
- * loss of it is being checked, and the service bears it. */
+ * loss of it is being checked, and the service has workers enough. */
 gboolean quince_send_guard_may_hedge (QuinceSendGuard *guard,
                                       gint64 now_us,
                                       const QuinceRequestIdentity *identity,
                                       const char *service);
-/* Whether @service bears that one more of its workers ends, beside @at_risk others. */
+/* Whether @service survives the end of one more of its workers, beside @at_risk others. */
 gboolean
-quince_send_guard_bears_end (QuinceSendGuard *guard, gint64 now_us, const char *service, guint at_risk);
-/* When a request that was spared may come back, in ms. */
+quince_send_guard_survives_end (QuinceSendGuard *guard, gint64 now_us, const char *service, guint at_risk);
+/* When a request that was not sent since its service is protected may come back, ms. */
 guint quince_send_guard_get_wait_ms (const QuinceSendGuard *guard, gint64 now_us, const char *service);
-/* Others told of ends under the suspect @digest. */
+/* Other processes reported ends under the suspect @digest. */
 void quince_send_guard_note_report (QuinceSendGuard *guard, gint64 now_us, const QuinceRequestDigest *digest);
 /* The answer to QuinceSendGuardCallbacks.ask(). */
 void quince_send_guard_answer (QuinceSendGuard *guard, const QuinceRequestDigest *digest, gboolean given);
-/* Whoever gives permits is gone, and what was asked of it. */
+/* The leader is gone, and with it the permits that were asked for. */
 void quince_send_guard_forget_requested (QuinceSendGuard *guard);
 
 /* It is sent to @worker_id now. */
@@ -123,7 +124,7 @@
                                  gint64 now_us,
                                  const QuinceRequestIdentity *identity,
                                  const char *request_id);
-/* Logs that it waits, or is refused, because @service does not bear one more end. */
+/* Logs that it waits, or is refused, because @service would not survive one more end. */
 void quince_send_guard_log_protected (const QuinceSendGuard *guard,
                                       gint64 now_us,
                                       const QuinceRequestIdentity *identity,
--- a/lib/forward/stream.h
+++ b/lib/forward/stream.h
@@ -32,7 +32,7 @@
 
 /**
  * QuinceStreamCallbacks:
- * @head: the answer begins, called once at the most
+ * @head: the answer begins, called at most once
  * @data: bytes of its body
  * @done: last; ANSWERED: the answer is whole; REFUSED: nothing ran and there was no head; otherwise the
  * answer is not whole, or there is none where @head was not called
--- a/lib/forward/suspect-message.c
+++ b/lib/forward/suspect-message.c
@@ -14,9 +14,9 @@
 }
 
 static GBytes *
-encode_kind (QuinceMessageKind kind, QuinceSuspectReport *told, guint n_reports)
+encode_kind (QuinceMessageKind kind, QuinceSuspectReport *report, guint n_reports)
 {
-  const QuinceSuspectReports news = { .suspects = { .suspects_val = told, .suspects_len = n_reports } };
+  const QuinceSuspectReports news = { .suspects = { .suspects_val = report, .suspects_len = n_reports } };
   QuinceMessage message = { .kind = kind };
   if (kind == QUINCE_MESSAGE_SUSPECT_SENDING)
     message.QuinceMessage_u.suspect_sending = news;
@@ -26,75 +26,75 @@
 }
 
 static GBytes *
-encode (QuinceSuspectReport *told, guint n_reports)
+encode (QuinceSuspectReport *report, guint n_reports)
 {
-  return encode_kind (QUINCE_MESSAGE_SUSPECT_NEWS, told, n_reports);
+  return encode_kind (QUINCE_MESSAGE_SUSPECT_NEWS, report, n_reports);
 }
 
 static void
-describe (const QuinceSuspect *suspect, gint64 now_us, const char *own_name, QuinceSuspectReport *told)
+describe (const QuinceSuspect *suspect, gint64 now_us, const char *own_name, QuinceSuspectReport *report)
 {
-  memcpy (told->digest, suspect->digest.bytes, sizeof told->digest);
-  told->release = suspect->release;
-  told->workers.workers_val = (u_quad_t *)suspect->workers;
-  told->workers.workers_len = suspect->n_workers;
-  told->alone = suspect->alone;
-  told->held = suspect->held;
-  told->age_ms = (u_quad_t)MAX (now_us - suspect->ended_us, 0) / 1000;
-  told->service = known_text (suspect->service);
-  told->software = known_text (suspect->software);
-  told->reported_by = suspect->reported_by != NULL ? suspect->reported_by : (char *)own_name;
-  told->prompt = suspect->scope == QUINCE_SUSPECT_PROMPT;
-  told->member = suspect->member;
+  memcpy (report->digest, suspect->digest.bytes, sizeof report->digest);
+  report->release = suspect->release;
+  report->workers.workers_val = (u_quad_t *)suspect->workers;
+  report->workers.workers_len = suspect->n_workers;
+  report->alone = suspect->alone;
+  report->held = suspect->held;
+  report->age_ms = (u_quad_t)MAX (now_us - suspect->ended_us, 0) / 1000;
+  report->service = known_text (suspect->service);
+  report->software = known_text (suspect->software);
+  report->reported_by = suspect->reported_by != NULL ? suspect->reported_by : (char *)own_name;
+  report->prompt = suspect->scope == QUINCE_SUSPECT_PROMPT;
+  report->member = suspect->member;
 }
 
 GBytes *
 quince_suspect_news_encode (const GPtrArray *suspects, gint64 now_us, const char *own_name)
 {
-  g_autofree QuinceSuspectReport *told = g_new0 (QuinceSuspectReport, suspects->len + 1);
+  g_autofree QuinceSuspectReport *report = g_new0 (QuinceSuspectReport, suspects->len + 1);
   guint n_reports = MIN (suspects->len, QUINCE_MAX_SUSPECTS);
   for (guint i = 0; i < n_reports; i++)
-    describe (suspects->pdata[i], now_us, own_name, &told[i]);
-  return encode (told, n_reports);
+    describe (suspects->pdata[i], now_us, own_name, &report[i]);
+  return encode (report, n_reports);
 }
 
 GBytes *
 quince_suspect_sending_encode (const QuinceSuspect *expected, gint64 now_us, const char *own_name)
 {
-  QuinceSuspectReport told = { 0 };
-  describe (expected, now_us, own_name, &told);
-  return encode_kind (QUINCE_MESSAGE_SUSPECT_SENDING, &told, 1);
+  QuinceSuspectReport report = { 0 };
+  describe (expected, now_us, own_name, &report);
+  return encode_kind (QUINCE_MESSAGE_SUSPECT_SENDING, &report, 1);
 }
 
 GBytes *
 quince_suspect_cleared_encode (const QuinceRequestDigest *digest, QuinceSuspectScope scope)
 {
-  QuinceSuspectReport told = { .cleared = TRUE,
-                               .service = "",
-                               .software = "",
-                               .reported_by = "",
-                               .prompt = scope == QUINCE_SUSPECT_PROMPT };
-  memcpy (told.digest, digest->bytes, sizeof told.digest);
-  return encode (&told, 1);
+  QuinceSuspectReport report = { .cleared = TRUE,
+                                 .service = "",
+                                 .software = "",
+                                 .reported_by = "",
+                                 .prompt = scope == QUINCE_SUSPECT_PROMPT };
+  memcpy (report.digest, digest->bytes, sizeof report.digest);
+  return encode (&report, 1);
 }
 
 void
-quince_suspect_read (const QuinceSuspectReport *told, gint64 now_us, QuinceSuspect *suspect)
+quince_suspect_read (const QuinceSuspectReport *report, gint64 now_us, QuinceSuspect *suspect)
 {
   *suspect = (QuinceSuspect){ 0 };
-  memcpy (suspect->digest.bytes, told->digest, sizeof suspect->digest.bytes);
-  suspect->release = told->release;
-  suspect->n_workers = MIN (told->workers.workers_len, QUINCE_QUARANTINE_WORKERS_MAX);
+  memcpy (suspect->digest.bytes, report->digest, sizeof suspect->digest.bytes);
+  suspect->release = report->release;
+  suspect->n_workers = MIN (report->workers.workers_len, QUINCE_QUARANTINE_WORKERS_MAX);
   for (guint i = 0; i < suspect->n_workers; i++)
-    suspect->workers[i] = told->workers.workers_val[i];
-  suspect->alone = told->alone;
-  suspect->held = told->held;
-  suspect->ended_us = now_us - (gint64)MIN (told->age_ms, G_MAXINT64 / 2000) * 1000;
-  suspect->service = told->service;
-  suspect->software = told->software;
-  suspect->reported_by = told->reported_by;
-  suspect->scope = told->prompt ? QUINCE_SUSPECT_PROMPT : QUINCE_SUSPECT_REQUEST;
-  suspect->member = told->member;
+    suspect->workers[i] = report->workers.workers_val[i];
+  suspect->alone = report->alone;
+  suspect->held = report->held;
+  suspect->ended_us = now_us - (gint64)MIN (report->age_ms, G_MAXINT64 / 2000) * 1000;
+  suspect->service = report->service;
+  suspect->software = report->software;
+  suspect->reported_by = report->reported_by;
+  suspect->scope = report->prompt ? QUINCE_SUSPECT_PROMPT : QUINCE_SUSPECT_REQUEST;
+  suspect->member = report->member;
 }
 
 /* Returns: whether it was suspected here. */
@@ -124,13 +124,13 @@
 {
   for (guint i = 0; i < news->suspects.suspects_len; i++)
     {
-      const QuinceSuspectReport *told = &news->suspects.suspects_val[i];
+      const QuinceSuspectReport *report = &news->suspects.suspects_val[i];
       QuinceSuspect suspect;
-      quince_suspect_read (told, now_us, &suspect);
+      quince_suspect_read (report, now_us, &suspect);
       const QuinceSuspectCleared gone = { .digest = suspect.digest, .scope = suspect.scope };
-      if (told->cleared && clear (quarantine, now_us, &suspect))
+      if (report->cleared && clear (quarantine, now_us, &suspect))
         g_array_append_val (cleared, gone);
-      else if (!told->cleared && quince_quarantine_merge (quarantine, now_us, &suspect))
+      else if (!report->cleared && quince_quarantine_merge (quarantine, now_us, &suspect))
         {
           g_array_append_val (changed, suspect.digest);
           log_report (quince_quarantine_find (quarantine, &suspect.digest));
--- a/lib/forward/suspect-message.h
+++ b/lib/forward/suspect-message.h
@@ -15,8 +15,8 @@
 GBytes *quince_suspect_news_encode (const GPtrArray *suspects, gint64 now_us, const char *own_name);
 /* The same for one that is sent now: what will be known if its worker ends. */
 GBytes *quince_suspect_sending_encode (const QuinceSuspect *expected, gint64 now_us, const char *own_name);
-/* @suspect: its texts are those of @told */
-void quince_suspect_read (const QuinceSuspectReport *told, gint64 now_us, QuinceSuspect *suspect);
+/* @suspect: its texts are those of @report */
+void quince_suspect_read (const QuinceSuspectReport *report, gint64 now_us, QuinceSuspect *suspect);
 /* The same for one that was cleared. */
 GBytes *quince_suspect_cleared_encode (const QuinceRequestDigest *digest, QuinceSuspectScope scope);
 
@@ -30,9 +30,9 @@
 /**
  * quince_suspect_news_take:
  * @changed: QuinceRequestDigest, added to: those of which more is known now
- * @cleared: QuinceSuspectCleared, added to: those that were suspected until now
+ * @cleared: QuinceSuspectCleared, added to: suspects until now
  *
- * Takes what was told into @quarantine.
+ * Takes the reports into @quarantine.
  */
 void quince_suspect_news_take (QuinceQuarantine *quarantine,
                                gint64 now_us,
--- a/lib/forward/warmth.c
+++ b/lib/forward/warmth.c
@@ -14,25 +14,25 @@
 
 /* An entry that first appears after the first listing is of a worker that starts. */
 static gint64
-assumed_cold_after_start_us (QuinceBackends *backends, const QuinceWorker *told)
+assumed_cold_after_start_us (QuinceBackends *backends, const QuinceWorker *entry)
 {
-  if (!backends->listed || told->cold_us != QUINCE_COLD_UNKNOWN)
+  if (!backends->listed || entry->cold_us != QUINCE_COLD_UNKNOWN)
     return 0;
-  return quince_warmup_sends_get_cold_start_us (backends->warmup, told->service);
+  return quince_warmup_sends_get_cold_start_us (backends->warmup, entry->service);
 }
 
 void
-quince_warmth_note_listed (QuinceBackends *backends, QuinceWorker *told)
+quince_warmth_note_listed (QuinceBackends *backends, QuinceWorker *entry)
 {
   gint64 now = quince_now_us ();
-  QuinceWorker *known = quince_worker_table_find (backends->workers, told->id);
+  QuinceWorker *known = quince_worker_table_find (backends->workers, entry->id);
   if (known == NULL)
-    quince_worker_assume_cold (told, now + assumed_cold_after_start_us (backends, told));
+    quince_worker_assume_cold (entry, now + assumed_cold_after_start_us (backends, entry));
   gboolean was_cold = known != NULL && known->cold_us > 0;
-  if (was_cold == (told->cold_us > 0))
+  if (was_cold == (entry->cold_us > 0))
     return;
-  quince_log_info ("worker_warmth", "worker=%s service=%s cold_ms=%" G_GINT64_FORMAT, told->id, told->service,
-                   MAX (told->cold_us, 0) / 1000);
+  quince_log_info ("worker_warmth", "worker=%s service=%s cold_ms=%" G_GINT64_FORMAT, entry->id,
+                   entry->service, MAX (entry->cold_us, 0) / 1000);
 }
 
 void
--- a/lib/forward/warmup-sends.c
+++ b/lib/forward/warmup-sends.c
@@ -16,7 +16,7 @@
  * leader while workers are cold (worked out). */
 #define ASK_EVERY_US (50 * 1000)
 /* Time until the next request where there is no leader, us.  Not measured. */
-#define NOBODY_US (500 * 1000)
+#define NO_LEADER_US (500 * 1000)
 
 struct _QuinceWarmupSends
 {
@@ -83,18 +83,18 @@
 {
   if (sends == NULL)
     return G_MAXUINT;
-  const QuinceService *told = sends->callbacks->find_service (service, sends->user_data);
-  if (told == NULL)
+  const QuinceService *configured = sends->callbacks->find_service (service, sends->user_data);
+  if (configured == NULL)
     return G_MAXUINT;
-  return quince_warmup_most (told->cold_per_s, sends->bounds.overage, sends->bounds.slack);
+  return quince_warmup_most (configured->cold_per_s, sends->bounds.overage, sends->bounds.slack);
 }
 
 gint64
 quince_warmup_sends_get_cold_start_us (QuinceWarmupSends *sends, const char *service)
 {
-  const QuinceService *told
+  const QuinceService *configured
       = sends != NULL ? sends->callbacks->find_service (service, sends->user_data) : NULL;
-  return told != NULL ? (gint64)told->cold_start_ms * 1000 : 0;
+  return configured != NULL ? (gint64)configured->cold_start_ms * 1000 : 0;
 }
 
 static QuinceWarmupLease *
@@ -155,7 +155,7 @@
   if (!sends->callbacks->ask (ask, worker->id, ASK_SENDS, sends->user_data))
     {
       lease->refused = TRUE;
-      lease->again_us = now_us + NOBODY_US;
+      lease->again_us = now_us + NO_LEADER_US;
       return;
     }
   quince_warmup_lease_note_request (lease, requested_us, ask);
@@ -227,7 +227,7 @@
   guint most = quince_warmup_sends_get_most (sends, service);
   gint64 until_us = now + QUINCE_WARMUP_VALID_US + QUINCE_WARMUP_SEND_WITHIN_US;
   guint given = 0;
-  *again_us = NOBODY_US;
+  *again_us = NO_LEADER_US;
   if (may_give (sends))
     {
       given = quince_warmup_book_give (sends->book, now, worker, TRUE, most, wanted, until_us);
--- a/lib/forward/warmup-sends.h
+++ b/lib/forward/warmup-sends.h
@@ -15,7 +15,8 @@
 
 G_BEGIN_DECLS
 
-/* What the bound is made of: @overage times what a service's cold workers bear, and @slack requests more. */
+/* What the bound is made of: @overage times the rate of a service's cold workers, and @slack requests more.
+ */
 typedef struct
 {
   double overage;
@@ -44,8 +45,8 @@
  * QuinceWarmupSendsCallbacks:
  * @find_service: (nullable result): what the configuration says of it
  * @may_give: whether this process gives now, looked at anew; %NULL: it never does
- * @ask: asks for @sends to @worker; quince_warmup_sends_answered() follows.  Returns: %FALSE: there is nobody
- * to ask.  %NULL: this process does not ask
+ * @ask: asks for @sends to @worker; quince_warmup_sends_answered() follows.  Returns: %FALSE: there is no
+ * leader to ask.  %NULL: this process does not ask
  */
 typedef struct
 {
@@ -91,7 +92,7 @@
                                    guint given,
                                    gint64 valid_us,
                                    gint64 again_us);
-/* Whoever gives is gone, and what was asked of it; leases go on until their end. */
+/* The leader is gone, and with it what was requested; leases go on until their end. */
 void quince_warmup_sends_forget_requests (QuinceWarmupSends *sends);
 
 /* ---- Who gives ------------------------------------------------------------ */
