--- a/daemons/replica/sample.h
+++ b/daemons/replica/sample.h
@@ -1,8 +1,12 @@
 /*
- * sample.h: one sample: its text as far as it is made, the stream that makes it, and its reward call.
+ * sample.h: one sample: its text so far, the run that makes it, and its reward call.
+ *
+ * For: the parts of the sample runner; see sample-set.h.  Owns: the text, the exchange with the worker, the
+ * reward call. Relies on: the backends for connections, core/decisions/silence.h.
  */
 #pragma once
 
+#include "core/decisions/sample-next.h"
 #include "forward/backends.h"
 #include "core/batches/batch-book.h"
 #include "forward/forward.h"
@@ -21,17 +25,6 @@
 
 typedef struct _QuinceSample QuinceSample;
 
-/* How a run ended. */
-typedef enum
-{
-  QUINCE_RUN_WHOLE,    /* the text is whole                               */
-  QUINCE_RUN_REFUSED,  /* the worker did not run it                       */
-  QUINCE_RUN_BROKEN,   /* go on elsewhere from the last whole event       */
-  QUINCE_RUN_MOVED,    /* cut here, to go on at a worker that ends it sooner */
-  QUINCE_RUN_FAILED,   /* the worker failed: counted                      */
-  QUINCE_RUN_HOPELESS, /* it can never be done                            */
-} QuinceRunEnd;
-
 struct _QuinceSample
 {
   /* All fields belong to the main context. */
@@ -45,8 +38,8 @@
   gsize replicated_bytes;
   guint replicated_failures;
   guint64 run_version; /* of the run in progress */
-  guint failures;      /* answers of 500 */
-  guint hopeless;      /* answers of 422 */
+  guint failures;      /* answers of workers that failed */
+  guint hopeless;      /* answers of workers that it can never be done */
   guint reward_failures;
   guint runs;
   char *avoid_worker;   /* the last one that failed it; NULL: none */
@@ -54,12 +47,12 @@
   gint64 give_up_us;    /* monotonic; 0: never */
   gint64 submitted_us;  /* monotonic */
   gboolean single_version;
-  guint estimated_tokens;         /* by its caller; 0: not told */
+  guint estimated_tokens;         /* by its caller; 0: none */
   guint moves;                    /* runs that were cut to go on elsewhere */
   QuinceRequestIdentity identity; /* see quince_sample_get_identity() */
   gboolean has_identity;
   QuinceSendPermit permit; /* of the run in progress */
-  QuinceAdmission logged;  /* that it is held, or spared; else QUINCE_ADMISSION_GRANTED */
+  QuinceAdmission logged;  /* that it is held or protected; else QUINCE_ADMISSION_GRANTED */
 
   /* The run in progress. */
   char *worker_id;
--- a/lib/core/request/expected-ends.h
+++ b/lib/core/request/expected-ends.h
@@ -1,10 +1,11 @@
 /*
- * expected-ends.h: what the leader sends by permit, kept by its likely successor.
+ * expected-ends.h: the leader's sends under a permit, as its likely successor keeps them.
  *
- * A leader that dies with its send under way cannot tell whether the worker ended.  Its successor counts such
- * a send as an end when it takes the lead; while the leader lives it counts for nothing.
+ * A leader that dies during such a send cannot report whether the worker ended.  Its successor counts the
+ * send as an end when it takes the lead; while the leader lives it counts for nothing.
  *
- * Pure: time is an argument, in microseconds of one clock that counts suspensions too.
+ * For: the replica that follows the leader.  Owns: the sends.  Relies on: nothing; pure: time is an argument,
+ * in microseconds of one clock that counts suspensions too.
  */
 #pragma once
 
@@ -18,9 +19,9 @@
 void quince_expected_ends_free (QuinceExpectedEnds *ends);
 /* @expected: what will be known if the worker ends; copied. */
 void quince_expected_ends_add (QuinceExpectedEnds *ends, gint64 now_us, const QuinceSuspect *expected);
-/* A worker answered it, or the end was told. */
+/* A worker answered it, or its end was reported. */
 void quince_expected_ends_remove (QuinceExpectedEnds *ends, const QuinceRequestDigest *digest);
-/* Takes those that may still be under way into @quarantine, and forgets all. */
+/* Takes the sends that may still be under way into @quarantine, and forgets all. */
 void quince_expected_ends_count (QuinceExpectedEnds *ends, gint64 now_us, QuinceQuarantine *quarantine);
 
 G_END_DECLS
--- a/lib/core/request/request-digest.h
+++ b/lib/core/request/request-digest.h
@@ -1,7 +1,9 @@
 /*
- * request-digest.h: what stands for a request that is asked again under another id.
+ * request-digest.h: identifies a request that is sent again under another id.
  *
- * Equal for equal callers, hosts, methods, targets and bodies; it tells nothing of any of them.
+ * Equal for equal callers, hosts, methods, targets and bodies; nothing of them can be read from it.
+ *
+ * For: the quarantine and its messages.  Owns nothing; pure.
  */
 #pragma once
 
@@ -9,6 +11,7 @@
 
 G_BEGIN_DECLS
 
+/* Length of a digest, bytes: 128 bits, so that no two requests share one by chance. */
 #define QUINCE_REQUEST_DIGEST_BYTES 16
 
 typedef struct
@@ -36,7 +39,7 @@
  * quince_request_digest_make_prompt:
  * @parts: of a prompt, %NULL-terminated; the last one is the request's own
  *
- * Stands for what a request shares with others of its prompt: equal for equal callers, hosts and shared
+ * Identifies what a request shares with others of its prompt: equal for equal callers, hosts and shared
  * parts. Never equal to a digest of the call above.  Returns: %FALSE where nothing is shared
  */
 gboolean quince_request_digest_make_prompt (QuinceRequestDigest *digest,
@@ -52,7 +55,7 @@
 
 /**
  * QuinceRequestIdentity:
- * @request: stands for this request alone
+ * @request: identifies this request alone
  * @prompt: for all requests that share its prompt, where @has_prompt
  */
 typedef struct
--- a/lib/forward/dispatch.h
+++ b/lib/forward/dispatch.h
@@ -1,6 +1,9 @@
 /*
- * dispatch.h: what plain requests and streams share: the request, the choice of a worker for each attempt,
- * and what a worker is sent.
+ * dispatch.h: what lookups and streams share: the request, its attempts so far, the choice of a worker for
+ * the next one, and its admission by the send guard.
+ *
+ * For: forward.c and stream.c, which own one each.  Owns: copies of the request, and the permit of the send
+ * in progress. Relies on: the backends; core/decisions for each rule.
  */
 #pragma once
 
@@ -15,8 +18,8 @@
   QuinceBackends *backends;
   const QuinceForwardDialect *dialect;
   char *service;
-  char *caller; /* NULL: nobody in particular */
-  char *tenant; /* whose regions bind; NULL: nobody's */
+  char *caller; /* NULL: not known */
+  char *tenant; /* whose regions bind; NULL: none */
   QuinceResidencyLookup lookup;
   char *kind;
   char *method;
@@ -24,7 +27,7 @@
   char *request_id;
   QuinceHttpHeaders *headers;
   GBytes *body;
-  QuinceRequestIdentity identity; /* see quince_dispatch_get_identity() */
+  QuinceRequestIdentity identity; /* made when it is first needed */
   gboolean has_identity;
   QuinceSendPermit permit; /* of the send in progress */
   gint64 waits_us;         /* since when it waits for its admission, monotonic; 0: it does not */
@@ -57,7 +60,8 @@
                                            gboolean is_stream,
                                            gboolean began,
                                            gint64 now_us);
-/* The attempt at @worker_id, begun or last heard of at @since_us, gave no answer that counts: logs it. */
+/* The attempt at @worker_id, begun, or with its last data, at @since_us, gave no answer that counts: logs it.
+ */
 void quince_dispatch_log_retried (const QuinceDispatch *dispatch, const char *worker_id, gint64 since_us);
 /* How the request ends without an answer; see retry.h. */
 QuinceForwardOutcome quince_dispatch_give_up (gboolean may_have_run, gboolean late);
@@ -67,13 +71,24 @@
 void quince_dispatch_release_worker (QuinceDispatch *dispatch, const char *worker_id);
 /* (nullable): @worker_id where it is still listed */
 QuinceWorker *quince_dispatch_find (const QuinceDispatch *dispatch, const char *worker_id);
-/* Made when it is first asked for: most requests never need it. */
-const QuinceRequestIdentity *quince_dispatch_get_identity (QuinceDispatch *dispatch);
-/* Whether the next attempt may be made; see send-guard.h.  QUINCE_ADMISSION_UNSURE also where the request has
- * waited for as long as its target latency. */
-QuinceAdmission quince_dispatch_request_admission (QuinceDispatch *dispatch, gint64 now_us);
-/* The request got QUINCE_ADMISSION_PROTECTED and is refused: notes when its service may be whole again. */
-void quince_dispatch_note_protected (QuinceDispatch *dispatch, gint64 now_us);
+/* What follows when the next attempt asks for its admission. */
+typedef enum
+{
+  QUINCE_DISPATCH_SEND,    /* choose a worker and send                                      */
+  QUINCE_DISPATCH_WAIT,    /* ask again later                                               */
+  QUINCE_DISPATCH_GIVE_UP, /* refuse or fail; the cause and Retry-After are noted           */
+  QUINCE_DISPATCH_HOLD,    /* it is held: it is not sent any more                           */
+} QuinceDispatchAction;
+
+/**
+ * quince_dispatch_admit:
+ * @began: the caller has a part of the answer
+ * @wait_ms: (out): QUINCE_DISPATCH_WAIT: for how long
+ *
+ * Asks the send guard whether the next attempt may be made; see core/decisions/admission.h.
+ */
+QuinceDispatchAction
+quince_dispatch_admit (QuinceDispatch *dispatch, gboolean began, gint64 now_us, guint *wait_ms);
 /* Whether another attempt may be made beside the one in progress. */
 gboolean quince_dispatch_may_hedge (QuinceDispatch *dispatch, gint64 now_us);
 /* How the attempt ended: see send-guard.h. */
--- a/lib/forward/policy-entry.c
+++ b/lib/forward/policy-entry.c
@@ -9,6 +9,8 @@
 
 #include "backends-private.h"
 
+/* Lines of an entry: the number of the proposal, author, comment, and the program as the last, with its own
+ * line feeds. */
 #define LINES 4
 
 G_DEFINE_QUARK (quince - policy - entry - error - quark, quince_policy_entry_error)
@@ -62,8 +64,8 @@
   return g_bytes_new_take (text, strlen (text));
 }
 
-gboolean
-quince_event_entry_parse (GBytes *value, QuinceEventEntry *entry, GError **error)
+static gboolean
+parse_event (GBytes *value, QuinceEventEntry *entry, GError **error)
 {
   g_autofree char *text = g_strndup (g_bytes_get_data (value, NULL), g_bytes_get_size (value));
   g_auto (GStrv) words = g_strsplit (text, " ", 3);
@@ -133,10 +135,10 @@
   if (value == NULL)
     {
       quince_log_info ("event_deleted", "name=%s", quoted);
-      g_hash_table_remove (backends->events, name);
+      quince_event_table_remove (backends->events, name);
       return;
     }
-  if (!quince_event_entry_parse (value, &entry, &error))
+  if (!parse_event (value, &entry, &error))
     {
       log_refusal ("event", 0, error);
       return;
@@ -144,5 +146,5 @@
   quince_log_info ("event_known",
                    "name=%s start_ms=%" G_GINT64_FORMAT " duration_ms=%" G_GINT64_FORMAT " service=%s",
                    quoted, entry.start_ms, entry.duration_ms, entry.service);
-  g_hash_table_replace (backends->events, g_strdup (name), g_memdup2 (&entry, sizeof entry));
+  quince_event_table_set (backends->events, name, &entry);
 }
--- a/lib/forward/residency-lookup.h
+++ b/lib/forward/residency-lookup.h
@@ -1,8 +1,10 @@
 /*
- * residency-lookup.h: the regions in which requests may be served, by the configuration in force.
+ * residency-lookup.h: the regions in which a request may be served, by the configuration in force.
  *
- * A request that is on its way looks them up before each send, so that a change of the configuration binds
- * what is sent next.
+ * A request looks them up before each send, so that a change of the configuration binds the next send.
+ *
+ * For: dispatch.c, the leader's samples.  Owns: copies of the regions, in each lookup.  Relies on: the route
+ * table of the backends.
  */
 #pragma once
 
@@ -14,12 +16,12 @@
 void quince_backends_set_routes (QuinceBackends *backends, const QuinceRouteTable *routes);
 /* Whether any route or tenant of the configuration in force names regions: without, nothing is looked up. */
 gboolean quince_backends_has_region_rules (const QuinceBackends *backends);
-/* Whether @worker stands where @residency (nullable) allows. A worker whose region is not known stands
+/* Whether @worker is where @residency (nullable) allows. A worker whose region is not known is
  * nowhere. */
 gboolean quince_backends_allow (const QuinceBackends *backends,
                                 const QuinceWorker *worker,
                                 const QuinceResidency *residency);
-/* Whether any worker of @service that is not leaving stands where @residency allows. */
+/* Whether any worker of @service that is not draining is where @residency allows. */
 gboolean quince_backends_has_allowed_worker (QuinceBackends *backends,
                                              const char *service,
                                              const QuinceResidency *residency);
--- a/lib/forward/send-guard.c
+++ b/lib/forward/send-guard.c
@@ -7,19 +7,19 @@
 #include "send-guard-private.h"
 #include "worker-check.h"
 
-/* Another request has the permit: ask again after a usual run of a lookup, about 25 ms on the users' sheets.
- */
+/* Time after which a permit that another request has is asked for again, us: a usual run of a lookup takes
+ * about 25 ms at the users' workers. */
 #define BUSY_PAUSE_US (20 * 1000)
-/* An answer that is lost with its link is asked for again.  Chosen: far above a round trip to the leader (6
- * ms). */
+/* Time after which an unanswered request for a permit is made again, us.  Not measured: far above a round
+ * trip to the leader (6 ms). */
 #define ANSWER_PATIENCE_US (500 * 1000)
-/* A permit whose asker has gone meanwhile may serve another one of the same request so long: less than
- * whoever gave it keeps it (3 s). */
+/* Time for which a permit whose request has gone may serve another one of the same digest, us: less than the
+ * leader keeps it (3 s). */
 #define GIVEN_KEEP_US (1 * G_USEC_PER_SEC)
-/* A worker that was found to have ended is not checked again for each further connection that broke.  Chosen
- * above the 3.6 s (three heartbeats of 1.2 s) after which its entry lapses. */
+/* Time for which a worker that was found to have ended is not checked again for further broken connections,
+ * us: above the 3.6 s (three heartbeats of 1.2 s) after which its entry lapses. */
 #define ENDED_KEEP_US (5 * G_USEC_PER_SEC)
-/* A look at all suspects, up to some thousands, is not made for each request. */
+/* Interval of the checks for outdated suspects, us: there may be some thousands.  Not measured. */
 #define EXPIRE_EVERY_US (1 * G_USEC_PER_SEC)
 
 typedef enum
@@ -162,7 +162,7 @@
   return now_us - ask->at_us < keep_us[ask->state] && (ask->alone || !alone);
 }
 
-/* Returns: (nullable): %NULL when there is nobody to ask. */
+/* Returns: (nullable): %NULL when there is no leader to ask. */
 static const Ask *
 ask_again (QuinceSendGuard *guard,
            gint64 now_us,
@@ -268,7 +268,7 @@
   QuinceAdmission admission = quince_admission_of_request (&request);
   if (admission != QUINCE_ADMISSION_PERMIT)
     return admission;
-  if (!quince_send_guard_bears_end (guard, now_us, service, 0))
+  if (!quince_send_guard_survives_end (guard, now_us, service, 0))
     return QUINCE_ADMISSION_PROTECTED;
   return ask_permit (guard, now_us, digest, service, rule == QUINCE_SEND_ALONE, permit);
 }
@@ -282,7 +282,7 @@
   QuinceSendRule of_prompt;
   const QuinceAdmissionCase request
       = { .rule = judge (guard, identity, &of_prompt), .loss_checked = is_checked (guard, identity) };
-  return quince_admission_allows_hedge (&request) && quince_send_guard_bears_hedge (guard, now_us, service);
+  return quince_admission_allows_hedge (&request) && quince_send_guard_allows_hedge (guard, now_us, service);
 }
 
 void
@@ -429,7 +429,7 @@
   return loss;
 }
 
-/* A worker that is to leave, or is not listed, ends without any request's doing. */
+/* The end of a worker that drains, or is not listed, is not caused by a request. */
 static gboolean
 is_expected_to_end (const QuinceWorker *worker)
 {
--- a/lib/forward/warmth.c
+++ b/lib/forward/warmth.c
@@ -6,36 +6,33 @@
  */
 #include "backends-private.h"
 
+#include "core/decisions/worker-choice.h"
 #include "runtime/log.h"
 #include "runtime/clock.h"
 
-/* How often in a second all slots of a warm worker may be filled.  Chosen: far above what samples of
- * 0.3 s and longer need. */
-#define WARM_REFILLS_PER_SECOND 2
-
 /* ---- What is known ------------------------------------------------------- */
 
 /* An entry that first appears after the first listing is of a worker that starts. */
 static gint64
-assumed_cold_after_start_us (QuinceBackends *backends, const QuinceWorker *told)
+assumed_cold_after_start_us (QuinceBackends *backends, const QuinceWorker *entry)
 {
-  if (!backends->listed || told->cold_us != QUINCE_COLD_UNKNOWN)
+  if (!backends->listed || entry->cold_us != QUINCE_COLD_UNKNOWN)
     return 0;
-  return quince_warmup_sends_get_cold_start_us (backends->warmup, told->service);
+  return quince_warmup_sends_get_cold_start_us (backends->warmup, entry->service);
 }
 
 void
-quince_warmth_note_listed (QuinceBackends *backends, QuinceWorker *told)
+quince_warmth_note_listed (QuinceBackends *backends, QuinceWorker *entry)
 {
   gint64 now = quince_now_us ();
-  QuinceWorker *known = quince_worker_table_find (backends->workers, told->id);
+  QuinceWorker *known = quince_worker_table_find (backends->workers, entry->id);
   if (known == NULL)
-    quince_worker_assume_cold (told, now + assumed_cold_after_start_us (backends, told));
+    quince_worker_assume_cold (entry, now + assumed_cold_after_start_us (backends, entry));
   gboolean was_cold = known != NULL && known->cold_us > 0;
-  if (was_cold == (told->cold_us > 0))
+  if (was_cold == (entry->cold_us > 0))
     return;
-  quince_log_info ("worker_warmth", "worker=%s service=%s cold_ms=%" G_GINT64_FORMAT, told->id, told->service,
-                   MAX (told->cold_us, 0) / 1000);
+  quince_log_info ("worker_warmth", "worker=%s service=%s cold_ms=%" G_GINT64_FORMAT, entry->id,
+                   entry->service, MAX (entry->cold_us, 0) / 1000);
 }
 
 void
@@ -72,15 +69,12 @@
 
 /* ---- The choice ---------------------------------------------------------- */
 
-/* Most requests in a second at @worker.  A warm one may turn cold at any moment, and its entry tells that
- * late. Only samples are held to the bound before: one process sends them all, and only runs that take less
- * than half a second would come to it. */
+/* Most requests in a second at @worker. */
 static guint
 most_of (const QuinceBackendQuery *query, gint64 now_us, const QuinceWorker *worker, guint most)
 {
-  if (quince_worker_is_cold (worker, now_us))
-    return most;
-  return query->model != NULL ? MAX (most, WARM_REFILLS_PER_SECOND * query->most_running) : G_MAXUINT;
+  return quince_choice_cold_limit (most, quince_worker_is_cold (worker, now_us), query->model != NULL,
+                                   query->most_running);
 }
 
 void
