--- a/lib/meta/meta-copy.c
+++ b/lib/meta/meta-copy.c
@@ -1,17 +1,18 @@
 /*
- * meta-copy.c: what a mirror holds of its prefix.
+ * meta-copy.c: the items of a prefix, and the removals among its latest changes.
  */
 #include "meta-copy.h"
 
-/* Keys that went away are remembered up to this many. */
+/* Removed keys that are remembered.  A process that lacks more than these is sent the whole prefix.  Not
+ * measured: a zone of a thousand workers may go at once. */
 #define GONE_MAX 1024
 
 struct _QuinceMetaCopy
 {
   gboolean (*same) (GBytes *, GBytes *);
-  GHashTable *known; /* QuinceMetaItem by key, owned: what is there */
-  GQueue gone;       /* QuinceMetaItem without value, owned, by rising revision */
-  guint64 gone_from; /* all that went away after this revision is in it */
+  GHashTable *known; /* QuinceMetaItem by key, owned: existing keys */
+  GQueue gone;       /* QuinceMetaItem without value, owned, by rising revision: removed keys */
+  guint64 gone_from; /* every removal after this revision is in @gone */
 };
 
 QuinceMetaCopy *
@@ -73,7 +74,7 @@
       g_hash_table_remove (copy->known, item->key);
       return TRUE;
     }
-  /* The older revision stays: whoever has that lacks nothing. */
+  /* The older revision stays: a process that has it lacks nothing. */
   if (known != NULL && copy->same != NULL && copy->same (known->value, item->value))
     return FALSE;
   QuinceMetaItem *held = item_new (item->key, item->value, item->revision);
@@ -95,7 +96,7 @@
       g_ptr_array_add (missing, item_new (key, NULL, revision));
       g_hash_table_iter_remove (&iter);
     }
-  /* What came and went since the last look is not known. */
+  /* Keys that were written and removed since the last read are unknown. */
   forget_gone (copy);
   copy->gone_from = revision;
   return missing;
--- a/lib/meta/meta-copy.h
+++ b/lib/meta/meta-copy.h
@@ -1,6 +1,8 @@
 /*
- * meta-copy.h: what a mirror holds of its prefix: the items that are there, and which went away lately, so
- * that another process can be told just what it lacks.
+ * meta-copy.h: the items of a prefix and the keys removed lately, so that another process can be sent just
+ * the changes that it lacks.
+ *
+ * Pure state: no calls, no timers.  Owned by its mirror.
  */
 #pragma once
 
@@ -8,15 +10,15 @@
 
 typedef struct _QuinceMetaCopy QuinceMetaCopy;
 
-/* @same: (nullable): two values of a key that say the same */
+/* @same: (nullable): two values of a key mean the same */
 QuinceMetaCopy *quince_meta_copy_new (gboolean (*same) (GBytes *before, GBytes *after));
 void quince_meta_copy_free (QuinceMetaCopy *copy);
-/* Returns: whether @item is news; what is older than what is held, or says the same, is not */
+/* Returns: whether @item changes the copy; one that is older, or means the same, does not */
 gboolean quince_meta_copy_take (QuinceMetaCopy *copy, const QuinceMetaItem *item);
-/* The whole prefix was read at @revision, and holds just the keys in @listed.
- * Returns: (transfer full): the items that are gone, QuinceMetaItem, owned */
+/* The whole prefix was read at @revision and holds exactly the keys in @listed.
+ * Returns: (transfer full) (element-type QuinceMetaItem): the keys that were removed, without values */
 GPtrArray *quince_meta_copy_take_list (QuinceMetaCopy *copy, guint64 revision, GHashTable *listed);
-/* What one lacks that has all up to @after.  Sets the page's revision to @revision.
- * @whole: (out): it is told all there is, since what went away meanwhile is not known any more */
+/* (transfer full): the changes after revision @after, as a page of @revision.
+ * @whole: (out): the page is the whole prefix, since removals after @after are not remembered any more */
 QuinceMetaPage *
 quince_meta_copy_since (const QuinceMetaCopy *copy, guint64 after, guint64 revision, gboolean *whole);
--- a/lib/meta/meta-item.h
+++ b/lib/meta/meta-item.h
@@ -14,27 +14,29 @@
 
 typedef enum
 {
-  QUINCE_META_ERROR_UNAVAILABLE, /* nothing was done                                  */
-  QUINCE_META_ERROR_UNKNOWN,     /* no answer: may be done, now or some seconds later */
-  QUINCE_META_ERROR_CONFLICT,    /* a condition does not hold                         */
-  QUINCE_META_ERROR_GONE,        /* no such item or lease, or history that is dropped */
-  QUINCE_META_ERROR_MALFORMED,   /* an answer that cannot be read                     */
+  QUINCE_META_ERROR_UNAVAILABLE, /* the store did nothing                                     */
+  QUINCE_META_ERROR_UNKNOWN,     /* no answer: the change may be made, now or seconds later    */
+  QUINCE_META_ERROR_CONFLICT,    /* a condition does not hold                                 */
+  QUINCE_META_ERROR_GONE,        /* no such item or lease, or the store dropped that history  */
+  QUINCE_META_ERROR_MALFORMED,   /* the answer cannot be decoded                              */
 } QuinceMetaError;
 
+/* A key as it was written or removed. */
 typedef struct
 {
   char *key;
-  GBytes *value; /* NULL: removed */
-  guint64 revision;
+  GBytes *value;    /* NULL: removed */
+  guint64 revision; /* of the store, at this change */
 } QuinceMetaItem;
 
 void quince_meta_item_free (QuinceMetaItem *item);
 
+/* Items from one read of a prefix. */
 typedef struct
 {
   GPtrArray *items;         /* owned QuinceMetaItem */
   gboolean more;            /* another page follows the last key */
-  guint64 after;            /* all changes since this revision are among the items; 0: all there is */
+  guint64 after;            /* the items hold all changes after this revision; 0: the whole prefix */
   guint64 revision;         /* of the store, at this answer */
   gboolean may_have_lapsed; /* page from another process: keys may have expired during a store outage there */
 } QuinceMetaPage;
--- a/lib/meta/meta-mirror.c
+++ b/lib/meta/meta-mirror.c
@@ -1,5 +1,5 @@
 /*
- * meta-mirror.c: follows the keys of a prefix: a list, then watches from its revision on.
+ * meta-mirror.c: follows the keys of a prefix: a list, then watches from its revision on, or pages of a feed.
  */
 #include <string.h>
 
@@ -10,7 +10,10 @@
 #include "meta/meta-mirror.h"
 #include "meta-private.h"
 
+/* Wait after a failed read, ms, doubled with each failure in a row: calls to the store are limited and paid
+ * for, failed ones too. */
 #define RETRY_MIN_MS 100
+/* Longest wait after a failed read, ms: as long as the store client probes a store that does not answer. */
 #define RETRY_MAX_MS 800
 
 struct _QuinceMetaMirror
@@ -23,26 +26,26 @@
   gpointer user_data;
   QuinceMetaCall *call; /* in progress */
   GSource *timer;       /* until the next call */
-  QuinceMetaCopy *copy; /* what was told as being there */
-  GPtrArray *news;      /* QuinceMetaItem, owned: what the list in progress, or this answer, brought */
+  QuinceMetaCopy *copy; /* all that the owner was told */
+  GPtrArray *changes;   /* QuinceMetaItem, owned: new in the list in progress or in this answer */
   GHashTable *listed;   /* keys of the list in progress; NULL while watching */
   char *list_after;     /* last key of the page before */
   guint64 revision;     /* watch from here */
   guint64 list_revision;
-  const char *reason; /* why it reads by itself; static */
+  const char *reason; /* why it reads the store, for the metric; static */
   guint retry_ms;
   gint64 watch_began_us;
   gint64 contact_us; /* monotonic time of the last answer or page; 0: none yet */
   gboolean synced;
   gboolean watching;   /* the call in progress is a watch */
-  gboolean waiting;    /* calls to the store fail: asks once it answers again */
-  GSource *feed_timer; /* while it is fed: until it goes on by itself */
+  gboolean waiting;    /* calls to the store fail: reads once it answers again */
+  GSource *feed_timer; /* while it is fed: until its patience is over */
 };
 
 static void begin_list (QuinceMetaMirror *mirror);
 static void begin_watch (QuinceMetaMirror *mirror, guint wait_ms);
 
-/* ---- What is told ----------------------------------------------------- */
+/* ---- Reports to the owner --------------------------------------------- */
 
 static QuinceMetaItem *
 copy_item (const QuinceMetaItem *item)
@@ -55,22 +58,22 @@
 }
 
 static void
-tell_item (QuinceMetaMirror *mirror, const QuinceMetaItem *item)
+report_item (QuinceMetaMirror *mirror, const QuinceMetaItem *item)
 {
   if (!quince_meta_copy_take (mirror->copy, item))
     return;
-  g_ptr_array_add (mirror->news, copy_item (item));
+  g_ptr_array_add (mirror->changes, copy_item (item));
   mirror->callbacks->item (item, mirror->user_data);
 }
 
 static void
-tell_missing (QuinceMetaMirror *mirror, guint64 revision)
+report_missing (QuinceMetaMirror *mirror, guint64 revision)
 {
   g_autoptr (GPtrArray) missing = quince_meta_copy_take_list (mirror->copy, revision, mirror->listed);
   for (guint i = 0; i < missing->len; i++)
     {
       const QuinceMetaItem *item = missing->pdata[i];
-      g_ptr_array_add (mirror->news, copy_item (item));
+      g_ptr_array_add (mirror->changes, copy_item (item));
       mirror->callbacks->item (item, mirror->user_data);
     }
 }
@@ -81,22 +84,22 @@
   return g_ptr_array_new_with_free_func ((GDestroyNotify)quince_meta_item_free);
 }
 
-/* Passes on what was read from the store itself since revision @after; also that there is nothing. */
+/* Reports a read of the store itself, with its changes since revision @after; also if there are none. */
 static void
-pass_on_news (QuinceMetaMirror *mirror, guint64 after)
+pass_on_changes (QuinceMetaMirror *mirror, guint64 after)
 {
   g_autoptr (QuinceMetaPage) page = g_new0 (QuinceMetaPage, 1);
-  page->items = g_steal_pointer (&mirror->news);
+  page->items = g_steal_pointer (&mirror->changes);
   page->after = after;
   page->revision = mirror->revision;
-  mirror->news = new_items ();
+  mirror->changes = new_items ();
   if (mirror->callbacks->read != NULL)
     mirror->callbacks->read (page, mirror->user_data);
 }
 
 /* ---- Calls ------------------------------------------------------------ */
 
-/* The pace is waited for before each watch. */
+/* The pace has already passed before a watch begins. */
 static guint
 watch_wait_ms (const QuinceMetaMirror *mirror)
 {
@@ -104,7 +107,7 @@
 }
 
 static void
-ask (QuinceMetaMirror *mirror, guint wait_ms)
+read_store (QuinceMetaMirror *mirror, guint wait_ms)
 {
   if (mirror->synced && mirror->listed == NULL)
     begin_watch (mirror, wait_ms);
@@ -119,7 +122,7 @@
   quince_source_clear (&mirror->timer);
   mirror->waiting = quince_meta_store_is_failing (mirror->store);
   if (!mirror->waiting)
-    ask (mirror, watch_wait_ms (mirror));
+    read_store (mirror, watch_wait_ms (mirror));
   return G_SOURCE_REMOVE;
 }
 
@@ -145,7 +148,7 @@
 }
 
 static void
-heard (QuinceMetaMirror *mirror)
+note_contact (QuinceMetaMirror *mirror)
 {
   mirror->contact_us = quince_now_us ();
   mirror->retry_ms = RETRY_MIN_MS;
@@ -166,12 +169,12 @@
       retry_later (mirror);
       return;
     }
-  heard (mirror);
+  note_contact (mirror);
   guint64 after = mirror->revision;
   mirror->revision = MAX (mirror->revision, page->revision);
   for (guint i = 0; i < page->items->len; i++)
-    tell_item (mirror, page->items->pdata[i]);
-  pass_on_news (mirror, after);
+    report_item (mirror, page->items->pdata[i]);
+  pass_on_changes (mirror, after);
   if (mirror->times.pace_ms > 0)
     wait_then_call (mirror, mirror->times.pace_ms);
   else
@@ -188,16 +191,16 @@
 }
 
 static void
-list_whole (QuinceMetaMirror *mirror)
+list_complete (QuinceMetaMirror *mirror)
 {
   guint64 after = mirror->revision;
   mirror->revision = mirror->list_revision;
-  tell_missing (mirror, mirror->list_revision);
+  report_missing (mirror, mirror->list_revision);
   drop_list (mirror);
   mirror->synced = TRUE;
   if (mirror->callbacks->synced != NULL)
     mirror->callbacks->synced (mirror->user_data);
-  pass_on_news (mirror, after);
+  pass_on_changes (mirror, after);
   wait_then_call (mirror, mirror->times.pace_ms);
 }
 
@@ -213,14 +216,14 @@
       retry_later (mirror);
       return;
     }
-  heard (mirror);
+  note_contact (mirror);
   if (mirror->list_after == NULL)
-    mirror->list_revision = page->revision; /* pages are no snapshot: watch from the first one */
+    mirror->list_revision = page->revision; /* pages are no snapshot: watch from the first one on */
   for (guint i = 0; i < page->items->len; i++)
     {
       QuinceMetaItem *item = page->items->pdata[i];
       g_hash_table_add (mirror->listed, g_strdup (item->key));
-      tell_item (mirror, item);
+      report_item (mirror, item);
     }
   if (page->more && page->items->len > 0)
     {
@@ -230,7 +233,7 @@
       begin_list (mirror);
     }
   else
-    list_whole (mirror);
+    list_complete (mirror);
 }
 
 static void
@@ -258,7 +261,7 @@
 }
 
 static void
-stop_asking (QuinceMetaMirror *mirror)
+stop_reading (QuinceMetaMirror *mirror)
 {
   if (mirror->call != NULL)
     quince_meta_call_cancel (mirror->call);
@@ -268,22 +271,22 @@
   drop_list (mirror);
 }
 
-/* The first watch is answered at once, so that others can be fed. */
+/* The first watch is answered at once, so that this process can feed others without delay. */
 static void
-read_by_itself (QuinceMetaMirror *mirror, const char *reason)
+read_store_again (QuinceMetaMirror *mirror, const char *reason)
 {
   mirror->reason = reason;
   quince_source_clear (&mirror->feed_timer);
   g_autofree char *prefix = quince_log_quote (mirror->prefix);
   quince_log_info ("feed_ended", "prefix=%s reason=%s revision=%" G_GUINT64_FORMAT, prefix, reason,
                    mirror->revision);
-  ask (mirror, 0);
+  read_store (mirror, 0);
 }
 
 static gboolean
-feed_over (gpointer data)
+patience_over (gpointer data)
 {
-  read_by_itself (data, "silent");
+  read_store_again (data, "silent");
   return G_SOURCE_REMOVE;
 }
 
@@ -291,7 +294,7 @@
 quince_meta_mirror_feed_ended (QuinceMetaMirror *mirror)
 {
   if (mirror->feed_timer != NULL)
-    read_by_itself (mirror, "feeder_gone");
+    read_store_again (mirror, "feeder_gone");
 }
 
 gboolean
@@ -301,19 +304,19 @@
 }
 
 static void
-be_fed (QuinceMetaMirror *mirror)
+note_fed (QuinceMetaMirror *mirror)
 {
   if (mirror->feed_timer == NULL)
     {
       g_autofree char *prefix = quince_log_quote (mirror->prefix);
       quince_log_info ("feed_begun", "prefix=%s revision=%" G_GUINT64_FORMAT, prefix, mirror->revision);
     }
-  stop_asking (mirror);
+  stop_reading (mirror);
   quince_source_clear (&mirror->feed_timer);
-  mirror->feed_timer = quince_timer_add (mirror->times.patience_ms, feed_over, mirror);
+  mirror->feed_timer = quince_timer_add (mirror->times.patience_ms, patience_over, mirror);
 }
 
-/* What a page leaves out that begins after the mirror's revision can be had from the store alone. */
+/* The page begins after the mirror's revision: only the store has the changes between. */
 static gboolean
 has_gap (const QuinceMetaMirror *mirror, const QuinceMetaPage *page, gboolean whole)
 {
@@ -328,10 +331,10 @@
   if (has_gap (mirror, page, whole))
     {
       if (mirror->feed_timer != NULL)
-        read_by_itself (mirror, "gap");
+        read_store_again (mirror, "gap");
       return FALSE;
     }
-  be_fed (mirror);
+  note_fed (mirror);
   mirror->contact_us = quince_now_us ();
   mirror->revision = page->revision;
   if (whole)
@@ -341,11 +344,11 @@
       const QuinceMetaItem *item = page->items->pdata[i];
       if (whole)
         g_hash_table_add (mirror->listed, g_strdup (item->key));
-      tell_item (mirror, item);
+      report_item (mirror, item);
     }
   if (whole)
-    tell_missing (mirror, page->revision);
-  g_ptr_array_set_size (mirror->news, 0); /* they come from one who passes them on */
+    report_missing (mirror, page->revision);
+  g_ptr_array_set_size (mirror->changes, 0); /* the feeder passes them on itself */
   if (!whole)
     return TRUE;
   drop_list (mirror);
@@ -373,7 +376,7 @@
   if (mirror->times.spread_ms > 0)
     wait_then_call (mirror, (guint)g_random_int_range (0, (gint32)mirror->times.spread_ms));
   else
-    ask (mirror, 0);
+    read_store (mirror, 0);
 }
 
 /* ---- Public ----------------------------------------------------------- */
@@ -390,7 +393,7 @@
   mirror->callbacks = callbacks;
   mirror->user_data = user_data;
   mirror->copy = quince_meta_copy_new (callbacks->same);
-  mirror->news = new_items ();
+  mirror->changes = new_items ();
   mirror->retry_ms = RETRY_MIN_MS;
   mirror->reason = "start";
   quince_meta_store_add_listener (store, store_regained, mirror);
@@ -410,7 +413,7 @@
   quince_source_clear (&mirror->feed_timer);
   drop_list (mirror);
   quince_meta_copy_free (mirror->copy);
-  g_ptr_array_unref (mirror->news);
+  g_ptr_array_unref (mirror->changes);
   g_free (mirror->prefix);
   g_free (mirror);
 }
@@ -425,8 +428,8 @@
 void
 quince_meta_mirror_resumed (QuinceMetaMirror *mirror)
 {
-  stop_asking (mirror);
-  read_by_itself (mirror, "suspended");
+  stop_reading (mirror);
+  read_store_again (mirror, "suspended");
 }
 
 gboolean
--- a/lib/meta/meta-mirror.h
+++ b/lib/meta/meta-mirror.h
@@ -13,13 +13,13 @@
 /* How often a mirror reads, in milliseconds. */
 typedef struct
 {
-  guint pace_ms;       /* least time from one answer to the next watch, for keys that change all the time */
-  guint read_every_ms; /* most time from one answer to the next where the store answers at once; more than the
+  guint pace_ms;       /* least time from an answer to the next watch: keys may change all the time */
+  guint read_every_ms; /* greatest time from one answer to the next, if the store answers at once; above the
                         * pace */
-  guint patience_ms; /* a fed mirror reads by itself so long after the last page; more than @read_every_ms of
-                      * the feeder */
-  guint spread_ms;   /* once the store answers again it is asked at a moment drawn from this time, so that
-                      * not all processes ask at once; 0: at once */
+  guint patience_ms;   /* without a page for so long a fed mirror reads the store; above @read_every_ms of the
+                        * process that feeds it */
+  guint spread_ms;     /* a store that answers again is read at a random moment within this time, so that not
+                        * all processes read it at once; 0: at once */
 } QuinceMetaMirrorTimes;
 
 typedef struct _QuinceMetaMirror QuinceMetaMirror;
@@ -27,10 +27,10 @@
 /**
  * QuinceMetaMirrorCallbacks:
  * @item: an item was written, or removed (@item->value is %NULL)
- * @synced: all that the store held at some moment has been told; again after each list
- * @read: (nullable): the store itself was read; the items are what was new in it, perhaps nothing, which
- *   proves that nothing changed
- * @same: (nullable): two values of a key that say the same: the second is no news
+ * @synced: (nullable): all that the store held at some moment was reported; called after each list
+ * @read: (nullable): the store itself was read; the page holds the changes.  A page without items proves that
+ *   nothing changed
+ * @same: (nullable): two values of a key mean the same, so that the second one is not reported
  */
 typedef struct
 {
@@ -44,40 +44,42 @@
  * quince_meta_mirror_new:
  * @prefix: of the keys to follow
  *
- * Lists the prefix and then watches it, for ever; lists anew where history is dropped.  Its times are to be
- * set before the context runs.  While calls to the store fail it waits for the first good answer instead of
- * asking.
+ * Lists the prefix and then watches it, until it is freed; lists anew if the store has dropped its history.
+ * Set its times before the context runs.  While calls to the store fail it waits for the first good answer.
+ *
+ * Returns: (transfer full): the mirror; @store and @callbacks must outlive it
  */
 QuinceMetaMirror *quince_meta_mirror_new (QuinceMetaStore *store,
                                           const char *prefix,
                                           const QuinceMetaMirrorCallbacks *callbacks,
                                           gpointer user_data);
 void quince_meta_mirror_free (QuinceMetaMirror *mirror);
-/* The machine was suspended: nothing that was told or asked before counts, and the store is read at once. */
+/* The machine was suspended: the copy may be old and a watch may be lost, so the store is read at once. */
 void quince_meta_mirror_resumed (QuinceMetaMirror *mirror);
+/* The copy holds all that the store held at some moment. */
 gboolean quince_meta_mirror_is_synced (const QuinceMetaMirror *mirror);
 /* Takes effect with the next call or page. */
 void quince_meta_mirror_set_times (QuinceMetaMirror *mirror, const QuinceMetaMirrorTimes *times);
 /**
  * quince_meta_mirror_feed:
- * @page: items as another process had them from the store, each with its revision
- * @whole: all that the store holds under the prefix
+ * @page: changes that another process has just read from the store, each with its revision
+ * @whole: the page is all that the store holds under the prefix
+ *
+ * While it is fed a mirror makes no calls to the store.  A page without items says that nothing changed.
+ * Without a page for its patience the mirror reads the store again, from its own revision on.  It refuses a
+ * page that is older than its revision, and one that begins after it, since the changes between are unknown.
  *
- * While it is fed a mirror asks the store for nothing.  Each page must come from a read of the store just
- * now: a page without items says that nothing changed.  Without any for its patience the mirror reads by
- * itself, from the revision that it has.  It takes no page that is older than that, or that begins after it,
- * since changes between are not known.
  * Returns: whether the page was taken
  */
 gboolean quince_meta_mirror_feed (QuinceMetaMirror *mirror, const QuinceMetaPage *page, gboolean whole);
-/* Whoever fed is gone: goes on by itself at once. */
+/* The feeding process is gone: a fed mirror reads the store at once. */
 void quince_meta_mirror_feed_ended (QuinceMetaMirror *mirror);
 /* Another process feeds the mirror, so it makes no calls to the store. */
 gboolean quince_meta_mirror_is_fed (const QuinceMetaMirror *mirror);
-/* What one lacks that has all up to revision @after (0: nothing), to feed it with.
- * @whole: (out): it is all there is under the prefix */
+/* (transfer full): the changes after revision @after (0: everything), to feed another mirror.
+ * @whole: (out): the page is all there is under the prefix */
 QuinceMetaPage *quince_meta_mirror_since (const QuinceMetaMirror *mirror, guint64 after, gboolean *whole);
-/* All up to it is known; 0: not all that the store held at any moment. */
+/* Revision of the store up to which the copy is complete; 0: it is not synced. */
 guint64 quince_meta_mirror_get_revision (const QuinceMetaMirror *mirror);
 /* Monotonic time of the last answer or page for the prefix, in microseconds; 0: none yet. */
 gint64 quince_meta_mirror_get_contact_us (const QuinceMetaMirror *mirror);
--- a/lib/meta/meta-presence.c
+++ b/lib/meta/meta-presence.c
@@ -6,10 +6,13 @@
 
 #include "meta/meta-presence.h"
 
-/* Renewals within one time to live. */
+/* Renewals within one time to live: two may fail before the lease runs out. */
 #define RENEWALS_PER_TTL 3
+/* Wait after a failed call, ms, while other calls succeed: a few tries within a lease of seconds.  Not
+ * measured. */
 #define RETRY_MS 300
-/* While no call succeeds: each process has a presence, and each call is paid for, failed ones too. */
+/* The same while no call succeeds, ms: each process has a presence, and failed calls are paid for too.  Not
+ * measured. */
 #define RETRY_FAILING_MS 1000
 
 struct _QuinceMetaPresence
@@ -70,8 +73,7 @@
       quince_log_warning ("lease_lost", "key=%s", presence->key);
       presence->lease = 0;
     }
-  gboolean at_once = error != NULL;
-  next_step (presence, at_once ? retry_ms (presence) : presence->ttl_ms / RENEWALS_PER_TTL);
+  next_step (presence, error != NULL ? retry_ms (presence) : presence->ttl_ms / RENEWALS_PER_TTL);
   presence_release (presence);
 }
 
@@ -156,7 +158,7 @@
 void
 quince_meta_presence_resumed (QuinceMetaPresence *presence)
 {
-  /* Without a timer a call is under way, and its end goes on. */
+  /* Without a timer a call is in progress; its reply sets the next step. */
   if (presence->timer != NULL)
     next_step (presence, 0);
 }
--- a/lib/meta/meta-presence.h
+++ b/lib/meta/meta-presence.h
@@ -14,9 +14,9 @@
 
 /**
  * quince_meta_presence_new:
- * @ttl_ms: the key goes that long after this process was last heard
+ * @ttl_ms: the store removes the key so long after the last renewal that reached it
  *
- * Writes @key with @value under a lease, renews the lease, and writes the key anew when it was lost.
+ * Writes @key with @value under a lease, renews the lease, and writes the key anew if the lease was lost.
  */
 QuinceMetaPresence *
 quince_meta_presence_new (QuinceMetaStore *store, const char *key, GBytes *value, guint ttl_ms);
--- a/lib/meta/meta-store.c
+++ b/lib/meta/meta-store.c
@@ -11,16 +11,20 @@
 
 #include "meta-private.h"
 
+/* A call fails without an answer in this time, us, plus the time that a watch waits: over two hundred times
+ * the store's usual 4 ms. */
 #define CALL_TIMEOUT_US (1000 * 1000)
-/* While calls fail the store is asked so often whether it is back. */
+/* Time to the first probe after a failed call, ms: most failures are one lost connection. */
 #define PROBE_FIRST_MS 30
+/* Time to the second probe, ms; doubled from then on.  Not measured. */
 #define PROBE_EVERY_MS 400
-/* Each look is paid for, by every process at once in an outage of all; calls must succeed within 1 s after
- * it. */
+/* Longest time between two probes, ms.  In an outage every process probes, and each probe is paid for; calls
+ * must succeed within 1 s after the store's return. */
 #define PROBE_MAX_MS 800
-/* Longest time between two probes of a process that a live leader feeds: its pages show that the store is
- * back.  Far below the 6 s of a front's lease. */
+/* The same for a process that a live leader feeds, ms: the leader's pages show that the store is back.  Far
+ * below the 6 s of a front's lease. */
 #define PROBE_RELAXED_MS 4000
+/* Read by probes; any key will do. */
 #define PROBE_KEY "quinceroute/ledger"
 
 typedef enum
@@ -49,15 +53,15 @@
   QuinceMetaCounters counters;
   gboolean failing;
   GSource *probe_timer; /* while failing */
-  guint probe_ms;       /* until the next look */
-  gboolean relaxed;     /* another process looks too, and tells */
+  guint probe_ms;       /* until the next probe */
+  gboolean relaxed;     /* see quince_meta_store_set_relaxed() */
 };
 
-/* What a call is for, for the metric. */
+/* Labels of a call for the metric. */
 typedef struct
 {
   const char *kind;    /* static */
-  const char *subject; /* key or prefix, of which the first two parts are told; "": none */
+  const char *subject; /* key or prefix, of which the first two parts are shown; "": none */
   const char *reason;  /* static; "": none */
 } CallPurpose;
 
@@ -156,7 +160,7 @@
 static void
 probe_answered (const QuinceMetaPage *page, guint64 number, const GError *error, gpointer data)
 {
-  /* How it went has been noted, as of any call. */
+  /* call_done() notes the outcome, as of any call. */
 }
 
 static gboolean
@@ -185,15 +189,13 @@
   store->probe_timer = quince_timer_add (PROBE_FIRST_MS, probe_store, store);
 }
 
-/* The first good answer after failures, which came at @answered_us, says that watches begun before it may
- * have been swallowed: a cut connection tells nothing by itself. */
+/* @answered_us: time of the outcome.  The first good answer after failures is reported to the listeners: a
+ * watch that began before it may never be answered, as a cut connection gives no sign by itself. */
 static void
 note_outcome (QuinceMetaStore *store, gboolean good, gint64 answered_us)
 {
   if (good)
     store->counters.last_answer_us = answered_us;
-  else
-    store->counters.failures++;
   if (good == !store->failing)
     return;
   store->failing = !good;
@@ -203,8 +205,6 @@
     quince_log_warning ("dependency_lost", "what=meta_store");
   if (good)
     store->counters.regained_us = store->counters.last_answer_us;
-  else
-    store->counters.lost_us = quince_now_us ();
   quince_source_clear (&store->probe_timer);
   store->probe_ms = PROBE_EVERY_MS;
   if (!good)
@@ -263,7 +263,7 @@
     }
 }
 
-/* Keys name machines: all of "a/b/..." count as "a/b". (transfer full) */
+/* (transfer full): keys name machines, so a metric counts all of "a/b/..." as "a/b". */
 static char *
 format_labels (const CallPurpose *purpose)
 {
@@ -314,7 +314,7 @@
   gpointer user_data = call->user_data;
   g_hash_table_remove (store->calls, call);
   reply (page, number, error, user_data);
-  /* Last: it may begin watches anew. */
+  /* Last, since listeners may begin watches anew. */
   note_outcome (store, outcome == QUINCE_HTTP_ANSWERED && status != 503 && status != 429, answered_us);
 }
 
@@ -343,7 +343,6 @@
   call->labels = format_labels (purpose);
   call->reply = reply;
   call->user_data = user_data;
-  store->counters.calls++;
   g_hash_table_add (store->calls, call);
   const QuinceHttpRequest request
       = { .method = method, .target = target, .headers = headers, .body = body, .timeout_us = timeout_us };
--- a/lib/meta/meta-store.h
+++ b/lib/meta/meta-store.h
@@ -1,9 +1,9 @@
 /*
  * meta-store.h: calls to the shared metadata store: keys under conditions, watches and leases.
  *
- * The store's own words live in a dialect (QuinceMetaDialect), so that this side holds only what is ours:
- * retries, pacing, mirrors of a prefix, leases that are renewed.  Everything belongs to the thread-default
- * context that created it.
+ * Owns the connections to the store, the calls in progress and the timer of probes while the store does not
+ * answer.  Relies on a dialect (QuinceMetaDialect) that the adapter provides to encode and decode the calls.
+ * Everything belongs to the thread-default context that created it.
  */
 #pragma once
 
@@ -12,7 +12,7 @@
 
 G_BEGIN_DECLS
 
-/* One change: all or nothing.  @expected_revision 0: the key must not be there; -1: no condition. */
+/* One change of a transaction.  @expected_revision 0: the key must not exist; -1: no condition. */
 typedef struct
 {
   const char *key;
@@ -21,7 +21,8 @@
   guint64 lease; /* 0: none */
 } QuinceMetaChange;
 
-/* The store's own words.  Targets are (transfer full). */
+/* Encodes calls and decodes answers.  Targets, bodies and pages are (transfer full); pages are %NULL with an
+ * error, numbers 0 where an answer cannot be decoded. */
 typedef struct
 {
   char *(*get_target) (const char *key);
@@ -43,14 +44,11 @@
 
 typedef struct _QuinceMetaStore QuinceMetaStore;
 
-/* How calls went, for metrics. */
+/* When the store answered, by the monotonic clock, us. */
 typedef struct
 {
-  guint64 calls;
-  guint64 failures;
-  gint64 last_answer_us; /* monotonic; 0: none yet */
-  gint64 lost_us;        /* when calls began to fail the last time */
-  gint64 regained_us;    /* when they came to succeed again */
+  gint64 last_answer_us; /* 0: none yet */
+  gint64 regained_us;    /* when calls last began to succeed again; 0: never */
 } QuinceMetaCounters;
 
 QuinceMetaStore *quince_meta_store_new (const char *address, const QuinceMetaDialect *dialect);
@@ -60,12 +58,12 @@
 /* The last call failed. */
 gboolean quince_meta_store_is_failing (const QuinceMetaStore *store);
 
-/* @relaxed: another process tells this one of all news, and so that the store is back: while calls fail this
- * one looks each 4 s, no longer each 0.8 s. */
+/* @relaxed: another process feeds all mirrors of this one, so that its pages show when the store is back:
+ * while calls fail the store is probed every 4 s instead of every 0.8 s. */
 void quince_meta_store_set_relaxed (QuinceMetaStore *store, gboolean relaxed);
 
-/* Keys under leases may have gone though their owners live: the store is, or was lately, not to be reached.
- */
+/* Leases may have run out although their owners live: the store is not reachable, or was not until this long
+ * ago, us: above the 2 s in which owners write their keys anew, and a margin.  Not measured. */
 #define QUINCE_META_LAPSE_US (3 * G_USEC_PER_SEC)
 gboolean quince_meta_store_may_have_lapsed (const QuinceMetaStore *store, gint64 now_us);
 
@@ -80,11 +78,12 @@
                                  const GError *error,
                                  gpointer user_data);
 
-/* The machine was suspended: the store may have forgotten the kept connections. */
+/* The machine was suspended: kept connections are dropped, since the store may have closed them. */
 void quince_meta_store_resumed (QuinceMetaStore *store);
 /* One item; GONE where there is none. */
 void
 quince_meta_store_get (QuinceMetaStore *store, const char *key, QuinceMetaReply reply, gpointer user_data);
+/* All of @changes or none, if every condition holds.  CONFLICT where one does not. */
 void quince_meta_store_change (QuinceMetaStore *store,
                                const QuinceMetaChange *changes,
                                guint n_changes,
