--- a/daemons/front/front.c
+++ b/daemons/front/front.c
@@ -251,7 +251,7 @@
 {
   QuinceFront *front = data;
   gint64 now = quince_now_us ();
-  const QuinceMetaCounters *counters = quince_meta_store_get_counters (front->store);
+  const QuinceMetaContact *contact = quince_meta_store_get_contact (front->store);
   const QuinceRouteTable *routes = quince_observer_get_routes (front->observer);
   quince_metric_set ("quince_front_in_progress", "", front->in_progress);
   quince_metric_set ("quince_front_connections", "", g_hash_table_size (front->connections));
@@ -267,7 +267,7 @@
   quince_send_guard_set_metrics (quince_quarantine_client_get_guard (front->quarantine));
   quince_metric_set ("quince_front_workers_cold", "", quince_backends_count_cold (front->backends));
   quince_metric_set ("quince_store_answer_age_seconds", "",
-                     (double)(now - counters->last_answer_us) / G_USEC_PER_SEC);
+                     (double)(now - contact->last_answer_us) / G_USEC_PER_SEC);
 }
 
 static gboolean
--- a/daemons/replica/replica.c
+++ b/daemons/replica/replica.c
@@ -397,7 +397,7 @@
 refresh_metrics (gpointer data)
 {
   Replica *replica = data;
-  const QuinceMetaCounters *counters = quince_meta_store_get_counters (replica->store);
+  const QuinceMetaContact *contact = quince_meta_store_get_contact (replica->store);
   const QuinceLedgerView *view = quince_ledger_node_get_view (replica->ledger);
   quince_metric_set ("quince_replica_leads", "", quince_ledger_node_is_leading (replica->ledger));
   quince_metric_set ("quince_replica_epoch", "", view != NULL ? (double)view->epoch : 0);
@@ -416,7 +416,7 @@
   quince_send_guard_set_metrics (quince_quarantine_coordinator_get_guard (replica->quarantine));
   quince_metric_set ("quince_replica_workers_cold", "", quince_backends_count_cold (replica->backends));
   quince_metric_set ("quince_store_answer_age_seconds", "",
-                     (double)(quince_now_us () - counters->last_answer_us) / G_USEC_PER_SEC);
+                     (double)(quince_now_us () - contact->last_answer_us) / G_USEC_PER_SEC);
   quince_batch_service_set_metrics (replica->batches);
 }
 
--- a/lib/meta/meta-store.c
+++ b/lib/meta/meta-store.c
@@ -50,7 +50,7 @@
   const QuinceMetaDialect *dialect;
   GHashTable *calls; /* Call, owned: those in progress */
   GArray *listeners; /* Listener */
-  QuinceMetaCounters counters;
+  QuinceMetaContact contact;
   gboolean failing;
   GSource *probe_timer; /* while failing */
   guint probe_ms;       /* until the next probe */
@@ -108,10 +108,10 @@
   g_free (store);
 }
 
-const QuinceMetaCounters *
-quince_meta_store_get_counters (const QuinceMetaStore *store)
+const QuinceMetaContact *
+quince_meta_store_get_contact (const QuinceMetaStore *store)
 {
-  return &store->counters;
+  return &store->contact;
 }
 
 void
@@ -142,7 +142,7 @@
 quince_meta_store_may_have_lapsed (const QuinceMetaStore *store, gint64 now_us)
 {
   return store->failing
-         || (store->counters.regained_us > 0 && now_us - store->counters.regained_us < QUINCE_META_LAPSE_US);
+         || (store->contact.regained_us > 0 && now_us - store->contact.regained_us < QUINCE_META_LAPSE_US);
 }
 
 /* ---- Answers ---------------------------------------------------------- */
@@ -195,7 +195,7 @@
 note_outcome (QuinceMetaStore *store, gboolean good, gint64 answered_us)
 {
   if (good)
-    store->counters.last_answer_us = answered_us;
+    store->contact.last_answer_us = answered_us;
   if (good == !store->failing)
     return;
   store->failing = !good;
@@ -204,7 +204,7 @@
   else
     quince_log_warning ("dependency_lost", "what=meta_store");
   if (good)
-    store->counters.regained_us = store->counters.last_answer_us;
+    store->contact.regained_us = store->contact.last_answer_us;
   quince_source_clear (&store->probe_timer);
   store->probe_ms = PROBE_EVERY_MS;
   if (!good)
--- a/lib/meta/meta-store.h
+++ b/lib/meta/meta-store.h
@@ -49,11 +49,11 @@
 {
   gint64 last_answer_us; /* 0: none yet */
   gint64 regained_us;    /* when calls last began to succeed again; 0: never */
-} QuinceMetaCounters;
+} QuinceMetaContact;
 
 QuinceMetaStore *quince_meta_store_new (const char *address, const QuinceMetaDialect *dialect);
 void quince_meta_store_free (QuinceMetaStore *store);
-const QuinceMetaCounters *quince_meta_store_get_counters (const QuinceMetaStore *store);
+const QuinceMetaContact *quince_meta_store_get_contact (const QuinceMetaStore *store);
 
 /* The last call failed. */
 gboolean quince_meta_store_is_failing (const QuinceMetaStore *store);
--- a/lib/observer/observer.c
+++ b/lib/observer/observer.c
@@ -46,7 +46,7 @@
 static gint64
 lapsed_until (const QuinceObserver *observer, gint64 now_us)
 {
-  gint64 regained_us = quince_meta_store_get_counters (observer->store)->regained_us;
+  gint64 regained_us = quince_meta_store_get_contact (observer->store)->regained_us;
   return MAX (now_us + LAPSED_KEEP_MIN_US, regained_us + LAPSED_BACK_US);
 }
 
