--- a/lib/observer/observer-feed.c
+++ b/lib/observer/observer-feed.c
@@ -1,21 +1,27 @@
 /*
- * observer-feed.c: what another process read of the metadata store, taken in place of own reads, and what
- * this process has, for others.
+ * observer-feed.c: feeds the mirrors with pages that another process read, and gives out pages for others.
+ *
+ * Decides how long a feeder counts as alive and what its loss means; the times of the mirrors are set in
+ * observer.c.
  */
 #include "runtime/log.h"
 #include "runtime/clock.h"
 
 #include "observer-private.h"
 
-/* Of the pages without items that several replicas report at once, the leader takes one in this time. */
+/* Several reserve readers report pages without items at once; the leader takes one of them in this time, us.
+ * Half the time between two reads, so that none of its followers loses patience. */
 #define PAGE_EVERY_US (QUINCE_OBSERVER_READ_EVERY_MS / 2 * 1000)
 
-/* After a suspension nothing is sent for so long, unless the operator's keys are heard sooner: the store
- * takes a few ms to answer, and a machine that it does not answer must go on serving. */
+/* After a suspension no request is sent to a worker until the operator's keys were read, which names the
+ * evacuated zones, or at most for this long, ms: the store takes a few ms to answer, and a machine that it
+ * does not answer must serve on. */
 #define RESUMED_HOLD_MS 500
-/* What comes sooner after a suspension may have waited in a socket since before it. */
+/* A page that arrives this soon after a suspension, us, may have waited in a socket since before it.  Not
+ * measured. */
 #define QUEUED_PAGES_US (100 * 1000)
-/* The leader sends a heartbeat each 0.25 s to all that it tells; three may be late. */
+/* Without a message for this long, ms, the feeding leader counts as gone.  It sends a heartbeat every 250 ms;
+ * three may be lost or late. */
 #define FEEDER_SILENCE_MS 900
 
 void
@@ -26,7 +32,7 @@
   mirrors[2] = (QuinceNamedMirror){ QUINCE_OWN_PREFIX, observer->own_mirror };
 }
 
-/* The operator's keys were told just now. */
+/* A page of the operator's keys was taken: the evacuated zones are known. */
 static void
 confirm_zones (QuinceObserver *observer)
 {
@@ -53,24 +59,24 @@
   return taken;
 }
 
-/* The leader reads by itself where it can. */
+/* The leader's own reads are late, so that a report helps. */
 static gboolean
-leader_needs (const QuinceMetaMirror *mirror, const QuinceMetaPage *page, gint64 now_us)
+leader_lags (const QuinceMetaMirror *mirror, const QuinceMetaPage *page, gint64 now_us)
 {
-  gint64 unheard_us = now_us - quince_meta_mirror_get_contact_us (mirror);
+  gint64 silent_us = now_us - quince_meta_mirror_get_contact_us (mirror);
   if (!quince_meta_mirror_is_fed (mirror))
-    return unheard_us > QUINCE_OBSERVER_READ_EVERY_MS * 1000;
-  return page->items->len > 0 || unheard_us > PAGE_EVERY_US;
+    return silent_us > QUINCE_OBSERVER_READ_EVERY_MS * 1000;
+  return page->items->len > 0 || silent_us > PAGE_EVERY_US;
 }
 
 gboolean
-quince_observer_lead_feed (QuinceObserver *observer, const char *prefix, const QuinceMetaPage *page)
+quince_observer_take_report (QuinceObserver *observer, const char *prefix, const QuinceMetaPage *page)
 {
   gint64 now = quince_now_us ();
   QuinceNamedMirror mirrors[QUINCE_OBSERVER_PREFIXES];
   quince_observer_list_mirrors (observer, mirrors);
   for (guint i = 0; i < QUINCE_OBSERVER_PREFIXES; i++)
-    if (g_str_equal (mirrors[i].prefix, prefix) && leader_needs (mirrors[i].mirror, page, now))
+    if (g_str_equal (mirrors[i].prefix, prefix) && leader_lags (mirrors[i].mirror, page, now))
       return quince_observer_feed (observer, prefix, page, FALSE);
   return FALSE;
 }
@@ -81,7 +87,7 @@
   return observer->page_may_have_lapsed || quince_meta_store_may_have_lapsed (observer->store, now_us);
 }
 
-/* A process that is told of all prefixes need not notice by itself that the store is back. */
+/* Another process feeds all prefixes. */
 static gboolean
 is_fed_all (QuinceObserver *observer)
 {
@@ -93,7 +99,8 @@
   return TRUE;
 }
 
-/* While a feeder lives it is the one that must notice that the store is back; so are the reserve readers. */
+/* While a feeder lives, the feeder and the reserve readers notice when the store is back; the others probe it
+ * seldom. */
 void
 quince_observer_set_relaxed (QuinceObserver *observer)
 {
@@ -117,7 +124,7 @@
 {
   if (quince_backends_holds_sends (observer->backends))
     {
-      /* What it told last may be from before a suspension. */
+      /* Its last pages may be from before a suspension. */
       quince_observer_feed_ended (observer);
       return;
     }
@@ -140,7 +147,7 @@
 }
 
 static gboolean
-feeder_silent (gpointer data)
+feeder_timed_out (gpointer data)
 {
   quince_observer_feeder_lost (data);
   return G_SOURCE_REMOVE;
@@ -150,7 +157,7 @@
 quince_observer_feeder_alive (QuinceObserver *observer)
 {
   quince_source_clear (&observer->feeder_timer);
-  observer->feeder_timer = quince_timer_add (FEEDER_SILENCE_MS, feeder_silent, observer);
+  observer->feeder_timer = quince_timer_add (FEEDER_SILENCE_MS, feeder_timed_out, observer);
   quince_observer_set_relaxed (observer);
 }
 
@@ -164,22 +171,22 @@
 }
 
 void
-quince_observer_tell_since (QuinceObserver *observer,
-                            const guint64 revisions[QUINCE_OBSERVER_PREFIXES],
-                            QuinceObserverTell tell,
-                            gpointer user_data)
+quince_observer_send_changes (QuinceObserver *observer,
+                              const guint64 revisions[QUINCE_OBSERVER_PREFIXES],
+                              QuinceObserverSend send,
+                              gpointer user_data)
 {
   QuinceNamedMirror mirrors[QUINCE_OBSERVER_PREFIXES];
   quince_observer_list_mirrors (observer, mirrors);
   gint64 now = quince_now_us ();
   for (guint i = 0; i < QUINCE_OBSERVER_PREFIXES; i++)
     {
-      /* A follower trusts a page as fresh, so a stale mirror sends none. */
+      /* Receivers trust a page as fresh, so a stale mirror sends none. */
       if (!quince_meta_mirror_is_synced (mirrors[i].mirror)
           || !quince_meta_mirror_is_fresh (mirrors[i].mirror, now))
         continue;
       gboolean whole = FALSE;
       g_autoptr (QuinceMetaPage) page = quince_meta_mirror_since (mirrors[i].mirror, revisions[i], &whole);
-      tell (mirrors[i].prefix, page, whole, user_data);
+      send (mirrors[i].prefix, page, whole, user_data);
     }
 }
--- a/lib/observer/observer-private.h
+++ b/lib/observer/observer-private.h
@@ -1,5 +1,5 @@
 /*
- * observer-private.h: state shared by the files of lib/observer.
+ * observer-private.h: the observer's state, for observer.c and observer-feed.c.
  */
 #pragma once
 
@@ -9,7 +9,9 @@
 
 G_BEGIN_DECLS
 
-/* Each read without news is a call that is paid for; more time between two leaves less of the bound. */
+/* Longest time between two reads of the operator's keys and the workers, ms, by a process that reads the
+ * store. A shorter one costs more calls, which are paid for; a longer one leaves less of the bound on
+ * changes. */
 #define QUINCE_OBSERVER_READ_EVERY_MS 500
 
 struct _QuinceObserver
@@ -23,14 +25,14 @@
   QuinceMetaMirror *operator_mirror;
   QuinceMetaMirror *workers_mirror;
   QuinceMetaMirror *own_mirror;
-  QuinceMetaMirrorCallbacks worker_callbacks;
-  QuinceOperatorState *operator_state; /* owned */
-  gint64 resumed_us;                   /* the machine was suspended until then; 0: never */
-  guint workers_pace_ms;
-  guint slack_ms;        /* more than the time between two reads that what was told is trusted */
-  GSource *feeder_timer; /* restarted by each message of the feeder; at its end the feeder counts as gone */
-  gboolean reserve;      /* reads for others where their leader cannot */
-  gboolean page_may_have_lapsed; /* while a page is taken in: QuinceMetaPage.may_have_lapsed */
+  QuinceMetaMirrorCallbacks worker_callbacks; /* of workers_mirror; one of them is the dialect's */
+  QuinceOperatorState *operator_state;        /* owned */
+  gint64 resumed_us;                          /* monotonic: end of the last suspension; 0: never */
+  guint workers_pace_ms;                      /* least time between two reads of the workers */
+  guint slack_ms;        /* a fed mirror trusts its last page for the time between two reads and this */
+  GSource *feeder_timer; /* restarted by each message of the feeder, which counts as gone when it ends */
+  gboolean reserve;      /* this process is a reserve reader */
+  gboolean page_may_have_lapsed; /* QuinceMetaPage.may_have_lapsed of the page that is being taken */
 };
 
 typedef struct
@@ -42,7 +44,7 @@
 /* In the order of quince_observer_get_revisions(). */
 void quince_observer_list_mirrors (QuinceObserver *observer,
                                    QuinceNamedMirror mirrors[QUINCE_OBSERVER_PREFIXES]);
-/* How often the store is looked for while it does not answer depends on who else looks. */
+/* Sets how often this process probes a store that does not answer: seldom while another one feeds it. */
 void quince_observer_set_relaxed (QuinceObserver *observer);
 
 G_END_DECLS
--- a/lib/observer/observer.c
+++ b/lib/observer/observer.c
@@ -1,5 +1,7 @@
 /*
- * observer.c: mirrors of the metadata store, as beliefs of this process.
+ * observer.c: creates the mirrors of the metadata store, sets their times and passes on what they report.
+ *
+ * The operator's keys go to operator-state.c, workers to the backends, own keys to the owner's callbacks.
  */
 #include "forward/residency-lookup.h"
 #include "runtime/log.h"
@@ -10,33 +12,38 @@
 #include "observer-private.h"
 #include "refused-item.h"
 
-/* Starting processes change the own keys all at once: each looks at them this seldom. */
+/* Least time between two reads of the own keys, ms: processes that start all write theirs at once.  Not
+ * measured. */
 #define OWN_PACE_MS 100
-/* Longest first read of a process that was told nothing: a store that is eighty times slower than its usual
+/* Time allowed for the first read after the patience, ms: a store over a hundred times slower than its usual
  * 4 ms. */
 #define FIRST_READ_MS 500
-/* More than the time between two reads that a reserve reader trusts what it was told: it reads, and what it
- * read comes back through the leader, before the others lose patience.  The others trust it for as long as
- * the bound on changes allows; both leave the leader time for a slow answer and for its other work. */
+/* A fed mirror's patience is the time between two reads and a slack, which leaves the leader time for a slow
+ * answer and for its other work. */
+/* Slack of a reserve reader, ms: it reads the store, and its report comes back through the leader, before the
+ * others lose patience. */
 #define RESERVE_SLACK_MS 500
+/* Least slack of the others, ms: all that the least bound on changes leaves (asserted below). */
 #define SLACK_MIN_MS 1000
-/* Of what a deployment's bound allows beyond the least one, this part is waited; the rest is for pages that
- * were read some time before they came: a page tells of the moment of its read, and its reader may be busy.
- */
+/* Part of what a deployment's bound allows beyond the least one that is added to the slack.  The rest is for
+ * pages that arrive some time after they were read, since their reader may be busy.  Not measured. */
 #define SPARE_SHARE 0.5
 G_STATIC_ASSERT (QUINCE_OBSERVER_READ_EVERY_MS + SLACK_MIN_MS + FIRST_READ_MS
                  <= QUINCE_OBSERVER_CHANGE_BOUND_MIN_MS);
 G_STATIC_ASSERT (RESERVE_SLACK_MS + FIRST_READ_MS <= SLACK_MIN_MS);
-/* After an outage of all most processes are told before they ask; with a look at the store each 0.8 s
- * meanwhile they know what changed 2 s after its return, and machines count as in touch 3 s after it. */
+/* After an outage each process reads the store at a random moment within this time, ms, so that most are fed
+ * before they read.  With a probe every 0.8 s they know all changes 2 s after the store's return; a machine
+ * counts as out of touch after 3 s. */
 #define SPREAD_MS 1000
-/* Entries of workers that lapsed in an outage are back so long after the store's return (about 2 s, and what
- * their news take); an entry that vanishes late is kept for less than a leaving worker may still be used. */
+/* Workers' entries that lapsed in an outage are back this long after the store's return, us: about 2 s until
+ * they are written, and the time that the change takes to get here. */
 #define LAPSED_BACK_US (2400 * 1000)
+/* An entry that lapses late is kept at least this long, us: less than a worker that left goes on serving. */
 #define LAPSED_KEEP_MIN_US (1000 * 1000)
-/* Own keys have no such bound, whatever a deployment's is: an accepted policy is in force everywhere within
- * 3 s, also where nobody can read for the others. */
+/* Longest time between two reads of the own keys, ms, whatever the deployment's bound on changes is. */
 #define OWN_READ_EVERY_MS 1000
+/* An accepted policy is in force in every process this long after its acceptance, ms, also where no process
+ * reads for the others. */
 #define OWN_IN_FORCE_MS 3000
 G_STATIC_ASSERT (OWN_READ_EVERY_MS + SLACK_MIN_MS + FIRST_READ_MS <= OWN_IN_FORCE_MS);
 
@@ -104,10 +111,10 @@
     observer->callbacks->own_synced (observer->user_data);
 }
 
-/* ---- Passing on ------------------------------------------------------- */
+/* ---- Reads of the store ------------------------------------------------ */
 
 static void
-pass_on (QuinceObserver *observer, const char *prefix, const QuinceMetaPage *page)
+report_read (QuinceObserver *observer, const char *prefix, const QuinceMetaPage *page)
 {
   if (observer->callbacks->read != NULL)
     observer->callbacks->read (prefix, page, observer->user_data);
@@ -121,7 +128,7 @@
   quince_operator_state_take (observer->operator_state, item, fed);
 }
 
-/* All that the operator asked at some moment is known. */
+/* The operator's keys are complete, so the evacuated zones are known. */
 static void
 operator_synced (gpointer data)
 {
@@ -135,20 +142,20 @@
   QuinceObserver *observer = data;
   if (quince_meta_mirror_is_synced (observer->operator_mirror))
     quince_backends_release_sends (observer->backends);
-  pass_on (observer, observer->dialect->operator_prefix, page);
+  report_read (observer, observer->dialect->operator_prefix, page);
 }
 
 static void
 workers_read (const QuinceMetaPage *page, gpointer data)
 {
   QuinceObserver *observer = data;
-  pass_on (observer, observer->dialect->workers_prefix, page);
+  report_read (observer, observer->dialect->workers_prefix, page);
 }
 
 static void
 own_read (const QuinceMetaPage *page, gpointer data)
 {
-  pass_on (data, QUINCE_OWN_PREFIX, page);
+  report_read (data, QUINCE_OWN_PREFIX, page);
 }
 
 static const QuinceMetaMirrorCallbacks operator_callbacks
@@ -187,11 +194,11 @@
   quince_observer_list_mirrors (observer, mirrors);
   for (guint i = 0; i < QUINCE_OBSERVER_PREFIXES; i++)
     {
-      gint64 heard = quince_meta_mirror_get_contact_us (mirrors[i].mirror);
-      if (heard == 0)
+      gint64 contact_us = quince_meta_mirror_get_contact_us (mirrors[i].mirror);
+      if (contact_us == 0)
         continue;
       g_autofree char *labels = g_strdup_printf ("prefix=\"%s\"", mirrors[i].prefix);
-      quince_metric_set ("quince_belief_age_seconds", labels, (double)(now - heard) / G_USEC_PER_SEC);
+      quince_metric_set ("quince_belief_age_seconds", labels, (double)(now - contact_us) / G_USEC_PER_SEC);
     }
   quince_metric_set ("quince_zones_evacuated", "",
                      quince_zone_table_get_n_evacuated (quince_backends_get_zones (observer->backends)));
@@ -252,7 +259,7 @@
       = quince_meta_mirror_new (store, dialect->workers_prefix, &observer->worker_callbacks, observer);
   observer->own_mirror = quince_meta_mirror_new (store, QUINCE_OWN_PREFIX, &own_callbacks, observer);
   quince_observer_set_reserve_reader (observer, FALSE);
-  /* A worker may be known before the word that its zone is evacuated. */
+  /* Workers may be known before the evacuated zones are. */
   quince_backends_hold_sends (backends, 0);
   return observer;
 }
--- a/lib/observer/observer.h
+++ b/lib/observer/observer.h
@@ -1,7 +1,11 @@
 /*
- * observer.h: what a process believes of the deployment, as the metadata store tells it.
+ * observer.h: what a process knows of the deployment, from the metadata store or from a process that feeds
+ * it.
  *
- * Configurations and named versions only rise: an older one is never told.  Workers go into the backends.
+ * Owns a mirror of each of three prefixes (the operator's keys, the workers' entries, the product's own
+ * keys), the configuration in force and the newest named versions.  Relies on a QuinceMetaStore for calls, on
+ * a dialect to decode values, and on the backends, which get workers, zones, policy and events.
+ * Configurations and named versions only rise: an older one is never reported.
  */
 #pragma once
 
@@ -20,42 +24,46 @@
 #define QUINCE_FRONTS_PREFIX QUINCE_OWN_PREFIX "fronts/"
 #define QUINCE_POLICY_KEY QUINCE_OWN_PREFIX "policy"
 #define QUINCE_QUARANTINE_PREFIX QUINCE_OWN_PREFIX "quarantine/"
-/* What a front met of requests that end workers while it reached no leader, by its name. */
+/* Suspects that a front found while it had no leader, by the front's name. */
 #define QUINCE_SUSPECTS_PREFIX QUINCE_OWN_PREFIX "suspects/"
-/* The zone of each machine with a replica, by its name, where there are several regions. */
+/* The zone of each machine with a replica, by the machine's name; written where there are several regions. */
 #define QUINCE_MACHINE_ZONES_PREFIX QUINCE_OWN_PREFIX "places/"
 #define QUINCE_EVENTS_PREFIX QUINCE_OWN_PREFIX "events/"
 
 typedef struct _QuinceObserver QuinceObserver;
 
-/* Each is nullable. */
+/**
+ * QuinceObserverCallbacks: each is nullable
+ * @configuration: a newer configuration is in force; not before the accepted policy is known
+ * @version: a newer version of a model was named
+ * @leaving: the machines that the operator wants emptied, %NULL-terminated
+ * @zones: the set of evacuated zones changed; see quince_backends_get_zones()
+ * @own_key: one of the product's own keys changed; @value is %NULL where it was removed
+ * @own_synced: all own keys were reported
+ * @workers_synced: all workers' entries were reported
+ * @read: this process read the store itself: changes for other processes, perhaps none
+ */
 typedef struct
 {
   void (*configuration) (QuinceRouteTable *table, gpointer user_data);
   void (*version) (const char *model, guint64 version, gpointer user_data);
-  /* Nodes to be emptied, %NULL-terminated. */
   void (*leaving) (const char *const *nodes, gpointer user_data);
-  /* Which zones are evacuated has changed; see quince_backends_get_zones(). */
   void (*zones) (gpointer user_data);
-  /* @value is %NULL where the key is gone. */
   void (*own_key) (const char *key, GBytes *value, guint64 revision, gpointer user_data);
-  /* All own keys have been told. */
   void (*own_synced) (gpointer user_data);
   void (*workers_synced) (gpointer user_data);
-  /* News from the store itself, to be passed on with the prefix of its keys. */
   void (*read) (const char *prefix, const QuinceMetaPage *page, gpointer user_data);
 } QuinceObserverCallbacks;
 
-/* An operator's change is in force, and a leaving worker is left alone, this long after the store took it,
- * ms: the least bound that the observer can keep. */
+/* Bound that every deployment may rely on, ms: so long after the store took it an operator's change is in
+ * force everywhere, and a draining worker gets no new work.  The observer cannot keep a smaller one. */
 #define QUINCE_OBSERVER_CHANGE_BOUND_MIN_MS 2000
 
 /**
  * QuinceObserverOptions:
- * @workers_pace_ms: least time between two looks at the workers
- * @change_bound_ms: the bound of this deployment on the time above; the more it allows, the longer a process
- *   waits for its feeder before it reads the store by itself.  Less than
- *   QUINCE_OBSERVER_CHANGE_BOUND_MIN_MS counts as that
+ * @workers_pace_ms: least time between two reads of the workers' entries
+ * @change_bound_ms: this deployment's bound on the same time; a larger one lets a process wait longer for its
+ *   feeder before it reads the store.  At least QUINCE_OBSERVER_CHANGE_BOUND_MIN_MS is used
  */
 typedef struct
 {
@@ -79,18 +87,20 @@
                                      const QuinceObserverCallbacks *callbacks,
                                      gpointer user_data);
 void quince_observer_free (QuinceObserver *observer);
-/* Takes what another process read of @prefix; see quince_meta_mirror_feed(), also for what is returned. */
+/* Takes a page of @prefix that another process read.  Arguments and result are those of
+ * quince_meta_mirror_feed(). */
 gboolean quince_observer_feed (QuinceObserver *observer,
                                const char *prefix,
                                const QuinceMetaPage *page,
                                gboolean whole);
-/* The same at the ledger's leader, for a page that a replica read: it is taken where the leader's own reads
- * lag.  Returns: whether it was taken, and so is to be told to all others */
-gboolean quince_observer_lead_feed (QuinceObserver *observer, const char *prefix, const QuinceMetaPage *page);
-/* This process feeds others from now on: it reads all prefixes by itself, at once. */
+/* At the leader, for a reserve reader's report: taken if the leader's own reads are late.
+ * Returns: whether it was taken, and so is to be sent to all other processes */
+gboolean
+quince_observer_take_report (QuinceObserver *observer, const char *prefix, const QuinceMetaPage *page);
+/* This process feeds others from now on: it reads all prefixes from the store, at once. */
 void quince_observer_feed_ended (QuinceObserver *observer);
-/* Whoever fed this process is gone: the own keys, which name the next one, are read at once.  What was told
- * of the other prefixes counts for as long as the bound on changes allows, since the next one feeds soon. */
+/* The feeding process is gone: the own keys, which name the next leader, are read at once.  The other mirrors
+ * keep their patience, since the next leader feeds soon. */
 void quince_observer_feeder_lost (QuinceObserver *observer);
 /* The machine was suspended: all prefixes are read from the store at once. */
 void quince_observer_resumed (QuinceObserver *observer);
@@ -102,31 +112,31 @@
  * can report to the leader.  Only a few processes may be reserve readers: otherwise all read the store at
  * once when the leader cannot. */
 void quince_observer_set_reserve_reader (QuinceObserver *observer, gboolean reserve);
-/* Keys that go may have lapsed though their owners live: the store is, or was lately, not to be reached, for
- * this process or for whoever tells it what it is just taking in. */
+/* A key that is removed now may have lapsed while its owner lives: the store is not reachable, or was not
+ * lately, for this process or for the one whose page is being taken. */
 gboolean quince_observer_may_have_lapsed (const QuinceObserver *observer, gint64 now_us);
-/* Prefixes that an observer follows. */
+/* Prefixes that an observer follows: those of the operator, the workers and the product. */
 #define QUINCE_OBSERVER_PREFIXES 3
-/* What it has of each prefix, in its own order; 0: not all of any moment. */
+/* Revision up to which each mirror is complete, in a fixed order; 0: not synced. */
 void quince_observer_get_revisions (QuinceObserver *observer, guint64 revisions[QUINCE_OBSERVER_PREFIXES]);
-/* Sets the metric quince_belief_age_seconds of each prefix: since when the store was not heard about it. */
+/* Sets the metrics quince_belief_age_seconds, the time since the last answer or page of each prefix, and
+ * quince_zones_evacuated. */
 void quince_observer_set_metrics (QuinceObserver *observer);
-/* All prefixes are known. */
+/* All mirrors are synced. */
 gboolean quince_observer_is_synced (QuinceObserver *observer);
-/* @whole: @page is all there is under @prefix */
-typedef void (*QuinceObserverTell) (const char *prefix,
+/* Sends a page to another process.  @whole: @page is all there is under @prefix */
+typedef void (*QuinceObserverSend) (const char *prefix,
                                     const QuinceMetaPage *page,
                                     gboolean whole,
                                     gpointer user_data);
-/* Tells what one lacks that has @revisions; nothing of a prefix that is not known here, or about which the
- * store was not heard lately. */
-void quince_observer_tell_since (QuinceObserver *observer,
-                                 const guint64 revisions[QUINCE_OBSERVER_PREFIXES],
-                                 QuinceObserverTell tell,
-                                 gpointer user_data);
-/* NULL: no configuration is known yet, or not yet which policy was accepted. */
+/* Calls @send with the changes after @revisions; not for a prefix whose mirror is not synced or is stale. */
+void quince_observer_send_changes (QuinceObserver *observer,
+                                   const guint64 revisions[QUINCE_OBSERVER_PREFIXES],
+                                   QuinceObserverSend send,
+                                   gpointer user_data);
+/* (nullable) (transfer none): %NULL until both a configuration and the accepted policy are known. */
 QuinceRouteTable *quince_observer_get_routes (QuinceObserver *observer);
-/* Returns: (nullable) (transfer none): NULL: no such service, or no policy is known */
+/* (nullable) (transfer none): %NULL: no such service, or no configuration yet */
 const QuinceService *quince_observer_find_service (QuinceObserver *observer, const char *name);
 /* The newest version of @model that was named; 0: none. */
 guint64 quince_observer_get_version (QuinceObserver *observer, const char *model);
--- a/lib/observer/store-feed.c
+++ b/lib/observer/store-feed.c
@@ -1,5 +1,5 @@
 /*
- * store-feed.c: news of the metadata store, told over links.
+ * store-feed.c: encodes and decodes updates of the store feed, and keeps the leader's subscribers.
  */
 #include "observer/store-feed.h"
 
@@ -10,20 +10,20 @@
 {
   /* All fields belong to the context that created the feed. */
   QuinceObserver *observer;
-  GHashTable *links;  /* QuinceLink, owned */
-  GHashTable *packed; /* prefix to Packed, owned: all there is under it, for those that have nothing */
+  GHashTable *links;  /* QuinceLink, owned: subscribers */
+  GHashTable *packed; /* prefix to PackedPrefix, owned: the whole prefix, for new subscribers */
 };
 
 typedef struct
 {
   guint64 revision;
   GBytes *encoded;
-} Packed;
+} PackedPrefix;
 
 static void
-packed_free (gpointer data)
+packed_prefix_free (gpointer data)
 {
-  Packed *packed = data;
+  PackedPrefix *packed = data;
   g_bytes_unref (packed->encoded);
   g_free (packed);
 }
@@ -31,7 +31,7 @@
 /* ---- At the leader ---------------------------------------------------- */
 
 static GBytes *
-encode_news (const QuinceObserver *observer, const char *prefix, const QuinceMetaPage *page, gboolean whole)
+encode_update (const QuinceObserver *observer, const char *prefix, const QuinceMetaPage *page, gboolean whole)
 {
   g_autofree QuinceFeedItem *items = g_new0 (QuinceFeedItem, page->items->len + 1);
   for (guint i = 0; i < page->items->len; i++)
@@ -46,14 +46,14 @@
       items[i].value.value_len = (u_int)length;
     }
   QuinceMessage message = { .kind = QUINCE_MESSAGE_FEED_UPDATE };
-  QuinceFeedUpdate *news = &message.QuinceMessage_u.feed_update;
-  news->prefix = (char *)prefix;
-  news->after = page->after;
-  news->revision = page->revision;
-  news->whole = whole;
-  news->may_have_lapsed = quince_observer_may_have_lapsed (observer, quince_now_us ());
-  news->items.items_val = items;
-  news->items.items_len = page->items->len;
+  QuinceFeedUpdate *update = &message.QuinceMessage_u.feed_update;
+  update->prefix = (char *)prefix;
+  update->after = page->after;
+  update->revision = page->revision;
+  update->whole = whole;
+  update->may_have_lapsed = quince_observer_may_have_lapsed (observer, quince_now_us ());
+  update->items.items_val = items;
+  update->items.items_len = page->items->len;
   return quince_message_encode (&message, NULL);
 }
 
@@ -63,7 +63,7 @@
   QuinceStoreFeed *feed = g_new0 (QuinceStoreFeed, 1);
   feed->observer = observer;
   feed->links = g_hash_table_new_full (NULL, NULL, (GDestroyNotify)quince_link_unref, NULL);
-  feed->packed = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, packed_free);
+  feed->packed = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, packed_prefix_free);
   return feed;
 }
 
@@ -77,17 +77,17 @@
   g_free (feed);
 }
 
-/* Encoded once for all that ask before there is news. */
+/* Encoded once for all that subscribe before the next change. */
 static GBytes *
 encode_whole (QuinceStoreFeed *feed, const char *prefix, const QuinceMetaPage *page)
 {
-  const Packed *held = g_hash_table_lookup (feed->packed, prefix);
+  const PackedPrefix *held = g_hash_table_lookup (feed->packed, prefix);
   if (held != NULL && held->revision == page->revision)
     return g_bytes_ref (held->encoded);
-  g_autoptr (GBytes) encoded = encode_news (feed->observer, prefix, page, TRUE);
+  g_autoptr (GBytes) encoded = encode_update (feed->observer, prefix, page, TRUE);
   if (encoded == NULL)
     return NULL;
-  Packed *packed = g_new0 (Packed, 1);
+  PackedPrefix *packed = g_new0 (PackedPrefix, 1);
   packed->revision = page->revision;
   packed->encoded = quince_message_pack (encoded, QUINCE_PACK_SMALL);
   g_hash_table_replace (feed->packed, g_strdup (prefix), packed);
@@ -98,27 +98,27 @@
 {
   QuinceStoreFeed *feed;
   QuinceLink *link;
-} Asker;
+} Subscriber;
 
 static void
 send_since (const char *prefix, const QuinceMetaPage *page, gboolean whole, gpointer data)
 {
-  const Asker *asker = data;
-  g_autoptr (GBytes) encoded = whole ? encode_whole (asker->feed, prefix, page)
-                                     : encode_news (asker->feed->observer, prefix, page, FALSE);
+  const Subscriber *subscriber = data;
+  g_autoptr (GBytes) encoded = whole ? encode_whole (subscriber->feed, prefix, page)
+                                     : encode_update (subscriber->feed->observer, prefix, page, FALSE);
   if (encoded != NULL)
-    quince_link_send_bytes (asker->link, encoded);
+    quince_link_send_bytes (subscriber->link, encoded);
 }
 
 void
-quince_store_feed_add (QuinceStoreFeed *feed, QuinceLink *link, const QuinceFeedSubscribe *ask)
+quince_store_feed_add (QuinceStoreFeed *feed, QuinceLink *link, const QuinceFeedSubscribe *subscribe)
 {
   guint64 revisions[QUINCE_OBSERVER_PREFIXES] = { 0 };
-  for (guint i = 0; i < ask->revisions.revisions_len && i < QUINCE_OBSERVER_PREFIXES; i++)
-    revisions[i] = ask->revisions.revisions_val[i];
+  for (guint i = 0; i < subscribe->revisions.revisions_len && i < QUINCE_OBSERVER_PREFIXES; i++)
+    revisions[i] = subscribe->revisions.revisions_val[i];
   g_hash_table_add (feed->links, quince_link_ref (link));
-  Asker asker = { feed, link };
-  quince_observer_tell_since (feed->observer, revisions, send_since, &asker);
+  Subscriber subscriber = { feed, link };
+  quince_observer_send_changes (feed->observer, revisions, send_since, &subscriber);
 }
 
 void
@@ -128,15 +128,18 @@
 }
 
 static void
-tell_all_but (QuinceStoreFeed *feed, const QuinceLink *source, const char *prefix, const QuinceMetaPage *page)
+send_to_all_but (QuinceStoreFeed *feed,
+                 const QuinceLink *source,
+                 const char *prefix,
+                 const QuinceMetaPage *page)
 {
   if (g_hash_table_size (feed->links) == 0)
     return;
-  g_autoptr (GBytes) encoded = encode_news (feed->observer, prefix, page, FALSE);
+  g_autoptr (GBytes) encoded = encode_update (feed->observer, prefix, page, FALSE);
   if (encoded == NULL)
     return;
-  /* Packed once for all: a zone of a thousand workers that comes back is 250 kB to each of 300 processes,
-   * which kept a leader from its heartbeats for seconds. */
+  /* Packed once for all links.  A zone of a thousand workers that comes back is 250 kB to each of 300
+   * processes; packed for each, it kept a leader from its heartbeats for seconds. */
   g_autoptr (GBytes) packed = quince_message_pack (encoded, QUINCE_PACK_SMALL);
   GHashTableIter iter;
   gpointer link;
@@ -149,10 +152,10 @@
 void
 quince_store_feed_publish (QuinceStoreFeed *feed, const char *prefix, const QuinceMetaPage *page)
 {
-  tell_all_but (feed, NULL, prefix, page);
+  send_to_all_but (feed, NULL, prefix, page);
 }
 
-/* ---- At the others ---------------------------------------------------- */
+/* ---- At subscribers --------------------------------------------------- */
 
 void
 quince_store_feed_subscribe (QuinceObserver *observer, QuinceLink *link)
@@ -169,34 +172,34 @@
 }
 
 static QuinceMetaPage *
-decode_news (const QuinceFeedUpdate *news)
+decode_update (const QuinceFeedUpdate *update)
 {
   QuinceMetaPage *page = g_new0 (QuinceMetaPage, 1);
   page->items = g_ptr_array_new_with_free_func ((GDestroyNotify)quince_meta_item_free);
-  page->after = news->after;
-  page->revision = news->revision;
-  page->may_have_lapsed = news->may_have_lapsed;
-  for (guint i = 0; i < news->items.items_len; i++)
+  page->after = update->after;
+  page->revision = update->revision;
+  page->may_have_lapsed = update->may_have_lapsed;
+  for (guint i = 0; i < update->items.items_len; i++)
     {
-      const QuinceFeedItem *belief = &news->items.items_val[i];
+      const QuinceFeedItem *from = &update->items.items_val[i];
       QuinceMetaItem *item = g_new0 (QuinceMetaItem, 1);
-      item->key = g_strdup (belief->key);
-      item->revision = belief->revision;
-      if (!belief->gone)
-        item->value = g_bytes_new (belief->value.value_val, belief->value.value_len);
+      item->key = g_strdup (from->key);
+      item->revision = from->revision;
+      if (!from->gone)
+        item->value = g_bytes_new (from->value.value_val, from->value.value_len);
       g_ptr_array_add (page->items, item);
     }
   return page;
 }
 
 void
-quince_store_feed_apply (QuinceObserver *observer, const QuinceFeedUpdate *news)
+quince_store_feed_apply (QuinceObserver *observer, const QuinceFeedUpdate *update)
 {
-  g_autoptr (QuinceMetaPage) page = decode_news (news);
-  quince_observer_feed (observer, news->prefix, page, news->whole);
+  g_autoptr (QuinceMetaPage) page = decode_update (update);
+  quince_observer_feed (observer, update->prefix, page, update->whole);
 }
 
-/* ---- From a replica to the leader --------------------------------------- */
+/* ---- Reports of reserve readers ----------------------------------------- */
 
 void
 quince_store_feed_report (const QuinceObserver *observer,
@@ -205,16 +208,18 @@
                           const QuinceMetaPage *page)
 {
   if (page->after == 0)
-    return; /* a first list: the leader has it */
-  g_autoptr (GBytes) encoded = encode_news (observer, prefix, page, FALSE);
+    return; /* a first list: the leader has all of it */
+  g_autoptr (GBytes) encoded = encode_update (observer, prefix, page, FALSE);
   if (encoded != NULL)
     quince_link_send_bytes (leader, encoded);
 }
 
 void
-quince_store_feed_apply_report (QuinceStoreFeed *feed, const QuinceLink *source, const QuinceFeedUpdate *news)
+quince_store_feed_apply_report (QuinceStoreFeed *feed,
+                                const QuinceLink *source,
+                                const QuinceFeedUpdate *update)
 {
-  g_autoptr (QuinceMetaPage) page = decode_news (news);
-  if (quince_observer_lead_feed (feed->observer, news->prefix, page))
-    tell_all_but (feed, source, news->prefix, page);
+  g_autoptr (QuinceMetaPage) page = decode_update (update);
+  if (quince_observer_take_report (feed->observer, update->prefix, page))
+    send_to_all_but (feed, source, update->prefix, page);
 }
--- a/lib/observer/store-feed.h
+++ b/lib/observer/store-feed.h
@@ -1,8 +1,9 @@
 /*
- * store-feed.h: what one process reads from the metadata store, told to others over links.
+ * store-feed.h: the leader sends what it reads from the metadata store to the other processes, over links.
  *
- * The store is shared by the whole system and each call has its price: the ledger's leader reads it, all
- * others are told and read by themselves only where they hear nothing.
+ * Calls to the store are limited and paid for, so the leader reads it for all.  The others subscribe, and
+ * read the store themselves when updates stop for longer than their mirrors' patience.  Owns a reference to
+ * each subscriber's link; relies on the observer for the changes.
  */
 #pragma once
 
@@ -17,21 +18,22 @@
 
 QuinceStoreFeed *quince_store_feed_new (QuinceObserver *observer);
 void quince_store_feed_free (QuinceStoreFeed *feed);
-/* @link asked for news: it is told what it lacks, and from then on what is read. */
-void quince_store_feed_add (QuinceStoreFeed *feed, QuinceLink *link, const QuinceFeedSubscribe *ask);
+/* Adds a subscriber: sends it the changes after its revisions, and each later page. */
+void quince_store_feed_add (QuinceStoreFeed *feed, QuinceLink *link, const QuinceFeedSubscribe *subscribe);
 void quince_store_feed_remove (QuinceStoreFeed *feed, QuinceLink *link);
 /* Sends a page that this process has just read from the store to all links, also an empty one: an empty page
  * proves that nothing has changed.  Followers trust their copy only for a while after such a page, so a
  * leader that gets no answers from the store cannot keep them from reading it themselves. */
 void quince_store_feed_publish (QuinceStoreFeed *feed, const char *prefix, const QuinceMetaPage *page);
 
-/* ---- At the others ---------------------------------------------------- */
+/* ---- At subscribers --------------------------------------------------- */
 
-/* Asks whoever is at the other end of @link for what @observer lacks. */
+/* Subscribes at the other end of @link, with the revisions that @observer has. */
 void quince_store_feed_subscribe (QuinceObserver *observer, QuinceLink *link);
-void quince_store_feed_apply (QuinceObserver *observer, const QuinceFeedUpdate *news);
+/* Feeds @observer with an update. */
+void quince_store_feed_apply (QuinceObserver *observer, const QuinceFeedUpdate *update);
 
-/* ---- From a replica to the leader ------------------------------------- */
+/* ---- Reports of reserve readers --------------------------------------- */
 
 /* Sends a page that a reserve reader has read to the leader.  It keeps the feed going while the store answers
  * the reserve reader but not the leader. */
@@ -42,6 +44,6 @@
 /* At the leader: takes the page if its own reads are late, and forwards it to all links but @source. */
 void quince_store_feed_apply_report (QuinceStoreFeed *feed,
                                      const QuinceLink *source,
-                                     const QuinceFeedUpdate *news);
+                                     const QuinceFeedUpdate *update);
 
 G_END_DECLS
--- a/tests/platform/test-freshness.c
+++ b/tests/platform/test-freshness.c
@@ -376,7 +376,7 @@
   standin_store_set_fault (leader.standin, STANDIN_STORE_SILENT);
   run_for (1200);
   const QuinceMetaPage older = { .items = items, .after = 1, .revision = 1 };
-  assert_false (quince_observer_lead_feed (leader.observer, "op/", &older));
+  assert_false (quince_observer_take_report (leader.observer, "op/", &older));
   assert_int_equal (known_version (&leader), 3);
 }
 
