--- a/lib/core/routing/route-table.h
+++ b/lib/core/routing/route-table.h
@@ -6,7 +6,7 @@
 #pragma once
 
 #include "core/routing/residency.h"
-#include "core/routing/tenants.h"
+#include "core/routing/tenant-table.h"
 
 G_BEGIN_DECLS
 
--- a/lib/core/routing/tenant-table.c
+++ b/lib/core/routing/tenant-table.c
@@ -1,7 +1,7 @@
 /*
  * tenant-table.c: tenants by name, and by the digests of their API keys.
  */
-#include "core/routing/tenants.h"
+#include "core/routing/tenant-table.h"
 
 #include <string.h>
 
--- a/lib/core/routing/tenants.h
+++ b/lib/core/routing/tenant-table.h
@@ -1,5 +1,5 @@
 /*
- * tenants.h: the tenants of a configuration, and which of them an API key belongs to.
+ * tenant-table.h: the tenants of a configuration, and which of them an API key belongs to.
  *
  * Keys are held as HMAC-SHA-256 digests under the salt of their configuration, never in the clear.  Pure.
  */
--- a/lib/core/routing/warmup-limit.c
+++ b/lib/core/routing/warmup-limit.c
@@ -6,7 +6,7 @@
  * one is allowed; so a new one is allowed while fewer than the bound are like that.  This holds for every
  * second, wherever it begins: of the sends that arrive in it, the one allowed last counted all the others.
  */
-#include "core/routing/warmup.h"
+#include "core/routing/warmup-limit.h"
 
 #include <math.h>
 
--- a/lib/core/routing/warmup.h
+++ b/lib/core/routing/warmup-limit.h
@@ -1,5 +1,5 @@
 /*
- * warmup.h: how many requests a worker that has started lately is sent in any second.
+ * warmup-limit.h: how many requests a worker that has started lately is sent in any second.
  *
  * A limit counts the earlier sends that may still arrive in the same second as a new one.  Whoever gives
  * sends away keeps one limit a worker; whoever was given some keeps a lease of them.
--- a/lib/forward/warmup-sends.h
+++ b/lib/forward/warmup-sends.h
@@ -9,7 +9,7 @@
 #include "core/routing/route-table.h"
 #include "core/routing/worker-table.h"
 #include "runtime/settings.h"
-#include "core/routing/warmup.h"
+#include "core/routing/warmup-limit.h"
 
 G_BEGIN_DECLS
 
--- a/tests/unit/test-tenants.c
+++ b/tests/unit/test-tenants.c
@@ -8,7 +8,7 @@
 #include <cmocka.h>
 
 #include "core/batches/batch-book.h"
-#include "core/routing/tenants.h"
+#include "core/routing/tenant-table.h"
 
 static void
 test_keys (void **state)
--- a/tests/unit/test-warmup.c
+++ b/tests/unit/test-warmup.c
@@ -8,7 +8,7 @@
 #include <stdint.h>
 
 #include <cmocka.h>
-#include "core/routing/warmup.h"
+#include "core/routing/warmup-limit.h"
 
 #define MS G_GINT64_CONSTANT (1000)
 #define SECOND (1000 * MS)
