--- a/lib/core/routing/failure-detector.h
+++ b/lib/core/routing/failure-detector.h
@@ -1,8 +1,9 @@
 /*
- * failure-detector.h: which of the processes that the metadata store lists are still heard.
+ * failure-detector.h: which of the fronts that the metadata store lists are alive, by their heartbeats.
  *
- * A lease tells of a death only when it has run out, and an outage of the store keeps it alive; a link that
- * falls silent tells sooner.  Pure: the time is an argument.
+ * A lease shows a death only when it has run out, and an outage of the store keeps it in being; a link
+ * without heartbeats shows it sooner.  Owns one entry a front.  Pure: time is an argument, in microseconds of
+ * one monotonic clock.
  */
 #pragma once
 
@@ -12,35 +13,35 @@
 
 typedef struct _QuinceFailureDetector QuinceFailureDetector;
 
-/* @silence_us: who is not heard for so long is silent */
+/* @silence_us: a front without a heartbeat for this long is silent */
 QuinceFailureDetector *quince_failure_detector_new (gint64 silence_us);
-void quince_failure_detector_free (QuinceFailureDetector *table);
+void quince_failure_detector_free (QuinceFailureDetector *detector);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (QuinceFailureDetector, quince_failure_detector_free)
 
-/* The store lists @name, or does so no longer; that may be the store's own doing, so who vanished from its
- * list is judged for some seconds more. */
-void quince_failure_detector_set_listed (QuinceFailureDetector *table,
+/* The store lists @name, or no longer does.  Its entry may only have lapsed in an outage of the store, so a
+ * front that is not listed any more is still judged for 10 s. */
+void quince_failure_detector_set_listed (QuinceFailureDetector *detector,
                                          gint64 now_us,
                                          const char *name,
                                          gboolean listed);
-/* @name said something. */
-void quince_failure_detector_heartbeat (QuinceFailureDetector *table, gint64 now_us, const char *name);
-/* This process begins to listen: nobody is silent before he had the time to say something. */
-void quince_failure_detector_restart (QuinceFailureDetector *table, gint64 now_us);
+/* A message of @name arrived. */
+void quince_failure_detector_heartbeat (QuinceFailureDetector *detector, gint64 now_us, const char *name);
+/* This process begins to receive heartbeats: no front is silent until one was due. */
+void quince_failure_detector_restart (QuinceFailureDetector *detector, gint64 now_us);
 
 gboolean
-quince_failure_detector_is_alive (const QuinceFailureDetector *table, gint64 now_us, const char *name);
-/* Lets go of those that are long gone from the list, and silent. */
-void quince_failure_detector_forget (QuinceFailureDetector *table, gint64 now_us);
+quince_failure_detector_is_alive (const QuinceFailureDetector *detector, gint64 now_us, const char *name);
+/* Drops entries that have not been listed for 10 s and are silent. */
+void quince_failure_detector_forget (QuinceFailureDetector *detector, gint64 now_us);
 
 /**
  * quince_failure_detector_get_silent:
- * @silent: (out): names, owned by the table until it changes
+ * @silent: names of silent fronts are added; they are owned by the detector and live until it changes
  *
- * Returns: %FALSE when nothing can be said: this process listens too short a time, or hears so few that it is
- *   rather itself that is cut off
+ * Returns: %FALSE, with @silent empty, when no judgement is possible: this process has not received
+ * heartbeats for long enough, or hears so few fronts that it is more likely cut off itself
  */
 gboolean
-quince_failure_detector_get_silent (const QuinceFailureDetector *table, gint64 now_us, GPtrArray *silent);
+quince_failure_detector_get_silent (const QuinceFailureDetector *detector, gint64 now_us, GPtrArray *silent);
 
 G_END_DECLS
--- a/lib/core/routing/machine-zones.c
+++ b/lib/core/routing/machine-zones.c
@@ -1,5 +1,5 @@
 /*
- * machine-zones.c: zones of other machines.
+ * machine-zones.c: the zones of other machines.
  */
 #include "core/routing/machine-zones.h"
 
@@ -71,10 +71,10 @@
 }
 
 static gboolean
-suits_all (const QuinceMachineZones *table,
-           const QuinceResidency *residencies,
-           guint n_residencies,
-           const char *node)
+allows_all (const QuinceMachineZones *table,
+            const QuinceResidency *residencies,
+            guint n_residencies,
+            const char *node)
 {
   for (guint i = 0; i < n_residencies; i++)
     if (!quince_machine_zones_allow (table, &residencies[i], node))
@@ -92,7 +92,7 @@
   gpointer node;
   g_hash_table_iter_init (&iter, table->zones);
   while (g_hash_table_iter_next (&iter, &node, NULL))
-    if (suits_all (table, residencies, n_residencies, node))
+    if (allows_all (table, residencies, n_residencies, node))
       g_ptr_array_add (nodes, node);
   g_ptr_array_sort (nodes, compare_names);
   return nodes;
--- a/lib/core/routing/machine-zones.h
+++ b/lib/core/routing/machine-zones.h
@@ -1,7 +1,7 @@
 /*
- * machine-zones.h: in which zones other machines stand, and whether they may hold what has a residency.
+ * machine-zones.h: the zones of other machines, and which of them may keep data with a residency.
  *
- * Pure.  A machine of which no zone is known stands nowhere, unless there is one region alone.
+ * Pure.  A machine without a known zone has no region, unless the deployment has only one.
  */
 #pragma once
 
@@ -16,16 +16,16 @@
 QuinceMachineZones *quince_machine_zones_new (const QuinceTopology *topology);
 void quince_machine_zones_free (QuinceMachineZones *table);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (QuinceMachineZones, quince_machine_zones_free)
-/* @zone: (nullable): %NULL: not known any more */
+/* @node: name of the machine.  @zone: (nullable): %NULL: no longer known */
 void quince_machine_zones_set (QuinceMachineZones *table, const char *node, const char *zone);
 /* (nullable): %NULL: not known */
 const char *quince_machine_zones_get_zone (const QuinceMachineZones *table, const char *node);
-/* Whether @node may hold what has @residency (nullable). */
+/* Whether @node may keep data with @residency (nullable). */
 gboolean quince_machine_zones_allow (const QuinceMachineZones *table,
                                      const QuinceResidency *residency,
                                      const char *node);
-/* (transfer container): names of the machines, of those whose zone is known, that may hold what has any of
- * @residencies; in order */
+/* (transfer container): names of the machines with a known zone that may keep data of all @residencies, in
+ * order */
 GPtrArray *quince_machine_zones_choose (const QuinceMachineZones *table,
                                         const QuinceResidency *residencies,
                                         guint n_residencies);
--- a/lib/core/routing/prompt-table.c
+++ b/lib/core/routing/prompt-table.c
@@ -1,5 +1,5 @@
 /*
- * prompt-table.c: which worker was last given a part of a prompt.
+ * prompt-table.c: the worker that last got a part of a prompt; drops the least recently used parts.
  */
 #include "core/routing/prompt-table.h"
 
@@ -7,14 +7,14 @@
 {
   char *part;
   char *worker;
-  GList *place; /* in the order of use */
+  GList *link; /* in the order of use */
 } Entry;
 
 struct _QuincePromptTable
 {
   GHashTable *entries; /* Entry by part, owned */
-  GQueue order;        /* Entry, the last used at the end */
-  guint most;
+  GQueue order;        /* Entry, most recently used last */
+  guint parts_max;
 };
 
 static void
@@ -27,12 +27,12 @@
 }
 
 QuincePromptTable *
-quince_prompt_table_new (guint most)
+quince_prompt_table_new (guint parts_max)
 {
   QuincePromptTable *table = g_new0 (QuincePromptTable, 1);
   table->entries = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, entry_free);
   g_queue_init (&table->order);
-  table->most = most;
+  table->parts_max = parts_max;
   return table;
 }
 
@@ -47,7 +47,7 @@
 }
 
 static void
-forget_oldest (QuincePromptTable *table)
+drop_least_recent (QuincePromptTable *table)
 {
   Entry *oldest = g_queue_pop_head (&table->order);
   g_hash_table_remove (table->entries, oldest->part);
@@ -63,12 +63,12 @@
       entry->part = g_strdup (part);
       g_hash_table_insert (table->entries, entry->part, entry);
       g_queue_push_tail (&table->order, entry);
-      entry->place = g_queue_peek_tail_link (&table->order);
+      entry->link = g_queue_peek_tail_link (&table->order);
     }
   else
     {
-      g_queue_unlink (&table->order, entry->place);
-      g_queue_push_tail_link (&table->order, entry->place);
+      g_queue_unlink (&table->order, entry->link);
+      g_queue_push_tail_link (&table->order, entry->link);
     }
   g_free (entry->worker);
   entry->worker = g_strdup (worker);
@@ -79,8 +79,8 @@
 {
   for (; *parts != NULL; parts++)
     note_part (table, *parts, worker);
-  while (g_hash_table_size (table->entries) > table->most)
-    forget_oldest (table);
+  while (g_hash_table_size (table->entries) > table->parts_max)
+    drop_least_recent (table);
 }
 
 const char *
--- a/lib/core/routing/prompt-table.h
+++ b/lib/core/routing/prompt-table.h
@@ -1,8 +1,8 @@
 /*
- * prompt-table.h: which worker was last given a part of a prompt, and so likely keeps it in its memory.
+ * prompt-table.h: the worker that last got a part of a prompt, and so likely has it in its prefix cache.
  *
- * A prompt is a series of parts, those that it shares with others first.  Bounded: the parts that were used
- * longest ago are forgotten.  Pure.
+ * A prompt is a list of parts, those that it shares with others first.  Bounded: the least recently used
+ * parts are dropped.  Pure.
  */
 #pragma once
 
@@ -12,15 +12,14 @@
 
 typedef struct _QuincePromptTable QuincePromptTable;
 
-/* @most: parts that are remembered */
-QuincePromptTable *quince_prompt_table_new (guint most);
+/* @parts_max: parts that are kept */
+QuincePromptTable *quince_prompt_table_new (guint parts_max);
 void quince_prompt_table_free (QuincePromptTable *table);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (QuincePromptTable, quince_prompt_table_free)
 
-/* The prompt with @parts (%NULL-terminated) goes to @worker. */
+/* The prompt with @parts (%NULL-terminated) is sent to @worker. */
 void quince_prompt_table_note (QuincePromptTable *table, const char *const *parts, const char *worker);
-/* Returns: (nullable): the worker that was given the last part of @parts that any was given; lives until the
- * table changes */
+/* Returns: (nullable): the worker of the last known one of @parts; valid until the table changes */
 const char *quince_prompt_table_find (const QuincePromptTable *table, const char *const *parts);
 
 G_END_DECLS
--- a/lib/core/routing/residency.h
+++ b/lib/core/routing/residency.h
@@ -1,7 +1,7 @@
 /*
- * residency.h: the regions in which a request may be served and what belongs to it may be kept.
+ * residency.h: the regions in which a request may be served and its data kept.
  *
- * Pure.  Routes and tenants may each name regions; where both do, both bind.
+ * Pure.  Routes and tenants may each name regions; a region must be allowed by both.
  */
 #pragma once
 
@@ -12,9 +12,9 @@
 /**
  * QuinceResidency:
  * @route_regions: (nullable): those that the route allows, %NULL-terminated; %NULL: all
- * @tenant_regions: (nullable): the same for the tenant that asks
+ * @tenant_regions: (nullable): the same for the request's tenant
  *
- * Points into the configuration that it was made from.
+ * Points into the configuration that it was made from, and lives no longer.
  */
 typedef struct
 {
@@ -22,9 +22,9 @@
   const char *const *tenant_regions;
 } QuinceResidency;
 
-/* Neither names regions. (nullable): @residency: %NULL is free too */
+/* No regions are named.  @residency: (nullable): %NULL is free too */
 gboolean quince_residency_is_free (const QuinceResidency *residency);
-/* @region: "" or %NULL: unknown; only a free residency allows that */
+/* @region: (nullable): "" or %NULL: unknown, which only a free residency allows */
 gboolean quince_residency_allows (const QuinceResidency *residency, const char *region);
 
 G_END_DECLS
--- a/lib/core/routing/route-table.c
+++ b/lib/core/routing/route-table.c
@@ -11,7 +11,7 @@
   QuinceCallerLimits limits;
   GPtrArray *routes;
   GPtrArray *services;
-  QuinceTenantTable *tenants; /* NULL: none are told */
+  QuinceTenantTable *tenants; /* NULL: the configuration has none */
   GHashTable *by_host;        /* host to GPtrArray of routes, longest prefix first */
 };
 
--- a/lib/core/routing/route-table.h
+++ b/lib/core/routing/route-table.h
@@ -12,13 +12,13 @@
 
 typedef enum
 {
-  QUINCE_ROUTE_IDEMPOTENT,   /* may run more than once                    */
-  QUINCE_ROUTE_AT_MOST_ONCE, /* never a second time                       */
-  QUINCE_ROUTE_STREAMING,    /* a series of events, forwarded as they come */
-  QUINCE_ROUTE_ROLLOUT,      /* batches of samples                        */
+  QUINCE_ROUTE_IDEMPOTENT,   /* requests may run more than once                */
+  QUINCE_ROUTE_AT_MOST_ONCE, /* requests never run a second time               */
+  QUINCE_ROUTE_STREAMING,    /* answers are events, forwarded as they arrive   */
+  QUINCE_ROUTE_ROLLOUT,      /* batches of samples                             */
 } QuinceRouteKind;
 
-/* One part of a route's traffic. */
+/* One part of a route's traffic, by weight. */
 typedef struct
 {
   char *service;
@@ -32,31 +32,31 @@
   char *prefix; /* begins and ends with a slash */
   QuinceRouteKind kind;
   guint timeout_ms;        /* 0: none */
-  guint target_latency_ms; /* answers within it earn their full credit */
+  guint target_latency_ms; /* the latency objective */
   guint deadline_ms;       /* rollouts: from submission to the last result; 0: none */
-  guint queue_ttl_ms;      /* rollouts: a sample may be given up after it; 0: never */
-  guint max_attempts;      /* at least 1 */
+  guint queue_ttl_ms;      /* rollouts: a sample may be abandoned so long after submission; 0: never */
+  guint max_attempts;      /* workers that one request may be sent to, at least 1 */
   guint priority;          /* 0 first */
-  gboolean resumable;
-  gboolean sticky;
-  gboolean single_version;
-  gboolean is_public; /* callers need no API key, whatever tenants there are */
-  GArray *parts;      /* QuinceRoutePart, at least one */
-  char **regions;     /* where it may be served, NULL-terminated; NULL: anywhere */
+  gboolean resumable;      /* a stream may go on at another worker after its last event */
+  gboolean sticky;         /* workers keep prompts: prefer the one that has the request's */
+  gboolean single_version; /* one weight version for all of a result */
+  gboolean is_public;      /* callers need no API key, whatever tenants there are */
+  GArray *parts;           /* QuinceRoutePart, at least one */
+  char **regions;          /* where it may be served, NULL-terminated; NULL: anywhere */
 } QuinceRoute;
 
-/* What one zone costs. */
+/* Price of workers in one zone. */
 typedef struct
 {
   char *zone;
-  double price; /* of a second of a worker, in parts of the service's usual price */
+  double price; /* of a worker's second, relative to the service's usual price */
 } QuinceZonePrice;
 
 /**
  * QuinceScaling: how many workers of a service may be ordered.
- * @least, @most: bounds of each zone, all kinds of workers together
+ * @least, @most: limits on the workers of each zone, spot workers included
  * @boot_ms: from an order until a new worker serves
- * @prices: (element-type QuinceZonePrice): zones that are not named cost 1
+ * @prices: (element-type QuinceZonePrice): other zones have price 1
  */
 typedef struct
 {
@@ -66,18 +66,19 @@
   GArray *prices;
 } QuinceScaling;
 
+/* A kind of workers that serve the same requests. */
 typedef struct
 {
   char *name;
-  guint max_connections;  /* of one worker, from all callers; 0: no bound told */
-  guint slots;            /* requests that a worker runs at once; 0: not told */
+  guint max_connections;  /* of one worker, from all processes; 0: no limit given */
+  guint slots;            /* requests that a worker runs at once; 0: not given */
   GPtrArray *models;      /* names, owned */
   guint cold_start_ms;    /* how long a worker is cold after a start; 0: never */
-  double cold_per_s;      /* requests a second that a cold worker bears; 0: no bound told */
+  double cold_per_s;      /* requests a second that a cold worker can serve; 0: no limit given */
   QuinceScaling *scaling; /* NULL: none may be ordered */
 } QuinceService;
 
-/* What a caller may send, and how long it may take. */
+/* Limits on what callers send and how long they take. */
 typedef struct
 {
   guint max_head_bytes;
@@ -96,7 +97,7 @@
 void quince_route_table_add_service (QuinceRouteTable *table, QuinceService *service);
 /* (transfer full): @tenants; at most once */
 void quince_route_table_set_tenants (QuinceRouteTable *table, QuinceTenantTable *tenants);
-/* (nullable): NULL: the configuration knows no tenants, and callers need no key */
+/* (nullable): %NULL: the configuration has no tenants, and callers need no API key */
 const QuinceTenantTable *quince_route_table_get_tenants (const QuinceRouteTable *table);
 guint64 quince_route_table_get_version (const QuinceRouteTable *table);
 const QuinceCallerLimits *quince_route_table_get_limits (const QuinceRouteTable *table);
@@ -108,7 +109,7 @@
 /* The route of @host (a port in it is ignored) whose prefix begins @target and is longest, or %NULL. */
 const QuinceRoute *
 quince_route_table_find (const QuinceRouteTable *table, const char *host, const char *target);
-/* The service of the part in which @unit, from 0 to 1, falls by the weights. */
+/* The service of the part that @unit, a random number from 0 to 1, falls into by the weights. */
 const char *quince_route_pick_service (const QuinceRoute *route, double unit);
 
 QuinceRoute *quince_route_new (void);
--- a/lib/core/routing/tenant-table.c
+++ b/lib/core/routing/tenant-table.c
@@ -27,7 +27,7 @@
   return g_compute_hmac_for_string (G_CHECKSUM_SHA256, (const guchar *)salt, strlen (salt), key, -1);
 }
 
-/* Takes the same time wherever the texts differ, so that it tells nothing of a digest. */
+/* Takes the same time wherever the texts differ, so that its duration reveals nothing of a digest. */
 static gboolean
 digests_equal (gconstpointer first, gconstpointer second)
 {
--- a/lib/core/routing/tenant-table.h
+++ b/lib/core/routing/tenant-table.h
@@ -1,7 +1,7 @@
 /*
- * tenant-table.h: the tenants of a configuration, and which of them an API key belongs to.
+ * tenant-table.h: the tenants of a configuration, and the tenant of an API key.
  *
- * Keys are held as HMAC-SHA-256 digests under the salt of their configuration, never in the clear.  Pure.
+ * Holds HMAC-SHA-256 digests of keys under the salt of their configuration, never the keys.  Pure.
  */
 #pragma once
 
@@ -9,13 +9,13 @@
 
 G_BEGIN_DECLS
 
-/* The priority of a tenant that names none: that of the route counts. */
+/* Priority of a tenant without one: that of the route counts. */
 #define QUINCE_TENANT_NO_PRIORITY (-1)
 
 typedef struct
 {
   char *name;
-  gint priority;  /* 0 first; goes before that of the route; or QUINCE_TENANT_NO_PRIORITY */
+  gint priority;  /* 0 first; overrides that of the route; or QUINCE_TENANT_NO_PRIORITY */
   char **regions; /* where its requests may be served, NULL-terminated; NULL: anywhere */
 } QuinceTenant;
 
@@ -33,10 +33,10 @@
 /* (transfer full) (nullable): @regions: where requests of @tenant, which is one of this table's, may be
  * served */
 void quince_tenant_table_set_regions (QuinceTenantTable *table, const QuinceTenant *tenant, char **regions);
-/* A key of @tenant, which is one of this table's, by its digest. */
+/* Adds the digest of a key of @tenant, which is one of this table's. */
 void
 quince_tenant_table_add_digest (QuinceTenantTable *table, const QuinceTenant *tenant, const char *digest);
-/* Whose key @key is. (transfer none) (nullable): NULL: nobody's */
+/* The tenant that API key @key belongs to. (transfer none) (nullable): %NULL: none */
 const QuinceTenant *quince_tenant_table_find_key (const QuinceTenantTable *table, const char *key);
 /* (transfer none) (nullable) */
 const QuinceTenant *quince_tenant_table_find (const QuinceTenantTable *table, const char *name);
--- a/lib/core/routing/topology.c
+++ b/lib/core/routing/topology.c
@@ -1,5 +1,5 @@
 /*
- * topology.c: zones and their regions.
+ * topology.c: the zones of a deployment and their regions.
  */
 #include "core/routing/topology.h"
 
--- a/lib/core/routing/worker-table.c
+++ b/lib/core/routing/worker-table.c
@@ -1,22 +1,27 @@
 /*
- * worker-table.c: the workers that the platform lists, and what this process has seen of them.
+ * worker-table.c: the workers that the platform lists, and what this process has measured of them.
  */
 #include "core/routing/worker-table.h"
 
-/* A failing worker is no first choice for a time that doubles with each failure in a row. */
+/* Ejection after a worker's first failure, us; doubled with each further one in a row.  Not measured: long
+ * enough for a retry to reach another worker, short for a worker that failed by chance. */
 #define EJECTION_FIRST_US (200 * 1000)
+/* Longest ejection, us: a worker that is gone leaves the list within seconds anyway.  Not measured. */
 #define EJECTION_MAX_US (2 * G_USEC_PER_SEC)
-/* Weight of the newest answer in the smoothed time, as a shift. */
+/* Doublings until EJECTION_MAX_US is exceeded; keeps the shift in its range. */
+#define EJECTION_DOUBLINGS_MAX 4
+/* Weight of the newest answer in the smoothed time, as a shift: one eighth.  Not measured. */
 #define SERVICE_TIME_SHIFT 3
-/* The same for the time between events, of which a full worker makes hundreds a second. */
+/* The same for the time between events, of which a full worker sends hundreds a second: one sixteenth.  Not
+ * measured. */
 #define PACE_SHIFT 4
-/* A longer pause is a stop, not a pace. */
+/* Longest time between two events that counts as pace, us: a longer one is a stop.  Not measured. */
 #define PACE_MAX_US (500 * 1000)
-/* A pace that was measured so long ago says nothing of now: disturbances of workers last some seconds. */
+/* A pace older than this is unknown, us: disturbances of workers last some seconds.  Not measured. */
 #define PACE_KEEP_US (4 * G_USEC_PER_SEC)
 
-/* Lists by model and version: a few steps of each model are open at a time.  With more than that the versions
- * have moved on, and all are dropped. */
+/* Lists by model and version that are kept: a few steps of each model are open at a time.  Beyond this the
+ * versions have moved on, and all lists are dropped.  Not measured. */
 #define VERSION_LISTS_MAX 32
 
 /* Workers of a service that have a model in a version or a later one. */
@@ -31,9 +36,8 @@
 struct _QuinceWorkerTable
 {
   GHashTable *by_id; /* QuinceWorker, owned */
-  GHashTable
-      *lists; /* GPtrArray by service, owned: made when asked for, dropped when a worker comes or goes */
-  GPtrArray *version_lists; /* VersionList, owned: likewise, and kept true when a worker's version rises */
+  GHashTable *lists; /* GPtrArray by service, owned: made on demand, dropped when a worker comes or goes */
+  GPtrArray *version_lists; /* VersionList, owned: likewise; updated when a worker's version rises */
   const QuinceWorkerTableCallbacks *callbacks;
   gpointer user_data;
 };
@@ -142,43 +146,44 @@
 }
 
 static gboolean
-take_over (QuinceWorkerTable *table, QuinceWorker *worker, QuinceWorker *told)
+take_entry (QuinceWorkerTable *table, QuinceWorker *worker, QuinceWorker *entry)
 {
-  gboolean changed = worker->draining != told->draining;
-  worker->draining = told->draining;
-  worker->may_go = told->may_go;
-  worker->removal_us = told->removal_us;
+  gboolean changed = worker->draining != entry->draining;
+  worker->draining = entry->draining;
+  worker->may_go = entry->may_go;
+  worker->removal_us = entry->removal_us;
   worker->gone_after_us = 0;
-  worker->slots = told->slots;
-  changed = changed || (worker->cold_us > 0) != (told->cold_us > 0);
-  worker->cold_us = told->cold_us;
-  for (guint i = 0; i < told->models->len; i++)
+  worker->slots = entry->slots;
+  changed = changed || (worker->cold_us > 0) != (entry->cold_us > 0);
+  worker->cold_us = entry->cold_us;
+  for (guint i = 0; i < entry->models->len; i++)
     {
-      const QuinceWorkerModel *model = &g_array_index (told->models, QuinceWorkerModel, i);
+      const QuinceWorkerModel *model = &g_array_index (entry->models, QuinceWorkerModel, i);
       guint64 before = quince_worker_get_version (worker, model->name);
       changed = changed || before != model->version;
-      /* A worker's version only rises; what it told itself meanwhile is newer than the list. */
+      /* A worker's version only rises; a higher one came from its own report, which is newer than its entry.
+       */
       quince_worker_table_set_model (table, worker, model->name, MAX (before, model->version));
     }
   return changed;
 }
 
 gboolean
-quince_worker_table_update (QuinceWorkerTable *table, QuinceWorker *told)
+quince_worker_table_update (QuinceWorkerTable *table, QuinceWorker *entry)
 {
-  QuinceWorker *worker = g_hash_table_lookup (table->by_id, told->id);
-  gboolean same = worker != NULL && g_str_equal (worker->address, told->address)
-                  && g_str_equal (worker->service, told->service);
+  QuinceWorker *worker = g_hash_table_lookup (table->by_id, entry->id);
+  gboolean same = worker != NULL && g_str_equal (worker->address, entry->address)
+                  && g_str_equal (worker->service, entry->service);
   if (same)
     {
-      gboolean changed = take_over (table, worker, told);
-      quince_worker_free (told);
+      gboolean changed = take_entry (table, worker, entry);
+      quince_worker_free (entry);
       return changed;
     }
   if (worker != NULL)
-    quince_worker_table_remove (table, told->id);
-  g_hash_table_insert (table->by_id, told->id, told);
-  drop_lists (table, told->service);
+    quince_worker_table_remove (table, entry->id);
+  g_hash_table_insert (table->by_id, entry->id, entry);
+  drop_lists (table, entry->service);
   return TRUE;
 }
 
@@ -237,7 +242,7 @@
       if (before >= list->minimum || now < list->minimum || !g_str_equal (list->model, model)
           || !g_str_equal (list->service, worker->service))
         continue;
-      /* Whoever has the list goes on with it as it was. */
+      /* Callers that hold the list keep it unchanged. */
       GPtrArray *longer = g_ptr_array_copy (list->workers, NULL, NULL);
       g_ptr_array_add (longer, worker);
       g_ptr_array_sort (longer, compare_ids);
@@ -333,9 +338,9 @@
 void
 quince_worker_note_failure (QuinceWorker *worker, gint64 now_us)
 {
-  gint64 doubt = EJECTION_FIRST_US << MIN (worker->failures, 4);
+  gint64 ejection_us = EJECTION_FIRST_US << MIN (worker->failures, EJECTION_DOUBLINGS_MAX);
   worker->failures++;
-  worker->ejected_until_us = now_us + MIN (doubt, EJECTION_MAX_US);
+  worker->ejected_until_us = now_us + MIN (ejection_us, EJECTION_MAX_US);
 }
 
 void
--- a/lib/core/routing/worker-table.h
+++ b/lib/core/routing/worker-table.h
@@ -15,36 +15,35 @@
   guint64 version;
 } QuinceWorkerModel;
 
-/* Its entry says nothing of warmth. */
+/* QuinceWorker.cold_us of a worker whose entry does not say whether it is cold. */
 #define QUINCE_COLD_UNKNOWN (-1)
 
-/* One incarnation of a worker. */
+/* One incarnation of a worker: its entry in the metadata store, and what this process measured. */
 typedef struct
 {
   char *id;
   char *service;
-  char *software; /* version of what it runs; NULL: not told */
+  char *software; /* version of its software; NULL: not given */
   char *address;
   char *zone;
-  guint slots;
+  guint slots; /* requests that it runs at once */
   gboolean draining;
-  gboolean may_go;   /* it may be taken away at any moment */
-  gint64 removal_us; /* a draining one is taken away so long after it said so; 0: not told */
-  GArray *models;    /* QuinceWorkerModel: as last told */
-  gint64 cold_us; /* how much longer it was cold when that was last told; 0: warm; or QUINCE_COLD_UNKNOWN */
-  gint64
-      gone_after_us; /* it is not listed, perhaps by the store's own doing: no requests after it; 0: listed */
+  gboolean may_go;      /* a spot worker: it may be taken away at any moment */
+  gint64 removal_us;    /* a draining worker serves on for this long after it said so; 0: not given */
+  GArray *models;       /* QuinceWorkerModel: newest known versions */
+  gint64 cold_us;       /* remaining cold time at its last entry; 0: warm; or QUINCE_COLD_UNKNOWN */
+  gint64 gone_after_us; /* its entry lapsed, perhaps in an outage: no requests after this time; 0: listed */
 
-  /* What this process sees by itself. */
+  /* Measured by this process. */
   gint64 assumed_cold_until_us; /* it may have turned cold, and counts as cold until then */
-  gint64 send_by_us;            /* of the request that it was last chosen for: not sent later; 0: no bound */
-  gboolean loading;             /* takes new weights: begins nothing meanwhile     */
-  guint running;                /* requests of this process at it now             */
-  guint failures;               /* in a row                                       */
-  gint64 ejected_until_us;      /* no first choice until then                    */
-  guint service_us;             /* smoothed time of its answers; 0: none yet      */
-  gint64 pace_us;               /* smoothed time between two events of a text; 0: none yet */
-  gint64 paced_us;              /* when the pace was last measured                */
+  gint64 send_by_us;            /* the request that it was last chosen for is not sent later; 0: no limit */
+  gboolean loading;             /* it loads weights and begins nothing meanwhile */
+  guint running;                /* requests that this process has at it now */
+  guint failures;               /* in a row */
+  gint64 ejected_until_us;      /* no first choice until then */
+  guint service_us;             /* smoothed time of its answers; 0: none yet */
+  gint64 pace_us;               /* smoothed time between two events of a stream; 0: none yet */
+  gint64 paced_us;              /* when the pace was last measured */
 } QuinceWorker;
 
 QuinceWorker *quince_worker_new (const char *id);
@@ -52,14 +51,14 @@
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (QuinceWorker, quince_worker_free)
 /* For a worker that is in no table yet, as tests make them; else quince_worker_table_set_model(). */
 void quince_worker_set_model (QuinceWorker *worker, const char *model, guint64 version);
-/* 0: it does not have @model. */
+/* Version of @model that it has; 0: none. */
 guint64 quince_worker_get_version (const QuinceWorker *worker, const char *model);
 
 typedef struct _QuinceWorkerTable QuinceWorkerTable;
 
 /**
  * QuinceWorkerTableCallbacks:
- * @gone: the worker ended or was replaced: it gets no more requests. Called before it is freed
+ * @gone: the worker ended or was replaced and gets no more requests; called before it is freed
  */
 typedef struct
 {
@@ -69,17 +68,15 @@
 QuinceWorkerTable *quince_worker_table_new (const QuinceWorkerTableCallbacks *callbacks, gpointer user_data);
 void quince_worker_table_free (QuinceWorkerTable *table);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (QuinceWorkerTable, quince_worker_table_free)
-/* (transfer full): adds @told, or takes what it tells over into the worker of the same id.
+/* (transfer full): adds @entry, or updates the worker of the same id, service and address from it.
  * Returns: whether something other than its load changed */
-gboolean quince_worker_table_update (QuinceWorkerTable *table, QuinceWorker *told);
+gboolean quince_worker_table_update (QuinceWorkerTable *table, QuinceWorker *entry);
 void quince_worker_table_remove (QuinceWorkerTable *table, const char *id);
 QuinceWorker *quince_worker_table_find (QuinceWorkerTable *table, const char *id);
-/* (transfer container): workers of @service, the leaving ones too, in order of their ids; not to be changed.
- */
+/* (transfer container): workers of @service, draining ones too, in order of their ids; not to be changed. */
 GPtrArray *quince_worker_table_list (QuinceWorkerTable *table, const char *service);
-/* (transfer container): those of them that have @model in version @minimum or a later one, leaving and
- * loading ones too; not to be changed.  Kept between calls: a leader of thousands of workers asks for each
- * sample. */
+/* (transfer container): the same of workers that have version @minimum of @model or a later one.  Kept
+ * between calls: a leader of thousands of workers calls this for each sample. */
 GPtrArray *quince_worker_table_list_version (QuinceWorkerTable *table,
                                              const char *service,
                                              const char *model,
@@ -93,18 +90,19 @@
 GPtrArray *quince_worker_table_list_all (const QuinceWorkerTable *table);
 guint quince_worker_table_get_size (const QuinceWorkerTable *table);
 
-/* An answer came after @took_us, or a failure that casts doubt on the worker. */
+/* An answer arrived after @took_us: ends an ejection. */
 void quince_worker_note_answer (QuinceWorker *worker, gint64 took_us);
+/* A request failed at the worker: ejects it for 200 ms, doubled with each failure in a row, up to 2 s. */
 void quince_worker_note_failure (QuinceWorker *worker, gint64 now_us);
-/* Events of a text came, on average @since_last_us after the one before. */
+/* Events of a stream arrived, on average @since_last_us after the one before. */
 void quince_worker_note_event (QuinceWorker *worker, gint64 now_us, gint64 since_last_us);
-/* It was told to be cold and not told to be warm since, or may have turned cold. */
+/* Its entry says that it is cold, or it is assumed to be. */
 gboolean quince_worker_is_cold (const QuinceWorker *worker, gint64 now_us);
-/* It may turn cold, or have done so, before that is told: it counts as cold until @until_us. */
+/* It may have turned cold before its entry says so: it counts as cold until @until_us. */
 void quince_worker_assume_cold (QuinceWorker *worker, gint64 until_us);
-/* Its time between two events; 0: not measured of late. */
+/* Its time between two events; 0: not measured in the last 4 s. */
 gint64 quince_worker_get_pace_us (const QuinceWorker *worker, gint64 now_us);
-/* The least of the paces of @workers (QuinceWorker); 0: none is measured. */
+/* The least pace of @workers (element-type QuinceWorker); 0: none is measured. */
 gint64 quince_workers_fastest_pace_us (const GPtrArray *workers, gint64 now_us);
 
 G_END_DECLS
--- a/lib/core/routing/zone-table.c
+++ b/lib/core/routing/zone-table.c
@@ -1,13 +1,15 @@
 /*
- * zone-table.c: what the operator asked of each zone last.
+ * zone-table.c: the newest change that the operator made to each zone.
  */
 #include "core/routing/zone-table.h"
 
 #include <string.h>
 
-/* A returned zone's share of new work grows from the least one for so long: about as long as a worker's first
- * prompts and the loads of its weights take. */
+/* Time in which a returned zone's share of new work grows to 1, us: about as long as its workers take for
+ * their first prompts and to load weights. */
 #define RETURN_US (3 * G_USEC_PER_SEC)
+/* Share of new work right after the return.  With the growing share 101 and 89 sends to workers had to be
+ * made again on two days with evacuations, against 117 and 151 without (one run each). */
 #define RETURN_SHARE_MIN 0.25
 
 typedef struct
--- a/lib/core/routing/zone-table.h
+++ b/lib/core/routing/zone-table.h
@@ -1,9 +1,8 @@
 /*
- * zone-table.h: zones that the operator has evacuated: their workers get nothing until the zone is taken
- * back.
+ * zone-table.h: evacuated zones, whose workers get no requests until the zone is taken back.
  *
- * Each word of the operator carries the store's revision, which only grows: an older one, told late by
- * another process, never undoes a newer one.
+ * Each change carries the store's revision, which only grows: an older change that another process sends late
+ * never undoes a newer one.
  *
  * Pure: time is an argument, in microseconds of one clock that counts suspensions too.
  */
@@ -31,12 +30,12 @@
                                  guint64 revision,
                                  gboolean evacuated);
 gboolean quince_zone_table_is_evacuated (const QuinceZoneTable *table, const char *zone);
-/* Since when @zone is evacuated, as this process knows it; 0: it is not. */
+/* When this process learned that @zone is evacuated, us; 0: it is not. */
 gint64 quince_zone_table_get_evacuated_us (const QuinceZoneTable *table, const char *zone);
-/* The part of new work that the workers of @zone get now, from 0 to 1: after a return it grows, since they
- * may have turned cold, and being the least loaded ones they would get all of it at once. */
+/* Share of new work that the workers of @zone get now, 0 to 1.  After a return it grows: these workers may
+ * have turned cold, and as the least loaded ones they would get all new work at once. */
 double quince_zone_table_get_share (const QuinceZoneTable *table, gint64 now_us, const char *zone);
-/* Some zone's share is less than 1. */
+/* A zone that was taken back has a share of less than 1. */
 gboolean quince_zone_table_is_returning (const QuinceZoneTable *table, gint64 now_us);
 guint quince_zone_table_get_n_evacuated (const QuinceZoneTable *table);
 /* (transfer container): names of the evacuated zones, in order */
