--- a/lib/core/routing/warmup-limit.c
+++ b/lib/core/routing/warmup-limit.c
@@ -1,5 +1,5 @@
 /*
- * warmup-limit.c: sends to workers that have started lately.
+ * warmup-limit.c: limits the requests that reach a cold worker in any second.
  *
  * A send that was allowed at G and leaves by U may arrive at any moment from G to U and a margin.  Two sends
  * can arrive within the same second only where the earlier one may arrive less than a second before the later
@@ -19,20 +19,20 @@
   return most >= 1 ? (guint)MIN (most, G_MAXINT) : 1;
 }
 
-/* ---- Who gives ---------------------------------------------------------- */
+/* ---- The book of the process that grants --------------------------------- */
 
-/* Sends that were allowed together. */
+/* Sends that were granted together. */
 typedef struct
 {
-  gint64 free_us; /* none can arrive in the same second as one that is allowed from then on */
+  gint64 free_us; /* from then on a new grant cannot arrive in the same second as these */
   guint sends;
-} Taken;
+} Grant;
 
 struct _QuinceWarmupBook
 {
-  GHashTable *workers; /* id to GArray of Taken, both owned */
+  GHashTable *workers; /* id to GArray of Grant, both owned */
   gint64 margin_us;
-  gint64 quiet_until_us; /* what another one gave may arrive in the same second until then */
+  gint64 quiet_until_us; /* until then a former leader's grants may arrive in the same second as a new one */
 };
 
 QuinceWarmupBook *
@@ -67,19 +67,19 @@
 }
 
 static void
-drop_free (GArray *taken, gint64 now_us)
+drop_free (GArray *grants, gint64 now_us)
 {
-  for (guint i = taken->len; i > 0; i--)
-    if (g_array_index (taken, Taken, i - 1).free_us <= now_us)
-      g_array_remove_index_fast (taken, i - 1);
+  for (guint i = grants->len; i > 0; i--)
+    if (g_array_index (grants, Grant, i - 1).free_us <= now_us)
+      g_array_remove_index_fast (grants, i - 1);
 }
 
 static guint
-count_sends (const GArray *taken)
+count_sends (const GArray *grants)
 {
   guint sends = 0;
-  for (guint i = 0; i < taken->len; i++)
-    sends += g_array_index (taken, Taken, i).sends;
+  for (guint i = 0; i < grants->len; i++)
+    sends += g_array_index (grants, Grant, i).sends;
   return sends;
 }
 
@@ -94,19 +94,19 @@
 {
   if (is_cold && now_us < book->quiet_until_us)
     return 0;
-  GArray *taken = g_hash_table_lookup (book->workers, worker);
-  if (taken == NULL)
+  GArray *grants = g_hash_table_lookup (book->workers, worker);
+  if (grants == NULL)
     {
-      taken = g_array_new (FALSE, FALSE, sizeof (Taken));
-      g_hash_table_insert (book->workers, g_strdup (worker), taken);
+      grants = g_array_new (FALSE, FALSE, sizeof (Grant));
+      g_hash_table_insert (book->workers, g_strdup (worker), grants);
     }
-  drop_free (taken, now_us);
-  guint used = count_sends (taken);
-  guint given = used < most ? MIN (sends, most - used) : 0;
-  const Taken added = { .free_us = free_after (book, MAX (until_us, now_us)), .sends = given };
-  if (given > 0)
-    g_array_append_val (taken, added);
-  return given;
+  drop_free (grants, now_us);
+  guint used = count_sends (grants);
+  guint granted = used < most ? MIN (sends, most - used) : 0;
+  const Grant added = { .free_us = free_after (book, MAX (until_us, now_us)), .sends = granted };
+  if (granted > 0)
+    g_array_append_val (grants, added);
+  return granted;
 }
 
 gint64
@@ -117,15 +117,15 @@
                                 guint most)
 {
   gint64 quiet_us = is_cold ? MAX (book->quiet_until_us, now_us) : now_us;
-  GArray *taken = g_hash_table_lookup (book->workers, worker);
-  if (taken == NULL)
+  GArray *grants = g_hash_table_lookup (book->workers, worker);
+  if (grants == NULL)
     return quiet_us;
-  drop_free (taken, now_us);
-  if (count_sends (taken) < most)
+  drop_free (grants, now_us);
+  if (count_sends (grants) < most)
     return quiet_us;
   gint64 first = G_MAXINT64;
-  for (guint i = 0; i < taken->len; i++)
-    first = MIN (first, g_array_index (taken, Taken, i).free_us);
+  for (guint i = 0; i < grants->len; i++)
+    first = MIN (first, g_array_index (grants, Grant, i).free_us);
   return MAX (first, quiet_us);
 }
 
@@ -133,12 +133,12 @@
 quince_warmup_book_expire (QuinceWarmupBook *book, gint64 now_us)
 {
   GHashTableIter iter;
-  gpointer taken;
+  gpointer grants;
   g_hash_table_iter_init (&iter, book->workers);
-  while (g_hash_table_iter_next (&iter, NULL, &taken))
+  while (g_hash_table_iter_next (&iter, NULL, &grants))
     {
-      drop_free (taken, now_us);
-      if (((GArray *)taken)->len == 0)
+      drop_free (grants, now_us);
+      if (((GArray *)grants)->len == 0)
         g_hash_table_iter_remove (&iter);
     }
 }
@@ -149,7 +149,7 @@
   return g_hash_table_size (book->workers);
 }
 
-/* ---- Who was given ------------------------------------------------------ */
+/* ---- The lease of a process that is granted sends ------------------------ */
 
 gboolean
 quince_warmup_lease_has_room (const QuinceWarmupLease *lease, gint64 now_us)
--- a/lib/core/routing/warmup-limit.h
+++ b/lib/core/routing/warmup-limit.h
@@ -1,8 +1,9 @@
 /*
- * warmup-limit.h: how many requests a worker that has started lately is sent in any second.
+ * warmup-limit.h: limits the requests that reach a cold worker in any second, from all processes together.
  *
- * A limit counts the earlier sends that may still arrive in the same second as a new one.  Whoever gives
- * sends away keeps one limit a worker; whoever was given some keeps a lease of them.
+ * The leader keeps a book: for each worker the sends that it has granted and that may still arrive in the
+ * same second as a new one.  A front keeps a lease for each worker: sends that the leader granted it, for a
+ * time.
  *
  * Pure: time is an argument, in microseconds of one clock that counts suspensions too.
  */
@@ -12,31 +13,32 @@
 
 G_BEGIN_DECLS
 
-/* The bound holds in every window of this length. */
+/* The limit holds in every window of this length, us: it is given in requests a second. */
 #define QUINCE_WARMUP_SPAN_US G_USEC_PER_SEC
 
-/* Most requests in a second at a worker that bears @per_s, times @overage, and @slack more.
- * Returns: G_MAXUINT: no bound is told */
+/* Requests in any second at a worker that can serve @per_s: that times @overage, and @slack more; at least 1.
+ * Returns: G_MAXUINT if @per_s gives no limit */
 guint quince_warmup_most (double per_s, double overage, double slack);
 
-/* ---- Who gives ---------------------------------------------------------- */
+/* ---- The book of the process that grants --------------------------------- */
 
 typedef struct _QuinceWarmupBook QuinceWarmupBook;
 
-/* @margin_us: a send may arrive so much later than it was allowed to leave */
+/* @margin_us: a send arrives at most this much later than the last moment at which it was allowed to leave */
 QuinceWarmupBook *quince_warmup_book_new (gint64 margin_us);
 void quince_warmup_book_free (QuinceWarmupBook *book);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (QuinceWarmupBook, quince_warmup_book_free)
-/* Forgets all: another one gave until now, and what it gave last may be used until @used_until_us. */
+/* Clears the book at the start of a leadership: the former leader's last grants may be used until
+ * @used_until_us. */
 void quince_warmup_book_take_over (QuinceWarmupBook *book, gint64 used_until_us);
 /**
  * quince_warmup_book_give:
- * @is_cold: %FALSE: nobody but this giver sends to @worker: what another one gave does not matter
- * @most: in any second, see quince_warmup_most()
- * @sends: wanted
- * @until_us: they leave no later
+ * @is_cold: %FALSE: only this process sends to @worker, so grants of a former leader don't count
+ * @most: requests in any second, see quince_warmup_most()
+ * @sends: how many are wanted
+ * @until_us: latest time at which they leave
  *
- * Returns: how many may be sent, 0 to @sends
+ * Returns: how many are granted, 0 to @sends
  */
 guint quince_warmup_book_give (QuinceWarmupBook *book,
                                gint64 now_us,
@@ -45,39 +47,40 @@
                                guint most,
                                guint sends,
                                gint64 until_us);
-/* When one more may be sent; not after @now_us: at once. */
+/* When one more may be granted; a time up to @now_us means at once. */
 gint64 quince_warmup_book_get_free_us (QuinceWarmupBook *book,
                                        gint64 now_us,
                                        const char *worker,
                                        gboolean is_cold,
                                        guint most);
-/* Forgets workers to which nothing was sent lately. */
+/* Drops workers without sends that still count. */
 void quince_warmup_book_expire (QuinceWarmupBook *book, gint64 now_us);
 /* Workers with sends on record.  For tests: nothing else shows that expiring frees memory. */
 guint quince_warmup_book_get_size (const QuinceWarmupBook *book);
 
-/* ---- Who was given ------------------------------------------------------ */
+/* ---- The lease of a process that is granted sends ------------------------ */
 
-/* Sends to one worker that another process has allowed. */
+/* Sends to one worker that the leader has granted. */
 typedef struct
 {
-  guint sends;         /* left */
-  gint64 until_us;     /* not after it */
-  gint64 again_us;     /* asked no sooner */
-  guint64 ask;         /* number of the ask in progress; 0: none */
-  gint64 requested_us; /* when it was sent */
-  gboolean refused;    /* the last answer gave nothing */
+  guint sends;         /* left of the grant */
+  gint64 until_us;     /* end of the lease */
+  gint64 again_us;     /* next request no sooner */
+  guint64 ask;         /* number of the request in progress; 0: none */
+  gint64 requested_us; /* when it was made */
+  gboolean refused;    /* the last answer granted nothing */
 } QuinceWarmupLease;
 
-/* Whether one more may be sent now. */
+/* The lease covers one more send now. */
 gboolean quince_warmup_lease_has_room (const QuinceWarmupLease *lease, gint64 now_us);
-/* Returns: whether one may be sent; it is used then. */
+/* Uses one send of the lease. Returns: whether it covered one */
 gboolean quince_warmup_lease_use (QuinceWarmupLease *lease, gint64 now_us);
-/* Whether to ask now.  An ask that got no answer within @patience_us has ended. */
+/* Whether to request sends now: the lease is used up and no request is in progress.  A request without an
+ * answer for @patience_us counts as lost. */
 gboolean quince_warmup_lease_may_ask (const QuinceWarmupLease *lease, gint64 now_us, gint64 patience_us);
 void quince_warmup_lease_note_request (QuinceWarmupLease *lease, gint64 now_us, guint64 ask);
-/* The answer to @ask came; it is valid for @valid_us of the moment at which it was asked for.  Answers to
- * earlier asks are left out. */
+/* The answer to request @ask: @sends, for @valid_us from the moment of the request; the next request no
+ * sooner than @again_us from now.  Answers to earlier requests are ignored. */
 void quince_warmup_lease_answered (QuinceWarmupLease *lease,
                                    gint64 now_us,
                                    guint64 ask,
--- a/lib/core/trace/log-line.c
+++ b/lib/core/trace/log-line.c
@@ -1,5 +1,5 @@
 /*
- * log-line.c: one line of key=value pairs; a value with spaces stands in quotes.
+ * log-line.c: parses one line of key=value pairs; a value with spaces is quoted.
  */
 #include "log-line.h"
 
@@ -39,7 +39,7 @@
   return NULL;
 }
 
-/* Reads a quoted value from behind its first quote; NULL when the last one is missing. (transfer full) */
+/* (transfer full) (nullable): the value that begins after an opening quote; %NULL without a closing one. */
 static char *
 read_quoted (const char **at)
 {
--- a/lib/core/trace/log-line.h
+++ b/lib/core/trace/log-line.h
@@ -1,5 +1,7 @@
 /*
- * log-line.h: one line of key=value pairs.
+ * log-line.h: a parsed log line of key=value pairs.
+ *
+ * Plain data, owned by the one who parsed it.  Pure.
  */
 #pragma once
 
@@ -16,15 +18,15 @@
 typedef struct
 {
   gint64 time_us; /* of the writer's clock, Unix time */
-  guint number;   /* lines read before it: keeps the order of one process within a millisecond */
-  GArray *pairs;  /* QuinceLogPair, owned; as they stand */
+  guint number;   /* lines added before it: keeps the order of one process within a millisecond */
+  GArray *pairs;  /* QuinceLogPair, owned; in the line's order */
 } QuinceLogLine;
 
-/* (transfer full) (nullable) */
+/* (transfer full) (nullable): %NULL with a QUINCE_LOG_TRACE_ERROR */
 QuinceLogLine *quince_log_line_parse (const char *text, GError **error);
 void quince_log_line_free (gpointer line);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (QuinceLogLine, quince_log_line_free)
-/* (nullable) */
+/* (nullable) (transfer none): the first value of @key; %NULL: none */
 const char *quince_log_line_get (const QuinceLogLine *line, const char *key);
 
 G_END_DECLS
--- a/lib/core/trace/log-trace.c
+++ b/lib/core/trace/log-trace.c
@@ -1,18 +1,19 @@
 /*
- * log-trace.c: the trace of one request, sample or batch, out of the lines of several processes.
+ * log-trace.c: selects, orders and formats the log lines about one request, sample or batch.
  */
 #include "log-line.h"
 
 #include <string.h>
 
-#define COLUMN_PROCESS 12 /* characters */
+/* Width of the column of process names, characters: holds most names; longer ones push their line right. */
+#define COLUMN_PROCESS 12
 
 struct _QuinceLogTrace
 {
   GPtrArray *lines; /* QuinceLogLine, owned */
 };
 
-/* Whom the lines that name the id are about. */
+/* Workers and processes in the lines that name the id. */
 typedef struct
 {
   GHashTable *workers;   /* borrowed names */
@@ -24,7 +25,7 @@
 /* Keys by which a line names what it is about. */
 static const char *const subject_keys[] = { "request", "sample", "batch" };
 
-/* Beliefs about a worker count where the worker is concerned, the others where the process is. */
+/* Context: events about a worker count if the worker is concerned, others if the process is. */
 static const char *const worker_context_events[] = { "worker_changed", "worker_gone", "weights_order_ended" };
 static const char *const process_context_events[]
     = { "configuration", "dependency_lost", "dependency_regained", "entry_refused",
@@ -92,9 +93,8 @@
   concerned->last_us = MAX (concerned->last_us, line->time_us);
 }
 
-/* What the belief is about; two lines of one topic replace each other. NULL: none that is concerned.
- * (transfer full)
- */
+/* (transfer full) (nullable): what a line of context is about; a later line replaces an earlier one of the
+ * same topic.  %NULL: it is no context of this trace. */
 static char *
 context_topic (const Concerned *concerned, const QuinceLogLine *line)
 {
@@ -122,9 +122,9 @@
   return first->number < second->number ? -1 : 1;
 }
 
-/* Of the beliefs held when the trace begins only the newest of each topic; all that change in it. */
+/* Adds the newest line of each topic before the trace begins, and all lines of context within it. */
 static void
-add_context (const QuinceLogTrace *trace, const Concerned *concerned, GPtrArray *told)
+add_context (const QuinceLogTrace *trace, const Concerned *concerned, GPtrArray *selected)
 {
   g_autoptr (GHashTable) before = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   for (guint i = 0; i < trace->lines->len; i++)
@@ -135,7 +135,7 @@
         continue;
       const QuinceLogLine *known = g_hash_table_lookup (before, topic);
       if (line->time_us >= concerned->first_us)
-        g_ptr_array_add (told, line);
+        g_ptr_array_add (selected, line);
       else if (known == NULL || known->time_us <= line->time_us)
         g_hash_table_replace (before, g_steal_pointer (&topic), line);
     }
@@ -143,13 +143,13 @@
   gpointer line;
   g_hash_table_iter_init (&iter, before);
   while (g_hash_table_iter_next (&iter, NULL, &line))
-    g_ptr_array_add (told, line);
+    g_ptr_array_add (selected, line);
 }
 
-/* ---- Telling ------------------------------------------------------------ */
+/* ---- Text --------------------------------------------------------------- */
 
 static void
-tell_line (GString *text, const QuinceLogLine *line, gint64 first_us, gboolean is_context)
+format_line (GString *text, const QuinceLogLine *line, gint64 first_us, gboolean is_context)
 {
   g_string_append_printf (text, "%+9.3f s  %-*s %s%s", (double)(line->time_us - first_us) / G_USEC_PER_SEC,
                           COLUMN_PROCESS, quince_log_line_get (line, "name"), is_context ? "(belief) " : "",
@@ -169,7 +169,7 @@
 {
   g_autoptr (GHashTable) workers = g_hash_table_new (g_str_hash, g_str_equal);
   g_autoptr (GHashTable) processes = g_hash_table_new (g_str_hash, g_str_equal);
-  g_autoptr (GPtrArray) told = g_ptr_array_new ();
+  g_autoptr (GPtrArray) selected = g_ptr_array_new ();
   Concerned concerned = { .workers = workers, .processes = processes };
   for (guint i = 0; i < trace->lines->len; i++)
     {
@@ -177,14 +177,14 @@
       if (!names (line, id))
         continue;
       note_concerned (&concerned, line);
-      g_ptr_array_add (told, line);
+      g_ptr_array_add (selected, line);
     }
-  if (told->len == 0)
+  if (selected->len == 0)
     return NULL;
-  add_context (trace, &concerned, told);
-  g_ptr_array_sort (told, compare_lines);
+  add_context (trace, &concerned, selected);
+  g_ptr_array_sort (selected, compare_lines);
   g_autoptr (GString) text = g_string_new (NULL);
-  for (guint i = 0; i < told->len; i++)
-    tell_line (text, told->pdata[i], concerned.first_us, !names (told->pdata[i], id));
+  for (guint i = 0; i < selected->len; i++)
+    format_line (text, selected->pdata[i], concerned.first_us, !names (selected->pdata[i], id));
   return g_string_free (g_steal_pointer (&text), FALSE);
 }
--- a/lib/core/trace/log-trace.h
+++ b/lib/core/trace/log-trace.h
@@ -1,7 +1,7 @@
 /*
- * log-trace.h: reads the lines that processes log, and tells the trace of one request, sample or batch.
+ * log-trace.h: the log lines of all processes about one request, sample or batch, in order.
  *
- * Pure: lines come as text, in any order and from any number of processes.
+ * Owns the lines that were added.  Pure: lines are text, in any order and from any number of processes.
  */
 #pragma once
 
@@ -14,8 +14,8 @@
 
 typedef enum
 {
-  QUINCE_LOG_TRACE_ERROR_MALFORMED, /* no key=value line with time, level, program, name, event */
-  QUINCE_LOG_TRACE_ERROR_UNKNOWN,   /* an event outside the vocabulary                          */
+  QUINCE_LOG_TRACE_ERROR_MALFORMED, /* no key=value line that begins with time, level, program, name, event */
+  QUINCE_LOG_TRACE_ERROR_UNKNOWN,   /* an event that the daemons do not log */
 } QuinceLogTraceError;
 
 /* Whether @line is well formed and its event is one that the daemons log; docs/OPERATIONS.md lists them. */
@@ -27,17 +27,17 @@
 void quince_log_trace_free (QuinceLogTrace *trace);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (QuinceLogTrace, quince_log_trace_free)
 
-/* Takes one line; what stands before its time= is left out, and what is no log line is ignored. */
+/* Adds one line.  Text before its time= is dropped, and a text that is no log line is ignored. */
 void quince_log_trace_add (QuinceLogTrace *trace, const char *line);
 
 /**
  * quince_log_trace_format:
  * @id: of a request, a sample or a batch
  *
- * In the order of their times: the lines that name @id, and among them what the processes concerned believed
- * of the workers concerned, of the ledger, the store, the configuration and the policy.
+ * In the order of their times: the lines that name @id, and, as context, the state of the processes in them:
+ * workers in those lines, ledger, metadata store, configuration and policy.
  *
- * Returns: (transfer full) (nullable): one line of text each, %NULL when no line names @id
+ * Returns: (transfer full) (nullable): one line of text for each; %NULL when no line names @id
  */
 char *quince_log_trace_format (const QuinceLogTrace *trace, const char *id);
 
--- a/lib/core/trace/log-vocabulary.c
+++ b/lib/core/trace/log-vocabulary.c
@@ -1,6 +1,7 @@
 /*
- * log-vocabulary.c: the events that the daemons on the platform log; the table of docs/OPERATIONS.md says
- * what each tells.  scripts/check-names.sh keeps this list, that table and the code alike.
+ * log-vocabulary.c: the events that the daemons log; docs/OPERATIONS.md explains each.
+ *
+ * scripts/check-names.sh fails if this list, that table and the code differ.
  */
 #include "log-line.h"
 
