--- a/lib/core/routing/machine-zones.c
+++ b/lib/core/routing/machine-zones.c
@@ -3,7 +3,7 @@
  */
 #include "core/routing/machine-zones.h"
 
-#include <string.h>
+#include "core/routing/sorted-names.h"
 
 struct _QuinceMachineZones
 {
@@ -62,14 +62,6 @@
   return quince_residency_allows (residency, get_region (table, node));
 }
 
-static gint
-compare_names (gconstpointer a, gconstpointer b)
-{
-  const char *const *first = a;
-  const char *const *second = b;
-  return strcmp (*first, *second);
-}
-
 static gboolean
 allows_all (const QuinceMachineZones *table,
             const QuinceResidency *residencies,
@@ -94,6 +86,6 @@
   while (g_hash_table_iter_next (&iter, &node, NULL))
     if (allows_all (table, residencies, n_residencies, node))
       g_ptr_array_add (nodes, node);
-  g_ptr_array_sort (nodes, compare_names);
+  quince_names_sort (nodes);
   return nodes;
 }
--- a/lib/core/routing/warmup-limit.c
+++ b/lib/core/routing/warmup-limit.c
@@ -1,10 +1,10 @@
 /*
  * warmup-limit.c: limits the requests that reach a cold worker in any second.
  *
- * A send that was allowed at G and leaves by U may arrive at any moment from G to U and a margin.  Two sends
- * can arrive within the same second only where the earlier one may arrive less than a second before the later
- * one is allowed; so a new one is allowed while fewer than the bound are like that.  This holds for every
- * second, wherever it begins: of the sends that arrive in it, the one allowed last counted all the others.
+ * A send granted at time G until time U may arrive at any moment from G to U plus a margin.  Two sends can
+ * arrive within one second only if the earlier one may arrive less than a second before the later one is
+ * granted.  A new send is granted while fewer earlier ones than the limit may do so.  This holds for every
+ * window of a second: of the sends that arrive in it, the one granted last counted all others.
  */
 #include "core/routing/warmup-limit.h"
 
--- a/lib/core/routing/zone-table.c
+++ b/lib/core/routing/zone-table.c
@@ -3,7 +3,7 @@
  */
 #include "core/routing/zone-table.h"
 
-#include <string.h>
+#include "core/routing/sorted-names.h"
 
 /* Time in which a returned zone's share of new work grows to 1, us: about as long as its workers take for
  * their first prompts and to load weights. */
@@ -118,14 +118,6 @@
   return table->n_evacuated;
 }
 
-static gint
-compare_names (gconstpointer a, gconstpointer b)
-{
-  const char *const *first = a;
-  const char *const *second = b;
-  return strcmp (*first, *second);
-}
-
 GPtrArray *
 quince_zone_table_list_evacuated (const QuinceZoneTable *table)
 {
@@ -137,6 +129,6 @@
   while (g_hash_table_iter_next (&iter, &name, &state))
     if (((const ZoneState *)state)->evacuated)
       g_ptr_array_add (names, name);
-  g_ptr_array_sort (names, compare_names);
+  quince_names_sort (names);
   return names;
 }
--- a/lib/meta/meta-mirror.c
+++ b/lib/meta/meta-mirror.c
@@ -26,7 +26,7 @@
   gpointer user_data;
   QuinceMetaCall *call; /* in progress */
   GSource *timer;       /* until the next call */
-  QuinceMetaCopy *copy; /* all that the owner was told */
+  QuinceMetaCopy *copy; /* all that was reported to the owner */
   GPtrArray *changes;   /* QuinceMetaItem, owned: new in the list in progress or in this answer */
   GHashTable *listed;   /* keys of the list in progress; NULL while watching */
   char *list_after;     /* last key of the page before */
--- a/lib/meta/meta-store.c
+++ b/lib/meta/meta-store.c
@@ -14,7 +14,8 @@
 /* A call fails without an answer in this time, us, plus the time that a watch waits: over two hundred times
  * the store's usual 4 ms. */
 #define CALL_TIMEOUT_US (1000 * 1000)
-/* Time to the first probe after a failed call, ms: most failures are one lost connection. */
+/* Time to the first probe after a failed call, ms: short, since a failure may be one lost connection.  Not
+ * measured. */
 #define PROBE_FIRST_MS 30
 /* Time to the second probe, ms; doubled from then on.  Not measured. */
 #define PROBE_EVERY_MS 400
--- a/lib/policy/policy.h
+++ b/lib/policy/policy.h
@@ -139,7 +139,7 @@
                               guint n_engines,
                               double *scores,
                               GError **error);
-/* No process asks this today: quince_policy_check() alone calls it, so that an accepted program keeps to its
+/* No process uses this today: quince_policy_check() alone calls it, so that an accepted program keeps to its
  * documented form. */
 gboolean quince_policy_on_weights (QuincePolicy *policy,
                                    const QuincePolicySample *sample,
--- a/lib/policy/results.h
+++ b/lib/policy/results.h
@@ -17,7 +17,7 @@
 #define QUINCE_POLICY_SHARE_MIN 0.01
 /* Greatest weight of a tenant's share: a hundred times the default.  Not measured. */
 #define QUINCE_POLICY_SHARE_MAX 100.0
-/* Longest wait that a program may ask of a refused caller, ms: one hour, longer than any deadline. */
+/* Longest wait that a program may ask of a refused caller, ms: one hour.  Not measured. */
 #define QUINCE_POLICY_RETRY_MAX_MS 3600000
 
 /* @out: (inout): the built-in admission; the fields that the program returned replace those in it */
