--- a/tests/platform/test-meta.c
+++ b/tests/platform/test-meta.c
@@ -16,48 +16,48 @@
 /* After an outage a change is in force 2 s after the store took it; and what a busy machine may take. */
 #define KNOWN_AGAIN_US (3 * G_USEC_PER_SEC)
 
-/* ---- What a mirror has told ------------------------------------------- */
+/* ---- What a mirror has reported --------------------------------------- */
 
 typedef struct
 {
   GHashTable *values; /* key to text */
   guint synced;
-  guint told;
-} Told;
+  guint items; /* reported */
+} Reports;
 
 static void
-told_item (const QuinceMetaItem *item, gpointer data)
+report_item (const QuinceMetaItem *item, gpointer data)
 {
-  Told *told = data;
-  told->told++;
+  Reports *reports = data;
+  reports->items++;
   if (item->value == NULL)
-    g_hash_table_remove (told->values, item->key);
+    g_hash_table_remove (reports->values, item->key);
   else
-    g_hash_table_replace (told->values, g_strdup (item->key),
+    g_hash_table_replace (reports->values, g_strdup (item->key),
                           g_strndup (g_bytes_get_data (item->value, NULL), g_bytes_get_size (item->value)));
 }
 
 static void
-told_synced (gpointer data)
+report_synced (gpointer data)
 {
-  ((Told *)data)->synced++;
+  ((Reports *)data)->synced++;
 }
 
-static const QuinceMetaMirrorCallbacks mirror_callbacks = { .item = told_item, .synced = told_synced };
+static const QuinceMetaMirrorCallbacks mirror_callbacks = { .item = report_item, .synced = report_synced };
 
 typedef struct
 {
   StandinStore *standin;
   QuinceMetaStore *store;
   QuinceMetaMirror *mirror;
-  Told told;
+  Reports reports;
 } World;
 
 static void
 begin (World *world, guint pace_ms)
 {
   *world = (World){ 0 };
-  world->told.values = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
+  world->reports.values = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   world->standin = standin_store_new ();
   for (guint i = 0; i < 5; i++)
     {
@@ -69,9 +69,9 @@
       = quince_meta_store_new (standin_store_get_address (world->standin), &quince_platform_meta_dialect);
   const QuinceMetaMirrorTimes times
       = { .pace_ms = pace_ms, .read_every_ms = READ_EVERY_MS, .patience_ms = PATIENCE_MS };
-  world->mirror = quince_meta_mirror_new (world->store, "a/", &mirror_callbacks, &world->told);
+  world->mirror = quince_meta_mirror_new (world->store, "a/", &mirror_callbacks, &world->reports);
   quince_meta_mirror_set_times (world->mirror, &times);
-  AWAIT (world->told.synced > 0);
+  AWAIT (world->reports.synced > 0);
 }
 
 static void
@@ -80,13 +80,13 @@
   quince_meta_mirror_free (world->mirror);
   quince_meta_store_free (world->store);
   standin_store_free (world->standin);
-  g_hash_table_unref (world->told.values);
+  g_hash_table_unref (world->reports.values);
 }
 
 static const char *
 value (World *world, const char *key)
 {
-  const char *text = g_hash_table_lookup (world->told.values, key);
+  const char *text = g_hash_table_lookup (world->reports.values, key);
   return text != NULL ? text : "";
 }
 
@@ -97,19 +97,19 @@
 {
   World world;
   begin (&world, 0);
-  assert_int_equal (g_hash_table_size (world.told.values), 5);
+  assert_int_equal (g_hash_table_size (world.reports.values), 5);
   standin_store_put (world.standin, "a/1", "second");
   AWAIT (strcmp (value (&world, "a/1"), "second") == 0);
   standin_store_remove (world.standin, "a/2");
-  AWAIT (g_hash_table_size (world.told.values) == 4);
+  AWAIT (g_hash_table_size (world.reports.values) == 4);
   standin_store_put (world.standin, "b/1", "not ours");
   run_for (50);
-  assert_int_equal (g_hash_table_size (world.told.values), 4);
+  assert_int_equal (g_hash_table_size (world.reports.values), 4);
   end (&world);
 }
 
-/* Whatever the store does, what it holds afterwards is told. Failed first: the answer after an outage ended
- * the process, and a silent store was noticed only when a watch of 20 s was over. */
+/* Whatever the store does, what it holds afterwards is reported. Failed first: the answer after an outage
+ * ended the process, and a silent store was noticed only when a watch of 20 s was over. */
 static void
 outage (StandinStoreFault fault, guint for_ms)
 {
@@ -124,7 +124,7 @@
   standin_store_set_fault (world.standin, STANDIN_STORE_SOUND);
   gint64 back = g_get_monotonic_time ();
   AWAIT (strcmp (value (&world, "a/1"), "meanwhile") == 0);
-  AWAIT (g_hash_table_size (world.told.values) == 4);
+  AWAIT (g_hash_table_size (world.reports.values) == 4);
   if (g_get_monotonic_time () - back > KNOWN_AGAIN_US)
     fail_msg ("the mirror waits for its own watch");
   end (&world);
@@ -156,14 +156,14 @@
   return calls;
 }
 
-/* Failed first: each process looked for the store as often as those that tell all others. */
+/* Failed first: each process probed the store as often as the one that feeds the others. */
 static void
 test_outage_costs_little_where_others_tell (void **state)
 {
   guint by_itself = calls_in_outage (FALSE);
-  guint told = calls_in_outage (TRUE);
+  guint relaxed = calls_in_outage (TRUE);
   assert_true (by_itself >= 7);
-  assert_true (told <= 5);
+  assert_true (relaxed <= 5);
 }
 
 static void
@@ -193,7 +193,7 @@
   standin_store_remove (world.standin, "a/2");
   standin_store_compact (world.standin);
   AWAIT (strcmp (value (&world, "a/1"), "meanwhile") == 0);
-  AWAIT (g_hash_table_size (world.told.values) == 4);
+  AWAIT (g_hash_table_size (world.reports.values) == 4);
   end (&world);
 }
 
@@ -238,8 +238,8 @@
 {
   World world;
   begin (&world, 0);
-  g_autoptr (QuinceMetaPage) news = page_of (100, "a/1", "fed", 100);
-  quince_meta_mirror_feed (world.mirror, news, FALSE);
+  g_autoptr (QuinceMetaPage) update = page_of (100, "a/1", "fed", 100);
+  quince_meta_mirror_feed (world.mirror, update, FALSE);
   assert_string_equal (value (&world, "a/1"), "fed");
   g_autoptr (QuinceMetaPage) older = page_of (50, "a/1", "older", 50);
   quince_meta_mirror_feed (world.mirror, older, TRUE);
@@ -263,8 +263,8 @@
 {
   World world;
   begin (&world, 0);
-  g_autoptr (QuinceMetaPage) news = page_of (100, "a/1", "fed", 100);
-  quince_meta_mirror_feed (world.mirror, news, FALSE);
+  g_autoptr (QuinceMetaPage) update = page_of (100, "a/1", "fed", 100);
+  quince_meta_mirror_feed (world.mirror, update, FALSE);
   guint before = standin_store_get_calls (world.standin);
   g_autoptr (QuinceMetaPage) late = page_of (120, "a/2", "late", 120);
   late->after = 110;
@@ -284,7 +284,7 @@
   begin (&world, 0);
   g_autoptr (QuinceMetaPage) all = page_of (100, "a/1", "fed", 100);
   quince_meta_mirror_feed (world.mirror, all, TRUE);
-  assert_int_equal (g_hash_table_size (world.told.values), 1);
+  assert_int_equal (g_hash_table_size (world.reports.values), 1);
   end (&world);
 }
 
@@ -310,18 +310,18 @@
   assert_false (whole);
   standin_store_put (world.standin, "a/1", "second");
   standin_store_remove (world.standin, "a/2");
-  AWAIT (g_hash_table_size (world.told.values) == 4);
+  AWAIT (g_hash_table_size (world.reports.values) == 4);
   assert_int_equal (items_since (&world, start, &whole), 2);
   assert_false (whole);
-  /* A key that went and came back is told as it is. */
+  /* A key that went and came back is reported as it is. */
   standin_store_put (world.standin, "a/2", "again");
-  AWAIT (g_hash_table_size (world.told.values) == 5);
+  AWAIT (g_hash_table_size (world.reports.values) == 5);
   assert_int_equal (items_since (&world, start, &whole), 2);
   assert_false (whole);
-  /* After a new list nobody knows what went away between. */
+  /* After a new list it is unknown which keys were removed in between. */
   standin_store_compact (world.standin);
   standin_store_remove (world.standin, "a/3");
-  AWAIT (g_hash_table_size (world.told.values) == 4);
+  AWAIT (g_hash_table_size (world.reports.values) == 4);
   assert_int_equal (items_since (&world, start, &whole), 4);
   assert_true (whole);
   end (&world);
@@ -331,14 +331,16 @@
 static guint read_items;
 
 static void
-told_read (const QuinceMetaPage *page, gpointer data)
+report_read (const QuinceMetaPage *page, gpointer data)
 {
   read_pages++;
   read_items += page->items->len;
 }
 
-static const QuinceMetaMirrorCallbacks worker_callbacks
-    = { .item = told_item, .synced = told_synced, .read = told_read, .same = quince_platform_same_worker };
+static const QuinceMetaMirrorCallbacks worker_callbacks = { .item = report_item,
+                                                            .synced = report_synced,
+                                                            .read = report_read,
+                                                            .same = quince_platform_same_worker };
 
 /* Heartbeats of workers are read, and neither told nor passed on; that a worker is cold, or is no longer, is
  * news. */
@@ -359,25 +361,25 @@
           "{\"state\":\"ready\",\"seq\":341,\"zone\":\"z1\"}" };
   World world;
   begin (&world, 0);
-  Told told = { .values = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free) };
+  Reports reports = { .values = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free) };
   read_pages = 0;
   read_items = 0;
   const QuinceMetaMirrorTimes times = { .read_every_ms = READ_EVERY_MS, .patience_ms = PATIENCE_MS };
-  QuinceMetaMirror *mirror = quince_meta_mirror_new (world.store, "w/", &worker_callbacks, &told);
+  QuinceMetaMirror *mirror = quince_meta_mirror_new (world.store, "w/", &worker_callbacks, &reports);
   quince_meta_mirror_set_times (mirror, &times);
-  AWAIT (told.synced > 0);
+  AWAIT (reports.synced > 0);
   for (guint i = 0; i < G_N_ELEMENTS (entries); i++)
     {
       guint before = read_pages;
       standin_store_put (world.standin, "w/1", entries[i]);
       AWAIT (read_pages > before);
     }
-  assert_int_equal (told.told, 6);
+  assert_int_equal (reports.items, 6);
   assert_int_equal (read_items, 6);
-  assert_string_equal (g_hash_table_lookup (told.values, "w/1"), entries[G_N_ELEMENTS (entries) - 1]);
+  assert_string_equal (g_hash_table_lookup (reports.values, "w/1"), entries[G_N_ELEMENTS (entries) - 1]);
   assert_true (quince_meta_mirror_get_revision (mirror) >= standin_store_get_revision (world.standin, "w/1"));
   quince_meta_mirror_free (mirror);
-  g_hash_table_unref (told.values);
+  g_hash_table_unref (reports.values);
   end (&world);
 }
 
@@ -480,7 +482,7 @@
   double watches_before = calls (watches);
   double silent_before = calls (silent);
   begin (&world, 100);
-  AWAIT (world.told.synced == 1 && calls (watches) > watches_before);
+  AWAIT (world.reports.synced == 1 && calls (watches) > watches_before);
   assert_true (calls (first) > lists_before);
   assert_true (calls (silent) == silent_before);
   g_autoptr (QuinceMetaPage) page = g_new0 (QuinceMetaPage, 1);
--- a/tests/unit/test-failure-detector.c
+++ b/tests/unit/test-failure-detector.c
@@ -1,5 +1,5 @@
 /*
- * test-failure-detector.c: who is silent, and when nothing can be said of it.
+ * test-failure-detector.c: which fronts are silent, and when no judgement is possible.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -92,12 +92,12 @@
   /* Heard, and never listed: not in the directory anyway. */
   quince_failure_detector_heartbeat (table, 0, "stranger");
   quince_failure_detector_heartbeat (table, 2 * SILENCE, "f1");
-  /* Its key may have lapsed, but nobody hears it either: it stays silent. */
+  /* Its key may have lapsed, but it sends no heartbeats either: it stays silent. */
   quince_failure_detector_set_listed (table, 2 * SILENCE, "f2", FALSE);
   assert_true (quince_failure_detector_get_silent (table, 2 * SILENCE, silent));
   assert_int_equal (silent->len, 1);
   assert_string_equal (silent->pdata[0], "f2");
-  /* A process that is listed anew has its time to be heard. */
+  /* A front that is listed again has time for its first heartbeat. */
   g_ptr_array_set_size (silent, 0);
   quince_failure_detector_set_listed (table, 2 * SILENCE, "f2", TRUE);
   assert_true (quince_failure_detector_get_silent (table, 2 * SILENCE, silent));
--- a/tests/unit/test-log-trace.c
+++ b/tests/unit/test-log-trace.c
@@ -69,7 +69,7 @@
   g_autofree char *text = quince_log_trace_format (trace, "r1");
   for (guint i = 0; i < G_N_ELEMENTS (absent); i++)
     if (strstr (text, absent[i]) != NULL)
-      fail_msg ("%s is told in\n%s", absent[i], text);
+      fail_msg ("%s appears in\n%s", absent[i], text);
   assert_null (quince_log_trace_format (trace, "nobody"));
 }
 
--- a/tests/unit/test-prompt-table.c
+++ b/tests/unit/test-prompt-table.c
@@ -1,5 +1,5 @@
 /*
- * test-prompt-table.c: who likely keeps a prompt, and that the table stays bounded.
+ * test-prompt-table.c: the worker that likely has a prompt in its cache, and that the table stays bounded.
  */
 #include <setjmp.h>
 #include <stdarg.h>
--- a/tests/unit/test-warmup.c
+++ b/tests/unit/test-warmup.c
@@ -153,8 +153,8 @@
 {
   QuinceWarmupLease lease;
   gint64 frozen_until_us;
-  gint64 asks_at_us; /* the ask reaches the giver then; 0: none is on its way */
-  gint64 told_at_us; /* its answer comes then; 0: none is on its way */
+  gint64 asks_at_us;    /* the ask reaches the giver then; 0: none is on its way */
+  gint64 answer_due_us; /* when the answer arrives; 0: no request in progress */
   guint64 ask;
   guint given;
 } Front;
@@ -179,10 +179,10 @@
 static void
 front_step (Senders *senders, Front *front, gint64 now)
 {
-  if (front->told_at_us != 0 && now >= front->told_at_us)
+  if (front->answer_due_us != 0 && now >= front->answer_due_us)
     {
       quince_warmup_lease_answered (&front->lease, now, front->ask, front->given, VALID_US, 20 * MS);
-      front->told_at_us = 0;
+      front->answer_due_us = 0;
     }
   gboolean loaded = g_rand_int_range (senders->rand, 0, 4) == 0;
   if (loaded && quince_warmup_lease_use (&front->lease, now))
@@ -191,7 +191,7 @@
     return;
   front->ask = ++senders->asks;
   quince_warmup_lease_note_request (&front->lease, now, front->ask);
-  front->told_at_us = 0;
+  front->answer_due_us = 0;
   front->asks_at_us = now + delay (senders);
 }
 
@@ -212,7 +212,7 @@
       guint wanted = (guint)g_rand_int_range (senders->rand, 1, 4);
       front->given = quince_warmup_book_give (senders->book, now, "w", TRUE, SENDS_MAX, wanted,
                                               now + VALID_US + WITHIN_US);
-      front->told_at_us = now + delay (senders);
+      front->answer_due_us = now + delay (senders);
     }
 }
 
--- a/tests/unit/test-worker-table.c
+++ b/tests/unit/test-worker-table.c
@@ -1,6 +1,6 @@
 /*
- * test-worker-table.c: the table of workers finds those of a model and version without looking at all of
- * them.
+ * test-worker-table.c: the table of workers finds those of a model and version without a search through all
+ * of them.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -14,12 +14,12 @@
 static QuinceWorker *
 tell (QuinceWorkerTable *table, const char *id, const char *service, const char *model, guint64 version)
 {
-  QuinceWorker *told = quince_worker_new (id);
-  told->service = g_strdup (service);
-  told->address = g_strdup ("127.0.0.1:1");
-  told->zone = g_strdup ("z1");
-  quince_worker_set_model (told, model, version);
-  quince_worker_table_update (table, told);
+  QuinceWorker *entry = quince_worker_new (id);
+  entry->service = g_strdup (service);
+  entry->address = g_strdup ("127.0.0.1:1");
+  entry->zone = g_strdup ("z1");
+  quince_worker_set_model (entry, model, version);
+  quince_worker_table_update (table, entry);
   return quince_worker_table_find (table, id);
 }
 
@@ -57,7 +57,7 @@
   assert_listed (table, "n", 1, "b");
 }
 
-/* An entry that is older than what the worker told itself takes nothing back. */
+/* An entry that is older than the worker's own report does not lower its version. */
 static void
 test_late_entry (void **state)
 {
--- a/tests/unit/test-zone-state.c
+++ b/tests/unit/test-zone-state.c
@@ -63,7 +63,7 @@
   assert_true (share_at_return < 1);
   assert_true (quince_zone_table_get_share (table, 2, "a1") == share_at_return);
   assert_true (quince_zone_table_get_share (table, 4, "a1") > share_at_return);
-  /* what was said before it was taken back, told late */
+  /* A change from before the return that arrives late. */
   assert_false (quince_zone_table_take (table, 4, "a1", 10, TRUE));
   assert_false (quince_zone_table_is_evacuated (table, "a1"));
   assert_true (quince_zone_table_take (table, 5, "a1", 13, TRUE));
@@ -133,22 +133,22 @@
   g_autoptr (QuinceTopology) topology = quince_topology_new ("a1", "a");
   assert_true (quince_topology_add_zones (topology, "a1=a,a2=a,b1=b", NULL));
   assert_int_equal (quince_topology_count_regions (topology), 2);
-  g_autoptr (QuinceMachineZones) places = quince_machine_zones_new (topology);
-  quince_machine_zones_set (places, "n3", "b1");
-  quince_machine_zones_set (places, "n2", "a2");
-  quince_machine_zones_set (places, "n1", "a1");
-  quince_machine_zones_set (places, "n4", "nowhere");
-  assert_true (quince_machine_zones_allow (places, &bound[0], "n3"));
-  assert_false (quince_machine_zones_allow (places, &bound[1], "n3"));
-  assert_false (quince_machine_zones_allow (places, &bound[0], "n4"));
-  assert_false (quince_machine_zones_allow (places, &bound[0], "n5"));
-  assert_true (quince_machine_zones_allow (places, NULL, "n5"));
-  g_autoptr (GPtrArray) chosen = quince_machine_zones_choose (places, bound, 2);
+  g_autoptr (QuinceMachineZones) zones = quince_machine_zones_new (topology);
+  quince_machine_zones_set (zones, "n3", "b1");
+  quince_machine_zones_set (zones, "n2", "a2");
+  quince_machine_zones_set (zones, "n1", "a1");
+  quince_machine_zones_set (zones, "n4", "nowhere");
+  assert_true (quince_machine_zones_allow (zones, &bound[0], "n3"));
+  assert_false (quince_machine_zones_allow (zones, &bound[1], "n3"));
+  assert_false (quince_machine_zones_allow (zones, &bound[0], "n4"));
+  assert_false (quince_machine_zones_allow (zones, &bound[0], "n5"));
+  assert_true (quince_machine_zones_allow (zones, NULL, "n5"));
+  g_autoptr (GPtrArray) chosen = quince_machine_zones_choose (zones, bound, 2);
   assert_int_equal (chosen->len, 2);
   assert_string_equal (chosen->pdata[0], "n1");
   assert_string_equal (chosen->pdata[1], "n2");
-  quince_machine_zones_set (places, "n1", NULL);
-  assert_false (quince_machine_zones_allow (places, &bound[0], "n1"));
+  quince_machine_zones_set (zones, "n1", NULL);
+  assert_false (quince_machine_zones_allow (zones, &bound[0], "n1"));
 }
 
 /* Where there is one region alone, every machine is in it. */
@@ -158,8 +158,8 @@
   static const char *const east[] = { "a", NULL };
   const QuinceResidency bound = { east, NULL };
   g_autoptr (QuinceTopology) topology = quince_topology_new ("a1", "a");
-  g_autoptr (QuinceMachineZones) places = quince_machine_zones_new (topology);
-  assert_true (quince_machine_zones_allow (places, &bound, "any"));
+  g_autoptr (QuinceMachineZones) zones = quince_machine_zones_new (topology);
+  assert_true (quince_machine_zones_allow (zones, &bound, "any"));
 }
 
 int
