--- a/scripts/check-includes.sh
+++ b/scripts/check-includes.sh
@@ -17,7 +17,7 @@
 awk '
 BEGIN {
   split("protocol core/trace core/group core/usage core/routing core/request core/batches core/weights " \
-        "core/scaling runtime", in_order, " ")
+        "core/scaling core/decisions runtime", in_order, " ")
   for (i in in_order)
     rank[in_order[i]] = i + 0
   rank["http1"] = rank["batchlog"] = rank["policy"] = rank["clients"] = 20
