--- a/lib/http1/http1.h
+++ b/lib/http1/http1.h
@@ -15,6 +15,7 @@
 
 G_BEGIN_DECLS
 
+/* Error domain of connections, acceptors and pools. */
 #define QUINCE_HTTP1_ERROR (quince_http1_error_quark ())
 GQuark quince_http1_error_quark (void);
 
--- a/lib/runtime/link.h
+++ b/lib/runtime/link.h
@@ -15,6 +15,7 @@
 
 G_BEGIN_DECLS
 
+/* Error domain of links: the cause that closed() gets. */
 #define QUINCE_LINK_ERROR (quince_link_error_quark ())
 GQuark quince_link_error_quark (void);
 
