--- a/daemons/replica/sample-set.c
+++ b/daemons/replica/sample-set.c
@@ -1,5 +1,5 @@
 /*
- * sample-set.c: the samples of open batches, and what is looked up for them.
+ * sample-set.c: the samples of open batches, and look-ups for them.
  */
 #include "sample-set.h"
 
--- a/daemons/replica/sample.c
+++ b/daemons/replica/sample.c
@@ -1,7 +1,7 @@
 /*
  * sample.c: one run of a sample on a worker: its stream, event by event.
  *
- * Only whole events count.  An event out of its turn ends the run: the text goes on at another worker from
+ * Only whole events count.  An event out of order ends the run: the text is resumed at another worker from
  * the last whole event.
  */
 #include "sample.h"
--- a/daemons/replica/weight-load.c
+++ b/daemons/replica/weight-load.c
@@ -1,5 +1,5 @@
 /*
- * weight-load.c: a worker is asked for its report, ordered to load, and looked at until it has loaded.
+ * weight-load.c: asks a worker for its report, orders the load, and polls until it has loaded.
  *
  * Each worker is asked how many orders it has taken before it gets one, and the order names that number: an
  * order that is carried out late, after others, is then refused by the worker itself.
--- a/lib/core/request/quarantine.h
+++ b/lib/core/request/quarantine.h
@@ -45,7 +45,7 @@
  * QuinceQuarantineLimits:
  * @entries_most: requests that are remembered
  * @bytes_most: what they may take, in bytes
- * @suspect_keep_us: a request that is not held is forgotten so long after its last end
+ * @suspect_keep_us: time after its last end at which a request that is not held is forgotten, us
  * @hold_keep_us: a held one
  */
 typedef struct
--- a/lib/core/request/service-capacity.h
+++ b/lib/core/request/service-capacity.h
@@ -18,7 +18,7 @@
 /**
  * QuinceServiceCapacity:
  * @ready: workers that are listed and are not known to have ended
- * @most: the most that were listed of late
+ * @most: most workers listed at once in the last 30 s
  * @at_risk: ready workers that may be ended by requests sent a moment ago
  * @calm_us: since the last end at the service
  */
--- a/lib/core/weights/load-plan.c
+++ b/lib/core/weights/load-plan.c
@@ -73,7 +73,7 @@
     *longest = MAX (*longest, lasts_us);
 }
 
-/* Samples that are open can run there, and so can those of the step that is asked for next. */
+/* Open samples can run there, and so can samples of the next step. */
 static gboolean
 still_serves (const ModelWork *work, const QuinceLoadCase *load)
 {
--- a/lib/core/weights/load-window.h
+++ b/lib/core/weights/load-window.h
@@ -21,7 +21,7 @@
   gint64 shrunk_us; /* when it fell last: loads that began before tell nothing new */
 } QuinceLoadWindow;
 
-/* Returns: loads at once, at least one.  @most: bound by what the service can do without */
+/* Returns: loads at once, at least one.  @most: bound of the service; see load-next.h */
 guint quince_load_window_get (const QuinceLoadWindow *window, guint most);
 /* A worker has loaded what it was ordered at @began_us. */
 void quince_load_window_note (QuinceLoadWindow *window, gint64 now_us, gint64 began_us, guint most);
--- a/lib/forward/backends-private.h
+++ b/lib/forward/backends-private.h
@@ -26,9 +26,9 @@
   QuinceEventTable *events;  /* owned */
   QuincePromptTable *prompts;
   guint tie;  /* turns among equals */
-  guint turn; /* where long lists of workers are looked at next; see find_few() */
+  guint turn; /* where the next choice among many workers begins; see find_few() */
   QuinceZoneTable *zones;
-  GSource *withdrawal; /* looks for requests that do not arrive at evacuated zones; NULL: none was evacuated
+  GSource *withdrawal; /* checks for requests that do not arrive at evacuated zones; NULL: none was evacuated
                         * lately */
   gboolean holds_sends;
   GSource *hold_timer; /* NULL: sends are not held, or without a bound */
--- a/lib/forward/backends.h
+++ b/lib/forward/backends.h
@@ -97,7 +97,7 @@
 
 /**
  * quince_backends_take_zone:
- * @revision: of the store, at this word of the operator
+ * @revision: of the store, at this change by the operator
  *
  * From now on nothing is sent to the workers of @zone, or they are used again; see zone-table.h.  Requests on
  * their way there that have not arrived are given up, within a second; runs go on.
--- a/lib/forward/choose-worker.c
+++ b/lib/forward/choose-worker.c
@@ -46,7 +46,7 @@
          && quince_warmth_has_room (&choice->cold, worker);
 }
 
-/* The one that keeps the prompt, and those after the first of the last choice. */
+/* Collects the worker that keeps the prompt, and the workers after the first of the last choice. */
 static void
 find_few (Choice *choice, const GPtrArray *all, const char *keeps_prompt, gboolean trusted, GPtrArray *found)
 {
--- a/lib/forward/dispatch.c
+++ b/lib/forward/dispatch.c
@@ -1,5 +1,5 @@
 /*
- * dispatch.c: what plain requests and streams share.
+ * dispatch.c: what lookups and streams share.
  */
 #include "dispatch.h"
 
@@ -52,7 +52,7 @@
   g_free (dispatch->request_id);
 }
 
-/* Made when it is first asked for: most requests never need it. */
+/* Made when it is first needed: most requests never need it. */
 static const QuinceRequestIdentity *
 get_identity (QuinceDispatch *dispatch)
 {
@@ -91,7 +91,7 @@
   return quince_backends_choose (dispatch->backends, now_us, &query, worker);
 }
 
-/* One word. */
+/* The cause as logs and refusals name it. */
 static const char *
 cause_of (QuinceBackendOutcome outcome)
 {
--- a/lib/forward/evacuation.c
+++ b/lib/forward/evacuation.c
@@ -14,7 +14,7 @@
 /* Time after its zone was evacuated from which a request that the worker's machine has not acknowledged is
  * stuck on a cut or slow link, ms.  Not measured: a round trip takes some ms. */
 #define ARRIVAL_MS 500
-/* Time for which such requests are looked for, us: three checks. */
+/* Time after an evacuation in which such requests are checked for, us: three checks. */
 #define CHECK_INTERVAL_US (3 * ARRIVAL_MS * 1000)
 /* ---- Requests that have not arrived ------------------------------------- */
 
@@ -128,7 +128,7 @@
   g_ptr_array_extend_and_steal (found, g_steal_pointer (&kept));
 }
 
-/* ---- While the operator's word is not known ------------------------------- */
+/* ---- While the evacuated zones are not known ------------------------------- */
 
 static gboolean
 hold_over (gpointer data)
--- a/lib/forward/forward.c
+++ b/lib/forward/forward.c
@@ -1,9 +1,9 @@
 /*
- * forward.c: attempts of one request at workers.
+ * forward.c: attempts of one lookup or reward call at workers.
  *
- * A repeatable request whose worker takes unusually long is sent to a second one while the first goes on; the
- * first answer that counts is taken and the other run is cancelled.  No more workers get it than its route
- * allows.
+ * A request that may run again is hedged: where its worker takes unusually long it is sent to a second one
+ * while the first attempt goes on; the first answer that counts is taken and the other attempt is cancelled.
+ * No more workers get it than its route allows.  The rules: core/decisions/retry.h, hedge.h and no-worker.h.
  */
 #include "runtime/log.h"
 #include "runtime/metrics.h"
@@ -13,7 +13,7 @@
 
 #include "dispatch.h"
 
-/* Timers count whole milliseconds. */
+/* Rounding of timers, us: they count whole milliseconds.  Not measured. */
 #define TIMER_ROUNDING_US 2000
 
 /* One run at one worker. */
@@ -33,7 +33,7 @@
   gpointer user_data;
 
   GPtrArray *live; /* Attempt, owned: in progress, the oldest first */
-  GSource *timer;  /* next attempt, or another one beside those in progress */
+  GSource *timer;  /* next attempt, or a hedge beside the one in progress */
   gint64 began_us; /* when the first of them was sent; 0: there is none */
   guint failed_runs;
 };
@@ -159,7 +159,7 @@
     }
   gint64 now = quince_now_us ();
   if (forward->live->len > 0)
-    return; /* another run goes on */
+    return; /* another attempt is in progress */
   if (quince_retry_may_retry (&forward->dispatch.retry, now))
     try_later (forward, 0);
   else
--- a/lib/forward/forward.h
+++ b/lib/forward/forward.h
@@ -24,10 +24,10 @@
   QUINCE_FORWARD_HELD,     /* it has run before and ended its workers: it is not sent any more */
 } QuinceForwardOutcome;
 
-/* The words of one platform for requests to its workers, and for their answers. */
+/* How one platform writes requests to its workers and reads their answers. */
 typedef struct
 {
-  /* Adds what the system itself says of the request. */
+  /* Adds the headers of the platform for this attempt. */
   void (*write_dispatch) (QuinceHttpHeaders *headers, const char *worker_id, gint64 time_left_ms);
   /* Reads an answer; texts live as long as @head. */
   void (*read_answer) (const QuinceHttpHead *head,
@@ -41,7 +41,7 @@
  * @service: where to
  * @caller: (nullable): tenant that asks
  * @tenant: (nullable): whose regions bind; %NULL: @caller's
- * @headers: the caller's, without those of its connection
+ * @headers: the caller's, without hop-by-hop headers
  * @prompt: (nullable): parts of its prompt, %NULL-terminated, where a worker that keeps them is to be
  * preferred
  * @repeatable: it may run more than once
@@ -79,7 +79,7 @@
   const QuinceHttpHead *head; /* answered */
   const GByteArray *body;     /* answered */
   const char *signature;      /* answered, signed */
-  const char *cause;          /* why not, one word */
+  const char *cause;          /* why not, as logs and refusals name it */
   guint retry_after_ms;       /* refused: when it may come back; 0: not known */
   guint attempts;
   guint failed_runs; /* answers of 500 */
--- a/lib/forward/residency-lookup.h
+++ b/lib/forward/residency-lookup.h
@@ -14,7 +14,8 @@
 
 /* (transfer none) (nullable): the configuration in force; must be replaced here before it is freed */
 void quince_backends_set_routes (QuinceBackends *backends, const QuinceRouteTable *routes);
-/* Whether any route or tenant of the configuration in force names regions: without, nothing is looked up. */
+/* Whether any route or tenant of the configuration in force names regions; if none does, requests may be
+ * served anywhere. */
 gboolean quince_backends_has_region_rules (const QuinceBackends *backends);
 /* Whether @worker is where @residency (nullable) allows. A worker whose region is not known is
  * nowhere. */
@@ -27,10 +28,10 @@
                                              const QuinceResidency *residency);
 
 /**
- * QuinceResidencyLookup: regions of one request, as last looked up
- * @table: the configuration that was looked at; only compared
- * @route_regions: (nullable): owned; those of its route, also once it is withdrawn
- * @tenant_regions: (nullable): owned; those of its tenant
+ * QuinceResidencyLookup: regions of one request, by the last look-up
+ * @table: the configuration that they were read from; only compared
+ * @route_regions: (nullable): owned; regions of its route, also once it is withdrawn
+ * @tenant_regions: (nullable): owned; regions of its tenant
  */
 typedef struct
 {
--- a/lib/forward/send-guard-private.h
+++ b/lib/forward/send-guard-private.h
@@ -13,7 +13,7 @@
 {
   /* All fields belong to the context that created it. */
   QuinceQuarantine *quarantine;
-  gint64 expire_us;           /* when old suspects are looked for the next time */
+  gint64 expire_us;           /* time of the next check for outdated suspects, monotonic */
   GHashTable *asks;           /* Ask by its own digest, owned */
   GHashTable *held;           /* QuinceRequestDigest, owned: of permits in use here */
   QuinceWorkerTable *workers; /* NULL: nothing is known of them */
--- a/lib/forward/stream.c
+++ b/lib/forward/stream.c
@@ -1,5 +1,7 @@
 /*
- * stream.c: attempts of one stream at workers.
+ * stream.c: attempts of one stream at workers, one after the other.
+ *
+ * The rules: core/decisions/retry.h, no-worker.h and silence.h.
  */
 #include "forward/stream.h"
 
--- a/lib/forward/stream.h
+++ b/lib/forward/stream.h
@@ -16,7 +16,7 @@
 
 typedef struct _QuinceStream QuinceStream;
 
-/* The words of one platform for streams. */
+/* How one platform writes requests for streams and reads their events. */
 typedef struct
 {
   const QuinceForwardDialect *forward;
--- a/lib/forward/suspect-list.h
+++ b/lib/forward/suspect-list.h
@@ -21,7 +21,7 @@
 /**
  * quince_suspect_list_take:
  * @teller: the process whose list it is
- * @changed: QuinceRequestDigest, added to: those of which more is known now
+ * @changed: QuinceRequestDigest, added to: suspects of which more is known now
  *
  * Takes a list into @quarantine; what cannot be read of it is left out.
  */
--- a/lib/forward/suspect-message.h
+++ b/lib/forward/suspect-message.h
@@ -29,7 +29,7 @@
 
 /**
  * quince_suspect_news_take:
- * @changed: QuinceRequestDigest, added to: those of which more is known now
+ * @changed: QuinceRequestDigest, added to: suspects of which more is known now
  * @cleared: QuinceSuspectCleared, added to: suspects until now
  *
  * Takes the reports into @quarantine.
--- a/lib/forward/warmup-sends.h
+++ b/lib/forward/warmup-sends.h
@@ -44,7 +44,7 @@
 /**
  * QuinceWarmupSendsCallbacks:
  * @find_service: (nullable result): what the configuration says of it
- * @may_give: whether this process gives now, looked at anew; %NULL: it never does
+ * @may_give: whether this process grants sends now, asked each time; %NULL: it never does
  * @ask: asks for @sends to @worker; quince_warmup_sends_answered() follows.  Returns: %FALSE: there is no
  * leader to ask.  %NULL: this process does not ask
  */
