--- a/daemons/front/front-settings.c
+++ b/daemons/front/front-settings.c
@@ -9,8 +9,8 @@
 
 /* Where the fallbacks come from:
  * - store.workers_pace 1 s: not measured; a front reads the list itself only while it has no store feed.
- * - store.presence 6 s: a lease of 3 s is renewed each second by each front (466 of 4,600 store calls of a
- * day); a dead front is left out earlier than that, by the leader's heartbeats, after 0.65 s.
+ * - store.presence 6 s: a lease of 6 s is renewed each 2 s; with 3 s and each second renewals were 466 of
+ * 4,600 store calls of a day.  A dead front is left out earlier, by the leader's heartbeats, after 0.65 s.
  * - directory.keep 2 s: not measured; a stopping front serves 4 s more, which covers answers kept for 2 s. */
 
 /* clang-format off */
--- a/daemons/front/leader-search.c
+++ b/daemons/front/leader-search.c
@@ -10,8 +10,9 @@
 /* The leader is silent after this time without a message, us.  Members elect another leader after 1 s of
  * silence, so there is nothing to find earlier; a leader sends a heartbeat each 0.25 s. */
 #define SILENCE_US (1000 * 1000)
-/* Time from one question to the next at first, ms: of five members the two that surely know the leader are
- * found within 0.75 s. */
+/* Time from one question to the next at first, ms: a quorum of five members is the leader and two
+ * others that follow it; of the four others, asked one after the other, the third at the latest knows it,
+ * after 0.75 s. */
 #define ASK_FIRST_MS 250
 /* Longest time between two questions, ms; each question without a newer leader makes it longer by half.  A
  * hundred fronts then ask a ledger without a leader a hundred times a second in all. */
--- a/daemons/shared-settings.h
+++ b/daemons/shared-settings.h
@@ -61,7 +61,7 @@
     "time from a planned stop to the end of the process" }
 
 /* Not measured: 1024 entries of 512 bytes hold the requests of several lost workers, some hundred each, so that
- * a flood pushes out only what met one end.  docs/incidents/ describes the rules. */
+ * a flood pushes out only what met one end.  docs/design/worker-ends.md describes the rules. */
 #define QUINCE_QUARANTINE_SETTINGS \
   { "quarantine", "entries", QUINCE_SETTING_INTEGER, FALSE, "1024", 16, 4000, NULL, \
     "requests under which workers ended that are remembered" }, \
