--- a/daemons/replica/weight-load.c
+++ b/daemons/replica/weight-load.c
@@ -7,6 +7,7 @@
 #include "weight-load.h"
 
 #include "core/decisions/load-next.h"
+#include "forward/retry-timer.h"
 #include "runtime/log.h"
 #include "runtime/metrics.h"
 #include "runtime/clock.h"
@@ -29,11 +30,9 @@
   gint64 started_us;
   gint64 ordered_us; /* 0: not yet */
   QuinceHttpExchange *exchange;
-  GSource *timer;
+  QuinceRetryTimer timer; /* the next request for the report */
 };
 
-static void ask_report (QuinceWeightLoad *load);
-
 static QuinceWorker *
 worker_of (const QuinceWeightLoad *load)
 {
@@ -45,7 +44,7 @@
 {
   if (load->exchange != NULL)
     quince_http_exchange_cancel (load->exchange);
-  quince_source_clear (&load->timer);
+  quince_retry_timer_clear (&load->timer);
   QuinceWorker *worker = worker_of (load);
   if (worker != NULL)
     worker->loading = FALSE;
@@ -67,28 +66,12 @@
   load->owner->ended (load, g_str_equal (outcome, QUINCE_LOAD_LOADED), load->owner->user_data);
 }
 
-static gboolean
-poll_again (gpointer data)
-{
-  QuinceWeightLoad *load = data;
-  quince_source_clear (&load->timer);
-  ask_report (load);
-  return G_SOURCE_REMOVE;
-}
-
-static void
-poll_later (QuinceWeightLoad *load, guint wait_ms)
-{
-  quince_source_clear (&load->timer);
-  load->timer = quince_timer_add (wait_ms, poll_again, load);
-}
-
 /* Polls or ends as the rule says. Returns: %FALSE: an order is due */
 static gboolean
 follow (QuinceWeightLoad *load, const QuinceLoadNext *next)
 {
   if (next->action == QUINCE_LOAD_NEXT_POLL)
-    poll_later (load, next->pause_ms);
+    quince_retry_timer_set (&load->timer, next->pause_ms);
   else if (next->action == QUINCE_LOAD_NEXT_END)
     load_end (load, next->outcome);
   return next->action != QUINCE_LOAD_NEXT_ORDER;
@@ -215,8 +198,9 @@
 static const QuinceHttpExchangeCallbacks report_callbacks = { .done = report_done };
 
 static void
-ask_report (QuinceWeightLoad *load)
+ask_report (gpointer data)
 {
+  QuinceWeightLoad *load = data;
   QuinceWorker *worker = worker_of (load);
   if (worker == NULL)
     {
@@ -252,6 +236,7 @@
   load->version = version;
   load->retain = retain;
   load->started_us = quince_now_us ();
+  quince_retry_timer_init (&load->timer, ask_report, load);
   return load;
 }
 
--- a/lib/core/decisions/admission.h
+++ b/lib/core/decisions/admission.h
@@ -35,7 +35,8 @@
  * @rule: the stricter one of what the quarantine knows of the request and of its prompt
  * @loss_checked: it is not decided yet whether a worker ended under the request or its prompt
  * @permit_in_use: this process sends another request under the same permit
- * @gives_way: it shares a suspect prompt with a request that was sent a moment ago
+ * @gives_way: it met the last end of its prompt a moment ago, so that other requests of the prompt go first;
+ * see quince_quarantine_gives_way()
  */
 typedef struct
 {
--- a/lib/core/decisions/sample-next.h
+++ b/lib/core/decisions/sample-next.h
@@ -78,12 +78,11 @@
 
 /**
  * quince_sample_next_after_reward:
- * @scored: the call was answered with a signed score
  * @failures: answers of failed reward calls so far
- * @max_attempts: of the reward's route; at least 1
+ * @max_attempts: of the reward's route; 1 where it is not configured
  *
- * Decides what follows a reward call: @action is QUINCE_SAMPLE_NEXT_REWARD where the call is made again after
- * @pause_us, and QUINCE_SAMPLE_NEXT_ABANDON where it failed too often.
+ * Decides what follows a reward call without a signed score.  Returns: QUINCE_SAMPLE_NEXT_REWARD: the call is
+ * made again after pause_us; QUINCE_SAMPLE_NEXT_ABANDON: it failed too often
  */
 QuinceSampleNext quince_sample_next_after_reward (guint failures, guint max_attempts);
 
--- a/lib/forward/forward.c
+++ b/lib/forward/forward.c
@@ -11,6 +11,8 @@
 
 #include "core/decisions/hedge.h"
 
+#include "forward/retry-timer.h"
+
 #include "dispatch.h"
 
 /* Rounding of timers, us: they count whole milliseconds.  Not measured. */
@@ -32,14 +34,12 @@
   void (*done) (const QuinceForwardResult *, gpointer);
   gpointer user_data;
 
-  GPtrArray *live; /* Attempt, owned: in progress, the oldest first */
-  GSource *timer;  /* next attempt, or a hedge beside the one in progress */
-  gint64 began_us; /* when the first of them was sent; 0: there is none */
+  GPtrArray *live;        /* Attempt, owned: in progress, the oldest first */
+  QuinceRetryTimer timer; /* next attempt, or a hedge beside the one in progress */
+  gint64 began_us;        /* when the first of them was sent; 0: there is none */
   guint failed_runs;
 };
 
-static void try_worker (QuinceForward *forward);
-
 /* ---- Attempts --------------------------------------------------------- */
 
 /* Cancels it where it is in progress. */
@@ -77,7 +77,7 @@
 static void
 forward_free (QuinceForward *forward)
 {
-  quince_source_clear (&forward->timer);
+  quince_retry_timer_clear (&forward->timer);
   g_ptr_array_unref (forward->live);
   quince_dispatch_clear (&forward->dispatch);
   g_free (forward);
@@ -117,20 +117,10 @@
 
 /* ---- After an attempt ------------------------------------------------- */
 
-static gboolean
-timer_over (gpointer data)
-{
-  QuinceForward *forward = data;
-  quince_source_clear (&forward->timer);
-  try_worker (forward);
-  return G_SOURCE_REMOVE;
-}
-
 static void
 try_later (QuinceForward *forward, gint64 wait_us)
 {
-  quince_source_clear (&forward->timer);
-  forward->timer = quince_timer_add ((guint)(wait_us / 1000), timer_over, forward);
+  quince_retry_timer_set (&forward->timer, (guint)(wait_us / 1000));
 }
 
 static void
@@ -364,8 +354,9 @@
 }
 
 static void
-try_worker (QuinceForward *forward)
+try_worker (gpointer data)
 {
+  QuinceForward *forward = data;
   gint64 now = quince_now_us ();
   if (forward->live->len == 0 && now >= forward->dispatch.retry.give_up_us)
     {
@@ -401,6 +392,7 @@
   forward->done = done;
   forward->user_data = user_data;
   forward->live = g_ptr_array_new_with_free_func (attempt_free);
+  quince_retry_timer_init (&forward->timer, try_worker, forward);
   try_later (forward, 0);
   return forward;
 }
--- a/lib/forward/stream.c
+++ b/lib/forward/stream.c
@@ -11,6 +11,8 @@
 
 #include "core/decisions/silence.h"
 
+#include "forward/retry-timer.h"
+
 #include "dispatch.h"
 
 struct _QuinceStream
@@ -24,8 +26,8 @@
   QuinceHttpExchange *exchange;
   gpointer events; /* of the attempt in progress, where it may be resumed */
   char *worker_id;
-  GSource *timer;   /* next attempt */
-  GSource *silence; /* of the attempt in progress, and the end of all */
+  QuinceRetryTimer timer; /* next attempt */
+  GSource *silence;       /* of the attempt in progress, and the end of all */
   gint64 contact_us;
   guint64 last_event;
   gboolean has_last_event;
@@ -33,8 +35,6 @@
   gboolean passes; /* bytes of this attempt go to the caller */
 };
 
-static void try_worker (QuinceStream *stream);
-
 /* ---- Ends ------------------------------------------------------------- */
 
 static void
@@ -51,7 +51,7 @@
 static void
 stream_free (QuinceStream *stream)
 {
-  quince_source_clear (&stream->timer);
+  quince_retry_timer_clear (&stream->timer);
   quince_dispatch_clear (&stream->dispatch);
   g_free (stream->worker_id);
   g_free (stream);
@@ -91,22 +91,6 @@
 
 /* ---- After an attempt ------------------------------------------------- */
 
-static gboolean
-timer_over (gpointer data)
-{
-  QuinceStream *stream = data;
-  quince_source_clear (&stream->timer);
-  try_worker (stream);
-  return G_SOURCE_REMOVE;
-}
-
-static void
-try_later (QuinceStream *stream, guint wait_ms)
-{
-  quince_source_clear (&stream->timer);
-  stream->timer = quince_timer_add (wait_ms, timer_over, stream);
-}
-
 static void
 attempt_over (QuinceStream *stream, gboolean ran, const char *cause)
 {
@@ -120,7 +104,7 @@
   else
     stream->dispatch.retry.refused_sends++;
   if (quince_retry_may_retry (&stream->dispatch.retry, quince_now_us ()))
-    try_later (stream, 0);
+    quince_retry_timer_set (&stream->timer, 0);
   else
     stream_fail (stream);
 }
@@ -299,7 +283,7 @@
       stream_fail (stream);
       return FALSE;
     case QUINCE_DISPATCH_WAIT:
-      try_later (stream, wait_ms);
+      quince_retry_timer_set (&stream->timer, wait_ms);
       return FALSE;
     case QUINCE_DISPATCH_SEND:
     default:
@@ -308,8 +292,9 @@
 }
 
 static void
-try_worker (QuinceStream *stream)
+try_worker (gpointer data)
 {
+  QuinceStream *stream = data;
   gint64 now = quince_now_us ();
   stream->dispatch.retry_after_ms = 0;
   if (now >= stream->dispatch.retry.give_up_us)
@@ -332,7 +317,7 @@
       = quince_dispatch_waits_for_worker (&stream->dispatch, outcome, TRUE, stream->head_passed, now);
   g_hash_table_remove_all (stream->dispatch.avoid);
   if (waits)
-    try_later (stream, QUINCE_NO_WORKER_PAUSE_US / 1000);
+    quince_retry_timer_set (&stream->timer, QUINCE_NO_WORKER_PAUSE_US / 1000);
   else
     stream_fail (stream);
 }
@@ -350,6 +335,7 @@
   stream->dialect = dialect;
   stream->callbacks = callbacks;
   stream->user_data = user_data;
-  try_later (stream, 0);
+  quince_retry_timer_init (&stream->timer, try_worker, stream);
+  quince_retry_timer_set (&stream->timer, 0);
   return stream;
 }
