--- a/daemons/replica/weight-orders.c
+++ b/daemons/replica/weight-orders.c
@@ -20,7 +20,7 @@
  * takes 900 ms. */
 #define PUMP_SOON_MS 20
 
-/* What the last whole state at a service has found. */
+/* What the last whole check of a service found. */
 typedef struct
 {
   QuinceLoadWindow window;
@@ -42,7 +42,7 @@
   GHashTable *services;        /* ServiceState by name, both owned */
   GSource *timer;
   GSource *soon;
-  gboolean after_load; /* this state follows a load: workers and models are the same as at the last one */
+  gboolean after_load; /* this check follows a load: workers and models are the same as at the last one */
 };
 
 /* ---- Loads ------------------------------------------------------------ */
--- a/lib/core/decisions/admission.h
+++ b/lib/core/decisions/admission.h
@@ -17,7 +17,7 @@
   QUINCE_ADMISSION_CAREFUL,   /* yes, to one worker at a time                                         */
   QUINCE_ADMISSION_PERMIT,    /* the same, under a permit that must be given back                     */
   QUINCE_ADMISSION_WAIT,      /* not yet: ask again after QUINCE_ADMISSION_RETRY_MS                   */
-  QUINCE_ADMISSION_UNSURE,    /* no: it needs a permit, and there is no leader to give one            */
+  QUINCE_ADMISSION_UNSURE,    /* no: no leader to give a permit, or the wait for admission is over    */
   QUINCE_ADMISSION_PROTECTED, /* no: the loss of one more worker would leave too few of the service   */
   QUINCE_ADMISSION_HELD,      /* no: it is held                                                       */
 } QuinceAdmission;
--- a/lib/core/decisions/sample-move.h
+++ b/lib/core/decisions/sample-move.h
@@ -28,7 +28,7 @@
   gboolean measured;
 } QuinceSampleMoveCase;
 
-/* Whether a running sample may move at all: measured for 0.7 s, moved at most three times before, and not
+/* Whether a running sample may move at all: measured for 0.7 s, moved fewer than four times before, and not
  * bound to a single version. */
 gboolean quince_sample_move_is_allowed (const QuinceSampleMoveCase *sample);
 
