--- a/daemons/shared-settings.h
+++ b/daemons/daemon-settings.h
@@ -1,5 +1,5 @@
 /*
- * shared-settings.h: what quinceroute-front and quinceroute-replica have in common in their settings: rows of
+ * daemon-settings.h: what quinceroute-front and quinceroute-replica have in common in their settings: rows of
  * the tables, units, and the bound on log lines.
  *
  * Each macro expands to one or more QuinceSettingSpec rows, in the order in which --help-settings prints
--- a/daemons/front/front-settings.c
+++ b/daemons/front/front-settings.c
@@ -1,11 +1,11 @@
 /*
  * front-settings.c: the table of settings of quinceroute-front.
  *
- * Owns no state.  Read by front.c and by the modules that daemons/shared-settings.h names.
+ * Owns no state.  Read by front.c and by the modules that daemons/daemon-settings.h names.
  */
 #include "front-settings.h"
 
-#include "../shared-settings.h"
+#include "../daemon-settings.h"
 
 /* Where the fallbacks come from:
  * - store.workers_pace 1 s: not measured; a front reads the list itself only while it has no store feed.
--- a/daemons/front/main.c
+++ b/daemons/front/main.c
@@ -6,7 +6,7 @@
  */
 #include "runtime/program.h"
 
-#include "../shared-settings.h"
+#include "../daemon-settings.h"
 
 #include "front-settings.h"
 #include "front.h"
--- a/daemons/replica/main.c
+++ b/daemons/replica/main.c
@@ -8,7 +8,7 @@
 
 #include "runtime/program.h"
 
-#include "../shared-settings.h"
+#include "../daemon-settings.h"
 
 #include "replica-settings.h"
 #include "replica.h"
--- a/daemons/replica/replica-settings.c
+++ b/daemons/replica/replica-settings.c
@@ -1,11 +1,11 @@
 /*
  * replica-settings.c: the table of settings of quinceroute-replica.
  *
- * Owns no state.  Read by replica-setup.c and by the modules that daemons/shared-settings.h names.
+ * Owns no state.  Read by replica-setup.c and by the modules that daemons/daemon-settings.h names.
  */
 #include "replica-settings.h"
 
-#include "../shared-settings.h"
+#include "../daemon-settings.h"
 
 /* Where the fallbacks come from:
  * - store.workers_pace 600 ms: not measured; the leader reads the list of workers for all processes, often
