--- a/daemons/front/caller-request.c
+++ b/daemons/front/caller-request.c
@@ -141,7 +141,7 @@
 static guint
 retry_after (QuinceRefusalCause cause, guint known_ms)
 {
-  const QuinceRetryAfterCase refused
+  const QuinceRetryAfterInput refused
       = { .cause = cause, .known_ms = known_ms, .zone_change_ms = QUINCE_OBSERVER_CHANGE_BOUND_MIN_MS };
   return quince_retry_after_ms (&refused);
 }
--- a/daemons/replica/batch-answers.c
+++ b/daemons/replica/batch-answers.c
@@ -37,7 +37,7 @@
 void
 quince_batch_answer_status (QuinceLink *link, guint64 id, guint status)
 {
-  const QuinceRetryAfterCase refused = { .cause = QUINCE_REFUSED_LEDGER };
+  const QuinceRetryAfterInput refused = { .cause = QUINCE_REFUSED_LEDGER };
   gboolean may_retry = status == 503 || status == 429;
   reply (link, id, status, "", NULL, may_retry ? quince_retry_after_ms (&refused) : 0);
 }
--- a/daemons/replica/sample-dispatch.c
+++ b/daemons/replica/sample-dispatch.c
@@ -149,7 +149,7 @@
   sample->backends = set->backends;
   QuinceAdmission admission
       = quince_send_guard_ask (guard, now_us, quince_sample_get_identity (sample), service, &sample->permit);
-  if (admission == QUINCE_ADMISSION_GRANTED || admission == QUINCE_ADMISSION_CAREFUL
+  if (admission == QUINCE_ADMISSION_GRANTED || admission == QUINCE_ADMISSION_UNHEDGED
       || admission == QUINCE_ADMISSION_PERMIT)
     return TRUE;
   sample->not_before_us = now_us + quince_sample_admission_pause_us (admission);
--- a/daemons/replica/sample-moves.c
+++ b/daemons/replica/sample-moves.c
@@ -26,7 +26,7 @@
       gint64 pace = quince_worker_get_pace_us (worker, now_us);
       if (pace == 0 || (best > 0 && pace >= best))
         continue;
-      gboolean free_now = quince_sample_move_takes (worker, now_us, view->slots)
+      gboolean free_now = quince_sample_move_can_target (worker, now_us, view->slots)
                           && quince_backends_may_send (set->backends, worker);
       if (!free_now || !quince_backends_allow (set->backends, worker, &residency)
           || g_str_equal (worker->id, sample->worker_id))
@@ -39,10 +39,10 @@
 static gboolean
 may_move (const QuinceSample *sample, gint64 now_us)
 {
-  const QuinceSampleMoveCase move = { .single_version = sample->single_version,
-                                      .moves = sample->moves,
-                                      .run_us = now_us - sample->started_us,
-                                      .measured = sample->event_us > 0 };
+  const QuinceSampleMoveInput move = { .single_version = sample->single_version,
+                                       .moves = sample->moves,
+                                       .run_us = now_us - sample->started_us,
+                                       .measured = sample->event_us > 0 };
   return sample->state == QUINCE_SAMPLE_RUNNING && quince_sample_move_is_allowed (&move);
 }
 
@@ -52,8 +52,8 @@
 {
   double remaining_most = G_MAXINT;
   return !worker->loading
-         && quince_sample_move_pays (remaining_most, quince_worker_get_pace_us (worker, now_us),
-                                     view->fastest_pace_us);
+         && quince_sample_move_is_worthwhile (remaining_most, quince_worker_get_pace_us (worker, now_us),
+                                              view->fastest_pace_us);
 }
 
 static gboolean
@@ -71,20 +71,20 @@
     {
       gint64 there = best_pace_elsewhere (set, sample, &view, now_us);
       pays = there > 0
-             && quince_sample_move_pays (quince_sample_set_remaining_events (set, sample),
-                                         quince_worker_get_pace_us (worker, now_us), there);
+             && quince_sample_move_is_worthwhile (quince_sample_set_remaining_events (set, sample),
+                                                  quince_worker_get_pace_us (worker, now_us), there);
     }
   quince_sample_service_view_clear (&view);
   return pays;
 }
 
 void
-quince_sample_moves_check (QuinceSampleSet *set, QuinceMoveWatch *watch, gint64 now_us)
+quince_sample_moves_check (QuinceSampleSet *set, QuinceMoveCheckState *watch, gint64 now_us)
 {
   guint moves = 0;
-  if (!quince_sample_move_is_time (watch, now_us))
+  if (!quince_sample_move_check_is_due (watch, now_us))
     return;
-  for (guint i = 0; i < set->samples->len && moves < QUINCE_SAMPLE_MOVES_AT_ONCE_MAX; i++)
+  for (guint i = 0; i < set->samples->len && moves < QUINCE_SAMPLE_MOVES_PER_CHECK_MAX; i++)
     {
       QuinceSample *sample = set->samples->pdata[i];
       if (!may_move (sample, now_us) || !move_pays (set, sample, now_us))
--- a/daemons/replica/sample-outcome.c
+++ b/daemons/replica/sample-outcome.c
@@ -46,11 +46,11 @@
 {
   const QuinceRoute *route = quince_sample_set_route_of_batch (set, sample->entry->batch);
   sample->failures += end == QUINCE_RUN_FAILED;
-  sample->hopeless += end == QUINCE_RUN_HOPELESS;
-  const QuinceSampleRunEnded ended = { .end = end,
-                                       .failures = sample->failures,
-                                       .hopeless = sample->hopeless,
-                                       .max_attempts = route != NULL ? route->max_attempts : 0 };
+  sample->unprocessable_answers += end == QUINCE_RUN_UNPROCESSABLE;
+  const QuinceSampleRunResult ended = { .end = end,
+                                        .failures = sample->failures,
+                                        .unprocessable_answers = sample->unprocessable_answers,
+                                        .max_attempts = route != NULL ? route->max_attempts : 0 };
   return quince_sample_next_after_run (&ended);
 }
 
@@ -68,8 +68,9 @@
 tell_guard (QuinceSampleSet *set, QuinceSample *sample, QuinceRunEnd end)
 {
   QuinceSendGuard *guard = quince_backends_get_guard (set->backends);
-  gboolean answered = end == QUINCE_RUN_WHOLE || end == QUINCE_RUN_FAILED || end == QUINCE_RUN_HOPELESS;
-  if (end == QUINCE_RUN_LOST)
+  gboolean answered
+      = end == QUINCE_RUN_COMPLETE || end == QUINCE_RUN_FAILED || end == QUINCE_RUN_UNPROCESSABLE;
+  if (end == QUINCE_RUN_CONNECTION_LOST)
     {
       const QuinceRequestIdentity *identity = quince_sample_get_identity (sample);
       g_autofree char *text = quince_request_digest_format (&identity->request);
@@ -93,7 +94,7 @@
   set->running--;
   g_autofree char *labels = g_strdup_printf ("cause=\"%s\"", cause);
   quince_metric_add ("quince_replica_sample_runs_total", labels, 1);
-  if (end != QUINCE_RUN_WHOLE)
+  if (end != QUINCE_RUN_COMPLETE)
     quince_log_info ("sample_run_ended", "sample=%s worker=%s cause=%s events=%" G_GUINT64_FORMAT " runs=%u",
                      quince_sample_get_item (sample)->id, sample->worker_id, cause, sample->last_event,
                      sample->runs);
--- a/daemons/replica/sample-reward.c
+++ b/daemons/replica/sample-reward.c
@@ -52,7 +52,7 @@
   quince_http_headers_add (headers, "Host", call->host);
   quince_platform_write_request_id (headers, call->id);
   g_autoptr (GBytes) body = g_bytes_new_static (call->body.body_val, call->body.body_len);
-  gint64 time_us = (gint64)quince_sample_reward_time_ms (route->timeout_ms) * 1000;
+  gint64 time_us = (gint64)quince_sample_reward_timeout_ms (route->timeout_ms) * 1000;
   const QuinceForwardRequest request = { .service = quince_route_pick_service (route, g_random_double ()),
                                          .tenant = sample->entry->tenant,
                                          .kind = route->name,
--- a/daemons/replica/sample-runner.c
+++ b/daemons/replica/sample-runner.c
@@ -36,7 +36,7 @@
   QuinceProgressStore *progress; /* not owned */
   const QuinceSampleRunnerCallbacks *callbacks;
   gpointer user_data;
-  QuinceMoveWatch move_watch;
+  QuinceMoveCheckState move_watch;
   QuinceTimer *timer;
   QuinceTimer *soon;     /* a check that was asked for; NULL: none */
   gint64 begin_after_us; /* a new leader: nothing begins before, unless progress arrives */
@@ -58,7 +58,7 @@
 static gboolean
 is_over (const QuinceSample *sample, gint64 now_us)
 {
-  return sample->state == QUINCE_SAMPLE_WAITING && quince_sample_is_late (sample->give_up_us, now_us);
+  return sample->state == QUINCE_SAMPLE_WAITING && quince_sample_has_expired (sample->give_up_us, now_us);
 }
 
 /* No worker has room: other samples of the model need not be tried in this round. */
--- a/daemons/replica/sample.c
+++ b/daemons/replica/sample.c
@@ -233,11 +233,11 @@
   QuincePlatformAnswerFacts facts;
   quince_platform_read_answer (head, &facts);
   if (sample->accepted && !has_rest && sample->last_event > 0)
-    sample->run_ended (sample, QUINCE_RUN_WHOLE, "whole", sample->user_data);
+    sample->run_ended (sample, QUINCE_RUN_COMPLETE, "whole", sample->user_data);
   else if (facts.not_run)
     sample->run_ended (sample, QUINCE_RUN_REFUSED, "worker_refused", sample->user_data);
   else if (head->status == 422)
-    sample->run_ended (sample, QUINCE_RUN_HOPELESS, "unprocessable", sample->user_data);
+    sample->run_ended (sample, QUINCE_RUN_UNPROCESSABLE, "unprocessable", sample->user_data);
   else if (head->status == 500)
     sample->run_ended (sample, QUINCE_RUN_FAILED, "worker_failed", sample->user_data);
   else
@@ -258,7 +258,7 @@
   else if (outcome == QUINCE_HTTP_NOT_SENT)
     sample->run_ended (sample, QUINCE_RUN_NO_CONNECTION, "no_connection", sample->user_data);
   else
-    sample->run_ended (sample, QUINCE_RUN_LOST, "connection_lost", sample->user_data);
+    sample->run_ended (sample, QUINCE_RUN_CONNECTION_LOST, "connection_lost", sample->user_data);
 }
 
 static const QuinceHttpExchangeCallbacks exchange_callbacks
@@ -269,7 +269,7 @@
 {
   const QuinceWorker *worker = worker_of (sample);
   gboolean measured = worker != NULL && !worker->loading && sample->event_us > 0;
-  return quince_silence_sample_ms (measured ? worker->pace_us : 0);
+  return quince_silence_sample_timeout_ms (measured ? worker->pace_us : 0);
 }
 
 static gboolean
--- a/daemons/replica/sample.h
+++ b/daemons/replica/sample.h
@@ -38,9 +38,9 @@
   guint64 replicated_event; /* backups know the text up to here */
   gsize replicated_bytes;
   guint replicated_failures;
-  guint64 run_version; /* of the run in progress */
-  guint failures;      /* answers of workers that failed */
-  guint hopeless;      /* answers of workers that it can never be done */
+  guint64 run_version;         /* of the run in progress */
+  guint failures;              /* answers of workers that failed */
+  guint unprocessable_answers; /* answers of workers that it can never be done */
   guint reward_failures;
   guint runs;
   char *avoid_worker;   /* the last one that failed it; NULL: none */
--- a/daemons/replica/weight-load.c
+++ b/daemons/replica/weight-load.c
@@ -83,9 +83,9 @@
   switch (status)
     {
     case 202:
-      return QUINCE_ORDER_TAKEN;
+      return QUINCE_ORDER_ACCEPTED;
     case 200:
-      return QUINCE_ORDER_DONE;
+      return QUINCE_ORDER_ALREADY_LOADED;
     case 421:
       return QUINCE_ORDER_OTHER_WORKER;
     default:
@@ -112,7 +112,7 @@
 may_send (QuinceWeightLoad *load, const QuinceWorker *worker, gboolean is_order, gboolean may_order)
 {
   QuinceBackends *backends = load->owner->backends;
-  const QuinceLoadSendCase send
+  const QuinceLoadSendInput send
       = { .holds_sends = quince_backends_holds_sends (backends),
           .evacuated = worker != NULL && !quince_backends_may_send (backends, worker),
           .is_order = is_order,
--- a/daemons/replica/weight-orders.c
+++ b/daemons/replica/weight-orders.c
@@ -83,7 +83,7 @@
   ServiceState *state = get_service_state (orders, quince_weight_load_get_service (load));
   if (ordered_us != 0)
     quince_load_window_note (&state->window, quince_now_us (), ordered_us,
-                             quince_load_at_once_max (state->usable));
+                             quince_load_concurrent_max (state->usable));
 }
 
 static gboolean
@@ -316,7 +316,7 @@
       if (worker != NULL && quince_backends_may_send (orders->backends, worker))
         take_turn (orders, now, plan, worker, turns);
     }
-  guint at_once = quince_load_window_get (&state->window, quince_load_at_once_max (state->usable));
+  guint at_once = quince_load_window_get (&state->window, quince_load_concurrent_max (state->usable));
   guint loading = loads_of_service (orders, service->name);
   begin_loads (orders, turns, at_once > loading ? at_once - loading : 0,
                !has_single_version (routes, service->name));
--- a/lib/core/decisions/admission.c
+++ b/lib/core/decisions/admission.c
@@ -8,11 +8,11 @@
 #define WAIT_MIN_US (200 * 1000)
 
 QuinceAdmission
-quince_admission_of_request (const QuinceAdmissionCase *request)
+quince_admission_for_request (const QuinceAdmissionInput *request)
 {
   if (request->rule == QUINCE_SEND_HELD)
     return QUINCE_ADMISSION_HELD;
-  if (request->loss_checked || request->permit_in_use)
+  if (request->loss_check_pending || request->permit_in_use)
     return QUINCE_ADMISSION_WAIT;
   if (request->rule == QUINCE_SEND_FREE)
     return QUINCE_ADMISSION_GRANTED;
@@ -20,14 +20,14 @@
 }
 
 QuinceAdmission
-quince_admission_of_permit (QuincePermitState state, gboolean alone)
+quince_admission_for_permit_state (QuincePermitState state, gboolean alone)
 {
   switch (state)
     {
-    case QUINCE_PERMIT_GIVEN:
+    case QUINCE_PERMIT_GRANTED:
       return QUINCE_ADMISSION_PERMIT;
     case QUINCE_PERMIT_NO_LEADER:
-      return alone ? QUINCE_ADMISSION_UNSURE : QUINCE_ADMISSION_CAREFUL;
+      return alone ? QUINCE_ADMISSION_NO_PERMIT : QUINCE_ADMISSION_UNHEDGED;
     case QUINCE_PERMIT_PENDING:
     default:
       return QUINCE_ADMISSION_WAIT;
@@ -35,19 +35,19 @@
 }
 
 gboolean
-quince_admission_allows_hedge (const QuinceAdmissionCase *request)
+quince_admission_allows_hedge (const QuinceAdmissionInput *request)
 {
-  return request->rule == QUINCE_SEND_FREE && !request->loss_checked;
+  return request->rule == QUINCE_SEND_FREE && !request->loss_check_pending;
 }
 
 gboolean
-quince_admission_protected_waits (gboolean began)
+quince_admission_protected_may_wait (gboolean began)
 {
   return began;
 }
 
 gboolean
-quince_admission_waits_on (gint64 waited_us, gint64 target_latency_us)
+quince_admission_may_keep_waiting (gint64 waited_us, gint64 target_latency_us)
 {
   return waited_us < MAX (target_latency_us, WAIT_MIN_US);
 }
--- a/lib/core/decisions/hedge.c
+++ b/lib/core/decisions/hedge.c
@@ -6,17 +6,17 @@
 
 /* A hedge begins after this many times the worker's smoothed time of an answer.  Not measured by itself: far
  * enough above the mean that few ordinary answers are hedged. */
-#define USUAL_TIMES 3
+#define HEDGE_DELAY_SERVICE_TIMES 3
 /* Shortest time before a hedge, us.  Not measured: over twice a usual run of a lookup (25 ms). */
-#define AFTER_MIN_US (60 * 1000)
+#define HEDGE_DELAY_MIN_US (60 * 1000)
 /* Longest time before a hedge, as a part of the latency target: the other half is left for the second worker.
  * Not measured. */
-#define TARGET_SHARE 0.5
+#define HEDGE_DELAY_MAX_TARGET_FRACTION 0.5
 /* Latency targets for which the oldest attempt may be silent: later it earns its caller nothing.  Not
  * measured. */
-#define PATIENCE_TARGETS 2
+#define ATTEMPT_TIMEOUT_TARGETS 2
 /* Shortest such time, us, for routes with a short target or none.  Not measured. */
-#define PATIENCE_MIN_US (250 * 1000)
+#define ATTEMPT_TIMEOUT_MIN_US (250 * 1000)
 
 gboolean
 quince_hedge_is_allowed (const QuinceRetryState *retry)
@@ -25,15 +25,16 @@
 }
 
 gint64
-quince_hedge_after_us (gint64 target_latency_us, gint64 service_us)
+quince_hedge_delay_us (gint64 target_latency_us, gint64 service_us)
 {
-  gint64 longest_us = MAX ((gint64)(TARGET_SHARE * (double)target_latency_us), AFTER_MIN_US);
-  gint64 usual_us = service_us > 0 ? (gint64)USUAL_TIMES * service_us : longest_us;
-  return CLAMP (usual_us, AFTER_MIN_US, longest_us);
+  gint64 longest_us
+      = MAX ((gint64)(HEDGE_DELAY_MAX_TARGET_FRACTION * (double)target_latency_us), HEDGE_DELAY_MIN_US);
+  gint64 usual_us = service_us > 0 ? (gint64)HEDGE_DELAY_SERVICE_TIMES * service_us : longest_us;
+  return CLAMP (usual_us, HEDGE_DELAY_MIN_US, longest_us);
 }
 
 gint64
-quince_hedge_patience_us (gint64 target_latency_us)
+quince_hedge_attempt_timeout_us (gint64 target_latency_us)
 {
-  return MAX (PATIENCE_TARGETS * target_latency_us, PATIENCE_MIN_US);
+  return MAX (ATTEMPT_TIMEOUT_TARGETS * target_latency_us, ATTEMPT_TIMEOUT_MIN_US);
 }
--- a/lib/core/decisions/hedge.h
+++ b/lib/core/decisions/hedge.h
@@ -13,7 +13,7 @@
 
 /* Attempts of one lookup in progress at the same time: more would load a service that is slow already.  Not
  * measured. */
-#define QUINCE_HEDGE_IN_PROGRESS_MAX 2
+#define QUINCE_HEDGE_IN_FLIGHT_MAX 2
 
 /**
  * quince_hedge_is_allowed:
@@ -25,7 +25,7 @@
 gboolean quince_hedge_is_allowed (const QuinceRetryState *retry);
 
 /**
- * quince_hedge_after_us:
+ * quince_hedge_delay_us:
  * @target_latency_us: of the route, us; 0: none
  * @service_us: smoothed time of an answer of the first attempt's worker, us; 0: not measured
  *
@@ -40,16 +40,16 @@
  *
  * Returns: us from the start of the attempt
  */
-gint64 quince_hedge_after_us (gint64 target_latency_us, gint64 service_us);
+gint64 quince_hedge_delay_us (gint64 target_latency_us, gint64 service_us);
 
 /**
- * quince_hedge_patience_us:
+ * quince_hedge_attempt_timeout_us:
  * @target_latency_us: of the route, us; 0: none
  *
  * Decides how long the oldest of two attempts may be silent before it gives way to a third one.
  *
  * Returns: us from the start of that attempt
  */
-gint64 quince_hedge_patience_us (gint64 target_latency_us);
+gint64 quince_hedge_attempt_timeout_us (gint64 target_latency_us);
 
 G_END_DECLS
--- a/lib/core/decisions/load-next.c
+++ b/lib/core/decisions/load-next.c
@@ -9,16 +9,16 @@
 /* Time between two reports after that, ms.  Each costs a probe; a late one keeps the worker closed and the
  * next load waiting.  Measured with moves before new runs, and with versions that backups read: the mean
  * worth of days with trouble rose from 0.789 at 250 ms to 0.827 (30 runs each); not measured by itself. */
-#define NEXT_POLL_MS 80
+#define LOAD_POLL_INTERVAL_MS 80
 /* Time to the report of a worker that has the version already, ms: the next turn of the main loop. */
-#define DONE_POLL_MS 1
+#define ALREADY_LOADED_POLL_MS 1
 /* Longest load, us.  Not measured: eight times a load alone. */
-#define LOAD_MAX_US (8 * G_USEC_PER_SEC)
+#define LOAD_TIMEOUT_US (8 * G_USEC_PER_SEC)
 /* Part of a service's workers that may load at the same time.  Not measured. */
-#define AT_ONCE_SHARE 0.2
+#define CONCURRENT_LOADS_FRACTION 0.2
 /* Workers of a small service that may load at the same time.  Not measured: with one, the last of eleven
  * workers would be open to a new step after 11 s. */
-#define AT_ONCE_MIN 2
+#define CONCURRENT_LOADS_MIN 2
 
 static QuinceLoadNext
 poll_after (guint pause_ms)
@@ -37,10 +37,10 @@
 {
   if (report->has >= report->wanted && !report->busy)
     return end_with (QUINCE_LOAD_LOADED);
-  if (report->elapsed_us > LOAD_MAX_US)
+  if (report->elapsed_us > LOAD_TIMEOUT_US)
     return end_with ("timeout");
   if (report->busy)
-    return poll_after (NEXT_POLL_MS);
+    return poll_after (LOAD_POLL_INTERVAL_MS);
   return (QuinceLoadNext){ .action = QUINCE_LOAD_NEXT_ORDER };
 }
 
@@ -49,12 +49,12 @@
 {
   switch (answer)
     {
-    case QUINCE_ORDER_TAKEN:
+    case QUINCE_ORDER_ACCEPTED:
       return poll_after (FIRST_POLL_MS);
-    case QUINCE_ORDER_DONE:
-      return poll_after (DONE_POLL_MS);
+    case QUINCE_ORDER_ALREADY_LOADED:
+      return poll_after (ALREADY_LOADED_POLL_MS);
     case QUINCE_ORDER_UNKNOWN:
-      return poll_after (NEXT_POLL_MS);
+      return poll_after (LOAD_POLL_INTERVAL_MS);
     case QUINCE_ORDER_OTHER_WORKER:
       return end_with ("other_worker");
     case QUINCE_ORDER_REFUSED:
@@ -64,10 +64,10 @@
 }
 
 QuinceLoadNext
-quince_load_next_before_send (const QuinceLoadSendCase *send)
+quince_load_next_before_send (const QuinceLoadSendInput *send)
 {
   if (send->holds_sends)
-    return poll_after (NEXT_POLL_MS);
+    return poll_after (LOAD_POLL_INTERVAL_MS);
   if (send->evacuated)
     return end_with ("zone_evacuated");
   if (send->is_order && !send->may_order)
@@ -76,7 +76,7 @@
 }
 
 guint
-quince_load_at_once_max (guint usable)
+quince_load_concurrent_max (guint usable)
 {
-  return MAX (AT_ONCE_MIN, (guint)(usable * AT_ONCE_SHARE));
+  return MAX (CONCURRENT_LOADS_MIN, (guint)(usable * CONCURRENT_LOADS_FRACTION));
 }
--- a/lib/core/decisions/load-next.h
+++ b/lib/core/decisions/load-next.h
@@ -61,18 +61,18 @@
 /* How a worker answered an order. */
 typedef enum
 {
-  QUINCE_ORDER_TAKEN,        /* it loads now                                             */
-  QUINCE_ORDER_DONE,         /* it has the version already                               */
-  QUINCE_ORDER_UNKNOWN,      /* the connection broke: it may have been taken             */
-  QUINCE_ORDER_OTHER_WORKER, /* another worker answers at this address                   */
-  QUINCE_ORDER_REFUSED,      /* refused, for instance by its fence, or not sent          */
+  QUINCE_ORDER_ACCEPTED,       /* it loads now                                             */
+  QUINCE_ORDER_ALREADY_LOADED, /* it has the version already                               */
+  QUINCE_ORDER_UNKNOWN,        /* the connection broke: it may have been taken             */
+  QUINCE_ORDER_OTHER_WORKER,   /* another worker answers at this address                   */
+  QUINCE_ORDER_REFUSED,        /* refused, for instance by its fence, or not sent          */
 } QuinceOrderAnswer;
 
 /* Decides by the worker's answer to the order. */
 QuinceLoadNext quince_load_next_after_order (QuinceOrderAnswer answer);
 
 /**
- * QuinceLoadSendCase:
+ * QuinceLoadSendInput:
  * @holds_sends: this process does not know yet which zones are evacuated
  * @evacuated: the worker is in an evacuated zone
  * @may_order: the worker is listed, and this process leads with a quorum; see weight-orders.h.  Read for an
@@ -85,7 +85,7 @@
   gboolean evacuated;
   gboolean may_order;
   gboolean is_order;
-} QuinceLoadSendCase;
+} QuinceLoadSendInput;
 
 /**
  * quince_load_next_before_send:
@@ -93,16 +93,16 @@
  * Decides whether anything is sent to the worker now.  Returns: QUINCE_LOAD_NEXT_ORDER: send it; the other
  * actions as above.
  */
-QuinceLoadNext quince_load_next_before_send (const QuinceLoadSendCase *send);
+QuinceLoadNext quince_load_next_before_send (const QuinceLoadSendInput *send);
 
 /**
- * quince_load_at_once_max:
+ * quince_load_concurrent_max:
  * @usable: workers of a service that may load
  *
  * Decides how many of them load at the same time at most: a fifth, at least two, so that the service stays
  * open to samples.  The load window (core/weights/load-window.h) may bring it down further.
  */
-guint quince_load_at_once_max (guint usable);
+guint quince_load_concurrent_max (guint usable);
 
 /* Pause before a worker whose load failed is ordered again, us.  Not measured: about half a load. */
 #define QUINCE_LOAD_FAILED_PAUSE_US (500 * 1000)
--- a/lib/core/decisions/no-worker.c
+++ b/lib/core/decisions/no-worker.c
@@ -10,20 +10,20 @@
 #define WAIT_TARGET_DIVISOR 2
 
 static gboolean
-may_wait_until (const QuinceNoWorkerCase *none, gint64 until_us)
+may_wait_until (const QuinceNoWorkerInput *none, gint64 until_us)
 {
   return until_us < none->started_us + none->target_latency_us / WAIT_TARGET_DIVISOR;
 }
 
 /* A cold worker may have room while the request may wait. */
 static gboolean
-has_room_in_time (const QuinceNoWorkerCase *none)
+cold_room_in_time (const QuinceNoWorkerInput *none)
 {
   return may_wait_until (none, MAX (none->cold_room_us, none->now_us));
 }
 
 static gboolean
-waits_for_lookup (const QuinceNoWorkerCase *none)
+lookup_may_wait (const QuinceNoWorkerInput *none)
 {
   gboolean may_change = none->outcome == QUINCE_BACKEND_FULL || none->outcome == QUINCE_BACKEND_COLD
                         || none->outcome == QUINCE_BACKEND_ZONES_UNKNOWN;
@@ -31,43 +31,43 @@
 }
 
 static gboolean
-waits_for_stream (const QuinceNoWorkerCase *none, gboolean room_soon)
+stream_may_wait (const QuinceNoWorkerInput *none, gboolean room_soon)
 {
-  gboolean waits_midway = none->outcome == QUINCE_BACKEND_COLD && none->began;
-  gboolean may_change = room_soon || waits_midway || none->outcome == QUINCE_BACKEND_ZONES_UNKNOWN;
+  gboolean started_stream_waits = none->outcome == QUINCE_BACKEND_COLD && none->began;
+  gboolean may_change = room_soon || started_stream_waits || none->outcome == QUINCE_BACKEND_ZONES_UNKNOWN;
   return (none->tried_any || may_change) && (none->runs > 0 || may_wait_until (none, none->now_us));
 }
 
-QuinceNoWorkerVerdict
-quince_no_worker_decide (const QuinceNoWorkerCase *none)
+QuinceNoWorkerDecision
+quince_no_worker_decide (const QuinceNoWorkerInput *none)
 {
-  QuinceNoWorkerVerdict verdict = { FALSE, 0 };
+  QuinceNoWorkerDecision verdict = { FALSE, 0 };
   gboolean cold = none->outcome == QUINCE_BACKEND_COLD;
-  gboolean room_soon = cold && has_room_in_time (none);
-  gboolean asks_for_room = cold && (none->is_stream || none->runs == 0);
-  if (asks_for_room && !room_soon)
+  gboolean room_soon = cold && cold_room_in_time (none);
+  gboolean needs_cold_room = cold && (none->is_stream || none->runs == 0);
+  if (needs_cold_room && !room_soon)
     verdict.retry_after_ms = quince_retry_after_until_ms (none->cold_room_us, none->now_us);
   if (none->is_stream)
-    verdict.wait = waits_for_stream (none, room_soon);
+    verdict.wait = stream_may_wait (none, room_soon);
   else
-    verdict.wait = (!asks_for_room || room_soon) && waits_for_lookup (none);
+    verdict.wait = (!needs_cold_room || room_soon) && lookup_may_wait (none);
   return verdict;
 }
 
-QuinceBeside
-quince_no_worker_beside (QuinceBackendOutcome outcome)
+QuinceHedgeFallback
+quince_no_worker_for_hedge (QuinceBackendOutcome outcome)
 {
   switch (outcome)
     {
     case QUINCE_BACKEND_EVACUATED:
-      return QUINCE_BESIDE_LEAVE;
+      return QUINCE_HEDGE_FALLBACK_KEEP;
     case QUINCE_BACKEND_COLD:
     case QUINCE_BACKEND_ZONES_UNKNOWN:
-      return QUINCE_BESIDE_WAIT;
+      return QUINCE_HEDGE_FALLBACK_WAIT;
     case QUINCE_BACKEND_CHOSEN:
     case QUINCE_BACKEND_NONE:
     case QUINCE_BACKEND_FULL:
     default:
-      return QUINCE_BESIDE_ABANDON;
+      return QUINCE_HEDGE_FALLBACK_ABANDON;
     }
 }
--- a/lib/core/decisions/no-worker.h
+++ b/lib/core/decisions/no-worker.h
@@ -26,7 +26,7 @@
 } QuinceBackendOutcome;
 
 /**
- * QuinceNoWorkerCase:
+ * QuinceNoWorkerInput:
  * @outcome: why no worker was chosen
  * @is_stream: a stream, not a lookup
  * @began: the caller has the head of a stream
@@ -49,14 +49,14 @@
   gint64 started_us;
   gint64 target_latency_us;
   gint64 cold_room_us;
-} QuinceNoWorkerCase;
+} QuinceNoWorkerInput;
 
 /* What follows. */
 typedef struct
 {
   gboolean wait;        /* for QUINCE_NO_WORKER_PAUSE_US, then choose again; else refuse or fail */
   guint retry_after_ms; /* known time until a cold worker has room; 0: not known */
-} QuinceNoWorkerVerdict;
+} QuinceNoWorkerDecision;
 
 /**
  * quince_no_worker_decide:
@@ -72,22 +72,22 @@
  * Edges: without any worker (QUINCE_BACKEND_NONE, QUINCE_BACKEND_EVACUATED) it is refused at once, unless
  * workers that had an attempt may be tried again.  No @target_latency_us: no waiting.
  */
-QuinceNoWorkerVerdict quince_no_worker_decide (const QuinceNoWorkerCase *none);
+QuinceNoWorkerDecision quince_no_worker_decide (const QuinceNoWorkerInput *none);
 
 /* What a lookup does whose attempt is in progress and that finds no worker for a second one. */
 typedef enum
 {
-  QUINCE_BESIDE_LEAVE,   /* let the attempt end; make no other one          */
-  QUINCE_BESIDE_WAIT,    /* choose again after QUINCE_NO_WORKER_PAUSE_US    */
-  QUINCE_BESIDE_ABANDON, /* give the oldest attempt up once it was silent for long; see hedge.h */
-} QuinceBeside;
+  QUINCE_HEDGE_FALLBACK_KEEP,    /* let the attempt end; make no other one          */
+  QUINCE_HEDGE_FALLBACK_WAIT,    /* choose again after QUINCE_NO_WORKER_PAUSE_US    */
+  QUINCE_HEDGE_FALLBACK_ABANDON, /* give the oldest attempt up once it was silent for long; see hedge.h */
+} QuinceHedgeFallback;
 
 /**
- * quince_no_worker_beside:
+ * quince_no_worker_for_hedge:
  *
  * Decides for a lookup with an attempt in progress.  An attempt in an evacuated zone ends there, and one is
  * not given up for a place that is not there yet.
  */
-QuinceBeside quince_no_worker_beside (QuinceBackendOutcome outcome);
+QuinceHedgeFallback quince_no_worker_for_hedge (QuinceBackendOutcome outcome);
 
 G_END_DECLS
--- a/lib/core/decisions/retry-after.c
+++ b/lib/core/decisions/retry-after.c
@@ -5,7 +5,7 @@
 
 /* Shortest Retry-After, ms, where workers have no room, the policy refuses, or no configuration is known. Not
  * measured: several usual runs of a lookup (25 ms), so that places are free again. */
-#define USUAL_MIN_MS 200
+#define DEFAULT_MIN_MS 200
 /* Shortest Retry-After of a call about batches, ms.  Not measured: a part of the second or so in which
  * another leader follows a lost one, so that a submission is late by a fraction of that. */
 #define LEDGER_MIN_MS 300
@@ -13,10 +13,10 @@
  * operator has to change something first. */
 #define RESIDENCY_MIN_MS 1000
 /* Microseconds in a millisecond. */
-#define MILLISECOND_US 1000
+#define US_PER_MS 1000
 
 static guint
-shortest_ms (const QuinceRetryAfterCase *refused)
+min_retry_after_ms (const QuinceRetryAfterInput *refused)
 {
   switch (refused->cause)
     {
@@ -31,19 +31,19 @@
     case QUINCE_REFUSED_POLICY:
     case QUINCE_REFUSED_NO_CONFIGURATION:
     default:
-      return USUAL_MIN_MS;
+      return DEFAULT_MIN_MS;
     }
 }
 
 guint
-quince_retry_after_ms (const QuinceRetryAfterCase *refused)
+quince_retry_after_ms (const QuinceRetryAfterInput *refused)
 {
-  return MAX (refused->known_ms, shortest_ms (refused));
+  return MAX (refused->known_ms, min_retry_after_ms (refused));
 }
 
 guint
 quince_retry_after_until_ms (gint64 free_us, gint64 now_us)
 {
   gint64 left_us = MAX (free_us, now_us) - now_us;
-  return (guint)((left_us + MILLISECOND_US - 1) / MILLISECOND_US);
+  return (guint)((left_us + US_PER_MS - 1) / US_PER_MS);
 }
--- a/lib/core/decisions/retry-after.h
+++ b/lib/core/decisions/retry-after.h
@@ -23,7 +23,7 @@
 } QuinceRefusalCause;
 
 /**
- * QuinceRetryAfterCase:
+ * QuinceRetryAfterInput:
  * @cause: why the request is refused
  * @known_ms: time until the cause may be over, as its owner computed it, ms; 0: not known
  * @zone_change_ms: time within which every front knows that a zone was taken back, ms; read for
@@ -34,7 +34,7 @@
   QuinceRefusalCause cause;
   guint known_ms;
   guint zone_change_ms;
-} QuinceRetryAfterCase;
+} QuinceRetryAfterInput;
 
 /**
  * quince_retry_after_ms:
@@ -47,7 +47,7 @@
  *
  * Returns: the Retry-After, ms; never 0
  */
-guint quince_retry_after_ms (const QuinceRetryAfterCase *refused);
+guint quince_retry_after_ms (const QuinceRetryAfterInput *refused);
 
 /**
  * quince_retry_after_until_ms:
--- a/lib/core/decisions/sample-next.c
+++ b/lib/core/decisions/sample-next.c
@@ -11,20 +11,20 @@
 /* Pause after a failed reward call, us; for the same reason.  Not measured. */
 #define REWARD_PAUSE_US (100 * 1000)
 /* Longest time of a reward call, ms.  Not measured: far above the latency of the users' scorers. */
-#define REWARD_MAX_MS 4000
+#define REWARD_TIMEOUT_MAX_MS 4000
 /* Failed runs of a sample for each attempt that its route allows.  The platform's bound is three; one less
  * leaves room for a run that a new leader does not know of.  Not measured. */
 #define FAILURES_PER_ATTEMPT 2
 /* Answers that a sample can never be done after which it is abandoned: workers of a service agree.  Not
  * measured. */
-#define HOPELESS_MAX 1
+#define UNPROCESSABLE_MAX 1
 /* Shortest pause after a refusal by the policy, ms.  Not measured: as for callers; see retry-after.c. */
 #define POLICY_PAUSE_MIN_MS 200
 /* Interval at which a held sample is checked, us: to be abandoned when its time is up, or sent when it is
  * released.  Not measured: operators release by hand. */
-#define HELD_PAUSE_US (1 * G_USEC_PER_SEC)
+#define HELD_CHECK_INTERVAL_US (1 * G_USEC_PER_SEC)
 /* Microseconds in a millisecond. */
-#define MILLISECOND_US 1000
+#define US_PER_MS 1000
 
 static QuinceSampleNext
 run_again (gint64 pause_us, gboolean eject_worker)
@@ -33,7 +33,7 @@
 }
 
 static QuinceSampleNext
-run_again_unless (gboolean abandoned)
+run_again_or_abandon (gboolean abandoned)
 {
   if (abandoned)
     return (QuinceSampleNext){ .action = QUINCE_SAMPLE_NEXT_ABANDON };
@@ -41,7 +41,7 @@
 }
 
 QuinceSampleNext
-quince_sample_next_after_run (const QuinceSampleRunEnded *ended)
+quince_sample_next_after_run (const QuinceSampleRunResult *ended)
 {
   switch (ended->end)
     {
@@ -50,23 +50,23 @@
     case QUINCE_RUN_NO_CONNECTION:
       return run_again (REFUSED_PAUSE_US, TRUE);
     case QUINCE_RUN_BROKEN:
-    case QUINCE_RUN_LOST:
+    case QUINCE_RUN_CONNECTION_LOST:
       return run_again (0, TRUE);
     case QUINCE_RUN_OUT_OF_ORDER:
     case QUINCE_RUN_MOVED:
       return run_again (0, FALSE);
     case QUINCE_RUN_FAILED:
-      return run_again_unless (ended->failures >= FAILURES_PER_ATTEMPT * MAX (ended->max_attempts, 1));
-    case QUINCE_RUN_HOPELESS:
-      return run_again_unless (ended->hopeless >= HOPELESS_MAX);
-    case QUINCE_RUN_WHOLE:
+      return run_again_or_abandon (ended->failures >= FAILURES_PER_ATTEMPT * MAX (ended->max_attempts, 1));
+    case QUINCE_RUN_UNPROCESSABLE:
+      return run_again_or_abandon (ended->unprocessable_answers >= UNPROCESSABLE_MAX);
+    case QUINCE_RUN_COMPLETE:
     default:
       return (QuinceSampleNext){ .action = QUINCE_SAMPLE_NEXT_REWARD };
     }
 }
 
 gboolean
-quince_sample_is_late (gint64 give_up_us, gint64 now_us)
+quince_sample_has_expired (gint64 give_up_us, gint64 now_us)
 {
   return give_up_us > 0 && now_us >= give_up_us;
 }
@@ -86,15 +86,15 @@
 }
 
 guint
-quince_sample_reward_time_ms (guint timeout_ms)
+quince_sample_reward_timeout_ms (guint timeout_ms)
 {
-  return timeout_ms > 0 ? MIN (timeout_ms, REWARD_MAX_MS) : REWARD_MAX_MS;
+  return timeout_ms > 0 ? MIN (timeout_ms, REWARD_TIMEOUT_MAX_MS) : REWARD_TIMEOUT_MAX_MS;
 }
 
 gint64
 quince_sample_policy_pause_us (guint retry_after_ms)
 {
-  return (gint64)MAX (retry_after_ms, POLICY_PAUSE_MIN_MS) * MILLISECOND_US;
+  return (gint64)MAX (retry_after_ms, POLICY_PAUSE_MIN_MS) * US_PER_MS;
 }
 
 gint64
@@ -103,10 +103,10 @@
   switch (admission)
     {
     case QUINCE_ADMISSION_HELD:
-      return HELD_PAUSE_US;
+      return HELD_CHECK_INTERVAL_US;
     case QUINCE_ADMISSION_PROTECTED:
-      return QUINCE_ADMISSION_PROTECTED_RETRY_MS * MILLISECOND_US;
+      return QUINCE_ADMISSION_PROTECTED_RETRY_MS * US_PER_MS;
     default:
-      return QUINCE_ADMISSION_RETRY_MS * MILLISECOND_US;
+      return QUINCE_ADMISSION_RETRY_MS * US_PER_MS;
     }
 }
--- a/lib/core/decisions/sample-next.h
+++ b/lib/core/decisions/sample-next.h
@@ -14,31 +14,31 @@
 /* How a run ended. */
 typedef enum
 {
-  QUINCE_RUN_WHOLE,         /* the text is whole                                                    */
-  QUINCE_RUN_REFUSED,       /* the worker did not run it                                            */
-  QUINCE_RUN_NO_CONNECTION, /* there was no connection to the worker: it did not run it             */
-  QUINCE_RUN_BROKEN,        /* silent, or a malformed answer: goes on from the last whole event     */
-  QUINCE_RUN_OUT_OF_ORDER,  /* an event out of order: the same; its worker answers well otherwise   */
-  QUINCE_RUN_LOST,          /* the connection broke: the same                                       */
-  QUINCE_RUN_MOVED,         /* cut here, to go on at a worker that ends it sooner                   */
-  QUINCE_RUN_FAILED,        /* the worker answered that it failed                                   */
-  QUINCE_RUN_HOPELESS,      /* the worker answered that it can never be done                        */
+  QUINCE_RUN_COMPLETE,        /* the text is whole                                                    */
+  QUINCE_RUN_REFUSED,         /* the worker did not run it                                            */
+  QUINCE_RUN_NO_CONNECTION,   /* there was no connection to the worker: it did not run it             */
+  QUINCE_RUN_BROKEN,          /* silent, or a malformed answer: goes on from the last whole event     */
+  QUINCE_RUN_OUT_OF_ORDER,    /* an event out of order: the same; its worker answers well otherwise   */
+  QUINCE_RUN_CONNECTION_LOST, /* the connection broke: the same                                       */
+  QUINCE_RUN_MOVED,           /* cut here, to go on at a worker that ends it sooner                   */
+  QUINCE_RUN_FAILED,          /* the worker answered that it failed                                   */
+  QUINCE_RUN_UNPROCESSABLE,   /* the worker answered that it can never be done                        */
 } QuinceRunEnd;
 
 /**
- * QuinceSampleRunEnded:
+ * QuinceSampleRunResult:
  * @end: how the run ended
  * @failures: answers of failed runs, this one too
- * @hopeless: answers that it can never be done, this one too
+ * @unprocessable_answers: answers that it can never be done, this one too
  * @max_attempts: of the sample's route; 0: the route is not configured any more
  */
 typedef struct
 {
   QuinceRunEnd end;
   guint failures;
-  guint hopeless;
+  guint unprocessable_answers;
   guint max_attempts;
-} QuinceSampleRunEnded;
+} QuinceSampleRunResult;
 
 typedef enum
 {
@@ -70,11 +70,11 @@
  *
  * Edges: a sample whose route is gone counts as one with a single attempt.
  */
-QuinceSampleNext quince_sample_next_after_run (const QuinceSampleRunEnded *ended);
+QuinceSampleNext quince_sample_next_after_run (const QuinceSampleRunResult *ended);
 
 /* Whether a sample that runs nowhere is abandoned since its time is up.  @give_up_us: monotonic, us; 0: never
  */
-gboolean quince_sample_is_late (gint64 give_up_us, gint64 now_us);
+gboolean quince_sample_has_expired (gint64 give_up_us, gint64 now_us);
 
 /**
  * quince_sample_next_after_reward:
@@ -89,7 +89,7 @@
 /* Pause before a reward call whose route is not configured is tried again, us. */
 gint64 quince_sample_reward_pause_us (void);
 /* Time for one reward call, ms.  @timeout_ms: of its route; 0: none */
-guint quince_sample_reward_time_ms (guint timeout_ms);
+guint quince_sample_reward_timeout_ms (guint timeout_ms);
 
 /* Pause of a sample that the policy refused, us.  @retry_after_ms: the policy's, 0: none */
 gint64 quince_sample_policy_pause_us (guint retry_after_ms);
--- a/lib/core/decisions/silence.h
+++ b/lib/core/decisions/silence.h
@@ -13,10 +13,10 @@
 /* Silence after which a caller's stream is resumed elsewhere, ms; only where it can be resumed.  Not
  * measured: above the second for which a load of weights stops a worker, and below the time after which
  * callers give a stream up. */
-#define QUINCE_SILENCE_STREAM_MS 1300
+#define QUINCE_SILENCE_STREAM_TIMEOUT_MS 1300
 
 /**
- * quince_silence_sample_ms:
+ * quince_silence_sample_timeout_ms:
  * @pace_us: the worker's smoothed time between two events, us; 0: not measured, or it loads weights
  *
  * Decides how long a sample's run may be silent, ms: thirty events of its worker, between 1.3 and 2.5 s.
@@ -25,6 +25,6 @@
  *
  * Edges: 2.5 s where no pace is measured.
  */
-guint quince_silence_sample_ms (gint64 pace_us);
+guint quince_silence_sample_timeout_ms (gint64 pace_us);
 
 G_END_DECLS
--- a/lib/core/decisions/store-reads.c
+++ b/lib/core/decisions/store-reads.c
@@ -8,24 +8,24 @@
 #define PROBE_MS 800
 /* Part of what a deployment's bound allows beyond the least one that is added to each time.  The rest is for
  * pages that arrive some time after they were read, since their reader may be busy. */
-#define SPARE_SHARE 0.5
+#define BOUND_MARGIN_FRACTION 0.5
 /* Each read that tells changes makes the pace so many times longer. */
-#define PACE_GROWTH 4
+#define INTERVAL_GROWTH_FACTOR 4
 
 QuinceStoreReadTimes
-quince_store_reads_get_times (gboolean reader, guint spare_ms)
+quince_store_reads_get_times (gboolean reader, guint bound_margin_ms)
 {
-  guint longer_ms = reader ? 0 : (guint)(SPARE_SHARE * spare_ms);
+  guint longer_ms = reader ? 0 : (guint)(BOUND_MARGIN_FRACTION * bound_margin_ms);
   guint slack_ms = reader ? QUINCE_STORE_READER_SLACK_MS : QUINCE_STORE_SLACK_MS;
-  return (QuinceStoreReadTimes){ .hold_ms = QUINCE_STORE_HOLD_MS + longer_ms,
-                                 .patience_ms = QUINCE_STORE_HOLD_MS + slack_ms + longer_ms,
+  return (QuinceStoreReadTimes){ .hold_ms = QUINCE_STORE_WATCH_TIMEOUT_MS + longer_ms,
+                                 .feed_timeout_ms = QUINCE_STORE_WATCH_TIMEOUT_MS + slack_ms + longer_ms,
                                  .probe_ms = PROBE_MS + longer_ms };
 }
 
 guint
-quince_store_reads_next_pace_ms (guint pace_ms, guint least_ms, guint most_ms, gboolean changed)
+quince_store_reads_next_interval_ms (guint pace_ms, guint interval_min_ms, guint most_ms, gboolean changed)
 {
   if (!changed)
-    return least_ms;
-  return CLAMP (pace_ms * PACE_GROWTH, least_ms, most_ms);
+    return interval_min_ms;
+  return CLAMP (pace_ms * INTERVAL_GROWTH_FACTOR, interval_min_ms, most_ms);
 }
--- a/lib/core/decisions/store-reads.h
+++ b/lib/core/decisions/store-reads.h
@@ -15,7 +15,7 @@
 
 /* Longest time between two reads of a reader, ms.  A shorter one costs more calls; a longer one leaves less
  * of the bound on changes. */
-#define QUINCE_STORE_HOLD_MS 500
+#define QUINCE_STORE_WATCH_TIMEOUT_MS 500
 /* A fed process's patience is the time between two reads of its feeder and a slack, which leaves the feeder
  * time for a slow answer and for its other work.
  * Slack of a reader, ms: it reads the store, and its report comes back through the leader, before the others
@@ -33,27 +33,27 @@
  * QuinceStoreReadTimes:
  * @hold_ms: how long the store may hold a watch that has nothing to tell.  A change ends it at once; a longer
  *   hold delays only the discovery that a connection is dead
- * @patience_ms: without a page for so long a fed process reads the store itself
+ * @feed_timeout_ms: without a page for so long a fed process reads the store itself
  * @probe_ms: longest time between two probes of a store that does not answer
  */
 typedef struct
 {
   guint hold_ms;
-  guint patience_ms;
+  guint feed_timeout_ms;
   guint probe_ms;
 } QuinceStoreReadTimes;
 
 /**
  * quince_store_reads_get_times:
  * @reader: this process feeds others, or would at once
- * @spare_ms: what the bound on changes allows beyond the least one of all deployments, ms
+ * @bound_margin_ms: what the bound on changes allows beyond the least one of all deployments, ms
  */
-QuinceStoreReadTimes quince_store_reads_get_times (gboolean reader, guint spare_ms);
+QuinceStoreReadTimes quince_store_reads_get_times (gboolean reader, guint bound_margin_ms);
 
 /**
- * quince_store_reads_next_pace_ms:
+ * quince_store_reads_next_interval_ms:
  * @pace_ms: least time between the last two reads
- * @least_ms: after a read that told nothing new
+ * @interval_min_ms: after a read that told nothing new
  * @most_ms: however often changes come
  * @changed: the last read told changes
  *
@@ -64,6 +64,7 @@
  *
  * Returns: the least time from that read to the next one, ms
  */
-guint quince_store_reads_next_pace_ms (guint pace_ms, guint least_ms, guint most_ms, gboolean changed);
+guint
+quince_store_reads_next_interval_ms (guint pace_ms, guint interval_min_ms, guint most_ms, gboolean changed);
 
 G_END_DECLS
--- a/lib/core/decisions/worker-choice.c
+++ b/lib/core/decisions/worker-choice.c
@@ -11,23 +11,23 @@
 #define WARM_REFILLS_PER_SECOND 2
 /* Without a bound on running requests a returning worker takes part in its share of so many choices in a row.
  * Not measured: steps of an eighth. */
-#define RETURNING_TURNS 8
+#define RETURNING_SHARE_STEPS 8
 
 gboolean
-quince_choice_was_tried (const QuinceWorker *worker, const QuinceWorkerNeed *need)
+quince_choice_was_tried (const QuinceWorker *worker, const QuinceWorkerRequirements *need)
 {
   return need->avoid != NULL && g_hash_table_contains (need->avoid, worker->id);
 }
 
 static gboolean
-has_weights (const QuinceWorker *worker, const QuinceWorkerNeed *need)
+has_weights (const QuinceWorker *worker, const QuinceWorkerRequirements *need)
 {
   guint64 version = quince_worker_get_version (worker, need->model);
   return version > 0 && version >= need->minimum_version;
 }
 
 gboolean
-quince_choice_is_suitable (const QuinceWorker *worker, gint64 now_us, const QuinceWorkerNeed *need)
+quince_choice_is_suitable (const QuinceWorker *worker, gint64 now_us, const QuinceWorkerRequirements *need)
 {
   if (worker->draining || (worker->gone_after_us != 0 && now_us >= worker->gone_after_us))
     return FALSE;
@@ -37,13 +37,13 @@
 }
 
 gboolean
-quince_choice_has_room (const QuinceWorker *worker, const QuinceWorkerNeed *need)
+quince_choice_has_room (const QuinceWorker *worker, const QuinceWorkerRequirements *need)
 {
   return need->running_max == 0 || worker->running < need->running_max;
 }
 
 gboolean
-quince_choice_is_trusted (const QuinceWorker *worker, gint64 now_us)
+quince_choice_is_preferred (const QuinceWorker *worker, gint64 now_us)
 {
   return now_us >= worker->ejected_until_us && worker->gone_after_us == 0;
 }
@@ -57,11 +57,11 @@
 }
 
 gboolean
-quince_choice_has_returning_turn (double share, guint running, guint running_max, guint turn)
+quince_choice_is_returning_candidate (double share, guint running, guint running_max, guint turn)
 {
   if (running_max > 0)
     return running < (guint)ceil (share * running_max);
-  return turn % RETURNING_TURNS < (guint)lround (share * RETURNING_TURNS);
+  return turn % RETURNING_SHARE_STEPS < (guint)lround (share * RETURNING_SHARE_STEPS);
 }
 
 gboolean
@@ -78,24 +78,24 @@
                                QuinceWorker **candidates)
 {
   guint count = MIN (found->len, candidates_max);
-  gboolean has_keeper = keeper == NULL;
+  gboolean has_affinity_worker = keeper == NULL;
   for (guint i = 0; i < count; i++)
     {
       candidates[i] = found->pdata[(first + i) % found->len];
-      has_keeper = has_keeper || g_str_equal (candidates[i]->id, keeper);
+      has_affinity_worker = has_affinity_worker || g_str_equal (candidates[i]->id, keeper);
     }
-  for (guint i = count; i < found->len && !has_keeper; i++)
+  for (guint i = count; i < found->len && !has_affinity_worker; i++)
     {
       QuinceWorker *worker = found->pdata[(first + i) % found->len];
-      has_keeper = g_str_equal (worker->id, keeper);
-      if (has_keeper)
+      has_affinity_worker = g_str_equal (worker->id, keeper);
+      if (has_affinity_worker)
         candidates[0] = worker;
     }
   return count;
 }
 
 gint
-quince_choice_best (const double *scores, guint n_scores)
+quince_choice_best_score (const double *scores, guint n_scores)
 {
   gint best = -1;
   for (guint i = 0; i < n_scores; i++)
--- a/lib/core/decisions/worker-choice.h
+++ b/lib/core/decisions/worker-choice.h
@@ -16,7 +16,7 @@
 /* ---- Which workers ------------------------------------------------------ */
 
 /**
- * QuinceWorkerNeed: what a request needs of its worker
+ * QuinceWorkerRequirements: what a request needs of its worker
  * @model: (nullable): weights that it must have, in @minimum_version or a later one
  * @avoid: (nullable): ids of workers that had an attempt of it already
  * @running_max: requests of this process at one worker; 0: no bound
@@ -27,10 +27,10 @@
   guint64 minimum_version;
   GHashTable *avoid;
   guint running_max;
-} QuinceWorkerNeed;
+} QuinceWorkerRequirements;
 
 /* Whether the request had an attempt at @worker already. */
-gboolean quince_choice_was_tried (const QuinceWorker *worker, const QuinceWorkerNeed *need);
+gboolean quince_choice_was_tried (const QuinceWorker *worker, const QuinceWorkerRequirements *need);
 
 /**
  * quince_choice_is_suitable:
@@ -42,14 +42,15 @@
  * Edges: a worker whose entry is missing while the store is in trouble stays suitable until its
  * gone_after_us.
  */
-gboolean quince_choice_is_suitable (const QuinceWorker *worker, gint64 now_us, const QuinceWorkerNeed *need);
+gboolean
+quince_choice_is_suitable (const QuinceWorker *worker, gint64 now_us, const QuinceWorkerRequirements *need);
 
 /* Whether @worker has room for one more request of this process. */
-gboolean quince_choice_has_room (const QuinceWorker *worker, const QuinceWorkerNeed *need);
+gboolean quince_choice_has_room (const QuinceWorker *worker, const QuinceWorkerRequirements *need);
 
 /* Whether @worker is a first choice: not ejected, and listed.  Others are taken only where no first choice
  * can take the request. */
-gboolean quince_choice_is_trusted (const QuinceWorker *worker, gint64 now_us);
+gboolean quince_choice_is_preferred (const QuinceWorker *worker, gint64 now_us);
 
 /**
  * quince_choice_cold_limit:
@@ -65,7 +66,7 @@
 guint quince_choice_cold_limit (guint limit, gboolean is_cold, gboolean is_sample, guint slots);
 
 /**
- * quince_choice_has_returning_turn:
+ * quince_choice_is_returning_candidate:
  * @share: of new work that the worker's zone gets, 0 to 1; see zone-table.h
  * @running: requests of this process at the worker
  * @running_max: bound of them; 0: none
@@ -76,7 +77,7 @@
  * two evacuated zones: 101 and 89 runs of samples were made again with the growing share, 117 and 151
  * without; the worth was the same within noise (0.798 and 0.853 against 0.800 and 0.851, one run each).
  */
-gboolean quince_choice_has_returning_turn (double share, guint running, guint running_max, guint turn);
+gboolean quince_choice_is_returning_candidate (double share, guint running, guint running_max, guint turn);
 
 /* ---- Candidates --------------------------------------------------------- */
 
@@ -110,7 +111,7 @@
 
 /* The highest of @scores, the first of equals; scores that are no finite number don't count.  Returns: its
  * index, or -1: there is none */
-gint quince_choice_best (const double *scores, guint n_scores);
+gint quince_choice_best_score (const double *scores, guint n_scores);
 
 /* ---- Outcome ------------------------------------------------------------ */
 
--- a/lib/forward/choose-worker.c
+++ b/lib/forward/choose-worker.c
@@ -19,7 +19,7 @@
   QuinceBackends *backends;
   gint64 now_us;
   const QuinceBackendQuery *query;
-  QuinceWorkerNeed need;
+  QuinceWorkerRequirements need;
   QuinceColdChoice cold;
   QuinceChoiceFacts facts;
 } Choice;
@@ -42,7 +42,7 @@
   gboolean has_room = quince_choice_has_room (worker, &choice->need);
   facts->suitable = TRUE;
   facts->full = facts->full || !has_room;
-  return has_room && (!trusted || quince_choice_is_trusted (worker, choice->now_us))
+  return has_room && (!trusted || quince_choice_is_preferred (worker, choice->now_us))
          && quince_warmth_has_room (&choice->cold, worker);
 }
 
@@ -153,7 +153,7 @@
   for (guint i = 0; i < n_engines; i++)
     describe (backends, now_us, candidates[i], query, keeps_prompt, &engines[i]);
   quince_backends_score (backends, query->request, engines, n_engines, scores);
-  gint best = quince_choice_best (scores, n_engines);
+  gint best = quince_choice_best_score (scores, n_engines);
   return best >= 0 ? candidates[best] : NULL;
 }
 
--- a/lib/forward/dispatch.c
+++ b/lib/forward/dispatch.c
@@ -126,7 +126,7 @@
                                   gboolean began,
                                   gint64 now_us)
 {
-  const QuinceNoWorkerCase none
+  const QuinceNoWorkerInput none
       = { .outcome = outcome,
           .is_stream = is_stream,
           .began = began,
@@ -136,7 +136,7 @@
           .started_us = dispatch->started_us,
           .target_latency_us = dispatch->target_latency_us,
           .cold_room_us = quince_backends_get_limited_until_us (dispatch->backends) };
-  const QuinceNoWorkerVerdict verdict = quince_no_worker_decide (&none);
+  const QuinceNoWorkerDecision verdict = quince_no_worker_decide (&none);
   dispatch->retry_after_ms = verdict.retry_after_ms;
   return verdict.wait;
 }
@@ -205,8 +205,9 @@
 {
   if (dispatch->waits_us == 0)
     dispatch->waits_us = now_us;
-  gboolean waits_on = quince_admission_waits_on (now_us - dispatch->waits_us, dispatch->target_latency_us);
-  return waits_on ? QUINCE_ADMISSION_WAIT : QUINCE_ADMISSION_UNSURE;
+  gboolean waits_on
+      = quince_admission_may_keep_waiting (now_us - dispatch->waits_us, dispatch->target_latency_us);
+  return waits_on ? QUINCE_ADMISSION_WAIT : QUINCE_ADMISSION_NO_PERMIT;
 }
 
 static QuinceAdmission
@@ -235,7 +236,7 @@
   QuinceSendGuard *guard = quince_backends_get_guard (dispatch->backends);
   dispatch->cause = "workers_spared";
   *wait_ms = QUINCE_ADMISSION_PROTECTED_RETRY_MS;
-  if (quince_admission_protected_waits (began))
+  if (quince_admission_protected_may_wait (began))
     return QUINCE_DISPATCH_WAIT;
   dispatch->retry_after_ms = quince_send_guard_get_wait_ms (guard, now_us, dispatch->service);
   return QUINCE_DISPATCH_GIVE_UP;
@@ -251,14 +252,14 @@
       return QUINCE_DISPATCH_HOLD;
     case QUINCE_ADMISSION_PROTECTED:
       return protect (dispatch, began, now_us, wait_ms);
-    case QUINCE_ADMISSION_UNSURE:
+    case QUINCE_ADMISSION_NO_PERMIT:
       dispatch->cause = "no_permit";
       return QUINCE_DISPATCH_GIVE_UP;
     case QUINCE_ADMISSION_WAIT:
       *wait_ms = QUINCE_ADMISSION_RETRY_MS;
       return QUINCE_DISPATCH_WAIT;
     case QUINCE_ADMISSION_GRANTED:
-    case QUINCE_ADMISSION_CAREFUL:
+    case QUINCE_ADMISSION_UNHEDGED:
     case QUINCE_ADMISSION_PERMIT:
     default:
       return QUINCE_DISPATCH_SEND;
--- a/lib/forward/evacuation.c
+++ b/lib/forward/evacuation.c
@@ -120,7 +120,7 @@
     {
       const QuinceWorker *worker = found->pdata[i];
       double share = quince_zone_table_get_share (backends->zones, now_us, worker->zone);
-      if (quince_choice_has_returning_turn (share, worker->running, most_running, backends->tie + i))
+      if (quince_choice_is_returning_candidate (share, worker->running, most_running, backends->tie + i))
         g_ptr_array_add (kept, found->pdata[i]);
     }
   if (kept->len == 0)
--- a/lib/forward/forward.c
+++ b/lib/forward/forward.c
@@ -257,7 +257,7 @@
   QuinceHttpPool *pool = quince_backends_get_pool (dispatch->backends, worker);
   attempt->exchange = quince_http_pool_start (pool, &request, &exchange_callbacks, attempt);
   if (quince_hedge_is_allowed (&dispatch->retry) && quince_dispatch_may_hedge (dispatch, now_us))
-    try_later (forward, quince_hedge_after_us (dispatch->target_latency_us, worker->service_us));
+    try_later (forward, quince_hedge_delay_us (dispatch->target_latency_us, worker->service_us));
 }
 
 /* Makes the oldest run give way once it has been silent for long. Returns: %FALSE when it is too early for
@@ -266,7 +266,7 @@
 abandon_oldest (QuinceForward *forward, gint64 now_us)
 {
   Attempt *oldest = forward->live->pdata[0];
-  gint64 patience_us = quince_hedge_patience_us (forward->dispatch.target_latency_us);
+  gint64 patience_us = quince_hedge_attempt_timeout_us (forward->dispatch.target_latency_us);
   gint64 left = oldest->started_us + patience_us - now_us;
   if (left > 0)
     {
@@ -297,14 +297,14 @@
 static void
 no_second_choice (QuinceForward *forward, QuinceBackendOutcome outcome, gint64 now_us)
 {
-  switch (quince_no_worker_beside (outcome))
+  switch (quince_no_worker_for_hedge (outcome))
     {
-    case QUINCE_BESIDE_LEAVE:
+    case QUINCE_HEDGE_FALLBACK_KEEP:
       break;
-    case QUINCE_BESIDE_WAIT:
+    case QUINCE_HEDGE_FALLBACK_WAIT:
       try_later (forward, QUINCE_NO_WORKER_PAUSE_US);
       break;
-    case QUINCE_BESIDE_ABANDON:
+    case QUINCE_HEDGE_FALLBACK_ABANDON:
     default:
       if (!abandon_oldest (forward, now_us))
         break;
@@ -370,7 +370,7 @@
     }
   if (now >= forward->dispatch.retry.give_up_us || !quince_retry_may_run (&forward->dispatch.retry))
     return;
-  if (forward->live->len >= QUINCE_HEDGE_IN_PROGRESS_MAX && !abandon_oldest (forward, now))
+  if (forward->live->len >= QUINCE_HEDGE_IN_FLIGHT_MAX && !abandon_oldest (forward, now))
     return;
   if (!is_admitted (forward, now))
     return;
--- a/lib/forward/send-guard.c
+++ b/lib/forward/send-guard.c
@@ -146,7 +146,7 @@
 {
   if (ask == NULL)
     return QUINCE_PERMIT_NO_LEADER;
-  return ask->state == ASK_GIVEN ? QUINCE_PERMIT_GIVEN : QUINCE_PERMIT_PENDING;
+  return ask->state == ASK_GIVEN ? QUINCE_PERMIT_GRANTED : QUINCE_PERMIT_PENDING;
 }
 
 static QuinceAdmission
@@ -160,7 +160,7 @@
   const Ask *ask = g_hash_table_lookup (guard->asks, digest);
   if (ask == NULL || !is_current (ask, now_us, alone))
     ask = ask_again (guard, now_us, digest, service, alone);
-  QuinceAdmission admission = quince_admission_of_permit (state_of (ask), alone);
+  QuinceAdmission admission = quince_admission_for_permit_state (state_of (ask), alone);
   if (admission != QUINCE_ADMISSION_PERMIT)
     return admission;
   *permit = (QuinceSendPermit){ .taken = TRUE, .alone = ask->alone, .digest = *digest };
@@ -199,12 +199,12 @@
   QuinceSendRule rule = judge (guard, identity, &of_prompt);
   /* One permit for all that share a suspected prompt. */
   const QuinceRequestDigest *digest = of_prompt != QUINCE_SEND_FREE ? &identity->prompt : &identity->request;
-  const QuinceAdmissionCase request
+  const QuinceAdmissionInput request
       = { .rule = rule,
-          .loss_checked = quince_send_guard_is_checked (guard, identity),
+          .loss_check_pending = quince_send_guard_is_checked (guard, identity),
           .permit_in_use = g_hash_table_contains (guard->held, digest),
           .gives_way = quince_quarantine_gives_way (guard->quarantine, now_us, identity) };
-  QuinceAdmission admission = quince_admission_of_request (&request);
+  QuinceAdmission admission = quince_admission_for_request (&request);
   if (admission != QUINCE_ADMISSION_PERMIT)
     return admission;
   if (!quince_send_guard_survives_end (guard, now_us, service, 0))
@@ -219,8 +219,9 @@
                              const char *service)
 {
   QuinceSendRule of_prompt;
-  const QuinceAdmissionCase request = { .rule = judge (guard, identity, &of_prompt),
-                                        .loss_checked = quince_send_guard_is_checked (guard, identity) };
+  const QuinceAdmissionInput request
+      = { .rule = judge (guard, identity, &of_prompt),
+          .loss_check_pending = quince_send_guard_is_checked (guard, identity) };
   return quince_admission_allows_hedge (&request) && quince_send_guard_allows_hedge (guard, now_us, service);
 }
 
--- a/lib/forward/stream.c
+++ b/lib/forward/stream.c
@@ -232,11 +232,11 @@
   quince_timer_clear (&stream->silence);
   gint64 silent_ms = (now - stream->contact_us) / 1000;
   gboolean late = now >= stream->dispatch.retry.give_up_us;
-  if (!late && (!stream->dispatch.retry.repeatable || silent_ms < QUINCE_SILENCE_STREAM_MS))
+  if (!late && (!stream->dispatch.retry.repeatable || silent_ms < QUINCE_SILENCE_STREAM_TIMEOUT_MS))
     {
       gint64 wait_ms = (stream->dispatch.retry.give_up_us - now) / 1000 + 1;
       if (stream->dispatch.retry.repeatable)
-        wait_ms = MIN (wait_ms, QUINCE_SILENCE_STREAM_MS - silent_ms + 1);
+        wait_ms = MIN (wait_ms, QUINCE_SILENCE_STREAM_TIMEOUT_MS - silent_ms + 1);
       stream->silence = quince_timer_add ((guint)wait_ms, check_time, stream);
       return G_SOURCE_REMOVE;
     }
--- a/lib/meta/meta-mirror.c
+++ b/lib/meta/meta-mirror.c
@@ -180,8 +180,8 @@
   mirror->revision = MAX (mirror->revision, page->revision);
   for (guint i = 0; i < page->items->len; i++)
     report_item (mirror, page->items->pdata[i]);
-  mirror->pace_ms = quince_store_reads_next_pace_ms (mirror->pace_ms, mirror->times.pace_ms,
-                                                     mirror->times.pace_max_ms, page->items->len > 0);
+  mirror->pace_ms = quince_store_reads_next_interval_ms (mirror->pace_ms, mirror->times.pace_ms,
+                                                         mirror->times.pace_max_ms, page->items->len > 0);
   pass_on_changes (mirror, after);
   if (mirror->pace_ms > 0)
     wait_then_call (mirror, mirror->pace_ms);
@@ -332,7 +332,7 @@
     }
   stop_reading (mirror);
   quince_timer_clear (&mirror->feed_timer);
-  mirror->feed_timer = quince_timer_add (mirror->times.patience_ms, patience_over, mirror);
+  mirror->feed_timer = quince_timer_add (mirror->times.feed_timeout_ms, patience_over, mirror);
 }
 
 /* The page begins after the mirror's revision: only the store has the changes between. */
@@ -491,5 +491,6 @@
 gboolean
 quince_meta_mirror_is_fresh (const QuinceMetaMirror *mirror, gint64 now_us)
 {
-  return mirror->contact_us > 0 && now_us - mirror->contact_us <= (gint64)mirror->times.patience_ms * 1000;
+  return mirror->contact_us > 0
+         && now_us - mirror->contact_us <= (gint64)mirror->times.feed_timeout_ms * 1000;
 }
--- a/lib/meta/meta-mirror.h
+++ b/lib/meta/meta-mirror.h
@@ -13,14 +13,14 @@
 /* How often a mirror reads, in milliseconds. */
 typedef struct
 {
-  guint pace_ms;       /* least time from an answer to the next watch: keys may change all the time */
-  guint pace_max_ms;   /* up to which the pace grows while each watch tells changes; below @read_every_ms */
-  guint read_every_ms; /* greatest time from one answer to the next, if the store answers at once; above the
-                        * pace */
-  guint patience_ms;   /* without a page for so long a fed mirror reads the store; above @read_every_ms of the
-                        * process that feeds it */
-  guint spread_ms;     /* a store that answers again is read at a random moment within this time, so that not
-                        * all processes read it at once; 0: at once */
+  guint pace_ms;         /* least time from an answer to the next watch: keys may change all the time */
+  guint pace_max_ms;     /* up to which the pace grows while each watch tells changes; below @read_every_ms */
+  guint read_every_ms;   /* greatest time from one answer to the next, if the store answers at once; above the
+                          * pace */
+  guint feed_timeout_ms; /* without a page for so long a fed mirror reads the store; above @read_every_ms of
+                          * the process that feeds it */
+  guint spread_ms; /* a store that answers again is read at a random moment within this time, so that not
+                    * all processes read it at once; 0: at once */
   gboolean reader; /* it feeds other mirrors: when it is fed no longer the store answers its first watch at
                     * once, also if nothing has changed */
 } QuinceMetaMirrorTimes;
--- a/lib/observer/observer-feed.c
+++ b/lib/observer/observer-feed.c
@@ -13,7 +13,7 @@
 
 /* Several reserve readers report pages without items at once; the leader takes one of them in this time, us.
  * Half the time between two reads, so that none of its followers loses patience. */
-#define PAGE_EVERY_US (QUINCE_STORE_HOLD_MS / 2 * 1000)
+#define PAGE_EVERY_US (QUINCE_STORE_WATCH_TIMEOUT_MS / 2 * 1000)
 
 /* After a suspension no request is sent to a worker until the operator's keys were read, which names the
  * evacuated zones, or at most for this long, ms: the store takes a few ms to answer, and a machine that it
@@ -67,7 +67,7 @@
 {
   gint64 silent_us = now_us - quince_meta_mirror_get_contact_us (mirror);
   if (!quince_meta_mirror_is_fed (mirror))
-    return silent_us > QUINCE_STORE_HOLD_MS * 1000;
+    return silent_us > QUINCE_STORE_WATCH_TIMEOUT_MS * 1000;
   return page->items->len > 0 || silent_us > PAGE_EVERY_US;
 }
 
--- a/lib/observer/observer-private.h
+++ b/lib/observer/observer-private.h
@@ -25,7 +25,7 @@
   QuinceOperatorState *operator_state;        /* owned */
   gint64 resumed_us;                          /* monotonic: end of the last suspension; 0: never */
   guint workers_pace_ms;                      /* least time between two reads of the workers */
-  guint spare_ms;                             /* what the bound on changes allows beyond the least one */
+  guint bound_margin_ms;                      /* what the bound on changes allows beyond the least one */
   QuinceTimer *feeder_timer; /* restarted by each message of the feeder, which counts as gone when it ends */
   gboolean reserve;          /* this process is a reserve reader */
   gboolean page_may_have_lapsed; /* QuinceMetaPage.may_have_lapsed of the page that is being taken */
--- a/lib/observer/observer.c
+++ b/lib/observer/observer.c
@@ -22,7 +22,7 @@
 /* Time allowed for the first read after the patience, ms: a store over a hundred times slower than its usual
  * 4 ms. */
 #define FIRST_READ_MS 500
-G_STATIC_ASSERT (QUINCE_STORE_HOLD_MS + QUINCE_STORE_SLACK_MS + FIRST_READ_MS
+G_STATIC_ASSERT (QUINCE_STORE_WATCH_TIMEOUT_MS + QUINCE_STORE_SLACK_MS + FIRST_READ_MS
                  <= QUINCE_OBSERVER_CHANGE_BOUND_MIN_MS);
 G_STATIC_ASSERT (QUINCE_STORE_READER_SLACK_MS + FIRST_READ_MS <= QUINCE_STORE_SLACK_MS);
 /* After an outage each process reads the store at a random moment within this time, ms, so that most are fed
@@ -179,22 +179,22 @@
 {
   observer->reserve = reserve;
   quince_observer_set_relaxed (observer);
-  const QuinceStoreReadTimes times = quince_store_reads_get_times (reserve, observer->spare_ms);
+  const QuinceStoreReadTimes times = quince_store_reads_get_times (reserve, observer->bound_margin_ms);
   guint spread_ms = reserve ? 0 : SPREAD_MS;
   const QuinceMetaMirrorTimes operator_times = { .read_every_ms = times.hold_ms,
-                                                 .patience_ms = times.patience_ms,
+                                                 .feed_timeout_ms = times.feed_timeout_ms,
                                                  .spread_ms = spread_ms,
                                                  .reader = reserve };
   const QuinceMetaMirrorTimes workers_times = { .pace_ms = observer->workers_pace_ms,
                                                 .read_every_ms = times.hold_ms,
-                                                .patience_ms = times.patience_ms,
+                                                .feed_timeout_ms = times.feed_timeout_ms,
                                                 .spread_ms = spread_ms,
                                                 .reader = reserve };
-  guint own_slack_ms = MIN (times.patience_ms - QUINCE_STORE_HOLD_MS, QUINCE_STORE_SLACK_MS);
+  guint own_slack_ms = MIN (times.feed_timeout_ms - QUINCE_STORE_WATCH_TIMEOUT_MS, QUINCE_STORE_SLACK_MS);
   const QuinceMetaMirrorTimes own_times = { .pace_ms = OWN_PACE_MS,
                                             .pace_max_ms = reserve ? OWN_PACE_MS : OWN_PACE_MAX_MS,
                                             .read_every_ms = OWN_READ_EVERY_MS,
-                                            .patience_ms = OWN_READ_EVERY_MS + own_slack_ms,
+                                            .feed_timeout_ms = OWN_READ_EVERY_MS + own_slack_ms,
                                             .spread_ms = spread_ms,
                                             .reader = reserve };
   quince_meta_store_set_probe_max (observer->store, times.probe_ms);
@@ -289,7 +289,7 @@
   };
   observer->workers_pace_ms = options->workers_pace_ms;
   guint bound_ms = MAX (options->change_bound_ms, QUINCE_OBSERVER_CHANGE_BOUND_MIN_MS);
-  observer->spare_ms = bound_ms - QUINCE_OBSERVER_CHANGE_BOUND_MIN_MS;
+  observer->bound_margin_ms = bound_ms - QUINCE_OBSERVER_CHANGE_BOUND_MIN_MS;
   guint wait_ms = options->first_read_wait_ms;
   observer->operator_mirror
       = quince_meta_mirror_new (store, dialect->operator_prefix, wait_ms, &operator_callbacks, observer);
--- a/tests/platform/test-meta.c
+++ b/tests/platform/test-meta.c
@@ -68,7 +68,7 @@
   world->store
       = quince_meta_store_new (standin_store_get_address (world->standin), &quince_platform_meta_dialect);
   const QuinceMetaMirrorTimes times
-      = { .pace_ms = pace_ms, .read_every_ms = READ_EVERY_MS, .patience_ms = PATIENCE_MS };
+      = { .pace_ms = pace_ms, .read_every_ms = READ_EVERY_MS, .feed_timeout_ms = PATIENCE_MS };
   world->mirror = quince_meta_mirror_new (world->store, "a/", 0, &mirror_callbacks, &world->reports);
   quince_meta_mirror_set_times (world->mirror, &times);
   AWAIT (world->reports.synced > 0);
@@ -116,10 +116,11 @@
 {
   World world;
   begin (&world, 20);
-  const QuinceMetaMirrorTimes grown
-      = { .pace_ms = 20, .pace_max_ms = 5000, .read_every_ms = READ_EVERY_MS, .patience_ms = PATIENCE_MS };
+  const QuinceMetaMirrorTimes grown = {
+    .pace_ms = 20, .pace_max_ms = 5000, .read_every_ms = READ_EVERY_MS, .feed_timeout_ms = PATIENCE_MS
+  };
   const QuinceMetaMirrorTimes reader
-      = { .pace_ms = 20, .read_every_ms = READ_EVERY_MS, .patience_ms = PATIENCE_MS, .reader = TRUE };
+      = { .pace_ms = 20, .read_every_ms = READ_EVERY_MS, .feed_timeout_ms = PATIENCE_MS, .reader = TRUE };
   quince_meta_mirror_set_times (world.mirror, &grown);
   for (guint i = 0; i < 4; i++)
     {
@@ -392,7 +393,7 @@
   Reports reports = { .values = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free) };
   read_pages = 0;
   read_items = 0;
-  const QuinceMetaMirrorTimes times = { .read_every_ms = READ_EVERY_MS, .patience_ms = PATIENCE_MS };
+  const QuinceMetaMirrorTimes times = { .read_every_ms = READ_EVERY_MS, .feed_timeout_ms = PATIENCE_MS };
   QuinceMetaMirror *mirror = quince_meta_mirror_new (world.store, "w/", 0, &worker_callbacks, &reports);
   quince_meta_mirror_set_times (mirror, &times);
   AWAIT (reports.synced > 0);
--- a/tests/unit/test-decisions-admission.c
+++ b/tests/unit/test-decisions-admission.c
@@ -13,10 +13,10 @@
 
 #define MS G_GINT64_CONSTANT (1000)
 
-/* rule, loss_checked, permit_in_use, gives_way */
+/* rule, loss_check_pending, permit_in_use, gives_way */
 static const struct
 {
-  QuinceAdmissionCase request;
+  QuinceAdmissionInput request;
   QuinceAdmission admission;
   gboolean hedge;
 } rows[] = {
@@ -34,53 +34,56 @@
 };
 
 static void
-test_by_what_is_known (void **state)
+test_admission_for_request (void **state)
 {
   for (guint i = 0; i < G_N_ELEMENTS (rows); i++)
     {
-      assert_int_equal (quince_admission_of_request (&rows[i].request), rows[i].admission);
+      assert_int_equal (quince_admission_for_request (&rows[i].request), rows[i].admission);
       assert_int_equal (quince_admission_allows_hedge (&rows[i].request), rows[i].hedge);
     }
 }
 
 /* Without a leader only a request that may run beside others is sent. */
 static void
-test_by_the_leader (void **state)
+test_admission_for_permit_state (void **state)
 {
-  assert_int_equal (quince_admission_of_permit (QUINCE_PERMIT_PENDING, FALSE), QUINCE_ADMISSION_WAIT);
-  assert_int_equal (quince_admission_of_permit (QUINCE_PERMIT_PENDING, TRUE), QUINCE_ADMISSION_WAIT);
-  assert_int_equal (quince_admission_of_permit (QUINCE_PERMIT_GIVEN, FALSE), QUINCE_ADMISSION_PERMIT);
-  assert_int_equal (quince_admission_of_permit (QUINCE_PERMIT_GIVEN, TRUE), QUINCE_ADMISSION_PERMIT);
-  assert_int_equal (quince_admission_of_permit (QUINCE_PERMIT_NO_LEADER, FALSE), QUINCE_ADMISSION_CAREFUL);
-  assert_int_equal (quince_admission_of_permit (QUINCE_PERMIT_NO_LEADER, TRUE), QUINCE_ADMISSION_UNSURE);
+  assert_int_equal (quince_admission_for_permit_state (QUINCE_PERMIT_PENDING, FALSE), QUINCE_ADMISSION_WAIT);
+  assert_int_equal (quince_admission_for_permit_state (QUINCE_PERMIT_PENDING, TRUE), QUINCE_ADMISSION_WAIT);
+  assert_int_equal (quince_admission_for_permit_state (QUINCE_PERMIT_GRANTED, FALSE),
+                    QUINCE_ADMISSION_PERMIT);
+  assert_int_equal (quince_admission_for_permit_state (QUINCE_PERMIT_GRANTED, TRUE), QUINCE_ADMISSION_PERMIT);
+  assert_int_equal (quince_admission_for_permit_state (QUINCE_PERMIT_NO_LEADER, FALSE),
+                    QUINCE_ADMISSION_UNHEDGED);
+  assert_int_equal (quince_admission_for_permit_state (QUINCE_PERMIT_NO_LEADER, TRUE),
+                    QUINCE_ADMISSION_NO_PERMIT);
 }
 
 /* Only a caller that has a part of the answer waits. */
 static void
 test_protected_requests (void **state)
 {
-  assert_true (quince_admission_protected_waits (TRUE));
-  assert_false (quince_admission_protected_waits (FALSE));
+  assert_true (quince_admission_protected_may_wait (TRUE));
+  assert_false (quince_admission_protected_may_wait (FALSE));
 }
 
 static void
-test_waiting_ends (void **state)
+test_admission_wait_expires (void **state)
 {
-  assert_true (quince_admission_waits_on (0, 0));
-  assert_true (quince_admission_waits_on (199 * MS, 50 * MS));
-  assert_false (quince_admission_waits_on (200 * MS, 50 * MS));
-  assert_true (quince_admission_waits_on (399 * MS, 400 * MS));
-  assert_false (quince_admission_waits_on (400 * MS, 400 * MS));
+  assert_true (quince_admission_may_keep_waiting (0, 0));
+  assert_true (quince_admission_may_keep_waiting (199 * MS, 50 * MS));
+  assert_false (quince_admission_may_keep_waiting (200 * MS, 50 * MS));
+  assert_true (quince_admission_may_keep_waiting (399 * MS, 400 * MS));
+  assert_false (quince_admission_may_keep_waiting (400 * MS, 400 * MS));
 }
 
 int
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_by_what_is_known),
-    cmocka_unit_test (test_by_the_leader),
+    cmocka_unit_test (test_admission_for_request),
+    cmocka_unit_test (test_admission_for_permit_state),
     cmocka_unit_test (test_protected_requests),
-    cmocka_unit_test (test_waiting_ends),
+    cmocka_unit_test (test_admission_wait_expires),
   };
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/tests/unit/test-decisions-load-next.c
+++ b/tests/unit/test-decisions-load-next.c
@@ -50,8 +50,8 @@
 static void
 test_after_an_order (void **state)
 {
-  assert_next (quince_load_next_after_order (QUINCE_ORDER_TAKEN), QUINCE_LOAD_NEXT_POLL, 900, NULL);
-  assert_next (quince_load_next_after_order (QUINCE_ORDER_DONE), QUINCE_LOAD_NEXT_POLL, 1, NULL);
+  assert_next (quince_load_next_after_order (QUINCE_ORDER_ACCEPTED), QUINCE_LOAD_NEXT_POLL, 900, NULL);
+  assert_next (quince_load_next_after_order (QUINCE_ORDER_ALREADY_LOADED), QUINCE_LOAD_NEXT_POLL, 1, NULL);
   assert_next (quince_load_next_after_order (QUINCE_ORDER_UNKNOWN), QUINCE_LOAD_NEXT_POLL, 80, NULL);
   assert_next (quince_load_next_after_order (QUINCE_ORDER_OTHER_WORKER), QUINCE_LOAD_NEXT_END, 0,
                "other_worker");
@@ -61,7 +61,7 @@
 /* holds_sends, evacuated, may_order, is_order */
 static const struct
 {
-  QuinceLoadSendCase send;
+  QuinceLoadSendInput send;
   QuinceLoadAction action;
   guint pause_ms;
   const char *outcome;
@@ -84,12 +84,12 @@
 }
 
 static void
-test_loads_at_once (void **state)
+test_concurrent_loads_limit (void **state)
 {
-  assert_int_equal (quince_load_at_once_max (0), 2);
-  assert_int_equal (quince_load_at_once_max (11), 2);
-  assert_int_equal (quince_load_at_once_max (15), 3);
-  assert_int_equal (quince_load_at_once_max (44), 8);
+  assert_int_equal (quince_load_concurrent_max (0), 2);
+  assert_int_equal (quince_load_concurrent_max (11), 2);
+  assert_int_equal (quince_load_concurrent_max (15), 3);
+  assert_int_equal (quince_load_concurrent_max (44), 8);
 }
 
 int
@@ -99,7 +99,7 @@
     cmocka_unit_test (test_after_a_report),
     cmocka_unit_test (test_after_an_order),
     cmocka_unit_test (test_before_a_send),
-    cmocka_unit_test (test_loads_at_once),
+    cmocka_unit_test (test_concurrent_loads_limit),
   };
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/tests/unit/test-decisions-no-worker.c
+++ b/tests/unit/test-decisions-no-worker.c
@@ -62,28 +62,28 @@
   for (guint i = 0; i < G_N_ELEMENTS (rows); i++)
     {
       const Row *row = &rows[i];
-      const QuinceNoWorkerCase none = { .outcome = row->outcome,
-                                        .is_stream = row->is_stream,
-                                        .began = row->began,
-                                        .tried_any = row->tried_any,
-                                        .runs = row->runs,
-                                        .now_us = row->now_us,
-                                        .target_latency_us = TARGET_US,
-                                        .cold_room_us = row->cold_room_us };
-      const QuinceNoWorkerVerdict verdict = quince_no_worker_decide (&none);
+      const QuinceNoWorkerInput none = { .outcome = row->outcome,
+                                         .is_stream = row->is_stream,
+                                         .began = row->began,
+                                         .tried_any = row->tried_any,
+                                         .runs = row->runs,
+                                         .now_us = row->now_us,
+                                         .target_latency_us = TARGET_US,
+                                         .cold_room_us = row->cold_room_us };
+      const QuinceNoWorkerDecision verdict = quince_no_worker_decide (&none);
       assert_int_equal (verdict.wait, row->waits);
       assert_int_equal (verdict.retry_after_ms, row->retry_after_ms);
     }
 }
 
 static void
-test_beside_an_attempt (void **state)
+test_no_worker_for_hedge (void **state)
 {
-  assert_int_equal (quince_no_worker_beside (QUINCE_BACKEND_EVACUATED), QUINCE_BESIDE_LEAVE);
-  assert_int_equal (quince_no_worker_beside (QUINCE_BACKEND_COLD), QUINCE_BESIDE_WAIT);
-  assert_int_equal (quince_no_worker_beside (QUINCE_BACKEND_ZONES_UNKNOWN), QUINCE_BESIDE_WAIT);
-  assert_int_equal (quince_no_worker_beside (QUINCE_BACKEND_FULL), QUINCE_BESIDE_ABANDON);
-  assert_int_equal (quince_no_worker_beside (QUINCE_BACKEND_NONE), QUINCE_BESIDE_ABANDON);
+  assert_int_equal (quince_no_worker_for_hedge (QUINCE_BACKEND_EVACUATED), QUINCE_HEDGE_FALLBACK_KEEP);
+  assert_int_equal (quince_no_worker_for_hedge (QUINCE_BACKEND_COLD), QUINCE_HEDGE_FALLBACK_WAIT);
+  assert_int_equal (quince_no_worker_for_hedge (QUINCE_BACKEND_ZONES_UNKNOWN), QUINCE_HEDGE_FALLBACK_WAIT);
+  assert_int_equal (quince_no_worker_for_hedge (QUINCE_BACKEND_FULL), QUINCE_HEDGE_FALLBACK_ABANDON);
+  assert_int_equal (quince_no_worker_for_hedge (QUINCE_BACKEND_NONE), QUINCE_HEDGE_FALLBACK_ABANDON);
 }
 
 int
@@ -91,7 +91,7 @@
 {
   const struct CMUnitTest tests[] = {
     cmocka_unit_test (test_without_an_attempt_in_progress),
-    cmocka_unit_test (test_beside_an_attempt),
+    cmocka_unit_test (test_no_worker_for_hedge),
   };
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/tests/unit/test-decisions-retry-after.c
+++ b/tests/unit/test-decisions-retry-after.c
@@ -12,7 +12,7 @@
 
 typedef struct
 {
-  QuinceRetryAfterCase refused;
+  QuinceRetryAfterInput refused;
   guint retry_after_ms;
 } Row;
 
--- a/tests/unit/test-decisions-retry.c
+++ b/tests/unit/test-decisions-retry.c
@@ -56,7 +56,7 @@
 
 /* "Not run" is said only where nothing may have run, late or not. */
 static void
-test_ends_without_answer (void **state)
+test_give_up_reason (void **state)
 {
   assert_int_equal (quince_retry_give_up (FALSE, FALSE), QUINCE_GIVE_UP_NOT_RUN);
   assert_int_equal (quince_retry_give_up (FALSE, TRUE), QUINCE_GIVE_UP_NOT_RUN);
@@ -81,19 +81,19 @@
 };
 
 static void
-test_time_of_a_hedge (void **state)
+test_hedge_delay (void **state)
 {
   for (guint i = 0; i < G_N_ELEMENTS (hedge_rows); i++)
-    assert_int_equal (quince_hedge_after_us (hedge_rows[i].target_us, hedge_rows[i].service_us),
+    assert_int_equal (quince_hedge_delay_us (hedge_rows[i].target_us, hedge_rows[i].service_us),
                       hedge_rows[i].after_us);
 }
 
 static void
-test_patience_with_the_oldest (void **state)
+test_hedge_attempt_timeout (void **state)
 {
-  assert_int_equal (quince_hedge_patience_us (400 * MS), 800 * MS);
-  assert_int_equal (quince_hedge_patience_us (100 * MS), 250 * MS);
-  assert_int_equal (quince_hedge_patience_us (0), 250 * MS);
+  assert_int_equal (quince_hedge_attempt_timeout_us (400 * MS), 800 * MS);
+  assert_int_equal (quince_hedge_attempt_timeout_us (100 * MS), 250 * MS);
+  assert_int_equal (quince_hedge_attempt_timeout_us (0), 250 * MS);
 }
 
 int
@@ -101,9 +101,9 @@
 {
   const struct CMUnitTest tests[] = {
     cmocka_unit_test (test_retries),
-    cmocka_unit_test (test_ends_without_answer),
-    cmocka_unit_test (test_time_of_a_hedge),
-    cmocka_unit_test (test_patience_with_the_oldest),
+    cmocka_unit_test (test_give_up_reason),
+    cmocka_unit_test (test_hedge_delay),
+    cmocka_unit_test (test_hedge_attempt_timeout),
   };
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/tests/unit/test-decisions-sample-move.c
+++ b/tests/unit/test-decisions-sample-move.c
@@ -19,7 +19,7 @@
 /* ---- Lengths ------------------------------------------------------------ */
 
 static void
-test_events_of_a_token_are_learned (void **state)
+test_length_model_learns_events_per_token (void **state)
 {
   g_autoptr (QuinceLengthModel) model = quince_length_model_new ();
   assert_true (quince_length_model_remaining (model, 1000, 0)
@@ -33,7 +33,7 @@
 }
 
 static void
-test_mean_without_estimates (void **state)
+test_length_model_mean_without_estimates (void **state)
 {
   g_autoptr (QuinceLengthModel) model = quince_length_model_new ();
   for (guint i = 0; i < 50; i++)
@@ -44,7 +44,7 @@
 
 /* A text that outgrows its estimate has a part of itself still to come, up to the longest text seen. */
 static void
-test_overshoot (void **state)
+test_length_model_text_exceeds_estimate (void **state)
 {
   g_autoptr (QuinceLengthModel) model = quince_length_model_new ();
   quince_length_model_note (model, 500, 10);
@@ -57,7 +57,7 @@
 /* ---- Paces -------------------------------------------------------------- */
 
 static void
-test_pace_of_a_worker (void **state)
+test_worker_pace (void **state)
 {
   g_autoptr (QuinceWorker) fast = quince_worker_new ("fast");
   g_autoptr (QuinceWorker) slow = quince_worker_new ("slow");
@@ -81,47 +81,47 @@
 /* ---- Decisions ---------------------------------------------------------- */
 
 static void
-test_silence_by_pace (void **state)
+test_sample_silence_timeout (void **state)
 {
-  guint unknown = quince_silence_sample_ms (0);
-  guint fast = quince_silence_sample_ms (EVENT_US);
+  guint unknown = quince_silence_sample_timeout_ms (0);
+  guint fast = quince_silence_sample_timeout_ms (EVENT_US);
   assert_true (fast < unknown);
   assert_true (fast >= 1200); /* a load of weights stops a worker for 0.9 s and more */
-  assert_int_equal (quince_silence_sample_ms (SECOND), unknown);
+  assert_int_equal (quince_silence_sample_timeout_ms (SECOND), unknown);
 }
 
 static void
-test_move_must_pay (void **state)
+test_move_is_worthwhile (void **state)
 {
-  assert_true (quince_sample_move_pays (100, 3 * EVENT_US, EVENT_US));
-  assert_false (quince_sample_move_pays (100, EVENT_US, EVENT_US));
-  assert_false (quince_sample_move_pays (100, 11 * EVENT_US / 10, EVENT_US));
+  assert_true (quince_sample_move_is_worthwhile (100, 3 * EVENT_US, EVENT_US));
+  assert_false (quince_sample_move_is_worthwhile (100, EVENT_US, EVENT_US));
+  assert_false (quince_sample_move_is_worthwhile (100, 11 * EVENT_US / 10, EVENT_US));
   /* Nearly done: it would gain nothing to speak of. */
-  assert_false (quince_sample_move_pays (5, 3 * EVENT_US, EVENT_US));
-  assert_false (quince_sample_move_pays (100, 0, EVENT_US));
+  assert_false (quince_sample_move_is_worthwhile (5, 3 * EVENT_US, EVENT_US));
+  assert_false (quince_sample_move_is_worthwhile (100, 0, EVENT_US));
 }
 
 /* While this process is late itself, what it measures of workers moves no run. */
 static void
-test_no_moves_by_paces_of_a_busy_process (void **state)
+test_no_moves_after_a_late_check (void **state)
 {
-  QuinceMoveWatch watch = { 0 };
+  QuinceMoveCheckState watch = { 0 };
   gint64 now = 1000 * SECOND;
-  assert_true (quince_sample_move_is_time (&watch, now));
-  assert_false (quince_sample_move_is_time (&watch, now + SECOND / 100)); /* only just looked */
+  assert_true (quince_sample_move_check_is_due (&watch, now));
+  assert_false (quince_sample_move_check_is_due (&watch, now + SECOND / 100)); /* only just looked */
   for (guint i = 0; i < 20; i++)
-    assert_true (quince_sample_move_is_time (&watch, now += SECOND / 8));
+    assert_true (quince_sample_move_check_is_due (&watch, now += SECOND / 8));
   now += SECOND / 2; /* this process stood still */
-  assert_false (quince_sample_move_is_time (&watch, now));
+  assert_false (quince_sample_move_check_is_due (&watch, now));
   for (guint i = 0; i < 7; i++)
-    assert_false (quince_sample_move_is_time (&watch, now += SECOND / 8));
-  assert_true (quince_sample_move_is_time (&watch, now += SECOND / 8));
+    assert_false (quince_sample_move_check_is_due (&watch, now += SECOND / 8));
+  assert_true (quince_sample_move_check_is_due (&watch, now += SECOND / 8));
 }
 
 /* single_version, moves, run_us, measured */
 static const struct
 {
-  QuinceSampleMoveCase sample;
+  QuinceSampleMoveInput sample;
   gboolean allowed;
 } allowed_rows[] = {
   { { FALSE, 0, 700 * 1000, TRUE }, TRUE }, { { FALSE, 3, SECOND, TRUE }, TRUE },
@@ -130,7 +130,7 @@
 };
 
 static void
-test_runs_that_may_move (void **state)
+test_move_is_allowed (void **state)
 {
   for (guint i = 0; i < G_N_ELEMENTS (allowed_rows); i++)
     assert_int_equal (quince_sample_move_is_allowed (&allowed_rows[i].sample), allowed_rows[i].allowed);
@@ -140,14 +140,14 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_events_of_a_token_are_learned),
-    cmocka_unit_test (test_mean_without_estimates),
-    cmocka_unit_test (test_overshoot),
-    cmocka_unit_test (test_pace_of_a_worker),
-    cmocka_unit_test (test_silence_by_pace),
-    cmocka_unit_test (test_move_must_pay),
-    cmocka_unit_test (test_no_moves_by_paces_of_a_busy_process),
-    cmocka_unit_test (test_runs_that_may_move),
+    cmocka_unit_test (test_length_model_learns_events_per_token),
+    cmocka_unit_test (test_length_model_mean_without_estimates),
+    cmocka_unit_test (test_length_model_text_exceeds_estimate),
+    cmocka_unit_test (test_worker_pace),
+    cmocka_unit_test (test_sample_silence_timeout),
+    cmocka_unit_test (test_move_is_worthwhile),
+    cmocka_unit_test (test_no_moves_after_a_late_check),
+    cmocka_unit_test (test_move_is_allowed),
   };
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/tests/unit/test-decisions-sample-next.c
+++ b/tests/unit/test-decisions-sample-next.c
@@ -12,17 +12,17 @@
 
 #define MS G_GINT64_CONSTANT (1000)
 
-/* end, failures, hopeless, max_attempts; action, pause_us, eject_worker */
+/* end, failures, unprocessable_answers, max_attempts; action, pause_us, eject_worker */
 static const struct
 {
-  QuinceSampleRunEnded ended;
+  QuinceSampleRunResult ended;
   QuinceSampleNext next;
 } rows[] = {
-  { { QUINCE_RUN_WHOLE, 3, 0, 2 }, { QUINCE_SAMPLE_NEXT_REWARD, 0, FALSE } },
+  { { QUINCE_RUN_COMPLETE, 3, 0, 2 }, { QUINCE_SAMPLE_NEXT_REWARD, 0, FALSE } },
   { { QUINCE_RUN_REFUSED, 0, 0, 2 }, { QUINCE_SAMPLE_NEXT_RUN, 30 * MS, FALSE } },
   { { QUINCE_RUN_NO_CONNECTION, 0, 0, 2 }, { QUINCE_SAMPLE_NEXT_RUN, 30 * MS, TRUE } },
   { { QUINCE_RUN_BROKEN, 0, 0, 2 }, { QUINCE_SAMPLE_NEXT_RUN, 0, TRUE } },
-  { { QUINCE_RUN_LOST, 3, 0, 2 }, { QUINCE_SAMPLE_NEXT_RUN, 0, TRUE } },
+  { { QUINCE_RUN_CONNECTION_LOST, 3, 0, 2 }, { QUINCE_SAMPLE_NEXT_RUN, 0, TRUE } },
   { { QUINCE_RUN_OUT_OF_ORDER, 0, 0, 2 }, { QUINCE_SAMPLE_NEXT_RUN, 0, FALSE } },
   { { QUINCE_RUN_MOVED, 0, 0, 2 }, { QUINCE_SAMPLE_NEXT_RUN, 0, FALSE } },
   { { QUINCE_RUN_FAILED, 1, 0, 2 }, { QUINCE_SAMPLE_NEXT_RUN, 50 * MS, FALSE } },
@@ -31,7 +31,7 @@
   /* Its route is gone: as with a single attempt. */
   { { QUINCE_RUN_FAILED, 1, 0, 0 }, { QUINCE_SAMPLE_NEXT_RUN, 50 * MS, FALSE } },
   { { QUINCE_RUN_FAILED, 2, 0, 0 }, { QUINCE_SAMPLE_NEXT_ABANDON, 0, FALSE } },
-  { { QUINCE_RUN_HOPELESS, 0, 1, 2 }, { QUINCE_SAMPLE_NEXT_ABANDON, 0, FALSE } },
+  { { QUINCE_RUN_UNPROCESSABLE, 0, 1, 2 }, { QUINCE_SAMPLE_NEXT_ABANDON, 0, FALSE } },
 };
 
 static void
@@ -55,17 +55,17 @@
   assert_int_equal (quince_sample_next_after_reward (2, 3).action, QUINCE_SAMPLE_NEXT_REWARD);
   assert_int_equal (quince_sample_next_after_reward (3, 3).action, QUINCE_SAMPLE_NEXT_ABANDON);
   assert_int_equal (quince_sample_reward_pause_us (), 100 * MS);
-  assert_int_equal (quince_sample_reward_time_ms (0), 4000);
-  assert_int_equal (quince_sample_reward_time_ms (900), 900);
-  assert_int_equal (quince_sample_reward_time_ms (9000), 4000);
+  assert_int_equal (quince_sample_reward_timeout_ms (0), 4000);
+  assert_int_equal (quince_sample_reward_timeout_ms (900), 900);
+  assert_int_equal (quince_sample_reward_timeout_ms (9000), 4000);
 }
 
 static void
-test_time_is_up (void **state)
+test_sample_expires (void **state)
 {
-  assert_false (quince_sample_is_late (0, 5 * MS));
-  assert_false (quince_sample_is_late (5 * MS, 5 * MS - 1));
-  assert_true (quince_sample_is_late (5 * MS, 5 * MS));
+  assert_false (quince_sample_has_expired (0, 5 * MS));
+  assert_false (quince_sample_has_expired (5 * MS, 5 * MS - 1));
+  assert_true (quince_sample_has_expired (5 * MS, 5 * MS));
 }
 
 static void
@@ -76,7 +76,7 @@
   assert_int_equal (quince_sample_admission_pause_us (QUINCE_ADMISSION_HELD), 1000 * MS);
   assert_int_equal (quince_sample_admission_pause_us (QUINCE_ADMISSION_PROTECTED), 200 * MS);
   assert_int_equal (quince_sample_admission_pause_us (QUINCE_ADMISSION_WAIT), 5 * MS);
-  assert_int_equal (quince_sample_admission_pause_us (QUINCE_ADMISSION_UNSURE), 5 * MS);
+  assert_int_equal (quince_sample_admission_pause_us (QUINCE_ADMISSION_NO_PERMIT), 5 * MS);
 }
 
 int
@@ -85,7 +85,7 @@
   const struct CMUnitTest tests[] = {
     cmocka_unit_test (test_after_a_run),
     cmocka_unit_test (test_after_a_reward_call),
-    cmocka_unit_test (test_time_is_up),
+    cmocka_unit_test (test_sample_expires),
     cmocka_unit_test (test_pauses_of_waiting_samples),
   };
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/tests/unit/test-decisions-store-reads.c
+++ b/tests/unit/test-decisions-store-reads.c
@@ -28,19 +28,19 @@
   guint reads = 0;
   for (guint now = 0; now < 1000; now += pace)
     {
-      pace = quince_store_reads_next_pace_ms (pace, 100, 500, TRUE);
+      pace = quince_store_reads_next_interval_ms (pace, 100, 500, TRUE);
       reads++;
     }
   assert_true (reads <= 3);
-  assert_int_equal (quince_store_reads_next_pace_ms (pace, 100, 500, FALSE), 100);
+  assert_int_equal (quince_store_reads_next_interval_ms (pace, 100, 500, FALSE), 100);
 }
 
 /* A reader reads as often as ever, also in a burst. */
 static void
-test_reader_in_a_burst (void **state)
+test_reader_interval_in_a_burst (void **state)
 {
-  assert_int_equal (quince_store_reads_next_pace_ms (100, 100, 100, TRUE), 100);
-  assert_int_equal (quince_store_reads_next_pace_ms (0, 0, 0, TRUE), 0);
+  assert_int_equal (quince_store_reads_next_interval_ms (100, 100, 100, TRUE), 100);
+  assert_int_equal (quince_store_reads_next_interval_ms (0, 0, 0, TRUE), 0);
 }
 
 /* The leader of 300 processes is gone for five seconds, and each of them reads two prefixes by itself. */
@@ -49,8 +49,8 @@
 {
   const QuinceStoreReadTimes small = quince_store_reads_get_times (FALSE, 0);
   const QuinceStoreReadTimes large = quince_store_reads_get_times (FALSE, BOUND_LARGE_MS - BOUND_MIN_MS);
-  guint small_calls = (5000 - small.patience_ms) / small.hold_ms;
-  guint large_calls = (5000 - large.patience_ms) / large.hold_ms;
+  guint small_calls = (5000 - small.feed_timeout_ms) / small.hold_ms;
+  guint large_calls = (5000 - large.feed_timeout_ms) / large.hold_ms;
   assert_true (large_calls <= 2);
   assert_true (large_calls * 3 <= small_calls);
 }
@@ -63,7 +63,7 @@
   for (guint bound = BOUND_MIN_MS; bound <= 20000; bound += 500)
     {
       const QuinceStoreReadTimes times = quince_store_reads_get_times (FALSE, bound - BOUND_MIN_MS);
-      assert_true (times.patience_ms + READ_MS <= bound);
+      assert_true (times.feed_timeout_ms + READ_MS <= bound);
       assert_true (times.hold_ms + CALL_TIMEOUT_MS + READ_MS <= bound);
     }
 }
@@ -76,8 +76,8 @@
     {
       const QuinceStoreReadTimes reader = quince_store_reads_get_times (TRUE, spare);
       const QuinceStoreReadTimes other = quince_store_reads_get_times (FALSE, spare);
-      assert_int_equal (reader.hold_ms, QUINCE_STORE_HOLD_MS);
-      assert_true (reader.patience_ms + READ_MS <= other.patience_ms);
+      assert_int_equal (reader.hold_ms, QUINCE_STORE_WATCH_TIMEOUT_MS);
+      assert_true (reader.feed_timeout_ms + READ_MS <= other.feed_timeout_ms);
       assert_true (reader.probe_ms <= other.probe_ms);
     }
 }
@@ -86,7 +86,7 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_burst_of_writes),        cmocka_unit_test (test_reader_in_a_burst),
+    cmocka_unit_test (test_burst_of_writes),        cmocka_unit_test (test_reader_interval_in_a_burst),
     cmocka_unit_test (test_calls_without_a_leader), cmocka_unit_test (test_changes_are_known_in_time),
     cmocka_unit_test (test_readers_read_first),
   };
--- a/tests/unit/test-decisions-worker-choice.c
+++ b/tests/unit/test-decisions-worker-choice.c
@@ -43,7 +43,7 @@
 };
 
 static void
-test_workers (void **state)
+test_worker_eligibility (void **state)
 {
   for (guint i = 0; i < G_N_ELEMENTS (workers); i++)
     {
@@ -58,20 +58,21 @@
       worker->gone_after_us = workers[i].gone_after_us;
       worker->ejected_until_us = workers[i].ejected_until_us;
       worker->running = workers[i].running;
-      const QuinceWorkerNeed need = { .model = "m", .minimum_version = 4, .avoid = avoid, .running_max = 12 };
+      const QuinceWorkerRequirements need
+          = { .model = "m", .minimum_version = 4, .avoid = avoid, .running_max = 12 };
       assert_int_equal (quince_choice_was_tried (worker, &need), workers[i].tried);
       assert_int_equal (quince_choice_is_suitable (worker, NOW_US, &need), workers[i].suitable);
       assert_int_equal (quince_choice_has_room (worker, &need), workers[i].has_room);
-      assert_int_equal (quince_choice_is_trusted (worker, NOW_US), workers[i].trusted);
+      assert_int_equal (quince_choice_is_preferred (worker, NOW_US), workers[i].trusted);
     }
 }
 
 /* A lookup needs no weights, avoids none and knows no bound. */
 static void
-test_lookup_needs_little (void **state)
+test_lookup_requirements (void **state)
 {
   g_autoptr (QuinceWorker) worker = quince_worker_new ("w");
-  const QuinceWorkerNeed need = { .model = NULL };
+  const QuinceWorkerRequirements need = { .model = NULL };
   worker->loading = TRUE;
   worker->running = 1000;
   assert_true (quince_choice_is_suitable (worker, NOW_US, &need));
@@ -91,19 +92,19 @@
 }
 
 static void
-test_turns_of_a_returning_zone (void **state)
+test_returning_zone_share (void **state)
 {
-  assert_true (quince_choice_has_returning_turn (0.25, 2, 12, 0));
-  assert_false (quince_choice_has_returning_turn (0.25, 3, 12, 0));
-  assert_true (quince_choice_has_returning_turn (0.01, 0, 12, 0)); /* at least one */
+  assert_true (quince_choice_is_returning_candidate (0.25, 2, 12, 0));
+  assert_false (quince_choice_is_returning_candidate (0.25, 3, 12, 0));
+  assert_true (quince_choice_is_returning_candidate (0.01, 0, 12, 0)); /* at least one */
   guint turns = 0;
   for (guint turn = 0; turn < 80; turn++)
-    turns += quince_choice_has_returning_turn (0.25, 100, 0, turn);
+    turns += quince_choice_is_returning_candidate (0.25, 100, 0, turn);
   assert_int_equal (turns, 20);
 }
 
 static void
-test_size_of_a_comparison (void **state)
+test_compare_all_threshold (void **state)
 {
   assert_true (quince_choice_compares_all (256, FALSE));
   assert_false (quince_choice_compares_all (257, FALSE));
@@ -158,9 +159,9 @@
 test_best_score (void **state)
 {
   const double scores[] = { NAN, 1, INFINITY, 3, 3, -INFINITY };
-  assert_int_equal (quince_choice_best (scores, G_N_ELEMENTS (scores)), 3);
-  assert_int_equal (quince_choice_best (scores, 1), -1);
-  assert_int_equal (quince_choice_best (scores, 0), -1);
+  assert_int_equal (quince_choice_best_score (scores, G_N_ELEMENTS (scores)), 3);
+  assert_int_equal (quince_choice_best_score (scores, 1), -1);
+  assert_int_equal (quince_choice_best_score (scores, 0), -1);
 }
 
 /* ---- Outcome ------------------------------------------------------------ */
@@ -192,11 +193,11 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_workers),
-    cmocka_unit_test (test_lookup_needs_little),
+    cmocka_unit_test (test_worker_eligibility),
+    cmocka_unit_test (test_lookup_requirements),
     cmocka_unit_test (test_limit_of_cold_workers),
-    cmocka_unit_test (test_turns_of_a_returning_zone),
-    cmocka_unit_test (test_size_of_a_comparison),
+    cmocka_unit_test (test_returning_zone_share),
+    cmocka_unit_test (test_compare_all_threshold),
     cmocka_unit_test (test_candidates),
     cmocka_unit_test (test_best_score),
     cmocka_unit_test (test_outcomes),
--- a/tools/store-calls.c
+++ b/tools/store-calls.c
@@ -120,7 +120,8 @@
 quince_store_read_prefix (QuinceTool *tool, const char *prefix, QuinceStoreItem item, gpointer user_data)
 {
   static const QuinceMetaMirrorCallbacks callbacks = { .item = item_read, .synced = all_read };
-  static const QuinceMetaMirrorTimes times = { .read_every_ms = LIST_EVERY_MS, .patience_ms = LIST_EVERY_MS };
+  static const QuinceMetaMirrorTimes times
+      = { .read_every_ms = LIST_EVERY_MS, .feed_timeout_ms = LIST_EVERY_MS };
   List list = { .tool = tool, .item = item, .user_data = user_data };
   QuinceMetaMirror *mirror = quince_meta_mirror_new (tool->meta, prefix, 0, &callbacks, &list);
   quince_meta_mirror_set_times (mirror, &times);
