--- a/daemons/replica/weight-load.c
+++ b/daemons/replica/weight-load.c
@@ -171,8 +171,8 @@
   if (version > 0)
     quince_worker_table_set_model (quince_backends_get_workers (load->owner->backends), worker, load->model,
                                    MAX (version, quince_worker_get_version (worker, load->model)));
-  const QuinceLoadReport reported = { .has = version,
-                                      .wanted = load->version,
+  const QuinceLoadReport reported = { .loaded_version = version,
+                                      .target_version = load->version,
                                       .busy = report->busy,
                                       .elapsed_us = quince_now_us () - load->started_us };
   const QuinceLoadNext next = quince_load_next_after_report (&reported);
--- a/lib/core/decisions/admission.c
+++ b/lib/core/decisions/admission.c
@@ -5,7 +5,7 @@
 
 /* Shortest time for which a request waits for its admission, us.  Not measured: more than the check of a
  * worker (150 ms) and a run of a lookup (25 ms) take. */
-#define WAIT_MIN_US (200 * 1000)
+#define ADMISSION_WAIT_MIN_US (200 * 1000)
 
 QuinceAdmission
 quince_admission_for_request (const QuinceAdmissionInput *request)
@@ -16,7 +16,7 @@
     return QUINCE_ADMISSION_WAIT;
   if (request->rule == QUINCE_SEND_FREE)
     return QUINCE_ADMISSION_GRANTED;
-  return request->gives_way ? QUINCE_ADMISSION_WAIT : QUINCE_ADMISSION_PERMIT;
+  return request->should_yield ? QUINCE_ADMISSION_WAIT : QUINCE_ADMISSION_PERMIT;
 }
 
 QuinceAdmission
@@ -41,13 +41,13 @@
 }
 
 gboolean
-quince_admission_protected_may_wait (gboolean began)
+quince_admission_protected_may_wait (gboolean response_started)
 {
-  return began;
+  return response_started;
 }
 
 gboolean
 quince_admission_may_keep_waiting (gint64 waited_us, gint64 target_latency_us)
 {
-  return waited_us < MAX (target_latency_us, WAIT_MIN_US);
+  return waited_us < MAX (target_latency_us, ADMISSION_WAIT_MIN_US);
 }
--- a/lib/core/decisions/admission.h
+++ b/lib/core/decisions/admission.h
@@ -35,15 +35,15 @@
  * @rule: the stricter one of what the quarantine knows of the request and of its prompt
  * @loss_check_pending: it is not decided yet whether a worker ended under the request or its prompt
  * @permit_in_use: this process sends another request under the same permit
- * @gives_way: it met the last end of its prompt a moment ago, so that other requests of the prompt go first;
- * see quince_quarantine_gives_way()
+ * @should_yield: it met the last end of its prompt a moment ago, so that other requests of the prompt go
+ * first; see quince_quarantine_gives_way()
  */
 typedef struct
 {
   QuinceSendRule rule;
   gboolean loss_check_pending;
   gboolean permit_in_use;
-  gboolean gives_way;
+  gboolean should_yield;
 } QuinceAdmissionInput;
 
 /**
@@ -84,14 +84,14 @@
 
 /**
  * quince_admission_protected_may_wait:
- * @began: its caller has a part of the answer
+ * @response_started: its caller has a part of the answer
  *
  * Decides whether a protected lookup or stream waits for its service to be whole again,
  * QUINCE_ADMISSION_PROTECTED_RETRY_MS at a time.  A stream that its caller reads already goes on later; any
  * other request is refused at once with a Retry-After, since workers are back after seconds, longer than a
  * lookup may wait.
  */
-gboolean quince_admission_protected_may_wait (gboolean began);
+gboolean quince_admission_protected_may_wait (gboolean response_started);
 
 /**
  * quince_admission_may_keep_waiting:
--- a/lib/core/decisions/hedge.c
+++ b/lib/core/decisions/hedge.c
@@ -27,10 +27,10 @@
 gint64
 quince_hedge_delay_us (gint64 target_latency_us, gint64 service_us)
 {
-  gint64 longest_us
+  gint64 delay_max_us
       = MAX ((gint64)(HEDGE_DELAY_MAX_TARGET_FRACTION * (double)target_latency_us), HEDGE_DELAY_MIN_US);
-  gint64 usual_us = service_us > 0 ? (gint64)HEDGE_DELAY_SERVICE_TIMES * service_us : longest_us;
-  return CLAMP (usual_us, HEDGE_DELAY_MIN_US, longest_us);
+  gint64 delay_us = service_us > 0 ? (gint64)HEDGE_DELAY_SERVICE_TIMES * service_us : delay_max_us;
+  return CLAMP (delay_us, HEDGE_DELAY_MIN_US, delay_max_us);
 }
 
 gint64
--- a/lib/core/decisions/load-next.c
+++ b/lib/core/decisions/load-next.c
@@ -35,7 +35,7 @@
 QuinceLoadNext
 quince_load_next_after_report (const QuinceLoadReport *report)
 {
-  if (report->has >= report->wanted && !report->busy)
+  if (report->loaded_version >= report->target_version && !report->busy)
     return end_with (QUINCE_LOAD_LOADED);
   if (report->elapsed_us > LOAD_TIMEOUT_US)
     return end_with ("timeout");
@@ -76,7 +76,7 @@
 }
 
 guint
-quince_load_concurrent_max (guint usable)
+quince_load_concurrent_max (guint usable_workers)
 {
-  return MAX (CONCURRENT_LOADS_MIN, (guint)(usable * CONCURRENT_LOADS_FRACTION));
+  return MAX (CONCURRENT_LOADS_MIN, (guint)(usable_workers * CONCURRENT_LOADS_FRACTION));
 }
--- a/lib/core/decisions/load-next.h
+++ b/lib/core/decisions/load-next.h
@@ -35,15 +35,15 @@
 
 /**
  * QuinceLoadReport:
- * @has: version of the model that the worker reports; 0: none
- * @wanted: version that it is brought to
+ * @loaded_version: version of the model that the worker reports; 0: none
+ * @target_version: version that it is brought to
  * @busy: it loads something now
  * @elapsed_us: since this load was begun by the leader, us
  */
 typedef struct
 {
-  guint64 has;
-  guint64 wanted;
+  guint64 loaded_version;
+  guint64 target_version;
   gboolean busy;
   gint64 elapsed_us;
 } QuinceLoadReport;
@@ -97,12 +97,12 @@
 
 /**
  * quince_load_concurrent_max:
- * @usable: workers of a service that may load
+ * @usable_workers: workers of a service that may load
  *
  * Decides how many of them load at the same time at most: a fifth, at least two, so that the service stays
  * open to samples.  The load window (core/weights/load-window.h) may bring it down further.
  */
-guint quince_load_concurrent_max (guint usable);
+guint quince_load_concurrent_max (guint usable_workers);
 
 /* Pause before a worker whose load failed is ordered again, us.  Not measured: about half a load. */
 #define QUINCE_LOAD_FAILED_PAUSE_US (500 * 1000)
--- a/lib/core/decisions/no-worker.c
+++ b/lib/core/decisions/no-worker.c
@@ -10,48 +10,48 @@
 #define WAIT_TARGET_DIVISOR 2
 
 static gboolean
-may_wait_until (const QuinceNoWorkerInput *none, gint64 until_us)
+may_wait_until (const QuinceNoWorkerInput *input, gint64 until_us)
 {
-  return until_us < none->started_us + none->target_latency_us / WAIT_TARGET_DIVISOR;
+  return until_us < input->started_us + input->target_latency_us / WAIT_TARGET_DIVISOR;
 }
 
 /* A cold worker may have room while the request may wait. */
 static gboolean
-cold_room_in_time (const QuinceNoWorkerInput *none)
+cold_room_in_time (const QuinceNoWorkerInput *input)
 {
-  return may_wait_until (none, MAX (none->cold_room_us, none->now_us));
+  return may_wait_until (input, MAX (input->cold_room_us, input->now_us));
 }
 
 static gboolean
-lookup_may_wait (const QuinceNoWorkerInput *none)
+lookup_may_wait (const QuinceNoWorkerInput *input)
 {
-  gboolean may_change = none->outcome == QUINCE_BACKEND_FULL || none->outcome == QUINCE_BACKEND_COLD
-                        || none->outcome == QUINCE_BACKEND_ZONES_UNKNOWN;
-  return (none->tried_any || may_change) && (none->runs > 0 || may_wait_until (none, none->now_us));
+  gboolean may_change = input->outcome == QUINCE_BACKEND_FULL || input->outcome == QUINCE_BACKEND_COLD
+                        || input->outcome == QUINCE_BACKEND_ZONES_UNKNOWN;
+  return (input->tried_any || may_change) && (input->runs > 0 || may_wait_until (input, input->now_us));
 }
 
 static gboolean
-stream_may_wait (const QuinceNoWorkerInput *none, gboolean room_soon)
+stream_may_wait (const QuinceNoWorkerInput *input, gboolean room_soon)
 {
-  gboolean started_stream_waits = none->outcome == QUINCE_BACKEND_COLD && none->began;
-  gboolean may_change = room_soon || started_stream_waits || none->outcome == QUINCE_BACKEND_ZONES_UNKNOWN;
-  return (none->tried_any || may_change) && (none->runs > 0 || may_wait_until (none, none->now_us));
+  gboolean started_stream_waits = input->outcome == QUINCE_BACKEND_COLD && input->response_started;
+  gboolean may_change = room_soon || started_stream_waits || input->outcome == QUINCE_BACKEND_ZONES_UNKNOWN;
+  return (input->tried_any || may_change) && (input->runs > 0 || may_wait_until (input, input->now_us));
 }
 
 QuinceNoWorkerDecision
-quince_no_worker_decide (const QuinceNoWorkerInput *none)
+quince_no_worker_decide (const QuinceNoWorkerInput *input)
 {
-  QuinceNoWorkerDecision verdict = { FALSE, 0 };
-  gboolean cold = none->outcome == QUINCE_BACKEND_COLD;
-  gboolean room_soon = cold && cold_room_in_time (none);
-  gboolean needs_cold_room = cold && (none->is_stream || none->runs == 0);
+  QuinceNoWorkerDecision decision = { FALSE, 0 };
+  gboolean cold = input->outcome == QUINCE_BACKEND_COLD;
+  gboolean room_soon = cold && cold_room_in_time (input);
+  gboolean needs_cold_room = cold && (input->is_stream || input->runs == 0);
   if (needs_cold_room && !room_soon)
-    verdict.retry_after_ms = quince_retry_after_until_ms (none->cold_room_us, none->now_us);
-  if (none->is_stream)
-    verdict.wait = stream_may_wait (none, room_soon);
+    decision.retry_after_ms = quince_retry_after_until_ms (input->cold_room_us, input->now_us);
+  if (input->is_stream)
+    decision.wait = stream_may_wait (input, room_soon);
   else
-    verdict.wait = (!needs_cold_room || room_soon) && lookup_may_wait (none);
-  return verdict;
+    decision.wait = (!needs_cold_room || room_soon) && lookup_may_wait (input);
+  return decision;
 }
 
 QuinceHedgeFallback
--- a/lib/core/decisions/no-worker.h
+++ b/lib/core/decisions/no-worker.h
@@ -29,7 +29,7 @@
  * QuinceNoWorkerInput:
  * @outcome: why no worker was chosen
  * @is_stream: a stream, not a lookup
- * @began: the caller has the head of a stream
+ * @response_started: the caller has the head of a stream
  * @tried_any: workers were left out since they had an attempt already
  * @runs: attempts that may have run
  * @now_us: monotonic, us
@@ -42,7 +42,7 @@
 {
   QuinceBackendOutcome outcome;
   gboolean is_stream;
-  gboolean began;
+  gboolean response_started;
   gboolean tried_any;
   guint runs;
   gint64 now_us;
@@ -72,7 +72,7 @@
  * Edges: without any worker (QUINCE_BACKEND_NONE, QUINCE_BACKEND_EVACUATED) it is refused at once, unless
  * workers that had an attempt may be tried again.  No @target_latency_us: no waiting.
  */
-QuinceNoWorkerDecision quince_no_worker_decide (const QuinceNoWorkerInput *none);
+QuinceNoWorkerDecision quince_no_worker_decide (const QuinceNoWorkerInput *input);
 
 /* What a lookup does whose attempt is in progress and that finds no worker for a second one. */
 typedef enum
--- a/lib/core/decisions/retry-after.c
+++ b/lib/core/decisions/retry-after.c
@@ -16,13 +16,13 @@
 #define US_PER_MS 1000
 
 static guint
-min_retry_after_ms (const QuinceRetryAfterInput *refused)
+min_retry_after_ms (const QuinceRetryAfterInput *refusal)
 {
-  switch (refused->cause)
+  switch (refusal->cause)
     {
     case QUINCE_REFUSED_EVACUATED:
       /* A caller that came sooner would be refused by fronts that don't know of the change yet. */
-      return refused->zone_change_ms;
+      return refusal->zone_change_ms;
     case QUINCE_REFUSED_RESIDENCY:
       return RESIDENCY_MIN_MS;
     case QUINCE_REFUSED_LEDGER:
@@ -36,14 +36,14 @@
 }
 
 guint
-quince_retry_after_ms (const QuinceRetryAfterInput *refused)
+quince_retry_after_ms (const QuinceRetryAfterInput *refusal)
 {
-  return MAX (refused->known_ms, min_retry_after_ms (refused));
+  return MAX (refusal->known_ms, min_retry_after_ms (refusal));
 }
 
 guint
-quince_retry_after_until_ms (gint64 free_us, gint64 now_us)
+quince_retry_after_until_ms (gint64 available_us, gint64 now_us)
 {
-  gint64 left_us = MAX (free_us, now_us) - now_us;
-  return (guint)((left_us + US_PER_MS - 1) / US_PER_MS);
+  gint64 remaining_us = MAX (available_us, now_us) - now_us;
+  return (guint)((remaining_us + US_PER_MS - 1) / US_PER_MS);
 }
--- a/lib/core/decisions/retry-after.h
+++ b/lib/core/decisions/retry-after.h
@@ -47,16 +47,16 @@
  *
  * Returns: the Retry-After, ms; never 0
  */
-guint quince_retry_after_ms (const QuinceRetryAfterInput *refused);
+guint quince_retry_after_ms (const QuinceRetryAfterInput *refusal);
 
 /**
  * quince_retry_after_until_ms:
- * @free_us: when there may be room, monotonic, us; in the past after a stale estimate
+ * @available_us: when there may be room, monotonic, us; in the past after a stale estimate
  * @now_us: monotonic, us
  *
- * Returns: the time until @free_us, rounded up to whole ms, so that a caller is not back too early; 0 when it
- * has passed
+ * Returns: the time until @available_us, rounded up to whole ms, so that a caller is not back too early; 0
+ * when it has passed
  */
-guint quince_retry_after_until_ms (gint64 free_us, gint64 now_us);
+guint quince_retry_after_until_ms (gint64 available_us, gint64 now_us);
 
 G_END_DECLS
--- a/lib/core/decisions/retry.c
+++ b/lib/core/decisions/retry.c
@@ -23,9 +23,9 @@
 }
 
 QuinceGiveUp
-quince_retry_give_up (gboolean may_have_run, gboolean late)
+quince_retry_give_up (gboolean may_have_run, gboolean timed_out)
 {
   if (!may_have_run)
     return QUINCE_GIVE_UP_NOT_RUN;
-  return late ? QUINCE_GIVE_UP_TIMEOUT : QUINCE_GIVE_UP_FAILED;
+  return timed_out ? QUINCE_GIVE_UP_TIMEOUT : QUINCE_GIVE_UP_FAILED;
 }
--- a/lib/core/decisions/retry.h
+++ b/lib/core/decisions/retry.h
@@ -58,11 +58,11 @@
 /**
  * quince_retry_give_up:
  * @may_have_run: a worker may have run it, or its caller has a part of the answer
- * @late: its time is up
+ * @timed_out: its time is up
  *
  * Decides what the caller is told.  Reason: a caller that reads "not run" sends an at-most-once request
  * again.
  */
-QuinceGiveUp quince_retry_give_up (gboolean may_have_run, gboolean late);
+QuinceGiveUp quince_retry_give_up (gboolean may_have_run, gboolean timed_out);
 
 G_END_DECLS
--- a/lib/core/decisions/sample-move.c
+++ b/lib/core/decisions/sample-move.c
@@ -21,10 +21,10 @@
 #define MOVE_CHECK_INTERVAL_US (100 * 1000)
 /* A check that comes so much later than it should shows a busy process, us.  Checks are made by a timer of
  * 100 ms and by events: one that is missed by a hair comes 100 ms late in a calm process. */
-#define LATE_US (200 * 1000)
+#define MOVE_CHECK_DELAY_MAX_US (200 * 1000)
 /* Time without moves after a late check, us.  Chosen: the smoothed pace of a worker has forgotten one late
  * event after some 16 of 45 ms. */
-#define SETTLE_US (1000 * 1000)
+#define LATE_CHECK_PAUSE_US (1000 * 1000)
 
 gboolean
 quince_sample_move_is_allowed (const QuinceSampleMoveInput *sample)
@@ -36,10 +36,10 @@
 gboolean
 quince_sample_move_is_worthwhile (double remaining, gint64 pace_us, gint64 target_pace_us)
 {
-  double here_us = remaining * (double)pace_us;
-  double there_us = remaining * (double)target_pace_us + MOVE_COST_US;
-  double gain_us = here_us - there_us;
-  return pace_us > 0 && gain_us >= MOVE_GAIN_MIN_US && gain_us >= MOVE_GAIN_MIN_FRACTION * here_us;
+  double remaining_here_us = remaining * (double)pace_us;
+  double remaining_there_us = remaining * (double)target_pace_us + MOVE_COST_US;
+  double gain_us = remaining_here_us - remaining_there_us;
+  return pace_us > 0 && gain_us >= MOVE_GAIN_MIN_US && gain_us >= MOVE_GAIN_MIN_FRACTION * remaining_here_us;
 }
 
 gboolean
@@ -51,13 +51,13 @@
 }
 
 gboolean
-quince_sample_move_check_is_due (QuinceMoveCheckState *watch, gint64 now_us)
+quince_sample_move_check_is_due (QuinceMoveCheckState *check, gint64 now_us)
 {
-  gint64 since_us = now_us - watch->last_check_us;
-  if (watch->last_check_us != 0 && since_us < MOVE_CHECK_INTERVAL_US)
+  gint64 since_last_check_us = now_us - check->last_check_us;
+  if (check->last_check_us != 0 && since_last_check_us < MOVE_CHECK_INTERVAL_US)
     return FALSE;
-  if (watch->last_check_us != 0 && since_us > MOVE_CHECK_INTERVAL_US + LATE_US)
-    watch->paces_valid_from_us = now_us + SETTLE_US;
-  watch->last_check_us = now_us;
-  return now_us >= watch->paces_valid_from_us;
+  if (check->last_check_us != 0 && since_last_check_us > MOVE_CHECK_INTERVAL_US + MOVE_CHECK_DELAY_MAX_US)
+    check->paces_valid_from_us = now_us + LATE_CHECK_PAUSE_US;
+  check->last_check_us = now_us;
+  return now_us >= check->paces_valid_from_us;
 }
--- a/lib/core/decisions/sample-move.h
+++ b/lib/core/decisions/sample-move.h
@@ -67,6 +67,6 @@
  *
  * Edges: a late check, or a process that was suspended, allows none for a second.
  */
-gboolean quince_sample_move_check_is_due (QuinceMoveCheckState *watch, gint64 now_us);
+gboolean quince_sample_move_check_is_due (QuinceMoveCheckState *check, gint64 now_us);
 
 G_END_DECLS
--- a/lib/core/decisions/sample-next.c
+++ b/lib/core/decisions/sample-next.c
@@ -33,17 +33,17 @@
 }
 
 static QuinceSampleNext
-run_again_or_abandon (gboolean abandoned)
+run_again_or_abandon (gboolean abandon)
 {
-  if (abandoned)
+  if (abandon)
     return (QuinceSampleNext){ .action = QUINCE_SAMPLE_NEXT_ABANDON };
   return run_again (FAILED_PAUSE_US, FALSE);
 }
 
 QuinceSampleNext
-quince_sample_next_after_run (const QuinceSampleRunResult *ended)
+quince_sample_next_after_run (const QuinceSampleRunResult *run)
 {
-  switch (ended->end)
+  switch (run->end)
     {
     case QUINCE_RUN_REFUSED:
       return run_again (REFUSED_PAUSE_US, FALSE);
@@ -56,9 +56,9 @@
     case QUINCE_RUN_MOVED:
       return run_again (0, FALSE);
     case QUINCE_RUN_FAILED:
-      return run_again_or_abandon (ended->failures >= FAILURES_PER_ATTEMPT * MAX (ended->max_attempts, 1));
+      return run_again_or_abandon (run->failures >= FAILURES_PER_ATTEMPT * MAX (run->max_attempts, 1));
     case QUINCE_RUN_UNPROCESSABLE:
-      return run_again_or_abandon (ended->unprocessable_answers >= UNPROCESSABLE_MAX);
+      return run_again_or_abandon (run->unprocessable_answers >= UNPROCESSABLE_MAX);
     case QUINCE_RUN_COMPLETE:
     default:
       return (QuinceSampleNext){ .action = QUINCE_SAMPLE_NEXT_REWARD };
--- a/lib/core/decisions/sample-next.h
+++ b/lib/core/decisions/sample-next.h
@@ -70,7 +70,7 @@
  *
  * Edges: a sample whose route is gone counts as one with a single attempt.
  */
-QuinceSampleNext quince_sample_next_after_run (const QuinceSampleRunResult *ended);
+QuinceSampleNext quince_sample_next_after_run (const QuinceSampleRunResult *run);
 
 /* Whether a sample that runs nowhere is abandoned since its time is up.  @give_up_us: monotonic, us; 0: never
  */
--- a/lib/core/decisions/store-reads.h
+++ b/lib/core/decisions/store-reads.h
@@ -31,16 +31,16 @@
 
 /**
  * QuinceStoreReadTimes:
- * @hold_ms: how long the store may hold a watch that has nothing to tell.  A change ends it at once; a longer
- *   hold delays only the discovery that a connection is dead
+ * @watch_timeout_ms: how long the store may hold a watch that has nothing to tell.  A change ends it at once;
+ * a longer hold delays only the discovery that a connection is dead
  * @feed_timeout_ms: without a page for so long a fed process reads the store itself
- * @probe_ms: longest time between two probes of a store that does not answer
+ * @probe_interval_max_ms: longest time between two probes of a store that does not answer
  */
 typedef struct
 {
-  guint hold_ms;
+  guint watch_timeout_ms;
   guint feed_timeout_ms;
-  guint probe_ms;
+  guint probe_interval_max_ms;
 } QuinceStoreReadTimes;
 
 /**
@@ -52,9 +52,9 @@
 
 /**
  * quince_store_reads_next_interval_ms:
- * @pace_ms: least time between the last two reads
+ * @interval_ms: least time between the last two reads
  * @interval_min_ms: after a read that told nothing new
- * @most_ms: however often changes come
+ * @interval_max_ms: however often changes come
  * @changed: the last read told changes
  *
  * Decides the pause before the next watch of keys that all processes write when they start: it grows with
@@ -64,7 +64,9 @@
  *
  * Returns: the least time from that read to the next one, ms
  */
-guint
-quince_store_reads_next_interval_ms (guint pace_ms, guint interval_min_ms, guint most_ms, gboolean changed);
+guint quince_store_reads_next_interval_ms (guint interval_ms,
+                                           guint interval_min_ms,
+                                           guint interval_max_ms,
+                                           gboolean changed);
 
 G_END_DECLS
--- a/lib/core/decisions/worker-choice.c
+++ b/lib/core/decisions/worker-choice.c
@@ -14,32 +14,34 @@
 #define RETURNING_SHARE_STEPS 8
 
 gboolean
-quince_choice_was_tried (const QuinceWorker *worker, const QuinceWorkerRequirements *need)
+quince_choice_was_tried (const QuinceWorker *worker, const QuinceWorkerRequirements *requirements)
 {
-  return need->avoid != NULL && g_hash_table_contains (need->avoid, worker->id);
+  return requirements->avoid != NULL && g_hash_table_contains (requirements->avoid, worker->id);
 }
 
 static gboolean
-has_weights (const QuinceWorker *worker, const QuinceWorkerRequirements *need)
+has_weights (const QuinceWorker *worker, const QuinceWorkerRequirements *requirements)
 {
-  guint64 version = quince_worker_get_version (worker, need->model);
-  return version > 0 && version >= need->minimum_version;
+  guint64 version = quince_worker_get_version (worker, requirements->model);
+  return version > 0 && version >= requirements->minimum_version;
 }
 
 gboolean
-quince_choice_is_suitable (const QuinceWorker *worker, gint64 now_us, const QuinceWorkerRequirements *need)
+quince_choice_is_suitable (const QuinceWorker *worker,
+                           gint64 now_us,
+                           const QuinceWorkerRequirements *requirements)
 {
   if (worker->draining || (worker->gone_after_us != 0 && now_us >= worker->gone_after_us))
     return FALSE;
-  if (quince_choice_was_tried (worker, need))
+  if (quince_choice_was_tried (worker, requirements))
     return FALSE;
-  return need->model == NULL || (!worker->loading && has_weights (worker, need));
+  return requirements->model == NULL || (!worker->loading && has_weights (worker, requirements));
 }
 
 gboolean
-quince_choice_has_room (const QuinceWorker *worker, const QuinceWorkerRequirements *need)
+quince_choice_has_room (const QuinceWorker *worker, const QuinceWorkerRequirements *requirements)
 {
-  return need->running_max == 0 || worker->running < need->running_max;
+  return requirements->running_max == 0 || worker->running < requirements->running_max;
 }
 
 gboolean
@@ -65,29 +67,29 @@
 }
 
 gboolean
-quince_choice_compares_all (guint workers, gboolean zone_returns)
+quince_choice_compares_all (guint n_workers, gboolean has_returning_zone)
 {
-  return workers <= QUINCE_CHOICE_COMPARE_ALL_MAX || zone_returns;
+  return n_workers <= QUINCE_CHOICE_COMPARE_ALL_MAX || has_returning_zone;
 }
 
 guint
-quince_choice_pick_candidates (const GPtrArray *found,
-                               guint first,
-                               const char *keeper,
+quince_choice_pick_candidates (const GPtrArray *eligible,
+                               guint start_index,
+                               const char *affinity_id,
                                guint candidates_max,
                                QuinceWorker **candidates)
 {
-  guint count = MIN (found->len, candidates_max);
-  gboolean has_affinity_worker = keeper == NULL;
+  guint count = MIN (eligible->len, candidates_max);
+  gboolean has_affinity_worker = affinity_id == NULL;
   for (guint i = 0; i < count; i++)
     {
-      candidates[i] = found->pdata[(first + i) % found->len];
-      has_affinity_worker = has_affinity_worker || g_str_equal (candidates[i]->id, keeper);
+      candidates[i] = eligible->pdata[(start_index + i) % eligible->len];
+      has_affinity_worker = has_affinity_worker || g_str_equal (candidates[i]->id, affinity_id);
     }
-  for (guint i = count; i < found->len && !has_affinity_worker; i++)
+  for (guint i = count; i < eligible->len && !has_affinity_worker; i++)
     {
-      QuinceWorker *worker = found->pdata[(first + i) % found->len];
-      has_affinity_worker = g_str_equal (worker->id, keeper);
+      QuinceWorker *worker = eligible->pdata[(start_index + i) % eligible->len];
+      has_affinity_worker = g_str_equal (worker->id, affinity_id);
       if (has_affinity_worker)
         candidates[0] = worker;
     }
--- a/lib/core/decisions/worker-choice.h
+++ b/lib/core/decisions/worker-choice.h
@@ -30,7 +30,7 @@
 } QuinceWorkerRequirements;
 
 /* Whether the request had an attempt at @worker already. */
-gboolean quince_choice_was_tried (const QuinceWorker *worker, const QuinceWorkerRequirements *need);
+gboolean quince_choice_was_tried (const QuinceWorker *worker, const QuinceWorkerRequirements *requirements);
 
 /**
  * quince_choice_is_suitable:
@@ -42,11 +42,12 @@
  * Edges: a worker whose entry is missing while the store is in trouble stays suitable until its
  * gone_after_us.
  */
-gboolean
-quince_choice_is_suitable (const QuinceWorker *worker, gint64 now_us, const QuinceWorkerRequirements *need);
+gboolean quince_choice_is_suitable (const QuinceWorker *worker,
+                                    gint64 now_us,
+                                    const QuinceWorkerRequirements *requirements);
 
 /* Whether @worker has room for one more request of this process. */
-gboolean quince_choice_has_room (const QuinceWorker *worker, const QuinceWorkerRequirements *need);
+gboolean quince_choice_has_room (const QuinceWorker *worker, const QuinceWorkerRequirements *requirements);
 
 /* Whether @worker is a first choice: not ejected, and listed.  Others are taken only where no first choice
  * can take the request. */
@@ -86,26 +87,26 @@
 
 /**
  * quince_choice_compares_all:
- * @workers: of the service
- * @zone_returns: a zone was taken back a moment ago, and its share is counted among all workers
+ * @n_workers: of the service
+ * @has_returning_zone: a zone was taken back a moment ago, and its share is counted among all workers
  *
  * Decides whether all workers of a service are considered for a request, or only some by turns: a choice
  * among thousands would take most of a front's time.
  */
-gboolean quince_choice_compares_all (guint workers, gboolean zone_returns);
+gboolean quince_choice_compares_all (guint n_workers, gboolean has_returning_zone);
 
 /**
  * quince_choice_pick_candidates:
- * @found: (element-type QuinceWorker): workers that can take the request, at least one
- * @first: where in @found the candidates begin: by turns, so that equals share
- * @keeper: (nullable): id of the worker that likely keeps the prompt; a candidate in any case
+ * @eligible: (element-type QuinceWorker): workers that can take the request, at least one
+ * @start_index: where in @eligible the candidates begin: by turns, so that equals share
+ * @affinity_id: (nullable): id of the worker that likely keeps the prompt; a candidate in any case
  * @candidates: (out): room for @candidates_max workers
  *
  * Returns: how many candidates the policy scores
  */
-guint quince_choice_pick_candidates (const GPtrArray *found,
-                                     guint first,
-                                     const char *keeper,
+guint quince_choice_pick_candidates (const GPtrArray *eligible,
+                                     guint start_index,
+                                     const char *affinity_id,
                                      guint candidates_max,
                                      QuinceWorker **candidates);
 
--- a/lib/forward/dispatch.c
+++ b/lib/forward/dispatch.c
@@ -129,7 +129,7 @@
   const QuinceNoWorkerInput none
       = { .outcome = outcome,
           .is_stream = is_stream,
-          .began = began,
+          .response_started = began,
           .tried_any = g_hash_table_size (dispatch->avoid) > 0,
           .runs = dispatch->retry.runs,
           .now_us = now_us,
--- a/lib/forward/send-guard.c
+++ b/lib/forward/send-guard.c
@@ -203,7 +203,7 @@
       = { .rule = rule,
           .loss_check_pending = quince_send_guard_is_checked (guard, identity),
           .permit_in_use = g_hash_table_contains (guard->held, digest),
-          .gives_way = quince_quarantine_gives_way (guard->quarantine, now_us, identity) };
+          .should_yield = quince_quarantine_gives_way (guard->quarantine, now_us, identity) };
   QuinceAdmission admission = quince_admission_for_request (&request);
   if (admission != QUINCE_ADMISSION_PERMIT)
     return admission;
--- a/lib/observer/observer.c
+++ b/lib/observer/observer.c
@@ -181,12 +181,12 @@
   quince_observer_set_relaxed (observer);
   const QuinceStoreReadTimes times = quince_store_reads_get_times (reserve, observer->bound_margin_ms);
   guint spread_ms = reserve ? 0 : SPREAD_MS;
-  const QuinceMetaMirrorTimes operator_times = { .read_every_ms = times.hold_ms,
+  const QuinceMetaMirrorTimes operator_times = { .read_every_ms = times.watch_timeout_ms,
                                                  .feed_timeout_ms = times.feed_timeout_ms,
                                                  .spread_ms = spread_ms,
                                                  .reader = reserve };
   const QuinceMetaMirrorTimes workers_times = { .pace_ms = observer->workers_pace_ms,
-                                                .read_every_ms = times.hold_ms,
+                                                .read_every_ms = times.watch_timeout_ms,
                                                 .feed_timeout_ms = times.feed_timeout_ms,
                                                 .spread_ms = spread_ms,
                                                 .reader = reserve };
@@ -197,7 +197,7 @@
                                             .feed_timeout_ms = OWN_READ_EVERY_MS + own_slack_ms,
                                             .spread_ms = spread_ms,
                                             .reader = reserve };
-  quince_meta_store_set_probe_max (observer->store, times.probe_ms);
+  quince_meta_store_set_probe_max (observer->store, times.probe_interval_max_ms);
   quince_meta_mirror_set_times (observer->operator_mirror, &operator_times);
   quince_meta_mirror_set_times (observer->workers_mirror, &workers_times);
   quince_meta_mirror_set_times (observer->own_mirror, &own_times);
--- a/tests/unit/test-decisions-admission.c
+++ b/tests/unit/test-decisions-admission.c
@@ -13,7 +13,7 @@
 
 #define MS G_GINT64_CONSTANT (1000)
 
-/* rule, loss_check_pending, permit_in_use, gives_way */
+/* rule, loss_check_pending, permit_in_use, should_yield */
 static const struct
 {
   QuinceAdmissionInput request;
--- a/tests/unit/test-decisions-load-next.c
+++ b/tests/unit/test-decisions-load-next.c
@@ -20,7 +20,7 @@
   assert_string_equal (next.outcome != NULL ? next.outcome : "", outcome != NULL ? outcome : "");
 }
 
-/* has, wanted, busy, elapsed_us */
+/* loaded_version, target_version, busy, elapsed_us */
 static const struct
 {
   QuinceLoadReport report;
--- a/tests/unit/test-decisions-no-worker.c
+++ b/tests/unit/test-decisions-no-worker.c
@@ -13,14 +13,14 @@
 #define MS G_GINT64_CONSTANT (1000)
 /* Requests begin at 0 with a latency target of 400 ms, so that they may wait until 200. */
 #define TARGET_US (400 * MS)
-#define EARLY (100 * MS)
-#define LATE (200 * MS)
+#define EARLY_US (100 * MS)
+#define LATE_US (200 * MS)
 
 typedef struct
 {
   QuinceBackendOutcome outcome;
   gboolean is_stream;
-  gboolean began;
+  gboolean response_started;
   gboolean tried_any;
   guint runs;
   gint64 now_us;
@@ -31,29 +31,29 @@
 
 static const Row rows[] = {
   /* Lookups. */
-  { QUINCE_BACKEND_FULL, FALSE, FALSE, FALSE, 0, EARLY, 0, TRUE, 0 },
-  { QUINCE_BACKEND_FULL, FALSE, FALSE, FALSE, 0, LATE, 0, FALSE, 0 },
-  { QUINCE_BACKEND_FULL, FALSE, FALSE, FALSE, 1, LATE, 0, TRUE, 0 },
-  { QUINCE_BACKEND_ZONES_UNKNOWN, FALSE, FALSE, FALSE, 0, EARLY, 0, TRUE, 0 },
-  { QUINCE_BACKEND_NONE, FALSE, FALSE, FALSE, 0, EARLY, 0, FALSE, 0 },
-  { QUINCE_BACKEND_NONE, FALSE, FALSE, FALSE, 1, EARLY, 0, FALSE, 0 },
-  { QUINCE_BACKEND_NONE, FALSE, FALSE, TRUE, 0, EARLY, 0, TRUE, 0 },
-  { QUINCE_BACKEND_NONE, FALSE, FALSE, TRUE, 0, LATE, 0, FALSE, 0 },
-  { QUINCE_BACKEND_EVACUATED, FALSE, FALSE, FALSE, 0, EARLY, 0, FALSE, 0 },
-  { QUINCE_BACKEND_COLD, FALSE, FALSE, FALSE, 0, EARLY, 150 * MS, TRUE, 0 },
-  { QUINCE_BACKEND_COLD, FALSE, FALSE, FALSE, 0, EARLY, 0, TRUE, 0 },
-  { QUINCE_BACKEND_COLD, FALSE, FALSE, FALSE, 0, EARLY, 350 * MS, FALSE, 250 },
-  { QUINCE_BACKEND_COLD, FALSE, FALSE, TRUE, 0, EARLY, 350 * MS + 1, FALSE, 251 },
-  { QUINCE_BACKEND_COLD, FALSE, FALSE, FALSE, 1, EARLY, 350 * MS, TRUE, 0 },
+  { QUINCE_BACKEND_FULL, FALSE, FALSE, FALSE, 0, EARLY_US, 0, TRUE, 0 },
+  { QUINCE_BACKEND_FULL, FALSE, FALSE, FALSE, 0, LATE_US, 0, FALSE, 0 },
+  { QUINCE_BACKEND_FULL, FALSE, FALSE, FALSE, 1, LATE_US, 0, TRUE, 0 },
+  { QUINCE_BACKEND_ZONES_UNKNOWN, FALSE, FALSE, FALSE, 0, EARLY_US, 0, TRUE, 0 },
+  { QUINCE_BACKEND_NONE, FALSE, FALSE, FALSE, 0, EARLY_US, 0, FALSE, 0 },
+  { QUINCE_BACKEND_NONE, FALSE, FALSE, FALSE, 1, EARLY_US, 0, FALSE, 0 },
+  { QUINCE_BACKEND_NONE, FALSE, FALSE, TRUE, 0, EARLY_US, 0, TRUE, 0 },
+  { QUINCE_BACKEND_NONE, FALSE, FALSE, TRUE, 0, LATE_US, 0, FALSE, 0 },
+  { QUINCE_BACKEND_EVACUATED, FALSE, FALSE, FALSE, 0, EARLY_US, 0, FALSE, 0 },
+  { QUINCE_BACKEND_COLD, FALSE, FALSE, FALSE, 0, EARLY_US, 150 * MS, TRUE, 0 },
+  { QUINCE_BACKEND_COLD, FALSE, FALSE, FALSE, 0, EARLY_US, 0, TRUE, 0 },
+  { QUINCE_BACKEND_COLD, FALSE, FALSE, FALSE, 0, EARLY_US, 350 * MS, FALSE, 250 },
+  { QUINCE_BACKEND_COLD, FALSE, FALSE, TRUE, 0, EARLY_US, 350 * MS + 1, FALSE, 251 },
+  { QUINCE_BACKEND_COLD, FALSE, FALSE, FALSE, 1, EARLY_US, 350 * MS, TRUE, 0 },
   /* Streams: full workers stay full for seconds. */
-  { QUINCE_BACKEND_FULL, TRUE, FALSE, FALSE, 0, EARLY, 0, FALSE, 0 },
-  { QUINCE_BACKEND_FULL, TRUE, TRUE, TRUE, 1, LATE, 0, TRUE, 0 },
-  { QUINCE_BACKEND_FULL, TRUE, FALSE, TRUE, 0, EARLY, 0, TRUE, 0 },
-  { QUINCE_BACKEND_ZONES_UNKNOWN, TRUE, FALSE, FALSE, 0, EARLY, 0, TRUE, 0 },
-  { QUINCE_BACKEND_COLD, TRUE, FALSE, FALSE, 0, EARLY, 150 * MS, TRUE, 0 },
-  { QUINCE_BACKEND_COLD, TRUE, FALSE, FALSE, 0, EARLY, 350 * MS, FALSE, 250 },
-  { QUINCE_BACKEND_COLD, TRUE, FALSE, FALSE, 1, EARLY, 350 * MS, FALSE, 250 },
-  { QUINCE_BACKEND_COLD, TRUE, TRUE, FALSE, 1, LATE, 350 * MS, TRUE, 150 },
+  { QUINCE_BACKEND_FULL, TRUE, FALSE, FALSE, 0, EARLY_US, 0, FALSE, 0 },
+  { QUINCE_BACKEND_FULL, TRUE, TRUE, TRUE, 1, LATE_US, 0, TRUE, 0 },
+  { QUINCE_BACKEND_FULL, TRUE, FALSE, TRUE, 0, EARLY_US, 0, TRUE, 0 },
+  { QUINCE_BACKEND_ZONES_UNKNOWN, TRUE, FALSE, FALSE, 0, EARLY_US, 0, TRUE, 0 },
+  { QUINCE_BACKEND_COLD, TRUE, FALSE, FALSE, 0, EARLY_US, 150 * MS, TRUE, 0 },
+  { QUINCE_BACKEND_COLD, TRUE, FALSE, FALSE, 0, EARLY_US, 350 * MS, FALSE, 250 },
+  { QUINCE_BACKEND_COLD, TRUE, FALSE, FALSE, 1, EARLY_US, 350 * MS, FALSE, 250 },
+  { QUINCE_BACKEND_COLD, TRUE, TRUE, FALSE, 1, LATE_US, 350 * MS, TRUE, 150 },
 };
 
 static void
@@ -62,17 +62,17 @@
   for (guint i = 0; i < G_N_ELEMENTS (rows); i++)
     {
       const Row *row = &rows[i];
-      const QuinceNoWorkerInput none = { .outcome = row->outcome,
-                                         .is_stream = row->is_stream,
-                                         .began = row->began,
-                                         .tried_any = row->tried_any,
-                                         .runs = row->runs,
-                                         .now_us = row->now_us,
-                                         .target_latency_us = TARGET_US,
-                                         .cold_room_us = row->cold_room_us };
-      const QuinceNoWorkerDecision verdict = quince_no_worker_decide (&none);
-      assert_int_equal (verdict.wait, row->waits);
-      assert_int_equal (verdict.retry_after_ms, row->retry_after_ms);
+      const QuinceNoWorkerInput input = { .outcome = row->outcome,
+                                          .is_stream = row->is_stream,
+                                          .response_started = row->response_started,
+                                          .tried_any = row->tried_any,
+                                          .runs = row->runs,
+                                          .now_us = row->now_us,
+                                          .target_latency_us = TARGET_US,
+                                          .cold_room_us = row->cold_room_us };
+      const QuinceNoWorkerDecision decision = quince_no_worker_decide (&input);
+      assert_int_equal (decision.wait, row->waits);
+      assert_int_equal (decision.retry_after_ms, row->retry_after_ms);
     }
 }
 
--- a/tests/unit/test-decisions-retry-after.c
+++ b/tests/unit/test-decisions-retry-after.c
@@ -12,7 +12,7 @@
 
 typedef struct
 {
-  QuinceRetryAfterInput refused;
+  QuinceRetryAfterInput refusal;
   guint retry_after_ms;
 } Row;
 
@@ -28,7 +28,7 @@
 test_each_refusal (void **state)
 {
   for (guint i = 0; i < G_N_ELEMENTS (rows); i++)
-    assert_int_equal (quince_retry_after_ms (&rows[i].refused), rows[i].retry_after_ms);
+    assert_int_equal (quince_retry_after_ms (&rows[i].refusal), rows[i].retry_after_ms);
 }
 
 /* Rounded up; a time that has passed gives 0, also by far. */
--- a/tests/unit/test-decisions-retry.c
+++ b/tests/unit/test-decisions-retry.c
@@ -68,7 +68,7 @@
 {
   gint64 target_us;
   gint64 service_us;
-  gint64 after_us;
+  gint64 delay_us;
 } HedgeRow;
 
 static const HedgeRow hedge_rows[] = {
@@ -85,7 +85,7 @@
 {
   for (guint i = 0; i < G_N_ELEMENTS (hedge_rows); i++)
     assert_int_equal (quince_hedge_delay_us (hedge_rows[i].target_us, hedge_rows[i].service_us),
-                      hedge_rows[i].after_us);
+                      hedge_rows[i].delay_us);
 }
 
 static void
--- a/tests/unit/test-decisions-sample-move.c
+++ b/tests/unit/test-decisions-sample-move.c
@@ -105,17 +105,17 @@
 static void
 test_no_moves_after_a_late_check (void **state)
 {
-  QuinceMoveCheckState watch = { 0 };
+  QuinceMoveCheckState check = { 0 };
   gint64 now = 1000 * SECOND;
-  assert_true (quince_sample_move_check_is_due (&watch, now));
-  assert_false (quince_sample_move_check_is_due (&watch, now + SECOND / 100)); /* only just looked */
+  assert_true (quince_sample_move_check_is_due (&check, now));
+  assert_false (quince_sample_move_check_is_due (&check, now + SECOND / 100)); /* only just looked */
   for (guint i = 0; i < 20; i++)
-    assert_true (quince_sample_move_check_is_due (&watch, now += SECOND / 8));
+    assert_true (quince_sample_move_check_is_due (&check, now += SECOND / 8));
   now += SECOND / 2; /* this process stood still */
-  assert_false (quince_sample_move_check_is_due (&watch, now));
+  assert_false (quince_sample_move_check_is_due (&check, now));
   for (guint i = 0; i < 7; i++)
-    assert_false (quince_sample_move_check_is_due (&watch, now += SECOND / 8));
-  assert_true (quince_sample_move_check_is_due (&watch, now += SECOND / 8));
+    assert_false (quince_sample_move_check_is_due (&check, now += SECOND / 8));
+  assert_true (quince_sample_move_check_is_due (&check, now += SECOND / 8));
 }
 
 /* single_version, moves, run_us, measured */
--- a/tests/unit/test-decisions-sample-next.c
+++ b/tests/unit/test-decisions-sample-next.c
@@ -15,7 +15,7 @@
 /* end, failures, unprocessable_answers, max_attempts; action, pause_us, eject_worker */
 static const struct
 {
-  QuinceSampleRunResult ended;
+  QuinceSampleRunResult run;
   QuinceSampleNext next;
 } rows[] = {
   { { QUINCE_RUN_COMPLETE, 3, 0, 2 }, { QUINCE_SAMPLE_NEXT_REWARD, 0, FALSE } },
@@ -39,7 +39,7 @@
 {
   for (guint i = 0; i < G_N_ELEMENTS (rows); i++)
     {
-      const QuinceSampleNext next = quince_sample_next_after_run (&rows[i].ended);
+      const QuinceSampleNext next = quince_sample_next_after_run (&rows[i].run);
       assert_int_equal (next.action, rows[i].next.action);
       assert_int_equal (next.pause_us, rows[i].next.pause_us);
       assert_int_equal (next.eject_worker, rows[i].next.eject_worker);
--- a/tests/unit/test-decisions-store-reads.c
+++ b/tests/unit/test-decisions-store-reads.c
@@ -17,22 +17,22 @@
 /* A call of which nothing is heard fails after this time beyond what the store may hold it, ms. */
 #define CALL_TIMEOUT_MS 1000
 /* A slow answer of the store, ms. */
-#define READ_MS 500
+#define SLOW_READ_MS 500
 
 /* 300 processes that start together write their entries in the first second: each of them watches these
  * keys, and is told of some at each read. */
 static void
 test_burst_of_writes (void **state)
 {
-  guint pace = 100;
+  guint interval_ms = 100;
   guint reads = 0;
-  for (guint now = 0; now < 1000; now += pace)
+  for (guint now_ms = 0; now_ms < 1000; now_ms += interval_ms)
     {
-      pace = quince_store_reads_next_interval_ms (pace, 100, 500, TRUE);
+      interval_ms = quince_store_reads_next_interval_ms (interval_ms, 100, 500, TRUE);
       reads++;
     }
   assert_true (reads <= 3);
-  assert_int_equal (quince_store_reads_next_interval_ms (pace, 100, 500, FALSE), 100);
+  assert_int_equal (quince_store_reads_next_interval_ms (interval_ms, 100, 500, FALSE), 100);
 }
 
 /* A reader reads as often as ever, also in a burst. */
@@ -49,8 +49,8 @@
 {
   const QuinceStoreReadTimes small = quince_store_reads_get_times (FALSE, 0);
   const QuinceStoreReadTimes large = quince_store_reads_get_times (FALSE, BOUND_LARGE_MS - BOUND_MIN_MS);
-  guint small_calls = (5000 - small.feed_timeout_ms) / small.hold_ms;
-  guint large_calls = (5000 - large.feed_timeout_ms) / large.hold_ms;
+  guint small_calls = (5000 - small.feed_timeout_ms) / small.watch_timeout_ms;
+  guint large_calls = (5000 - large.feed_timeout_ms) / large.watch_timeout_ms;
   assert_true (large_calls <= 2);
   assert_true (large_calls * 3 <= small_calls);
 }
@@ -60,11 +60,11 @@
 static void
 test_changes_are_known_in_time (void **state)
 {
-  for (guint bound = BOUND_MIN_MS; bound <= 20000; bound += 500)
+  for (guint bound_ms = BOUND_MIN_MS; bound_ms <= 20000; bound_ms += 500)
     {
-      const QuinceStoreReadTimes times = quince_store_reads_get_times (FALSE, bound - BOUND_MIN_MS);
-      assert_true (times.feed_timeout_ms + READ_MS <= bound);
-      assert_true (times.hold_ms + CALL_TIMEOUT_MS + READ_MS <= bound);
+      const QuinceStoreReadTimes times = quince_store_reads_get_times (FALSE, bound_ms - BOUND_MIN_MS);
+      assert_true (times.feed_timeout_ms + SLOW_READ_MS <= bound_ms);
+      assert_true (times.watch_timeout_ms + CALL_TIMEOUT_MS + SLOW_READ_MS <= bound_ms);
     }
 }
 
@@ -72,13 +72,13 @@
 static void
 test_readers_read_first (void **state)
 {
-  for (guint spare = 0; spare <= 20000; spare += 500)
+  for (guint margin_ms = 0; margin_ms <= 20000; margin_ms += 500)
     {
-      const QuinceStoreReadTimes reader = quince_store_reads_get_times (TRUE, spare);
-      const QuinceStoreReadTimes other = quince_store_reads_get_times (FALSE, spare);
-      assert_int_equal (reader.hold_ms, QUINCE_STORE_WATCH_TIMEOUT_MS);
-      assert_true (reader.feed_timeout_ms + READ_MS <= other.feed_timeout_ms);
-      assert_true (reader.probe_ms <= other.probe_ms);
+      const QuinceStoreReadTimes reader = quince_store_reads_get_times (TRUE, margin_ms);
+      const QuinceStoreReadTimes other = quince_store_reads_get_times (FALSE, margin_ms);
+      assert_int_equal (reader.watch_timeout_ms, QUINCE_STORE_WATCH_TIMEOUT_MS);
+      assert_true (reader.feed_timeout_ms + SLOW_READ_MS <= other.feed_timeout_ms);
+      assert_true (reader.probe_interval_max_ms <= other.probe_interval_max_ms);
     }
 }
 
--- a/tests/unit/test-decisions-worker-choice.c
+++ b/tests/unit/test-decisions-worker-choice.c
@@ -58,11 +58,11 @@
       worker->gone_after_us = workers[i].gone_after_us;
       worker->ejected_until_us = workers[i].ejected_until_us;
       worker->running = workers[i].running;
-      const QuinceWorkerRequirements need
+      const QuinceWorkerRequirements requirements
           = { .model = "m", .minimum_version = 4, .avoid = avoid, .running_max = 12 };
-      assert_int_equal (quince_choice_was_tried (worker, &need), workers[i].tried);
-      assert_int_equal (quince_choice_is_suitable (worker, NOW_US, &need), workers[i].suitable);
-      assert_int_equal (quince_choice_has_room (worker, &need), workers[i].has_room);
+      assert_int_equal (quince_choice_was_tried (worker, &requirements), workers[i].tried);
+      assert_int_equal (quince_choice_is_suitable (worker, NOW_US, &requirements), workers[i].suitable);
+      assert_int_equal (quince_choice_has_room (worker, &requirements), workers[i].has_room);
       assert_int_equal (quince_choice_is_preferred (worker, NOW_US), workers[i].trusted);
     }
 }
@@ -72,12 +72,12 @@
 test_lookup_requirements (void **state)
 {
   g_autoptr (QuinceWorker) worker = quince_worker_new ("w");
-  const QuinceWorkerRequirements need = { .model = NULL };
+  const QuinceWorkerRequirements requirements = { .model = NULL };
   worker->loading = TRUE;
   worker->running = 1000;
-  assert_true (quince_choice_is_suitable (worker, NOW_US, &need));
-  assert_true (quince_choice_has_room (worker, &need));
-  assert_false (quince_choice_was_tried (worker, &need));
+  assert_true (quince_choice_is_suitable (worker, NOW_US, &requirements));
+  assert_true (quince_choice_has_room (worker, &requirements));
+  assert_false (quince_choice_was_tried (worker, &requirements));
 }
 
 static void
@@ -97,10 +97,10 @@
   assert_true (quince_choice_is_returning_candidate (0.25, 2, 12, 0));
   assert_false (quince_choice_is_returning_candidate (0.25, 3, 12, 0));
   assert_true (quince_choice_is_returning_candidate (0.01, 0, 12, 0)); /* at least one */
-  guint turns = 0;
+  guint granted_turns = 0;
   for (guint turn = 0; turn < 80; turn++)
-    turns += quince_choice_is_returning_candidate (0.25, 100, 0, turn);
-  assert_int_equal (turns, 20);
+    granted_turns += quince_choice_is_returning_candidate (0.25, 100, 0, turn);
+  assert_int_equal (granted_turns, 20);
 }
 
 static void
@@ -125,13 +125,13 @@
   return found;
 }
 
-/* found, first, keeper, most; the candidates' ids */
+/* found, start_index, affinity_id, candidates_max; the candidates' ids */
 static const struct
 {
   guint found;
-  guint first;
-  const char *keeper;
-  guint most;
+  guint start_index;
+  const char *affinity_id;
+  guint candidates_max;
   const char *ids;
 } picks[] = {
   { 3, 0, NULL, 4, "w0 w1 w2 " },        { 3, 2, NULL, 4, "w2 w0 w1 " }, { 5, 4, NULL, 3, "w4 w0 w1 " },
@@ -146,8 +146,8 @@
     {
       g_autoptr (GPtrArray) found = make_workers (picks[i].found);
       QuinceWorker *candidates[4];
-      guint count
-          = quince_choice_pick_candidates (found, picks[i].first, picks[i].keeper, picks[i].most, candidates);
+      guint count = quince_choice_pick_candidates (found, picks[i].start_index, picks[i].affinity_id,
+                                                   picks[i].candidates_max, candidates);
       g_autoptr (GString) ids = g_string_new (NULL);
       for (guint j = 0; j < count; j++)
         g_string_append_printf (ids, "%s ", candidates[j]->id);
