--- a/lib/core/decisions/admission.h
+++ b/lib/core/decisions/admission.h
@@ -17,9 +17,9 @@
   QUINCE_ADMISSION_UNHEDGED,  /* it may be sent without a permit, but not hedged */
   QUINCE_ADMISSION_PERMIT,    /* it may be sent under a permit, which must be returned, but not hedged */
   QUINCE_ADMISSION_WAIT,      /* not yet: ask again after QUINCE_ADMISSION_RETRY_MS */
-  QUINCE_ADMISSION_NO_PERMIT, /* refused: no leader can grant a permit, or the wait for admission timed out */
-  QUINCE_ADMISSION_PROTECTED, /* refused: the service has too few workers to risk the loss of another one */
-  QUINCE_ADMISSION_HELD,      /* refused: the quarantine holds the request */
+  QUINCE_ADMISSION_NO_PERMIT, /* not sent: no leader can grant a permit, or the wait timed out */
+  QUINCE_ADMISSION_PROTECTED, /* not sent: the service has too few workers to risk the loss of another one */
+  QUINCE_ADMISSION_HELD,      /* not sent: the quarantine holds the request */
 } QuinceAdmission;
 
 /* Pause before a waiting request asks again, ms: about a round trip to the leader in another zone. */
@@ -49,7 +49,7 @@
 /**
  * quince_admission_for_request:
  *
- * Decides by what this process knows of the request.  Prevents a request that crashes workers from being
+ * Decides from what this process knows of the request.  Prevents a request that crashes workers from being
  * retried until its service has no workers left; see docs/design/worker-ends.md.
  *
  * Returns: QUINCE_ADMISSION_GRANTED, QUINCE_ADMISSION_WAIT or QUINCE_ADMISSION_HELD; or
@@ -70,7 +70,7 @@
  * quince_admission_for_permit_state:
  * @alone: the request must not run while another suspect runs at its service
  *
- * Decides by the leader's answer.  Without a leader, a suspect that need not run alone is sent unhedged.  A
+ * Decides from the leader's answer.  Without a leader, a suspect that need not run alone is sent unhedged.  A
  * suspect that must run alone is refused, since other processes may send suspects at the same time.
  *
  * Returns: QUINCE_ADMISSION_PERMIT, QUINCE_ADMISSION_WAIT, QUINCE_ADMISSION_UNHEDGED or
--- a/lib/core/decisions/load-next.h
+++ b/lib/core/decisions/load-next.h
@@ -52,9 +52,9 @@
 /**
  * quince_load_next_after_report:
  *
- * Decides by the worker's report.  An idle worker without the target version gets the order, again if an
- * earlier load ended without that version.  The load times out after 8 s; a new load may start after
- * QUINCE_LOAD_FAILED_PAUSE_US.
+ * Decides the next step from the worker's report.  An idle worker without the target version gets the order,
+ * again if an earlier load ended without that version.  The load times out after 8 s; a new load may start
+ * after QUINCE_LOAD_FAILED_PAUSE_US.
  */
 QuinceLoadNext quince_load_next_after_report (const QuinceLoadReport *report);
 
@@ -68,7 +68,7 @@
   QUINCE_ORDER_REFUSED,        /* refused, e.g. for a stale fence, or not sent */
 } QuinceOrderAnswer;
 
-/* Decides by the worker's answer to a load order. */
+/* Decides the next step from the worker's answer to a load order. */
 QuinceLoadNext quince_load_next_after_order (QuinceOrderAnswer answer);
 
 /**
--- a/lib/core/decisions/no-worker.c
+++ b/lib/core/decisions/no-worker.c
@@ -5,8 +5,7 @@
 
 #include "core/decisions/retry-after.h"
 
-/* A request may wait for a worker for its latency target divided by this; the rest is left for the attempt.
- */
+/* A request may wait for a worker for its latency target divided by this; the rest is for the attempt. */
 #define WAIT_TARGET_DIVISOR 2
 
 static gboolean
--- a/lib/core/decisions/sample-move.h
+++ b/lib/core/decisions/sample-move.h
@@ -15,7 +15,7 @@
 
 /**
  * QuinceSampleMoveInput:
- * @single_version: the whole text must come from one weight version, so that a move could restart the sample
+ * @single_version: the whole text must come from one weight version, so a move would restart the sample
  * @moves: number of earlier moves of the sample
  * @run_us: duration of the current run so far, us
  * @measured: the run has received events since its worker last loaded weights
@@ -36,7 +36,7 @@
  * quince_sample_move_is_worthwhile:
  * @remaining: expected number of remaining events, from the length model
  * @pace_us: pace of the current worker, us; 0: not measured
- * @target_pace_us: pace of the other worker, us
+ * @target_pace_us: pace of the other worker, us; the caller does not move a run to an unmeasured worker
  *
  * Decides whether a move saves enough time: at least 0.5 s and at least a quarter of the remaining time,
  * after the cost of the move (0.15 s).  A training step ends with its longest sample, so slow workers delay
--- a/lib/core/decisions/sample-next.h
+++ b/lib/core/decisions/sample-next.h
@@ -15,7 +15,7 @@
 {
   QUINCE_RUN_COMPLETE,        /* the text is complete */
   QUINCE_RUN_REFUSED,         /* the worker did not run it */
-  QUINCE_RUN_NO_CONNECTION,   /* no connection to the worker: it did not run */
+  QUINCE_RUN_NO_CONNECTION,   /* there was no connection to the worker */
   QUINCE_RUN_BROKEN,          /* the worker was silent, or its answer malformed or incomplete */
   QUINCE_RUN_OUT_OF_ORDER,    /* an event arrived out of order; the worker is not ejected */
   QUINCE_RUN_CONNECTION_LOST, /* the connection broke during the run */
@@ -63,7 +63,7 @@
  * quince_sample_next_after_run:
  *
  * Decides the next step after a run.  Runs that broke, were moved or were refused do not count as failures;
- * the sample resumes at another worker.  A sample is abandoned after twice its @max_attempts failed runs
+ * the sample resumes from its last event.  A sample is abandoned after twice its @max_attempts failed runs
  * (the platform's limit is three times), or after one answer that it is unprocessable.  A @max_attempts of 0
  * counts as 1.
  */
--- a/lib/core/decisions/store-reads.h
+++ b/lib/core/decisions/store-reads.h
@@ -2,9 +2,9 @@
  * store-reads.h: how often each of many processes reads the metadata store.
  *
  * Hundreds of processes may start, lose their leader or lose the store at the same time, and the store limits
- * the calls of all of them together.  So a few readers read the store and feed the pages of changes to the
- * other processes.  Readers use the shortest timeouts.  The timeouts of the other processes grow with the
- * deployment's change bound, the maximum time until every process knows of a change.
+ * the calls of all of them together.  So a few processes, the readers, read the store and feed the changes to
+ * the other processes in pages.  Readers use the shortest timeouts.  The timeouts of the other processes grow
+ * with the deployment's change bound, the maximum time until every process knows of a change.
  *
  * Pure functions, used by the observer of each process.
  */
@@ -26,7 +26,7 @@
 #define QUINCE_STORE_SLACK_MS 1000
 /* How long a new process waits to be fed before it lists a prefix itself, ms.  Long enough for processes that
  * start at the same time to elect a leader, which feeds them.  A process that is not fed starts to serve
- * later by this time. */
+ * this much later. */
 #define QUINCE_STORE_FIRST_READ_WAIT_MS 1500
 
 /**
--- a/lib/core/decisions/worker-choice.h
+++ b/lib/core/decisions/worker-choice.h
@@ -75,14 +75,14 @@
  *
  * Decides whether a worker of a zone that is no longer evacuated is a candidate for this choice.  Prevents
  * the workers of that zone, which are idle and may be cold, from getting all new requests at the same time.
- * With
- * @running_max the worker is filled up to its share; otherwise it takes part in its share of the choices.
+ * If @running_max is set, the worker is filled up to its share; otherwise it is a candidate in its share of
+ * the choices.
  */
 gboolean quince_choice_is_returning_candidate (double share, guint running, guint running_max, guint turn);
 
 /* ---- Candidates --------------------------------------------------------- */
 
-/* Maximum size of a service of which every choice considers all workers. */
+/* Maximum number of workers in a service for which each choice considers all of them. */
 #define QUINCE_CHOICE_COMPARE_ALL_MAX 256
 
 /**
@@ -100,8 +100,7 @@
  * @eligible: (element-type QuinceWorker): workers that can take the request, at least one
  * @start_index: index of the first candidate in @eligible; the caller rotates it so that workers with equal
  *   scores share the requests
- * @affinity_id: (nullable): id of the worker that likely has the prompt in its prefix cache; always a
- * candidate if it is eligible
+ * @affinity_id: (nullable): id of the worker that likely has the prompt cached; always picked if eligible
  * @candidates_max: maximum number of candidates
  * @candidates: (out): array for @candidates_max workers, which @eligible continues to own
  *
