--- a/lib/core/decisions/no-worker.c
+++ b/lib/core/decisions/no-worker.c
@@ -16,9 +16,9 @@
 
 /* Returns whether a cold worker may have capacity before the request's wait ends. */
 static gboolean
-cold_room_in_time (const QuinceNoWorkerInput *input)
+cold_available_in_time (const QuinceNoWorkerInput *input)
 {
-  return may_wait_until (input, MAX (input->cold_room_us, input->now_us));
+  return may_wait_until (input, MAX (input->cold_available_us, input->now_us));
 }
 
 static gboolean
@@ -30,10 +30,11 @@
 }
 
 static gboolean
-stream_may_wait (const QuinceNoWorkerInput *input, gboolean room_soon)
+stream_may_wait (const QuinceNoWorkerInput *input, gboolean cold_available_soon)
 {
   gboolean started_stream_waits = input->outcome == QUINCE_BACKEND_COLD && input->response_started;
-  gboolean may_change = room_soon || started_stream_waits || input->outcome == QUINCE_BACKEND_ZONES_UNKNOWN;
+  gboolean may_change
+      = cold_available_soon || started_stream_waits || input->outcome == QUINCE_BACKEND_ZONES_UNKNOWN;
   return (input->tried_any || may_change) && (input->runs > 0 || may_wait_until (input, input->now_us));
 }
 
@@ -42,14 +43,14 @@
 {
   QuinceNoWorkerDecision decision = { FALSE, 0 };
   gboolean cold = input->outcome == QUINCE_BACKEND_COLD;
-  gboolean room_soon = cold && cold_room_in_time (input);
-  gboolean needs_cold_room = cold && (input->is_stream || input->runs == 0);
-  if (needs_cold_room && !room_soon)
-    decision.retry_after_ms = quince_retry_after_until_ms (input->cold_room_us, input->now_us);
+  gboolean cold_available_soon = cold && cold_available_in_time (input);
+  gboolean needs_cold_worker = cold && (input->is_stream || input->runs == 0);
+  if (needs_cold_worker && !cold_available_soon)
+    decision.retry_after_ms = quince_retry_after_until_ms (input->cold_available_us, input->now_us);
   if (input->is_stream)
-    decision.wait = stream_may_wait (input, room_soon);
+    decision.wait = stream_may_wait (input, cold_available_soon);
   else
-    decision.wait = (!needs_cold_room || room_soon) && lookup_may_wait (input);
+    decision.wait = (!needs_cold_worker || cold_available_soon) && lookup_may_wait (input);
   return decision;
 }
 
--- a/lib/core/decisions/no-worker.h
+++ b/lib/core/decisions/no-worker.h
@@ -34,8 +34,8 @@
  * @now_us: monotonic, us
  * @started_us: when the request started, monotonic, us
  * @target_latency_us: latency target of the route, us; 0: none
- * @cold_room_us: for QUINCE_BACKEND_COLD: when a cold worker may have capacity, monotonic, us; a time in the
- *   past counts as now
+ * @cold_available_us: for QUINCE_BACKEND_COLD: when a cold worker may have capacity, monotonic, us; a time in
+ * the past counts as now
  */
 typedef struct
 {
@@ -47,7 +47,7 @@
   gint64 now_us;
   gint64 started_us;
   gint64 target_latency_us;
-  gint64 cold_room_us;
+  gint64 cold_available_us;
 } QuinceNoWorkerInput;
 
 /* Whether the request waits, and when a refused caller may retry. */
--- a/lib/core/decisions/worker-choice.c
+++ b/lib/core/decisions/worker-choice.c
@@ -39,7 +39,7 @@
 }
 
 gboolean
-quince_choice_has_room (const QuinceWorker *worker, const QuinceWorkerRequirements *requirements)
+quince_choice_has_capacity (const QuinceWorker *worker, const QuinceWorkerRequirements *requirements)
 {
   return requirements->running_max == 0 || worker->running < requirements->running_max;
 }
--- a/lib/core/decisions/worker-choice.h
+++ b/lib/core/decisions/worker-choice.h
@@ -45,7 +45,8 @@
                                     const QuinceWorkerRequirements *requirements);
 
 /* Returns whether @worker is below the limit of requests of this process. */
-gboolean quince_choice_has_room (const QuinceWorker *worker, const QuinceWorkerRequirements *requirements);
+gboolean quince_choice_has_capacity (const QuinceWorker *worker,
+                                     const QuinceWorkerRequirements *requirements);
 
 /* Returns whether @worker is preferred: it is listed and not ejected.  Other workers are chosen only if no
  * preferred worker can take the request. */
--- a/lib/forward/choose-worker.c
+++ b/lib/forward/choose-worker.c
@@ -39,7 +39,7 @@
       facts->evacuated = TRUE;
       return FALSE;
     }
-  gboolean has_room = quince_choice_has_room (worker, &choice->need);
+  gboolean has_room = quince_choice_has_capacity (worker, &choice->need);
   facts->suitable = TRUE;
   facts->full = facts->full || !has_room;
   return has_room && (!trusted || quince_choice_is_preferred (worker, choice->now_us))
--- a/lib/forward/dispatch.c
+++ b/lib/forward/dispatch.c
@@ -135,7 +135,7 @@
           .now_us = now_us,
           .started_us = dispatch->started_us,
           .target_latency_us = dispatch->target_latency_us,
-          .cold_room_us = quince_backends_get_limited_until_us (dispatch->backends) };
+          .cold_available_us = quince_backends_get_limited_until_us (dispatch->backends) };
   const QuinceNoWorkerDecision verdict = quince_no_worker_decide (&none);
   dispatch->retry_after_ms = verdict.retry_after_ms;
   return verdict.wait;
--- a/tests/unit/test-decisions-no-worker.c
+++ b/tests/unit/test-decisions-no-worker.c
@@ -24,7 +24,7 @@
   gboolean tried_any;
   guint runs;
   gint64 now_us;
-  gint64 cold_room_us;
+  gint64 cold_available_us;
   gboolean waits;
   guint retry_after_ms;
 } Row;
@@ -69,7 +69,7 @@
                                           .runs = row->runs,
                                           .now_us = row->now_us,
                                           .target_latency_us = TARGET_US,
-                                          .cold_room_us = row->cold_room_us };
+                                          .cold_available_us = row->cold_available_us };
       const QuinceNoWorkerDecision decision = quince_no_worker_decide (&input);
       assert_int_equal (decision.wait, row->waits);
       assert_int_equal (decision.retry_after_ms, row->retry_after_ms);
--- a/tests/unit/test-decisions-worker-choice.c
+++ b/tests/unit/test-decisions-worker-choice.c
@@ -62,7 +62,7 @@
           = { .model = "m", .minimum_version = 4, .avoid = avoid, .running_max = 12 };
       assert_int_equal (quince_choice_was_tried (worker, &requirements), workers[i].tried);
       assert_int_equal (quince_choice_is_suitable (worker, NOW_US, &requirements), workers[i].suitable);
-      assert_int_equal (quince_choice_has_room (worker, &requirements), workers[i].has_room);
+      assert_int_equal (quince_choice_has_capacity (worker, &requirements), workers[i].has_room);
       assert_int_equal (quince_choice_is_preferred (worker, NOW_US), workers[i].trusted);
     }
 }
@@ -76,7 +76,7 @@
   worker->loading = TRUE;
   worker->running = 1000;
   assert_true (quince_choice_is_suitable (worker, NOW_US, &requirements));
-  assert_true (quince_choice_has_room (worker, &requirements));
+  assert_true (quince_choice_has_capacity (worker, &requirements));
   assert_false (quince_choice_was_tried (worker, &requirements));
 }
 
