--- a/tests/unit/test-decisions-worker-choice.c
+++ b/tests/unit/test-decisions-worker-choice.c
@@ -26,7 +26,7 @@
   gint64 ejected_until_us;
   guint running;
   gboolean suitable;
-  gboolean has_room;
+  gboolean has_capacity;
   gboolean trusted;
 } workers[] = {
   { 4, FALSE, FALSE, FALSE, 0, 0, 0, TRUE, TRUE, TRUE },
@@ -62,7 +62,7 @@
           = { .model = "m", .minimum_version = 4, .avoid = avoid, .running_max = 12 };
       assert_int_equal (quince_choice_was_tried (worker, &requirements), workers[i].tried);
       assert_int_equal (quince_choice_is_suitable (worker, NOW_US, &requirements), workers[i].suitable);
-      assert_int_equal (quince_choice_has_capacity (worker, &requirements), workers[i].has_room);
+      assert_int_equal (quince_choice_has_capacity (worker, &requirements), workers[i].has_capacity);
       assert_int_equal (quince_choice_is_preferred (worker, NOW_US), workers[i].trusted);
     }
 }
