--- a/tests/unit/test-decisions-worker-choice.c
+++ b/tests/unit/test-decisions-worker-choice.c
@@ -14,8 +14,8 @@
 
 #define NOW_US (100 * G_USEC_PER_SEC)
 
-/* The state of a worker, and whether it is suitable for a sample of model "m" from version 4 on, has room and
- * is preferred. */
+/* The state of a worker, and whether it is suitable for a sample of model "m" from version 4 on, has capacity
+ * and is preferred. */
 static const struct
 {
   guint64 version; /* 0: the worker does not have the model */
