--- a/lib/core/decisions/no-worker.h
+++ b/lib/core/decisions/no-worker.h
@@ -34,8 +34,8 @@
  * @now_us: monotonic, us
  * @started_us: when the request started, monotonic, us
  * @target_latency_us: latency target of the route, us; 0: none
- * @cold_available_us: for QUINCE_BACKEND_COLD: when a cold worker may have capacity, monotonic, us; may be
- * past
+ * @cold_available_us: for QUINCE_BACKEND_COLD: when a cold worker may have capacity, monotonic, us; a past
+ *   time means now
  */
 typedef struct
 {
