--- a/daemons/replica/quarantine-coordinator.c
+++ b/daemons/replica/quarantine-coordinator.c
@@ -45,7 +45,7 @@
              gconstpointer holder)
 {
   gint64 now = quince_now_us ();
-  guint at_risk = quince_permits_count (coordinator->permits, now, service, digest);
+  guint at_risk = quince_permits_count_recent (coordinator->permits, now, service, digest);
   if (!quince_send_guard_survives_end (coordinator->guard, now, service, at_risk))
     return FALSE;
   return quince_permits_take (coordinator->permits, now, digest, service, alone, holder,
@@ -85,7 +85,7 @@
 {
   QuinceQuarantineCoordinator *coordinator = data;
   quince_suspect_reporter_changed_for_successor (coordinator->reporter, &suspect->digest);
-  if (suspect->n_workers >= QUINCE_QUARANTINE_ENDS_ALONE)
+  if (suspect->n_workers >= QUINCE_QUARANTINE_ALONE_ENDS_MIN)
     quince_suspect_reporter_changed (coordinator->reporter, &suspect->digest);
 }
 
@@ -93,7 +93,7 @@
 cleared (const QuinceRequestDigest *digest, QuinceSuspectScope scope, guint ends, gpointer data)
 {
   QuinceQuarantineCoordinator *coordinator = data;
-  if (ends >= QUINCE_QUARANTINE_ENDS_ALONE)
+  if (ends >= QUINCE_QUARANTINE_ALONE_ENDS_MIN)
     quince_suspect_reporter_cleared (coordinator->reporter, digest, scope);
   else
     quince_suspect_reporter_cleared_for_successor (coordinator->reporter, digest, scope);
@@ -167,7 +167,7 @@
   /* Nothing was sent during the election, which lasts longer than requests give way to others: without this
    * each new leader would send the same item of a suspected prompt first, which says nothing new of the
    * prompt. */
-  quince_quarantine_resume (quarantine_of (coordinator), quince_now_us ());
+  quince_quarantine_restart_yield_time (quarantine_of (coordinator), quince_now_us ());
   quince_suspect_reporter_send_all (coordinator->reporter);
 }
 
@@ -187,7 +187,7 @@
 void
 quince_quarantine_coordinator_link_closed (QuinceQuarantineCoordinator *coordinator, QuinceLink *link)
 {
-  quince_permits_forget_holder (coordinator->permits, link);
+  quince_permits_return_all (coordinator->permits, link);
 }
 
 /* ---- Messages ------------------------------------------------------------ */
@@ -250,7 +250,7 @@
   QuinceRequestDigest digest;
   memcpy (digest.bytes, wanted->digest, sizeof digest.bytes);
   /* The front may not know yet that the request is held, or that it must run alone. */
-  QuinceSendRule rule = quince_quarantine_judge (quarantine_of (coordinator), &digest);
+  QuinceSendRule rule = quince_quarantine_get_rule (quarantine_of (coordinator), &digest);
   gboolean known = rule != QUINCE_SEND_HELD && (wanted->alone || rule != QUINCE_SEND_ALONE);
   QuinceMessage message = { .kind = QUINCE_MESSAGE_PERMIT_ANSWER };
   QuincePermitAnswer *answer = &message.QuinceMessage_u.permit_answer;
--- a/daemons/replica/quarantine-keys.c
+++ b/daemons/replica/quarantine-keys.c
@@ -101,7 +101,7 @@
     {
       QuinceRequestDigest digest;
       if (!quince_request_digest_parse (name, &digest)
-          || quince_quarantine_judge (keys->quarantine, &digest) != QUINCE_SEND_HELD)
+          || quince_quarantine_get_rule (keys->quarantine, &digest) != QUINCE_SEND_HELD)
         return name;
     }
   return NULL;
--- a/lib/core/decisions/admission.c
+++ b/lib/core/decisions/admission.c
@@ -14,7 +14,7 @@
     return QUINCE_ADMISSION_HELD;
   if (request->loss_check_pending || request->permit_in_use)
     return QUINCE_ADMISSION_WAIT;
-  if (request->rule == QUINCE_SEND_FREE)
+  if (request->rule == QUINCE_SEND_UNRESTRICTED)
     return QUINCE_ADMISSION_GRANTED;
   return request->should_yield ? QUINCE_ADMISSION_WAIT : QUINCE_ADMISSION_PERMIT;
 }
@@ -37,7 +37,7 @@
 gboolean
 quince_admission_allows_hedge (const QuinceAdmissionInput *request)
 {
-  return request->rule == QUINCE_SEND_FREE && !request->loss_check_pending;
+  return request->rule == QUINCE_SEND_UNRESTRICTED && !request->loss_check_pending;
 }
 
 gboolean
--- a/lib/core/decisions/admission.h
+++ b/lib/core/decisions/admission.h
@@ -36,7 +36,7 @@
  *   worker terminated is not complete
  * @permit_in_use: this process already has a request in flight under the same permit
  * @should_yield: other requests with the same prompt are sent first, since the last worker that terminated
- *   under this prompt ran this request, a moment ago; see quince_quarantine_gives_way()
+ *   under this prompt ran this request, a moment ago; see quince_quarantine_should_yield()
  */
 typedef struct
 {
--- a/lib/core/request/permits.c
+++ b/lib/core/request/permits.c
@@ -6,14 +6,14 @@
 /* Longest time for which a run keeps other suspects from its service, us.  A lookup takes 25 to 80 ms at the
  * users' workers.  A sample takes a second or more, and ten suspect ones would wait for each other for ten
  * seconds. */
-#define ALONE_MAX_US (300 * 1000)
+#define RECENT_PERMIT_US (300 * 1000)
 
 typedef struct
 {
   QuinceRequestDigest digest;
   char *service; /* where it runs */
   gboolean alone;
-  gint64 given_us;
+  gint64 granted_us;
   gconstpointer holder;
   gint64 until_us;
 } Permit;
@@ -53,28 +53,28 @@
 {
   gint64 now_us;
   gconstpointer holder; /* NULL: none */
-} Ending;
+} PermitFilter;
 
 static gboolean
-is_ending (gpointer key, gpointer value, gpointer data)
+matches_filter (gpointer key, gpointer value, gpointer data)
 {
   const Permit *permit = value;
-  const Ending *ending = data;
+  const PermitFilter *ending = data;
   return ending->holder != NULL ? permit->holder == ending->holder : ending->now_us >= permit->until_us;
 }
 
 /* It was given a moment ago, for @service. */
 static gboolean
-is_at (const Permit *permit, gint64 now_us, const char *service)
+is_recent_at (const Permit *permit, gint64 now_us, const char *service)
 {
-  return now_us - permit->given_us < ALONE_MAX_US && g_strcmp0 (permit->service, service) == 0;
+  return now_us - permit->granted_us < RECENT_PERMIT_US && g_strcmp0 (permit->service, service) == 0;
 }
 
 guint
-quince_permits_count (const QuincePermits *permits,
-                      gint64 now_us,
-                      const char *service,
-                      const QuinceRequestDigest *but)
+quince_permits_count_recent (const QuincePermits *permits,
+                             gint64 now_us,
+                             const char *service,
+                             const QuinceRequestDigest *but)
 {
   guint count = 0;
   GHashTableIter iter;
@@ -83,7 +83,7 @@
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
       const Permit *permit = value;
-      count += is_at (permit, now_us, service) && !quince_request_digest_equal (&permit->digest, but);
+      count += is_recent_at (permit, now_us, service) && !quince_request_digest_equal (&permit->digest, but);
     }
   return count;
 }
@@ -97,7 +97,7 @@
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
       const Permit *permit = value;
-      if (permit->alone && is_at (permit, now_us, service))
+      if (permit->alone && is_recent_at (permit, now_us, service))
         return TRUE;
     }
   return FALSE;
@@ -112,8 +112,8 @@
                      gconstpointer holder,
                      gint64 until_us)
 {
-  Ending over = { now_us, NULL };
-  g_hash_table_foreach_remove (permits->by_digest, is_ending, &over);
+  PermitFilter over = { now_us, NULL };
+  g_hash_table_foreach_remove (permits->by_digest, matches_filter, &over);
   if (g_hash_table_contains (permits->by_digest, digest)
       || (alone && runs_alone_at (permits, now_us, service)))
     return FALSE;
@@ -121,7 +121,7 @@
   permit->digest = *digest;
   permit->service = g_strdup (service);
   permit->alone = alone;
-  permit->given_us = now_us;
+  permit->granted_us = now_us;
   permit->holder = holder;
   permit->until_us = until_us;
   g_hash_table_insert (permits->by_digest, &permit->digest, permit);
@@ -137,8 +137,8 @@
 }
 
 void
-quince_permits_forget_holder (QuincePermits *permits, gconstpointer holder)
+quince_permits_return_all (QuincePermits *permits, gconstpointer holder)
 {
-  Ending gone = { 0, holder };
-  g_hash_table_foreach_remove (permits->by_digest, is_ending, &gone);
+  PermitFilter gone = { 0, holder };
+  g_hash_table_foreach_remove (permits->by_digest, matches_filter, &gone);
 }
--- a/lib/core/request/quarantine.c
+++ b/lib/core/request/quarantine.c
@@ -9,13 +9,13 @@
 
 /* Time for which an answer clears its prompt, us.  Not measured: longer than the deadlines of the users'
  * batches (12 s), in which the group of a prompt is made, and short against a change of what workers run. */
-#define CLEARED_KEEP_US (60 * G_USEC_PER_SEC)
+#define CLEARED_PROMPT_TTL_US (60 * G_USEC_PER_SEC)
 /* Time for which the ids of workers that ended are kept, us: such a worker is listed for some seconds more
  * (three heartbeats of 1.2 s); the next incarnation has another id.  Not measured. */
 #define ENDED_KEEP_US (60 * G_USEC_PER_SEC)
 /* Time for which a request gives way to others of its prompt, us: the leader checks waiting samples several
  * times a second.  Not measured. */
-#define GIVE_WAY_US (1 * G_USEC_PER_SEC)
+#define YIELD_US (1 * G_USEC_PER_SEC)
 
 struct _QuinceQuarantine
 {
@@ -115,7 +115,7 @@
 /* Which of two is forgotten first: what is not held, then what met fewer ends, then the older one.  So a
  * flood of requests that each met one end forgets none that is held, and none that met more. */
 static gboolean
-goes_before (const QuinceSuspect *first, const QuinceSuspect *second)
+is_evicted_before (const QuinceSuspect *first, const QuinceSuspect *second)
 {
   if (first->held != second->held)
     return second->held;
@@ -125,27 +125,27 @@
 }
 
 static const QuinceSuspect *
-find_least (const QuinceQuarantine *quarantine, const QuinceSuspect *but)
+find_eviction_candidate (const QuinceQuarantine *quarantine, const QuinceSuspect *but)
 {
   const QuinceSuspect *least = NULL;
   GHashTableIter iter;
   gpointer value;
   g_hash_table_iter_init (&iter, quarantine->suspects);
   while (g_hash_table_iter_next (&iter, NULL, &value))
-    if (value != but && (least == NULL || goes_before (value, least)))
+    if (value != but && (least == NULL || is_evicted_before (value, least)))
       least = value;
   return least;
 }
 
 /* @newest stays: it was learned just now. */
 static void
-keep_bounds (QuinceQuarantine *quarantine, const QuinceSuspect *newest)
+enforce_limits (QuinceQuarantine *quarantine, const QuinceSuspect *newest)
 {
   const QuinceQuarantineLimits *limits = &quarantine->limits;
-  while (g_hash_table_size (quarantine->suspects) > limits->entries_most
-         || quarantine->bytes > limits->bytes_most)
+  while (g_hash_table_size (quarantine->suspects) > limits->suspects_max
+         || quarantine->bytes > limits->suspect_bytes_max)
     {
-      const QuinceSuspect *least = find_least (quarantine, newest);
+      const QuinceSuspect *least = find_eviction_candidate (quarantine, newest);
       if (least == NULL)
         return;
       forget (quarantine, least);
@@ -153,7 +153,7 @@
 }
 
 static void
-forget_times (GHashTable *times, gint64 before_us)
+remove_older_than (GHashTable *times, gint64 before_us)
 {
   GHashTableIter iter;
   gpointer at_us;
@@ -166,13 +166,13 @@
 void
 quince_quarantine_expire (QuinceQuarantine *quarantine, gint64 now_us)
 {
-  forget_times (quarantine->cleared, now_us - CLEARED_KEEP_US);
-  forget_times (quarantine->ended, now_us - ENDED_KEEP_US);
+  remove_older_than (quarantine->cleared, now_us - CLEARED_PROMPT_TTL_US);
+  remove_older_than (quarantine->ended, now_us - ENDED_KEEP_US);
   g_autoptr (GPtrArray) all = quince_quarantine_list (quarantine);
   for (guint i = 0; i < all->len; i++)
     {
       const QuinceSuspect *suspect = all->pdata[i];
-      gint64 keep = suspect->held ? quarantine->limits.hold_keep_us : quarantine->limits.suspect_keep_us;
+      gint64 keep = suspect->held ? quarantine->limits.held_ttl_us : quarantine->limits.suspect_ttl_us;
       if (now_us - suspect->ended_us >= keep)
         forget (quarantine, suspect);
     }
@@ -182,39 +182,39 @@
 
 /* A flood of ends must not take memory without bound: what is lost is only how strong a service is. */
 static void
-note_ended_worker (QuinceQuarantine *quarantine, gint64 ended_us, guint64 worker)
+record_ended_worker (QuinceQuarantine *quarantine, gint64 ended_us, guint64 worker)
 {
-  if (g_hash_table_size (quarantine->ended) >= quarantine->limits.entries_most)
+  if (g_hash_table_size (quarantine->ended) >= quarantine->limits.suspects_max)
     g_hash_table_remove_all (quarantine->ended);
   g_hash_table_insert (quarantine->ended, g_memdup2 (&worker, sizeof worker),
                        g_memdup2 (&ended_us, sizeof ended_us));
 }
 
 gboolean
-quince_quarantine_has_ended (const QuinceQuarantine *quarantine, guint64 worker)
+quince_quarantine_has_worker_ended (const QuinceQuarantine *quarantine, guint64 worker)
 {
   return g_hash_table_contains (quarantine->ended, &worker);
 }
 
 static gboolean
-was_cleared (const QuinceQuarantine *quarantine, gint64 now_us, const QuinceRequestDigest *digest)
+is_recently_cleared (const QuinceQuarantine *quarantine, gint64 now_us, const QuinceRequestDigest *digest)
 {
   const gint64 *at_us = g_hash_table_lookup (quarantine->cleared, digest);
-  return at_us != NULL && now_us - *at_us < CLEARED_KEEP_US;
+  return at_us != NULL && now_us - *at_us < CLEARED_PROMPT_TTL_US;
 }
 
 /* An answer cleared it after all that is reported, or the report is of a later end that was not met alone. */
 static gboolean
-is_superseded (const QuinceQuarantine *quarantine, gint64 now_us, const QuinceSuspect *reported)
+is_superseded_by_clear (const QuinceQuarantine *quarantine, gint64 now_us, const QuinceSuspect *reported)
 {
   const gint64 *at_us = g_hash_table_lookup (quarantine->cleared, &reported->digest);
   gboolean later = at_us != NULL && reported->ended_us > *at_us && (reported->held || reported->alone > 0);
-  return was_cleared (quarantine, now_us, &reported->digest) && !later;
+  return is_recently_cleared (quarantine, now_us, &reported->digest) && !later;
 }
 
 /* Two ends that the same request met alone say no more of its prompt than one. */
 static void
-count_alone (QuinceSuspect *suspect, const QuinceSuspect *seen)
+count_alone_end (QuinceSuspect *suspect, const QuinceSuspect *seen)
 {
   if (!seen->alone || (suspect->scope == QUINCE_SUSPECT_PROMPT && suspect->member == seen->member))
     return;
@@ -261,7 +261,7 @@
 }
 
 static void
-take_details (QuinceQuarantine *quarantine, QuinceSuspect *suspect, const QuinceSuspect *seen)
+update_details (QuinceQuarantine *quarantine, QuinceSuspect *suspect, const QuinceSuspect *seen)
 {
   quarantine->bytes -= suspect_size (suspect);
   suspect->ended_us = MAX (suspect->ended_us, seen->ended_us);
@@ -272,18 +272,18 @@
 }
 
 static void
-judge_ends (QuinceSuspect *suspect)
+update_held (QuinceSuspect *suspect)
 {
   suspect->held = suspect->held
-                  || (suspect->n_workers >= QUINCE_QUARANTINE_ENDS_MIN
-                      && suspect->alone >= QUINCE_QUARANTINE_ALONE_MIN);
+                  || (suspect->n_workers >= QUINCE_QUARANTINE_HOLD_ENDS_MIN
+                      && suspect->alone >= QUINCE_QUARANTINE_HOLD_ALONE_ENDS_MIN);
 }
 
 const QuinceSuspect *
-quince_quarantine_note_end (QuinceQuarantine *quarantine, gint64 now_us, const QuinceSuspect *seen)
+quince_quarantine_record_end (QuinceQuarantine *quarantine, gint64 now_us, const QuinceSuspect *seen)
 {
-  note_ended_worker (quarantine, now_us, seen->workers[0]);
-  if (!seen->alone && was_cleared (quarantine, now_us, &seen->digest))
+  record_ended_worker (quarantine, now_us, seen->workers[0]);
+  if (!seen->alone && is_recently_cleared (quarantine, now_us, &seen->digest))
     return NULL;
   g_hash_table_remove (quarantine->cleared, &seen->digest);
   QuinceSuspect *suspect = find_or_add (quarantine, &seen->digest);
@@ -291,10 +291,10 @@
   end.ended_us = now_us;
   suspect->scope = seen->scope;
   if (add_worker (suspect, seen->workers[0]))
-    count_alone (suspect, seen);
-  take_details (quarantine, suspect, &end);
-  judge_ends (suspect);
-  keep_bounds (quarantine, suspect);
+    count_alone_end (suspect, seen);
+  update_details (quarantine, suspect, &end);
+  update_held (suspect);
+  enforce_limits (quarantine, suspect);
   return suspect;
 }
 
@@ -308,12 +308,12 @@
   *expected = known != NULL ? *known : (QuinceSuspect){ .digest = seen->digest, .scope = seen->scope };
   expected->ended_us = now_us;
   if (add_worker (expected, seen->workers[0]))
-    count_alone (expected, seen);
+    count_alone_end (expected, seen);
 }
 
 /* A report of a newer release replaces what is known of older ones. */
 static gboolean
-take_release (QuinceSuspect *suspect, const QuinceSuspect *reported)
+adopt_newer_release (QuinceSuspect *suspect, const QuinceSuspect *reported)
 {
   if (reported->release <= suspect->release)
     return FALSE;
@@ -325,11 +325,11 @@
 }
 
 static gboolean
-take_worker (QuinceQuarantine *quarantine, QuinceSuspect *suspect, guint64 worker, gint64 ended_us)
+merge_worker (QuinceQuarantine *quarantine, QuinceSuspect *suspect, guint64 worker, gint64 ended_us)
 {
   if (!add_worker (suspect, worker))
     return FALSE;
-  note_ended_worker (quarantine, ended_us, worker);
+  record_ended_worker (quarantine, ended_us, worker);
   return TRUE;
 }
 
@@ -339,24 +339,24 @@
   const QuinceSuspect *known = quince_quarantine_find (quarantine, &reported->digest);
   if (known != NULL && reported->release < known->release)
     return FALSE;
-  gint64 keep = reported->held ? quarantine->limits.hold_keep_us : quarantine->limits.suspect_keep_us;
-  if (now_us - reported->ended_us >= keep || is_superseded (quarantine, now_us, reported))
+  gint64 keep = reported->held ? quarantine->limits.held_ttl_us : quarantine->limits.suspect_ttl_us;
+  if (now_us - reported->ended_us >= keep || is_superseded_by_clear (quarantine, now_us, reported))
     return FALSE;
   gboolean changed = known == NULL;
   QuinceSuspect *suspect = find_or_add (quarantine, &reported->digest);
   suspect->scope = reported->scope;
-  changed = take_release (suspect, reported) || changed;
+  changed = adopt_newer_release (suspect, reported) || changed;
   for (guint i = 0; i < MIN (reported->n_workers, QUINCE_QUARANTINE_WORKERS_MAX); i++)
-    changed = take_worker (quarantine, suspect, reported->workers[i], reported->ended_us) || changed;
+    changed = merge_worker (quarantine, suspect, reported->workers[i], reported->ended_us) || changed;
   changed = changed || reported->alone > suspect->alone || (reported->held && !suspect->held);
   if (reported->alone > suspect->alone)
     suspect->member = reported->member;
   suspect->alone = MAX (suspect->alone, reported->alone);
   suspect->held = suspect->held || reported->held;
-  judge_ends (suspect);
+  update_held (suspect);
   if (changed)
-    take_details (quarantine, suspect, reported);
-  keep_bounds (quarantine, suspect);
+    update_details (quarantine, suspect, reported);
+  enforce_limits (quarantine, suspect);
   return changed;
 }
 
@@ -375,7 +375,7 @@
                                 gint64 now_us,
                                 const QuinceRequestDigest *digest)
 {
-  if (g_hash_table_size (quarantine->cleared) >= quarantine->limits.entries_most)
+  if (g_hash_table_size (quarantine->cleared) >= quarantine->limits.suspects_max)
     g_hash_table_remove_all (quarantine->cleared);
   g_hash_table_insert (quarantine->cleared, g_memdup2 (digest, sizeof *digest),
                        g_memdup2 (&now_us, sizeof now_us));
@@ -391,7 +391,7 @@
   suspect->held = FALSE;
   suspect->release++;
   suspect->ended_us = now_us; /* it is watched for as long as after an end */
-  suspect->alone = QUINCE_QUARANTINE_ALONE_MIN - 1;
+  suspect->alone = QUINCE_QUARANTINE_HOLD_ALONE_ENDS_MIN - 1;
   suspect->member = 0;
   return TRUE;
 }
@@ -405,29 +405,29 @@
 }
 
 QuinceSendRule
-quince_quarantine_judge (const QuinceQuarantine *quarantine, const QuinceRequestDigest *digest)
+quince_quarantine_get_rule (const QuinceQuarantine *quarantine, const QuinceRequestDigest *digest)
 {
   const QuinceSuspect *suspect = quince_quarantine_find (quarantine, digest);
   if (suspect == NULL)
-    return QUINCE_SEND_FREE;
+    return QUINCE_SEND_UNRESTRICTED;
   if (suspect->held)
     return QUINCE_SEND_HELD;
-  return suspect->n_workers >= QUINCE_QUARANTINE_ENDS_ALONE ? QUINCE_SEND_ALONE : QUINCE_SEND_BY_PERMIT;
+  return suspect->n_workers >= QUINCE_QUARANTINE_ALONE_ENDS_MIN ? QUINCE_SEND_ALONE : QUINCE_SEND_BY_PERMIT;
 }
 
 gboolean
-quince_quarantine_gives_way (const QuinceQuarantine *quarantine,
-                             gint64 now_us,
-                             const QuinceRequestIdentity *identity)
+quince_quarantine_should_yield (const QuinceQuarantine *quarantine,
+                                gint64 now_us,
+                                const QuinceRequestIdentity *identity)
 {
   const QuinceSuspect *prompt
       = identity->has_prompt ? quince_quarantine_find (quarantine, &identity->prompt) : NULL;
   return prompt != NULL && prompt->member == quince_quarantine_hash_request (&identity->request)
-         && now_us - MAX (prompt->ended_us, quarantine->resumed_us) < GIVE_WAY_US;
+         && now_us - MAX (prompt->ended_us, quarantine->resumed_us) < YIELD_US;
 }
 
 void
-quince_quarantine_resume (QuinceQuarantine *quarantine, gint64 now_us)
+quince_quarantine_restart_yield_time (QuinceQuarantine *quarantine, gint64 now_us)
 {
   quarantine->resumed_us = now_us;
 }
--- a/lib/core/request/quarantine.h
+++ b/lib/core/request/quarantine.h
@@ -23,11 +23,11 @@
 G_BEGIN_DECLS
 
 /* Ends of workers from which on a request is sent only alone.  Not measured: one end may be chance. */
-#define QUINCE_QUARANTINE_ENDS_ALONE 2
+#define QUINCE_QUARANTINE_ALONE_ENDS_MIN 2
 /* Ends of workers after which a request is held, if it met some of them alone: three may be chance. */
-#define QUINCE_QUARANTINE_ENDS_MIN 4
+#define QUINCE_QUARANTINE_HOLD_ENDS_MIN 4
 /* How many of these it must have met alone: the last two are, by the rule above. */
-#define QUINCE_QUARANTINE_ALONE_MIN 2
+#define QUINCE_QUARANTINE_HOLD_ALONE_ENDS_MIN 2
 /* Workers remembered of one request, the last ones: twice the ends after which it is held. */
 #define QUINCE_QUARANTINE_WORKERS_MAX 8
 
@@ -43,17 +43,17 @@
 
 /**
  * QuinceQuarantineLimits:
- * @entries_most: requests that are remembered
- * @bytes_most: what they may take, in bytes
- * @suspect_keep_us: time after its last end at which a request that is not held is forgotten, us
- * @hold_keep_us: a held one
+ * @suspects_max: requests that are remembered
+ * @suspect_bytes_max: what they may take, in bytes
+ * @suspect_ttl_us: time after its last end at which a request that is not held is forgotten, us
+ * @held_ttl_us: a held one
  */
 typedef struct
 {
-  guint entries_most;
-  gsize bytes_most;
-  gint64 suspect_keep_us;
-  gint64 hold_keep_us;
+  guint suspects_max;
+  gsize suspect_bytes_max;
+  gint64 suspect_ttl_us;
+  gint64 held_ttl_us;
 } QuinceQuarantineLimits;
 
 /**
@@ -91,10 +91,10 @@
 /* What a request needs before it is sent. */
 typedef enum
 {
-  QUINCE_SEND_FREE,      /* nothing                                          */
-  QUINCE_SEND_BY_PERMIT, /* a permit where one can be had                    */
-  QUINCE_SEND_ALONE,     /* a permit for a run beside no other suspect       */
-  QUINCE_SEND_HELD,      /* it is not sent                                   */
+  QUINCE_SEND_UNRESTRICTED, /* nothing                                          */
+  QUINCE_SEND_BY_PERMIT,    /* a permit where one can be had                    */
+  QUINCE_SEND_ALONE,        /* a permit for a run beside no other suspect       */
+  QUINCE_SEND_HELD,         /* it is not sent                                   */
 } QuinceSendRule;
 
 typedef struct _QuinceQuarantine QuinceQuarantine;
@@ -104,14 +104,14 @@
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (QuinceQuarantine, quince_quarantine_free)
 
 /**
- * quince_quarantine_note_end:
+ * quince_quarantine_record_end:
  * @seen: the digest, one worker, its service and software, and @alone 0 or 1
  *
  * A worker ended while the request ran there.  Returns: (transfer none) (nullable): what is known now; %NULL:
  * a prompt that was answered a while ago, and was not alone
  */
 const QuinceSuspect *
-quince_quarantine_note_end (QuinceQuarantine *quarantine, gint64 now_us, const QuinceSuspect *seen);
+quince_quarantine_record_end (QuinceQuarantine *quarantine, gint64 now_us, const QuinceSuspect *seen);
 /* What would be known after the end @seen, of which nothing is noted.  @expected: texts are those of what is
  * known
  */
@@ -129,7 +129,7 @@
                                          const QuinceRequestDigest *digest);
 /* Whether a worker is known to have ended under a request, of late; @worker: see
  * quince_quarantine_hash_worker() */
-gboolean quince_quarantine_has_ended (const QuinceQuarantine *quarantine, guint64 worker);
+gboolean quince_quarantine_has_worker_ended (const QuinceQuarantine *quarantine, guint64 worker);
 /* It is sent once more, alone; a further end holds it again.  Returns: whether it was held */
 gboolean
 quince_quarantine_release (QuinceQuarantine *quarantine, gint64 now_us, const QuinceRequestDigest *digest);
@@ -138,8 +138,8 @@
 /* (nullable): until the next change */
 const QuinceSuspect *quince_quarantine_find (const QuinceQuarantine *quarantine,
                                              const QuinceRequestDigest *digest);
-QuinceSendRule quince_quarantine_judge (const QuinceQuarantine *quarantine,
-                                        const QuinceRequestDigest *digest);
+QuinceSendRule quince_quarantine_get_rule (const QuinceQuarantine *quarantine,
+                                           const QuinceRequestDigest *digest);
 guint quince_quarantine_get_size (const QuinceQuarantine *quarantine);
 gsize quince_quarantine_get_bytes (const QuinceQuarantine *quarantine);
 /* (transfer container): QuinceSuspect, until the next change */
@@ -151,11 +151,11 @@
 guint64 quince_quarantine_hash_request (const QuinceRequestDigest *request);
 /* Whether another request of the prompt had better be sent first: this one met the last end alone, and says
  * nothing more of what they share. */
-gboolean quince_quarantine_gives_way (const QuinceQuarantine *quarantine,
-                                      gint64 now_us,
-                                      const QuinceRequestIdentity *identity);
+gboolean quince_quarantine_should_yield (const QuinceQuarantine *quarantine,
+                                         gint64 now_us,
+                                         const QuinceRequestIdentity *identity);
 /* No process sent anything until now: requests give way as if their ends were met now. */
-void quince_quarantine_resume (QuinceQuarantine *quarantine, gint64 now_us);
+void quince_quarantine_restart_yield_time (QuinceQuarantine *quarantine, gint64 now_us);
 
 /* ---- Permits ----------------------------------------------------------- */
 
@@ -181,12 +181,12 @@
                               gint64 until_us);
 /* Requests at @service, but for @but, that were permitted a moment ago, so that they may still end their
  * workers. */
-guint quince_permits_count (const QuincePermits *permits,
-                            gint64 now_us,
-                            const char *service,
-                            const QuinceRequestDigest *but);
+guint quince_permits_count_recent (const QuincePermits *permits,
+                                   gint64 now_us,
+                                   const char *service,
+                                   const QuinceRequestDigest *but);
 void quince_permits_return (QuincePermits *permits, const QuinceRequestDigest *digest, gconstpointer holder);
 /* @holder is gone, and with it its permits. */
-void quince_permits_forget_holder (QuincePermits *permits, gconstpointer holder);
+void quince_permits_return_all (QuincePermits *permits, gconstpointer holder);
 
 G_END_DECLS
--- a/lib/core/request/request-digest.c
+++ b/lib/core/request/request-digest.c
@@ -6,7 +6,7 @@
 #include <string.h>
 
 /* In place of a method, which has no space in it. */
-#define NOT_A_METHOD "shared prompt"
+#define PROMPT_DOMAIN_TAG "shared prompt"
 
 /* The zero at the end divides it from what follows. */
 static void
@@ -17,7 +17,7 @@
 }
 
 static void
-take_checksum (GChecksum *checksum, QuinceRequestDigest *digest)
+finish_digest (GChecksum *checksum, QuinceRequestDigest *digest)
 {
   guint8 whole[32];
   gsize whole_length = sizeof whole;
@@ -41,7 +41,7 @@
   add_text (checksum, target);
   if (length > 0)
     g_checksum_update (checksum, body, (gssize)length);
-  take_checksum (checksum, digest);
+  finish_digest (checksum, digest);
 }
 
 gboolean
@@ -55,10 +55,10 @@
   g_autoptr (GChecksum) checksum = g_checksum_new (G_CHECKSUM_SHA256);
   add_text (checksum, caller);
   add_text (checksum, host);
-  add_text (checksum, NOT_A_METHOD);
+  add_text (checksum, PROMPT_DOMAIN_TAG);
   for (guint i = 0; parts[i + 1] != NULL; i++)
     add_text (checksum, parts[i]);
-  take_checksum (checksum, digest);
+  finish_digest (checksum, digest);
   return TRUE;
 }
 
--- a/lib/core/request/service-capacity.h
+++ b/lib/core/request/service-capacity.h
@@ -20,14 +20,14 @@
  * @ready: workers that are listed and are not known to have ended
  * @most: most workers listed at once in the last 30 s
  * @at_risk: ready workers that may be ended by requests sent a moment ago
- * @calm_us: since the last end at the service
+ * @since_end_us: since the last end at the service
  */
 typedef struct
 {
   guint ready;
   guint most;
   guint at_risk;
-  gint64 calm_us;
+  gint64 since_end_us;
 } QuinceServiceCapacity;
 
 /* Whether one more worker may end. */
@@ -44,14 +44,15 @@
 void quince_service_capacities_free (QuinceServiceCapacities *capacities);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (QuinceServiceCapacities, quince_service_capacities_free)
 /* @listed workers of @service are listed now, and @ready of them are not known to have ended. */
-void quince_service_capacities_note (QuinceServiceCapacities *capacities,
-                                     gint64 now_us,
-                                     const char *service,
-                                     guint listed,
-                                     guint ready);
+void quince_service_capacities_update (QuinceServiceCapacities *capacities,
+                                       gint64 now_us,
+                                       const char *service,
+                                       guint listed,
+                                       guint ready);
 /* A worker of @service ended. */
-void
-quince_service_capacities_note_end (QuinceServiceCapacities *capacities, gint64 now_us, const char *service);
+void quince_service_capacities_record_end (QuinceServiceCapacities *capacities,
+                                           gint64 now_us,
+                                           const char *service);
 /* What was noted last; @capacity->at_risk is the caller's. */
 void quince_service_capacities_get (const QuinceServiceCapacities *capacities,
                                     gint64 now_us,
--- a/lib/forward/send-guard-capacity.c
+++ b/lib/forward/send-guard-capacity.c
@@ -16,9 +16,10 @@
       if (worker->draining || worker->gone_after_us != 0)
         continue;
       listed++;
-      ready += !quince_quarantine_has_ended (guard->quarantine, quince_quarantine_hash_worker (worker->id));
+      ready += !quince_quarantine_has_worker_ended (guard->quarantine,
+                                                    quince_quarantine_hash_worker (worker->id));
     }
-  quince_service_capacities_note (guard->capacities, now_us, service, listed, ready);
+  quince_service_capacities_update (guard->capacities, now_us, service, listed, ready);
 }
 
 gboolean
@@ -57,5 +58,5 @@
   if (suspect == NULL || suspect->service == NULL || guard->workers == NULL)
     return;
   quince_send_guard_note_service (guard, now_us, suspect->service);
-  quince_service_capacities_note_end (guard->capacities, suspect->ended_us, suspect->service);
+  quince_service_capacities_record_end (guard->capacities, suspect->ended_us, suspect->service);
 }
--- a/lib/forward/send-guard-log.c
+++ b/lib/forward/send-guard-log.c
@@ -79,7 +79,8 @@
       for (guint i = 0; i < workers->len; i++)
         {
           const QuinceWorker *worker = workers->pdata[i];
-          if (quince_quarantine_has_ended (guard->quarantine, quince_quarantine_hash_worker (worker->id)))
+          if (quince_quarantine_has_worker_ended (guard->quarantine,
+                                                  quince_quarantine_hash_worker (worker->id)))
             g_ptr_array_add (names, worker->id);
         }
     }
--- a/lib/forward/send-guard-losses.c
+++ b/lib/forward/send-guard-losses.c
@@ -127,7 +127,7 @@
   quince_send_guard_describe_end (&run->identity, &run->permit, loss->worker_id, scope, &seen);
   seen.service = loss->service;
   seen.software = loss->software;
-  const QuinceSuspect *known = quince_quarantine_note_end (guard->quarantine, quince_now_us (), &seen);
+  const QuinceSuspect *known = quince_quarantine_record_end (guard->quarantine, quince_now_us (), &seen);
   if (known == NULL)
     return;
   g_autofree char *digest = quince_request_digest_format (&known->digest);
@@ -143,7 +143,7 @@
   note_suspect (guard, loss, run, QUINCE_SUSPECT_REQUEST);
   if (run->identity.has_prompt)
     note_suspect (guard, loss, run, QUINCE_SUSPECT_PROMPT);
-  quince_service_capacities_note_end (guard->capacities, quince_now_us (), loss->service);
+  quince_service_capacities_record_end (guard->capacities, quince_now_us (), loss->service);
   quince_send_guard_over (guard, &run->permit);
 }
 
@@ -177,7 +177,7 @@
     else
       log_send (loss->sends->pdata[i], loss->worker_id, sign == QUINCE_WORKER_LISTENS ? "lives" : "unknown");
   if (sign == QUINCE_WORKER_ENDED && loss->sends->len > 0)
-    quince_service_capacities_note_end (guard->capacities, quince_now_us (), loss->service);
+    quince_service_capacities_record_end (guard->capacities, quince_now_us (), loss->service);
 }
 
 /* ---- Checks ------------------------------------------------------------------ */
--- a/lib/forward/send-guard.c
+++ b/lib/forward/send-guard.c
@@ -37,10 +37,10 @@
 void
 quince_quarantine_read_limits (const QuinceSettings *settings, QuinceQuarantineLimits *limits)
 {
-  limits->entries_most = (guint)quince_settings_get_integer (settings, "quarantine", "entries");
-  limits->bytes_most = (gsize)quince_settings_get_integer (settings, "quarantine", "kilobytes") * 1024;
-  limits->suspect_keep_us = quince_settings_get_duration_us (settings, "quarantine", "doubt_keep");
-  limits->hold_keep_us = quince_settings_get_duration_us (settings, "quarantine", "hold_keep");
+  limits->suspects_max = (guint)quince_settings_get_integer (settings, "quarantine", "entries");
+  limits->suspect_bytes_max = (gsize)quince_settings_get_integer (settings, "quarantine", "kilobytes") * 1024;
+  limits->suspect_ttl_us = quince_settings_get_duration_us (settings, "quarantine", "doubt_keep");
+  limits->held_ttl_us = quince_settings_get_duration_us (settings, "quarantine", "hold_keep");
 }
 
 QuinceSendGuard *
@@ -182,9 +182,9 @@
 static QuinceSendRule
 judge (const QuinceSendGuard *guard, const QuinceRequestIdentity *identity, QuinceSendRule *of_prompt)
 {
-  *of_prompt = identity->has_prompt ? quince_quarantine_judge (guard->quarantine, &identity->prompt)
-                                    : QUINCE_SEND_FREE;
-  return MAX (quince_quarantine_judge (guard->quarantine, &identity->request), *of_prompt);
+  *of_prompt = identity->has_prompt ? quince_quarantine_get_rule (guard->quarantine, &identity->prompt)
+                                    : QUINCE_SEND_UNRESTRICTED;
+  return MAX (quince_quarantine_get_rule (guard->quarantine, &identity->request), *of_prompt);
 }
 
 QuinceAdmission
@@ -198,12 +198,13 @@
   QuinceSendRule of_prompt;
   QuinceSendRule rule = judge (guard, identity, &of_prompt);
   /* One permit for all that share a suspected prompt. */
-  const QuinceRequestDigest *digest = of_prompt != QUINCE_SEND_FREE ? &identity->prompt : &identity->request;
+  const QuinceRequestDigest *digest
+      = of_prompt != QUINCE_SEND_UNRESTRICTED ? &identity->prompt : &identity->request;
   const QuinceAdmissionInput request
       = { .rule = rule,
           .loss_check_pending = quince_send_guard_is_checked (guard, identity),
           .permit_in_use = g_hash_table_contains (guard->held, digest),
-          .should_yield = quince_quarantine_gives_way (guard->quarantine, now_us, identity) };
+          .should_yield = quince_quarantine_should_yield (guard->quarantine, now_us, identity) };
   QuinceAdmission admission = quince_admission_for_request (&request);
   if (admission != QUINCE_ADMISSION_PERMIT)
     return admission;
--- a/tests/platform/test-quarantine-cut.c
+++ b/tests/platform/test-quarantine-cut.c
@@ -133,10 +133,10 @@
 #define NOW_US (100 * G_USEC_PER_SEC)
 #define WALL_MS 5000000
 
-static const QuinceQuarantineLimits limits = { .entries_most = 64,
-                                               .bytes_most = 64 * 1024,
-                                               .suspect_keep_us = 10 * G_TIME_SPAN_MINUTE,
-                                               .hold_keep_us = G_TIME_SPAN_DAY };
+static const QuinceQuarantineLimits limits = { .suspects_max = 64,
+                                               .suspect_bytes_max = 64 * 1024,
+                                               .suspect_ttl_us = 10 * G_TIME_SPAN_MINUTE,
+                                               .held_ttl_us = G_TIME_SPAN_DAY };
 
 /* What was met by two fronts adds up, and the same end counts once. */
 static void
@@ -147,10 +147,10 @@
   QuinceSuspect seen = { .digest = digest, .workers = { 7 }, .n_workers = 1, .service = "svc" };
   g_autoptr (QuinceQuarantine) first = quince_quarantine_new (&limits);
   g_autoptr (QuinceQuarantine) second = quince_quarantine_new (&limits);
-  quince_quarantine_note_end (first, NOW_US, &seen);
-  quince_quarantine_note_end (second, NOW_US, &seen);
+  quince_quarantine_record_end (first, NOW_US, &seen);
+  quince_quarantine_record_end (second, NOW_US, &seen);
   seen.workers[0] = G_MAXUINT64;
-  quince_quarantine_note_end (first, NOW_US, &seen);
+  quince_quarantine_record_end (first, NOW_US, &seen);
   g_autoptr (GPtrArray) all = quince_quarantine_list (first);
   g_autoptr (GBytes) value = quince_suspect_list_format (all, NOW_US, WALL_MS);
   g_autoptr (GArray) changed = g_array_new (FALSE, FALSE, sizeof (QuinceRequestDigest));
@@ -160,7 +160,7 @@
   const QuinceSuspect *known = quince_quarantine_find (second, &digest);
   assert_int_equal (known->n_workers, 2);
   assert_string_equal (known->reported_by, "front-1");
-  assert_int_equal (quince_quarantine_judge (second, &digest), QUINCE_SEND_ALONE);
+  assert_int_equal (quince_quarantine_get_rule (second, &digest), QUINCE_SEND_ALONE);
 }
 
 static void
--- a/tests/platform/test-quarantine-faults.c
+++ b/tests/platform/test-quarantine-faults.c
@@ -154,7 +154,7 @@
       run_for (ENDS_LOOK_MS);
     }
   assert_int_equal (status, 503);
-  assert_int_equal (ends_runs (world, "poison"), QUINCE_QUARANTINE_ENDS_ALONE);
+  assert_int_equal (ends_runs (world, "poison"), QUINCE_QUARANTINE_ALONE_ENDS_MIN);
   ends_world_free (world);
 }
 
--- a/tests/platform/test-quarantine-small.c
+++ b/tests/platform/test-quarantine-small.c
@@ -51,11 +51,11 @@
     {
       try_both (world, i, &refused);
       run_for (ENDS_LOOK_MS * 2);
-      tries_after += ends_runs (world, "poison") >= QUINCE_QUARANTINE_ENDS_MIN;
+      tries_after += ends_runs (world, "poison") >= QUINCE_QUARANTINE_HOLD_ENDS_MIN;
     }
   print_message ("  %u sends, %u refused at once, at the worst %u of %u workers lived\n",
                  ends_runs (world, "poison"), refused, world->least_plain, PATH_PLAIN);
-  assert_in_range (ends_runs (world, "poison"), QUINCE_QUARANTINE_ENDS_MIN, SENDS_MAX);
+  assert_in_range (ends_runs (world, "poison"), QUINCE_QUARANTINE_HOLD_ENDS_MIN, SENDS_MAX);
   assert_true (refused > 0);
   assert_true (world->least_plain >= LIVE_MIN);
   ends_world_free (world);
--- a/tests/platform/test-send-guard.c
+++ b/tests/platform/test-send-guard.c
@@ -10,10 +10,10 @@
 
 #define SECOND G_USEC_PER_SEC
 
-static const QuinceQuarantineLimits limits = { .entries_most = 100,
-                                               .bytes_most = 100000,
-                                               .suspect_keep_us = 60 * SECOND,
-                                               .hold_keep_us = 60 * SECOND };
+static const QuinceQuarantineLimits limits = { .suspects_max = 100,
+                                               .suspect_bytes_max = 100000,
+                                               .suspect_ttl_us = 60 * SECOND,
+                                               .held_ttl_us = 60 * SECOND };
 
 typedef struct
 {
@@ -102,7 +102,7 @@
   assert_int_equal (alone_of (guard, 1), 0);
   assert_int_equal (alone_of (guard, 2), 0);
   QuinceRequestIdentity first = identity_of (1);
-  assert_int_equal (quince_quarantine_judge (quince_send_guard_get_quarantine (guard), &first.request),
+  assert_int_equal (quince_quarantine_get_rule (quince_send_guard_get_quarantine (guard), &first.request),
                     QUINCE_SEND_ALONE);
   quince_send_guard_free (guard);
 }
--- a/tests/unit/test-expected-ends.c
+++ b/tests/unit/test-expected-ends.c
@@ -12,10 +12,10 @@
 
 #define SECOND G_USEC_PER_SEC
 
-static const QuinceQuarantineLimits limits = { .entries_most = 16,
-                                               .bytes_most = 65536,
-                                               .suspect_keep_us = 600 * SECOND,
-                                               .hold_keep_us = G_GINT64_CONSTANT (86400) * SECOND };
+static const QuinceQuarantineLimits limits = { .suspects_max = 16,
+                                               .suspect_bytes_max = 65536,
+                                               .suspect_ttl_us = 600 * SECOND,
+                                               .held_ttl_us = G_GINT64_CONSTANT (86400) * SECOND };
 
 /* As a leader tells of a send whose worker would be the @ends-th to end under it. */
 static QuinceSuspect
@@ -40,7 +40,7 @@
 }
 
 static void
-test_counted_by_a_new_leader (void **state)
+test_taken_sends_are_merged (void **state)
 {
   QuinceExpectedEnds *ends = quince_expected_ends_new ();
   g_autoptr (QuinceQuarantine) quarantine = quince_quarantine_new (&limits);
@@ -55,7 +55,7 @@
 /* Failed first (told as an end at once): an answered request, and one that was refused, were suspected at the
  * successor. */
 static void
-test_what_ended_otherwise_counts_for_nothing (void **state)
+test_finished_and_expired_sends_are_not_taken (void **state)
 {
   QuinceExpectedEnds *ends = quince_expected_ends_new ();
   g_autoptr (QuinceQuarantine) quarantine = quince_quarantine_new (&limits);
@@ -82,7 +82,7 @@
       quince_expected_ends_add (ends, SECOND, &expected);
     }
   count_all (ends, SECOND, quarantine);
-  assert_in_range (quince_quarantine_get_size (quarantine), 1, limits.entries_most);
+  assert_in_range (quince_quarantine_get_size (quarantine), 1, limits.suspects_max);
   quince_expected_ends_free (ends);
 }
 
@@ -90,8 +90,8 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_counted_by_a_new_leader),
-    cmocka_unit_test (test_what_ended_otherwise_counts_for_nothing),
+    cmocka_unit_test (test_taken_sends_are_merged),
+    cmocka_unit_test (test_finished_and_expired_sends_are_not_taken),
     cmocka_unit_test (test_bounded),
   };
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/tests/unit/test-quarantine-core.c
+++ b/tests/unit/test-quarantine-core.c
@@ -13,10 +13,10 @@
 
 #define SECOND G_TIME_SPAN_SECOND
 
-static const QuinceQuarantineLimits limits = { .entries_most = 64,
-                                               .bytes_most = 64 * 1024,
-                                               .suspect_keep_us = 600 * SECOND,
-                                               .hold_keep_us = 86400 * SECOND };
+static const QuinceQuarantineLimits limits = { .suspects_max = 64,
+                                               .suspect_bytes_max = 64 * 1024,
+                                               .suspect_ttl_us = 600 * SECOND,
+                                               .held_ttl_us = 86400 * SECOND };
 
 static QuinceRequestDigest
 digest_of (guint number)
@@ -35,23 +35,23 @@
                                .alone = alone,
                                .service = "svc",
                                .software = "v1" };
-  return quince_quarantine_note_end (quarantine, now_us, &seen);
+  return quince_quarantine_record_end (quarantine, now_us, &seen);
 }
 
 static QuinceSendRule
 judge (QuinceQuarantine *quarantine, guint number)
 {
   QuinceRequestDigest digest = digest_of (number);
-  return quince_quarantine_judge (quarantine, &digest);
+  return quince_quarantine_get_rule (quarantine, &digest);
 }
 
 /* ---- Holding and clearing ------------------------------------------------- */
 
 static void
-test_ends (void **state)
+test_rule_by_ends (void **state)
 {
   g_autoptr (QuinceQuarantine) quarantine = quince_quarantine_new (&limits);
-  assert_int_equal (judge (quarantine, 1), QUINCE_SEND_FREE);
+  assert_int_equal (judge (quarantine, 1), QUINCE_SEND_UNRESTRICTED);
   end (quarantine, 1, 1, 101, FALSE);
   assert_int_equal (judge (quarantine, 1), QUINCE_SEND_BY_PERMIT);
   end (quarantine, 2, 1, 101, FALSE); /* seen by another connection */
@@ -66,7 +66,7 @@
 
 /* However many ends a request met beside others, it is not held for them. */
 static void
-test_neighbour (void **state)
+test_ends_beside_others_do_not_hold (void **state)
 {
   g_autoptr (QuinceQuarantine) quarantine = quince_quarantine_new (&limits);
   for (guint i = 0; i < 20; i++)
@@ -77,13 +77,13 @@
   QuinceRequestDigest digest = digest_of (1);
   assert_true (quince_quarantine_clear (quarantine, &digest));
   assert_false (quince_quarantine_clear (quarantine, &digest));
-  assert_int_equal (judge (quarantine, 1), QUINCE_SEND_FREE);
+  assert_int_equal (judge (quarantine, 1), QUINCE_SEND_UNRESTRICTED);
 }
 
 static void
 hold (QuinceQuarantine *quarantine, gint64 now_us, guint number)
 {
-  for (guint i = 0; i < QUINCE_QUARANTINE_ENDS_MIN; i++)
+  for (guint i = 0; i < QUINCE_QUARANTINE_HOLD_ENDS_MIN; i++)
     end (quarantine, now_us, number, 100 + i, i >= 2);
   assert_int_equal (judge (quarantine, number), QUINCE_SEND_HELD);
 }
@@ -110,7 +110,7 @@
 
 /* Each of sixty fronts saw one end: together they know them all, in whatever order they are told. */
 static void
-test_many_fronts (void **state)
+test_merge_of_many_fronts (void **state)
 {
   g_autoptr (QuinceQuarantine) leader = quince_quarantine_new (&limits);
   QuinceRequestDigest digest = digest_of (1);
@@ -127,7 +127,7 @@
 
 /* A request that many had sent before anything was known of it is held by the ends that it met alone. */
 static void
-test_known_late (void **state)
+test_held_after_two_ends_alone (void **state)
 {
   g_autoptr (QuinceQuarantine) quarantine = quince_quarantine_new (&limits);
   for (guint i = 0; i < 20; i++)
@@ -142,7 +142,7 @@
 #define PROMPT 900
 
 static const QuinceSuspect *
-end_of_prompt (QuinceQuarantine *quarantine, gint64 now_us, guint member, guint worker, gboolean alone)
+record_prompt_end (QuinceQuarantine *quarantine, gint64 now_us, guint member, guint worker, gboolean alone)
 {
   QuinceRequestDigest request = digest_of (member);
   const QuinceSuspect seen = { .digest = digest_of (PROMPT),
@@ -153,7 +153,7 @@
                                .member = quince_quarantine_hash_request (&request),
                                .service = "svc",
                                .software = "v1" };
-  return quince_quarantine_note_end (quarantine, now_us, &seen);
+  return quince_quarantine_record_end (quarantine, now_us, &seen);
 }
 
 static gboolean
@@ -161,7 +161,7 @@
 {
   const QuinceRequestIdentity identity
       = { .request = digest_of (member), .prompt = digest_of (PROMPT), .has_prompt = TRUE };
-  return quince_quarantine_gives_way (quarantine, now_us, &identity);
+  return quince_quarantine_should_yield (quarantine, now_us, &identity);
 }
 
 /* Ends of different requests add up; those that one of them met alone count once, and it gives way. */
@@ -169,19 +169,19 @@
 test_prompt (void **state)
 {
   g_autoptr (QuinceQuarantine) quarantine = quince_quarantine_new (&limits);
-  end_of_prompt (quarantine, 1, 1, 101, FALSE);
+  record_prompt_end (quarantine, 1, 1, 101, FALSE);
   assert_int_equal (judge (quarantine, PROMPT), QUINCE_SEND_BY_PERMIT);
   assert_false (gives_way (quarantine, 1, 1));
-  end_of_prompt (quarantine, 2, 2, 102, FALSE);
+  record_prompt_end (quarantine, 2, 2, 102, FALSE);
   assert_int_equal (judge (quarantine, PROMPT), QUINCE_SEND_ALONE);
-  end_of_prompt (quarantine, 3, 3, 103, TRUE);
+  record_prompt_end (quarantine, 3, 3, 103, TRUE);
   assert_true (gives_way (quarantine, 3, 3));
   assert_false (gives_way (quarantine, 3, 4));
   assert_false (gives_way (quarantine, 3 + 10 * SECOND, 3)); /* no other one came */
   for (guint i = 0; i < 10; i++)
-    end_of_prompt (quarantine, 4 + i, 3, 200 + i, TRUE);
+    record_prompt_end (quarantine, 4 + i, 3, 200 + i, TRUE);
   assert_int_equal (judge (quarantine, PROMPT), QUINCE_SEND_ALONE);
-  end_of_prompt (quarantine, 20, 4, 300, TRUE);
+  record_prompt_end (quarantine, 20, 4, 300, TRUE);
   assert_int_equal (judge (quarantine, PROMPT), QUINCE_SEND_HELD);
 }
 
@@ -193,53 +193,53 @@
   g_autoptr (QuinceQuarantine) quarantine = quince_quarantine_new (&limits);
   g_autoptr (QuinceQuarantine) other = quince_quarantine_new (&limits);
   QuinceRequestDigest prompt = digest_of (PROMPT);
-  end_of_prompt (quarantine, 1, 1, 101, FALSE);
-  end_of_prompt (other, 1, 1, 101, FALSE);
+  record_prompt_end (quarantine, 1, 1, 101, FALSE);
+  record_prompt_end (other, 1, 1, 101, FALSE);
   assert_true (quince_quarantine_clear_prompt (quarantine, 2, &prompt));
   assert_false (quince_quarantine_clear_prompt (quarantine, 2, &prompt));
-  assert_null (end_of_prompt (quarantine, 3, 2, 102, FALSE));
-  assert_int_equal (judge (quarantine, PROMPT), QUINCE_SEND_FREE);
-  assert_true (quince_quarantine_has_ended (quarantine, 102));
+  assert_null (record_prompt_end (quarantine, 3, 2, 102, FALSE));
+  assert_int_equal (judge (quarantine, PROMPT), QUINCE_SEND_UNRESTRICTED);
+  assert_true (quince_quarantine_has_worker_ended (quarantine, 102));
   /* Whoever has not heard of it does not bring it back. */
   assert_false (quince_quarantine_merge (quarantine, 4, quince_quarantine_find (other, &prompt)));
-  end_of_prompt (quarantine, 5, 3, 103, TRUE);
+  record_prompt_end (quarantine, 5, 3, 103, TRUE);
   assert_int_equal (judge (quarantine, PROMPT), QUINCE_SEND_BY_PERMIT);
   /* It speaks for its prompt for a while only. */
   quince_quarantine_clear_prompt (quarantine, 6, &prompt);
-  assert_non_null (end_of_prompt (quarantine, 6 + 120 * SECOND, 2, 104, FALSE));
+  assert_non_null (record_prompt_end (quarantine, 6 + 120 * SECOND, 2, 104, FALSE));
 }
 
 /* Told to another process, a prompt is held there by the next end of another item. */
 static void
-test_prompt_told (void **state)
+test_prompt_merged (void **state)
 {
   g_autoptr (QuinceQuarantine) quarantine = quince_quarantine_new (&limits);
   g_autoptr (QuinceQuarantine) next = quince_quarantine_new (&limits);
   QuinceRequestDigest prompt = digest_of (PROMPT);
   for (guint i = 0; i < 3; i++)
-    end_of_prompt (quarantine, 1, i, 101 + i, FALSE);
-  end_of_prompt (quarantine, 2, 3, 104, TRUE);
+    record_prompt_end (quarantine, 1, i, 101 + i, FALSE);
+  record_prompt_end (quarantine, 2, 3, 104, TRUE);
   assert_true (quince_quarantine_merge (next, 3, quince_quarantine_find (quarantine, &prompt)));
   assert_true (gives_way (next, 3, 3));
-  assert_true (quince_quarantine_has_ended (next, 104));
-  end_of_prompt (next, 4, 3, 105, TRUE);
+  assert_true (quince_quarantine_has_worker_ended (next, 104));
+  record_prompt_end (next, 4, 3, 105, TRUE);
   assert_int_equal (judge (next, PROMPT), QUINCE_SEND_ALONE);
-  end_of_prompt (next, 5, 4, 106, TRUE);
+  record_prompt_end (next, 5, 4, 106, TRUE);
   assert_int_equal (judge (next, PROMPT), QUINCE_SEND_HELD);
 }
 
 /* Nothing is sent while nobody leads: the next leader sends another request of the prompt first, however long
  * its election took. */
 static void
-test_way_given_after_election (void **state)
+test_yield_restarts_after_election (void **state)
 {
   g_autoptr (QuinceQuarantine) next = quince_quarantine_new (&limits);
-  end_of_prompt (next, 1, 1, 101, FALSE);
-  end_of_prompt (next, 2, 2, 102, FALSE);
-  end_of_prompt (next, 3, 3, 103, TRUE);
+  record_prompt_end (next, 1, 1, 101, FALSE);
+  record_prompt_end (next, 2, 2, 102, FALSE);
+  record_prompt_end (next, 3, 3, 103, TRUE);
   gint64 leads_us = 3 + 5 * SECOND;
   assert_false (gives_way (next, leads_us, 3));
-  quince_quarantine_resume (next, leads_us);
+  quince_quarantine_restart_yield_time (next, leads_us);
   assert_true (gives_way (next, leads_us, 3));
   assert_false (gives_way (next, leads_us, 4));
   assert_false (gives_way (next, leads_us + 10 * SECOND, 3)); /* no other one came */
@@ -267,7 +267,7 @@
 /* ---- Bounds ----------------------------------------------------------------- */
 
 static void
-test_flood (void **state)
+test_suspect_limit (void **state)
 {
   g_autoptr (QuinceQuarantine) quarantine = quince_quarantine_new (&limits);
   hold (quarantine, 1, 1);
@@ -276,38 +276,38 @@
   for (guint i = 0; i < 20000; i++)
     {
       end (quarantine, 3 + i, 1000 + i, i, FALSE);
-      assert_true (quince_quarantine_get_size (quarantine) <= limits.entries_most);
-      assert_true (quince_quarantine_get_bytes (quarantine) <= limits.bytes_most);
+      assert_true (quince_quarantine_get_size (quarantine) <= limits.suspects_max);
+      assert_true (quince_quarantine_get_bytes (quarantine) <= limits.suspect_bytes_max);
     }
   assert_int_equal (judge (quarantine, 1), QUINCE_SEND_HELD);
   assert_int_equal (judge (quarantine, 2), QUINCE_SEND_ALONE);
 }
 
 static void
-test_bytes (void **state)
+test_byte_limit (void **state)
 {
   QuinceQuarantineLimits small = limits;
-  small.bytes_most = 1000;
+  small.suspect_bytes_max = 1000;
   g_autoptr (QuinceQuarantine) quarantine = quince_quarantine_new (&small);
   hold (quarantine, 1, 1);
   for (guint i = 0; i < 100; i++)
     end (quarantine, 2 + i, 1000 + i, i, FALSE);
-  assert_true (quince_quarantine_get_bytes (quarantine) <= small.bytes_most);
+  assert_true (quince_quarantine_get_bytes (quarantine) <= small.suspect_bytes_max);
   assert_int_equal (judge (quarantine, 1), QUINCE_SEND_HELD);
 }
 
 static void
-test_age (void **state)
+test_expiry (void **state)
 {
   g_autoptr (QuinceQuarantine) quarantine = quince_quarantine_new (&limits);
   hold (quarantine, 0, 1);
   end (quarantine, 0, 2, 101, FALSE);
-  quince_quarantine_expire (quarantine, limits.suspect_keep_us - 1);
+  quince_quarantine_expire (quarantine, limits.suspect_ttl_us - 1);
   assert_int_equal (quince_quarantine_get_size (quarantine), 2);
-  quince_quarantine_expire (quarantine, limits.suspect_keep_us);
-  assert_int_equal (judge (quarantine, 2), QUINCE_SEND_FREE);
+  quince_quarantine_expire (quarantine, limits.suspect_ttl_us);
+  assert_int_equal (judge (quarantine, 2), QUINCE_SEND_UNRESTRICTED);
   assert_int_equal (judge (quarantine, 1), QUINCE_SEND_HELD);
-  quince_quarantine_expire (quarantine, limits.hold_keep_us);
+  quince_quarantine_expire (quarantine, limits.held_ttl_us);
   assert_int_equal (quince_quarantine_get_size (quarantine), 0);
 }
 
@@ -333,7 +333,7 @@
   assert_false (take (permits, 2, 1, TRUE, "b"));
   quince_permits_return (permits, &digest, "a");
   assert_true (take (permits, 2, 1, TRUE, "b"));
-  quince_permits_forget_holder (permits, "b");
+  quince_permits_return_all (permits, "b");
   assert_true (take (permits, 3, 2, TRUE, "c"));
   assert_false (take (permits, 4, 1, TRUE, "a"));
   assert_true (take (permits, 3 + SECOND / 2, 1, TRUE, "a")); /* a long run does not hold up the others */
@@ -342,31 +342,31 @@
 }
 
 static guint
-count_but (QuincePermits *permits, gint64 now_us, const char *service, guint but)
+count_recent_permits (QuincePermits *permits, gint64 now_us, const char *service, guint but)
 {
   QuinceRequestDigest digest = digest_of (but);
-  return quince_permits_count (permits, now_us, service, &digest);
+  return quince_permits_count_recent (permits, now_us, service, &digest);
 }
 
 /* What was permitted a moment ago may still end its worker; what has run for long has not. */
 static void
-test_permit_count (void **state)
+test_recent_permits (void **state)
 {
   g_autoptr (QuincePermits) permits = quince_permits_new ();
   assert_true (take (permits, 0, 1, FALSE, "a"));
   assert_true (take (permits, 0, 2, FALSE, "a"));
-  assert_int_equal (count_but (permits, 1, "svc", 3), 2);
-  assert_int_equal (count_but (permits, 1, "svc", 2), 1);
-  assert_int_equal (count_but (permits, 1, "other", 3), 0);
-  assert_int_equal (count_but (permits, SECOND / 2, "svc", 3), 0);
+  assert_int_equal (count_recent_permits (permits, 1, "svc", 3), 2);
+  assert_int_equal (count_recent_permits (permits, 1, "svc", 2), 1);
+  assert_int_equal (count_recent_permits (permits, 1, "other", 3), 0);
+  assert_int_equal (count_recent_permits (permits, SECOND / 2, "svc", 3), 0);
 }
 
 /* ---- Both errors --------------------------------------------------------------- */
 
-#define DAY_MS 120000
+#define SIMULATION_MS 120000
 #define WORKERS 8
 #define SLOTS 6
-#define BACK_MS 3000
+#define RESTART_MS 3000
 #define RUN_MS 40
 #define TRIES_MAX 12
 #define GUILTY 10
@@ -386,33 +386,33 @@
   QuincePermits *permits;
   GRand *random;
   GPtrArray *requests; /* Request, owned */
-  gint dead_until[WORKERS];
+  gint down_until_ms[WORKERS];
   guint incarnation[WORKERS];
-  guint in_slots[WORKERS];
+  guint slots_used[WORKERS];
   guint sends[GUILTY];
-  guint innocent, innocent_held, innocent_given_up, innocent_three;
-} Day;
+  guint innocent, harmless_held, harmless_given_up, harmless_three_ends;
+} Simulation;
 
 static gboolean
-is_guilty (const Request *request)
+is_harmful (const Request *request)
 {
   return request->number < GUILTY;
 }
 
 static void
-let_go (Day *day, Request *request)
+stop_run (Simulation *day, Request *request)
 {
   QuinceRequestDigest digest = digest_of (request->number);
   quince_permits_return (day->permits, &digest, request);
-  day->in_slots[request->worker]--;
+  day->slots_used[request->worker]--;
   request->worker = -1;
 }
 
 /* All that runs there meets the end. */
 static void
-worker_ends (Day *day, gint now, guint worker)
+simulate_worker_end (Simulation *day, gint now, guint worker)
 {
-  day->dead_until[worker] = now + BACK_MS;
+  day->down_until_ms[worker] = now + RESTART_MS;
   for (guint i = 0; i < day->requests->len; i++)
     {
       Request *request = day->requests->pdata[i];
@@ -420,85 +420,85 @@
         continue;
       const QuinceSuspect *known = end (day->quarantine, now * 1000, request->number,
                                         worker * 100000 + day->incarnation[worker], request->alone);
-      day->innocent_three += !is_guilty (request) && known->n_workers == 3;
-      let_go (day, request);
+      day->harmless_three_ends += !is_harmful (request) && known->n_workers == 3;
+      stop_run (day, request);
     }
   day->incarnation[worker]++;
 }
 
 /* Returns: whether it is over. */
 static gboolean
-send (Day *day, gint now, Request *request)
+send (Simulation *day, gint now, Request *request)
 {
   QuinceRequestDigest digest = digest_of (request->number);
-  QuinceSendRule rule = quince_quarantine_judge (day->quarantine, &digest);
+  QuinceSendRule rule = quince_quarantine_get_rule (day->quarantine, &digest);
   if (rule == QUINCE_SEND_HELD)
     {
-      day->innocent_held += !is_guilty (request);
+      day->harmless_held += !is_harmful (request);
       return TRUE;
     }
   guint worker = (guint)g_rand_int_range (day->random, 0, WORKERS);
-  if (now < day->dead_until[worker] || day->in_slots[worker] >= SLOTS)
+  if (now < day->down_until_ms[worker] || day->slots_used[worker] >= SLOTS)
     return FALSE;
   request->alone = rule == QUINCE_SEND_ALONE;
-  if (rule != QUINCE_SEND_FREE
+  if (rule != QUINCE_SEND_UNRESTRICTED
       && !quince_permits_take (day->permits, now * 1000, &digest, "svc", request->alone, request,
                                (now + 3000) * 1000))
     return FALSE;
   if (++request->tries > TRIES_MAX)
     {
       quince_permits_return (day->permits, &digest, request);
-      day->innocent_given_up += !is_guilty (request);
+      day->harmless_given_up += !is_harmful (request);
       return TRUE;
     }
   request->worker = (gint)worker;
   request->ends_ms = now + RUN_MS;
-  day->in_slots[worker]++;
-  if (is_guilty (request))
+  day->slots_used[worker]++;
+  if (is_harmful (request))
     day->sends[request->number]++;
   return FALSE;
 }
 
 /* Returns: whether it is over. */
 static gboolean
-run (Day *day, gint now, Request *request)
+run (Simulation *day, gint now, Request *request)
 {
   if (request->worker < 0)
     return send (day, now, request);
   if (now < request->ends_ms)
     return FALSE;
-  if (is_guilty (request))
+  if (is_harmful (request))
     {
-      worker_ends (day, now, (guint)request->worker);
+      simulate_worker_end (day, now, (guint)request->worker);
       return FALSE;
     }
   QuinceRequestDigest digest = digest_of (request->number);
   quince_quarantine_clear (day->quarantine, &digest);
-  let_go (day, request);
+  stop_run (day, request);
   return TRUE;
 }
 
 static void
-arrive (Day *day, gint now, guint number)
+arrive (Simulation *day, gint now, guint number)
 {
   Request *request = g_new0 (Request, 1);
   request->number = number;
   request->worker = -1;
-  day->innocent += !is_guilty (request);
+  day->innocent += !is_harmful (request);
   g_ptr_array_add (day->requests, request);
 }
 
 static void
-play (Day *day, guint kill_every_ms)
+play (Simulation *day, guint kill_every_ms)
 {
-  for (gint now = 0; now < DAY_MS; now++)
+  for (gint now = 0; now < SIMULATION_MS; now++)
     {
       if (now % 10 == 0)
         arrive (day, now, GUILTY + (guint)now);
       if (now % 997 == 0)
         arrive (day, now, (guint)(now / 997) % GUILTY);
       if (kill_every_ms > 0 && g_rand_int_range (day->random, 0, (gint)kill_every_ms) == 0)
-        worker_ends (day, now, (guint)g_rand_int_range (day->random, 0, WORKERS));
+        simulate_worker_end (day, now, (guint)g_rand_int_range (day->random, 0, WORKERS));
       for (guint i = day->requests->len; i > 0; i--)
         if (run (day, now, day->requests->pdata[i - 1]))
           g_ptr_array_remove_index_fast (day->requests, i - 1);
@@ -508,12 +508,12 @@
 /* Ten requests that end their workers come every ten seconds, beside a hundred others a second; workers die
  * by themselves besides. */
 static void
-test_both_errors (void **state)
+test_false_and_missed_holds (void **state)
 {
   static const guint kills[] = { 0, 1000, 300 };
   for (guint i = 0; i < G_N_ELEMENTS (kills); i++)
     {
-      Day day = { 0 };
+      Simulation day = { 0 };
       day.quarantine = quince_quarantine_new (&limits);
       day.permits = quince_permits_new ();
       day.random = g_rand_new_with_seed (7 + i);
@@ -525,9 +525,9 @@
       print_message (
           "a worker dies each %u ms: of %u innocent requests %u met three ends, %u were held, %u given up; "
           "most sends of one guilty request %u\n",
-          kills[i], day.innocent, day.innocent_three, day.innocent_held, day.innocent_given_up, most);
-      assert_int_equal (day.innocent_held, 0);
-      assert_int_equal (day.innocent_given_up, 0);
+          kills[i], day.innocent, day.harmless_three_ends, day.harmless_held, day.harmless_given_up, most);
+      assert_int_equal (day.harmless_held, 0);
+      assert_int_equal (day.harmless_given_up, 0);
       assert_in_range (most, 1, 6);
       g_ptr_array_unref (day.requests);
       g_rand_free (day.random);
@@ -540,21 +540,21 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_ends),
-    cmocka_unit_test (test_neighbour),
+    cmocka_unit_test (test_rule_by_ends),
+    cmocka_unit_test (test_ends_beside_others_do_not_hold),
     cmocka_unit_test (test_release),
-    cmocka_unit_test (test_flood),
-    cmocka_unit_test (test_many_fronts),
-    cmocka_unit_test (test_bytes),
-    cmocka_unit_test (test_known_late),
-    cmocka_unit_test (test_age),
+    cmocka_unit_test (test_suspect_limit),
+    cmocka_unit_test (test_merge_of_many_fronts),
+    cmocka_unit_test (test_byte_limit),
+    cmocka_unit_test (test_held_after_two_ends_alone),
+    cmocka_unit_test (test_expiry),
     cmocka_unit_test (test_permits),
-    cmocka_unit_test (test_both_errors),
+    cmocka_unit_test (test_false_and_missed_holds),
     cmocka_unit_test (test_prompt),
     cmocka_unit_test (test_prompt_cleared),
-    cmocka_unit_test (test_prompt_told),
-    cmocka_unit_test (test_permit_count),
-    cmocka_unit_test (test_way_given_after_election),
+    cmocka_unit_test (test_prompt_merged),
+    cmocka_unit_test (test_recent_permits),
+    cmocka_unit_test (test_yield_restarts_after_election),
     cmocka_unit_test (test_expected_end),
   };
   return cmocka_run_group_tests_name ("quarantine-core", tests, NULL, NULL);
--- a/tests/unit/test-service-capacity.c
+++ b/tests/unit/test-service-capacity.c
@@ -16,13 +16,13 @@
 bears (guint ready, guint most, guint at_risk)
 {
   const QuinceServiceCapacity capacity
-      = { .ready = ready, .most = most, .at_risk = at_risk, .calm_us = SECOND };
+      = { .ready = ready, .most = most, .at_risk = at_risk, .since_end_us = SECOND };
   return quince_service_capacity_survives_end (&capacity);
 }
 
 /* Half of the workers stay, and one at least, if all that may end does. */
 static void
-test_half_stays (void **state)
+test_half_of_workers_remains (void **state)
 {
   for (guint most = 2; most <= 60; most++)
     for (guint ready = 0; ready <= most; ready++)
@@ -40,11 +40,11 @@
   assert_true (bears (2, 2, 0));
   assert_false (bears (1, 2, 0));
   assert_false (bears (1, 1, 0));
-  QuinceServiceCapacity single = { .ready = 1, .most = 1, .calm_us = 10 * SECOND };
+  QuinceServiceCapacity single = { .ready = 1, .most = 1, .since_end_us = 10 * SECOND };
   assert_true (quince_service_capacity_survives_end (&single));
-  single.calm_us--;
+  single.since_end_us--;
   assert_false (quince_service_capacity_survives_end (&single));
-  single = (QuinceServiceCapacity){ .ready = 0, .most = 1, .calm_us = 10 * SECOND };
+  single = (QuinceServiceCapacity){ .ready = 0, .most = 1, .since_end_us = 10 * SECOND };
   assert_false (quince_service_capacity_survives_end (&single));
 }
 
@@ -52,11 +52,11 @@
 static void
 test_hedge (void **state)
 {
-  QuinceServiceCapacity three = { .ready = 3, .most = 3, .calm_us = 61 * SECOND };
+  QuinceServiceCapacity three = { .ready = 3, .most = 3, .since_end_us = 61 * SECOND };
   assert_true (quince_service_capacity_allows_hedge (&three));
-  three.calm_us = SECOND;
+  three.since_end_us = SECOND;
   assert_false (quince_service_capacity_allows_hedge (&three));
-  QuinceServiceCapacity four = { .ready = 4, .most = 4, .calm_us = SECOND };
+  QuinceServiceCapacity four = { .ready = 4, .most = 4, .since_end_us = SECOND };
   assert_true (quince_service_capacity_allows_hedge (&four));
   four.ready = 3;
   assert_false (quince_service_capacity_allows_hedge (&four));
@@ -75,14 +75,14 @@
 test_most (void **state)
 {
   g_autoptr (QuinceServiceCapacities) capacities = quince_service_capacities_new ();
-  quince_service_capacities_note (capacities, 0, "svc", 3, 3);
-  quince_service_capacities_note (capacities, SECOND, "svc", 3, 2);
-  quince_service_capacities_note (capacities, 5 * SECOND, "svc", 2, 2);
+  quince_service_capacities_update (capacities, 0, "svc", 3, 3);
+  quince_service_capacities_update (capacities, SECOND, "svc", 3, 2);
+  quince_service_capacities_update (capacities, 5 * SECOND, "svc", 2, 2);
   assert_int_equal (get (capacities, 5 * SECOND).most, 3);
   assert_int_equal (get (capacities, 5 * SECOND).ready, 2);
-  quince_service_capacities_note (capacities, 40 * SECOND, "svc", 2, 2);
+  quince_service_capacities_update (capacities, 40 * SECOND, "svc", 2, 2);
   assert_int_equal (get (capacities, 40 * SECOND).most, 2);
-  quince_service_capacities_note (capacities, 41 * SECOND, "svc", 4, 4);
+  quince_service_capacities_update (capacities, 41 * SECOND, "svc", 4, 4);
   assert_int_equal (get (capacities, 41 * SECOND).most, 4);
 }
 
@@ -91,12 +91,12 @@
 test_wait (void **state)
 {
   g_autoptr (QuinceServiceCapacities) capacities = quince_service_capacities_new ();
-  quince_service_capacities_note (capacities, 0, "svc", 3, 3);
-  quince_service_capacities_note_end (capacities, SECOND, "svc");
+  quince_service_capacities_update (capacities, 0, "svc", 3, 3);
+  quince_service_capacities_record_end (capacities, SECOND, "svc");
   assert_in_range (quince_service_capacities_get_wait_us (capacities, SECOND, "svc"), SECOND, 10 * SECOND);
-  quince_service_capacities_note (capacities, SECOND, "svc", 3, 2);
-  quince_service_capacities_note (capacities, 3 * SECOND, "svc", 3, 3);
-  quince_service_capacities_note_end (capacities, 10 * SECOND, "svc");
+  quince_service_capacities_update (capacities, SECOND, "svc", 3, 2);
+  quince_service_capacities_update (capacities, 3 * SECOND, "svc", 3, 3);
+  quince_service_capacities_record_end (capacities, 10 * SECOND, "svc");
   assert_int_equal (quince_service_capacities_get_wait_us (capacities, 10 * SECOND, "svc"), 2 * SECOND);
   assert_int_equal (quince_service_capacities_get_wait_us (capacities, 11 * SECOND, "svc"), SECOND);
   assert_in_range (quince_service_capacities_get_wait_us (capacities, 60 * SECOND, "svc"), 1, SECOND);
@@ -106,8 +106,11 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_half_stays), cmocka_unit_test (test_few),  cmocka_unit_test (test_hedge),
-    cmocka_unit_test (test_most),       cmocka_unit_test (test_wait),
+    cmocka_unit_test (test_half_of_workers_remains),
+    cmocka_unit_test (test_few),
+    cmocka_unit_test (test_hedge),
+    cmocka_unit_test (test_most),
+    cmocka_unit_test (test_wait),
   };
   return cmocka_run_group_tests_name ("service-strength", tests, NULL, NULL);
 }
