--- a/lib/core/request/expected-ends.c
+++ b/lib/core/request/expected-ends.c
@@ -12,7 +12,7 @@
 typedef struct
 {
   QuinceSuspect *suspect; /* owned */
-  gint64 reported_us;
+  gint64 added_us;
 } Entry;
 
 struct _QuinceExpectedEnds
@@ -47,20 +47,20 @@
 }
 
 static gboolean
-is_over (gpointer digest, gpointer value, gpointer now_us)
+is_expired (gpointer digest, gpointer value, gpointer now_us)
 {
-  return *(const gint64 *)now_us - ((const Entry *)value)->reported_us >= SEND_MAX_US;
+  return *(const gint64 *)now_us - ((const Entry *)value)->added_us >= SEND_MAX_US;
 }
 
 void
 quince_expected_ends_add (QuinceExpectedEnds *ends, gint64 now_us, const QuinceSuspect *expected)
 {
-  g_hash_table_foreach_remove (ends->entries, is_over, &now_us);
+  g_hash_table_foreach_remove (ends->entries, is_expired, &now_us);
   if (g_hash_table_size (ends->entries) >= ENTRIES_MAX)
     return;
   Entry *entry = g_new0 (Entry, 1);
   entry->suspect = quince_suspect_copy (expected);
-  entry->reported_us = now_us;
+  entry->added_us = now_us;
   g_hash_table_replace (ends->entries, &entry->suspect->digest, entry);
 }
 
@@ -73,7 +73,7 @@
 GPtrArray *
 quince_expected_ends_take (QuinceExpectedEnds *ends, gint64 now_us)
 {
-  g_hash_table_foreach_remove (ends->entries, is_over, &now_us);
+  g_hash_table_foreach_remove (ends->entries, is_expired, &now_us);
   GPtrArray *taken = g_ptr_array_new_with_free_func ((GDestroyNotify)quince_suspect_free);
   GHashTableIter iter;
   gpointer value;
--- a/lib/core/request/permits.c
+++ b/lib/core/request/permits.c
@@ -15,7 +15,7 @@
   gboolean alone;
   gint64 granted_us;
   gconstpointer holder;
-  gint64 until_us;
+  gint64 expiry_us;
 } Permit;
 
 struct _QuincePermits
@@ -59,8 +59,8 @@
 matches_filter (gpointer key, gpointer value, gpointer data)
 {
   const Permit *permit = value;
-  const PermitFilter *ending = data;
-  return ending->holder != NULL ? permit->holder == ending->holder : ending->now_us >= permit->until_us;
+  const PermitFilter *filter = data;
+  return filter->holder != NULL ? permit->holder == filter->holder : filter->now_us >= permit->expiry_us;
 }
 
 /* It was given a moment ago, for @service. */
@@ -74,7 +74,7 @@
 quince_permits_count_recent (const QuincePermits *permits,
                              gint64 now_us,
                              const char *service,
-                             const QuinceRequestDigest *but)
+                             const QuinceRequestDigest *excluded)
 {
   guint count = 0;
   GHashTableIter iter;
@@ -83,7 +83,8 @@
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
       const Permit *permit = value;
-      count += is_recent_at (permit, now_us, service) && !quince_request_digest_equal (&permit->digest, but);
+      count += is_recent_at (permit, now_us, service)
+               && !quince_request_digest_equal (&permit->digest, excluded);
     }
   return count;
 }
@@ -110,10 +111,10 @@
                      const char *service,
                      gboolean alone,
                      gconstpointer holder,
-                     gint64 until_us)
+                     gint64 expiry_us)
 {
-  PermitFilter over = { now_us, NULL };
-  g_hash_table_foreach_remove (permits->by_digest, matches_filter, &over);
+  PermitFilter expired = { now_us, NULL };
+  g_hash_table_foreach_remove (permits->by_digest, matches_filter, &expired);
   if (g_hash_table_contains (permits->by_digest, digest)
       || (alone && runs_alone_at (permits, now_us, service)))
     return FALSE;
@@ -123,7 +124,7 @@
   permit->alone = alone;
   permit->granted_us = now_us;
   permit->holder = holder;
-  permit->until_us = until_us;
+  permit->expiry_us = expiry_us;
   g_hash_table_insert (permits->by_digest, &permit->digest, permit);
   return TRUE;
 }
@@ -139,6 +140,6 @@
 void
 quince_permits_return_all (QuincePermits *permits, gconstpointer holder)
 {
-  PermitFilter gone = { 0, holder };
-  g_hash_table_foreach_remove (permits->by_digest, matches_filter, &gone);
+  PermitFilter of_holder = { 0, holder };
+  g_hash_table_foreach_remove (permits->by_digest, matches_filter, &of_holder);
 }
--- a/lib/core/request/quarantine.c
+++ b/lib/core/request/quarantine.c
@@ -12,7 +12,7 @@
 #define CLEARED_PROMPT_TTL_US (60 * G_USEC_PER_SEC)
 /* Time for which the ids of workers that ended are kept, us: such a worker is listed for some seconds more
  * (three heartbeats of 1.2 s); the next incarnation has another id.  Not measured. */
-#define ENDED_KEEP_US (60 * G_USEC_PER_SEC)
+#define ENDED_WORKER_TTL_US (60 * G_USEC_PER_SEC)
 /* Time for which a request gives way to others of its prompt, us: the leader checks waiting samples several
  * times a second.  Not measured. */
 #define YIELD_US (1 * G_USEC_PER_SEC)
@@ -22,9 +22,10 @@
   QuinceQuarantineLimits limits;
   GHashTable *suspects; /* QuinceSuspect by its own digest, owned */
   gsize bytes;
-  GHashTable *cleared; /* QuinceRequestDigest, owned, to gint64, owned: prompts, when they were answered */
-  gint64 resumed_us;   /* nothing was sent for a while before it */
-  GHashTable *ended;   /* guint64, owned, to gint64, owned: hashes of workers, when they ended */
+  GHashTable
+      *cleared_prompts; /* QuinceRequestDigest, owned, to gint64, owned: prompts, when they were answered */
+  gint64 yield_restart_us;   /* nothing was sent for a while before it */
+  GHashTable *ended_workers; /* guint64, owned, to gint64, owned: hashes of workers, when they ended */
 };
 
 const char *
@@ -72,9 +73,9 @@
   quarantine->limits = *limits;
   quarantine->suspects = g_hash_table_new_full (quince_request_digest_hash, quince_request_digest_equal, NULL,
                                                 (GDestroyNotify)quince_suspect_free);
-  quarantine->cleared
+  quarantine->cleared_prompts
       = g_hash_table_new_full (quince_request_digest_hash, quince_request_digest_equal, g_free, g_free);
-  quarantine->ended = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, g_free);
+  quarantine->ended_workers = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, g_free);
   return quarantine;
 }
 
@@ -84,8 +85,8 @@
   if (quarantine == NULL)
     return;
   g_hash_table_unref (quarantine->suspects);
-  g_hash_table_unref (quarantine->cleared);
-  g_hash_table_unref (quarantine->ended);
+  g_hash_table_unref (quarantine->cleared_prompts);
+  g_hash_table_unref (quarantine->ended_workers);
   g_free (quarantine);
 }
 
@@ -106,7 +107,7 @@
 /* ---- Bounds ------------------------------------------------------------ */
 
 static void
-forget (QuinceQuarantine *quarantine, const QuinceSuspect *suspect)
+remove_suspect (QuinceQuarantine *quarantine, const QuinceSuspect *suspect)
 {
   quarantine->bytes -= suspect_size (suspect);
   g_hash_table_remove (quarantine->suspects, &suspect->digest);
@@ -125,30 +126,30 @@
 }
 
 static const QuinceSuspect *
-find_eviction_candidate (const QuinceQuarantine *quarantine, const QuinceSuspect *but)
+find_eviction_candidate (const QuinceQuarantine *quarantine, const QuinceSuspect *excluded)
 {
-  const QuinceSuspect *least = NULL;
+  const QuinceSuspect *candidate = NULL;
   GHashTableIter iter;
   gpointer value;
   g_hash_table_iter_init (&iter, quarantine->suspects);
   while (g_hash_table_iter_next (&iter, NULL, &value))
-    if (value != but && (least == NULL || is_evicted_before (value, least)))
-      least = value;
-  return least;
+    if (value != excluded && (candidate == NULL || is_evicted_before (value, candidate)))
+      candidate = value;
+  return candidate;
 }
 
-/* @newest stays: it was learned just now. */
+/* @retained stays: it was learned just now. */
 static void
-enforce_limits (QuinceQuarantine *quarantine, const QuinceSuspect *newest)
+enforce_limits (QuinceQuarantine *quarantine, const QuinceSuspect *retained)
 {
   const QuinceQuarantineLimits *limits = &quarantine->limits;
   while (g_hash_table_size (quarantine->suspects) > limits->suspects_max
          || quarantine->bytes > limits->suspect_bytes_max)
     {
-      const QuinceSuspect *least = find_eviction_candidate (quarantine, newest);
-      if (least == NULL)
+      const QuinceSuspect *candidate = find_eviction_candidate (quarantine, retained);
+      if (candidate == NULL)
         return;
-      forget (quarantine, least);
+      remove_suspect (quarantine, candidate);
     }
 }
 
@@ -156,25 +157,25 @@
 remove_older_than (GHashTable *times, gint64 before_us)
 {
   GHashTableIter iter;
-  gpointer at_us;
+  gpointer time_us;
   g_hash_table_iter_init (&iter, times);
-  while (g_hash_table_iter_next (&iter, NULL, &at_us))
-    if (*(gint64 *)at_us <= before_us)
+  while (g_hash_table_iter_next (&iter, NULL, &time_us))
+    if (*(gint64 *)time_us <= before_us)
       g_hash_table_iter_remove (&iter);
 }
 
 void
 quince_quarantine_expire (QuinceQuarantine *quarantine, gint64 now_us)
 {
-  remove_older_than (quarantine->cleared, now_us - CLEARED_PROMPT_TTL_US);
-  remove_older_than (quarantine->ended, now_us - ENDED_KEEP_US);
+  remove_older_than (quarantine->cleared_prompts, now_us - CLEARED_PROMPT_TTL_US);
+  remove_older_than (quarantine->ended_workers, now_us - ENDED_WORKER_TTL_US);
   g_autoptr (GPtrArray) all = quince_quarantine_list (quarantine);
   for (guint i = 0; i < all->len; i++)
     {
       const QuinceSuspect *suspect = all->pdata[i];
-      gint64 keep = suspect->held ? quarantine->limits.held_ttl_us : quarantine->limits.suspect_ttl_us;
-      if (now_us - suspect->ended_us >= keep)
-        forget (quarantine, suspect);
+      gint64 ttl_us = suspect->held ? quarantine->limits.held_ttl_us : quarantine->limits.suspect_ttl_us;
+      if (now_us - suspect->ended_us >= ttl_us)
+        remove_suspect (quarantine, suspect);
     }
 }
 
@@ -184,42 +185,43 @@
 static void
 record_ended_worker (QuinceQuarantine *quarantine, gint64 ended_us, guint64 worker)
 {
-  if (g_hash_table_size (quarantine->ended) >= quarantine->limits.suspects_max)
-    g_hash_table_remove_all (quarantine->ended);
-  g_hash_table_insert (quarantine->ended, g_memdup2 (&worker, sizeof worker),
+  if (g_hash_table_size (quarantine->ended_workers) >= quarantine->limits.suspects_max)
+    g_hash_table_remove_all (quarantine->ended_workers);
+  g_hash_table_insert (quarantine->ended_workers, g_memdup2 (&worker, sizeof worker),
                        g_memdup2 (&ended_us, sizeof ended_us));
 }
 
 gboolean
 quince_quarantine_has_worker_ended (const QuinceQuarantine *quarantine, guint64 worker)
 {
-  return g_hash_table_contains (quarantine->ended, &worker);
+  return g_hash_table_contains (quarantine->ended_workers, &worker);
 }
 
 static gboolean
 is_recently_cleared (const QuinceQuarantine *quarantine, gint64 now_us, const QuinceRequestDigest *digest)
 {
-  const gint64 *at_us = g_hash_table_lookup (quarantine->cleared, digest);
-  return at_us != NULL && now_us - *at_us < CLEARED_PROMPT_TTL_US;
+  const gint64 *cleared_us = g_hash_table_lookup (quarantine->cleared_prompts, digest);
+  return cleared_us != NULL && now_us - *cleared_us < CLEARED_PROMPT_TTL_US;
 }
 
 /* An answer cleared it after all that is reported, or the report is of a later end that was not met alone. */
 static gboolean
 is_superseded_by_clear (const QuinceQuarantine *quarantine, gint64 now_us, const QuinceSuspect *reported)
 {
-  const gint64 *at_us = g_hash_table_lookup (quarantine->cleared, &reported->digest);
-  gboolean later = at_us != NULL && reported->ended_us > *at_us && (reported->held || reported->alone > 0);
-  return is_recently_cleared (quarantine, now_us, &reported->digest) && !later;
+  const gint64 *cleared_us = g_hash_table_lookup (quarantine->cleared_prompts, &reported->digest);
+  gboolean newer_end_alone
+      = cleared_us != NULL && reported->ended_us > *cleared_us && (reported->held || reported->alone > 0);
+  return is_recently_cleared (quarantine, now_us, &reported->digest) && !newer_end_alone;
 }
 
 /* Two ends that the same request met alone say no more of its prompt than one. */
 static void
-count_alone_end (QuinceSuspect *suspect, const QuinceSuspect *seen)
+count_alone_end (QuinceSuspect *suspect, const QuinceSuspect *observed)
 {
-  if (!seen->alone || (suspect->scope == QUINCE_SUSPECT_PROMPT && suspect->member == seen->member))
+  if (!observed->alone || (suspect->scope == QUINCE_SUSPECT_PROMPT && suspect->member == observed->member))
     return;
   suspect->alone++;
-  suspect->member = seen->member;
+  suspect->member = observed->member;
 }
 
 static QuinceSuspect *
@@ -261,13 +263,13 @@
 }
 
 static void
-update_details (QuinceQuarantine *quarantine, QuinceSuspect *suspect, const QuinceSuspect *seen)
+update_details (QuinceQuarantine *quarantine, QuinceSuspect *suspect, const QuinceSuspect *observed)
 {
   quarantine->bytes -= suspect_size (suspect);
-  suspect->ended_us = MAX (suspect->ended_us, seen->ended_us);
-  set_text (&suspect->service, seen->service);
-  set_text (&suspect->software, seen->software);
-  set_text (&suspect->reported_by, seen->reported_by);
+  suspect->ended_us = MAX (suspect->ended_us, observed->ended_us);
+  set_text (&suspect->service, observed->service);
+  set_text (&suspect->software, observed->software);
+  set_text (&suspect->reported_by, observed->reported_by);
   quarantine->bytes += suspect_size (suspect);
 }
 
@@ -280,19 +282,19 @@
 }
 
 const QuinceSuspect *
-quince_quarantine_record_end (QuinceQuarantine *quarantine, gint64 now_us, const QuinceSuspect *seen)
+quince_quarantine_record_end (QuinceQuarantine *quarantine, gint64 now_us, const QuinceSuspect *observed)
 {
-  record_ended_worker (quarantine, now_us, seen->workers[0]);
-  if (!seen->alone && is_recently_cleared (quarantine, now_us, &seen->digest))
+  record_ended_worker (quarantine, now_us, observed->workers[0]);
+  if (!observed->alone && is_recently_cleared (quarantine, now_us, &observed->digest))
     return NULL;
-  g_hash_table_remove (quarantine->cleared, &seen->digest);
-  QuinceSuspect *suspect = find_or_add (quarantine, &seen->digest);
-  QuinceSuspect end = *seen;
-  end.ended_us = now_us;
-  suspect->scope = seen->scope;
-  if (add_worker (suspect, seen->workers[0]))
-    count_alone_end (suspect, seen);
-  update_details (quarantine, suspect, &end);
+  g_hash_table_remove (quarantine->cleared_prompts, &observed->digest);
+  QuinceSuspect *suspect = find_or_add (quarantine, &observed->digest);
+  QuinceSuspect details = *observed;
+  details.ended_us = now_us;
+  suspect->scope = observed->scope;
+  if (add_worker (suspect, observed->workers[0]))
+    count_alone_end (suspect, observed);
+  update_details (quarantine, suspect, &details);
   update_held (suspect);
   enforce_limits (quarantine, suspect);
   return suspect;
@@ -301,14 +303,15 @@
 void
 quince_quarantine_expect_end (const QuinceQuarantine *quarantine,
                               gint64 now_us,
-                              const QuinceSuspect *seen,
+                              const QuinceSuspect *observed,
                               QuinceSuspect *expected)
 {
-  const QuinceSuspect *known = quince_quarantine_find (quarantine, &seen->digest);
-  *expected = known != NULL ? *known : (QuinceSuspect){ .digest = seen->digest, .scope = seen->scope };
+  const QuinceSuspect *known = quince_quarantine_find (quarantine, &observed->digest);
+  *expected
+      = known != NULL ? *known : (QuinceSuspect){ .digest = observed->digest, .scope = observed->scope };
   expected->ended_us = now_us;
-  if (add_worker (expected, seen->workers[0]))
-    count_alone_end (expected, seen);
+  if (add_worker (expected, observed->workers[0]))
+    count_alone_end (expected, observed);
 }
 
 /* A report of a newer release replaces what is known of older ones. */
@@ -339,8 +342,8 @@
   const QuinceSuspect *known = quince_quarantine_find (quarantine, &reported->digest);
   if (known != NULL && reported->release < known->release)
     return FALSE;
-  gint64 keep = reported->held ? quarantine->limits.held_ttl_us : quarantine->limits.suspect_ttl_us;
-  if (now_us - reported->ended_us >= keep || is_superseded_by_clear (quarantine, now_us, reported))
+  gint64 ttl_us = reported->held ? quarantine->limits.held_ttl_us : quarantine->limits.suspect_ttl_us;
+  if (now_us - reported->ended_us >= ttl_us || is_superseded_by_clear (quarantine, now_us, reported))
     return FALSE;
   gboolean changed = known == NULL;
   QuinceSuspect *suspect = find_or_add (quarantine, &reported->digest);
@@ -366,7 +369,7 @@
   const QuinceSuspect *suspect = quince_quarantine_find (quarantine, digest);
   if (suspect == NULL)
     return FALSE;
-  forget (quarantine, suspect);
+  remove_suspect (quarantine, suspect);
   return TRUE;
 }
 
@@ -375,9 +378,9 @@
                                 gint64 now_us,
                                 const QuinceRequestDigest *digest)
 {
-  if (g_hash_table_size (quarantine->cleared) >= quarantine->limits.suspects_max)
-    g_hash_table_remove_all (quarantine->cleared);
-  g_hash_table_insert (quarantine->cleared, g_memdup2 (digest, sizeof *digest),
+  if (g_hash_table_size (quarantine->cleared_prompts) >= quarantine->limits.suspects_max)
+    g_hash_table_remove_all (quarantine->cleared_prompts);
+  g_hash_table_insert (quarantine->cleared_prompts, g_memdup2 (digest, sizeof *digest),
                        g_memdup2 (&now_us, sizeof now_us));
   return quince_quarantine_clear (quarantine, digest);
 }
@@ -423,13 +426,13 @@
   const QuinceSuspect *prompt
       = identity->has_prompt ? quince_quarantine_find (quarantine, &identity->prompt) : NULL;
   return prompt != NULL && prompt->member == quince_quarantine_hash_request (&identity->request)
-         && now_us - MAX (prompt->ended_us, quarantine->resumed_us) < YIELD_US;
+         && now_us - MAX (prompt->ended_us, quarantine->yield_restart_us) < YIELD_US;
 }
 
 void
 quince_quarantine_restart_yield_time (QuinceQuarantine *quarantine, gint64 now_us)
 {
-  quarantine->resumed_us = now_us;
+  quarantine->yield_restart_us = now_us;
 }
 
 guint
--- a/lib/core/request/quarantine.h
+++ b/lib/core/request/quarantine.h
@@ -105,19 +105,19 @@
 
 /**
  * quince_quarantine_record_end:
- * @seen: the digest, one worker, its service and software, and @alone 0 or 1
+ * @observed: the digest, one worker, its service and software, and @alone 0 or 1
  *
  * A worker ended while the request ran there.  Returns: (transfer none) (nullable): what is known now; %NULL:
  * a prompt that was answered a while ago, and was not alone
  */
 const QuinceSuspect *
-quince_quarantine_record_end (QuinceQuarantine *quarantine, gint64 now_us, const QuinceSuspect *seen);
-/* What would be known after the end @seen, of which nothing is noted.  @expected: texts are those of what is
- * known
+quince_quarantine_record_end (QuinceQuarantine *quarantine, gint64 now_us, const QuinceSuspect *observed);
+/* What would be known after the end @observed, of which nothing is noted.  @expected: texts are those of what
+ * is known
  */
 void quince_quarantine_expect_end (const QuinceQuarantine *quarantine,
                                    gint64 now_us,
-                                   const QuinceSuspect *seen,
+                                   const QuinceSuspect *observed,
                                    QuinceSuspect *expected);
 /* Takes in what another process knows.  Returns: whether more is known now */
 gboolean quince_quarantine_merge (QuinceQuarantine *quarantine, gint64 now_us, const QuinceSuspect *reported);
@@ -168,7 +168,7 @@
 /**
  * quince_permits_take:
  * @holder: identifies the process that asks
- * @until_us: it ends by itself then
+ * @expiry_us: it ends by itself then
  *
  * Returns: whether it is given
  */
@@ -178,13 +178,13 @@
                               const char *service,
                               gboolean alone,
                               gconstpointer holder,
-                              gint64 until_us);
-/* Requests at @service, but for @but, that were permitted a moment ago, so that they may still end their
+                              gint64 expiry_us);
+/* Requests at @service, but for @excluded, that were permitted a moment ago, so that they may still end their
  * workers. */
 guint quince_permits_count_recent (const QuincePermits *permits,
                                    gint64 now_us,
                                    const char *service,
-                                   const QuinceRequestDigest *but);
+                                   const QuinceRequestDigest *excluded);
 void quince_permits_return (QuincePermits *permits, const QuinceRequestDigest *digest, gconstpointer holder);
 /* @holder is gone, and with it its permits. */
 void quince_permits_return_all (QuincePermits *permits, gconstpointer holder);
--- a/lib/core/request/request-digest.c
+++ b/lib/core/request/request-digest.c
@@ -12,17 +12,17 @@
 static void
 add_text (GChecksum *checksum, const char *text)
 {
-  const char *known = text != NULL ? text : "";
-  g_checksum_update (checksum, (const guchar *)known, (gssize)strlen (known) + 1);
+  const char *value = text != NULL ? text : "";
+  g_checksum_update (checksum, (const guchar *)value, (gssize)strlen (value) + 1);
 }
 
 static void
 finish_digest (GChecksum *checksum, QuinceRequestDigest *digest)
 {
-  guint8 whole[32];
-  gsize whole_length = sizeof whole;
-  g_checksum_get_digest (checksum, whole, &whole_length);
-  memcpy (digest->bytes, whole, sizeof digest->bytes);
+  guint8 sha256[32];
+  gsize sha256_length = sizeof sha256;
+  g_checksum_get_digest (checksum, sha256, &sha256_length);
+  memcpy (digest->bytes, sha256, sizeof digest->bytes);
 }
 
 void
--- a/lib/core/request/service-capacity.c
+++ b/lib/core/request/service-capacity.c
@@ -22,17 +22,17 @@
  * recovery may be noticed minutes after it.  Not measured: above the time of a worker's start. */
 #define RECOVERY_MAX_US (10 * G_USEC_PER_SEC)
 /* Shortest Retry-After of a protected service, us.  Not measured. */
-#define WAIT_MIN_US (500 * 1000)
+#define RETRY_AFTER_MIN_US (500 * 1000)
 
 typedef struct
 {
   guint ready;
-  guint most;
+  guint listed_max;
   gint64 listed_max_seen_us; /* when so many were seen last */
   gint64 degraded_since_us;  /* since when fewer are ready; 0: all are */
   gint64 last_recovery_us;   /* how long it took the last time; 0: never seen */
-  gint64 ended_us;           /* the last end; G_MININT64: none */
-} Seen;
+  gint64 last_end_us;        /* the last end; G_MININT64: none */
+} ServiceState;
 
 struct _QuinceServiceCapacities
 {
@@ -42,18 +42,18 @@
 gboolean
 quince_service_capacity_survives_end (const QuinceServiceCapacity *capacity)
 {
-  if (capacity->most <= 1)
+  if (capacity->listed_max <= 1)
     return capacity->ready > capacity->at_risk && capacity->since_end_us >= SINGLE_WORKER_PAUSE_US;
-  guint least = (capacity->most + 1) / 2;
-  return capacity->ready >= capacity->at_risk + 1 + least;
+  guint remaining_min = (capacity->listed_max + 1) / 2;
+  return capacity->ready >= capacity->at_risk + 1 + remaining_min;
 }
 
 gboolean
 quince_service_capacity_allows_hedge (const QuinceServiceCapacity *capacity)
 {
-  QuinceServiceCapacity one_ended = *capacity;
-  one_ended.at_risk++;
-  return capacity->since_end_us >= HEDGE_PAUSE_US || quince_service_capacity_survives_end (&one_ended);
+  QuinceServiceCapacity with_hedge = *capacity;
+  with_hedge.at_risk++;
+  return capacity->since_end_us >= HEDGE_PAUSE_US || quince_service_capacity_survives_end (&with_hedge);
 }
 
 QuinceServiceCapacities *
@@ -73,29 +73,29 @@
   g_free (capacities);
 }
 
-static Seen *
+static ServiceState *
 find_or_add (QuinceServiceCapacities *capacities, const char *service)
 {
-  Seen *seen = g_hash_table_lookup (capacities->by_service, service);
-  if (seen != NULL)
-    return seen;
-  seen = g_new0 (Seen, 1);
-  seen->ended_us = G_MININT64;
-  g_hash_table_insert (capacities->by_service, g_strdup (service), seen);
-  return seen;
+  ServiceState *state = g_hash_table_lookup (capacities->by_service, service);
+  if (state != NULL)
+    return state;
+  state = g_new0 (ServiceState, 1);
+  state->last_end_us = G_MININT64;
+  g_hash_table_insert (capacities->by_service, g_strdup (service), state);
+  return state;
 }
 
 /* Keeps how long the service was weak. */
 static void
-update_recovery (Seen *seen, gint64 now_us)
+update_recovery (ServiceState *state, gint64 now_us)
 {
-  gboolean weak = seen->ready < seen->most;
-  if (weak && seen->degraded_since_us == 0)
-    seen->degraded_since_us = now_us;
-  if (weak || seen->degraded_since_us == 0)
+  gboolean degraded = state->ready < state->listed_max;
+  if (degraded && state->degraded_since_us == 0)
+    state->degraded_since_us = now_us;
+  if (degraded || state->degraded_since_us == 0)
     return;
-  seen->last_recovery_us = MIN (now_us - seen->degraded_since_us, RECOVERY_MAX_US);
-  seen->degraded_since_us = 0;
+  state->last_recovery_us = MIN (now_us - state->degraded_since_us, RECOVERY_MAX_US);
+  state->degraded_since_us = 0;
 }
 
 void
@@ -105,26 +105,26 @@
                                   guint listed,
                                   guint ready)
 {
-  Seen *seen = find_or_add (capacities, service);
-  if (listed < seen->most && now_us - seen->listed_max_seen_us >= LISTED_MAX_TTL_US)
+  ServiceState *state = find_or_add (capacities, service);
+  if (listed < state->listed_max && now_us - state->listed_max_seen_us >= LISTED_MAX_TTL_US)
     {
-      seen->most = listed;
-      seen->degraded_since_us = 0; /* it has not recovered: it has become smaller */
+      state->listed_max = listed;
+      state->degraded_since_us = 0; /* it has not recovered: it has become smaller */
     }
-  if (listed >= seen->most)
+  if (listed >= state->listed_max)
     {
-      seen->most = listed;
-      seen->listed_max_seen_us = now_us;
+      state->listed_max = listed;
+      state->listed_max_seen_us = now_us;
     }
-  seen->ready = ready;
-  update_recovery (seen, now_us);
+  state->ready = ready;
+  update_recovery (state, now_us);
 }
 
 void
 quince_service_capacities_record_end (QuinceServiceCapacities *capacities, gint64 now_us, const char *service)
 {
-  Seen *seen = find_or_add (capacities, service);
-  seen->ended_us = MAX (seen->ended_us, now_us);
+  ServiceState *state = find_or_add (capacities, service);
+  state->last_end_us = MAX (state->last_end_us, now_us);
 }
 
 void
@@ -133,14 +133,14 @@
                                const char *service,
                                QuinceServiceCapacity *capacity)
 {
-  const Seen *seen = g_hash_table_lookup (capacities->by_service, service);
+  const ServiceState *state = g_hash_table_lookup (capacities->by_service, service);
   *capacity = (QuinceServiceCapacity){ .since_end_us = G_MAXINT64 };
-  if (seen == NULL)
+  if (state == NULL)
     return;
-  capacity->ready = seen->ready;
-  capacity->most = seen->most;
-  if (seen->ended_us != G_MININT64)
-    capacity->since_end_us = now_us - seen->ended_us;
+  capacity->ready = state->ready;
+  capacity->listed_max = state->listed_max;
+  if (state->last_end_us != G_MININT64)
+    capacity->since_end_us = now_us - state->last_end_us;
 }
 
 gint64
@@ -148,10 +148,11 @@
                                        gint64 now_us,
                                        const char *service)
 {
-  const Seen *seen = g_hash_table_lookup (capacities->by_service, service);
-  gint64 recovery = seen != NULL && seen->last_recovery_us > 0 ? seen->last_recovery_us : RECOVERY_DEFAULT_US;
-  if (seen != NULL && seen->most <= 1)
-    recovery = SINGLE_WORKER_PAUSE_US;
-  gint64 gone = seen != NULL && seen->ended_us != G_MININT64 ? now_us - seen->ended_us : 0;
-  return MAX (recovery - gone, WAIT_MIN_US);
+  const ServiceState *state = g_hash_table_lookup (capacities->by_service, service);
+  gint64 recovery_us
+      = state != NULL && state->last_recovery_us > 0 ? state->last_recovery_us : RECOVERY_DEFAULT_US;
+  if (state != NULL && state->listed_max <= 1)
+    recovery_us = SINGLE_WORKER_PAUSE_US;
+  gint64 elapsed_us = state != NULL && state->last_end_us != G_MININT64 ? now_us - state->last_end_us : 0;
+  return MAX (recovery_us - elapsed_us, RETRY_AFTER_MIN_US);
 }
--- a/lib/core/request/service-capacity.h
+++ b/lib/core/request/service-capacity.h
@@ -18,14 +18,14 @@
 /**
  * QuinceServiceCapacity:
  * @ready: workers that are listed and are not known to have ended
- * @most: most workers listed at once in the last 30 s
+ * @listed_max: most workers listed at once in the last 30 s
  * @at_risk: ready workers that may be ended by requests sent a moment ago
  * @since_end_us: since the last end at the service
  */
 typedef struct
 {
   guint ready;
-  guint most;
+  guint listed_max;
   guint at_risk;
   gint64 since_end_us;
 } QuinceServiceCapacity;
--- a/lib/forward/send-guard-log.c
+++ b/lib/forward/send-guard-log.c
@@ -106,7 +106,7 @@
   quince_log_info ("suspect_spared",
                    "request=%s digest=%s scope=%s ends=%u service=%s ready=%u of=%u ended=%s", request_id,
                    text, quince_suspect_scope_name (suspect->scope), suspect->n_workers, service,
-                   capacity.ready, capacity.most, ended);
+                   capacity.ready, capacity.listed_max, ended);
 }
 
 void
--- a/tests/unit/test-expected-ends.c
+++ b/tests/unit/test-expected-ends.c
@@ -19,7 +19,7 @@
 
 /* As a leader tells of a send whose worker would be the @ends-th to end under it. */
 static QuinceSuspect
-expect (guint8 digest, guint ends, gint64 now_us)
+make_suspect (guint8 digest, guint ends, gint64 now_us)
 {
   QuinceSuspect expected
       = { .ended_us = now_us, .service = "svc", .software = "v1", .reported_by = "leader" };
@@ -32,7 +32,7 @@
 
 /* All sends that are under way turn out to have ended their workers. */
 static void
-count_all (QuinceExpectedEnds *ends, gint64 now_us, QuinceQuarantine *quarantine)
+merge_taken (QuinceExpectedEnds *ends, gint64 now_us, QuinceQuarantine *quarantine)
 {
   g_autoptr (GPtrArray) sends = quince_expected_ends_take (ends, now_us);
   for (guint i = 0; i < sends->len; i++)
@@ -44,10 +44,10 @@
 {
   QuinceExpectedEnds *ends = quince_expected_ends_new ();
   g_autoptr (QuinceQuarantine) quarantine = quince_quarantine_new (&limits);
-  const QuinceSuspect expected = expect (1, 2, SECOND);
+  const QuinceSuspect expected = make_suspect (1, 2, SECOND);
   quince_expected_ends_add (ends, SECOND, &expected);
   assert_int_equal (quince_quarantine_get_size (quarantine), 0);
-  count_all (ends, 2 * SECOND, quarantine);
+  merge_taken (ends, 2 * SECOND, quarantine);
   assert_int_equal (quince_quarantine_find (quarantine, &expected.digest)->n_workers, 2);
   quince_expected_ends_free (ends);
 }
@@ -59,29 +59,29 @@
 {
   QuinceExpectedEnds *ends = quince_expected_ends_new ();
   g_autoptr (QuinceQuarantine) quarantine = quince_quarantine_new (&limits);
-  const QuinceSuspect answered = expect (1, 1, SECOND);
-  const QuinceSuspect old = expect (2, 1, SECOND);
-  quince_expected_ends_add (ends, SECOND, &old);
+  const QuinceSuspect answered = make_suspect (1, 1, SECOND);
+  const QuinceSuspect expired = make_suspect (2, 1, SECOND);
+  quince_expected_ends_add (ends, SECOND, &expired);
   quince_expected_ends_add (ends, 3 * SECOND, &answered);
   quince_expected_ends_remove (ends, &answered.digest);
-  count_all (ends, 4 * SECOND, quarantine);
+  merge_taken (ends, 4 * SECOND, quarantine);
   assert_int_equal (quince_quarantine_get_size (quarantine), 0);
   quince_expected_ends_free (ends);
 }
 
 static void
-test_bounded (void **state)
+test_entry_limit (void **state)
 {
   QuinceExpectedEnds *ends = quince_expected_ends_new ();
   g_autoptr (QuinceQuarantine) quarantine = quince_quarantine_new (&limits);
   for (guint i = 0; i < 1000; i++)
     {
-      QuinceSuspect expected = expect (1, 1, SECOND);
+      QuinceSuspect expected = make_suspect (1, 1, SECOND);
       expected.digest.bytes[1] = (guint8)(i >> 8);
       expected.digest.bytes[2] = (guint8)i;
       quince_expected_ends_add (ends, SECOND, &expected);
     }
-  count_all (ends, SECOND, quarantine);
+  merge_taken (ends, SECOND, quarantine);
   assert_in_range (quince_quarantine_get_size (quarantine), 1, limits.suspects_max);
   quince_expected_ends_free (ends);
 }
@@ -92,7 +92,7 @@
   const struct CMUnitTest tests[] = {
     cmocka_unit_test (test_taken_sends_are_merged),
     cmocka_unit_test (test_finished_and_expired_sends_are_not_taken),
-    cmocka_unit_test (test_bounded),
+    cmocka_unit_test (test_entry_limit),
   };
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/tests/unit/test-quarantine-core.c
+++ b/tests/unit/test-quarantine-core.c
@@ -27,19 +27,19 @@
 }
 
 static const QuinceSuspect *
-end (QuinceQuarantine *quarantine, gint64 now_us, guint number, guint worker, gboolean alone)
+record_end (QuinceQuarantine *quarantine, gint64 now_us, guint number, guint worker, gboolean alone)
 {
-  const QuinceSuspect seen = { .digest = digest_of (number),
-                               .workers = { worker },
-                               .n_workers = 1,
-                               .alone = alone,
-                               .service = "svc",
-                               .software = "v1" };
-  return quince_quarantine_record_end (quarantine, now_us, &seen);
+  const QuinceSuspect observed = { .digest = digest_of (number),
+                                   .workers = { worker },
+                                   .n_workers = 1,
+                                   .alone = alone,
+                                   .service = "svc",
+                                   .software = "v1" };
+  return quince_quarantine_record_end (quarantine, now_us, &observed);
 }
 
 static QuinceSendRule
-judge (QuinceQuarantine *quarantine, guint number)
+get_rule (QuinceQuarantine *quarantine, guint number)
 {
   QuinceRequestDigest digest = digest_of (number);
   return quince_quarantine_get_rule (quarantine, &digest);
@@ -51,17 +51,17 @@
 test_rule_by_ends (void **state)
 {
   g_autoptr (QuinceQuarantine) quarantine = quince_quarantine_new (&limits);
-  assert_int_equal (judge (quarantine, 1), QUINCE_SEND_UNRESTRICTED);
-  end (quarantine, 1, 1, 101, FALSE);
-  assert_int_equal (judge (quarantine, 1), QUINCE_SEND_BY_PERMIT);
-  end (quarantine, 2, 1, 101, FALSE); /* seen by another connection */
-  assert_int_equal (judge (quarantine, 1), QUINCE_SEND_BY_PERMIT);
-  end (quarantine, 3, 1, 102, FALSE);
-  assert_int_equal (judge (quarantine, 1), QUINCE_SEND_ALONE);
-  end (quarantine, 4, 1, 103, TRUE);
-  assert_int_equal (judge (quarantine, 1), QUINCE_SEND_ALONE); /* three ends may be chance */
-  end (quarantine, 5, 1, 104, TRUE);
-  assert_int_equal (judge (quarantine, 1), QUINCE_SEND_HELD);
+  assert_int_equal (get_rule (quarantine, 1), QUINCE_SEND_UNRESTRICTED);
+  record_end (quarantine, 1, 1, 101, FALSE);
+  assert_int_equal (get_rule (quarantine, 1), QUINCE_SEND_BY_PERMIT);
+  record_end (quarantine, 2, 1, 101, FALSE); /* seen by another connection */
+  assert_int_equal (get_rule (quarantine, 1), QUINCE_SEND_BY_PERMIT);
+  record_end (quarantine, 3, 1, 102, FALSE);
+  assert_int_equal (get_rule (quarantine, 1), QUINCE_SEND_ALONE);
+  record_end (quarantine, 4, 1, 103, TRUE);
+  assert_int_equal (get_rule (quarantine, 1), QUINCE_SEND_ALONE); /* three ends may be chance */
+  record_end (quarantine, 5, 1, 104, TRUE);
+  assert_int_equal (get_rule (quarantine, 1), QUINCE_SEND_HELD);
 }
 
 /* However many ends a request met beside others, it is not held for them. */
@@ -70,22 +70,22 @@
 {
   g_autoptr (QuinceQuarantine) quarantine = quince_quarantine_new (&limits);
   for (guint i = 0; i < 20; i++)
-    end (quarantine, i, 1, 100 + i, FALSE);
-  assert_int_equal (judge (quarantine, 1), QUINCE_SEND_ALONE);
-  end (quarantine, 20, 1, 200, TRUE);
-  assert_int_equal (judge (quarantine, 1), QUINCE_SEND_ALONE);
+    record_end (quarantine, i, 1, 100 + i, FALSE);
+  assert_int_equal (get_rule (quarantine, 1), QUINCE_SEND_ALONE);
+  record_end (quarantine, 20, 1, 200, TRUE);
+  assert_int_equal (get_rule (quarantine, 1), QUINCE_SEND_ALONE);
   QuinceRequestDigest digest = digest_of (1);
   assert_true (quince_quarantine_clear (quarantine, &digest));
   assert_false (quince_quarantine_clear (quarantine, &digest));
-  assert_int_equal (judge (quarantine, 1), QUINCE_SEND_UNRESTRICTED);
+  assert_int_equal (get_rule (quarantine, 1), QUINCE_SEND_UNRESTRICTED);
 }
 
 static void
-hold (QuinceQuarantine *quarantine, gint64 now_us, guint number)
+hold_request (QuinceQuarantine *quarantine, gint64 now_us, guint number)
 {
   for (guint i = 0; i < QUINCE_QUARANTINE_HOLD_ENDS_MIN; i++)
-    end (quarantine, now_us, number, 100 + i, i >= 2);
-  assert_int_equal (judge (quarantine, number), QUINCE_SEND_HELD);
+    record_end (quarantine, now_us, number, 100 + i, i >= 2);
+  assert_int_equal (get_rule (quarantine, number), QUINCE_SEND_HELD);
 }
 
 static void
@@ -94,18 +94,18 @@
   g_autoptr (QuinceQuarantine) quarantine = quince_quarantine_new (&limits);
   g_autoptr (QuinceQuarantine) other = quince_quarantine_new (&limits);
   QuinceRequestDigest digest = digest_of (1);
-  hold (quarantine, 1, 1);
+  hold_request (quarantine, 1, 1);
   assert_true (quince_quarantine_merge (other, 2, quince_quarantine_find (quarantine, &digest)));
-  assert_int_equal (judge (other, 1), QUINCE_SEND_HELD);
+  assert_int_equal (get_rule (other, 1), QUINCE_SEND_HELD);
   assert_true (quince_quarantine_release (quarantine, 3, &digest));
-  assert_int_equal (judge (quarantine, 1), QUINCE_SEND_ALONE);
+  assert_int_equal (get_rule (quarantine, 1), QUINCE_SEND_ALONE);
   /* Who has not heard of the release does not undo it, and takes it over. */
   assert_false (quince_quarantine_merge (quarantine, 4, quince_quarantine_find (other, &digest)));
   assert_true (quince_quarantine_merge (other, 4, quince_quarantine_find (quarantine, &digest)));
-  assert_int_equal (judge (other, 1), QUINCE_SEND_ALONE);
+  assert_int_equal (get_rule (other, 1), QUINCE_SEND_ALONE);
   /* One more end holds it again. */
-  end (quarantine, 5, 1, 200, TRUE);
-  assert_int_equal (judge (quarantine, 1), QUINCE_SEND_HELD);
+  record_end (quarantine, 5, 1, 200, TRUE);
+  assert_int_equal (get_rule (quarantine, 1), QUINCE_SEND_HELD);
 }
 
 /* Each of sixty fronts saw one end: together they know them all, in whatever order they are told. */
@@ -117,11 +117,11 @@
   for (guint i = 0; i < 60; i++)
     {
       g_autoptr (QuinceQuarantine) front = quince_quarantine_new (&limits);
-      end (front, i, 1, 100 + i, FALSE);
+      record_end (front, i, 1, 100 + i, FALSE);
       quince_quarantine_merge (leader, i, quince_quarantine_find (front, &digest));
       assert_false (quince_quarantine_merge (leader, i, quince_quarantine_find (front, &digest)));
     }
-  assert_int_equal (judge (leader, 1), QUINCE_SEND_ALONE);
+  assert_int_equal (get_rule (leader, 1), QUINCE_SEND_ALONE);
   assert_int_equal (quince_quarantine_find (leader, &digest)->n_workers, QUINCE_QUARANTINE_WORKERS_MAX);
 }
 
@@ -131,10 +131,10 @@
 {
   g_autoptr (QuinceQuarantine) quarantine = quince_quarantine_new (&limits);
   for (guint i = 0; i < 20; i++)
-    end (quarantine, i, 1, 100 + i, FALSE);
-  end (quarantine, 20, 1, 200, TRUE);
-  end (quarantine, 21, 1, 201, TRUE);
-  assert_int_equal (judge (quarantine, 1), QUINCE_SEND_HELD);
+    record_end (quarantine, i, 1, 100 + i, FALSE);
+  record_end (quarantine, 20, 1, 200, TRUE);
+  record_end (quarantine, 21, 1, 201, TRUE);
+  assert_int_equal (get_rule (quarantine, 1), QUINCE_SEND_HELD);
 }
 
 /* ---- Prompts ---------------------------------------------------------------- */
@@ -145,19 +145,19 @@
 record_prompt_end (QuinceQuarantine *quarantine, gint64 now_us, guint member, guint worker, gboolean alone)
 {
   QuinceRequestDigest request = digest_of (member);
-  const QuinceSuspect seen = { .digest = digest_of (PROMPT),
-                               .scope = QUINCE_SUSPECT_PROMPT,
-                               .workers = { worker },
-                               .n_workers = 1,
-                               .alone = alone,
-                               .member = quince_quarantine_hash_request (&request),
-                               .service = "svc",
-                               .software = "v1" };
-  return quince_quarantine_record_end (quarantine, now_us, &seen);
+  const QuinceSuspect observed = { .digest = digest_of (PROMPT),
+                                   .scope = QUINCE_SUSPECT_PROMPT,
+                                   .workers = { worker },
+                                   .n_workers = 1,
+                                   .alone = alone,
+                                   .member = quince_quarantine_hash_request (&request),
+                                   .service = "svc",
+                                   .software = "v1" };
+  return quince_quarantine_record_end (quarantine, now_us, &observed);
 }
 
 static gboolean
-gives_way (QuinceQuarantine *quarantine, gint64 now_us, guint member)
+should_yield (QuinceQuarantine *quarantine, gint64 now_us, guint member)
 {
   const QuinceRequestIdentity identity
       = { .request = digest_of (member), .prompt = digest_of (PROMPT), .has_prompt = TRUE };
@@ -166,23 +166,23 @@
 
 /* Ends of different requests add up; those that one of them met alone count once, and it gives way. */
 static void
-test_prompt (void **state)
+test_prompt_held_by_ends_of_different_requests (void **state)
 {
   g_autoptr (QuinceQuarantine) quarantine = quince_quarantine_new (&limits);
   record_prompt_end (quarantine, 1, 1, 101, FALSE);
-  assert_int_equal (judge (quarantine, PROMPT), QUINCE_SEND_BY_PERMIT);
-  assert_false (gives_way (quarantine, 1, 1));
+  assert_int_equal (get_rule (quarantine, PROMPT), QUINCE_SEND_BY_PERMIT);
+  assert_false (should_yield (quarantine, 1, 1));
   record_prompt_end (quarantine, 2, 2, 102, FALSE);
-  assert_int_equal (judge (quarantine, PROMPT), QUINCE_SEND_ALONE);
+  assert_int_equal (get_rule (quarantine, PROMPT), QUINCE_SEND_ALONE);
   record_prompt_end (quarantine, 3, 3, 103, TRUE);
-  assert_true (gives_way (quarantine, 3, 3));
-  assert_false (gives_way (quarantine, 3, 4));
-  assert_false (gives_way (quarantine, 3 + 10 * SECOND, 3)); /* no other one came */
+  assert_true (should_yield (quarantine, 3, 3));
+  assert_false (should_yield (quarantine, 3, 4));
+  assert_false (should_yield (quarantine, 3 + 10 * SECOND, 3)); /* no other one came */
   for (guint i = 0; i < 10; i++)
     record_prompt_end (quarantine, 4 + i, 3, 200 + i, TRUE);
-  assert_int_equal (judge (quarantine, PROMPT), QUINCE_SEND_ALONE);
+  assert_int_equal (get_rule (quarantine, PROMPT), QUINCE_SEND_ALONE);
   record_prompt_end (quarantine, 20, 4, 300, TRUE);
-  assert_int_equal (judge (quarantine, PROMPT), QUINCE_SEND_HELD);
+  assert_int_equal (get_rule (quarantine, PROMPT), QUINCE_SEND_HELD);
 }
 
 /* An answer clears the prompt, and ends that its items meet beside others count no more; those met alone do.
@@ -198,12 +198,12 @@
   assert_true (quince_quarantine_clear_prompt (quarantine, 2, &prompt));
   assert_false (quince_quarantine_clear_prompt (quarantine, 2, &prompt));
   assert_null (record_prompt_end (quarantine, 3, 2, 102, FALSE));
-  assert_int_equal (judge (quarantine, PROMPT), QUINCE_SEND_UNRESTRICTED);
+  assert_int_equal (get_rule (quarantine, PROMPT), QUINCE_SEND_UNRESTRICTED);
   assert_true (quince_quarantine_has_worker_ended (quarantine, 102));
   /* Whoever has not heard of it does not bring it back. */
   assert_false (quince_quarantine_merge (quarantine, 4, quince_quarantine_find (other, &prompt)));
   record_prompt_end (quarantine, 5, 3, 103, TRUE);
-  assert_int_equal (judge (quarantine, PROMPT), QUINCE_SEND_BY_PERMIT);
+  assert_int_equal (get_rule (quarantine, PROMPT), QUINCE_SEND_BY_PERMIT);
   /* It speaks for its prompt for a while only. */
   quince_quarantine_clear_prompt (quarantine, 6, &prompt);
   assert_non_null (record_prompt_end (quarantine, 6 + 120 * SECOND, 2, 104, FALSE));
@@ -214,18 +214,18 @@
 test_prompt_merged (void **state)
 {
   g_autoptr (QuinceQuarantine) quarantine = quince_quarantine_new (&limits);
-  g_autoptr (QuinceQuarantine) next = quince_quarantine_new (&limits);
+  g_autoptr (QuinceQuarantine) successor = quince_quarantine_new (&limits);
   QuinceRequestDigest prompt = digest_of (PROMPT);
   for (guint i = 0; i < 3; i++)
     record_prompt_end (quarantine, 1, i, 101 + i, FALSE);
   record_prompt_end (quarantine, 2, 3, 104, TRUE);
-  assert_true (quince_quarantine_merge (next, 3, quince_quarantine_find (quarantine, &prompt)));
-  assert_true (gives_way (next, 3, 3));
-  assert_true (quince_quarantine_has_worker_ended (next, 104));
-  record_prompt_end (next, 4, 3, 105, TRUE);
-  assert_int_equal (judge (next, PROMPT), QUINCE_SEND_ALONE);
-  record_prompt_end (next, 5, 4, 106, TRUE);
-  assert_int_equal (judge (next, PROMPT), QUINCE_SEND_HELD);
+  assert_true (quince_quarantine_merge (successor, 3, quince_quarantine_find (quarantine, &prompt)));
+  assert_true (should_yield (successor, 3, 3));
+  assert_true (quince_quarantine_has_worker_ended (successor, 104));
+  record_prompt_end (successor, 4, 3, 105, TRUE);
+  assert_int_equal (get_rule (successor, PROMPT), QUINCE_SEND_ALONE);
+  record_prompt_end (successor, 5, 4, 106, TRUE);
+  assert_int_equal (get_rule (successor, PROMPT), QUINCE_SEND_HELD);
 }
 
 /* Nothing is sent while nobody leads: the next leader sends another request of the prompt first, however long
@@ -233,16 +233,16 @@
 static void
 test_yield_restarts_after_election (void **state)
 {
-  g_autoptr (QuinceQuarantine) next = quince_quarantine_new (&limits);
-  record_prompt_end (next, 1, 1, 101, FALSE);
-  record_prompt_end (next, 2, 2, 102, FALSE);
-  record_prompt_end (next, 3, 3, 103, TRUE);
-  gint64 leads_us = 3 + 5 * SECOND;
-  assert_false (gives_way (next, leads_us, 3));
-  quince_quarantine_restart_yield_time (next, leads_us);
-  assert_true (gives_way (next, leads_us, 3));
-  assert_false (gives_way (next, leads_us, 4));
-  assert_false (gives_way (next, leads_us + 10 * SECOND, 3)); /* no other one came */
+  g_autoptr (QuinceQuarantine) successor = quince_quarantine_new (&limits);
+  record_prompt_end (successor, 1, 1, 101, FALSE);
+  record_prompt_end (successor, 2, 2, 102, FALSE);
+  record_prompt_end (successor, 3, 3, 103, TRUE);
+  gint64 elected_us = 3 + 5 * SECOND;
+  assert_false (should_yield (successor, elected_us, 3));
+  quince_quarantine_restart_yield_time (successor, elected_us);
+  assert_true (should_yield (successor, elected_us, 3));
+  assert_false (should_yield (successor, elected_us, 4));
+  assert_false (should_yield (successor, elected_us + 10 * SECOND, 3)); /* no other one came */
 }
 
 /* What a next leader is told of a send: it holds after the end that nobody saw, and nothing is noted here. */
@@ -250,18 +250,18 @@
 test_expected_end (void **state)
 {
   g_autoptr (QuinceQuarantine) quarantine = quince_quarantine_new (&limits);
-  g_autoptr (QuinceQuarantine) next = quince_quarantine_new (&limits);
+  g_autoptr (QuinceQuarantine) successor = quince_quarantine_new (&limits);
   for (guint i = 0; i < 3; i++)
-    end (quarantine, 1 + i, 1, 101 + i, i == 2);
-  const QuinceSuspect seen
+    record_end (quarantine, 1 + i, 1, 101 + i, i == 2);
+  const QuinceSuspect observed
       = { .digest = digest_of (1), .workers = { 104 }, .n_workers = 1, .alone = 1, .service = "svc" };
   QuinceSuspect expected;
-  quince_quarantine_expect_end (quarantine, 5, &seen, &expected);
+  quince_quarantine_expect_end (quarantine, 5, &observed, &expected);
   assert_int_equal (expected.n_workers, 4);
-  assert_int_equal (judge (quarantine, 1), QUINCE_SEND_ALONE);
-  assert_int_equal (quince_quarantine_find (quarantine, &seen.digest)->n_workers, 3);
-  assert_true (quince_quarantine_merge (next, 6, &expected));
-  assert_int_equal (judge (next, 1), QUINCE_SEND_HELD);
+  assert_int_equal (get_rule (quarantine, 1), QUINCE_SEND_ALONE);
+  assert_int_equal (quince_quarantine_find (quarantine, &observed.digest)->n_workers, 3);
+  assert_true (quince_quarantine_merge (successor, 6, &expected));
+  assert_int_equal (get_rule (successor, 1), QUINCE_SEND_HELD);
 }
 
 /* ---- Bounds ----------------------------------------------------------------- */
@@ -270,43 +270,43 @@
 test_suspect_limit (void **state)
 {
   g_autoptr (QuinceQuarantine) quarantine = quince_quarantine_new (&limits);
-  hold (quarantine, 1, 1);
-  end (quarantine, 2, 2, 101, FALSE);
-  end (quarantine, 2, 2, 102, FALSE);
+  hold_request (quarantine, 1, 1);
+  record_end (quarantine, 2, 2, 101, FALSE);
+  record_end (quarantine, 2, 2, 102, FALSE);
   for (guint i = 0; i < 20000; i++)
     {
-      end (quarantine, 3 + i, 1000 + i, i, FALSE);
+      record_end (quarantine, 3 + i, 1000 + i, i, FALSE);
       assert_true (quince_quarantine_get_size (quarantine) <= limits.suspects_max);
       assert_true (quince_quarantine_get_bytes (quarantine) <= limits.suspect_bytes_max);
     }
-  assert_int_equal (judge (quarantine, 1), QUINCE_SEND_HELD);
-  assert_int_equal (judge (quarantine, 2), QUINCE_SEND_ALONE);
+  assert_int_equal (get_rule (quarantine, 1), QUINCE_SEND_HELD);
+  assert_int_equal (get_rule (quarantine, 2), QUINCE_SEND_ALONE);
 }
 
 static void
 test_byte_limit (void **state)
 {
-  QuinceQuarantineLimits small = limits;
-  small.suspect_bytes_max = 1000;
-  g_autoptr (QuinceQuarantine) quarantine = quince_quarantine_new (&small);
-  hold (quarantine, 1, 1);
+  QuinceQuarantineLimits small_limits = limits;
+  small_limits.suspect_bytes_max = 1000;
+  g_autoptr (QuinceQuarantine) quarantine = quince_quarantine_new (&small_limits);
+  hold_request (quarantine, 1, 1);
   for (guint i = 0; i < 100; i++)
-    end (quarantine, 2 + i, 1000 + i, i, FALSE);
-  assert_true (quince_quarantine_get_bytes (quarantine) <= small.suspect_bytes_max);
-  assert_int_equal (judge (quarantine, 1), QUINCE_SEND_HELD);
+    record_end (quarantine, 2 + i, 1000 + i, i, FALSE);
+  assert_true (quince_quarantine_get_bytes (quarantine) <= small_limits.suspect_bytes_max);
+  assert_int_equal (get_rule (quarantine, 1), QUINCE_SEND_HELD);
 }
 
 static void
 test_expiry (void **state)
 {
   g_autoptr (QuinceQuarantine) quarantine = quince_quarantine_new (&limits);
-  hold (quarantine, 0, 1);
-  end (quarantine, 0, 2, 101, FALSE);
+  hold_request (quarantine, 0, 1);
+  record_end (quarantine, 0, 2, 101, FALSE);
   quince_quarantine_expire (quarantine, limits.suspect_ttl_us - 1);
   assert_int_equal (quince_quarantine_get_size (quarantine), 2);
   quince_quarantine_expire (quarantine, limits.suspect_ttl_us);
-  assert_int_equal (judge (quarantine, 2), QUINCE_SEND_UNRESTRICTED);
-  assert_int_equal (judge (quarantine, 1), QUINCE_SEND_HELD);
+  assert_int_equal (get_rule (quarantine, 2), QUINCE_SEND_UNRESTRICTED);
+  assert_int_equal (get_rule (quarantine, 1), QUINCE_SEND_HELD);
   quince_quarantine_expire (quarantine, limits.held_ttl_us);
   assert_int_equal (quince_quarantine_get_size (quarantine), 0);
 }
@@ -314,7 +314,7 @@
 /* ---- Permits ----------------------------------------------------------------- */
 
 static gboolean
-take (QuincePermits *permits, gint64 now_us, guint number, gboolean alone, const char *holder)
+take_permit (QuincePermits *permits, gint64 now_us, guint number, gboolean alone, const char *holder)
 {
   QuinceRequestDigest digest = digest_of (number);
   return quince_permits_take (permits, now_us, &digest, "svc", alone, holder, now_us + SECOND);
@@ -325,26 +325,27 @@
 {
   g_autoptr (QuincePermits) permits = quince_permits_new ();
   QuinceRequestDigest digest = digest_of (1);
-  assert_true (take (permits, 0, 1, TRUE, "a"));
-  assert_false (take (permits, 1, 1, TRUE, "b")); /* one run of a request at a time */
-  assert_false (take (permits, 1, 2, TRUE, "b")); /* one alone at a service */
-  assert_true (take (permits, 1, 3, FALSE, "b")); /* not alone: it met one end */
-  quince_permits_return (permits, &digest, "b");  /* not its own */
-  assert_false (take (permits, 2, 1, TRUE, "b"));
+  assert_true (take_permit (permits, 0, 1, TRUE, "a"));
+  assert_false (take_permit (permits, 1, 1, TRUE, "b")); /* one run of a request at a time */
+  assert_false (take_permit (permits, 1, 2, TRUE, "b")); /* one alone at a service */
+  assert_true (take_permit (permits, 1, 3, FALSE, "b")); /* not alone: it met one end */
+  quince_permits_return (permits, &digest, "b");         /* not its own */
+  assert_false (take_permit (permits, 2, 1, TRUE, "b"));
   quince_permits_return (permits, &digest, "a");
-  assert_true (take (permits, 2, 1, TRUE, "b"));
+  assert_true (take_permit (permits, 2, 1, TRUE, "b"));
   quince_permits_return_all (permits, "b");
-  assert_true (take (permits, 3, 2, TRUE, "c"));
-  assert_false (take (permits, 4, 1, TRUE, "a"));
-  assert_true (take (permits, 3 + SECOND / 2, 1, TRUE, "a")); /* a long run does not hold up the others */
-  assert_false (take (permits, 3 + SECOND / 2, 2, TRUE, "d"));
-  assert_true (take (permits, 3 + SECOND * 2, 2, TRUE, "d")); /* the permit is over by itself */
+  assert_true (take_permit (permits, 3, 2, TRUE, "c"));
+  assert_false (take_permit (permits, 4, 1, TRUE, "a"));
+  assert_true (
+      take_permit (permits, 3 + SECOND / 2, 1, TRUE, "a")); /* a long run does not hold up the others */
+  assert_false (take_permit (permits, 3 + SECOND / 2, 2, TRUE, "d"));
+  assert_true (take_permit (permits, 3 + SECOND * 2, 2, TRUE, "d")); /* the permit is over by itself */
 }
 
 static guint
-count_recent_permits (QuincePermits *permits, gint64 now_us, const char *service, guint but)
+count_recent_permits (QuincePermits *permits, gint64 now_us, const char *service, guint excluded)
 {
-  QuinceRequestDigest digest = digest_of (but);
+  QuinceRequestDigest digest = digest_of (excluded);
   return quince_permits_count_recent (permits, now_us, service, &digest);
 }
 
@@ -353,8 +354,8 @@
 test_recent_permits (void **state)
 {
   g_autoptr (QuincePermits) permits = quince_permits_new ();
-  assert_true (take (permits, 0, 1, FALSE, "a"));
-  assert_true (take (permits, 0, 2, FALSE, "a"));
+  assert_true (take_permit (permits, 0, 1, FALSE, "a"));
+  assert_true (take_permit (permits, 0, 2, FALSE, "a"));
   assert_int_equal (count_recent_permits (permits, 1, "svc", 3), 2);
   assert_int_equal (count_recent_permits (permits, 1, "svc", 2), 1);
   assert_int_equal (count_recent_permits (permits, 1, "other", 3), 0);
@@ -365,18 +366,18 @@
 
 #define SIMULATION_MS 120000
 #define WORKERS 8
-#define SLOTS 6
+#define SLOTS_PER_WORKER 6
 #define RESTART_MS 3000
 #define RUN_MS 40
-#define TRIES_MAX 12
-#define GUILTY 10
+#define ATTEMPTS_MAX 12
+#define HARMFUL_REQUESTS 10
 
 typedef struct
 {
   guint number;
-  guint tries;
+  guint attempts;
   gint worker; /* -1: not running */
-  gint ends_ms;
+  gint done_ms;
   gboolean alone;
 } Request;
 
@@ -389,119 +390,120 @@
   gint down_until_ms[WORKERS];
   guint incarnation[WORKERS];
   guint slots_used[WORKERS];
-  guint sends[GUILTY];
-  guint innocent, harmless_held, harmless_given_up, harmless_three_ends;
+  guint harmful_sends[HARMFUL_REQUESTS];
+  guint harmless, harmless_held, harmless_given_up, harmless_three_ends;
 } Simulation;
 
 static gboolean
 is_harmful (const Request *request)
 {
-  return request->number < GUILTY;
+  return request->number < HARMFUL_REQUESTS;
 }
 
 static void
-stop_run (Simulation *day, Request *request)
+stop_run (Simulation *simulation, Request *request)
 {
   QuinceRequestDigest digest = digest_of (request->number);
-  quince_permits_return (day->permits, &digest, request);
-  day->slots_used[request->worker]--;
+  quince_permits_return (simulation->permits, &digest, request);
+  simulation->slots_used[request->worker]--;
   request->worker = -1;
 }
 
 /* All that runs there meets the end. */
 static void
-simulate_worker_end (Simulation *day, gint now, guint worker)
+simulate_worker_end (Simulation *simulation, gint now_ms, guint worker)
 {
-  day->down_until_ms[worker] = now + RESTART_MS;
-  for (guint i = 0; i < day->requests->len; i++)
+  simulation->down_until_ms[worker] = now_ms + RESTART_MS;
+  for (guint i = 0; i < simulation->requests->len; i++)
     {
-      Request *request = day->requests->pdata[i];
+      Request *request = simulation->requests->pdata[i];
       if (request->worker != (gint)worker)
         continue;
-      const QuinceSuspect *known = end (day->quarantine, now * 1000, request->number,
-                                        worker * 100000 + day->incarnation[worker], request->alone);
-      day->harmless_three_ends += !is_harmful (request) && known->n_workers == 3;
-      stop_run (day, request);
+      const QuinceSuspect *known
+          = record_end (simulation->quarantine, now_ms * 1000, request->number,
+                        worker * 100000 + simulation->incarnation[worker], request->alone);
+      simulation->harmless_three_ends += !is_harmful (request) && known->n_workers == 3;
+      stop_run (simulation, request);
     }
-  day->incarnation[worker]++;
+  simulation->incarnation[worker]++;
 }
 
 /* Returns: whether it is over. */
 static gboolean
-send (Simulation *day, gint now, Request *request)
+try_send (Simulation *simulation, gint now_ms, Request *request)
 {
   QuinceRequestDigest digest = digest_of (request->number);
-  QuinceSendRule rule = quince_quarantine_get_rule (day->quarantine, &digest);
+  QuinceSendRule rule = quince_quarantine_get_rule (simulation->quarantine, &digest);
   if (rule == QUINCE_SEND_HELD)
     {
-      day->harmless_held += !is_harmful (request);
+      simulation->harmless_held += !is_harmful (request);
       return TRUE;
     }
-  guint worker = (guint)g_rand_int_range (day->random, 0, WORKERS);
-  if (now < day->down_until_ms[worker] || day->slots_used[worker] >= SLOTS)
+  guint worker = (guint)g_rand_int_range (simulation->random, 0, WORKERS);
+  if (now_ms < simulation->down_until_ms[worker] || simulation->slots_used[worker] >= SLOTS_PER_WORKER)
     return FALSE;
   request->alone = rule == QUINCE_SEND_ALONE;
   if (rule != QUINCE_SEND_UNRESTRICTED
-      && !quince_permits_take (day->permits, now * 1000, &digest, "svc", request->alone, request,
-                               (now + 3000) * 1000))
+      && !quince_permits_take (simulation->permits, now_ms * 1000, &digest, "svc", request->alone, request,
+                               (now_ms + 3000) * 1000))
     return FALSE;
-  if (++request->tries > TRIES_MAX)
+  if (++request->attempts > ATTEMPTS_MAX)
     {
-      quince_permits_return (day->permits, &digest, request);
-      day->harmless_given_up += !is_harmful (request);
+      quince_permits_return (simulation->permits, &digest, request);
+      simulation->harmless_given_up += !is_harmful (request);
       return TRUE;
     }
   request->worker = (gint)worker;
-  request->ends_ms = now + RUN_MS;
-  day->slots_used[worker]++;
+  request->done_ms = now_ms + RUN_MS;
+  simulation->slots_used[worker]++;
   if (is_harmful (request))
-    day->sends[request->number]++;
+    simulation->harmful_sends[request->number]++;
   return FALSE;
 }
 
 /* Returns: whether it is over. */
 static gboolean
-run (Simulation *day, gint now, Request *request)
+step_request (Simulation *simulation, gint now_ms, Request *request)
 {
   if (request->worker < 0)
-    return send (day, now, request);
-  if (now < request->ends_ms)
+    return try_send (simulation, now_ms, request);
+  if (now_ms < request->done_ms)
     return FALSE;
   if (is_harmful (request))
     {
-      simulate_worker_end (day, now, (guint)request->worker);
+      simulate_worker_end (simulation, now_ms, (guint)request->worker);
       return FALSE;
     }
   QuinceRequestDigest digest = digest_of (request->number);
-  quince_quarantine_clear (day->quarantine, &digest);
-  stop_run (day, request);
+  quince_quarantine_clear (simulation->quarantine, &digest);
+  stop_run (simulation, request);
   return TRUE;
 }
 
 static void
-arrive (Simulation *day, gint now, guint number)
+add_request (Simulation *simulation, gint now_ms, guint number)
 {
   Request *request = g_new0 (Request, 1);
   request->number = number;
   request->worker = -1;
-  day->innocent += !is_harmful (request);
-  g_ptr_array_add (day->requests, request);
+  simulation->harmless += !is_harmful (request);
+  g_ptr_array_add (simulation->requests, request);
 }
 
 static void
-play (Simulation *day, guint kill_every_ms)
+simulate (Simulation *simulation, guint kill_interval_ms)
 {
-  for (gint now = 0; now < SIMULATION_MS; now++)
+  for (gint now_ms = 0; now_ms < SIMULATION_MS; now_ms++)
     {
-      if (now % 10 == 0)
-        arrive (day, now, GUILTY + (guint)now);
-      if (now % 997 == 0)
-        arrive (day, now, (guint)(now / 997) % GUILTY);
-      if (kill_every_ms > 0 && g_rand_int_range (day->random, 0, (gint)kill_every_ms) == 0)
-        simulate_worker_end (day, now, (guint)g_rand_int_range (day->random, 0, WORKERS));
-      for (guint i = day->requests->len; i > 0; i--)
-        if (run (day, now, day->requests->pdata[i - 1]))
-          g_ptr_array_remove_index_fast (day->requests, i - 1);
+      if (now_ms % 10 == 0)
+        add_request (simulation, now_ms, HARMFUL_REQUESTS + (guint)now_ms);
+      if (now_ms % 997 == 0)
+        add_request (simulation, now_ms, (guint)(now_ms / 997) % HARMFUL_REQUESTS);
+      if (kill_interval_ms > 0 && g_rand_int_range (simulation->random, 0, (gint)kill_interval_ms) == 0)
+        simulate_worker_end (simulation, now_ms, (guint)g_rand_int_range (simulation->random, 0, WORKERS));
+      for (guint i = simulation->requests->len; i > 0; i--)
+        if (step_request (simulation, now_ms, simulation->requests->pdata[i - 1]))
+          g_ptr_array_remove_index_fast (simulation->requests, i - 1);
     }
 }
 
@@ -510,29 +512,30 @@
 static void
 test_false_and_missed_holds (void **state)
 {
-  static const guint kills[] = { 0, 1000, 300 };
-  for (guint i = 0; i < G_N_ELEMENTS (kills); i++)
+  static const guint kill_intervals_ms[] = { 0, 1000, 300 };
+  for (guint i = 0; i < G_N_ELEMENTS (kill_intervals_ms); i++)
     {
-      Simulation day = { 0 };
-      day.quarantine = quince_quarantine_new (&limits);
-      day.permits = quince_permits_new ();
-      day.random = g_rand_new_with_seed (7 + i);
-      day.requests = g_ptr_array_new_with_free_func (g_free);
-      play (&day, kills[i]);
-      guint most = 0;
-      for (guint j = 0; j < GUILTY; j++)
-        most = MAX (most, day.sends[j]);
+      Simulation simulation = { 0 };
+      simulation.quarantine = quince_quarantine_new (&limits);
+      simulation.permits = quince_permits_new ();
+      simulation.random = g_rand_new_with_seed (7 + i);
+      simulation.requests = g_ptr_array_new_with_free_func (g_free);
+      simulate (&simulation, kill_intervals_ms[i]);
+      guint sends_max = 0;
+      for (guint j = 0; j < HARMFUL_REQUESTS; j++)
+        sends_max = MAX (sends_max, simulation.harmful_sends[j]);
       print_message (
           "a worker dies each %u ms: of %u innocent requests %u met three ends, %u were held, %u given up; "
           "most sends of one guilty request %u\n",
-          kills[i], day.innocent, day.harmless_three_ends, day.harmless_held, day.harmless_given_up, most);
-      assert_int_equal (day.harmless_held, 0);
-      assert_int_equal (day.harmless_given_up, 0);
-      assert_in_range (most, 1, 6);
-      g_ptr_array_unref (day.requests);
-      g_rand_free (day.random);
-      quince_permits_free (day.permits);
-      quince_quarantine_free (day.quarantine);
+          kill_intervals_ms[i], simulation.harmless, simulation.harmless_three_ends, simulation.harmless_held,
+          simulation.harmless_given_up, sends_max);
+      assert_int_equal (simulation.harmless_held, 0);
+      assert_int_equal (simulation.harmless_given_up, 0);
+      assert_in_range (sends_max, 1, 6);
+      g_ptr_array_unref (simulation.requests);
+      g_rand_free (simulation.random);
+      quince_permits_free (simulation.permits);
+      quince_quarantine_free (simulation.quarantine);
     }
 }
 
@@ -550,7 +553,7 @@
     cmocka_unit_test (test_expiry),
     cmocka_unit_test (test_permits),
     cmocka_unit_test (test_false_and_missed_holds),
-    cmocka_unit_test (test_prompt),
+    cmocka_unit_test (test_prompt_held_by_ends_of_different_requests),
     cmocka_unit_test (test_prompt_cleared),
     cmocka_unit_test (test_prompt_merged),
     cmocka_unit_test (test_recent_permits),
--- a/tests/unit/test-service-capacity.c
+++ b/tests/unit/test-service-capacity.c
@@ -13,10 +13,10 @@
 #define SECOND G_TIME_SPAN_SECOND
 
 static gboolean
-bears (guint ready, guint most, guint at_risk)
+survives_end (guint ready, guint listed_max, guint at_risk)
 {
   const QuinceServiceCapacity capacity
-      = { .ready = ready, .most = most, .at_risk = at_risk, .since_end_us = SECOND };
+      = { .ready = ready, .listed_max = listed_max, .at_risk = at_risk, .since_end_us = SECOND };
   return quince_service_capacity_survives_end (&capacity);
 }
 
@@ -24,46 +24,47 @@
 static void
 test_half_of_workers_remains (void **state)
 {
-  for (guint most = 2; most <= 60; most++)
-    for (guint ready = 0; ready <= most; ready++)
-      for (guint at_risk = 0; at_risk <= most; at_risk++)
+  for (guint listed_max = 2; listed_max <= 60; listed_max++)
+    for (guint ready = 0; ready <= listed_max; ready++)
+      for (guint at_risk = 0; at_risk <= listed_max; at_risk++)
         {
-          gint left = (gint)ready - (gint)at_risk - 1;
-          assert_int_equal (bears (ready, most, at_risk), left >= 1 && left * 2 >= (gint)most);
+          gint remaining = (gint)ready - (gint)at_risk - 1;
+          assert_int_equal (survives_end (ready, listed_max, at_risk),
+                            remaining >= 1 && remaining * 2 >= (gint)listed_max);
         }
 }
 
 /* One of two may end; of one none, but after a long pause. */
 static void
-test_few (void **state)
+test_few_workers (void **state)
 {
-  assert_true (bears (2, 2, 0));
-  assert_false (bears (1, 2, 0));
-  assert_false (bears (1, 1, 0));
-  QuinceServiceCapacity single = { .ready = 1, .most = 1, .since_end_us = 10 * SECOND };
+  assert_true (survives_end (2, 2, 0));
+  assert_false (survives_end (1, 2, 0));
+  assert_false (survives_end (1, 1, 0));
+  QuinceServiceCapacity single = { .ready = 1, .listed_max = 1, .since_end_us = 10 * SECOND };
   assert_true (quince_service_capacity_survives_end (&single));
   single.since_end_us--;
   assert_false (quince_service_capacity_survives_end (&single));
-  single = (QuinceServiceCapacity){ .ready = 0, .most = 1, .since_end_us = 10 * SECOND };
+  single = (QuinceServiceCapacity){ .ready = 0, .listed_max = 1, .since_end_us = 10 * SECOND };
   assert_false (quince_service_capacity_survives_end (&single));
 }
 
 /* Without an end of late any; else only where both may end. */
 static void
-test_hedge (void **state)
+test_allows_hedge (void **state)
 {
-  QuinceServiceCapacity three = { .ready = 3, .most = 3, .since_end_us = 61 * SECOND };
+  QuinceServiceCapacity three = { .ready = 3, .listed_max = 3, .since_end_us = 61 * SECOND };
   assert_true (quince_service_capacity_allows_hedge (&three));
   three.since_end_us = SECOND;
   assert_false (quince_service_capacity_allows_hedge (&three));
-  QuinceServiceCapacity four = { .ready = 4, .most = 4, .since_end_us = SECOND };
+  QuinceServiceCapacity four = { .ready = 4, .listed_max = 4, .since_end_us = SECOND };
   assert_true (quince_service_capacity_allows_hedge (&four));
   four.ready = 3;
   assert_false (quince_service_capacity_allows_hedge (&four));
 }
 
 static QuinceServiceCapacity
-get (const QuinceServiceCapacities *capacities, gint64 now_us)
+get_capacity (const QuinceServiceCapacities *capacities, gint64 now_us)
 {
   QuinceServiceCapacity capacity;
   quince_service_capacities_get (capacities, now_us, "svc", &capacity);
@@ -72,23 +73,23 @@
 
 /* Entries that lapse do not make the service smaller at once; workers that stay away do. */
 static void
-test_most (void **state)
+test_listed_max (void **state)
 {
   g_autoptr (QuinceServiceCapacities) capacities = quince_service_capacities_new ();
   quince_service_capacities_update (capacities, 0, "svc", 3, 3);
   quince_service_capacities_update (capacities, SECOND, "svc", 3, 2);
   quince_service_capacities_update (capacities, 5 * SECOND, "svc", 2, 2);
-  assert_int_equal (get (capacities, 5 * SECOND).most, 3);
-  assert_int_equal (get (capacities, 5 * SECOND).ready, 2);
+  assert_int_equal (get_capacity (capacities, 5 * SECOND).listed_max, 3);
+  assert_int_equal (get_capacity (capacities, 5 * SECOND).ready, 2);
   quince_service_capacities_update (capacities, 40 * SECOND, "svc", 2, 2);
-  assert_int_equal (get (capacities, 40 * SECOND).most, 2);
+  assert_int_equal (get_capacity (capacities, 40 * SECOND).listed_max, 2);
   quince_service_capacities_update (capacities, 41 * SECOND, "svc", 4, 4);
-  assert_int_equal (get (capacities, 41 * SECOND).most, 4);
+  assert_int_equal (get_capacity (capacities, 41 * SECOND).listed_max, 4);
 }
 
 /* The next wait is as long as the last recovery took, less what has passed. */
 static void
-test_wait (void **state)
+test_recovery_wait (void **state)
 {
   g_autoptr (QuinceServiceCapacities) capacities = quince_service_capacities_new ();
   quince_service_capacities_update (capacities, 0, "svc", 3, 3);
@@ -107,10 +108,10 @@
 {
   const struct CMUnitTest tests[] = {
     cmocka_unit_test (test_half_of_workers_remains),
-    cmocka_unit_test (test_few),
-    cmocka_unit_test (test_hedge),
-    cmocka_unit_test (test_most),
-    cmocka_unit_test (test_wait),
+    cmocka_unit_test (test_few_workers),
+    cmocka_unit_test (test_allows_hedge),
+    cmocka_unit_test (test_listed_max),
+    cmocka_unit_test (test_recovery_wait),
   };
   return cmocka_run_group_tests_name ("service-strength", tests, NULL, NULL);
 }
