--- a/lib/core/request/expected-ends.c
+++ b/lib/core/request/expected-ends.c
@@ -1,12 +1,11 @@
 /*
- * expected-ends.c: sends of another process that may end their workers.
+ * expected-ends.c: the leader's in-flight sends under a permit, as recorded by its likely successor.
  */
 #include "core/request/expected-ends.h"
 
-/* Longest send under a permit, us: a permit ends after it; see quarantine-coordinator.c. */
+/* Longest send under a permit, us: the lifetime of a permit, see quarantine-coordinator.c. */
 #define SEND_MAX_US (3 * G_USEC_PER_SEC)
-/* Sends that are remembered.  Not measured: one send of a digest at a time is permitted, and few requests are
- * suspected. */
+/* Bounds memory use.  A digest has at most one permit at a time, and few requests are suspects. */
 #define ENTRIES_MAX 256
 
 typedef struct
@@ -17,7 +16,7 @@
 
 struct _QuinceExpectedEnds
 {
-  GHashTable *entries; /* Entry by its suspect's digest, owned */
+  GHashTable *entries; /* digest of the entry's suspect to Entry, owned */
 };
 
 static void
@@ -81,7 +80,7 @@
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
       Entry *entry = value;
-      /* The key is a part of the suspect, which goes to the caller. */
+      /* The key is part of the suspect, whose ownership passes to the caller. */
       g_hash_table_iter_steal (&iter);
       g_ptr_array_add (taken, g_steal_pointer (&entry->suspect));
       entry_free (entry);
--- a/lib/core/request/expected-ends.h
+++ b/lib/core/request/expected-ends.h
@@ -1,11 +1,11 @@
 /*
- * expected-ends.h: the leader's sends under a permit, as its likely successor keeps them.
+ * expected-ends.h: the leader's in-flight sends under a permit, as recorded by its likely successor.
  *
- * A leader that dies during such a send cannot report whether the worker ended.  Its successor finds that out
- * when it takes the lead; while the leader lives the send counts for nothing.
+ * A leader that fails during such a send cannot report whether the worker ended.  The successor checks the
+ * workers of these sends when it becomes leader.  Until then the sends do not count as ends.
  *
- * For: the replica that follows the leader.  Owns: the sends.  Relies on: nothing; pure: time is an argument,
- * in microseconds of one clock that counts suspensions too.
+ * The functions do no I/O and read no clock.  Times are in microseconds of a monotonic clock that includes
+ * system suspend.
  */
 #pragma once
 
@@ -17,13 +17,14 @@
 
 QuinceExpectedEnds *quince_expected_ends_new (void);
 void quince_expected_ends_free (QuinceExpectedEnds *ends);
-/* @expected: what will be known if the worker ends; copied. */
+/* Records a send that the leader reported.  @expected is the suspect's state if the worker ends, see
+ * quince_quarantine_expect_end(); it is copied.  Replaces a recorded send of the same digest.  Drops the
+ * send if too many sends are recorded. */
 void quince_expected_ends_add (QuinceExpectedEnds *ends, gint64 now_us, const QuinceSuspect *expected);
-/* A worker answered it, or its end was reported. */
+/* Removes a send whose outcome is known: a worker answered it, or the end of its worker was reported. */
 void quince_expected_ends_remove (QuinceExpectedEnds *ends, const QuinceRequestDigest *digest);
-/* (transfer full) (element-type QuinceSuspect): the sends that may still be under way; all are forgotten
- * here.
- */
+/* Returns (transfer full) (element-type QuinceSuspect): the sends that were added less than 3 s ago, and
+ * removes all sends. */
 GPtrArray *quince_expected_ends_take (QuinceExpectedEnds *ends, gint64 now_us);
 
 G_END_DECLS
--- a/lib/core/request/permits.c
+++ b/lib/core/request/permits.c
@@ -1,17 +1,17 @@
 /*
- * permits.c: who may send a suspected request.
+ * permits.c: permits to send suspect requests.
  */
 #include "core/request/quarantine.h"
 
-/* Longest time for which a run keeps other suspects from its service, us.  A lookup takes 25 to 80 ms at the
- * users' workers.  A sample takes a second or more, and ten suspect ones would wait for each other for ten
- * seconds. */
+/* Time after its grant for which a permit counts as recent, us.  A recent permit to run alone blocks other
+ * such permits at its service.  Longer than a lookup (25 to 80 ms), and shorter than a sample (a second or
+ * more), so that suspect samples do not wait for each other's whole run. */
 #define RECENT_PERMIT_US (300 * 1000)
 
 typedef struct
 {
   QuinceRequestDigest digest;
-  char *service; /* where it runs */
+  char *service; /* service that the request is sent to */
   gboolean alone;
   gint64 granted_us;
   gconstpointer holder;
@@ -20,7 +20,7 @@
 
 struct _QuincePermits
 {
-  GHashTable *by_digest; /* Permit by its own digest, owned */
+  GHashTable *by_digest; /* the permit's digest to Permit, owned */
 };
 
 static void
@@ -52,7 +52,7 @@
 typedef struct
 {
   gint64 now_us;
-  gconstpointer holder; /* NULL: none */
+  gconstpointer holder; /* NULL: match expired permits instead */
 } PermitFilter;
 
 static gboolean
@@ -63,7 +63,6 @@
   return filter->holder != NULL ? permit->holder == filter->holder : filter->now_us >= permit->expiry_us;
 }
 
-/* It was given a moment ago, for @service. */
 static gboolean
 is_recent_at (const Permit *permit, gint64 now_us, const char *service)
 {
--- a/lib/core/request/quarantine.c
+++ b/lib/core/request/quarantine.c
@@ -1,5 +1,5 @@
 /*
- * quarantine.c: requests under which workers ended.
+ * quarantine.c: requests that were running on a worker when it ended.
  */
 #include "core/request/quarantine.h"
 
@@ -7,25 +7,25 @@
 
 #include <xxhash.h>
 
-/* Time for which an answer clears its prompt, us.  Not measured: longer than the deadlines of the users'
- * batches (12 s), in which the group of a prompt is made, and short against a change of what workers run. */
+/* Time after an answer for which ends of its prompt are ignored, unless the request was sent alone, us.
+ * Longer than the deadlines of batches (12 s), which contain all requests of a prompt, and shorter than the
+ * interval of software updates. */
 #define CLEARED_PROMPT_TTL_US (60 * G_USEC_PER_SEC)
-/* Time for which the ids of workers that ended are kept, us: such a worker is listed for some seconds more
- * (three heartbeats of 1.2 s); the next incarnation has another id.  Not measured. */
+/* Time for which ended workers are recorded, us.  A worker that ended stays listed until its entry expires
+ * (three heartbeats of 1.2 s).  A restarted worker has a new id. */
 #define ENDED_WORKER_TTL_US (60 * G_USEC_PER_SEC)
-/* Time for which a request gives way to others of its prompt, us: the leader checks waiting samples several
- * times a second.  Not measured. */
+/* Time for which a request yields to others of its prompt, us.  The leader checks waiting samples several
+ * times per second. */
 #define YIELD_US (1 * G_USEC_PER_SEC)
 
 struct _QuinceQuarantine
 {
   QuinceQuarantineLimits limits;
-  GHashTable *suspects; /* QuinceSuspect by its own digest, owned */
+  GHashTable *suspects; /* the suspect's digest to QuinceSuspect, owned */
   gsize bytes;
-  GHashTable
-      *cleared_prompts; /* QuinceRequestDigest, owned, to gint64, owned: prompts, when they were answered */
-  gint64 yield_restart_us;   /* nothing was sent for a while before it */
-  GHashTable *ended_workers; /* guint64, owned, to gint64, owned: hashes of workers, when they ended */
+  GHashTable *cleared_prompts; /* QuinceRequestDigest to gint64, time of the clear, us; both owned */
+  gint64 yield_restart_us;     /* last call of quince_quarantine_restart_yield_time() */
+  GHashTable *ended_workers; /* guint64, hash of the worker id, to gint64, time of its end, us; both owned */
 };
 
 const char *
@@ -104,7 +104,7 @@
   return MAX (hash, 1);
 }
 
-/* ---- Bounds ------------------------------------------------------------ */
+/* ---- Limits and expiry ------------------------------------------------- */
 
 static void
 remove_suspect (QuinceQuarantine *quarantine, const QuinceSuspect *suspect)
@@ -113,8 +113,8 @@
   g_hash_table_remove (quarantine->suspects, &suspect->digest);
 }
 
-/* Which of two is forgotten first: what is not held, then what met fewer ends, then the older one.  So a
- * flood of requests that each met one end forgets none that is held, and none that met more. */
+/* Evicts suspects that are not held first, then those with fewer ends, then older ones.  A flood of suspects
+ * with one end each therefore does not evict held suspects or suspects with more ends. */
 static gboolean
 is_evicted_before (const QuinceSuspect *first, const QuinceSuspect *second)
 {
@@ -138,7 +138,7 @@
   return candidate;
 }
 
-/* @retained stays: it was learned just now. */
+/* Never evicts @retained, which was just added or updated. */
 static void
 enforce_limits (QuinceQuarantine *quarantine, const QuinceSuspect *retained)
 {
@@ -181,7 +181,8 @@
 
 /* ---- Ends -------------------------------------------------------------- */
 
-/* A flood of ends must not take memory without bound: what is lost is only how strong a service is. */
+/* Clears the table when it is full, to bound memory.  Ended workers that are still listed then count as ready
+ * in the service capacity. */
 static void
 record_ended_worker (QuinceQuarantine *quarantine, gint64 ended_us, guint64 worker)
 {
@@ -204,7 +205,8 @@
   return cleared_us != NULL && now_us - *cleared_us < CLEARED_PROMPT_TTL_US;
 }
 
-/* An answer cleared it after all that is reported, or the report is of a later end that was not met alone. */
+/* Returns whether @reported is to be ignored because its prompt was cleared within the last minute.  A report
+ * of an end after the clear counts if the suspect was sent alone or is held. */
 static gboolean
 is_superseded_by_clear (const QuinceQuarantine *quarantine, gint64 now_us, const QuinceSuspect *reported)
 {
@@ -214,7 +216,7 @@
   return is_recently_cleared (quarantine, now_us, &reported->digest) && !newer_end_alone;
 }
 
-/* Two ends that the same request met alone say no more of its prompt than one. */
+/* Successive ends of the same request count once against its prompt. */
 static void
 count_alone_end (QuinceSuspect *suspect, const QuinceSuspect *observed)
 {
@@ -237,7 +239,8 @@
   return suspect;
 }
 
-/* Where all places are taken the worker that was learned first is forgotten: one more end still counts. */
+/* Drops the worker that was added first if all places are taken, so that a further end still counts.  Returns
+ * FALSE if @worker is already recorded. */
 static gboolean
 add_worker (QuinceSuspect *suspect, guint64 worker)
 {
@@ -314,7 +317,7 @@
     count_alone_end (expected, observed);
 }
 
-/* A report of a newer release replaces what is known of older ones. */
+/* Resets the evidence against @suspect if @reported has a newer release.  Returns whether it has. */
 static gboolean
 adopt_newer_release (QuinceSuspect *suspect, const QuinceSuspect *reported)
 {
@@ -393,13 +396,13 @@
     return FALSE;
   suspect->held = FALSE;
   suspect->release++;
-  suspect->ended_us = now_us; /* it is watched for as long as after an end */
+  suspect->ended_us = now_us; /* restarts suspect_ttl_us */
   suspect->alone = QUINCE_QUARANTINE_HOLD_ALONE_ENDS_MIN - 1;
   suspect->member = 0;
   return TRUE;
 }
 
-/* ---- Looking ----------------------------------------------------------- */
+/* ---- Queries ----------------------------------------------------------- */
 
 const QuinceSuspect *
 quince_quarantine_find (const QuinceQuarantine *quarantine, const QuinceRequestDigest *digest)
--- a/lib/core/request/quarantine.h
+++ b/lib/core/request/quarantine.h
@@ -1,20 +1,21 @@
 /*
- * quarantine.h: requests under which workers ended, and the rule by which each may be sent again.
+ * quarantine.h: requests that were running on a worker when it ended, and when each may be sent again.
  *
- * A request that ends every worker that runs it must be told apart from one that was only running when
- * workers ended: beside it in the slots of a worker, or at workers that died for other reasons.  So one end
- * alone holds nothing.  A request under which workers ended is a suspect and is sent by permit, once at a
- * time; from the second end on no other suspect runs at its service meanwhile.  An answer proves it innocent
- * and clears it.  Ends that it met alone count against it, and hold it at last.
+ * A worker has ended when its process is gone.  Any request that ran on it becomes a suspect.  A suspect
+ * may be harmless: it shared the worker with a request that crashes workers, or the worker failed for another
+ * reason.  Therefore a suspect is sent under a permit, and only one send of it is in flight.  From its second
+ * end it is sent alone: its permit excludes such permits of other suspects at the service for a short time.
+ * If a worker answers, the suspect is cleared.  A suspect is held, that is, not sent any more, after four
+ * ends if it was sent alone at two of them.
  *
- * A shared prompt is a suspect of its own, beside the requests that share it: their ends add up, so that a
- * prompt which ends workers is held after as many ends as a single request.  The answer of any of them clears
- * it, and for a minute only ends that are met alone count against it.  One request alone never holds its
- * prompt.
+ * A prompt that several requests share is a suspect of its own.  The ends of its requests add up, so that a
+ * prompt that crashes workers is held after as many ends as a single request.  An answer to any of its
+ * requests clears the prompt.  For one minute after that, its ends are ignored until one of its requests that
+ * was sent alone meets an end.  Ends of a single request never hold its prompt.
  *
- * For: the send guard of each process, and the leader, which gives permits.  Owns: what is known of each
- * suspect, in memory, within limits.  Relies on: nothing; pure: time is an argument, in microseconds of one
- * clock that counts suspensions too.
+ * Each process keeps a quarantine in memory, within limits.  The leader also grants the permits.  The
+ * functions do no I/O and read no clock.  Times are in microseconds of a monotonic clock that includes system
+ * suspend.
  */
 #pragma once
 
@@ -22,31 +23,30 @@
 
 G_BEGIN_DECLS
 
-/* Ends of workers from which on a request is sent only alone.  Not measured: one end may be chance. */
+/* Ends from which on a suspect is sent alone.  A single end is often coincidence. */
 #define QUINCE_QUARANTINE_ALONE_ENDS_MIN 2
-/* Ends of workers after which a request is held, if it met some of them alone: three may be chance. */
+/* Ends needed to hold a suspect.  Three may be coincidence. */
 #define QUINCE_QUARANTINE_HOLD_ENDS_MIN 4
-/* How many of these it must have met alone: the last two are, by the rule above. */
+/* Ends needed to hold a suspect at which it was sent alone. */
 #define QUINCE_QUARANTINE_HOLD_ALONE_ENDS_MIN 2
-/* Workers remembered of one request, the last ones: twice the ends after which it is held. */
+/* Workers recorded for each suspect, the most recent ones: twice the ends needed to hold it. */
 #define QUINCE_QUARANTINE_WORKERS_MAX 8
 
-/* What is suspected. */
 typedef enum
 {
-  QUINCE_SUSPECT_REQUEST, /* one request                             */
-  QUINCE_SUSPECT_PROMPT,  /* what several requests share             */
+  QUINCE_SUSPECT_REQUEST, /* one request                          */
+  QUINCE_SUSPECT_PROMPT,  /* a prompt that several requests share */
 } QuinceSuspectScope;
 
-/* As logs and the metadata store write it. */
+/* Returns the name of @scope in logs and in the metadata store. */
 const char *quince_suspect_scope_name (QuinceSuspectScope scope);
 
 /**
  * QuinceQuarantineLimits:
- * @suspects_max: requests that are remembered
- * @suspect_bytes_max: what they may take, in bytes
- * @suspect_ttl_us: time after its last end at which a request that is not held is forgotten, us
- * @held_ttl_us: a held one
+ * @suspects_max: number of suspects; also limits the number of recorded prompt clears and of ended workers
+ * @suspect_bytes_max: memory of all suspects, in bytes
+ * @suspect_ttl_us: time after its last end at which a suspect that is not held expires, us
+ * @held_ttl_us: the same for a held suspect
  */
 typedef struct
 {
@@ -58,14 +58,16 @@
 
 /**
  * QuinceSuspect:
- * @release: how often it was released before; reports of an older release are out of date
- * @workers: hashes of the ids of workers that ended under it, @n_workers of them
- * @alone: of these, ended while it ran alone; of a prompt, counted once for each request in a row
- * @member: of a prompt: hash of the request that last met an end alone; 0: none
- * @ended_us: when the last one ended
- * @service: (nullable): of the last one
- * @software: (nullable): version of its software
- * @reported_by: (nullable): process that reported the last one; %NULL: seen here
+ * @release: number of times an operator released it; reports with a lower number are outdated
+ * @workers: hashes of the ids of the last @n_workers workers that ended while running it
+ * @alone: number of ends at which it was sent alone; for a prompt, successive ends of the same request count
+ * once
+ * @member: for a prompt, the hash of the last request whose end was counted in @alone; 0: none
+ * @held: it is not sent any more
+ * @ended_us: time of the last end
+ * @service: (nullable): service of the worker that ended last
+ * @software: (nullable): software version of that worker
+ * @reported_by: (nullable): process that reported the last end; %NULL: this process
  */
 typedef struct
 {
@@ -83,18 +85,18 @@
   char *reported_by;
 } QuinceSuspect;
 
-/* (transfer full): with texts of its own */
+/* Returns (transfer full): a deep copy */
 QuinceSuspect *quince_suspect_copy (const QuinceSuspect *suspect);
-/* Of one that quince_suspect_copy() made. */
+/* Frees a copy made by quince_suspect_copy(). */
 void quince_suspect_free (QuinceSuspect *suspect);
 
-/* What a request needs before it is sent. */
+/* What must be satisfied before a request is sent. */
 typedef enum
 {
-  QUINCE_SEND_UNRESTRICTED, /* nothing                                          */
-  QUINCE_SEND_BY_PERMIT,    /* a permit where one can be had                    */
-  QUINCE_SEND_ALONE,        /* a permit for a run beside no other suspect       */
-  QUINCE_SEND_HELD,         /* it is not sent                                   */
+  QUINCE_SEND_UNRESTRICTED, /* nothing: it is not a suspect                     */
+  QUINCE_SEND_BY_PERMIT,    /* a permit, if there is a leader to grant one      */
+  QUINCE_SEND_ALONE,        /* a permit to run alone, see quince_permits_take() */
+  QUINCE_SEND_HELD,         /* it must not be sent                              */
 } QuinceSendRule;
 
 typedef struct _QuinceQuarantine QuinceQuarantine;
@@ -105,61 +107,69 @@
 
 /**
  * quince_quarantine_record_end:
- * @observed: the digest, one worker, its service and software, and @alone 0 or 1
+ * @observed: digest, scope, one worker with its service and software, @alone as 0 or 1, and @member for a
+ * prompt
  *
- * A worker ended while the request ran there.  Returns: (transfer none) (nullable): what is known now; %NULL:
- * a prompt that was answered a while ago, and was not alone
+ * Records that a worker ended while running the request.  An end of a prompt that was cleared within the last
+ * minute is ignored, unless the request was sent alone.
+ *
+ * Returns: (transfer none) (nullable): the suspect, valid until the next change; %NULL if the end was ignored
  */
 const QuinceSuspect *
 quince_quarantine_record_end (QuinceQuarantine *quarantine, gint64 now_us, const QuinceSuspect *observed);
-/* What would be known after the end @observed, of which nothing is noted.  @expected: texts are those of what
- * is known
- */
+/* Sets @expected to the state that the suspect would have after the end @observed, without recording the end.
+ * Does not update @expected->held.  The strings of @expected are borrowed from the recorded suspect. */
 void quince_quarantine_expect_end (const QuinceQuarantine *quarantine,
                                    gint64 now_us,
                                    const QuinceSuspect *observed,
                                    QuinceSuspect *expected);
-/* Takes in what another process knows.  Returns: whether more is known now */
+/* Merges a suspect that another process reported.  Ignores it if it has expired, is of an earlier release, or
+ * is outdated by a clear of the prompt.  Returns whether the merge changed the quarantine. */
 gboolean quince_quarantine_merge (QuinceQuarantine *quarantine, gint64 now_us, const QuinceSuspect *reported);
-/* A worker answered the request.  Returns: whether it was suspected */
+/* Removes the suspect, since a worker answered the request.  Returns whether there was one. */
 gboolean quince_quarantine_clear (QuinceQuarantine *quarantine, const QuinceRequestDigest *digest);
-/* The same of a prompt: one of its requests was answered. */
+/* Removes the suspected prompt, since a worker answered one of its requests.  For a minute, ends of the
+ * prompt are ignored unless the request was sent alone.  Returns whether there was a suspect. */
 gboolean quince_quarantine_clear_prompt (QuinceQuarantine *quarantine,
                                          gint64 now_us,
                                          const QuinceRequestDigest *digest);
-/* Whether a worker is known to have ended under a request, of late; @worker: see
- * quince_quarantine_hash_worker() */
+/* Returns whether the worker with the id hash @worker is recorded as ended.  The record expires after a
+ * minute, see quince_quarantine_expire(). */
 gboolean quince_quarantine_has_worker_ended (const QuinceQuarantine *quarantine, guint64 worker);
-/* It is sent once more, alone; a further end holds it again.  Returns: whether it was held */
+/* Releases a held suspect by order of an operator: it is sent alone, and one more end at which it was sent
+ * alone holds it again.  Returns whether it was held. */
 gboolean
 quince_quarantine_release (QuinceQuarantine *quarantine, gint64 now_us, const QuinceRequestDigest *digest);
-/* Forgets what is older than it is kept. */
+/* Removes all expired suspects, prompt clears and ended workers. */
 void quince_quarantine_expire (QuinceQuarantine *quarantine, gint64 now_us);
-/* (nullable): until the next change */
+/* Returns (transfer none) (nullable): the suspect, valid until the next change */
 const QuinceSuspect *quince_quarantine_find (const QuinceQuarantine *quarantine,
                                              const QuinceRequestDigest *digest);
 QuinceSendRule quince_quarantine_get_rule (const QuinceQuarantine *quarantine,
                                            const QuinceRequestDigest *digest);
 guint quince_quarantine_get_size (const QuinceQuarantine *quarantine);
 gsize quince_quarantine_get_bytes (const QuinceQuarantine *quarantine);
-/* (transfer container): QuinceSuspect, until the next change */
+/* Returns (transfer container) (element-type QuinceSuspect): all suspects, valid until the next change */
 GPtrArray *quince_quarantine_list (const QuinceQuarantine *quarantine);
 
-/* The hash of a worker in QuinceSuspect. */
+/* Returns the hash of a worker id for QuinceSuspect.workers. */
 guint64 quince_quarantine_hash_worker (const char *worker_id);
-/* The hash of a request in QuinceSuspect.member. */
+/* Returns the hash of a request for QuinceSuspect.member; never 0. */
 guint64 quince_quarantine_hash_request (const QuinceRequestDigest *request);
-/* Whether another request of the prompt had better be sent first: this one met the last end alone, and says
- * nothing more of what they share. */
+/* Returns whether other requests of the same suspected prompt are to be sent before this one.  That is the
+ * case for one second after the last end of the prompt, if this request is its QuinceSuspect.member: another
+ * end of the same request would not count against the prompt. */
 gboolean quince_quarantine_should_yield (const QuinceQuarantine *quarantine,
                                          gint64 now_us,
                                          const QuinceRequestIdentity *identity);
-/* No process sent anything until now: requests give way as if their ends were met now. */
+/* Restarts the one second of quince_quarantine_should_yield() for all prompts.  A new leader calls it, since
+ * no request was sent during the election. */
 void quince_quarantine_restart_yield_time (QuinceQuarantine *quarantine, gint64 now_us);
 
 /* ---- Permits ----------------------------------------------------------- */
 
-/* Who may send a suspected request: one at a time of each digest, and one alone at each service. */
+/* Permits to send suspects: one at a time for each digest, and one to run alone at a time for each service.
+ */
 typedef struct _QuincePermits QuincePermits;
 
 QuincePermits *quince_permits_new (void);
@@ -167,10 +177,13 @@
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (QuincePermits, quince_permits_free)
 /**
  * quince_permits_take:
- * @holder: identifies the process that asks
- * @expiry_us: it ends by itself then
+ * @alone: the suspect must run alone; the permit is refused for 0.3 s after another permit with @alone was
+ * granted for @service, unless that one was returned.  Permits without @alone are neither blocked nor
+ * counted.
+ * @holder: identifies the process that requests the permit
+ * @expiry_us: time at which the permit expires if it is not returned
  *
- * Returns: whether it is given
+ * Returns: whether the permit is granted
  */
 gboolean quince_permits_take (QuincePermits *permits,
                               gint64 now_us,
@@ -179,14 +192,15 @@
                               gboolean alone,
                               gconstpointer holder,
                               gint64 expiry_us);
-/* Requests at @service, but for @excluded, that were permitted a moment ago, so that they may still end their
- * workers. */
+/* Returns the number of unreturned permits for @service that were granted within the last 0.3 s, except for
+ * the digest @excluded.  Their requests may still end their workers. */
 guint quince_permits_count_recent (const QuincePermits *permits,
                                    gint64 now_us,
                                    const char *service,
                                    const QuinceRequestDigest *excluded);
+/* Returns the permit for @digest, if @holder holds it. */
 void quince_permits_return (QuincePermits *permits, const QuinceRequestDigest *digest, gconstpointer holder);
-/* @holder is gone, and with it its permits. */
+/* Returns all permits of @holder, whose process is gone. */
 void quince_permits_return_all (QuincePermits *permits, gconstpointer holder);
 
 G_END_DECLS
--- a/lib/core/request/request-digest.c
+++ b/lib/core/request/request-digest.c
@@ -1,14 +1,15 @@
 /*
- * request-digest.c: identifies a request that is sent again under another id.
+ * request-digest.c: a digest that identifies a request when it is sent again under another request id.
  */
 #include "core/request/request-digest.h"
 
 #include <string.h>
 
-/* In place of a method, which has no space in it. */
+/* Takes the place of the method in the digest of a prompt.  A method contains no space, so the digest of a
+ * prompt never equals that of a request. */
 #define PROMPT_DOMAIN_TAG "shared prompt"
 
-/* The zero at the end divides it from what follows. */
+/* The terminating zero byte is hashed too, as a separator between fields. */
 static void
 add_text (GChecksum *checksum, const char *text)
 {
--- a/lib/core/request/request-digest.h
+++ b/lib/core/request/request-digest.h
@@ -1,9 +1,8 @@
 /*
- * request-digest.h: identifies a request that is sent again under another id.
+ * request-digest.h: a digest that identifies a request when it is sent again under another request id.
  *
- * Equal for equal callers, hosts, methods, targets and bodies; nothing of them can be read from it.
- *
- * For: the quarantine and its messages.  Owns nothing; pure.
+ * Requests with equal callers, hosts, methods, targets and bodies have equal digests.  The digest is one-way:
+ * it reveals none of these values.
  */
 #pragma once
 
@@ -11,7 +10,7 @@
 
 G_BEGIN_DECLS
 
-/* Length of a digest, bytes: 128 bits, so that no two requests share one by chance. */
+/* 128 bits make accidental collisions negligible. */
 #define QUINCE_REQUEST_DIGEST_BYTES 16
 
 typedef struct
@@ -21,12 +20,13 @@
 
 /**
  * quince_request_digest_make:
- * @caller: (nullable): tenant that asks; %NULL as "": nobody in particular
- * @host: (nullable): %NULL as ""
+ * @caller: (nullable): tenant that sends the request; %NULL equals "", an unidentified caller
+ * @host: (nullable): %NULL equals ""
  * @target: path and query
- * @body: (nullable): of @length bytes
+ * @body: (nullable): @length bytes; may be %NULL only if @length is 0
  *
- * The first half of SHA-256: a caller cannot make a request that is held for another one.
+ * Sets @digest to the first 16 bytes of a SHA-256.  A cryptographic hash prevents a caller from constructing
+ * a request that has the digest of another request and gets it held.
  */
 void quince_request_digest_make (QuinceRequestDigest *digest,
                                  const char *caller,
@@ -37,10 +37,13 @@
                                  gsize length);
 /**
  * quince_request_digest_make_prompt:
- * @parts: of a prompt, %NULL-terminated; the last one is the request's own
+ * @parts: (nullable): the parts of the prompt, %NULL-terminated; the last one belongs to this request alone
+ *
+ * Sets @digest to the digest of the part of a prompt that requests share: all of @parts except the last.  It
+ * is equal for equal callers, hosts and shared parts, and differs from every digest of
+ * quince_request_digest_make().
  *
- * Identifies what a request shares with others of its prompt: equal for equal callers, hosts and shared
- * parts. Never equal to a digest of the call above.  Returns: %FALSE where nothing is shared
+ * Returns: %FALSE if @parts has fewer than two elements; @digest is not set then
  */
 gboolean quince_request_digest_make_prompt (QuinceRequestDigest *digest,
                                             const char *caller,
@@ -48,15 +51,15 @@
                                             const char *const *parts);
 guint quince_request_digest_hash (gconstpointer digest);
 gboolean quince_request_digest_equal (gconstpointer a, gconstpointer b);
-/* (transfer full): as hexadecimal digits, for logs and keys */
+/* Returns (transfer full): the digest as 32 lower-case hexadecimal digits, for logs and keys */
 char *quince_request_digest_format (const QuinceRequestDigest *digest);
-/* Returns: %FALSE when @text is none */
+/* Returns %FALSE if @text is not 32 hexadecimal digits of either case.  @digest may be partly set then. */
 gboolean quince_request_digest_parse (const char *text, QuinceRequestDigest *digest);
 
 /**
  * QuinceRequestIdentity:
- * @request: identifies this request alone
- * @prompt: for all requests that share its prompt, where @has_prompt
+ * @request: digest of the request
+ * @prompt: digest that all requests of the prompt share; valid if @has_prompt
  */
 typedef struct
 {
--- a/lib/core/request/service-capacity.c
+++ b/lib/core/request/service-capacity.c
@@ -1,42 +1,39 @@
 /*
- * service-capacity.c: how many workers of a service are ready, of how many.
+ * service-capacity.c: the ready workers of each service, and whether a service can lose one more.
  */
 #include "core/request/service-capacity.h"
 
-/* Time after which a service that has fewer workers counts as smaller, us.  Not measured: far above the time
- * in which a worker that ended comes back (some seconds). */
+/* Time below listed_max after which a service counts as scaled down, us.  Far longer than the restart of a
+ * worker (some seconds). */
 #define LISTED_MAX_TTL_US (30 * G_USEC_PER_SEC)
-/* Time between two sends of suspects to a service with a single worker, us: each end leaves it with none. Not
- * measured: its callers are served for the greater part of the time, and the suspect is held after a few
- * ends. */
+/* Time after an end in which a service with a single worker gets no suspect, us.  Each end leaves the service
+ * without a worker; the pause keeps it available most of the time until the suspect is held. */
 #define SINGLE_WORKER_PAUSE_US (10 * G_USEC_PER_SEC)
-/* Time after an end in which a service of a few workers gets no hedges, us: requests that end workers come in
- * series, and a hedge before the first worker is known to have ended would leave one of three.  Measured:
- * without hedges at all in such services 6 and 19 of some 710 lookups were late, with this rule 2 and 8 (two
- * days with trouble, one run each).  The minute itself is not measured. */
+/* Time after an end in which a service with few workers gets no hedges, us.  Requests that crash workers come
+ * in series, and a hedge that starts before the first end is detected costs a second worker. */
 #define HEDGE_PAUSE_US (60 * G_USEC_PER_SEC)
-/* Time in which a service is whole again, us, where that was never seen: the entry of a worker that ended
- * lapses after three heartbeats, 3.6 s, before another one takes its place. */
+/* Duration of a recovery if none was observed yet, us.  The entry of a worker that ended expires after three
+ * heartbeats (3.6 s) before another worker takes its place. */
 #define RECOVERY_DEFAULT_US (4 * G_USEC_PER_SEC)
-/* Longest recovery that counts, us: services are checked only while something is suspected, so that a
- * recovery may be noticed minutes after it.  Not measured: above the time of a worker's start. */
+/* Upper limit on the duration of a recovery, us.  Services are checked only while there are suspects, so a
+ * recovery may be detected minutes late.  Longer than the start of a worker. */
 #define RECOVERY_MAX_US (10 * G_USEC_PER_SEC)
-/* Shortest Retry-After of a protected service, us.  Not measured. */
+/* Shortest Retry-After of a service that cannot lose one more worker, us. */
 #define RETRY_AFTER_MIN_US (500 * 1000)
 
 typedef struct
 {
   guint ready;
   guint listed_max;
-  gint64 listed_max_seen_us; /* when so many were seen last */
-  gint64 degraded_since_us;  /* since when fewer are ready; 0: all are */
-  gint64 last_recovery_us;   /* how long it took the last time; 0: never seen */
-  gint64 last_end_us;        /* the last end; G_MININT64: none */
+  gint64 listed_max_seen_us; /* last time that listed_max workers were listed */
+  gint64 degraded_since_us;  /* since when fewer than listed_max are ready; 0: all are */
+  gint64 last_recovery_us;   /* duration of the last recovery; 0: none observed */
+  gint64 last_end_us;        /* time of the last end of a worker; G_MININT64: none */
 } ServiceState;
 
 struct _QuinceServiceCapacities
 {
-  GHashTable *by_service; /* Seen by name, owned */
+  GHashTable *by_service; /* service name to ServiceState, owned */
 };
 
 gboolean
@@ -85,7 +82,7 @@
   return state;
 }
 
-/* Keeps how long the service was weak. */
+/* Measures how long the service had fewer than listed_max ready workers. */
 static void
 update_recovery (ServiceState *state, gint64 now_us)
 {
@@ -109,7 +106,7 @@
   if (listed < state->listed_max && now_us - state->listed_max_seen_us >= LISTED_MAX_TTL_US)
     {
       state->listed_max = listed;
-      state->degraded_since_us = 0; /* it has not recovered: it has become smaller */
+      state->degraded_since_us = 0; /* scaled down, not recovered */
     }
   if (listed >= state->listed_max)
     {
--- a/tests/unit/test-expected-ends.c
+++ b/tests/unit/test-expected-ends.c
@@ -1,5 +1,5 @@
 /*
- * test-expected-ends.c: sends of a leader that its successor counts as ends.
+ * test-expected-ends.c: in-flight sends of a leader, as recorded by its successor.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -17,7 +17,7 @@
                                                .suspect_ttl_us = 600 * SECOND,
                                                .held_ttl_us = G_GINT64_CONSTANT (86400) * SECOND };
 
-/* As a leader tells of a send whose worker would be the @ends-th to end under it. */
+/* Returns the state that a leader reports for a send.  The worker of the send counts as one of @ends. */
 static QuinceSuspect
 make_suspect (guint8 digest, guint ends, gint64 now_us)
 {
@@ -30,7 +30,7 @@
   return expected;
 }
 
-/* All sends that are under way turn out to have ended their workers. */
+/* Counts an end for each in-flight send. */
 static void
 merge_taken (QuinceExpectedEnds *ends, gint64 now_us, QuinceQuarantine *quarantine)
 {
@@ -52,8 +52,7 @@
   quince_expected_ends_free (ends);
 }
 
-/* Failed first (told as an end at once): an answered request, and one that was refused, were suspected at the
- * successor. */
+/* Guards against suspecting a request at the successor although its send has finished. */
 static void
 test_finished_and_expired_sends_are_not_taken (void **state)
 {
--- a/tests/unit/test-quarantine-core.c
+++ b/tests/unit/test-quarantine-core.c
@@ -1,6 +1,6 @@
 /*
- * test-quarantine-core.c: which requests are held, what is remembered of them, and both errors on a day of
- * many ends.
+ * test-quarantine-core.c: when suspects are held and cleared, the limits of the quarantine, permits, and a
+ * simulation of harmful and harmless requests.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -54,17 +54,17 @@
   assert_int_equal (get_rule (quarantine, 1), QUINCE_SEND_UNRESTRICTED);
   record_end (quarantine, 1, 1, 101, FALSE);
   assert_int_equal (get_rule (quarantine, 1), QUINCE_SEND_BY_PERMIT);
-  record_end (quarantine, 2, 1, 101, FALSE); /* seen by another connection */
+  record_end (quarantine, 2, 1, 101, FALSE); /* reported for another connection */
   assert_int_equal (get_rule (quarantine, 1), QUINCE_SEND_BY_PERMIT);
   record_end (quarantine, 3, 1, 102, FALSE);
   assert_int_equal (get_rule (quarantine, 1), QUINCE_SEND_ALONE);
   record_end (quarantine, 4, 1, 103, TRUE);
-  assert_int_equal (get_rule (quarantine, 1), QUINCE_SEND_ALONE); /* three ends may be chance */
+  assert_int_equal (get_rule (quarantine, 1), QUINCE_SEND_ALONE); /* three ends may be coincidence */
   record_end (quarantine, 5, 1, 104, TRUE);
   assert_int_equal (get_rule (quarantine, 1), QUINCE_SEND_HELD);
 }
 
-/* However many ends a request met beside others, it is not held for them. */
+/* Ends of a request that was not sent alone never hold it. */
 static void
 test_ends_beside_others_do_not_hold (void **state)
 {
@@ -99,16 +99,16 @@
   assert_int_equal (get_rule (other, 1), QUINCE_SEND_HELD);
   assert_true (quince_quarantine_release (quarantine, 3, &digest));
   assert_int_equal (get_rule (quarantine, 1), QUINCE_SEND_ALONE);
-  /* Who has not heard of the release does not undo it, and takes it over. */
+  /* A report from before the release does not undo it; a report of the release is adopted. */
   assert_false (quince_quarantine_merge (quarantine, 4, quince_quarantine_find (other, &digest)));
   assert_true (quince_quarantine_merge (other, 4, quince_quarantine_find (quarantine, &digest)));
   assert_int_equal (get_rule (other, 1), QUINCE_SEND_ALONE);
-  /* One more end holds it again. */
+  /* One more end holds it again, since it was sent alone. */
   record_end (quarantine, 5, 1, 200, TRUE);
   assert_int_equal (get_rule (quarantine, 1), QUINCE_SEND_HELD);
 }
 
-/* Each of sixty fronts saw one end: together they know them all, in whatever order they are told. */
+/* Reports of sixty fronts, with one end each, add up at the leader.  A repeated report changes nothing. */
 static void
 test_merge_of_many_fronts (void **state)
 {
@@ -125,7 +125,7 @@
   assert_int_equal (quince_quarantine_find (leader, &digest)->n_workers, QUINCE_QUARANTINE_WORKERS_MAX);
 }
 
-/* A request that many had sent before anything was known of it is held by the ends that it met alone. */
+/* Two ends at which a request was sent alone hold it, also if many other ends came before. */
 static void
 test_held_after_two_ends_alone (void **state)
 {
@@ -164,7 +164,8 @@
   return quince_quarantine_should_yield (quarantine, now_us, &identity);
 }
 
-/* Ends of different requests add up; those that one of them met alone count once, and it gives way. */
+/* Ends of different requests of a prompt add up.  Successive ends of the same request count once if it
+ * was sent alone, and it yields to the others. */
 static void
 test_prompt_held_by_ends_of_different_requests (void **state)
 {
@@ -177,7 +178,7 @@
   record_prompt_end (quarantine, 3, 3, 103, TRUE);
   assert_true (should_yield (quarantine, 3, 3));
   assert_false (should_yield (quarantine, 3, 4));
-  assert_false (should_yield (quarantine, 3 + 10 * SECOND, 3)); /* no other one came */
+  assert_false (should_yield (quarantine, 3 + 10 * SECOND, 3)); /* yield time is over */
   for (guint i = 0; i < 10; i++)
     record_prompt_end (quarantine, 4 + i, 3, 200 + i, TRUE);
   assert_int_equal (get_rule (quarantine, PROMPT), QUINCE_SEND_ALONE);
@@ -185,8 +186,7 @@
   assert_int_equal (get_rule (quarantine, PROMPT), QUINCE_SEND_HELD);
 }
 
-/* An answer clears the prompt, and ends that its items meet beside others count no more; those met alone do.
- */
+/* An answer clears the prompt.  For a minute, only ends of requests that were sent alone count. */
 static void
 test_prompt_cleared (void **state)
 {
@@ -200,16 +200,16 @@
   assert_null (record_prompt_end (quarantine, 3, 2, 102, FALSE));
   assert_int_equal (get_rule (quarantine, PROMPT), QUINCE_SEND_UNRESTRICTED);
   assert_true (quince_quarantine_has_worker_ended (quarantine, 102));
-  /* Whoever has not heard of it does not bring it back. */
+  /* A report from before the clear does not restore the suspect. */
   assert_false (quince_quarantine_merge (quarantine, 4, quince_quarantine_find (other, &prompt)));
   record_prompt_end (quarantine, 5, 3, 103, TRUE);
   assert_int_equal (get_rule (quarantine, PROMPT), QUINCE_SEND_BY_PERMIT);
-  /* It speaks for its prompt for a while only. */
+  /* The effect of a clear ends after a minute. */
   quince_quarantine_clear_prompt (quarantine, 6, &prompt);
   assert_non_null (record_prompt_end (quarantine, 6 + 120 * SECOND, 2, 104, FALSE));
 }
 
-/* Told to another process, a prompt is held there by the next end of another item. */
+/* A process that merged a report of a suspected prompt holds it after an end of another request. */
 static void
 test_prompt_merged (void **state)
 {
@@ -228,8 +228,8 @@
   assert_int_equal (get_rule (successor, PROMPT), QUINCE_SEND_HELD);
 }
 
-/* Nothing is sent while nobody leads: the next leader sends another request of the prompt first, however long
- * its election took. */
+/* A new leader first sends another request of the prompt, also if its election took longer than the yield
+ * time. */
 static void
 test_yield_restarts_after_election (void **state)
 {
@@ -242,10 +242,11 @@
   quince_quarantine_restart_yield_time (successor, elected_us);
   assert_true (should_yield (successor, elected_us, 3));
   assert_false (should_yield (successor, elected_us, 4));
-  assert_false (should_yield (successor, elected_us + 10 * SECOND, 3)); /* no other one came */
+  assert_false (should_yield (successor, elected_us + 10 * SECOND, 3)); /* yield time is over */
 }
 
-/* What a next leader is told of a send: it holds after the end that nobody saw, and nothing is noted here. */
+/* The expected state of a send makes a successor hold the request.  Computing it does not change the
+ * quarantine. */
 static void
 test_expected_end (void **state)
 {
@@ -264,7 +265,7 @@
   assert_int_equal (get_rule (successor, 1), QUINCE_SEND_HELD);
 }
 
-/* ---- Bounds ----------------------------------------------------------------- */
+/* ---- Limits ----------------------------------------------------------------- */
 
 static void
 test_suspect_limit (void **state)
@@ -326,20 +327,19 @@
   g_autoptr (QuincePermits) permits = quince_permits_new ();
   QuinceRequestDigest digest = digest_of (1);
   assert_true (take_permit (permits, 0, 1, TRUE, "a"));
-  assert_false (take_permit (permits, 1, 1, TRUE, "b")); /* one run of a request at a time */
-  assert_false (take_permit (permits, 1, 2, TRUE, "b")); /* one alone at a service */
-  assert_true (take_permit (permits, 1, 3, FALSE, "b")); /* not alone: it met one end */
-  quince_permits_return (permits, &digest, "b");         /* not its own */
+  assert_false (take_permit (permits, 1, 1, TRUE, "b")); /* one permit for a request at a time */
+  assert_false (take_permit (permits, 1, 2, TRUE, "b")); /* one permit to run alone for a service */
+  assert_true (take_permit (permits, 1, 3, FALSE, "b")); /* does not run alone: not blocked */
+  quince_permits_return (permits, &digest, "b");         /* ignored: held by "a" */
   assert_false (take_permit (permits, 2, 1, TRUE, "b"));
   quince_permits_return (permits, &digest, "a");
   assert_true (take_permit (permits, 2, 1, TRUE, "b"));
   quince_permits_return_all (permits, "b");
   assert_true (take_permit (permits, 3, 2, TRUE, "c"));
   assert_false (take_permit (permits, 4, 1, TRUE, "a"));
-  assert_true (
-      take_permit (permits, 3 + SECOND / 2, 1, TRUE, "a")); /* a long run does not hold up the others */
+  assert_true (take_permit (permits, 3 + SECOND / 2, 1, TRUE, "a")); /* blocks others for 0.3 s only */
   assert_false (take_permit (permits, 3 + SECOND / 2, 2, TRUE, "d"));
-  assert_true (take_permit (permits, 3 + SECOND * 2, 2, TRUE, "d")); /* the permit is over by itself */
+  assert_true (take_permit (permits, 3 + SECOND * 2, 2, TRUE, "d")); /* the earlier permit expired */
 }
 
 static guint
@@ -349,7 +349,7 @@
   return quince_permits_count_recent (permits, now_us, service, &digest);
 }
 
-/* What was permitted a moment ago may still end its worker; what has run for long has not. */
+/* Only permits of the last 0.3 s count, except for the excluded request. */
 static void
 test_recent_permits (void **state)
 {
@@ -362,7 +362,7 @@
   assert_int_equal (count_recent_permits (permits, SECOND / 2, "svc", 3), 0);
 }
 
-/* ---- Both errors --------------------------------------------------------------- */
+/* ---- Simulation --------------------------------------------------------------- */
 
 #define SIMULATION_MS 120000
 #define WORKERS 8
@@ -409,7 +409,7 @@
   request->worker = -1;
 }
 
-/* All that runs there meets the end. */
+/* Records an end for each request that runs on the worker. */
 static void
 simulate_worker_end (Simulation *simulation, gint now_ms, guint worker)
 {
@@ -428,7 +428,7 @@
   simulation->incarnation[worker]++;
 }
 
-/* Returns: whether it is over. */
+/* Sends the request to a random worker, if possible.  Returns whether it is held or given up. */
 static gboolean
 try_send (Simulation *simulation, gint now_ms, Request *request)
 {
@@ -461,7 +461,7 @@
   return FALSE;
 }
 
-/* Returns: whether it is over. */
+/* Advances the request by one millisecond.  Returns whether it is answered, held or given up. */
 static gboolean
 step_request (Simulation *simulation, gint now_ms, Request *request)
 {
@@ -507,8 +507,9 @@
     }
 }
 
-/* Ten requests that end their workers come every ten seconds, beside a hundred others a second; workers die
- * by themselves besides. */
+/* Ten harmful requests are repeated every ten seconds, among a hundred harmless requests per second.  Workers
+ * also end for other reasons.  No harmless request may be held or given up, and each harmful one is sent six
+ * times at most. */
 static void
 test_false_and_missed_holds (void **state)
 {
@@ -524,11 +525,11 @@
       guint sends_max = 0;
       for (guint j = 0; j < HARMFUL_REQUESTS; j++)
         sends_max = MAX (sends_max, simulation.harmful_sends[j]);
-      print_message (
-          "a worker dies each %u ms: of %u innocent requests %u met three ends, %u were held, %u given up; "
-          "most sends of one guilty request %u\n",
-          kill_intervals_ms[i], simulation.harmless, simulation.harmless_three_ends, simulation.harmless_held,
-          simulation.harmless_given_up, sends_max);
+      print_message ("mean time between worker failures %u ms: of %u harmless requests %u met three ends, %u "
+                     "were held, %u given "
+                     "up; at most %u sends of one harmful request\n",
+                     kill_intervals_ms[i], simulation.harmless, simulation.harmless_three_ends,
+                     simulation.harmless_held, simulation.harmless_given_up, sends_max);
       assert_int_equal (simulation.harmless_held, 0);
       assert_int_equal (simulation.harmless_given_up, 0);
       assert_in_range (sends_max, 1, 6);
--- a/tests/unit/test-request-digest.c
+++ b/tests/unit/test-request-digest.c
@@ -1,5 +1,5 @@
 /*
- * test-request-digest.c: equal for the same request, different for any part of it.
+ * test-request-digest.c: equal requests have equal digests, and a change of any part changes the digest.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -46,7 +46,7 @@
       }
 }
 
-/* What differs is the last part alone, and a digest of a prompt is never one of a request. */
+/* The last part does not affect the digest of a prompt, which differs from the digest of any request. */
 static void
 test_prompt_digest (void **state)
 {
--- a/tests/unit/test-service-capacity.c
+++ b/tests/unit/test-service-capacity.c
@@ -1,5 +1,5 @@
 /*
- * test-service-capacity.c: which services bear the end of one more worker, and when one is whole again.
+ * test-service-capacity.c: which services can lose one more worker, and the estimated time of recovery.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -20,7 +20,7 @@
   return quince_service_capacity_survives_end (&capacity);
 }
 
-/* Half of the workers stay, and one at least, if all that may end does. */
+/* Half of the workers, and at least one, remain even if all workers at risk end. */
 static void
 test_half_of_workers_remains (void **state)
 {
@@ -34,7 +34,7 @@
         }
 }
 
-/* One of two may end; of one none, but after a long pause. */
+/* A service of two workers can lose one.  A single worker can be lost only 10 s after the last end. */
 static void
 test_few_workers (void **state)
 {
@@ -49,7 +49,7 @@
   assert_false (quince_service_capacity_survives_end (&single));
 }
 
-/* Without an end of late any; else only where both may end. */
+/* Within a minute after an end, a hedge needs a service that can lose two workers. */
 static void
 test_allows_hedge (void **state)
 {
@@ -71,7 +71,7 @@
   return capacity;
 }
 
-/* Entries that lapse do not make the service smaller at once; workers that stay away do. */
+/* A lower number of listed workers takes effect after 30 s, a higher one immediately. */
 static void
 test_listed_max (void **state)
 {
@@ -87,7 +87,7 @@
   assert_int_equal (get_capacity (capacities, 41 * SECOND).listed_max, 4);
 }
 
-/* The next wait is as long as the last recovery took, less what has passed. */
+/* The wait is the duration of the last recovery less the time since the end. */
 static void
 test_recovery_wait (void **state)
 {
@@ -113,5 +113,5 @@
     cmocka_unit_test (test_listed_max),
     cmocka_unit_test (test_recovery_wait),
   };
-  return cmocka_run_group_tests_name ("service-strength", tests, NULL, NULL);
+  return cmocka_run_group_tests_name ("service-capacity", tests, NULL, NULL);
 }
