--- a/tests/unit/test-quarantine-core.c
+++ b/tests/unit/test-quarantine-core.c
@@ -19,7 +19,7 @@
                                                .held_ttl_us = 86400 * SECOND };
 
 static QuinceRequestDigest
-digest_of (guint number)
+make_digest (guint number)
 {
   QuinceRequestDigest digest;
   quince_request_digest_make (&digest, NULL, "h", "POST", "/x", &number, sizeof number);
@@ -29,7 +29,7 @@
 static const QuinceSuspect *
 record_end (QuinceQuarantine *quarantine, gint64 now_us, guint number, guint worker, gboolean alone)
 {
-  const QuinceSuspect observed = { .digest = digest_of (number),
+  const QuinceSuspect observed = { .digest = make_digest (number),
                                    .workers = { worker },
                                    .n_workers = 1,
                                    .alone = alone,
@@ -41,7 +41,7 @@
 static QuinceSendRule
 get_rule (QuinceQuarantine *quarantine, guint number)
 {
-  QuinceRequestDigest digest = digest_of (number);
+  QuinceRequestDigest digest = make_digest (number);
   return quince_quarantine_get_rule (quarantine, &digest);
 }
 
@@ -74,7 +74,7 @@
   assert_int_equal (get_rule (quarantine, 1), QUINCE_SEND_ALONE);
   record_end (quarantine, 20, 1, 200, TRUE);
   assert_int_equal (get_rule (quarantine, 1), QUINCE_SEND_ALONE);
-  QuinceRequestDigest digest = digest_of (1);
+  QuinceRequestDigest digest = make_digest (1);
   assert_true (quince_quarantine_clear (quarantine, &digest));
   assert_false (quince_quarantine_clear (quarantine, &digest));
   assert_int_equal (get_rule (quarantine, 1), QUINCE_SEND_UNRESTRICTED);
@@ -93,7 +93,7 @@
 {
   g_autoptr (QuinceQuarantine) quarantine = quince_quarantine_new (&limits);
   g_autoptr (QuinceQuarantine) other = quince_quarantine_new (&limits);
-  QuinceRequestDigest digest = digest_of (1);
+  QuinceRequestDigest digest = make_digest (1);
   hold_request (quarantine, 1, 1);
   assert_true (quince_quarantine_merge (other, 2, quince_quarantine_find (quarantine, &digest)));
   assert_int_equal (get_rule (other, 1), QUINCE_SEND_HELD);
@@ -113,7 +113,7 @@
 test_merge_of_many_fronts (void **state)
 {
   g_autoptr (QuinceQuarantine) leader = quince_quarantine_new (&limits);
-  QuinceRequestDigest digest = digest_of (1);
+  QuinceRequestDigest digest = make_digest (1);
   for (guint i = 0; i < 60; i++)
     {
       g_autoptr (QuinceQuarantine) front = quince_quarantine_new (&limits);
@@ -127,7 +127,7 @@
 
 /* Two ends at which a request was sent alone hold it, also if many other ends came before. */
 static void
-test_held_after_two_ends_alone (void **state)
+test_held_after_two_ends_when_sent_alone (void **state)
 {
   g_autoptr (QuinceQuarantine) quarantine = quince_quarantine_new (&limits);
   for (guint i = 0; i < 20; i++)
@@ -144,8 +144,8 @@
 static const QuinceSuspect *
 record_prompt_end (QuinceQuarantine *quarantine, gint64 now_us, guint member, guint worker, gboolean alone)
 {
-  QuinceRequestDigest request = digest_of (member);
-  const QuinceSuspect observed = { .digest = digest_of (PROMPT),
+  QuinceRequestDigest request = make_digest (member);
+  const QuinceSuspect observed = { .digest = make_digest (PROMPT),
                                    .scope = QUINCE_SUSPECT_PROMPT,
                                    .workers = { worker },
                                    .n_workers = 1,
@@ -160,7 +160,7 @@
 should_yield (QuinceQuarantine *quarantine, gint64 now_us, guint member)
 {
   const QuinceRequestIdentity identity
-      = { .request = digest_of (member), .prompt = digest_of (PROMPT), .has_prompt = TRUE };
+      = { .request = make_digest (member), .prompt = make_digest (PROMPT), .has_prompt = TRUE };
   return quince_quarantine_should_yield (quarantine, now_us, &identity);
 }
 
@@ -192,7 +192,7 @@
 {
   g_autoptr (QuinceQuarantine) quarantine = quince_quarantine_new (&limits);
   g_autoptr (QuinceQuarantine) other = quince_quarantine_new (&limits);
-  QuinceRequestDigest prompt = digest_of (PROMPT);
+  QuinceRequestDigest prompt = make_digest (PROMPT);
   record_prompt_end (quarantine, 1, 1, 101, FALSE);
   record_prompt_end (other, 1, 1, 101, FALSE);
   assert_true (quince_quarantine_clear_prompt (quarantine, 2, &prompt));
@@ -215,7 +215,7 @@
 {
   g_autoptr (QuinceQuarantine) quarantine = quince_quarantine_new (&limits);
   g_autoptr (QuinceQuarantine) successor = quince_quarantine_new (&limits);
-  QuinceRequestDigest prompt = digest_of (PROMPT);
+  QuinceRequestDigest prompt = make_digest (PROMPT);
   for (guint i = 0; i < 3; i++)
     record_prompt_end (quarantine, 1, i, 101 + i, FALSE);
   record_prompt_end (quarantine, 2, 3, 104, TRUE);
@@ -255,7 +255,7 @@
   for (guint i = 0; i < 3; i++)
     record_end (quarantine, 1 + i, 1, 101 + i, i == 2);
   const QuinceSuspect observed
-      = { .digest = digest_of (1), .workers = { 104 }, .n_workers = 1, .alone = 1, .service = "svc" };
+      = { .digest = make_digest (1), .workers = { 104 }, .n_workers = 1, .alone = 1, .service = "svc" };
   QuinceSuspect expected;
   quince_quarantine_expect_end (quarantine, 5, &observed, &expected);
   assert_int_equal (expected.n_workers, 4);
@@ -317,7 +317,7 @@
 static gboolean
 take_permit (QuincePermits *permits, gint64 now_us, guint number, gboolean alone, const char *holder)
 {
-  QuinceRequestDigest digest = digest_of (number);
+  QuinceRequestDigest digest = make_digest (number);
   return quince_permits_take (permits, now_us, &digest, "svc", alone, holder, now_us + SECOND);
 }
 
@@ -325,7 +325,7 @@
 test_permits (void **state)
 {
   g_autoptr (QuincePermits) permits = quince_permits_new ();
-  QuinceRequestDigest digest = digest_of (1);
+  QuinceRequestDigest digest = make_digest (1);
   assert_true (take_permit (permits, 0, 1, TRUE, "a"));
   assert_false (take_permit (permits, 1, 1, TRUE, "b")); /* one permit for a request at a time */
   assert_false (take_permit (permits, 1, 2, TRUE, "b")); /* one permit to run alone for a service */
@@ -345,7 +345,7 @@
 static guint
 count_recent_permits (QuincePermits *permits, gint64 now_us, const char *service, guint excluded)
 {
-  QuinceRequestDigest digest = digest_of (excluded);
+  QuinceRequestDigest digest = make_digest (excluded);
   return quince_permits_count_recent (permits, now_us, service, &digest);
 }
 
@@ -403,7 +403,7 @@
 static void
 stop_run (Simulation *simulation, Request *request)
 {
-  QuinceRequestDigest digest = digest_of (request->number);
+  QuinceRequestDigest digest = make_digest (request->number);
   quince_permits_return (simulation->permits, &digest, request);
   simulation->slots_used[request->worker]--;
   request->worker = -1;
@@ -432,7 +432,7 @@
 static gboolean
 try_send (Simulation *simulation, gint now_ms, Request *request)
 {
-  QuinceRequestDigest digest = digest_of (request->number);
+  QuinceRequestDigest digest = make_digest (request->number);
   QuinceSendRule rule = quince_quarantine_get_rule (simulation->quarantine, &digest);
   if (rule == QUINCE_SEND_HELD)
     {
@@ -474,7 +474,7 @@
       simulate_worker_end (simulation, now_ms, (guint)request->worker);
       return FALSE;
     }
-  QuinceRequestDigest digest = digest_of (request->number);
+  QuinceRequestDigest digest = make_digest (request->number);
   quince_quarantine_clear (simulation->quarantine, &digest);
   stop_run (simulation, request);
   return TRUE;
@@ -550,7 +550,7 @@
     cmocka_unit_test (test_suspect_limit),
     cmocka_unit_test (test_merge_of_many_fronts),
     cmocka_unit_test (test_byte_limit),
-    cmocka_unit_test (test_held_after_two_ends_alone),
+    cmocka_unit_test (test_held_after_two_ends_when_sent_alone),
     cmocka_unit_test (test_expiry),
     cmocka_unit_test (test_permits),
     cmocka_unit_test (test_false_and_missed_holds),
