--- a/lib/core/request/quarantine.h
+++ b/lib/core/request/quarantine.h
@@ -1,17 +1,17 @@
 /*
  * quarantine.h: requests that were running on a worker when it ended, and when each may be sent again.
  *
- * A worker has ended when its process is gone.  Any request that ran on it becomes a suspect.  A suspect
- * may be harmless: it shared the worker with a request that crashes workers, or the worker failed for another
- * reason.  Therefore a suspect is sent under a permit, and only one send of it is in flight.  From its second
- * end it is sent alone: its permit excludes such permits of other suspects at the service for a short time.
- * If a worker answers, the suspect is cleared.  A suspect is held, that is, not sent any more, after four
- * ends if it was sent alone at two of them.
+ * A worker has ended when its process is gone.  This counts as one end for each request that ran on it, and
+ * makes the request a suspect.  A suspect may be harmless: it shared the worker with a request that crashes
+ * workers, or the worker failed for another reason.  Therefore a suspect is sent under a permit, and only one
+ * send of it is in flight.  From its second end it is sent alone: its permit excludes such permits of other
+ * suspects at the service for a short time.  If a worker answers, the suspect is cleared.  A suspect is held,
+ * that is, not sent any more, after four ends if it was sent alone at two of them.
  *
  * A prompt that several requests share is a suspect of its own.  The ends of its requests add up, so that a
  * prompt that crashes workers is held after as many ends as a single request.  An answer to any of its
- * requests clears the prompt.  For one minute after that, its ends are ignored until one of its requests that
- * was sent alone meets an end.  Ends of a single request never hold its prompt.
+ * requests clears the prompt.  For one minute after that, its ends are ignored until a worker ends that ran
+ * one of its requests alone.  Ends of a single request never hold its prompt.
  *
  * Each process keeps a quarantine in memory, within limits.  The leader also grants the permits.  The
  * functions do no I/O and read no clock.  Times are in microseconds of a monotonic clock that includes system
@@ -59,7 +59,8 @@
 /**
  * QuinceSuspect:
  * @release: number of times an operator released it; reports with a lower number are outdated
- * @workers: hashes of the ids of the last @n_workers workers that ended while running it
+ * @workers: hashes of the ids of the last @n_workers workers that ended while running it, see
+ * quince_quarantine_hash_worker()
  * @alone: number of ends at which it was sent alone; for a prompt, successive ends of the same request count
  * once
  * @member: for a prompt, the hash of the last request whose end was counted in @alone; 0: none
@@ -118,7 +119,8 @@
 const QuinceSuspect *
 quince_quarantine_record_end (QuinceQuarantine *quarantine, gint64 now_us, const QuinceSuspect *observed);
 /* Sets @expected to the state that the suspect would have after the end @observed, without recording the end.
- * Does not update @expected->held.  The strings of @expected are borrowed from the recorded suspect. */
+ * Does not update @expected->held.  The strings of @expected are borrowed from the recorded suspect, or
+ * %NULL if there is none. */
 void quince_quarantine_expect_end (const QuinceQuarantine *quarantine,
                                    gint64 now_us,
                                    const QuinceSuspect *observed,
--- a/tests/unit/test-quarantine-core.c
+++ b/tests/unit/test-quarantine-core.c
@@ -507,9 +507,9 @@
     }
 }
 
-/* Ten harmful requests are repeated every ten seconds, among a hundred harmless requests per second.  Workers
- * also end for other reasons.  No harmless request may be held or given up, and each harmful one is sent six
- * times at most. */
+/* Ten harmful requests are repeated every ten seconds, besides a hundred harmless requests per second.
+ * Workers also end for other reasons.  No harmless request may be held or given up, and each harmful one is
+ * sent six times at most. */
 static void
 test_false_and_missed_holds (void **state)
 {
@@ -525,7 +525,7 @@
       guint sends_max = 0;
       for (guint j = 0; j < HARMFUL_REQUESTS; j++)
         sends_max = MAX (sends_max, simulation.harmful_sends[j]);
-      print_message ("mean time between worker failures %u ms: of %u harmless requests %u met three ends, %u "
+      print_message ("mean time between worker failures %u ms: of %u harmless requests %u had three ends, %u "
                      "were held, %u given "
                      "up; at most %u sends of one harmful request\n",
                      kill_intervals_ms[i], simulation.harmless, simulation.harmless_three_ends,
