--- a/tests/unit/test-service-capacity.c
+++ b/tests/unit/test-service-capacity.c
@@ -36,7 +36,7 @@
 
 /* A service of two workers can lose one.  A single worker can be lost only 10 s after the last end. */
 static void
-test_few_workers (void **state)
+test_one_and_two_workers (void **state)
 {
   assert_true (survives_end (2, 2, 0));
   assert_false (survives_end (1, 2, 0));
@@ -108,7 +108,7 @@
 {
   const struct CMUnitTest tests[] = {
     cmocka_unit_test (test_half_of_workers_remains),
-    cmocka_unit_test (test_few_workers),
+    cmocka_unit_test (test_one_and_two_workers),
     cmocka_unit_test (test_allows_hedge),
     cmocka_unit_test (test_listed_max),
     cmocka_unit_test (test_recovery_wait),
