--- a/daemons/front/residency-check.c
+++ b/daemons/front/residency-check.c
@@ -26,7 +26,7 @@
 {
   QuinceResidency residency;
   get_residency (context, route, tenant, &residency);
-  return quince_residency_is_free (&residency)
+  return quince_residency_is_unrestricted (&residency)
          || quince_backends_has_allowed_worker (context->backends, service, &residency);
 }
 
@@ -37,11 +37,12 @@
 {
   QuinceResidency residency;
   get_residency (context, route, tenant, &residency);
-  if (quince_residency_is_free (&residency))
+  if (quince_residency_is_unrestricted (&residency))
     return TRUE;
   const QuinceLedgerView *view = quince_ledger_caller_get_view (context->ledger);
   for (guint i = 0; view != NULL && i < view->members.members_len; i++)
-    if (!quince_machine_zones_allow (context->replica_zones, &residency, view->members.members_val[i].node))
+    if (!quince_machine_zones_is_allowed (context->replica_zones, &residency,
+                                          view->members.members_val[i].node))
       return FALSE;
   return view != NULL;
 }
--- a/daemons/replica/heartbeats.c
+++ b/daemons/replica/heartbeats.c
@@ -65,7 +65,7 @@
   QuinceHeartbeats *heartbeats = data;
   g_autoptr (GPtrArray) silent = g_ptr_array_new ();
   gint64 now = quince_now_us ();
-  quince_failure_detector_forget (heartbeats->fronts, now);
+  quince_failure_detector_remove_stale (heartbeats->fronts, now);
   gboolean certain = quince_failure_detector_get_silent (heartbeats->fronts, now, silent);
   if (certain)
     log_changes (heartbeats, now, silent);
@@ -118,5 +118,5 @@
 void
 quince_heartbeats_take_ack (QuinceHeartbeats *heartbeats, const QuinceHeartbeatAck *ack)
 {
-  quince_failure_detector_heartbeat (heartbeats->fronts, quince_now_us (), ack->node);
+  quince_failure_detector_record_heartbeat (heartbeats->fronts, quince_now_us (), ack->node);
 }
--- a/daemons/replica/residency-coordinator.c
+++ b/daemons/replica/residency-coordinator.c
@@ -163,7 +163,7 @@
 static void
 add_bound (GArray *bounds, const QuinceResidency *residency)
 {
-  if (!quince_residency_is_free (residency))
+  if (!quince_residency_is_unrestricted (residency))
     g_array_append_val (bounds, *residency);
 }
 
@@ -222,7 +222,8 @@
 static GPtrArray *
 choose_machines (QuinceResidencyCoordinator *coordinator, const GArray *bounds)
 {
-  return quince_machine_zones_choose (coordinator->zones, (const QuinceResidency *)bounds->data, bounds->len);
+  return quince_machine_zones_list_allowed (coordinator->zones, (const QuinceResidency *)bounds->data,
+                                            bounds->len);
 }
 
 static void
@@ -315,11 +316,11 @@
     return FALSE; /* the regions are not known yet */
   QuinceResidency residency;
   get_residency (coordinator, host, path, tenant, &residency);
-  if (quince_residency_is_free (&residency))
+  if (quince_residency_is_unrestricted (&residency))
     return TRUE;
   const QuinceLedgerView *view = quince_ledger_node_get_view (coordinator->ledger);
   for (guint i = 0; i < view->members.members_len; i++)
-    if (!quince_machine_zones_allow (coordinator->zones, &residency, view->members.members_val[i].node))
+    if (!quince_machine_zones_is_allowed (coordinator->zones, &residency, view->members.members_val[i].node))
       return FALSE;
   if (!coordinator->several_regions)
     return TRUE;
@@ -350,7 +351,7 @@
 {
   QuinceResidency residency;
   get_residency (coordinator, host, path, tenant, &residency);
-  return quince_machine_zones_allow (coordinator->zones, &residency, node);
+  return quince_machine_zones_is_allowed (coordinator->zones, &residency, node);
 }
 
 /* ---- Public --------------------------------------------------------------- */
--- a/daemons/replica/sample-outcome.c
+++ b/daemons/replica/sample-outcome.c
@@ -60,7 +60,7 @@
   QuinceWorker *worker
       = quince_worker_table_find (quince_backends_get_workers (set->backends), sample->worker_id);
   if (worker != NULL)
-    quince_worker_note_failure (worker, quince_now_us ());
+    quince_worker_record_failure (worker, quince_now_us ());
 }
 
 /* What the end of a run says of its sample: see send-guard.h. */
--- a/daemons/replica/sample-runner.c
+++ b/daemons/replica/sample-runner.c
@@ -52,7 +52,8 @@
 {
   QuinceResidency residency;
   quince_sample_set_get_residency (&runner->set, sample->entry, &residency);
-  return quince_residency_is_free (&residency) ? sample->entry->batch->model : sample->entry->batch->id;
+  return quince_residency_is_unrestricted (&residency) ? sample->entry->batch->model
+                                                       : sample->entry->batch->id;
 }
 
 static gboolean
--- a/daemons/replica/sample.c
+++ b/daemons/replica/sample.c
@@ -140,7 +140,7 @@
   QuinceWorker *worker = worker_of (sample);
   gint64 now = quince_now_us ();
   if (worker != NULL && !worker->loading && sample->event_us > 0)
-    quince_worker_note_event (worker, now, (now - sample->event_us) / (gint64)events);
+    quince_worker_record_event (worker, now, (now - sample->event_us) / (gint64)events);
   sample->event_us = worker != NULL && worker->loading ? 0 : now;
 }
 
--- a/daemons/replica/usage-collector.c
+++ b/daemons/replica/usage-collector.c
@@ -113,7 +113,7 @@
   if (!collector->leads)
     return;
   gint64 now_ms = quince_now_us () / 1000;
-  quince_agreed_clock_note (collector->clock, report->source, now_ms, (gint64)report->wall_ms);
+  quince_agreed_clock_add_report (collector->clock, report->source, now_ms, (gint64)report->wall_ms);
   gint64 wall_ms = quince_agreed_clock_get (collector->clock, now_ms, quince_wall_ms ());
   Source *source = find_source (collector, report->source);
   if (source->link != link)
@@ -199,7 +199,7 @@
 static void
 forget_records (QuinceUsageCollector *collector)
 {
-  g_autoptr (GArray) indexes = quince_usage_book_take_forgettable (collector->book);
+  g_autoptr (GArray) indexes = quince_usage_book_take_obsolete (collector->book);
   if (indexes->len == 0)
     return;
   QuinceBatchRecord record = { .kind = QUINCE_BATCH_RECORD_FORGET };
--- a/daemons/replica/worker-scaler.c
+++ b/daemons/replica/worker-scaler.c
@@ -113,7 +113,7 @@
       if (worker->draining || zone->evacuated)
         continue;
       zone->serving++;
-      zone->spot += worker->may_go;
+      zone->spot += worker->is_spot;
     }
   return zones;
 }
--- a/lib/core/decisions/hedge.c
+++ b/lib/core/decisions/hedge.c
@@ -24,11 +24,11 @@
 }
 
 gint64
-quince_hedge_delay_us (gint64 target_latency_us, gint64 service_us)
+quince_hedge_delay_us (gint64 target_latency_us, gint64 service_time_us)
 {
   gint64 delay_max_us
       = MAX ((gint64)(HEDGE_DELAY_MAX_TARGET_FRACTION * (double)target_latency_us), HEDGE_DELAY_MIN_US);
-  gint64 delay_us = service_us > 0 ? (gint64)HEDGE_DELAY_SERVICE_TIMES * service_us : delay_max_us;
+  gint64 delay_us = service_time_us > 0 ? (gint64)HEDGE_DELAY_SERVICE_TIMES * service_time_us : delay_max_us;
   return CLAMP (delay_us, HEDGE_DELAY_MIN_US, delay_max_us);
 }
 
--- a/lib/core/decisions/hedge.h
+++ b/lib/core/decisions/hedge.h
@@ -27,7 +27,7 @@
 /**
  * quince_hedge_delay_us:
  * @target_latency_us: latency target of the route, us; 0: none
- * @service_us: smoothed response time of the worker of the first attempt, us; 0: not measured
+ * @service_time_us: smoothed response time of the worker of the first attempt, us; 0: not measured
  *
  * Decides when the lookup is hedged: after three times the worker's response time, but at least 60 ms and
  * at most half the latency target.  It is half the target if the response time is not measured.  A latency
@@ -35,7 +35,7 @@
  *
  * Returns: us from the start of the first attempt
  */
-gint64 quince_hedge_delay_us (gint64 target_latency_us, gint64 service_us);
+gint64 quince_hedge_delay_us (gint64 target_latency_us, gint64 service_time_us);
 
 /**
  * quince_hedge_attempt_timeout_us:
--- a/lib/core/decisions/sample-move.c
+++ b/lib/core/decisions/sample-move.c
@@ -44,7 +44,7 @@
 gboolean
 quince_sample_move_can_target (const QuinceWorker *worker, gint64 now_us, guint slots)
 {
-  return !worker->draining && !worker->loading && worker->gone_after_us == 0
+  return !worker->draining && !worker->loading && worker->expires_us == 0
          && now_us >= worker->ejected_until_us && worker->running < slots
          && !quince_worker_is_cold (worker, now_us);
 }
--- a/lib/core/decisions/sample-next.h
+++ b/lib/core/decisions/sample-next.h
@@ -50,7 +50,7 @@
  * QuinceSampleNext:
  * @action: the next step
  * @pause_us: pause before the next run or reward call, us; 0: none
- * @eject_worker: the worker of the run is ejected for a while; see quince_worker_note_failure()
+ * @eject_worker: the worker of the run is ejected for a while; see quince_worker_record_failure()
  */
 typedef struct
 {
--- a/lib/core/decisions/worker-choice.c
+++ b/lib/core/decisions/worker-choice.c
@@ -31,7 +31,7 @@
                            gint64 now_us,
                            const QuinceWorkerRequirements *requirements)
 {
-  if (worker->draining || (worker->gone_after_us != 0 && now_us >= worker->gone_after_us))
+  if (worker->draining || (worker->expires_us != 0 && now_us >= worker->expires_us))
     return FALSE;
   if (quince_choice_was_tried (worker, requirements))
     return FALSE;
@@ -47,7 +47,7 @@
 gboolean
 quince_choice_is_preferred (const QuinceWorker *worker, gint64 now_us)
 {
-  return now_us >= worker->ejected_until_us && worker->gone_after_us == 0;
+  return now_us >= worker->ejected_until_us && worker->expires_us == 0;
 }
 
 guint
--- a/lib/core/decisions/worker-choice.h
+++ b/lib/core/decisions/worker-choice.h
@@ -38,7 +38,7 @@
  *
  * Decides whether @worker can serve the request, regardless of its load: it is listed, not draining and not
  * tried, and if the request needs a model, it has the weights and is not loading.  A worker whose entry
- * lapsed, perhaps in an outage of the store, remains suitable until its gone_after_us.
+ * lapsed, perhaps in an outage of the store, remains suitable until its expires_us.
  */
 gboolean quince_choice_is_suitable (const QuinceWorker *worker,
                                     gint64 now_us,
--- a/lib/core/routing/failure-detector.c
+++ b/lib/core/routing/failure-detector.c
@@ -5,10 +5,10 @@
 
 /* A front that is not listed any more is judged for this long, us: its entry may only have lapsed in an
  * outage of the store.  Above the 6 s of a front's lease. */
-#define UNLISTED_KEEP_US (10 * G_USEC_PER_SEC)
+#define UNLISTED_RETENTION_US (10 * G_USEC_PER_SEC)
 /* A leader that hears fewer than one in this many of the listed fronts makes no judgement: cut off with its
  * own zone of three it hears a third. */
-#define ALIVE_MIN_PART 2
+#define ALIVE_MIN_DIVISOR 2
 
 typedef struct
 {
@@ -20,16 +20,16 @@
 struct _QuinceFailureDetector
 {
   GHashTable *entries; /* Entry by name, owned */
-  gint64 silence_us;
+  gint64 heartbeat_timeout_us;
   gint64 restarted_us;
 };
 
 QuinceFailureDetector *
-quince_failure_detector_new (gint64 silence_us)
+quince_failure_detector_new (gint64 heartbeat_timeout_us)
 {
   QuinceFailureDetector *detector = g_new0 (QuinceFailureDetector, 1);
   detector->entries = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
-  detector->silence_us = silence_us;
+  detector->heartbeat_timeout_us = heartbeat_timeout_us;
   return detector;
 }
 
@@ -43,14 +43,14 @@
 }
 
 static Entry *
-entry_of (QuinceFailureDetector *detector, gint64 now_us, const char *name)
+find_or_add_entry (QuinceFailureDetector *detector, gint64 now_us, const char *name)
 {
   Entry *entry = g_hash_table_lookup (detector->entries, name);
   if (entry != NULL)
     return entry;
   entry = g_new0 (Entry, 1);
   entry->last_heartbeat_us = now_us;
-  entry->unlisted_us = now_us - UNLISTED_KEEP_US; /* it never was listed */
+  entry->unlisted_us = now_us - UNLISTED_RETENTION_US; /* it never was listed */
   g_hash_table_insert (detector->entries, g_strdup (name), entry);
   return entry;
 }
@@ -61,7 +61,7 @@
                                     const char *name,
                                     gboolean listed)
 {
-  Entry *entry = entry_of (detector, now_us, name);
+  Entry *entry = find_or_add_entry (detector, now_us, name);
   if (entry->listed == listed)
     return;
   entry->listed = listed;
@@ -72,9 +72,9 @@
 }
 
 void
-quince_failure_detector_heartbeat (QuinceFailureDetector *detector, gint64 now_us, const char *name)
+quince_failure_detector_record_heartbeat (QuinceFailureDetector *detector, gint64 now_us, const char *name)
 {
-  entry_of (detector, now_us, name)->last_heartbeat_us = now_us;
+  find_or_add_entry (detector, now_us, name)->last_heartbeat_us = now_us;
 }
 
 void
@@ -86,7 +86,7 @@
 static gboolean
 is_alive (const QuinceFailureDetector *detector, gint64 now_us, const Entry *entry)
 {
-  return now_us - entry->last_heartbeat_us < detector->silence_us;
+  return now_us - entry->last_heartbeat_us < detector->heartbeat_timeout_us;
 }
 
 gboolean
@@ -97,7 +97,7 @@
 }
 
 void
-quince_failure_detector_forget (QuinceFailureDetector *detector, gint64 now_us)
+quince_failure_detector_remove_stale (QuinceFailureDetector *detector, gint64 now_us)
 {
   GHashTableIter iter;
   gpointer value;
@@ -105,7 +105,7 @@
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
       const Entry *entry = value;
-      if (!entry->listed && now_us - entry->unlisted_us >= UNLISTED_KEEP_US
+      if (!entry->listed && now_us - entry->unlisted_us >= UNLISTED_RETENTION_US
           && !is_alive (detector, now_us, entry))
         g_hash_table_iter_remove (&iter);
     }
@@ -118,20 +118,20 @@
   GHashTableIter iter;
   gpointer name;
   gpointer value;
-  if (now_us - detector->restarted_us < detector->silence_us)
+  if (now_us - detector->restarted_us < detector->heartbeat_timeout_us)
     return FALSE;
   g_hash_table_iter_init (&iter, detector->entries);
   while (g_hash_table_iter_next (&iter, &name, &value))
     {
       const Entry *entry = value;
-      if (!entry->listed && now_us - entry->unlisted_us >= UNLISTED_KEEP_US)
+      if (!entry->listed && now_us - entry->unlisted_us >= UNLISTED_RETENTION_US)
         continue;
       listed++;
       if (!is_alive (detector, now_us, entry))
         g_ptr_array_add (silent, name);
     }
   guint alive = listed - silent->len;
-  if (silent->len == 0 || alive * ALIVE_MIN_PART >= listed)
+  if (silent->len == 0 || alive * ALIVE_MIN_DIVISOR >= listed)
     return TRUE;
   g_ptr_array_set_size (silent, 0);
   return FALSE;
--- a/lib/core/routing/failure-detector.h
+++ b/lib/core/routing/failure-detector.h
@@ -13,8 +13,8 @@
 
 typedef struct _QuinceFailureDetector QuinceFailureDetector;
 
-/* @silence_us: a front without a heartbeat for this long is silent */
-QuinceFailureDetector *quince_failure_detector_new (gint64 silence_us);
+/* @heartbeat_timeout_us: a front without a heartbeat for this long is silent */
+QuinceFailureDetector *quince_failure_detector_new (gint64 heartbeat_timeout_us);
 void quince_failure_detector_free (QuinceFailureDetector *detector);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (QuinceFailureDetector, quince_failure_detector_free)
 
@@ -25,14 +25,15 @@
                                          const char *name,
                                          gboolean listed);
 /* A message of @name arrived. */
-void quince_failure_detector_heartbeat (QuinceFailureDetector *detector, gint64 now_us, const char *name);
+void
+quince_failure_detector_record_heartbeat (QuinceFailureDetector *detector, gint64 now_us, const char *name);
 /* This process begins to receive heartbeats: no front is silent until one was due. */
 void quince_failure_detector_restart (QuinceFailureDetector *detector, gint64 now_us);
 
 gboolean
 quince_failure_detector_is_alive (const QuinceFailureDetector *detector, gint64 now_us, const char *name);
 /* Drops entries that have not been listed for 10 s and are silent. */
-void quince_failure_detector_forget (QuinceFailureDetector *detector, gint64 now_us);
+void quince_failure_detector_remove_stale (QuinceFailureDetector *detector, gint64 now_us);
 
 /**
  * quince_failure_detector_get_silent:
--- a/lib/core/routing/machine-zones.c
+++ b/lib/core/routing/machine-zones.c
@@ -46,7 +46,7 @@
 
 /* NULL: not known. */
 static const char *
-get_region (const QuinceMachineZones *table, const char *node)
+get_node_region (const QuinceMachineZones *table, const char *node)
 {
   if (quince_topology_count_regions (table->topology) == 1)
     return quince_topology_get_own_region (table->topology);
@@ -55,36 +55,36 @@
 }
 
 gboolean
-quince_machine_zones_allow (const QuinceMachineZones *table,
-                            const QuinceResidency *residency,
-                            const char *node)
+quince_machine_zones_is_allowed (const QuinceMachineZones *table,
+                                 const QuinceResidency *residency,
+                                 const char *node)
 {
-  return quince_residency_allows (residency, get_region (table, node));
+  return quince_residency_allows (residency, get_node_region (table, node));
 }
 
 static gboolean
-allows_all (const QuinceMachineZones *table,
-            const QuinceResidency *residencies,
-            guint n_residencies,
-            const char *node)
+is_allowed_by_all (const QuinceMachineZones *table,
+                   const QuinceResidency *residencies,
+                   guint n_residencies,
+                   const char *node)
 {
   for (guint i = 0; i < n_residencies; i++)
-    if (!quince_machine_zones_allow (table, &residencies[i], node))
+    if (!quince_machine_zones_is_allowed (table, &residencies[i], node))
       return FALSE;
   return TRUE;
 }
 
 GPtrArray *
-quince_machine_zones_choose (const QuinceMachineZones *table,
-                             const QuinceResidency *residencies,
-                             guint n_residencies)
+quince_machine_zones_list_allowed (const QuinceMachineZones *table,
+                                   const QuinceResidency *residencies,
+                                   guint n_residencies)
 {
   GPtrArray *nodes = g_ptr_array_new ();
   GHashTableIter iter;
   gpointer node;
   g_hash_table_iter_init (&iter, table->zones);
   while (g_hash_table_iter_next (&iter, &node, NULL))
-    if (allows_all (table, residencies, n_residencies, node))
+    if (is_allowed_by_all (table, residencies, n_residencies, node))
       g_ptr_array_add (nodes, node);
   quince_names_sort (nodes);
   return nodes;
--- a/lib/core/routing/machine-zones.h
+++ b/lib/core/routing/machine-zones.h
@@ -21,13 +21,13 @@
 /* (nullable): %NULL: not known */
 const char *quince_machine_zones_get_zone (const QuinceMachineZones *table, const char *node);
 /* Whether @node may keep data with @residency (nullable). */
-gboolean quince_machine_zones_allow (const QuinceMachineZones *table,
-                                     const QuinceResidency *residency,
-                                     const char *node);
+gboolean quince_machine_zones_is_allowed (const QuinceMachineZones *table,
+                                          const QuinceResidency *residency,
+                                          const char *node);
 /* (transfer container): names of the machines with a known zone that may keep data of all @residencies, in
  * order */
-GPtrArray *quince_machine_zones_choose (const QuinceMachineZones *table,
-                                        const QuinceResidency *residencies,
-                                        guint n_residencies);
+GPtrArray *quince_machine_zones_list_allowed (const QuinceMachineZones *table,
+                                              const QuinceResidency *residencies,
+                                              guint n_residencies);
 
 G_END_DECLS
--- a/lib/core/routing/prompt-table.c
+++ b/lib/core/routing/prompt-table.c
@@ -47,14 +47,14 @@
 }
 
 static void
-drop_least_recent (QuincePromptTable *table)
+evict_least_recently_used (QuincePromptTable *table)
 {
   Entry *oldest = g_queue_pop_head (&table->order);
   g_hash_table_remove (table->entries, oldest->part);
 }
 
 static void
-note_part (QuincePromptTable *table, const char *part, const char *worker)
+record_part (QuincePromptTable *table, const char *part, const char *worker)
 {
   Entry *entry = g_hash_table_lookup (table->entries, part);
   if (entry == NULL)
@@ -75,16 +75,16 @@
 }
 
 void
-quince_prompt_table_note (QuincePromptTable *table, const char *const *parts, const char *worker)
+quince_prompt_table_record (QuincePromptTable *table, const char *const *parts, const char *worker)
 {
   for (; *parts != NULL; parts++)
-    note_part (table, *parts, worker);
+    record_part (table, *parts, worker);
   while (g_hash_table_size (table->entries) > table->parts_max)
-    drop_least_recent (table);
+    evict_least_recently_used (table);
 }
 
 const char *
-quince_prompt_table_find (const QuincePromptTable *table, const char *const *parts)
+quince_prompt_table_find_worker (const QuincePromptTable *table, const char *const *parts)
 {
   const char *found = NULL;
   for (; *parts != NULL; parts++)
--- a/lib/core/routing/prompt-table.h
+++ b/lib/core/routing/prompt-table.h
@@ -18,8 +18,8 @@
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (QuincePromptTable, quince_prompt_table_free)
 
 /* The prompt with @parts (%NULL-terminated) is sent to @worker. */
-void quince_prompt_table_note (QuincePromptTable *table, const char *const *parts, const char *worker);
+void quince_prompt_table_record (QuincePromptTable *table, const char *const *parts, const char *worker);
 /* Returns: (nullable): the worker of the last known one of @parts; valid until the table changes */
-const char *quince_prompt_table_find (const QuincePromptTable *table, const char *const *parts);
+const char *quince_prompt_table_find_worker (const QuincePromptTable *table, const char *const *parts);
 
 G_END_DECLS
--- a/lib/core/routing/residency.c
+++ b/lib/core/routing/residency.c
@@ -4,13 +4,13 @@
 #include "core/routing/residency.h"
 
 gboolean
-quince_residency_is_free (const QuinceResidency *residency)
+quince_residency_is_unrestricted (const QuinceResidency *residency)
 {
   return residency == NULL || (residency->route_regions == NULL && residency->tenant_regions == NULL);
 }
 
 static gboolean
-is_among (const char *const *regions, const char *region)
+list_allows (const char *const *regions, const char *region)
 {
   return regions == NULL || g_strv_contains (regions, region);
 }
@@ -18,8 +18,8 @@
 gboolean
 quince_residency_allows (const QuinceResidency *residency, const char *region)
 {
-  if (quince_residency_is_free (residency))
+  if (quince_residency_is_unrestricted (residency))
     return TRUE;
-  return region != NULL && *region != '\0' && is_among (residency->route_regions, region)
-         && is_among (residency->tenant_regions, region);
+  return region != NULL && *region != '\0' && list_allows (residency->route_regions, region)
+         && list_allows (residency->tenant_regions, region);
 }
--- a/lib/core/routing/residency.h
+++ b/lib/core/routing/residency.h
@@ -23,7 +23,7 @@
 } QuinceResidency;
 
 /* No regions are named.  @residency: (nullable): %NULL is free too */
-gboolean quince_residency_is_free (const QuinceResidency *residency);
+gboolean quince_residency_is_unrestricted (const QuinceResidency *residency);
 /* @region: (nullable): "" or %NULL: unknown, which only a free residency allows */
 gboolean quince_residency_allows (const QuinceResidency *residency, const char *region);
 
--- a/lib/core/routing/topology.h
+++ b/lib/core/routing/topology.h
@@ -14,7 +14,7 @@
 
 typedef enum
 {
-  QUINCE_TOPOLOGY_ERROR_TEXT, /* not a list of zone=region */
+  QUINCE_TOPOLOGY_ERROR_INVALID, /* not a list of zone=region */
 } QuinceTopologyError;
 
 typedef struct _QuinceTopology QuinceTopology;
@@ -23,8 +23,8 @@
 QuinceTopology *quince_topology_new (const char *own_zone, const char *own_region);
 void quince_topology_free (QuinceTopology *topology);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (QuinceTopology, quince_topology_free)
-/* Adds the zones of "zone=region,zone=region"; "" adds none.  %FALSE with QUINCE_TOPOLOGY_ERROR_TEXT at the
- * first entry that is not of this form. */
+/* Adds the zones of "zone=region,zone=region"; "" adds none.  %FALSE with QUINCE_TOPOLOGY_ERROR_INVALID at
+ * the first entry that is not of this form. */
 gboolean quince_topology_add_zones (QuinceTopology *topology, const char *text, GError **error);
 const char *quince_topology_get_own_zone (const QuinceTopology *topology);
 /* "": not known */
--- a/lib/core/routing/worker-table.c
+++ b/lib/core/routing/worker-table.c
@@ -5,7 +5,7 @@
 
 /* Ejection after a worker's first failure, us; doubled with each further one in a row.  Not measured: long
  * enough for a retry to reach another worker, short for a worker that failed by chance. */
-#define EJECTION_FIRST_US (200 * 1000)
+#define EJECTION_BASE_US (200 * 1000)
 /* Longest ejection, us: a worker that is gone leaves the list within seconds anyway.  Not measured. */
 #define EJECTION_MAX_US (2 * G_USEC_PER_SEC)
 /* Doublings until EJECTION_MAX_US is exceeded; keeps the shift in its range. */
@@ -16,9 +16,9 @@
  * measured. */
 #define PACE_SHIFT 4
 /* Longest time between two events that counts as pace, us: a longer one is a stop.  Not measured. */
-#define PACE_MAX_US (500 * 1000)
+#define EVENT_INTERVAL_MAX_US (500 * 1000)
 /* A pace older than this is unknown, us: disturbances of workers last some seconds.  Not measured. */
-#define PACE_KEEP_US (4 * G_USEC_PER_SEC)
+#define PACE_MAX_AGE_US (4 * G_USEC_PER_SEC)
 
 /* Lists by model and version that are kept: a few steps of each model are open at a time.  Beyond this the
  * versions have moved on, and all lists are dropped.  Not measured. */
@@ -134,7 +134,7 @@
 
 /* A worker of @service came or went. */
 static void
-drop_lists (QuinceWorkerTable *table, const char *service)
+invalidate_lists (QuinceWorkerTable *table, const char *service)
 {
   g_hash_table_remove (table->lists, service);
   for (guint i = table->version_lists->len; i > 0; i--)
@@ -146,16 +146,16 @@
 }
 
 static gboolean
-take_entry (QuinceWorkerTable *table, QuinceWorker *worker, QuinceWorker *entry)
+update_from_entry (QuinceWorkerTable *table, QuinceWorker *worker, QuinceWorker *entry)
 {
   gboolean changed = worker->draining != entry->draining;
   worker->draining = entry->draining;
-  worker->may_go = entry->may_go;
-  worker->removal_us = entry->removal_us;
-  worker->gone_after_us = 0;
+  worker->is_spot = entry->is_spot;
+  worker->drain_time_us = entry->drain_time_us;
+  worker->expires_us = 0;
   worker->slots = entry->slots;
-  changed = changed || (worker->cold_us > 0) != (entry->cold_us > 0);
-  worker->cold_us = entry->cold_us;
+  changed = changed || (worker->cold_remaining_us > 0) != (entry->cold_remaining_us > 0);
+  worker->cold_remaining_us = entry->cold_remaining_us;
   for (guint i = 0; i < entry->models->len; i++)
     {
       const QuinceWorkerModel *model = &g_array_index (entry->models, QuinceWorkerModel, i);
@@ -176,14 +176,14 @@
                   && g_str_equal (worker->service, entry->service);
   if (same)
     {
-      gboolean changed = take_entry (table, worker, entry);
+      gboolean changed = update_from_entry (table, worker, entry);
       quince_worker_free (entry);
       return changed;
     }
   if (worker != NULL)
     quince_worker_table_remove (table, entry->id);
   g_hash_table_insert (table->by_id, entry->id, entry);
-  drop_lists (table, entry->service);
+  invalidate_lists (table, entry->service);
   return TRUE;
 }
 
@@ -194,7 +194,7 @@
   if (worker == NULL)
     return;
   g_hash_table_steal (table->by_id, id);
-  drop_lists (table, worker->service);
+  invalidate_lists (table, worker->service);
   if (table->callbacks != NULL && table->callbacks->gone != NULL)
     table->callbacks->gone (worker, table->user_data);
   quince_worker_free (worker);
@@ -234,7 +234,11 @@
 
 /* @worker has a later version of @model than @before. */
 static void
-enter_lists (QuinceWorkerTable *table, QuinceWorker *worker, const char *model, guint64 before, guint64 now)
+add_to_version_lists (QuinceWorkerTable *table,
+                      QuinceWorker *worker,
+                      const char *model,
+                      guint64 before,
+                      guint64 now)
 {
   for (guint i = 0; i < table->version_lists->len; i++)
     {
@@ -262,9 +266,9 @@
     return;
   quince_worker_set_model (worker, model, version);
   if (version > before)
-    enter_lists (table, worker, model, before, version);
+    add_to_version_lists (table, worker, model, before, version);
   else
-    drop_lists (table, worker->service);
+    invalidate_lists (table, worker->service);
 }
 
 static VersionList *
@@ -324,40 +328,41 @@
 }
 
 void
-quince_worker_note_answer (QuinceWorker *worker, gint64 took_us)
+quince_worker_record_response (QuinceWorker *worker, gint64 took_us)
 {
   worker->failures = 0;
   worker->ejected_until_us = 0;
   guint sample = (guint)CLAMP (took_us, 1, G_MAXINT);
-  if (worker->service_us == 0)
-    worker->service_us = sample;
+  if (worker->service_time_us == 0)
+    worker->service_time_us = sample;
   else
-    worker->service_us += (guint)(((gint64)sample - (gint64)worker->service_us) >> SERVICE_TIME_SHIFT);
+    worker->service_time_us
+        += (guint)(((gint64)sample - (gint64)worker->service_time_us) >> SERVICE_TIME_SHIFT);
 }
 
 void
-quince_worker_note_failure (QuinceWorker *worker, gint64 now_us)
+quince_worker_record_failure (QuinceWorker *worker, gint64 now_us)
 {
-  gint64 ejection_us = EJECTION_FIRST_US << MIN (worker->failures, EJECTION_DOUBLINGS_MAX);
+  gint64 ejection_us = EJECTION_BASE_US << MIN (worker->failures, EJECTION_DOUBLINGS_MAX);
   worker->failures++;
   worker->ejected_until_us = now_us + MIN (ejection_us, EJECTION_MAX_US);
 }
 
 void
-quince_worker_note_event (QuinceWorker *worker, gint64 now_us, gint64 since_last_us)
+quince_worker_record_event (QuinceWorker *worker, gint64 now_us, gint64 since_last_us)
 {
-  gint64 sample = CLAMP (since_last_us, 1, PACE_MAX_US);
-  if (worker->pace_us == 0 || now_us - worker->paced_us > PACE_KEEP_US)
+  gint64 sample = CLAMP (since_last_us, 1, EVENT_INTERVAL_MAX_US);
+  if (worker->pace_us == 0 || now_us - worker->pace_measured_us > PACE_MAX_AGE_US)
     worker->pace_us = sample;
   else
     worker->pace_us += (sample - worker->pace_us) >> PACE_SHIFT;
-  worker->paced_us = now_us;
+  worker->pace_measured_us = now_us;
 }
 
 gboolean
 quince_worker_is_cold (const QuinceWorker *worker, gint64 now_us)
 {
-  return worker->cold_us > 0 || now_us < worker->assumed_cold_until_us;
+  return worker->cold_remaining_us > 0 || now_us < worker->assumed_cold_until_us;
 }
 
 void
@@ -369,7 +374,7 @@
 gint64
 quince_worker_get_pace_us (const QuinceWorker *worker, gint64 now_us)
 {
-  return now_us - worker->paced_us <= PACE_KEEP_US ? worker->pace_us : 0;
+  return now_us - worker->pace_measured_us <= PACE_MAX_AGE_US ? worker->pace_us : 0;
 }
 
 gint64
--- a/lib/core/routing/worker-table.h
+++ b/lib/core/routing/worker-table.h
@@ -15,7 +15,7 @@
   guint64 version;
 } QuinceWorkerModel;
 
-/* QuinceWorker.cold_us of a worker whose entry does not say whether it is cold. */
+/* QuinceWorker.cold_remaining_us of a worker whose entry does not say whether it is cold. */
 #define QUINCE_COLD_UNKNOWN (-1)
 
 /* One incarnation of a worker: its entry in the metadata store, and what this process measured. */
@@ -28,11 +28,11 @@
   char *zone;
   guint slots; /* requests that it runs at once */
   gboolean draining;
-  gboolean may_go;      /* a spot worker: it may be taken away at any moment */
-  gint64 removal_us;    /* a draining worker serves on for this long after it said so; 0: not given */
-  GArray *models;       /* QuinceWorkerModel: newest known versions */
-  gint64 cold_us;       /* remaining cold time at its last entry; 0: warm; or QUINCE_COLD_UNKNOWN */
-  gint64 gone_after_us; /* its entry lapsed, perhaps in an outage: no requests after this time; 0: listed */
+  gboolean is_spot;         /* a spot worker: it may be taken away at any moment */
+  gint64 drain_time_us;     /* a draining worker serves on for this long after it said so; 0: not given */
+  GArray *models;           /* QuinceWorkerModel: newest known versions */
+  gint64 cold_remaining_us; /* remaining cold time at its last entry; 0: warm; or QUINCE_COLD_UNKNOWN */
+  gint64 expires_us; /* its entry lapsed, perhaps in an outage: no requests after this time; 0: listed */
 
   /* Measured by this process. */
   gint64 assumed_cold_until_us; /* it may have turned cold, and counts as cold until then */
@@ -41,9 +41,9 @@
   guint running;                /* requests that this process has at it now */
   guint failures;               /* in a row */
   gint64 ejected_until_us;      /* no first choice until then */
-  guint service_us;             /* smoothed time of its answers; 0: none yet */
+  guint service_time_us;        /* smoothed time of its answers; 0: none yet */
   gint64 pace_us;               /* smoothed time between two events of a stream; 0: none yet */
-  gint64 paced_us;              /* when the pace was last measured */
+  gint64 pace_measured_us;      /* when the pace was last measured */
 } QuinceWorker;
 
 QuinceWorker *quince_worker_new (const char *id);
@@ -91,11 +91,11 @@
 guint quince_worker_table_get_size (const QuinceWorkerTable *table);
 
 /* An answer arrived after @took_us: ends an ejection. */
-void quince_worker_note_answer (QuinceWorker *worker, gint64 took_us);
+void quince_worker_record_response (QuinceWorker *worker, gint64 took_us);
 /* A request failed at the worker: ejects it for 200 ms, doubled with each failure in a row, up to 2 s. */
-void quince_worker_note_failure (QuinceWorker *worker, gint64 now_us);
+void quince_worker_record_failure (QuinceWorker *worker, gint64 now_us);
 /* Events of a stream arrived, on average @since_last_us after the one before. */
-void quince_worker_note_event (QuinceWorker *worker, gint64 now_us, gint64 since_last_us);
+void quince_worker_record_event (QuinceWorker *worker, gint64 now_us, gint64 since_last_us);
 /* Its entry says that it is cold, or it is assumed to be. */
 gboolean quince_worker_is_cold (const QuinceWorker *worker, gint64 now_us);
 /* It may have turned cold before its entry says so: it counts as cold until @until_us. */
--- a/lib/core/routing/zone-table.c
+++ b/lib/core/routing/zone-table.c
@@ -7,7 +7,7 @@
 
 /* Time in which a returned zone's share of new work grows to 1, us: about as long as its workers take for
  * their first prompts and to load weights. */
-#define RETURN_US (3 * G_USEC_PER_SEC)
+#define RETURN_RAMP_US (3 * G_USEC_PER_SEC)
 /* Share of new work right after the return.  With the growing share 101 and 89 sends to workers had to be
  * made again on two days with evacuations, against 117 and 151 without (one run each). */
 #define RETURN_SHARE_MIN 0.25
@@ -56,11 +56,11 @@
 }
 
 gboolean
-quince_zone_table_take (QuinceZoneTable *table,
-                        gint64 now_us,
-                        const char *zone,
-                        guint64 revision,
-                        gboolean evacuated)
+quince_zone_table_set_evacuated (QuinceZoneTable *table,
+                                 gint64 now_us,
+                                 const char *zone,
+                                 guint64 revision,
+                                 gboolean evacuated)
 {
   ZoneState *state = find_or_add (table, zone);
   if (revision < state->revision)
@@ -95,9 +95,9 @@
 }
 
 gboolean
-quince_zone_table_is_returning (const QuinceZoneTable *table, gint64 now_us)
+quince_zone_table_has_returning_zone (const QuinceZoneTable *table, gint64 now_us)
 {
-  return table->last_return_us != 0 && now_us - table->last_return_us < RETURN_US;
+  return table->last_return_us != 0 && now_us - table->last_return_us < RETURN_RAMP_US;
 }
 
 double
@@ -108,8 +108,8 @@
     return 0;
   if (state == NULL || state->returned_us == 0)
     return 1;
-  gint64 since_us = CLAMP (now_us - state->returned_us, 0, RETURN_US);
-  return RETURN_SHARE_MIN + (1 - RETURN_SHARE_MIN) * (double)since_us / RETURN_US;
+  gint64 since_us = CLAMP (now_us - state->returned_us, 0, RETURN_RAMP_US);
+  return RETURN_SHARE_MIN + (1 - RETURN_SHARE_MIN) * (double)since_us / RETURN_RAMP_US;
 }
 
 guint
--- a/lib/core/usage/agreed-clock.c
+++ b/lib/core/usage/agreed-clock.c
@@ -36,7 +36,7 @@
 }
 
 void
-quince_agreed_clock_note (QuinceAgreedClock *clock, guint64 source, gint64 monotonic_ms, gint64 wall_ms)
+quince_agreed_clock_add_report (QuinceAgreedClock *clock, guint64 source, gint64 monotonic_ms, gint64 wall_ms)
 {
   const ClockReport report = { .reported_ms = monotonic_ms, .offset_ms = wall_ms - monotonic_ms };
   g_hash_table_replace (clock->reports, g_memdup2 (&source, sizeof source),
--- a/lib/core/usage/usage-book.c
+++ b/lib/core/usage/usage-book.c
@@ -22,11 +22,11 @@
 struct _QuinceUsageBook
 {
   guint64 window_ms;
-  GPtrArray *open;       /* OpenWindow, owned, by number */
-  GPtrArray *unsent;     /* QuinceUsageWindow, owned: closed, by number */
-  GHashTable *sequences; /* source (guint64) to guint64: greatest sequence, both owned */
-  guint64 closed_up_to;  /* windows up to this one are closed */
-  GArray *records;       /* LiveRecord */
+  GPtrArray *open;            /* OpenWindow, owned, by number */
+  GPtrArray *unsent;          /* QuinceUsageWindow, owned: closed, by number */
+  GHashTable *sequences;      /* source (guint64) to guint64: greatest sequence, both owned */
+  guint64 last_closed_window; /* windows up to this one are closed */
+  GArray *records;            /* LiveRecord */
 };
 
 static void
@@ -70,7 +70,7 @@
 /* ---- Events ----------------------------------------------------------- */
 
 static OpenWindow *
-open_window (QuinceUsageBook *book, guint64 number)
+find_or_open_window (QuinceUsageBook *book, guint64 number)
 {
   guint at = 0;
   for (; at < book->open->len; at++)
@@ -92,9 +92,9 @@
 apply_event (QuinceUsageBook *book, const QuinceUsageEvent *event)
 {
   guint64 number = event->begun_ms / book->window_ms;
-  if (number <= book->closed_up_to)
+  if (number <= book->last_closed_window)
     return;
-  GHashTable *counts = open_window (book, number)->counts;
+  GHashTable *counts = find_or_open_window (book, number)->counts;
   guint count = GPOINTER_TO_UINT (g_hash_table_lookup (counts, event->tenant));
   g_hash_table_replace (counts, g_strdup (event->tenant), GUINT_TO_POINTER (count + 1));
 }
@@ -134,9 +134,9 @@
 static void
 apply_closed (QuinceUsageBook *book, const QuinceUsageWindow *closed)
 {
-  if (closed->window <= book->closed_up_to)
+  if (closed->window <= book->last_closed_window)
     return; /* two leaders may close it: the first record counts */
-  book->closed_up_to = closed->window;
+  book->last_closed_window = closed->window;
   while (book->open->len > 0 && ((OpenWindow *)book->open->pdata[0])->number <= closed->window)
     g_ptr_array_remove_index (book->open, 0);
   g_ptr_array_add (book->unsent, quince_xdr_copy ((xdrproc_t)xdr_QuinceUsageWindow, sizeof *closed, closed));
@@ -190,7 +190,7 @@
 }
 
 static QuinceUsageWindow *
-count_window (const OpenWindow *window)
+make_closed_window (const OpenWindow *window)
 {
   g_autoptr (GArray) counts = g_array_new (FALSE, FALSE, sizeof (QuinceUsageCount));
   GHashTableIter iter;
@@ -216,7 +216,7 @@
     return NULL;
   const OpenWindow *oldest = book->open->pdata[0];
   guint64 end_ms = (oldest->number + 1) * book->window_ms;
-  return now_ms >= end_ms + delay_ms ? count_window (oldest) : NULL;
+  return now_ms >= end_ms + delay_ms ? make_closed_window (oldest) : NULL;
 }
 
 const QuinceUsageWindow *
@@ -226,18 +226,19 @@
 }
 
 GArray *
-quince_usage_book_take_forgettable (QuinceUsageBook *book)
+quince_usage_book_take_obsolete (QuinceUsageBook *book)
 {
   GArray *indexes = g_array_new (FALSE, FALSE, sizeof (guint64));
   const QuinceUsageWindow *unsent = quince_usage_book_next_to_send (book);
   /* The record that closed the last window stays, or events would open older windows again; so does the one
    * that says that it was sent.  Both go in one step: otherwise another leader might find a closed window
    * that was never sent. */
-  guint64 needed_from = unsent != NULL ? MIN (unsent->window, book->closed_up_to) : book->closed_up_to;
+  guint64 oldest_needed_window
+      = unsent != NULL ? MIN (unsent->window, book->last_closed_window) : book->last_closed_window;
   for (guint i = book->records->len; i > 0; i--)
     {
       const LiveRecord *record = &g_array_index (book->records, LiveRecord, i - 1);
-      if (record->window >= needed_from)
+      if (record->window >= oldest_needed_window)
         continue;
       g_array_append_val (indexes, record->index);
       g_array_remove_index (book->records, i - 1);
--- a/lib/core/usage/usage-book.h
+++ b/lib/core/usage/usage-book.h
@@ -39,7 +39,7 @@
 const QuinceUsageWindow *quince_usage_book_next_to_send (const QuinceUsageBook *book);
 /* Returns: (transfer full) (element-type guint64): indexes of records that no replica needs any more; each is
  * returned once */
-GArray *quince_usage_book_take_forgettable (QuinceUsageBook *book);
+GArray *quince_usage_book_take_obsolete (QuinceUsageBook *book);
 
 void quince_usage_window_free (QuinceUsageWindow *window);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (QuinceUsageWindow, quince_usage_window_free)
--- a/lib/forward/backends.c
+++ b/lib/forward/backends.c
@@ -106,8 +106,8 @@
     {
       const char *id = g_queue_peek_head (&backends->vanished);
       const QuinceWorker *worker = quince_worker_table_find (backends->workers, id);
-      gboolean back = worker == NULL || worker->gone_after_us == 0;
-      if (!back && now_us < worker->gone_after_us)
+      gboolean back = worker == NULL || worker->expires_us == 0;
+      if (!back && now_us < worker->expires_us)
         return;
       g_autofree char *owned = g_queue_pop_head (&backends->vanished);
       if (!back)
@@ -124,9 +124,9 @@
       quince_backends_remove (backends, id);
       return;
     }
-  if (worker->gone_after_us != 0)
+  if (worker->expires_us != 0)
     return;
-  worker->gone_after_us = until_us;
+  worker->expires_us = until_us;
   g_queue_push_tail (&backends->vanished, g_strdup (id));
   quince_log_info ("worker_doubted", "worker=%s cause=listing_vanished keep_ms=%d", id,
                    (int)((until_us - now_us) / 1000));
@@ -146,7 +146,7 @@
                    "worker=%s service=%s address=%s state=%s version=%" G_GUINT64_FORMAT
                    " leaves_ms=%" G_GINT64_FORMAT,
                    worker->id, worker->service, worker->address, worker->draining ? "draining" : "ready",
-                   version, worker->removal_us / 1000);
+                   version, worker->drain_time_us / 1000);
 }
 
 void
--- a/lib/forward/choose-worker.c
+++ b/lib/forward/choose-worker.c
@@ -94,7 +94,7 @@
                               .avoid = query->avoid,
                               .running_max = query->most_running } };
   gboolean compares_all
-      = quince_choice_compares_all (all->len, quince_zone_table_is_returning (backends->zones, now_us));
+      = quince_choice_compares_all (all->len, quince_zone_table_has_returning_zone (backends->zones, now_us));
   quince_warmth_begin_choice (backends, now_us, query, &choice.cold);
   for (guint trusted = 1; found->len == 0 && !quince_warmth_is_limited (&choice.cold) && trusted < 2;
        trusted--)
@@ -126,7 +126,7 @@
     .prefix_match = preferred ? 1.0 : 0.0,
     .weight_version = version,
     .target_version = version,
-    .recent_ms = worker->service_us / 1000,
+    .recent_ms = worker->service_time_us / 1000,
     .recent_failures = MIN (worker->failures, FAILURES_SHOWN_MAX),
     .same_zone = g_str_equal (worker->zone, quince_topology_get_own_zone (backends->topology)),
   };
@@ -180,7 +180,7 @@
   g_autoptr (GPtrArray) all = list_workers (backends, query);
   g_autoptr (GPtrArray) found = g_ptr_array_new ();
   const char *keeps_prompt
-      = query->prompt != NULL ? quince_prompt_table_find (backends->prompts, query->prompt) : NULL;
+      = query->prompt != NULL ? quince_prompt_table_find_worker (backends->prompts, query->prompt) : NULL;
   QuinceBackendOutcome outcome = collect (backends, all, now_us, query, keeps_prompt, found);
   if (outcome != QUINCE_BACKEND_CHOSEN)
     return outcome;
@@ -195,6 +195,6 @@
     return QUINCE_BACKEND_COLD;
   *worker = best;
   if (query->prompt != NULL)
-    quince_prompt_table_note (backends->prompts, query->prompt, (*worker)->id);
+    quince_prompt_table_record (backends->prompts, query->prompt, (*worker)->id);
   return QUINCE_BACKEND_CHOSEN;
 }
--- a/lib/forward/evacuation.c
+++ b/lib/forward/evacuation.c
@@ -75,7 +75,7 @@
                            guint64 revision,
                            gboolean evacuated)
 {
-  if (!quince_zone_table_take (backends->zones, now_us, zone, revision, evacuated))
+  if (!quince_zone_table_set_evacuated (backends->zones, now_us, zone, revision, evacuated))
     return FALSE;
   if (!evacuated)
     {
@@ -113,7 +113,7 @@
                                  guint most_running,
                                  GPtrArray *found)
 {
-  if (!quince_zone_table_is_returning (backends->zones, now_us))
+  if (!quince_zone_table_has_returning_zone (backends->zones, now_us))
     return;
   g_autoptr (GPtrArray) kept = g_ptr_array_new ();
   for (guint i = 0; i < found->len; i++)
--- a/lib/forward/forward.c
+++ b/lib/forward/forward.c
@@ -60,9 +60,9 @@
   QuinceWorker *worker = quince_dispatch_find (&attempt->forward->dispatch, attempt->worker_id);
   gint64 now = quince_now_us ();
   if (worker != NULL && good)
-    quince_worker_note_answer (worker, now - attempt->started_us);
+    quince_worker_record_response (worker, now - attempt->started_us);
   else if (worker != NULL)
-    quince_worker_note_failure (worker, now);
+    quince_worker_record_failure (worker, now);
 }
 
 static void
@@ -257,7 +257,7 @@
   QuinceHttpPool *pool = quince_backends_get_pool (dispatch->backends, worker);
   attempt->exchange = quince_http_pool_start (pool, &request, &exchange_callbacks, attempt);
   if (quince_hedge_is_allowed (&dispatch->retry) && quince_dispatch_may_hedge (dispatch, now_us))
-    try_later (forward, quince_hedge_delay_us (dispatch->target_latency_us, worker->service_us));
+    try_later (forward, quince_hedge_delay_us (dispatch->target_latency_us, worker->service_time_us));
 }
 
 /* Makes the oldest run give way once it has been silent for long. Returns: %FALSE when it is too early for
--- a/lib/forward/residency-lookup.c
+++ b/lib/forward/residency-lookup.c
@@ -37,7 +37,7 @@
                        const QuinceWorker *worker,
                        const QuinceResidency *residency)
 {
-  if (quince_residency_is_free (residency))
+  if (quince_residency_is_unrestricted (residency))
     return TRUE;
   const char *region = quince_topology_get_region (backends->topology, worker->zone);
   return quince_residency_allows (residency, region);
--- a/lib/forward/send-guard-capacity.c
+++ b/lib/forward/send-guard-capacity.c
@@ -13,7 +13,7 @@
   for (guint i = 0; i < workers->len; i++)
     {
       const QuinceWorker *worker = workers->pdata[i];
-      if (worker->draining || worker->gone_after_us != 0)
+      if (worker->draining || worker->expires_us != 0)
         continue;
       listed++;
       ready += !quince_quarantine_has_worker_ended (guard->quarantine,
--- a/lib/forward/send-guard-losses.c
+++ b/lib/forward/send-guard-losses.c
@@ -250,7 +250,7 @@
 static gboolean
 is_expected_to_end (const QuinceWorker *worker)
 {
-  return worker == NULL || worker->draining || worker->gone_after_us != 0;
+  return worker == NULL || worker->draining || worker->expires_us != 0;
 }
 
 void
@@ -296,7 +296,7 @@
 {
   const QuinceWorker *worker = find_worker_of_send (guard, expected);
   /* One that is listed no more has ended since the send. */
-  if (worker == NULL || worker->gone_after_us != 0)
+  if (worker == NULL || worker->expires_us != 0)
     {
       note_send_ended (guard, expected, worker != NULL ? worker->id : "");
       return;
--- a/lib/forward/stream.c
+++ b/lib/forward/stream.c
@@ -115,7 +115,7 @@
 {
   QuinceWorker *worker = quince_dispatch_find (&stream->dispatch, stream->worker_id);
   if (worker != NULL)
-    quince_worker_note_failure (worker, quince_now_us ());
+    quince_worker_record_failure (worker, quince_now_us ());
 }
 
 /* ---- The answer ------------------------------------------------------- */
--- a/lib/forward/topology-settings.c
+++ b/lib/forward/topology-settings.c
@@ -16,7 +16,7 @@
   const char *own = quince_topology_get_own_region (topology);
   if (*own != '\0' && g_strcmp0 (listed, own) != 0)
     {
-      g_set_error (error, QUINCE_TOPOLOGY_ERROR, QUINCE_TOPOLOGY_ERROR_TEXT,
+      g_set_error (error, QUINCE_TOPOLOGY_ERROR, QUINCE_TOPOLOGY_ERROR_INVALID,
                    "the zone of this process is listed in region '%s', but its region is '%s'", listed, own);
       return NULL;
     }
--- a/lib/forward/warmth.c
+++ b/lib/forward/warmth.c
@@ -16,7 +16,7 @@
 static gint64
 assumed_cold_after_start_us (QuinceBackends *backends, const QuinceWorker *entry)
 {
-  if (!backends->listed || entry->cold_us != QUINCE_COLD_UNKNOWN)
+  if (!backends->listed || entry->cold_remaining_us != QUINCE_COLD_UNKNOWN)
     return 0;
   return quince_warmup_sends_get_cold_start_us (backends->warmup, entry->service);
 }
@@ -28,11 +28,11 @@
   QuinceWorker *known = quince_worker_table_find (backends->workers, entry->id);
   if (known == NULL)
     quince_worker_assume_cold (entry, now + assumed_cold_after_start_us (backends, entry));
-  gboolean was_cold = known != NULL && known->cold_us > 0;
-  if (was_cold == (entry->cold_us > 0))
+  gboolean was_cold = known != NULL && known->cold_remaining_us > 0;
+  if (was_cold == (entry->cold_remaining_us > 0))
     return;
   quince_log_info ("worker_warmth", "worker=%s service=%s cold_ms=%" G_GINT64_FORMAT, entry->id,
-                   entry->service, MAX (entry->cold_us, 0) / 1000);
+                   entry->service, MAX (entry->cold_remaining_us, 0) / 1000);
 }
 
 void
--- a/tests/platform/test-scaling.c
+++ b/tests/platform/test-scaling.c
@@ -262,12 +262,12 @@
 test_read_worker (void **state)
 {
   g_autoptr (QuinceWorker) usual = read_worker (",\"state\":\"ready\"");
-  assert_false (usual->may_go);
-  assert_int_equal (usual->removal_us, 0);
+  assert_false (usual->is_spot);
+  assert_int_equal (usual->drain_time_us, 0);
   g_autoptr (QuinceWorker) spot = read_worker (",\"state\":\"draining\",\"spot\":true,\"leaves_ms\":2500.5");
-  assert_true (spot->may_go);
+  assert_true (spot->is_spot);
   assert_true (spot->draining);
-  assert_int_equal (spot->removal_us, 2500500);
+  assert_int_equal (spot->drain_time_us, 2500500);
 }
 
 static QuinceRouteTable *
--- a/tests/platform/test-warmth.c
+++ b/tests/platform/test-warmth.c
@@ -74,13 +74,13 @@
 }
 
 static void
-list (World *world, const char *id, const char *zone, gint64 cold_us)
+list (World *world, const char *id, const char *zone, gint64 cold_remaining_us)
 {
   QuinceWorker *told = quince_worker_new (id);
   told->service = g_strdup ("svc");
   told->address = g_strdup ("127.0.0.1:1");
   told->zone = g_strdup (zone);
-  told->cold_us = cold_us;
+  told->cold_remaining_us = cold_remaining_us;
   quince_worker_set_model (told, "m", 1);
   quince_backends_update (world->backends, told);
 }
--- a/tests/unit/test-decisions-retry.c
+++ b/tests/unit/test-decisions-retry.c
@@ -68,7 +68,7 @@
 typedef struct
 {
   gint64 target_us;
-  gint64 service_us;
+  gint64 service_time_us;
   gint64 delay_us;
 } HedgeRow;
 
@@ -85,7 +85,7 @@
 test_hedge_delay (void **state)
 {
   for (guint i = 0; i < G_N_ELEMENTS (hedge_rows); i++)
-    assert_int_equal (quince_hedge_delay_us (hedge_rows[i].target_us, hedge_rows[i].service_us),
+    assert_int_equal (quince_hedge_delay_us (hedge_rows[i].target_us, hedge_rows[i].service_time_us),
                       hedge_rows[i].delay_us);
 }
 
--- a/tests/unit/test-decisions-sample-move.c
+++ b/tests/unit/test-decisions-sample-move.c
@@ -67,8 +67,8 @@
   assert_int_equal (quince_worker_get_pace_us (fast, now), 0);
   for (guint i = 0; i < 200; i++, now += EVENT_US)
     {
-      quince_worker_note_event (fast, now, EVENT_US);
-      quince_worker_note_event (slow, now, i < 100 ? EVENT_US : 3 * EVENT_US);
+      quince_worker_record_event (fast, now, EVENT_US);
+      quince_worker_record_event (slow, now, i < 100 ? EVENT_US : 3 * EVENT_US);
     }
   assert_int_equal (quince_worker_get_pace_us (fast, now), EVENT_US);
   assert_true (quince_worker_get_pace_us (slow, now) > 2.9 * EVENT_US);
--- a/tests/unit/test-decisions-worker-choice.c
+++ b/tests/unit/test-decisions-worker-choice.c
@@ -22,7 +22,7 @@
   gboolean draining;
   gboolean loading;
   gboolean tried;
-  gint64 gone_after_us;
+  gint64 expires_us;
   gint64 ejected_until_us;
   guint running;
   gboolean suitable;
@@ -55,7 +55,7 @@
         g_hash_table_add (avoid, worker->id);
       worker->draining = workers[i].draining;
       worker->loading = workers[i].loading;
-      worker->gone_after_us = workers[i].gone_after_us;
+      worker->expires_us = workers[i].expires_us;
       worker->ejected_until_us = workers[i].ejected_until_us;
       worker->running = workers[i].running;
       const QuinceWorkerRequirements requirements
--- a/tests/unit/test-failure-detector.c
+++ b/tests/unit/test-failure-detector.c
@@ -27,7 +27,7 @@
 hear_all (QuinceFailureDetector *table, gint64 now_us, const char *const *names)
 {
   for (; *names != NULL; names++)
-    quince_failure_detector_heartbeat (table, now_us, *names);
+    quince_failure_detector_record_heartbeat (table, now_us, *names);
 }
 
 static void
@@ -45,7 +45,7 @@
   assert_int_equal (silent->len, 1);
   assert_string_equal (silent->pdata[0], "f2");
   /* It speaks again. */
-  quince_failure_detector_heartbeat (table, 2 * SILENCE, "f2");
+  quince_failure_detector_record_heartbeat (table, 2 * SILENCE, "f2");
   g_ptr_array_set_size (silent, 0);
   assert_true (quince_failure_detector_get_silent (table, 2 * SILENCE, silent));
   assert_int_equal (silent->len, 0);
@@ -58,10 +58,10 @@
   g_autoptr (QuinceFailureDetector) table = listed (names);
   g_autoptr (GPtrArray) silent = g_ptr_array_new ();
   quince_failure_detector_restart (table, 10 * SILENCE);
-  quince_failure_detector_heartbeat (table, 10 * SILENCE, "f1");
+  quince_failure_detector_record_heartbeat (table, 10 * SILENCE, "f1");
   assert_false (quince_failure_detector_get_silent (table, 11 * SILENCE - 1, silent));
   assert_int_equal (silent->len, 0);
-  quince_failure_detector_heartbeat (table, 11 * SILENCE, "f1");
+  quince_failure_detector_record_heartbeat (table, 11 * SILENCE, "f1");
   assert_true (quince_failure_detector_get_silent (table, 11 * SILENCE, silent));
   assert_int_equal (silent->len, 1);
 }
@@ -72,13 +72,13 @@
   static const char *const names[] = { "f1", "f2", "f3", "f4", "f5", NULL };
   g_autoptr (QuinceFailureDetector) table = listed (names);
   g_autoptr (GPtrArray) silent = g_ptr_array_new ();
-  quince_failure_detector_heartbeat (table, 2 * SILENCE, "f4");
+  quince_failure_detector_record_heartbeat (table, 2 * SILENCE, "f4");
   assert_false (quince_failure_detector_get_silent (table, 2 * SILENCE, silent));
   assert_int_equal (silent->len, 0);
-  quince_failure_detector_heartbeat (table, 2 * SILENCE, "f5");
+  quince_failure_detector_record_heartbeat (table, 2 * SILENCE, "f5");
   assert_false (quince_failure_detector_get_silent (table, 2 * SILENCE, silent));
   assert_int_equal (silent->len, 0);
-  quince_failure_detector_heartbeat (table, 2 * SILENCE, "f3");
+  quince_failure_detector_record_heartbeat (table, 2 * SILENCE, "f3");
   assert_true (quince_failure_detector_get_silent (table, 2 * SILENCE, silent));
   assert_int_equal (silent->len, 2);
 }
@@ -90,8 +90,8 @@
   g_autoptr (QuinceFailureDetector) table = listed (names);
   g_autoptr (GPtrArray) silent = g_ptr_array_new ();
   /* Heard, and never listed: not in the directory anyway. */
-  quince_failure_detector_heartbeat (table, 0, "stranger");
-  quince_failure_detector_heartbeat (table, 2 * SILENCE, "f1");
+  quince_failure_detector_record_heartbeat (table, 0, "stranger");
+  quince_failure_detector_record_heartbeat (table, 2 * SILENCE, "f1");
   /* Its key may have lapsed, but it sends no heartbeats either: it stays silent. */
   quince_failure_detector_set_listed (table, 2 * SILENCE, "f2", FALSE);
   assert_true (quince_failure_detector_get_silent (table, 2 * SILENCE, silent));
@@ -113,8 +113,8 @@
   g_autoptr (QuinceFailureDetector) table = listed (names);
   g_autoptr (GPtrArray) silent = g_ptr_array_new ();
   quince_failure_detector_set_listed (table, SILENCE, "f2", FALSE);
-  quince_failure_detector_heartbeat (table, later, "f1");
-  quince_failure_detector_forget (table, later);
+  quince_failure_detector_record_heartbeat (table, later, "f1");
+  quince_failure_detector_remove_stale (table, later);
   assert_true (quince_failure_detector_get_silent (table, later, silent));
   assert_int_equal (silent->len, 0);
   assert_true (quince_failure_detector_is_alive (table, later, "f1"));
--- a/tests/unit/test-prompt-table.c
+++ b/tests/unit/test-prompt-table.c
@@ -20,17 +20,17 @@
   static const char *const fresh[] = { "system", "session-3", NULL };
   static const char *const other[] = { "another", NULL };
   g_autoptr (QuincePromptTable) table = quince_prompt_table_new (PROMPTS_MAX);
-  assert_null (quince_prompt_table_find (table, first));
-  quince_prompt_table_note (table, first, "w1");
-  quince_prompt_table_note (table, second, "w2");
-  assert_string_equal (quince_prompt_table_find (table, first), "w1");
-  assert_string_equal (quince_prompt_table_find (table, second), "w2");
+  assert_null (quince_prompt_table_find_worker (table, first));
+  quince_prompt_table_record (table, first, "w1");
+  quince_prompt_table_record (table, second, "w2");
+  assert_string_equal (quince_prompt_table_find_worker (table, first), "w1");
+  assert_string_equal (quince_prompt_table_find_worker (table, second), "w2");
   /* Only the shared part is known: the worker that had it last. */
-  assert_string_equal (quince_prompt_table_find (table, fresh), "w2");
-  assert_null (quince_prompt_table_find (table, other));
+  assert_string_equal (quince_prompt_table_find_worker (table, fresh), "w2");
+  assert_null (quince_prompt_table_find_worker (table, other));
   /* A session that moves is found where it went. */
-  quince_prompt_table_note (table, first, "w3");
-  assert_string_equal (quince_prompt_table_find (table, first), "w3");
+  quince_prompt_table_record (table, first, "w3");
+  assert_string_equal (quince_prompt_table_find_worker (table, first), "w3");
 }
 
 static guint
@@ -41,7 +41,7 @@
     {
       g_autofree char *name = g_strdup_printf ("p%u", i);
       const char *const parts[] = { name, NULL };
-      known += quince_prompt_table_find (table, parts) != NULL ? 1 : 0;
+      known += quince_prompt_table_find_worker (table, parts) != NULL ? 1 : 0;
     }
   return known;
 }
@@ -55,14 +55,14 @@
     {
       g_autofree char *name = g_strdup_printf ("p%u", i);
       const char *const parts[] = { name, NULL };
-      quince_prompt_table_note (table, parts, "w1");
-      quince_prompt_table_note (table, kept, "w2"); /* used all the time */
-      guint known_kept = quince_prompt_table_find (table, kept) != NULL ? 1 : 0;
+      quince_prompt_table_record (table, parts, "w1");
+      quince_prompt_table_record (table, kept, "w2"); /* used all the time */
+      guint known_kept = quince_prompt_table_find_worker (table, kept) != NULL ? 1 : 0;
       assert_true (count_known (table, i + 1) + known_kept <= PROMPTS_MAX);
     }
-  assert_string_equal (quince_prompt_table_find (table, kept), "w2");
+  assert_string_equal (quince_prompt_table_find_worker (table, kept), "w2");
   static const char *const oldest[] = { "p0", NULL };
-  assert_null (quince_prompt_table_find (table, oldest));
+  assert_null (quince_prompt_table_find_worker (table, oldest));
 }
 
 int
--- a/tests/unit/test-usage-book.c
+++ b/tests/unit/test-usage-book.c
@@ -101,17 +101,17 @@
   apply_event (book, 2, SOURCE, 2, "a", 16000);
   g_autoptr (QuinceUsageWindow) window = quince_usage_book_next_to_close (book, 19000, DELAY_MS);
   apply_closed (book, 3, window);
-  g_autoptr (GArray) nothing = quince_usage_book_take_forgettable (book);
+  g_autoptr (GArray) nothing = quince_usage_book_take_obsolete (book);
   assert_int_equal (nothing->len, 0);
   apply_sent (book, 4, 2);
   /* Failed first: the acknowledgement went before the closing, and the next leader sent the window again. */
-  g_autoptr (GArray) kept = quince_usage_book_take_forgettable (book);
+  g_autoptr (GArray) kept = quince_usage_book_take_obsolete (book);
   assert_int_equal (kept->len, 0);
   g_autoptr (QuinceUsageWindow) second = quince_usage_book_next_to_close (book, 24000, DELAY_MS);
   apply_closed (book, 6, second);
-  g_autoptr (GArray) indexes = quince_usage_book_take_forgettable (book);
+  g_autoptr (GArray) indexes = quince_usage_book_take_obsolete (book);
   assert_int_equal (indexes->len, 3); /* the event, its closing and the acknowledgement */
-  g_autoptr (GArray) again = quince_usage_book_take_forgettable (book);
+  g_autoptr (GArray) again = quince_usage_book_take_obsolete (book);
   assert_int_equal (again->len, 0);
   /* Another leader, from the records that are left. */
   g_autoptr (QuinceUsageBook) next = quince_usage_book_new (WINDOW_MS);
@@ -133,7 +133,10 @@
   g_autoptr (QuinceAgreedClock) clock = quince_agreed_clock_new ();
   assert_int_equal (quince_agreed_clock_get (clock, 1000, 501000), 501000);
   for (guint64 source = 1; source <= 7; source++)
-    quince_agreed_clock_note (clock, source, 1000, source <= 2 ? 503000 : source <= 3 ? 499000 : 501001);
+    quince_agreed_clock_add_report (clock, source, 1000,
+                                    source <= 2   ? 503000
+                                    : source <= 3 ? 499000
+                                                  : 501001);
   assert_int_equal (quince_agreed_clock_get (clock, 2000, 504000), 502001);
   /* Voices that were not heard for long count no more. */
   assert_int_equal (quince_agreed_clock_get (clock, 90000, 600000), 600000);
--- a/tests/unit/test-zone-state.c
+++ b/tests/unit/test-zone-state.c
@@ -36,7 +36,7 @@
       g_autoptr (QuinceTopology) topology = quince_topology_new ("a1", "");
       g_autoptr (GError) error = NULL;
       assert_false (quince_topology_add_zones (topology, bad[i], &error));
-      assert_true (g_error_matches (error, QUINCE_TOPOLOGY_ERROR, QUINCE_TOPOLOGY_ERROR_TEXT));
+      assert_true (g_error_matches (error, QUINCE_TOPOLOGY_ERROR, QUINCE_TOPOLOGY_ERROR_INVALID));
     }
 }
 
@@ -53,22 +53,22 @@
 test_old_news_of_a_zone (void **state)
 {
   g_autoptr (QuinceZoneTable) table = quince_zone_table_new ();
-  assert_true (quince_zone_table_take (table, 1, "a1", 10, TRUE));
-  assert_false (quince_zone_table_take (table, 2, "a1", 10, TRUE));
+  assert_true (quince_zone_table_set_evacuated (table, 1, "a1", 10, TRUE));
+  assert_false (quince_zone_table_set_evacuated (table, 2, "a1", 10, TRUE));
   assert_true (quince_zone_table_is_evacuated (table, "a1"));
   assert_int_equal (quince_zone_table_get_n_evacuated (table), 1);
-  assert_true (quince_zone_table_take (table, 3, "a1", 12, FALSE));
+  assert_true (quince_zone_table_set_evacuated (table, 3, "a1", 12, FALSE));
   /* Returned at 3: its share of new work is least then, and grows from then on. */
   double share_at_return = quince_zone_table_get_share (table, 3, "a1");
   assert_true (share_at_return < 1);
   assert_true (quince_zone_table_get_share (table, 2, "a1") == share_at_return);
   assert_true (quince_zone_table_get_share (table, 4, "a1") > share_at_return);
   /* A change from before the return that arrives late. */
-  assert_false (quince_zone_table_take (table, 4, "a1", 10, TRUE));
+  assert_false (quince_zone_table_set_evacuated (table, 4, "a1", 10, TRUE));
   assert_false (quince_zone_table_is_evacuated (table, "a1"));
-  assert_true (quince_zone_table_take (table, 5, "a1", 13, TRUE));
+  assert_true (quince_zone_table_set_evacuated (table, 5, "a1", 13, TRUE));
   assert_true (quince_zone_table_get_share (table, 5, "a1") == 0);
-  assert_true (quince_zone_table_take (table, 6, "b1", 14, TRUE));
+  assert_true (quince_zone_table_set_evacuated (table, 6, "b1", 14, TRUE));
   g_autoptr (GPtrArray) evacuated = quince_zone_table_list_evacuated (table);
   assert_int_equal (evacuated->len, 2);
   assert_string_equal (evacuated->pdata[1], "b1");
@@ -80,13 +80,13 @@
   const gint64 second = G_USEC_PER_SEC;
   g_autoptr (QuinceZoneTable) table = quince_zone_table_new ();
   assert_true (quince_zone_table_get_share (table, second, "a1") == 1);
-  quince_zone_table_take (table, second, "a1", 10, TRUE);
+  quince_zone_table_set_evacuated (table, second, "a1", 10, TRUE);
   assert_true (quince_zone_table_get_share (table, 2 * second, "a1") == 0);
   assert_int_equal (quince_zone_table_get_evacuated_us (table, "a1"), second);
-  assert_false (quince_zone_table_is_returning (table, 2 * second));
-  quince_zone_table_take (table, 5 * second, "a1", 11, FALSE);
+  assert_false (quince_zone_table_has_returning_zone (table, 2 * second));
+  quince_zone_table_set_evacuated (table, 5 * second, "a1", 11, FALSE);
   assert_int_equal (quince_zone_table_get_evacuated_us (table, "a1"), 0);
-  assert_true (quince_zone_table_is_returning (table, 5 * second));
+  assert_true (quince_zone_table_has_returning_zone (table, 5 * second));
   double before = 0;
   for (gint64 now = 5 * second; now < 8 * second; now += second / 2)
     {
@@ -96,9 +96,9 @@
       before = share;
     }
   assert_true (quince_zone_table_get_share (table, 8 * second, "a1") == 1);
-  assert_false (quince_zone_table_is_returning (table, 8 * second));
+  assert_false (quince_zone_table_has_returning_zone (table, 8 * second));
   /* Asked again while it comes back. */
-  quince_zone_table_take (table, 9 * second, "a1", 12, TRUE);
+  quince_zone_table_set_evacuated (table, 9 * second, "a1", 12, TRUE);
   assert_true (quince_zone_table_get_share (table, 9 * second, "a1") == 0);
 }
 
@@ -112,8 +112,8 @@
   const QuinceResidency route = { both, NULL };
   const QuinceResidency route_and_tenant = { both, one };
   const QuinceResidency nowhere = { none, NULL };
-  assert_true (quince_residency_is_free (NULL));
-  assert_true (quince_residency_is_free (&is_free));
+  assert_true (quince_residency_is_unrestricted (NULL));
+  assert_true (quince_residency_is_unrestricted (&is_free));
   assert_true (quince_residency_allows (&is_free, NULL));
   assert_true (quince_residency_allows (&route, "a"));
   assert_false (quince_residency_allows (&route, "c"));
@@ -138,17 +138,17 @@
   quince_machine_zones_set (zones, "n2", "a2");
   quince_machine_zones_set (zones, "n1", "a1");
   quince_machine_zones_set (zones, "n4", "nowhere");
-  assert_true (quince_machine_zones_allow (zones, &bound[0], "n3"));
-  assert_false (quince_machine_zones_allow (zones, &bound[1], "n3"));
-  assert_false (quince_machine_zones_allow (zones, &bound[0], "n4"));
-  assert_false (quince_machine_zones_allow (zones, &bound[0], "n5"));
-  assert_true (quince_machine_zones_allow (zones, NULL, "n5"));
-  g_autoptr (GPtrArray) chosen = quince_machine_zones_choose (zones, bound, 2);
+  assert_true (quince_machine_zones_is_allowed (zones, &bound[0], "n3"));
+  assert_false (quince_machine_zones_is_allowed (zones, &bound[1], "n3"));
+  assert_false (quince_machine_zones_is_allowed (zones, &bound[0], "n4"));
+  assert_false (quince_machine_zones_is_allowed (zones, &bound[0], "n5"));
+  assert_true (quince_machine_zones_is_allowed (zones, NULL, "n5"));
+  g_autoptr (GPtrArray) chosen = quince_machine_zones_list_allowed (zones, bound, 2);
   assert_int_equal (chosen->len, 2);
   assert_string_equal (chosen->pdata[0], "n1");
   assert_string_equal (chosen->pdata[1], "n2");
   quince_machine_zones_set (zones, "n1", NULL);
-  assert_false (quince_machine_zones_allow (zones, &bound[0], "n1"));
+  assert_false (quince_machine_zones_is_allowed (zones, &bound[0], "n1"));
 }
 
 /* Where there is one region alone, every machine is in it. */
@@ -159,7 +159,7 @@
   const QuinceResidency bound = { east, NULL };
   g_autoptr (QuinceTopology) topology = quince_topology_new ("a1", "a");
   g_autoptr (QuinceMachineZones) zones = quince_machine_zones_new (topology);
-  assert_true (quince_machine_zones_allow (zones, &bound, "any"));
+  assert_true (quince_machine_zones_is_allowed (zones, &bound, "any"));
 }
 
 int
--- a/tools/cold-commands.c
+++ b/tools/cold-commands.c
@@ -44,7 +44,7 @@
   g_autoptr (QuinceWorker) worker = quince_platform_read_worker (item->key, item->value, &error);
   if (worker == NULL)
     fprintf (stderr, "quinceroute: %s: %s\n", item->key, error->message);
-  else if (worker->cold_us != 0)
+  else if (worker->cold_remaining_us != 0)
     g_ptr_array_add (listing->workers, g_steal_pointer (&worker));
 }
 
@@ -56,10 +56,10 @@
   quince_table_add (table, worker->id);
   quince_table_add (table, worker->service);
   quince_table_add (table, worker->zone);
-  if (worker->cold_us == QUINCE_COLD_UNKNOWN)
+  if (worker->cold_remaining_us == QUINCE_COLD_UNKNOWN)
     quince_table_add (table, NO_VALUE);
   else
-    quince_table_add_format (table, "%" G_GINT64_FORMAT, worker->cold_us / 1000);
+    quince_table_add_format (table, "%" G_GINT64_FORMAT, worker->cold_remaining_us / 1000);
   if (service != NULL && service->cold_per_s > 0)
     quince_table_add_format (table, "%.1f", service->cold_per_s);
   else
