--- a/lib/core/routing/failure-detector.c
+++ b/lib/core/routing/failure-detector.c
@@ -114,7 +114,7 @@
 gboolean
 quince_failure_detector_get_silent (const QuinceFailureDetector *detector, gint64 now_us, GPtrArray *silent)
 {
-  guint listed = 0;
+  guint n_judged = 0;
   GHashTableIter iter;
   gpointer name;
   gpointer value;
@@ -126,12 +126,12 @@
       const Entry *entry = value;
       if (!entry->listed && now_us - entry->unlisted_us >= UNLISTED_RETENTION_US)
         continue;
-      listed++;
+      n_judged++;
       if (!is_alive (detector, now_us, entry))
         g_ptr_array_add (silent, name);
     }
-  guint alive = listed - silent->len;
-  if (silent->len == 0 || alive * ALIVE_MIN_DIVISOR >= listed)
+  guint n_alive = n_judged - silent->len;
+  if (silent->len == 0 || n_alive * ALIVE_MIN_DIVISOR >= n_judged)
     return TRUE;
   g_ptr_array_set_size (silent, 0);
   return FALSE;
--- a/lib/core/routing/prompt-table.c
+++ b/lib/core/routing/prompt-table.c
@@ -7,13 +7,13 @@
 {
   char *part;
   char *worker;
-  GList *link; /* in the order of use */
+  GList *lru_link; /* in the order of use */
 } Entry;
 
 struct _QuincePromptTable
 {
   GHashTable *entries; /* Entry by part, owned */
-  GQueue order;        /* Entry, most recently used last */
+  GQueue lru;          /* Entry, most recently used last */
   guint parts_max;
 };
 
@@ -31,7 +31,7 @@
 {
   QuincePromptTable *table = g_new0 (QuincePromptTable, 1);
   table->entries = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, entry_free);
-  g_queue_init (&table->order);
+  g_queue_init (&table->lru);
   table->parts_max = parts_max;
   return table;
 }
@@ -41,7 +41,7 @@
 {
   if (table == NULL)
     return;
-  g_queue_clear (&table->order);
+  g_queue_clear (&table->lru);
   g_hash_table_unref (table->entries);
   g_free (table);
 }
@@ -49,8 +49,8 @@
 static void
 evict_least_recently_used (QuincePromptTable *table)
 {
-  Entry *oldest = g_queue_pop_head (&table->order);
-  g_hash_table_remove (table->entries, oldest->part);
+  Entry *least_recent = g_queue_pop_head (&table->lru);
+  g_hash_table_remove (table->entries, least_recent->part);
 }
 
 static void
@@ -62,13 +62,13 @@
       entry = g_new0 (Entry, 1);
       entry->part = g_strdup (part);
       g_hash_table_insert (table->entries, entry->part, entry);
-      g_queue_push_tail (&table->order, entry);
-      entry->link = g_queue_peek_tail_link (&table->order);
+      g_queue_push_tail (&table->lru, entry);
+      entry->lru_link = g_queue_peek_tail_link (&table->lru);
     }
   else
     {
-      g_queue_unlink (&table->order, entry->link);
-      g_queue_push_tail_link (&table->order, entry->link);
+      g_queue_unlink (&table->lru, entry->lru_link);
+      g_queue_push_tail_link (&table->lru, entry->lru_link);
     }
   g_free (entry->worker);
   entry->worker = g_strdup (worker);
--- a/lib/core/routing/worker-table.c
+++ b/lib/core/routing/worker-table.c
@@ -29,14 +29,15 @@
 {
   char *service;
   char *model;
-  guint64 minimum;
+  guint64 min_version;
   GPtrArray *workers; /* QuinceWorker, in order of their ids */
 } VersionList;
 
 struct _QuinceWorkerTable
 {
   GHashTable *by_id; /* QuinceWorker, owned */
-  GHashTable *lists; /* GPtrArray by service, owned: made on demand, dropped when a worker comes or goes */
+  GHashTable
+      *service_lists; /* GPtrArray by service, owned: made on demand, dropped when a worker comes or goes */
   GPtrArray *version_lists; /* VersionList, owned: likewise; updated when a worker's version rises */
   const QuinceWorkerTableCallbacks *callbacks;
   gpointer user_data;
@@ -114,7 +115,8 @@
 {
   QuinceWorkerTable *table = g_new0 (QuinceWorkerTable, 1);
   table->by_id = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, (GDestroyNotify)quince_worker_free);
-  table->lists = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, (GDestroyNotify)g_ptr_array_unref);
+  table->service_lists
+      = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, (GDestroyNotify)g_ptr_array_unref);
   table->version_lists = g_ptr_array_new_with_free_func (version_list_free);
   table->callbacks = callbacks;
   table->user_data = user_data;
@@ -126,7 +128,7 @@
 {
   if (table == NULL)
     return;
-  g_hash_table_unref (table->lists);
+  g_hash_table_unref (table->service_lists);
   g_ptr_array_unref (table->version_lists);
   g_hash_table_unref (table->by_id);
   g_free (table);
@@ -136,7 +138,7 @@
 static void
 invalidate_lists (QuinceWorkerTable *table, const char *service)
 {
-  g_hash_table_remove (table->lists, service);
+  g_hash_table_remove (table->service_lists, service);
   for (guint i = table->version_lists->len; i > 0; i--)
     {
       const VersionList *list = table->version_lists->pdata[i - 1];
@@ -159,11 +161,11 @@
   for (guint i = 0; i < entry->models->len; i++)
     {
       const QuinceWorkerModel *model = &g_array_index (entry->models, QuinceWorkerModel, i);
-      guint64 before = quince_worker_get_version (worker, model->name);
-      changed = changed || before != model->version;
+      guint64 old_version = quince_worker_get_version (worker, model->name);
+      changed = changed || old_version != model->version;
       /* A worker's version only rises; a higher one came from its own report, which is newer than its entry.
        */
-      quince_worker_table_set_model (table, worker, model->name, MAX (before, model->version));
+      quince_worker_table_set_model (table, worker, model->name, MAX (old_version, model->version));
     }
   return changed;
 }
@@ -172,9 +174,9 @@
 quince_worker_table_update (QuinceWorkerTable *table, QuinceWorker *entry)
 {
   QuinceWorker *worker = g_hash_table_lookup (table->by_id, entry->id);
-  gboolean same = worker != NULL && g_str_equal (worker->address, entry->address)
-                  && g_str_equal (worker->service, entry->service);
-  if (same)
+  gboolean same_worker = worker != NULL && g_str_equal (worker->address, entry->address)
+                         && g_str_equal (worker->service, entry->service);
+  if (same_worker)
     {
       gboolean changed = update_from_entry (table, worker, entry);
       quince_worker_free (entry);
@@ -195,8 +197,8 @@
     return;
   g_hash_table_steal (table->by_id, id);
   invalidate_lists (table, worker->service);
-  if (table->callbacks != NULL && table->callbacks->gone != NULL)
-    table->callbacks->gone (worker, table->user_data);
+  if (table->callbacks != NULL && table->callbacks->removed != NULL)
+    table->callbacks->removed (worker, table->user_data);
   quince_worker_free (worker);
 }
 
@@ -217,7 +219,7 @@
 GPtrArray *
 quince_worker_table_list (QuinceWorkerTable *table, const char *service)
 {
-  GPtrArray *list = g_hash_table_lookup (table->lists, service);
+  GPtrArray *list = g_hash_table_lookup (table->service_lists, service);
   if (list != NULL)
     return g_ptr_array_ref (list);
   list = g_ptr_array_new ();
@@ -228,7 +230,7 @@
     if (g_str_equal (((QuinceWorker *)value)->service, service))
       g_ptr_array_add (list, value);
   g_ptr_array_sort (list, compare_ids);
-  g_hash_table_insert (table->lists, g_strdup (service), g_ptr_array_ref (list));
+  g_hash_table_insert (table->service_lists, g_strdup (service), g_ptr_array_ref (list));
   return list;
 }
 
@@ -237,21 +239,21 @@
 add_to_version_lists (QuinceWorkerTable *table,
                       QuinceWorker *worker,
                       const char *model,
-                      guint64 before,
-                      guint64 now)
+                      guint64 old_version,
+                      guint64 new_version)
 {
   for (guint i = 0; i < table->version_lists->len; i++)
     {
       VersionList *list = table->version_lists->pdata[i];
-      if (before >= list->minimum || now < list->minimum || !g_str_equal (list->model, model)
-          || !g_str_equal (list->service, worker->service))
+      if (old_version >= list->min_version || new_version < list->min_version
+          || !g_str_equal (list->model, model) || !g_str_equal (list->service, worker->service))
         continue;
       /* Callers that hold the list keep it unchanged. */
-      GPtrArray *longer = g_ptr_array_copy (list->workers, NULL, NULL);
-      g_ptr_array_add (longer, worker);
-      g_ptr_array_sort (longer, compare_ids);
+      GPtrArray *extended = g_ptr_array_copy (list->workers, NULL, NULL);
+      g_ptr_array_add (extended, worker);
+      g_ptr_array_sort (extended, compare_ids);
       g_ptr_array_unref (list->workers);
-      list->workers = longer;
+      list->workers = extended;
     }
 }
 
@@ -261,23 +263,26 @@
                                const char *model,
                                guint64 version)
 {
-  guint64 before = quince_worker_get_version (worker, model);
-  if (before == version)
+  guint64 old_version = quince_worker_get_version (worker, model);
+  if (old_version == version)
     return;
   quince_worker_set_model (worker, model, version);
-  if (version > before)
-    add_to_version_lists (table, worker, model, before, version);
+  if (version > old_version)
+    add_to_version_lists (table, worker, model, old_version, version);
   else
     invalidate_lists (table, worker->service);
 }
 
 static VersionList *
-find_version_list (const QuinceWorkerTable *table, const char *service, const char *model, guint64 minimum)
+find_version_list (const QuinceWorkerTable *table,
+                   const char *service,
+                   const char *model,
+                   guint64 min_version)
 {
   for (guint i = 0; i < table->version_lists->len; i++)
     {
       VersionList *list = table->version_lists->pdata[i];
-      if (list->minimum == minimum && g_str_equal (list->model, model)
+      if (list->min_version == min_version && g_str_equal (list->model, model)
           && g_str_equal (list->service, service))
         return list;
     }
@@ -288,10 +293,10 @@
 quince_worker_table_list_version (QuinceWorkerTable *table,
                                   const char *service,
                                   const char *model,
-                                  guint64 minimum)
+                                  guint64 min_version)
 {
-  minimum = MAX (minimum, 1);
-  VersionList *list = find_version_list (table, service, model, minimum);
+  min_version = MAX (min_version, 1);
+  VersionList *list = find_version_list (table, service, model, min_version);
   if (list != NULL)
     return g_ptr_array_ref (list->workers);
   if (table->version_lists->len >= VERSION_LISTS_MAX)
@@ -299,11 +304,11 @@
   list = g_new0 (VersionList, 1);
   list->service = g_strdup (service);
   list->model = g_strdup (model);
-  list->minimum = minimum;
+  list->min_version = min_version;
   list->workers = g_ptr_array_new ();
   g_autoptr (GPtrArray) all = quince_worker_table_list (table, service);
   for (guint i = 0; i < all->len; i++)
-    if (quince_worker_get_version (all->pdata[i], model) >= minimum)
+    if (quince_worker_get_version (all->pdata[i], model) >= min_version)
       g_ptr_array_add (list->workers, all->pdata[i]);
   g_ptr_array_add (table->version_lists, list);
   return g_ptr_array_ref (list->workers);
@@ -328,34 +333,34 @@
 }
 
 void
-quince_worker_record_response (QuinceWorker *worker, gint64 took_us)
+quince_worker_record_response (QuinceWorker *worker, gint64 elapsed_us)
 {
-  worker->failures = 0;
+  worker->consecutive_failures = 0;
   worker->ejected_until_us = 0;
-  guint sample = (guint)CLAMP (took_us, 1, G_MAXINT);
+  guint measured_us = (guint)CLAMP (elapsed_us, 1, G_MAXINT);
   if (worker->service_time_us == 0)
-    worker->service_time_us = sample;
+    worker->service_time_us = measured_us;
   else
     worker->service_time_us
-        += (guint)(((gint64)sample - (gint64)worker->service_time_us) >> SERVICE_TIME_SHIFT);
+        += (guint)(((gint64)measured_us - (gint64)worker->service_time_us) >> SERVICE_TIME_SHIFT);
 }
 
 void
 quince_worker_record_failure (QuinceWorker *worker, gint64 now_us)
 {
-  gint64 ejection_us = EJECTION_BASE_US << MIN (worker->failures, EJECTION_DOUBLINGS_MAX);
-  worker->failures++;
+  gint64 ejection_us = EJECTION_BASE_US << MIN (worker->consecutive_failures, EJECTION_DOUBLINGS_MAX);
+  worker->consecutive_failures++;
   worker->ejected_until_us = now_us + MIN (ejection_us, EJECTION_MAX_US);
 }
 
 void
-quince_worker_record_event (QuinceWorker *worker, gint64 now_us, gint64 since_last_us)
+quince_worker_record_event (QuinceWorker *worker, gint64 now_us, gint64 interval_us)
 {
-  gint64 sample = CLAMP (since_last_us, 1, EVENT_INTERVAL_MAX_US);
+  gint64 measured_us = CLAMP (interval_us, 1, EVENT_INTERVAL_MAX_US);
   if (worker->pace_us == 0 || now_us - worker->pace_measured_us > PACE_MAX_AGE_US)
-    worker->pace_us = sample;
+    worker->pace_us = measured_us;
   else
-    worker->pace_us += (sample - worker->pace_us) >> PACE_SHIFT;
+    worker->pace_us += (measured_us - worker->pace_us) >> PACE_SHIFT;
   worker->pace_measured_us = now_us;
 }
 
--- a/lib/core/routing/worker-table.h
+++ b/lib/core/routing/worker-table.h
@@ -39,7 +39,7 @@
   gint64 send_by_us;            /* the request that it was last chosen for is not sent later; 0: no limit */
   gboolean loading;             /* it loads weights and begins nothing meanwhile */
   guint running;                /* requests that this process has at it now */
-  guint failures;               /* in a row */
+  guint consecutive_failures;   /* in a row */
   gint64 ejected_until_us;      /* no first choice until then */
   guint service_time_us;        /* smoothed time of its answers; 0: none yet */
   gint64 pace_us;               /* smoothed time between two events of a stream; 0: none yet */
@@ -58,11 +58,11 @@
 
 /**
  * QuinceWorkerTableCallbacks:
- * @gone: the worker ended or was replaced and gets no more requests; called before it is freed
+ * @removed: the worker ended or was replaced and gets no more requests; called before it is freed
  */
 typedef struct
 {
-  void (*gone) (QuinceWorker *worker, gpointer user_data);
+  void (*removed) (QuinceWorker *worker, gpointer user_data);
 } QuinceWorkerTableCallbacks;
 
 QuinceWorkerTable *quince_worker_table_new (const QuinceWorkerTableCallbacks *callbacks, gpointer user_data);
@@ -75,12 +75,12 @@
 QuinceWorker *quince_worker_table_find (QuinceWorkerTable *table, const char *id);
 /* (transfer container): workers of @service, draining ones too, in order of their ids; not to be changed. */
 GPtrArray *quince_worker_table_list (QuinceWorkerTable *table, const char *service);
-/* (transfer container): the same of workers that have version @minimum of @model or a later one.  Kept
+/* (transfer container): the same of workers that have version @min_version of @model or a later one.  Kept
  * between calls: a leader of thousands of workers calls this for each sample. */
 GPtrArray *quince_worker_table_list_version (QuinceWorkerTable *table,
                                              const char *service,
                                              const char *model,
-                                             guint64 minimum);
+                                             guint64 min_version);
 /* @worker, which is in @table, has @version of @model. */
 void quince_worker_table_set_model (QuinceWorkerTable *table,
                                     QuinceWorker *worker,
@@ -90,12 +90,12 @@
 GPtrArray *quince_worker_table_list_all (const QuinceWorkerTable *table);
 guint quince_worker_table_get_size (const QuinceWorkerTable *table);
 
-/* An answer arrived after @took_us: ends an ejection. */
-void quince_worker_record_response (QuinceWorker *worker, gint64 took_us);
+/* An answer arrived after @elapsed_us: ends an ejection. */
+void quince_worker_record_response (QuinceWorker *worker, gint64 elapsed_us);
 /* A request failed at the worker: ejects it for 200 ms, doubled with each failure in a row, up to 2 s. */
 void quince_worker_record_failure (QuinceWorker *worker, gint64 now_us);
-/* Events of a stream arrived, on average @since_last_us after the one before. */
-void quince_worker_record_event (QuinceWorker *worker, gint64 now_us, gint64 since_last_us);
+/* Events of a stream arrived, on average @interval_us after the one before. */
+void quince_worker_record_event (QuinceWorker *worker, gint64 now_us, gint64 interval_us);
 /* Its entry says that it is cold, or it is assumed to be. */
 gboolean quince_worker_is_cold (const QuinceWorker *worker, gint64 now_us);
 /* It may have turned cold before its entry says so: it counts as cold until @until_us. */
--- a/lib/core/routing/zone-table.c
+++ b/lib/core/routing/zone-table.c
@@ -108,8 +108,8 @@
     return 0;
   if (state == NULL || state->returned_us == 0)
     return 1;
-  gint64 since_us = CLAMP (now_us - state->returned_us, 0, RETURN_RAMP_US);
-  return RETURN_SHARE_MIN + (1 - RETURN_SHARE_MIN) * (double)since_us / RETURN_RAMP_US;
+  gint64 elapsed_us = CLAMP (now_us - state->returned_us, 0, RETURN_RAMP_US);
+  return RETURN_SHARE_MIN + (1 - RETURN_SHARE_MIN) * (double)elapsed_us / RETURN_RAMP_US;
 }
 
 guint
--- a/lib/core/usage/usage-book.c
+++ b/lib/core/usage/usage-book.c
@@ -72,10 +72,10 @@
 static OpenWindow *
 find_or_open_window (QuinceUsageBook *book, guint64 number)
 {
-  guint at = 0;
-  for (; at < book->open->len; at++)
+  guint position = 0;
+  for (; position < book->open->len; position++)
     {
-      OpenWindow *known = book->open->pdata[at];
+      OpenWindow *known = book->open->pdata[position];
       if (known->number == number)
         return known;
       if (known->number > number)
@@ -84,7 +84,7 @@
   OpenWindow *window = g_new0 (OpenWindow, 1);
   window->number = number;
   window->counts = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
-  g_ptr_array_insert (book->open, (gint)at, window);
+  g_ptr_array_insert (book->open, (gint)position, window);
   return window;
 }
 
@@ -182,7 +182,7 @@
 /* ---- Windows to close and to report ------------------------------------- */
 
 static gint
-compare_counts (gconstpointer a, gconstpointer b)
+compare_tenants (gconstpointer a, gconstpointer b)
 {
   const QuinceUsageCount *first = a;
   const QuinceUsageCount *second = b;
@@ -202,7 +202,7 @@
       QuinceUsageCount count = { .tenant = tenant, .requests = GPOINTER_TO_UINT (requests) };
       g_array_append_val (counts, count);
     }
-  g_array_sort (counts, compare_counts);
+  g_array_sort (counts, compare_tenants);
   QuinceUsageWindow closed = { .window = window->number };
   closed.counts.counts_val = (QuinceUsageCount *)counts->data;
   closed.counts.counts_len = counts->len;
--- a/lib/forward/backends.c
+++ b/lib/forward/backends.c
@@ -14,13 +14,13 @@
 #define PROMPT_PARTS_MAX 8192
 
 static void
-worker_gone (QuinceWorker *worker, gpointer data)
+worker_removed (QuinceWorker *worker, gpointer data)
 {
   const QuinceBackends *backends = data;
   quince_worker_pools_remove (backends->pools, worker->id);
 }
 
-static const QuinceWorkerTableCallbacks table_callbacks = { .gone = worker_gone };
+static const QuinceWorkerTableCallbacks table_callbacks = { .removed = worker_removed };
 
 QuinceBackends *
 quince_backends_new (QuinceTopology *topology)
--- a/lib/forward/choose-worker.c
+++ b/lib/forward/choose-worker.c
@@ -127,7 +127,7 @@
     .weight_version = version,
     .target_version = version,
     .recent_ms = worker->service_time_us / 1000,
-    .recent_failures = MIN (worker->failures, FAILURES_SHOWN_MAX),
+    .recent_failures = MIN (worker->consecutive_failures, FAILURES_SHOWN_MAX),
     .same_zone = g_str_equal (worker->zone, quince_topology_get_own_zone (backends->topology)),
   };
   gint64 pace_us = quince_worker_get_pace_us (worker, now_us);
--- a/tests/unit/test-failure-detector.c
+++ b/tests/unit/test-failure-detector.c
@@ -10,124 +10,124 @@
 
 #include "core/routing/failure-detector.h"
 
-#define MILLISECOND 1000
-#define SILENCE (700 * MILLISECOND)
+#define US_PER_MS 1000
+#define HEARTBEAT_TIMEOUT_US (700 * US_PER_MS)
 
 static QuinceFailureDetector *
-listed (const char *const *names)
+new_detector (const char *const *names)
 {
-  QuinceFailureDetector *table = quince_failure_detector_new (SILENCE);
-  quince_failure_detector_restart (table, 0);
+  QuinceFailureDetector *detector = quince_failure_detector_new (HEARTBEAT_TIMEOUT_US);
+  quince_failure_detector_restart (detector, 0);
   for (; *names != NULL; names++)
-    quince_failure_detector_set_listed (table, 0, *names, TRUE);
-  return table;
+    quince_failure_detector_set_listed (detector, 0, *names, TRUE);
+  return detector;
 }
 
 static void
-hear_all (QuinceFailureDetector *table, gint64 now_us, const char *const *names)
+record_heartbeats (QuinceFailureDetector *detector, gint64 now_us, const char *const *names)
 {
   for (; *names != NULL; names++)
-    quince_failure_detector_record_heartbeat (table, now_us, *names);
+    quince_failure_detector_record_heartbeat (detector, now_us, *names);
 }
 
 static void
-test_silent_one (void **state)
+test_single_silent_front (void **state)
 {
   static const char *const names[] = { "f1", "f2", "f3", NULL };
   static const char *const alive[] = { "f1", "f3", NULL };
-  g_autoptr (QuinceFailureDetector) table = listed (names);
+  g_autoptr (QuinceFailureDetector) detector = new_detector (names);
   g_autoptr (GPtrArray) silent = g_ptr_array_new ();
-  hear_all (table, SILENCE, names);
-  assert_true (quince_failure_detector_get_silent (table, SILENCE + MILLISECOND, silent));
+  record_heartbeats (detector, HEARTBEAT_TIMEOUT_US, names);
+  assert_true (quince_failure_detector_get_silent (detector, HEARTBEAT_TIMEOUT_US + US_PER_MS, silent));
   assert_int_equal (silent->len, 0);
-  hear_all (table, 2 * SILENCE, alive);
-  assert_true (quince_failure_detector_get_silent (table, 2 * SILENCE, silent));
+  record_heartbeats (detector, 2 * HEARTBEAT_TIMEOUT_US, alive);
+  assert_true (quince_failure_detector_get_silent (detector, 2 * HEARTBEAT_TIMEOUT_US, silent));
   assert_int_equal (silent->len, 1);
   assert_string_equal (silent->pdata[0], "f2");
   /* It speaks again. */
-  quince_failure_detector_record_heartbeat (table, 2 * SILENCE, "f2");
+  quince_failure_detector_record_heartbeat (detector, 2 * HEARTBEAT_TIMEOUT_US, "f2");
   g_ptr_array_set_size (silent, 0);
-  assert_true (quince_failure_detector_get_silent (table, 2 * SILENCE, silent));
+  assert_true (quince_failure_detector_get_silent (detector, 2 * HEARTBEAT_TIMEOUT_US, silent));
   assert_int_equal (silent->len, 0);
 }
 
 static void
-test_nothing_said_at_first (void **state)
+test_no_verdict_after_restart (void **state)
 {
   static const char *const names[] = { "f1", "f2", NULL };
-  g_autoptr (QuinceFailureDetector) table = listed (names);
+  g_autoptr (QuinceFailureDetector) detector = new_detector (names);
   g_autoptr (GPtrArray) silent = g_ptr_array_new ();
-  quince_failure_detector_restart (table, 10 * SILENCE);
-  quince_failure_detector_record_heartbeat (table, 10 * SILENCE, "f1");
-  assert_false (quince_failure_detector_get_silent (table, 11 * SILENCE - 1, silent));
+  quince_failure_detector_restart (detector, 10 * HEARTBEAT_TIMEOUT_US);
+  quince_failure_detector_record_heartbeat (detector, 10 * HEARTBEAT_TIMEOUT_US, "f1");
+  assert_false (quince_failure_detector_get_silent (detector, 11 * HEARTBEAT_TIMEOUT_US - 1, silent));
   assert_int_equal (silent->len, 0);
-  quince_failure_detector_record_heartbeat (table, 11 * SILENCE, "f1");
-  assert_true (quince_failure_detector_get_silent (table, 11 * SILENCE, silent));
+  quince_failure_detector_record_heartbeat (detector, 11 * HEARTBEAT_TIMEOUT_US, "f1");
+  assert_true (quince_failure_detector_get_silent (detector, 11 * HEARTBEAT_TIMEOUT_US, silent));
   assert_int_equal (silent->len, 1);
 }
 
 static void
-test_cut_off_itself (void **state)
+test_no_verdict_if_isolated (void **state)
 {
   static const char *const names[] = { "f1", "f2", "f3", "f4", "f5", NULL };
-  g_autoptr (QuinceFailureDetector) table = listed (names);
+  g_autoptr (QuinceFailureDetector) detector = new_detector (names);
   g_autoptr (GPtrArray) silent = g_ptr_array_new ();
-  quince_failure_detector_record_heartbeat (table, 2 * SILENCE, "f4");
-  assert_false (quince_failure_detector_get_silent (table, 2 * SILENCE, silent));
+  quince_failure_detector_record_heartbeat (detector, 2 * HEARTBEAT_TIMEOUT_US, "f4");
+  assert_false (quince_failure_detector_get_silent (detector, 2 * HEARTBEAT_TIMEOUT_US, silent));
   assert_int_equal (silent->len, 0);
-  quince_failure_detector_record_heartbeat (table, 2 * SILENCE, "f5");
-  assert_false (quince_failure_detector_get_silent (table, 2 * SILENCE, silent));
+  quince_failure_detector_record_heartbeat (detector, 2 * HEARTBEAT_TIMEOUT_US, "f5");
+  assert_false (quince_failure_detector_get_silent (detector, 2 * HEARTBEAT_TIMEOUT_US, silent));
   assert_int_equal (silent->len, 0);
-  quince_failure_detector_record_heartbeat (table, 2 * SILENCE, "f3");
-  assert_true (quince_failure_detector_get_silent (table, 2 * SILENCE, silent));
+  quince_failure_detector_record_heartbeat (detector, 2 * HEARTBEAT_TIMEOUT_US, "f3");
+  assert_true (quince_failure_detector_get_silent (detector, 2 * HEARTBEAT_TIMEOUT_US, silent));
   assert_int_equal (silent->len, 2);
 }
 
 static void
-test_unlisted (void **state)
+test_recently_unlisted_front (void **state)
 {
   static const char *const names[] = { "f1", "f2", NULL };
-  g_autoptr (QuinceFailureDetector) table = listed (names);
+  g_autoptr (QuinceFailureDetector) detector = new_detector (names);
   g_autoptr (GPtrArray) silent = g_ptr_array_new ();
   /* Heard, and never listed: not in the directory anyway. */
-  quince_failure_detector_record_heartbeat (table, 0, "stranger");
-  quince_failure_detector_record_heartbeat (table, 2 * SILENCE, "f1");
+  quince_failure_detector_record_heartbeat (detector, 0, "stranger");
+  quince_failure_detector_record_heartbeat (detector, 2 * HEARTBEAT_TIMEOUT_US, "f1");
   /* Its key may have lapsed, but it sends no heartbeats either: it stays silent. */
-  quince_failure_detector_set_listed (table, 2 * SILENCE, "f2", FALSE);
-  assert_true (quince_failure_detector_get_silent (table, 2 * SILENCE, silent));
+  quince_failure_detector_set_listed (detector, 2 * HEARTBEAT_TIMEOUT_US, "f2", FALSE);
+  assert_true (quince_failure_detector_get_silent (detector, 2 * HEARTBEAT_TIMEOUT_US, silent));
   assert_int_equal (silent->len, 1);
   assert_string_equal (silent->pdata[0], "f2");
   /* A front that is listed again has time for its first heartbeat. */
   g_ptr_array_set_size (silent, 0);
-  quince_failure_detector_set_listed (table, 2 * SILENCE, "f2", TRUE);
-  assert_true (quince_failure_detector_get_silent (table, 2 * SILENCE, silent));
+  quince_failure_detector_set_listed (detector, 2 * HEARTBEAT_TIMEOUT_US, "f2", TRUE);
+  assert_true (quince_failure_detector_get_silent (detector, 2 * HEARTBEAT_TIMEOUT_US, silent));
   assert_int_equal (silent->len, 0);
 }
 
 /* Who is long gone is forgotten. */
 static void
-test_forgotten (void **state)
+test_remove_stale (void **state)
 {
   static const char *const names[] = { "f1", "f2", NULL };
   const gint64 later = 30 * G_USEC_PER_SEC;
-  g_autoptr (QuinceFailureDetector) table = listed (names);
+  g_autoptr (QuinceFailureDetector) detector = new_detector (names);
   g_autoptr (GPtrArray) silent = g_ptr_array_new ();
-  quince_failure_detector_set_listed (table, SILENCE, "f2", FALSE);
-  quince_failure_detector_record_heartbeat (table, later, "f1");
-  quince_failure_detector_remove_stale (table, later);
-  assert_true (quince_failure_detector_get_silent (table, later, silent));
+  quince_failure_detector_set_listed (detector, HEARTBEAT_TIMEOUT_US, "f2", FALSE);
+  quince_failure_detector_record_heartbeat (detector, later, "f1");
+  quince_failure_detector_remove_stale (detector, later);
+  assert_true (quince_failure_detector_get_silent (detector, later, silent));
   assert_int_equal (silent->len, 0);
-  assert_true (quince_failure_detector_is_alive (table, later, "f1"));
-  assert_false (quince_failure_detector_is_alive (table, later, "f2"));
+  assert_true (quince_failure_detector_is_alive (detector, later, "f1"));
+  assert_false (quince_failure_detector_is_alive (detector, later, "f2"));
 }
 
 int
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_silent_one),     cmocka_unit_test (test_nothing_said_at_first),
-    cmocka_unit_test (test_cut_off_itself), cmocka_unit_test (test_unlisted),
-    cmocka_unit_test (test_forgotten),
+    cmocka_unit_test (test_single_silent_front),    cmocka_unit_test (test_no_verdict_after_restart),
+    cmocka_unit_test (test_no_verdict_if_isolated), cmocka_unit_test (test_recently_unlisted_front),
+    cmocka_unit_test (test_remove_stale),
   };
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/tests/unit/test-prompt-table.c
+++ b/tests/unit/test-prompt-table.c
@@ -10,34 +10,34 @@
 
 #include "core/routing/prompt-table.h"
 
-#define PROMPTS_MAX 8
+#define PARTS_MAX 8
 
 static void
-test_last_part_decides (void **state)
+test_last_known_part_wins (void **state)
 {
   static const char *const first[] = { "system", "session-1", NULL };
   static const char *const second[] = { "system", "session-2", NULL };
-  static const char *const fresh[] = { "system", "session-3", NULL };
-  static const char *const other[] = { "another", NULL };
-  g_autoptr (QuincePromptTable) table = quince_prompt_table_new (PROMPTS_MAX);
+  static const char *const new_session[] = { "system", "session-3", NULL };
+  static const char *const unknown[] = { "another", NULL };
+  g_autoptr (QuincePromptTable) table = quince_prompt_table_new (PARTS_MAX);
   assert_null (quince_prompt_table_find_worker (table, first));
   quince_prompt_table_record (table, first, "w1");
   quince_prompt_table_record (table, second, "w2");
   assert_string_equal (quince_prompt_table_find_worker (table, first), "w1");
   assert_string_equal (quince_prompt_table_find_worker (table, second), "w2");
   /* Only the shared part is known: the worker that had it last. */
-  assert_string_equal (quince_prompt_table_find_worker (table, fresh), "w2");
-  assert_null (quince_prompt_table_find_worker (table, other));
+  assert_string_equal (quince_prompt_table_find_worker (table, new_session), "w2");
+  assert_null (quince_prompt_table_find_worker (table, unknown));
   /* A session that moves is found where it went. */
   quince_prompt_table_record (table, first, "w3");
   assert_string_equal (quince_prompt_table_find_worker (table, first), "w3");
 }
 
 static guint
-count_known (const QuincePromptTable *table, guint n_names)
+count_known (const QuincePromptTable *table, guint n_parts)
 {
   guint known = 0;
-  for (guint i = 0; i < n_names; i++)
+  for (guint i = 0; i < n_parts; i++)
     {
       g_autofree char *name = g_strdup_printf ("p%u", i);
       const char *const parts[] = { name, NULL };
@@ -47,20 +47,20 @@
 }
 
 static void
-test_bounded (void **state)
+test_size_limit (void **state)
 {
-  static const char *const kept[] = { "kept", NULL };
-  g_autoptr (QuincePromptTable) table = quince_prompt_table_new (PROMPTS_MAX);
+  static const char *const used_often[] = { "kept", NULL };
+  g_autoptr (QuincePromptTable) table = quince_prompt_table_new (PARTS_MAX);
   for (guint i = 0; i < 1000; i++)
     {
       g_autofree char *name = g_strdup_printf ("p%u", i);
       const char *const parts[] = { name, NULL };
       quince_prompt_table_record (table, parts, "w1");
-      quince_prompt_table_record (table, kept, "w2"); /* used all the time */
-      guint known_kept = quince_prompt_table_find_worker (table, kept) != NULL ? 1 : 0;
-      assert_true (count_known (table, i + 1) + known_kept <= PROMPTS_MAX);
+      quince_prompt_table_record (table, used_often, "w2"); /* used all the time */
+      guint n_known_often = quince_prompt_table_find_worker (table, used_often) != NULL ? 1 : 0;
+      assert_true (count_known (table, i + 1) + n_known_often <= PARTS_MAX);
     }
-  assert_string_equal (quince_prompt_table_find_worker (table, kept), "w2");
+  assert_string_equal (quince_prompt_table_find_worker (table, used_often), "w2");
   static const char *const oldest[] = { "p0", NULL };
   assert_null (quince_prompt_table_find_worker (table, oldest));
 }
@@ -69,8 +69,8 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_last_part_decides),
-    cmocka_unit_test (test_bounded),
+    cmocka_unit_test (test_last_known_part_wins),
+    cmocka_unit_test (test_size_limit),
   };
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/tests/unit/test-usage-book.c
+++ b/tests/unit/test-usage-book.c
@@ -12,7 +12,7 @@
 #include "core/usage/usage-book.h"
 
 #define WINDOW_MS 5000
-#define DELAY_MS 4000
+#define CLOSE_DELAY_MS 4000
 #define SOURCE 77
 
 static void
@@ -50,7 +50,7 @@
 }
 
 static void
-test_counts_once (void **state)
+test_ignore_duplicate_events (void **state)
 {
   g_autoptr (QuinceUsageBook) book = quince_usage_book_new (WINDOW_MS);
   apply_event (book, 1, SOURCE, 1, "b", 10001);
@@ -60,8 +60,9 @@
   apply_event (book, 5, SOURCE, 3, "a", 15000); /* of the next window */
   assert_int_equal (quince_usage_book_get_sequence (book, SOURCE), 3);
   assert_int_equal (quince_usage_book_get_sequence (book, SOURCE + 2), 0);
-  assert_null (quince_usage_book_next_to_close (book, 15000 + DELAY_MS - 1, DELAY_MS));
-  g_autoptr (QuinceUsageWindow) window = quince_usage_book_next_to_close (book, 15000 + DELAY_MS, DELAY_MS);
+  assert_null (quince_usage_book_next_to_close (book, 15000 + CLOSE_DELAY_MS - 1, CLOSE_DELAY_MS));
+  g_autoptr (QuinceUsageWindow) window
+      = quince_usage_book_next_to_close (book, 15000 + CLOSE_DELAY_MS, CLOSE_DELAY_MS);
   assert_int_equal (window->window, 2);
   assert_int_equal (window->counts.counts_len, 2);
   assert_string_equal (window->counts.counts_val[0].tenant, "a");
@@ -72,19 +73,19 @@
 
 /* What comes late, or is closed a second time by another leader, changes no report. */
 static void
-test_closed_for_good (void **state)
+test_closed_window_is_final (void **state)
 {
   g_autoptr (QuinceUsageBook) book = quince_usage_book_new (WINDOW_MS);
   apply_event (book, 1, SOURCE, 1, "a", 10000);
-  g_autoptr (QuinceUsageWindow) window = quince_usage_book_next_to_close (book, 30000, DELAY_MS);
+  g_autoptr (QuinceUsageWindow) window = quince_usage_book_next_to_close (book, 30000, CLOSE_DELAY_MS);
   apply_closed (book, 2, window);
   apply_event (book, 3, SOURCE, 2, "a", 10001);
-  assert_null (quince_usage_book_next_to_close (book, 30000, DELAY_MS));
-  QuinceUsageCount other = { .tenant = (char *)"a", .requests = 2 };
-  QuinceUsageWindow again = { .window = 2 };
-  again.counts.counts_val = &other;
-  again.counts.counts_len = 1;
-  apply_closed (book, 4, &again);
+  assert_null (quince_usage_book_next_to_close (book, 30000, CLOSE_DELAY_MS));
+  QuinceUsageCount other_count = { .tenant = (char *)"a", .requests = 2 };
+  QuinceUsageWindow duplicate = { .window = 2 };
+  duplicate.counts.counts_val = &other_count;
+  duplicate.counts.counts_len = 1;
+  apply_closed (book, 4, &duplicate);
   const QuinceUsageWindow *report = quince_usage_book_next_to_send (book);
   assert_int_equal (report->window, 2);
   assert_int_equal (report->counts.counts_val[0].requests, 1);
@@ -94,34 +95,34 @@
 
 /* Records are forgotten, but never the one that keeps old windows closed. */
 static void
-test_forgets (void **state)
+test_obsolete_records (void **state)
 {
   g_autoptr (QuinceUsageBook) book = quince_usage_book_new (WINDOW_MS);
   apply_event (book, 1, SOURCE, 1, "a", 10000);
   apply_event (book, 2, SOURCE, 2, "a", 16000);
-  g_autoptr (QuinceUsageWindow) window = quince_usage_book_next_to_close (book, 19000, DELAY_MS);
+  g_autoptr (QuinceUsageWindow) window = quince_usage_book_next_to_close (book, 19000, CLOSE_DELAY_MS);
   apply_closed (book, 3, window);
-  g_autoptr (GArray) nothing = quince_usage_book_take_obsolete (book);
-  assert_int_equal (nothing->len, 0);
+  g_autoptr (GArray) before_acknowledgement = quince_usage_book_take_obsolete (book);
+  assert_int_equal (before_acknowledgement->len, 0);
   apply_sent (book, 4, 2);
   /* Failed first: the acknowledgement went before the closing, and the next leader sent the window again. */
-  g_autoptr (GArray) kept = quince_usage_book_take_obsolete (book);
-  assert_int_equal (kept->len, 0);
-  g_autoptr (QuinceUsageWindow) second = quince_usage_book_next_to_close (book, 24000, DELAY_MS);
-  apply_closed (book, 6, second);
+  g_autoptr (GArray) before_next_close = quince_usage_book_take_obsolete (book);
+  assert_int_equal (before_next_close->len, 0);
+  g_autoptr (QuinceUsageWindow) next_window = quince_usage_book_next_to_close (book, 24000, CLOSE_DELAY_MS);
+  apply_closed (book, 6, next_window);
   g_autoptr (GArray) indexes = quince_usage_book_take_obsolete (book);
   assert_int_equal (indexes->len, 3); /* the event, its closing and the acknowledgement */
   g_autoptr (GArray) again = quince_usage_book_take_obsolete (book);
   assert_int_equal (again->len, 0);
   /* Another leader, from the records that are left. */
-  g_autoptr (QuinceUsageBook) next = quince_usage_book_new (WINDOW_MS);
-  apply_event (next, 2, SOURCE, 2, "a", 16000);
-  apply_closed (next, 3, window);
-  apply_event (next, 5, SOURCE + 1, 1, "a", 10000);
-  g_autoptr (QuinceUsageWindow) open = quince_usage_book_next_to_close (next, 60000, DELAY_MS);
+  g_autoptr (QuinceUsageBook) new_leader = quince_usage_book_new (WINDOW_MS);
+  apply_event (new_leader, 2, SOURCE, 2, "a", 16000);
+  apply_closed (new_leader, 3, window);
+  apply_event (new_leader, 5, SOURCE + 1, 1, "a", 10000);
+  g_autoptr (QuinceUsageWindow) open = quince_usage_book_next_to_close (new_leader, 60000, CLOSE_DELAY_MS);
   assert_int_equal (open->window, 3);
   /* It sends the closed window again, to the byte. */
-  const QuinceUsageWindow *report = quince_usage_book_next_to_send (next);
+  const QuinceUsageWindow *report = quince_usage_book_next_to_send (new_leader);
   assert_int_equal (report->window, 2);
   assert_int_equal (report->counts.counts_val[0].requests, 1);
 }
@@ -146,9 +147,9 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_counts_once),
-    cmocka_unit_test (test_closed_for_good),
-    cmocka_unit_test (test_forgets),
+    cmocka_unit_test (test_ignore_duplicate_events),
+    cmocka_unit_test (test_closed_window_is_final),
+    cmocka_unit_test (test_obsolete_records),
     cmocka_unit_test (test_agreed_clock),
   };
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/tests/unit/test-worker-table.c
+++ b/tests/unit/test-worker-table.c
@@ -12,7 +12,11 @@
 #include "core/routing/worker-table.h"
 
 static QuinceWorker *
-tell (QuinceWorkerTable *table, const char *id, const char *service, const char *model, guint64 version)
+update_worker (QuinceWorkerTable *table,
+               const char *id,
+               const char *service,
+               const char *model,
+               guint64 version)
 {
   QuinceWorker *entry = quince_worker_new (id);
   entry->service = g_strdup (service);
@@ -24,9 +28,12 @@
 }
 
 static void
-assert_listed (QuinceWorkerTable *table, const char *model, guint64 minimum, const char *ids)
+assert_workers_with_version (QuinceWorkerTable *table,
+                             const char *model,
+                             guint64 min_version,
+                             const char *ids)
 {
-  g_autoptr (GPtrArray) workers = quince_worker_table_list_version (table, "s", model, minimum);
+  g_autoptr (GPtrArray) workers = quince_worker_table_list_version (table, "s", model, min_version);
   g_autoptr (GString) found = g_string_new (NULL);
   for (guint i = 0; i < workers->len; i++)
     g_string_append (found, ((const QuinceWorker *)workers->pdata[i])->id);
@@ -34,51 +41,51 @@
 }
 
 static void
-test_by_version (void **state)
+test_list_by_version (void **state)
 {
   g_autoptr (QuinceWorkerTable) table = quince_worker_table_new (NULL, NULL);
-  tell (table, "c", "s", "m", 1);
-  QuinceWorker *a = tell (table, "a", "s", "m", 1);
-  tell (table, "x", "other", "m", 5);
-  tell (table, "b", "s", "n", 3);
-  assert_listed (table, "m", 0, "ac"); /* a worker without the model is none of its */
-  assert_listed (table, "m", 1, "ac");
-  assert_listed (table, "m", 2, "");
+  update_worker (table, "c", "s", "m", 1);
+  QuinceWorker *a = update_worker (table, "a", "s", "m", 1);
+  update_worker (table, "x", "other", "m", 5);
+  update_worker (table, "b", "s", "n", 3);
+  assert_workers_with_version (table, "m", 0, "ac"); /* a worker without the model is none of its */
+  assert_workers_with_version (table, "m", 1, "ac");
+  assert_workers_with_version (table, "m", 2, "");
   quince_worker_table_set_model (table, a, "m", 3); /* it has loaded */
-  assert_listed (table, "m", 2, "a");
-  assert_listed (table, "m", 1, "ac");
-  tell (table, "c", "s", "m", 2); /* so its entry tells */
-  assert_listed (table, "m", 2, "ac");
-  assert_listed (table, "m", 3, "a");
-  tell (table, "d", "s", "m", 2); /* it comes */
-  assert_listed (table, "m", 2, "acd");
+  assert_workers_with_version (table, "m", 2, "a");
+  assert_workers_with_version (table, "m", 1, "ac");
+  update_worker (table, "c", "s", "m", 2); /* so its entry tells */
+  assert_workers_with_version (table, "m", 2, "ac");
+  assert_workers_with_version (table, "m", 3, "a");
+  update_worker (table, "d", "s", "m", 2); /* it comes */
+  assert_workers_with_version (table, "m", 2, "acd");
   quince_worker_table_remove (table, "c");
-  assert_listed (table, "m", 2, "ad");
-  assert_listed (table, "n", 1, "b");
+  assert_workers_with_version (table, "m", 2, "ad");
+  assert_workers_with_version (table, "n", 1, "b");
 }
 
 /* An entry that is older than the worker's own report does not lower its version. */
 static void
-test_late_entry (void **state)
+test_stale_entry (void **state)
 {
   g_autoptr (QuinceWorkerTable) table = quince_worker_table_new (NULL, NULL);
-  QuinceWorker *a = tell (table, "a", "s", "m", 1);
+  QuinceWorker *a = update_worker (table, "a", "s", "m", 1);
   quince_worker_table_set_model (table, a, "m", 4);
-  tell (table, "a", "s", "m", 2);
-  assert_listed (table, "m", 4, "a");
+  update_worker (table, "a", "s", "m", 2);
+  assert_workers_with_version (table, "m", 4, "a");
 }
 
 /* Versions only rise: lists of the ones before are not kept for ever. */
 static void
-test_many_versions (void **state)
+test_version_lists_limit (void **state)
 {
   g_autoptr (QuinceWorkerTable) table = quince_worker_table_new (NULL, NULL);
-  QuinceWorker *a = tell (table, "a", "s", "m", 1);
+  QuinceWorker *a = update_worker (table, "a", "s", "m", 1);
   for (guint64 version = 2; version < 500; version++)
     {
-      assert_listed (table, "m", version, "");
+      assert_workers_with_version (table, "m", version, "");
       quince_worker_table_set_model (table, a, "m", version);
-      assert_listed (table, "m", version, "a");
+      assert_workers_with_version (table, "m", version, "a");
     }
 }
 
@@ -86,9 +93,9 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_by_version),
-    cmocka_unit_test (test_late_entry),
-    cmocka_unit_test (test_many_versions),
+    cmocka_unit_test (test_list_by_version),
+    cmocka_unit_test (test_stale_entry),
+    cmocka_unit_test (test_version_lists_limit),
   };
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/tests/unit/test-zone-state.c
+++ b/tests/unit/test-zone-state.c
@@ -14,7 +14,7 @@
 #include "core/routing/zone-table.h"
 
 static void
-test_regions_of_zones (void **state)
+test_zone_regions (void **state)
 {
   g_autoptr (QuinceTopology) topology = quince_topology_new ("a1", "a");
   assert_true (quince_topology_add_zones (topology, "a1=a, a2=a,b1=b", NULL));
@@ -28,14 +28,14 @@
 }
 
 static void
-test_bad_lists (void **state)
+test_malformed_zone_lists (void **state)
 {
-  static const char *const bad[] = { "a1", "a1=", "=a", "a1=a,", "a1=a=b" };
-  for (guint i = 0; i < G_N_ELEMENTS (bad); i++)
+  static const char *const malformed[] = { "a1", "a1=", "=a", "a1=a,", "a1=a=b" };
+  for (guint i = 0; i < G_N_ELEMENTS (malformed); i++)
     {
       g_autoptr (QuinceTopology) topology = quince_topology_new ("a1", "");
       g_autoptr (GError) error = NULL;
-      assert_false (quince_topology_add_zones (topology, bad[i], &error));
+      assert_false (quince_topology_add_zones (topology, malformed[i], &error));
       assert_true (g_error_matches (error, QUINCE_TOPOLOGY_ERROR, QUINCE_TOPOLOGY_ERROR_INVALID));
     }
 }
@@ -50,7 +50,7 @@
 }
 
 static void
-test_old_news_of_a_zone (void **state)
+test_ignore_older_revision (void **state)
 {
   g_autoptr (QuinceZoneTable) table = quince_zone_table_new ();
   assert_true (quince_zone_table_set_evacuated (table, 1, "a1", 10, TRUE));
@@ -75,61 +75,61 @@
 }
 
 static void
-test_share_grows_after_a_return (void **state)
+test_share_grows_after_return (void **state)
 {
-  const gint64 second = G_USEC_PER_SEC;
+  const gint64 second_us = G_USEC_PER_SEC;
   g_autoptr (QuinceZoneTable) table = quince_zone_table_new ();
-  assert_true (quince_zone_table_get_share (table, second, "a1") == 1);
-  quince_zone_table_set_evacuated (table, second, "a1", 10, TRUE);
-  assert_true (quince_zone_table_get_share (table, 2 * second, "a1") == 0);
-  assert_int_equal (quince_zone_table_get_evacuated_us (table, "a1"), second);
-  assert_false (quince_zone_table_has_returning_zone (table, 2 * second));
-  quince_zone_table_set_evacuated (table, 5 * second, "a1", 11, FALSE);
+  assert_true (quince_zone_table_get_share (table, second_us, "a1") == 1);
+  quince_zone_table_set_evacuated (table, second_us, "a1", 10, TRUE);
+  assert_true (quince_zone_table_get_share (table, 2 * second_us, "a1") == 0);
+  assert_int_equal (quince_zone_table_get_evacuated_us (table, "a1"), second_us);
+  assert_false (quince_zone_table_has_returning_zone (table, 2 * second_us));
+  quince_zone_table_set_evacuated (table, 5 * second_us, "a1", 11, FALSE);
   assert_int_equal (quince_zone_table_get_evacuated_us (table, "a1"), 0);
-  assert_true (quince_zone_table_has_returning_zone (table, 5 * second));
-  double before = 0;
-  for (gint64 now = 5 * second; now < 8 * second; now += second / 2)
+  assert_true (quince_zone_table_has_returning_zone (table, 5 * second_us));
+  double last_share = 0;
+  for (gint64 now_us = 5 * second_us; now_us < 8 * second_us; now_us += second_us / 2)
     {
-      double share = quince_zone_table_get_share (table, now, "a1");
-      assert_true (share > before && share < 1);
-      assert_true (quince_zone_table_get_share (table, now, "b1") == 1);
-      before = share;
+      double share = quince_zone_table_get_share (table, now_us, "a1");
+      assert_true (share > last_share && share < 1);
+      assert_true (quince_zone_table_get_share (table, now_us, "b1") == 1);
+      last_share = share;
     }
-  assert_true (quince_zone_table_get_share (table, 8 * second, "a1") == 1);
-  assert_false (quince_zone_table_has_returning_zone (table, 8 * second));
+  assert_true (quince_zone_table_get_share (table, 8 * second_us, "a1") == 1);
+  assert_false (quince_zone_table_has_returning_zone (table, 8 * second_us));
   /* Asked again while it comes back. */
-  quince_zone_table_set_evacuated (table, 9 * second, "a1", 12, TRUE);
-  assert_true (quince_zone_table_get_share (table, 9 * second, "a1") == 0);
+  quince_zone_table_set_evacuated (table, 9 * second_us, "a1", 12, TRUE);
+  assert_true (quince_zone_table_get_share (table, 9 * second_us, "a1") == 0);
 }
 
 static void
 test_residency (void **state)
 {
-  static const char *const both[] = { "a", "b", NULL };
-  static const char *const one[] = { "b", NULL };
-  static const char *const none[] = { NULL };
-  const QuinceResidency is_free = { NULL, NULL };
-  const QuinceResidency route = { both, NULL };
-  const QuinceResidency route_and_tenant = { both, one };
-  const QuinceResidency nowhere = { none, NULL };
+  static const char *const regions_a_b[] = { "a", "b", NULL };
+  static const char *const region_b[] = { "b", NULL };
+  static const char *const no_regions[] = { NULL };
+  const QuinceResidency unrestricted = { NULL, NULL };
+  const QuinceResidency route = { regions_a_b, NULL };
+  const QuinceResidency route_and_tenant = { regions_a_b, region_b };
+  const QuinceResidency no_region = { no_regions, NULL };
   assert_true (quince_residency_is_unrestricted (NULL));
-  assert_true (quince_residency_is_unrestricted (&is_free));
-  assert_true (quince_residency_allows (&is_free, NULL));
+  assert_true (quince_residency_is_unrestricted (&unrestricted));
+  assert_true (quince_residency_allows (&unrestricted, NULL));
   assert_true (quince_residency_allows (&route, "a"));
   assert_false (quince_residency_allows (&route, "c"));
   assert_false (quince_residency_allows (&route, NULL));
   assert_false (quince_residency_allows (&route, ""));
   assert_false (quince_residency_allows (&route_and_tenant, "a"));
   assert_true (quince_residency_allows (&route_and_tenant, "b"));
-  assert_false (quince_residency_allows (&nowhere, "a"));
+  assert_false (quince_residency_allows (&no_region, "a"));
 }
 
 static void
-test_places_of_machines (void **state)
+test_machine_zones (void **state)
 {
-  static const char *const east[] = { "a", NULL };
-  static const char *const all[] = { "a", "b", NULL };
-  const QuinceResidency bound[] = { { all, NULL }, { NULL, east } };
+  static const char *const region_a[] = { "a", NULL };
+  static const char *const regions_a_b[] = { "a", "b", NULL };
+  const QuinceResidency residencies[] = { { regions_a_b, NULL }, { NULL, region_a } };
   g_autoptr (QuinceTopology) topology = quince_topology_new ("a1", "a");
   assert_true (quince_topology_add_zones (topology, "a1=a,a2=a,b1=b", NULL));
   assert_int_equal (quince_topology_count_regions (topology), 2);
@@ -138,38 +138,42 @@
   quince_machine_zones_set (zones, "n2", "a2");
   quince_machine_zones_set (zones, "n1", "a1");
   quince_machine_zones_set (zones, "n4", "nowhere");
-  assert_true (quince_machine_zones_is_allowed (zones, &bound[0], "n3"));
-  assert_false (quince_machine_zones_is_allowed (zones, &bound[1], "n3"));
-  assert_false (quince_machine_zones_is_allowed (zones, &bound[0], "n4"));
-  assert_false (quince_machine_zones_is_allowed (zones, &bound[0], "n5"));
+  assert_true (quince_machine_zones_is_allowed (zones, &residencies[0], "n3"));
+  assert_false (quince_machine_zones_is_allowed (zones, &residencies[1], "n3"));
+  assert_false (quince_machine_zones_is_allowed (zones, &residencies[0], "n4"));
+  assert_false (quince_machine_zones_is_allowed (zones, &residencies[0], "n5"));
   assert_true (quince_machine_zones_is_allowed (zones, NULL, "n5"));
-  g_autoptr (GPtrArray) chosen = quince_machine_zones_list_allowed (zones, bound, 2);
-  assert_int_equal (chosen->len, 2);
-  assert_string_equal (chosen->pdata[0], "n1");
-  assert_string_equal (chosen->pdata[1], "n2");
+  g_autoptr (GPtrArray) allowed = quince_machine_zones_list_allowed (zones, residencies, 2);
+  assert_int_equal (allowed->len, 2);
+  assert_string_equal (allowed->pdata[0], "n1");
+  assert_string_equal (allowed->pdata[1], "n2");
   quince_machine_zones_set (zones, "n1", NULL);
-  assert_false (quince_machine_zones_is_allowed (zones, &bound[0], "n1"));
+  assert_false (quince_machine_zones_is_allowed (zones, &residencies[0], "n1"));
 }
 
 /* Where there is one region alone, every machine is in it. */
 static void
-test_one_region (void **state)
+test_single_region (void **state)
 {
-  static const char *const east[] = { "a", NULL };
-  const QuinceResidency bound = { east, NULL };
+  static const char *const region_a[] = { "a", NULL };
+  const QuinceResidency residency = { region_a, NULL };
   g_autoptr (QuinceTopology) topology = quince_topology_new ("a1", "a");
   g_autoptr (QuinceMachineZones) zones = quince_machine_zones_new (topology);
-  assert_true (quince_machine_zones_is_allowed (zones, &bound, "any"));
+  assert_true (quince_machine_zones_is_allowed (zones, &residency, "any"));
 }
 
 int
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_regions_of_zones),           cmocka_unit_test (test_bad_lists),
-    cmocka_unit_test (test_own_region_from_list),       cmocka_unit_test (test_old_news_of_a_zone),
-    cmocka_unit_test (test_share_grows_after_a_return), cmocka_unit_test (test_residency),
-    cmocka_unit_test (test_places_of_machines),         cmocka_unit_test (test_one_region),
+    cmocka_unit_test (test_zone_regions),
+    cmocka_unit_test (test_malformed_zone_lists),
+    cmocka_unit_test (test_own_region_from_list),
+    cmocka_unit_test (test_ignore_older_revision),
+    cmocka_unit_test (test_share_grows_after_return),
+    cmocka_unit_test (test_residency),
+    cmocka_unit_test (test_machine_zones),
+    cmocka_unit_test (test_single_region),
   };
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
