--- a/daemons/replica/sample-moves.c
+++ b/daemons/replica/sample-moves.c
@@ -18,7 +18,7 @@
   quince_sample_set_get_residency (set, sample->entry, &residency);
   const QuinceBatchJob *batch = sample->entry->batch;
   gint64 best = 0;
-  g_autoptr (GPtrArray) workers = quince_worker_table_list_version (
+  g_autoptr (GPtrArray) workers = quince_worker_table_list_with_version (
       quince_backends_get_workers (set->backends), view->service, batch->model, batch->minimum_version);
   for (guint i = 0; i < workers->len; i++)
     {
--- a/daemons/replica/sample-set.c
+++ b/daemons/replica/sample-set.c
@@ -113,7 +113,7 @@
       g_hash_table_insert (set->paces, g_strdup (service), pace);
     }
   pace->found_us = now_us;
-  pace->fastest_us = quince_workers_fastest_pace_us (workers, now_us);
+  pace->fastest_us = quince_workers_get_fastest_pace_us (workers, now_us);
   return pace->fastest_us;
 }
 
--- a/lib/core/routing/worker-table.c
+++ b/lib/core/routing/worker-table.c
@@ -290,10 +290,10 @@
 }
 
 GPtrArray *
-quince_worker_table_list_version (QuinceWorkerTable *table,
-                                  const char *service,
-                                  const char *model,
-                                  guint64 min_version)
+quince_worker_table_list_with_version (QuinceWorkerTable *table,
+                                       const char *service,
+                                       const char *model,
+                                       guint64 min_version)
 {
   min_version = MAX (min_version, 1);
   VersionList *list = find_version_list (table, service, model, min_version);
@@ -383,7 +383,7 @@
 }
 
 gint64
-quince_workers_fastest_pace_us (const GPtrArray *workers, gint64 now_us)
+quince_workers_get_fastest_pace_us (const GPtrArray *workers, gint64 now_us)
 {
   gint64 fastest = 0;
   for (guint i = 0; i < workers->len; i++)
--- a/lib/core/routing/worker-table.h
+++ b/lib/core/routing/worker-table.h
@@ -77,10 +77,10 @@
 GPtrArray *quince_worker_table_list (QuinceWorkerTable *table, const char *service);
 /* (transfer container): the same of workers that have version @min_version of @model or a later one.  Kept
  * between calls: a leader of thousands of workers calls this for each sample. */
-GPtrArray *quince_worker_table_list_version (QuinceWorkerTable *table,
-                                             const char *service,
-                                             const char *model,
-                                             guint64 min_version);
+GPtrArray *quince_worker_table_list_with_version (QuinceWorkerTable *table,
+                                                  const char *service,
+                                                  const char *model,
+                                                  guint64 min_version);
 /* @worker, which is in @table, has @version of @model. */
 void quince_worker_table_set_model (QuinceWorkerTable *table,
                                     QuinceWorker *worker,
@@ -103,6 +103,6 @@
 /* Its time between two events; 0: not measured in the last 4 s. */
 gint64 quince_worker_get_pace_us (const QuinceWorker *worker, gint64 now_us);
 /* The least pace of @workers (element-type QuinceWorker); 0: none is measured. */
-gint64 quince_workers_fastest_pace_us (const GPtrArray *workers, gint64 now_us);
+gint64 quince_workers_get_fastest_pace_us (const GPtrArray *workers, gint64 now_us);
 
 G_END_DECLS
--- a/lib/forward/choose-worker.c
+++ b/lib/forward/choose-worker.c
@@ -164,7 +164,8 @@
   const char *service = query->request->service;
   if (query->model == NULL)
     return quince_worker_table_list (backends->workers, service);
-  return quince_worker_table_list_version (backends->workers, service, query->model, query->minimum_version);
+  return quince_worker_table_list_with_version (backends->workers, service, query->model,
+                                                query->minimum_version);
 }
 
 QuinceBackendOutcome
--- a/tests/unit/test-decisions-sample-move.c
+++ b/tests/unit/test-decisions-sample-move.c
@@ -75,7 +75,7 @@
   g_autoptr (GPtrArray) workers = g_ptr_array_new ();
   g_ptr_array_add (workers, slow);
   g_ptr_array_add (workers, fast);
-  assert_int_equal (quince_workers_fastest_pace_us (workers, now), EVENT_US);
+  assert_int_equal (quince_workers_get_fastest_pace_us (workers, now), EVENT_US);
   /* An old measurement is not used. */
   assert_int_equal (quince_worker_get_pace_us (slow, now + 60 * SECOND), 0);
 }
--- a/tests/unit/test-worker-table.c
+++ b/tests/unit/test-worker-table.c
@@ -33,7 +33,7 @@
                              guint64 min_version,
                              const char *ids)
 {
-  g_autoptr (GPtrArray) workers = quince_worker_table_list_version (table, "s", model, min_version);
+  g_autoptr (GPtrArray) workers = quince_worker_table_list_with_version (table, "s", model, min_version);
   g_autoptr (GString) found = g_string_new (NULL);
   for (guint i = 0; i < workers->len; i++)
     g_string_append (found, ((const QuinceWorker *)workers->pdata[i])->id);
