--- a/lib/core/routing/failure-detector.c
+++ b/lib/core/routing/failure-detector.c
@@ -1,27 +1,27 @@
 /*
- * failure-detector.c: which of the fronts that the metadata store lists are alive, by their heartbeats.
+ * failure-detector.c: detects failed fronts by missing heartbeats.
  */
 #include "core/routing/failure-detector.h"
 
-/* A front that is not listed any more is judged for this long, us: its entry may only have lapsed in an
- * outage of the store.  Above the 6 s of a front's lease. */
+/* How long a front is monitored after the metadata store stops listing it, since its entry may have expired
+ * during an outage of the store.  Longer than a front's lease, which is 6 s. */
 #define UNLISTED_RETENTION_US (10 * G_USEC_PER_SEC)
-/* A leader that hears fewer than one in this many of the listed fronts makes no judgement: cut off with its
- * own zone of three it hears a third. */
+/* At least one in this many fronts must be alive for a reliable result.  A leader that is isolated with one
+ * of three zones reaches about a third of the fronts. */
 #define ALIVE_MIN_DIVISOR 2
 
 typedef struct
 {
   gboolean listed;
-  gint64 last_heartbeat_us; /* or when it was listed, if that is later */
-  gint64 unlisted_us;       /* since when it is not listed; meaningless while it is */
+  gint64 last_heartbeat_us; /* or when the front was listed, if that was later */
+  gint64 unlisted_us;       /* when the store stopped listing the front; unused while it is listed */
 } Entry;
 
 struct _QuinceFailureDetector
 {
   GHashTable *entries; /* Entry by name, owned */
   gint64 heartbeat_timeout_us;
-  gint64 restarted_us;
+  gint64 restarted_us; /* when monitoring started */
 };
 
 QuinceFailureDetector *
@@ -50,7 +50,7 @@
     return entry;
   entry = g_new0 (Entry, 1);
   entry->last_heartbeat_us = now_us;
-  entry->unlisted_us = now_us - UNLISTED_RETENTION_US; /* it never was listed */
+  entry->unlisted_us = now_us - UNLISTED_RETENTION_US; /* never listed: not monitored */
   g_hash_table_insert (detector->entries, g_strdup (name), entry);
   return entry;
 }
--- a/lib/core/routing/failure-detector.h
+++ b/lib/core/routing/failure-detector.h
@@ -1,9 +1,9 @@
 /*
- * failure-detector.h: which of the fronts that the metadata store lists are alive, by their heartbeats.
+ * failure-detector.h: detects failed fronts by missing heartbeats.
  *
- * A lease shows a death only when it has run out, and an outage of the store keeps it in being; a link
- * without heartbeats shows it sooner.  Owns one entry a front.  Pure: time is an argument, in microseconds of
- * one monotonic clock.
+ * Heartbeats reveal a failed front before its lease in the metadata store expires, and also while the store
+ * is unavailable.  The detector owns one entry per front.  Pure: time is an argument, in microseconds of one
+ * monotonic clock.
  */
 #pragma once
 
@@ -13,34 +13,39 @@
 
 typedef struct _QuinceFailureDetector QuinceFailureDetector;
 
-/* @heartbeat_timeout_us: a front without a heartbeat for this long is silent */
+/* @heartbeat_timeout_us: a front that sends no heartbeat for this long is silent */
 QuinceFailureDetector *quince_failure_detector_new (gint64 heartbeat_timeout_us);
 void quince_failure_detector_free (QuinceFailureDetector *detector);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (QuinceFailureDetector, quince_failure_detector_free)
 
-/* The store lists @name, or no longer does.  Its entry may only have lapsed in an outage of the store, so a
- * front that is not listed any more is still judged for 10 s. */
+/* Records whether the metadata store lists the front @name.  A front that is no longer listed is monitored
+ * for another 10 s, since its entry may have expired during an outage of the store. */
 void quince_failure_detector_set_listed (QuinceFailureDetector *detector,
                                          gint64 now_us,
                                          const char *name,
                                          gboolean listed);
-/* A message of @name arrived. */
+/* Records a heartbeat from the front @name; adds the front if it is unknown. */
 void
 quince_failure_detector_record_heartbeat (QuinceFailureDetector *detector, gint64 now_us, const char *name);
-/* This process begins to receive heartbeats: no front is silent until one was due. */
+/* Starts monitoring anew, for example when this process becomes the leader.  No front is reported as silent
+ * until the heartbeat timeout has passed. */
 void quince_failure_detector_restart (QuinceFailureDetector *detector, gint64 now_us);
 
+/* Returns %TRUE if a heartbeat arrived within the timeout, or the front was listed within it; %FALSE if the
+ * front is unknown. */
 gboolean
 quince_failure_detector_is_alive (const QuinceFailureDetector *detector, gint64 now_us, const char *name);
-/* Drops entries that have not been listed for 10 s and are silent. */
+/* Removes silent fronts that have not been listed for 10 s. */
 void quince_failure_detector_remove_stale (QuinceFailureDetector *detector, gint64 now_us);
 
 /**
  * quince_failure_detector_get_silent:
- * @silent: names of silent fronts are added; they are owned by the detector and live until it changes
+ * @silent: (element-type utf8): receives the names of silent fronts, which the detector owns; valid until it
+ *   changes
  *
- * Returns: %FALSE, with @silent empty, when no judgement is possible: this process has not received
- * heartbeats for long enough, or hears so few fronts that it is more likely cut off itself
+ * Returns: %TRUE if the result is reliable; %FALSE, with @silent empty, if monitoring started less than the
+ * heartbeat timeout ago, or if fewer than half of the fronts are alive, which suggests that this process
+ * itself is isolated
  */
 gboolean
 quince_failure_detector_get_silent (const QuinceFailureDetector *detector, gint64 now_us, GPtrArray *silent);
--- a/lib/core/routing/machine-zones.c
+++ b/lib/core/routing/machine-zones.c
@@ -44,7 +44,7 @@
   return g_hash_table_lookup (table->zones, node);
 }
 
-/* NULL: not known. */
+/* Returns the region of @node, or NULL if it is unknown. */
 static const char *
 get_node_region (const QuinceMachineZones *table, const char *node)
 {
--- a/lib/core/routing/machine-zones.h
+++ b/lib/core/routing/machine-zones.h
@@ -1,7 +1,7 @@
 /*
- * machine-zones.h: the zones of other machines, and which of them may keep data with a residency.
+ * machine-zones.h: the zones of other machines, and the machines that may store data under a residency.
  *
- * Pure.  A machine without a known zone has no region, unless the deployment has only one.
+ * A machine whose zone is unknown has no region, unless the deployment has only one region.  Pure.
  */
 #pragma once
 
@@ -12,20 +12,20 @@
 
 typedef struct _QuinceMachineZones QuinceMachineZones;
 
-/* @topology must outlive it. */
+/* @topology must outlive the table. */
 QuinceMachineZones *quince_machine_zones_new (const QuinceTopology *topology);
 void quince_machine_zones_free (QuinceMachineZones *table);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (QuinceMachineZones, quince_machine_zones_free)
-/* @node: name of the machine.  @zone: (nullable): %NULL: no longer known */
+/* Sets the zone of the machine @node.  @zone: (nullable): %NULL removes the machine */
 void quince_machine_zones_set (QuinceMachineZones *table, const char *node, const char *zone);
-/* (nullable): %NULL: not known */
+/* Returns: (nullable) (transfer none): the zone of @node, or %NULL if it is unknown */
 const char *quince_machine_zones_get_zone (const QuinceMachineZones *table, const char *node);
-/* Whether @node may keep data with @residency (nullable). */
+/* Returns %TRUE if @node may store data with @residency (nullable). */
 gboolean quince_machine_zones_is_allowed (const QuinceMachineZones *table,
                                           const QuinceResidency *residency,
                                           const char *node);
-/* (transfer container): names of the machines with a known zone that may keep data of all @residencies, in
- * order */
+/* Returns: (transfer container) (element-type utf8): names of the machines with a known zone that may store
+ * data of all @residencies, sorted; the table owns them */
 GPtrArray *quince_machine_zones_list_allowed (const QuinceMachineZones *table,
                                               const QuinceResidency *residencies,
                                               guint n_residencies);
--- a/lib/core/routing/prompt-table.c
+++ b/lib/core/routing/prompt-table.c
@@ -1,13 +1,13 @@
 /*
- * prompt-table.c: the worker that last got a part of a prompt; drops the least recently used parts.
+ * prompt-table.c: the worker that was last sent each prompt part; evicts the least recently used parts.
  */
 #include "core/routing/prompt-table.h"
 
 typedef struct
 {
   char *part;
-  char *worker;
-  GList *lru_link; /* in the order of use */
+  char *worker;    /* id of the worker that was last sent the part */
+  GList *lru_link; /* owned by the LRU queue */
 } Entry;
 
 struct _QuincePromptTable
--- a/lib/core/routing/prompt-table.h
+++ b/lib/core/routing/prompt-table.h
@@ -1,8 +1,8 @@
 /*
- * prompt-table.h: the worker that last got a part of a prompt, and so likely has it in its prefix cache.
+ * prompt-table.h: the worker that was last sent each prompt part, for prefix-cache affinity.
  *
- * A prompt is a list of parts, those that it shares with others first.  Bounded: the least recently used
- * parts are dropped.  Pure.
+ * A prompt is a list of parts, starting with the parts that it shares with other prompts.  The table has a
+ * fixed capacity and evicts the least recently used parts.  Pure.
  */
 #pragma once
 
@@ -12,14 +12,15 @@
 
 typedef struct _QuincePromptTable QuincePromptTable;
 
-/* @parts_max: parts that are kept */
+/* @parts_max: capacity, in prompt parts */
 QuincePromptTable *quince_prompt_table_new (guint parts_max);
 void quince_prompt_table_free (QuincePromptTable *table);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (QuincePromptTable, quince_prompt_table_free)
 
-/* The prompt with @parts (%NULL-terminated) is sent to @worker. */
+/* Records that the prompt with @parts (%NULL-terminated) is sent to the worker with the id @worker. */
 void quince_prompt_table_record (QuincePromptTable *table, const char *const *parts, const char *worker);
-/* Returns: (nullable): the worker of the last known one of @parts; valid until the table changes */
+/* Returns: (nullable): the id of the worker that was last sent the last known part of @parts
+ * (%NULL-terminated), or %NULL if no part is known; valid until the table changes */
 const char *quince_prompt_table_find_worker (const QuincePromptTable *table, const char *const *parts);
 
 G_END_DECLS
--- a/lib/core/routing/residency.c
+++ b/lib/core/routing/residency.c
@@ -1,5 +1,5 @@
 /*
- * residency.c: regions that a route and a tenant allow together.
+ * residency.c: the regions that both a route and a tenant allow.
  */
 #include "core/routing/residency.h"
 
@@ -9,6 +9,7 @@
   return residency == NULL || (residency->route_regions == NULL && residency->tenant_regions == NULL);
 }
 
+/* A NULL list allows all regions. */
 static gboolean
 list_allows (const char *const *regions, const char *region)
 {
--- a/lib/core/routing/residency.h
+++ b/lib/core/routing/residency.h
@@ -1,7 +1,7 @@
 /*
- * residency.h: the regions in which a request may be served and its data kept.
+ * residency.h: the regions in which a request may be served and its data stored.
  *
- * Pure.  Routes and tenants may each name regions; a region must be allowed by both.
+ * A route and a tenant may each restrict the regions; a region must be allowed by both.  Pure.
  */
 #pragma once
 
@@ -11,10 +11,10 @@
 
 /**
  * QuinceResidency:
- * @route_regions: (nullable): those that the route allows, %NULL-terminated; %NULL: all
- * @tenant_regions: (nullable): the same for the request's tenant
+ * @route_regions: (nullable): regions that the route allows, %NULL-terminated; %NULL: all
+ * @tenant_regions: (nullable): regions that the request's tenant allows, %NULL-terminated; %NULL: all
  *
- * Points into the configuration that it was made from, and lives no longer.
+ * The arrays belong to the configuration, which must outlive the residency.
  */
 typedef struct
 {
@@ -22,9 +22,10 @@
   const char *const *tenant_regions;
 } QuinceResidency;
 
-/* No regions are named.  @residency: (nullable): %NULL is free too */
+/* Returns %TRUE if neither the route nor the tenant restricts the regions, or if @residency is %NULL. */
 gboolean quince_residency_is_unrestricted (const QuinceResidency *residency);
-/* @region: (nullable): "" or %NULL: unknown, which only a free residency allows */
+/* Returns %TRUE if @residency (nullable) allows @region (nullable).  Only an unrestricted residency allows an
+ * unknown region, which is "" or %NULL. */
 gboolean quince_residency_allows (const QuinceResidency *residency, const char *region);
 
 G_END_DECLS
--- a/lib/core/routing/sorted-names.h
+++ b/lib/core/routing/sorted-names.h
@@ -1,5 +1,5 @@
 /*
- * sorted-names.h: lists of names in a fixed order, so that every process lists them alike.
+ * sorted-names.h: sorts lists of names in byte order, so that all processes get the same order.
  */
 #pragma once
 
@@ -15,7 +15,7 @@
   return strcmp (*first, *second);
 }
 
-/* Sorts @names (element-type utf8) by their bytes. */
+/* Sorts @names (element-type utf8) in byte order. */
 static inline void
 quince_names_sort (GPtrArray *names)
 {
--- a/lib/core/routing/topology.c
+++ b/lib/core/routing/topology.c
@@ -54,7 +54,7 @@
       if (g_strv_length (names) != 2 || *g_strstrip (names[0]) == '\0' || *g_strstrip (names[1]) == '\0')
         {
           g_set_error (error, QUINCE_TOPOLOGY_ERROR, QUINCE_TOPOLOGY_ERROR_INVALID,
-                       "'%s' is no zone with its region; allowed: zone=region,zone=region", *entry);
+                       "invalid zone '%s': expected zone=region[,zone=region...]", *entry);
           return FALSE;
         }
       add_zone (topology, names[0], names[1]);
--- a/lib/core/routing/worker-table.c
+++ b/lib/core/routing/worker-table.c
@@ -1,44 +1,44 @@
 /*
- * worker-table.c: the workers that the platform lists, and what this process has measured of them.
+ * worker-table.c: the workers that the platform lists, with the measurements of this process.
  */
 #include "core/routing/worker-table.h"
 
-/* Ejection after a worker's first failure, us; doubled with each further one in a row.  Not measured: long
- * enough for a retry to reach another worker, short for a worker that failed by chance. */
+/* Ejection after a worker's first failure, doubled with each consecutive one.  Long enough for a retry to
+ * reach another worker, short enough for a worker that failed once. */
 #define EJECTION_BASE_US (200 * 1000)
-/* Longest ejection, us: a worker that is gone leaves the list within seconds anyway.  Not measured. */
+/* Longest ejection; the platform stops listing a failed worker within seconds anyway. */
 #define EJECTION_MAX_US (2 * G_USEC_PER_SEC)
-/* Doublings until EJECTION_MAX_US is exceeded; keeps the shift in its range. */
+/* Doublings until the ejection exceeds EJECTION_MAX_US; bounds the shift. */
 #define EJECTION_DOUBLINGS_MAX 4
-/* Weight of the newest answer in the smoothed time, as a shift: one eighth.  Not measured. */
+/* Weight of the newest response in the smoothed response time, as a shift: 1/8. */
 #define SERVICE_TIME_SHIFT 3
-/* The same for the time between events, of which a full worker sends hundreds a second: one sixteenth.  Not
- * measured. */
+/* Weight of the newest interval in the smoothed pace, as a shift: 1/16.  A busy worker sends hundreds of
+ * events per second. */
 #define PACE_SHIFT 4
-/* Longest time between two events that counts as pace, us: a longer one is a stop.  Not measured. */
+/* Longer intervals between events are pauses and are capped at this value. */
 #define EVENT_INTERVAL_MAX_US (500 * 1000)
-/* A pace older than this is unknown, us: disturbances of workers last some seconds.  Not measured. */
+/* Older measurements of the pace are ignored, since a slow phase of a worker lasts a few seconds. */
 #define PACE_MAX_AGE_US (4 * G_USEC_PER_SEC)
 
-/* Lists by model and version that are kept: a few steps of each model are open at a time.  Beyond this the
- * versions have moved on, and all lists are dropped.  Not measured. */
+/* Cached lists by model and version.  Only a few versions of each model are in use at a time; at this limit
+ * most lists are obsolete, and all are dropped. */
 #define VERSION_LISTS_MAX 32
 
-/* Workers of a service that have a model in a version or a later one. */
+/* The workers of a service that have a model in a given version or later. */
 typedef struct
 {
   char *service;
   char *model;
   guint64 min_version;
-  GPtrArray *workers; /* QuinceWorker, in order of their ids */
+  GPtrArray *workers; /* QuinceWorker, sorted by id */
 } VersionList;
 
 struct _QuinceWorkerTable
 {
-  GHashTable *by_id; /* QuinceWorker, owned */
-  GHashTable
-      *service_lists; /* GPtrArray by service, owned: made on demand, dropped when a worker comes or goes */
-  GPtrArray *version_lists; /* VersionList, owned: likewise; updated when a worker's version rises */
+  GHashTable *by_id; /* QuinceWorker by id, owned */
+  /* Caches, built on demand and dropped when the workers of the service change. */
+  GHashTable *service_lists; /* GPtrArray by service, owned */
+  GPtrArray *version_lists;  /* VersionList, owned; updated when the version of a worker rises */
   const QuinceWorkerTableCallbacks *callbacks;
   gpointer user_data;
 };
@@ -134,7 +134,7 @@
   g_free (table);
 }
 
-/* A worker of @service came or went. */
+/* Drops the cached lists of @service after its workers changed. */
 static void
 invalidate_lists (QuinceWorkerTable *table, const char *service)
 {
@@ -163,8 +163,8 @@
       const QuinceWorkerModel *model = &g_array_index (entry->models, QuinceWorkerModel, i);
       guint64 old_version = quince_worker_get_version (worker, model->name);
       changed = changed || old_version != model->version;
-      /* A worker's version only rises; a higher one came from its own report, which is newer than its entry.
-       */
+      /* A version never decreases: a higher one comes from the worker's own report, which is newer than the
+       * entry. */
       quince_worker_table_set_model (table, worker, model->name, MAX (old_version, model->version));
     }
   return changed;
@@ -234,7 +234,7 @@
   return list;
 }
 
-/* @worker has a later version of @model than @before. */
+/* Adds @worker to the lists that include @new_version of @model, but not @old_version. */
 static void
 add_to_version_lists (QuinceWorkerTable *table,
                       QuinceWorker *worker,
@@ -248,7 +248,7 @@
       if (old_version >= list->min_version || new_version < list->min_version
           || !g_str_equal (list->model, model) || !g_str_equal (list->service, worker->service))
         continue;
-      /* Callers that hold the list keep it unchanged. */
+      /* Copies the list, since callers may still hold the old one. */
       GPtrArray *extended = g_ptr_array_copy (list->workers, NULL, NULL);
       g_ptr_array_add (extended, worker);
       g_ptr_array_sort (extended, compare_ids);
--- a/lib/core/routing/worker-table.h
+++ b/lib/core/routing/worker-table.h
@@ -1,5 +1,5 @@
 /*
- * worker-table.h: the workers that the platform lists, and what this process has measured of them.
+ * worker-table.h: the workers that the platform lists, with the measurements of this process.
  *
  * Pure: time is an argument, in microseconds of one monotonic clock.
  */
@@ -15,94 +15,109 @@
   guint64 version;
 } QuinceWorkerModel;
 
-/* QuinceWorker.cold_remaining_us of a worker whose entry does not say whether it is cold. */
+/* Value of QuinceWorker.cold_remaining_us if the entry does not state whether the worker is cold. */
 #define QUINCE_COLD_UNKNOWN (-1)
 
-/* One incarnation of a worker: its entry in the metadata store, and what this process measured. */
+/* One incarnation of a worker: its entry in the metadata store, and the state that this process keeps. */
 typedef struct
 {
   char *id;
   char *service;
-  char *software; /* version of its software; NULL: not given */
+  char *software; /* software version; NULL: not given */
   char *address;
   char *zone;
-  guint slots; /* requests that it runs at once */
+  guint slots; /* requests that it runs concurrently */
   gboolean draining;
-  gboolean is_spot;         /* a spot worker: it may be taken away at any moment */
-  gint64 drain_time_us;     /* a draining worker serves on for this long after it said so; 0: not given */
-  GArray *models;           /* QuinceWorkerModel: newest known versions */
-  gint64 cold_remaining_us; /* remaining cold time at its last entry; 0: warm; or QUINCE_COLD_UNKNOWN */
-  gint64 expires_us; /* its entry lapsed, perhaps in an outage: no requests after this time; 0: listed */
+  gboolean is_spot;         /* the platform may preempt the worker at any time */
+  gint64 drain_time_us;     /* how long the worker keeps serving once it drains; 0: not given */
+  GArray *models;           /* QuinceWorkerModel: newest known version of each loaded model */
+  gint64 cold_remaining_us; /* remaining cold time in the last entry; 0: warm; or QUINCE_COLD_UNKNOWN */
+  /* Set if the entry disappeared, perhaps in an outage of the store: the worker gets no requests from this
+   * time on; 0: listed. */
+  gint64 expires_us;
 
-  /* Measured by this process. */
-  gint64 assumed_cold_until_us; /* it may have turned cold, and counts as cold until then */
-  gint64 send_by_us;            /* the request that it was last chosen for is not sent later; 0: no limit */
-  gboolean loading;             /* it loads weights and begins nothing meanwhile */
-  guint running;                /* requests that this process has at it now */
-  guint consecutive_failures;   /* in a row */
-  gint64 ejected_until_us;      /* no first choice until then */
-  guint service_time_us;        /* smoothed time of its answers; 0: none yet */
-  gint64 pace_us;               /* smoothed time between two events of a stream; 0: none yet */
-  gint64 pace_measured_us;      /* when the pace was last measured */
+  /* State and measurements of this process. */
+  gint64 assumed_cold_until_us; /* counts as cold until then, since it may have turned cold */
+  gint64 send_by_us;            /* deadline for sending the request that last chose it; 0: none */
+  gboolean loading;             /* it loads weights and starts no requests meanwhile */
+  guint running;                /* requests of this process that are in flight at the worker */
+  guint consecutive_failures;
+  gint64 ejected_until_us; /* until then it is used only if no other worker is available */
+  guint service_time_us;   /* smoothed response time; 0: no response yet */
+  gint64 pace_us;          /* smoothed time between two events of a stream; 0: not measured */
+  gint64 pace_measured_us; /* time of the last measurement of the pace */
 } QuinceWorker;
 
 QuinceWorker *quince_worker_new (const char *id);
 void quince_worker_free (QuinceWorker *worker);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (QuinceWorker, quince_worker_free)
-/* For a worker that is in no table yet, as tests make them; else quince_worker_table_set_model(). */
+/* Sets the version of @model for a worker that is not in a table yet.  For a worker in a table, use
+ * quince_worker_table_set_model(). */
 void quince_worker_set_model (QuinceWorker *worker, const char *model, guint64 version);
-/* Version of @model that it has; 0: none. */
+/* Returns the version of @model that the worker has loaded, or 0 if it has not loaded @model. */
 guint64 quince_worker_get_version (const QuinceWorker *worker, const char *model);
 
 typedef struct _QuinceWorkerTable QuinceWorkerTable;
 
 /**
  * QuinceWorkerTableCallbacks:
- * @removed: the worker ended or was replaced and gets no more requests; called before it is freed
+ * @removed: called after the worker was removed or replaced in the table and before it is freed
  */
 typedef struct
 {
   void (*removed) (QuinceWorker *worker, gpointer user_data);
 } QuinceWorkerTableCallbacks;
 
+/* @callbacks: (nullable): must outlive the table */
 QuinceWorkerTable *quince_worker_table_new (const QuinceWorkerTableCallbacks *callbacks, gpointer user_data);
 void quince_worker_table_free (QuinceWorkerTable *table);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (QuinceWorkerTable, quince_worker_table_free)
-/* (transfer full): adds @entry, or updates the worker of the same id, service and address from it.
- * Returns: whether something other than its load changed */
+/* Adds @entry (transfer full), or updates the worker with the same id, service and address from it, except
+ * its zone and software version.  An entry with the same id but another service or address replaces the
+ * worker.  Model versions never decrease.
+ *
+ * Returns: %TRUE if @entry was added, or differs in the draining state, in whether the worker is cold, or in
+ * the version of a model, even one that is ignored because it is older */
 gboolean quince_worker_table_update (QuinceWorkerTable *table, QuinceWorker *entry);
+/* Removes the worker and calls the removed callback; does nothing if @id is unknown. */
 void quince_worker_table_remove (QuinceWorkerTable *table, const char *id);
+/* Returns: (nullable) (transfer none): the worker with @id, or %NULL */
 QuinceWorker *quince_worker_table_find (QuinceWorkerTable *table, const char *id);
-/* (transfer container): workers of @service, draining ones too, in order of their ids; not to be changed. */
+/* Returns: (transfer container) (element-type QuinceWorker): the workers of @service, including draining
+ * ones, sorted by id; callers must not modify the shared list */
 GPtrArray *quince_worker_table_list (QuinceWorkerTable *table, const char *service);
-/* (transfer container): the same of workers that have version @min_version of @model or a later one.  Kept
- * between calls: a leader of thousands of workers calls this for each sample. */
+/* Returns: (transfer container) (element-type QuinceWorker): the workers of @service that have loaded
+ * @model in @min_version or later, sorted by id; callers must not modify the shared list.  A @min_version of
+ * 0 includes all versions.  Lists are cached, since a leader with thousands of workers calls this for each
+ * sample. */
 GPtrArray *quince_worker_table_list_with_version (QuinceWorkerTable *table,
                                                   const char *service,
                                                   const char *model,
                                                   guint64 min_version);
-/* @worker, which is in @table, has @version of @model. */
+/* Records that @worker, which is in @table, has loaded @version of @model. */
 void quince_worker_table_set_model (QuinceWorkerTable *table,
                                     QuinceWorker *worker,
                                     const char *model,
                                     guint64 version);
-/* (transfer container): all workers, in no order */
+/* Returns: (transfer container) (element-type QuinceWorker): all workers, in no particular order */
 GPtrArray *quince_worker_table_list_all (const QuinceWorkerTable *table);
 guint quince_worker_table_get_size (const QuinceWorkerTable *table);
 
-/* An answer arrived after @elapsed_us: ends an ejection. */
+/* Records a response @elapsed_us after its request: updates the smoothed response time, resets the count of
+ * failures and ends an ejection. */
 void quince_worker_record_response (QuinceWorker *worker, gint64 elapsed_us);
-/* A request failed at the worker: ejects it for 200 ms, doubled with each failure in a row, up to 2 s. */
+/* Records a failed request: ejects the worker for 200 ms, doubled per consecutive failure, up to 2 s. */
 void quince_worker_record_failure (QuinceWorker *worker, gint64 now_us);
-/* Events of a stream arrived, on average @interval_us after the one before. */
+/* Records events of a stream that arrived at an average interval of @interval_us: updates the pace. */
 void quince_worker_record_event (QuinceWorker *worker, gint64 now_us, gint64 interval_us);
-/* Its entry says that it is cold, or it is assumed to be. */
+/* Returns %TRUE if the last entry of the worker states that it is cold, or it is assumed to be cold. */
 gboolean quince_worker_is_cold (const QuinceWorker *worker, gint64 now_us);
-/* It may have turned cold before its entry says so: it counts as cold until @until_us. */
+/* Makes the worker count as cold at least until @until_us, whatever its entry states. */
 void quince_worker_assume_cold (QuinceWorker *worker, gint64 until_us);
-/* Its time between two events; 0: not measured in the last 4 s. */
+/* Returns the smoothed time between two events, or 0 if it was not measured in the last 4 s. */
 gint64 quince_worker_get_pace_us (const QuinceWorker *worker, gint64 now_us);
-/* The least pace of @workers (element-type QuinceWorker); 0: none is measured. */
+/* Returns the shortest time between two events of all @workers (element-type QuinceWorker), or 0 if none was
+ * measured in the last 4 s. */
 gint64 quince_workers_get_fastest_pace_us (const GPtrArray *workers, gint64 now_us);
 
 G_END_DECLS
--- a/lib/core/routing/zone-table.c
+++ b/lib/core/routing/zone-table.c
@@ -1,30 +1,29 @@
 /*
- * zone-table.c: the newest change that the operator made to each zone.
+ * zone-table.c: the last evacuation or return of each zone.
  */
 #include "core/routing/zone-table.h"
 
 #include "core/routing/sorted-names.h"
 
-/* Time in which a returned zone's share of new work grows to 1, us: about as long as its workers take for
- * their first prompts and to load weights. */
+/* Time in which the share of a returned zone ramps up to 1; its workers run their first prompts and load
+ * weights in about this time. */
 #define RETURN_RAMP_US (3 * G_USEC_PER_SEC)
-/* Share of new work right after the return.  With the growing share 101 and 89 sends to workers had to be
- * made again on two days with evacuations, against 117 and 151 without (one run each). */
+/* Share of new work right after the return. */
 #define RETURN_SHARE_MIN 0.25
 
 typedef struct
 {
-  guint64 revision;
+  guint64 revision; /* of the metadata store, at the last change */
   gboolean evacuated;
-  gint64 evacuated_us; /* 0: not evacuated */
-  gint64 returned_us;  /* 0: never taken back */
+  gint64 evacuated_us; /* when this process learned of the evacuation; 0: not evacuated */
+  gint64 returned_us;  /* when the zone was taken back; 0: evacuated, or never taken back */
 } ZoneState;
 
 struct _QuinceZoneTable
 {
   GHashTable *zones; /* name to ZoneState, both owned */
   guint n_evacuated;
-  gint64 last_return_us; /* of any zone; 0: none */
+  gint64 last_return_us; /* last time at which any zone was taken back; 0: never */
 };
 
 QuinceZoneTable *
--- a/lib/core/usage/agreed-clock.c
+++ b/lib/core/usage/agreed-clock.c
@@ -1,16 +1,15 @@
 /*
- * agreed-clock.c: a wall clock that a minority of wrong clocks does not move.
+ * agreed-clock.c: the median of the wall clocks that machines report.
  */
 #include "core/usage/agreed-clock.h"
 
-/* Reports older than this are left out, ms: wall clocks drift slowly, but machines are replaced.  Not
- * measured. */
+/* Older reports are ignored: wall clocks drift slowly, but machines are replaced. */
 #define REPORT_AGE_MAX_MS 30000
 
 typedef struct
 {
-  gint64 reported_ms; /* monotonic */
-  gint64 offset_ms;   /* wall clock less monotonic clock */
+  gint64 reported_ms; /* monotonic clock of this process */
+  gint64 offset_ms;   /* wall clock minus monotonic clock */
 } ClockReport;
 
 struct _QuinceAgreedClock
--- a/lib/core/usage/usage-book.c
+++ b/lib/core/usage/usage-book.c
@@ -1,18 +1,18 @@
 /*
- * usage-book.c: how many requests of each tenant began in each usage window, and which windows are reported.
+ * usage-book.c: counts the requests of each tenant per usage window and tracks which windows were reported.
  */
 #include "core/usage/usage-book.h"
 
 #include <string.h>
 
-/* A window that has events and is not closed. */
+/* A window with events that is not closed yet. */
 typedef struct
 {
   guint64 number;
-  GHashTable *counts; /* tenant, owned, to GUINT: requests */
+  GHashTable *counts; /* number of requests (GUINT) by tenant, owned */
 } OpenWindow;
 
-/* A record of the log that is still needed, and the last window that it concerns. */
+/* A log record that is still needed, and the latest window that it refers to. */
 typedef struct
 {
   guint64 index;
@@ -22,10 +22,10 @@
 struct _QuinceUsageBook
 {
   guint64 window_ms;
-  GPtrArray *open;            /* OpenWindow, owned, by number */
-  GPtrArray *unsent;          /* QuinceUsageWindow, owned: closed, by number */
-  GHashTable *sequences;      /* source (guint64) to guint64: greatest sequence, both owned */
-  guint64 last_closed_window; /* windows up to this one are closed */
+  GPtrArray *open;            /* OpenWindow, owned, sorted by number */
+  GPtrArray *unsent;          /* QuinceUsageWindow, owned: closed but not acknowledged, sorted by number */
+  GHashTable *sequences;      /* highest sequence number (guint64) by source (guint64), both owned */
+  guint64 last_closed_window; /* all windows up to this one are closed */
   GArray *records;            /* LiveRecord */
 };
 
@@ -67,7 +67,7 @@
   g_free (book);
 }
 
-/* ---- Events ----------------------------------------------------------- */
+/* ---- USAGE records ---------------------------------------------------- */
 
 static OpenWindow *
 find_or_open_window (QuinceUsageBook *book, guint64 number)
@@ -99,7 +99,7 @@
   g_hash_table_replace (counts, g_strdup (event->tenant), GUINT_TO_POINTER (count + 1));
 }
 
-/* Returns: the last window that the events fall into */
+/* Counts the events that are not counted yet.  Returns the latest window of @events. */
 static guint64
 apply_events (QuinceUsageBook *book, const QuinceUsageEvents *events)
 {
@@ -129,13 +129,13 @@
   return last_window;
 }
 
-/* ---- Windows ---------------------------------------------------------- */
+/* ---- USAGE_CLOSED and USAGE_SENT records -------------------------------- */
 
 static void
 apply_closed (QuinceUsageBook *book, const QuinceUsageWindow *closed)
 {
   if (closed->window <= book->last_closed_window)
-    return; /* two leaders may close it: the first record counts */
+    return; /* two leaders may close a window: the first record counts */
   book->last_closed_window = closed->window;
   while (book->open->len > 0 && ((OpenWindow *)book->open->pdata[0])->number <= closed->window)
     g_ptr_array_remove_index (book->open, 0);
@@ -230,9 +230,9 @@
 {
   GArray *indexes = g_array_new (FALSE, FALSE, sizeof (guint64));
   const QuinceUsageWindow *unsent = quince_usage_book_next_to_send (book);
-  /* The record that closed the last window stays, or events would open older windows again; so does the one
-   * that says that it was sent.  Both go in one step: otherwise another leader might find a closed window
-   * that was never sent. */
+  /* Keeps the records of unacknowledged windows and of the last closed window.  Without its USAGE_CLOSED
+   * record, late events would reopen older windows; without its USAGE_SENT record, a new leader would report
+   * it again. */
   guint64 oldest_needed_window
       = unsent != NULL ? MIN (unsent->window, book->last_closed_window) : book->last_closed_window;
   for (guint i = book->records->len; i > 0; i--)
--- a/tests/unit/test-failure-detector.c
+++ b/tests/unit/test-failure-detector.c
@@ -1,5 +1,5 @@
 /*
- * test-failure-detector.c: which fronts are silent, and when no judgement is possible.
+ * test-failure-detector.c: detection of silent fronts, and cases without a reliable result.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -44,7 +44,7 @@
   assert_true (quince_failure_detector_get_silent (detector, 2 * HEARTBEAT_TIMEOUT_US, silent));
   assert_int_equal (silent->len, 1);
   assert_string_equal (silent->pdata[0], "f2");
-  /* It speaks again. */
+  /* The front resumes its heartbeats. */
   quince_failure_detector_record_heartbeat (detector, 2 * HEARTBEAT_TIMEOUT_US, "f2");
   g_ptr_array_set_size (silent, 0);
   assert_true (quince_failure_detector_get_silent (detector, 2 * HEARTBEAT_TIMEOUT_US, silent));
@@ -89,22 +89,22 @@
   static const char *const names[] = { "f1", "f2", NULL };
   g_autoptr (QuinceFailureDetector) detector = new_detector (names);
   g_autoptr (GPtrArray) silent = g_ptr_array_new ();
-  /* Heard, and never listed: not in the directory anyway. */
+  /* A front that was never listed is not monitored. */
   quince_failure_detector_record_heartbeat (detector, 0, "stranger");
   quince_failure_detector_record_heartbeat (detector, 2 * HEARTBEAT_TIMEOUT_US, "f1");
-  /* Its key may have lapsed, but it sends no heartbeats either: it stays silent. */
+  /* A front that was listed until now and sends no heartbeats is still reported as silent. */
   quince_failure_detector_set_listed (detector, 2 * HEARTBEAT_TIMEOUT_US, "f2", FALSE);
   assert_true (quince_failure_detector_get_silent (detector, 2 * HEARTBEAT_TIMEOUT_US, silent));
   assert_int_equal (silent->len, 1);
   assert_string_equal (silent->pdata[0], "f2");
-  /* A front that is listed again has time for its first heartbeat. */
+  /* Listing a front again restarts its heartbeat timeout. */
   g_ptr_array_set_size (silent, 0);
   quince_failure_detector_set_listed (detector, 2 * HEARTBEAT_TIMEOUT_US, "f2", TRUE);
   assert_true (quince_failure_detector_get_silent (detector, 2 * HEARTBEAT_TIMEOUT_US, silent));
   assert_int_equal (silent->len, 0);
 }
 
-/* Who is long gone is forgotten. */
+/* A front that was unlisted long ago is removed. */
 static void
 test_remove_stale (void **state)
 {
--- a/tests/unit/test-prompt-table.c
+++ b/tests/unit/test-prompt-table.c
@@ -1,5 +1,5 @@
 /*
- * test-prompt-table.c: the worker that likely has a prompt in its cache, and that the table stays bounded.
+ * test-prompt-table.c: lookup of the worker that was last sent a prompt, and the capacity of the table.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -25,10 +25,10 @@
   quince_prompt_table_record (table, second, "w2");
   assert_string_equal (quince_prompt_table_find_worker (table, first), "w1");
   assert_string_equal (quince_prompt_table_find_worker (table, second), "w2");
-  /* Only the shared part is known: the worker that had it last. */
+  /* Only the shared part is known: returns the worker that was last sent it. */
   assert_string_equal (quince_prompt_table_find_worker (table, new_session), "w2");
   assert_null (quince_prompt_table_find_worker (table, unknown));
-  /* A session that moves is found where it went. */
+  /* The session moves to another worker. */
   quince_prompt_table_record (table, first, "w3");
   assert_string_equal (quince_prompt_table_find_worker (table, first), "w3");
 }
@@ -56,7 +56,7 @@
       g_autofree char *name = g_strdup_printf ("p%u", i);
       const char *const parts[] = { name, NULL };
       quince_prompt_table_record (table, parts, "w1");
-      quince_prompt_table_record (table, used_often, "w2"); /* used all the time */
+      quince_prompt_table_record (table, used_often, "w2"); /* never the least recently used part */
       guint n_known_often = quince_prompt_table_find_worker (table, used_often) != NULL ? 1 : 0;
       assert_true (count_known (table, i + 1) + n_known_often <= PARTS_MAX);
     }
--- a/tests/unit/test-usage-book.c
+++ b/tests/unit/test-usage-book.c
@@ -1,6 +1,6 @@
 /*
- * test-usage-book.c: windows of usage: counted once, closed in order, the same for every leader; the agreed
- * clock.
+ * test-usage-book.c: usage windows, in which each event counts once and a closed window never changes; the
+ * agreed clock.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -55,9 +55,9 @@
   g_autoptr (QuinceUsageBook) book = quince_usage_book_new (WINDOW_MS);
   apply_event (book, 1, SOURCE, 1, "b", 10001);
   apply_event (book, 2, SOURCE, 2, "a", 14999);
-  apply_event (book, 3, SOURCE, 2, "a", 14999); /* told again */
+  apply_event (book, 3, SOURCE, 2, "a", 14999); /* duplicate */
   apply_event (book, 4, SOURCE + 1, 1, "b", 12000);
-  apply_event (book, 5, SOURCE, 3, "a", 15000); /* of the next window */
+  apply_event (book, 5, SOURCE, 3, "a", 15000); /* in the next window */
   assert_int_equal (quince_usage_book_get_sequence (book, SOURCE), 3);
   assert_int_equal (quince_usage_book_get_sequence (book, SOURCE + 2), 0);
   assert_null (quince_usage_book_next_to_close (book, 15000 + CLOSE_DELAY_MS - 1, CLOSE_DELAY_MS));
@@ -71,7 +71,7 @@
   assert_int_equal (window->counts.counts_val[1].requests, 2);
 }
 
-/* What comes late, or is closed a second time by another leader, changes no report. */
+/* A late event, or a second close by another leader, does not change the report of a closed window. */
 static void
 test_closed_window_is_final (void **state)
 {
@@ -93,7 +93,7 @@
   assert_null (quince_usage_book_next_to_send (book));
 }
 
-/* Records are forgotten, but never the one that keeps old windows closed. */
+/* Records of reported windows become obsolete, but not those that keep the last window closed and sent. */
 static void
 test_obsolete_records (void **state)
 {
@@ -105,29 +105,29 @@
   g_autoptr (GArray) before_acknowledgement = quince_usage_book_take_obsolete (book);
   assert_int_equal (before_acknowledgement->len, 0);
   apply_sent (book, 4, 2);
-  /* Failed first: the acknowledgement went before the closing, and the next leader sent the window again. */
+  /* If USAGE_SENT were deleted before USAGE_CLOSED, a new leader would report the window again. */
   g_autoptr (GArray) before_next_close = quince_usage_book_take_obsolete (book);
   assert_int_equal (before_next_close->len, 0);
   g_autoptr (QuinceUsageWindow) next_window = quince_usage_book_next_to_close (book, 24000, CLOSE_DELAY_MS);
   apply_closed (book, 6, next_window);
   g_autoptr (GArray) indexes = quince_usage_book_take_obsolete (book);
-  assert_int_equal (indexes->len, 3); /* the event, its closing and the acknowledgement */
+  assert_int_equal (indexes->len, 3); /* the USAGE, USAGE_CLOSED and USAGE_SENT records */
   g_autoptr (GArray) again = quince_usage_book_take_obsolete (book);
   assert_int_equal (again->len, 0);
-  /* Another leader, from the records that are left. */
+  /* A new leader that lacks the USAGE_SENT record. */
   g_autoptr (QuinceUsageBook) new_leader = quince_usage_book_new (WINDOW_MS);
   apply_event (new_leader, 2, SOURCE, 2, "a", 16000);
   apply_closed (new_leader, 3, window);
   apply_event (new_leader, 5, SOURCE + 1, 1, "a", 10000);
   g_autoptr (QuinceUsageWindow) open = quince_usage_book_next_to_close (new_leader, 60000, CLOSE_DELAY_MS);
   assert_int_equal (open->window, 3);
-  /* It sends the closed window again, to the byte. */
+  /* It reports the closed window again without a change. */
   const QuinceUsageWindow *report = quince_usage_book_next_to_send (new_leader);
   assert_int_equal (report->window, 2);
   assert_int_equal (report->counts.counts_val[0].requests, 1);
 }
 
-/* Clocks that are stepped by 2 s, either way, on a minority of machines. */
+/* The clocks of a minority of machines are wrong by 2 s in either direction. */
 static void
 test_agreed_clock (void **state)
 {
@@ -139,7 +139,7 @@
                                     : source <= 3 ? 499000
                                                   : 501001);
   assert_int_equal (quince_agreed_clock_get (clock, 2000, 504000), 502001);
-  /* Voices that were not heard for long count no more. */
+  /* Old reports are ignored. */
   assert_int_equal (quince_agreed_clock_get (clock, 90000, 600000), 600000);
 }
 
--- a/tests/unit/test-worker-table.c
+++ b/tests/unit/test-worker-table.c
@@ -1,6 +1,5 @@
 /*
- * test-worker-table.c: the table of workers finds those of a model and version without a search through all
- * of them.
+ * test-worker-table.c: cached lists of the workers that have a model in a version or later.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -48,23 +47,23 @@
   QuinceWorker *a = update_worker (table, "a", "s", "m", 1);
   update_worker (table, "x", "other", "m", 5);
   update_worker (table, "b", "s", "n", 3);
-  assert_workers_with_version (table, "m", 0, "ac"); /* a worker without the model is none of its */
+  assert_workers_with_version (table, "m", 0, "ac"); /* excludes the worker without the model */
   assert_workers_with_version (table, "m", 1, "ac");
   assert_workers_with_version (table, "m", 2, "");
-  quince_worker_table_set_model (table, a, "m", 3); /* it has loaded */
+  quince_worker_table_set_model (table, a, "m", 3); /* the worker reports a load */
   assert_workers_with_version (table, "m", 2, "a");
   assert_workers_with_version (table, "m", 1, "ac");
-  update_worker (table, "c", "s", "m", 2); /* so its entry tells */
+  update_worker (table, "c", "s", "m", 2); /* the entry has a newer version */
   assert_workers_with_version (table, "m", 2, "ac");
   assert_workers_with_version (table, "m", 3, "a");
-  update_worker (table, "d", "s", "m", 2); /* it comes */
+  update_worker (table, "d", "s", "m", 2); /* a new worker */
   assert_workers_with_version (table, "m", 2, "acd");
   quince_worker_table_remove (table, "c");
   assert_workers_with_version (table, "m", 2, "ad");
   assert_workers_with_version (table, "n", 1, "b");
 }
 
-/* An entry that is older than the worker's own report does not lower its version. */
+/* An entry that is older than the worker's own report does not decrease its version. */
 static void
 test_stale_entry (void **state)
 {
@@ -75,7 +74,7 @@
   assert_workers_with_version (table, "m", 4, "a");
 }
 
-/* Versions only rise: lists of the ones before are not kept for ever. */
+/* Lists stay correct when there are more versions than cached lists. */
 static void
 test_version_lists_limit (void **state)
 {
--- a/tests/unit/test-zone-state.c
+++ b/tests/unit/test-zone-state.c
@@ -1,6 +1,5 @@
 /*
- * test-zone-state.c: where things stand, zones that were evacuated, and regions that a request may be served
- * in.
+ * test-zone-state.c: zones and regions of machines, evacuated zones, and data residency.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -58,12 +57,12 @@
   assert_true (quince_zone_table_is_evacuated (table, "a1"));
   assert_int_equal (quince_zone_table_get_n_evacuated (table), 1);
   assert_true (quince_zone_table_set_evacuated (table, 3, "a1", 12, FALSE));
-  /* Returned at 3: its share of new work is least then, and grows from then on. */
+  /* The zone returns at 3: its share of new work is lowest then and grows afterwards. */
   double share_at_return = quince_zone_table_get_share (table, 3, "a1");
   assert_true (share_at_return < 1);
   assert_true (quince_zone_table_get_share (table, 2, "a1") == share_at_return);
   assert_true (quince_zone_table_get_share (table, 4, "a1") > share_at_return);
-  /* A change from before the return that arrives late. */
+  /* A change that is older than the return arrives late. */
   assert_false (quince_zone_table_set_evacuated (table, 4, "a1", 10, TRUE));
   assert_false (quince_zone_table_is_evacuated (table, "a1"));
   assert_true (quince_zone_table_set_evacuated (table, 5, "a1", 13, TRUE));
@@ -97,7 +96,7 @@
     }
   assert_true (quince_zone_table_get_share (table, 8 * second_us, "a1") == 1);
   assert_false (quince_zone_table_has_returning_zone (table, 8 * second_us));
-  /* Asked again while it comes back. */
+  /* The zone is evacuated again shortly after its return. */
   quince_zone_table_set_evacuated (table, 9 * second_us, "a1", 12, TRUE);
   assert_true (quince_zone_table_get_share (table, 9 * second_us, "a1") == 0);
 }
@@ -151,7 +150,7 @@
   assert_false (quince_machine_zones_is_allowed (zones, &residencies[0], "n1"));
 }
 
-/* Where there is one region alone, every machine is in it. */
+/* If the deployment has one region, every machine is in it. */
 static void
 test_single_region (void **state)
 {
