--- a/lib/core/usage/usage-book.c
+++ b/lib/core/usage/usage-book.c
@@ -17,16 +17,16 @@
 {
   guint64 index;
   guint64 window;
-} LiveRecord;
+} RetainedRecord;
 
-struct _QuinceUsageBook
+struct _QuinceUsageAggregator
 {
   guint64 window_ms;
   GPtrArray *open;            /* OpenWindow, owned, sorted by number */
   GPtrArray *unsent;          /* QuinceUsageWindow, owned: closed but not acknowledged, sorted by number */
   GHashTable *sequences;      /* highest sequence number (guint64) by source (guint64), both owned */
   guint64 last_closed_window; /* all windows up to this one are closed */
-  GArray *records;            /* LiveRecord */
+  GArray *records;            /* RetainedRecord */
 };
 
 static void
@@ -43,20 +43,20 @@
   quince_xdr_free ((xdrproc_t)xdr_QuinceUsageWindow, window);
 }
 
-QuinceUsageBook *
-quince_usage_book_new (guint64 window_ms)
+QuinceUsageAggregator *
+quince_usage_aggregator_new (guint64 window_ms)
 {
-  QuinceUsageBook *book = g_new0 (QuinceUsageBook, 1);
+  QuinceUsageAggregator *book = g_new0 (QuinceUsageAggregator, 1);
   book->window_ms = window_ms;
   book->open = g_ptr_array_new_with_free_func (open_window_free);
   book->unsent = g_ptr_array_new_with_free_func ((GDestroyNotify)quince_usage_window_free);
   book->sequences = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, g_free);
-  book->records = g_array_new (FALSE, FALSE, sizeof (LiveRecord));
+  book->records = g_array_new (FALSE, FALSE, sizeof (RetainedRecord));
   return book;
 }
 
 void
-quince_usage_book_free (QuinceUsageBook *book)
+quince_usage_aggregator_free (QuinceUsageAggregator *book)
 {
   if (book == NULL)
     return;
@@ -70,7 +70,7 @@
 /* ---- USAGE records ---------------------------------------------------- */
 
 static OpenWindow *
-find_or_open_window (QuinceUsageBook *book, guint64 number)
+find_or_open_window (QuinceUsageAggregator *book, guint64 number)
 {
   guint position = 0;
   for (; position < book->open->len; position++)
@@ -89,7 +89,7 @@
 }
 
 static void
-apply_event (QuinceUsageBook *book, const QuinceUsageEvent *event)
+apply_event (QuinceUsageAggregator *book, const QuinceUsageEvent *event)
 {
   guint64 number = event->begun_ms / book->window_ms;
   if (number <= book->last_closed_window)
@@ -101,10 +101,10 @@
 
 /* Counts the events that are not counted yet.  Returns the latest window of @events. */
 static guint64
-apply_events (QuinceUsageBook *book, const QuinceUsageEvents *events)
+apply_events (QuinceUsageAggregator *book, const QuinceUsageEvents *events)
 {
   guint64 source = events->source;
-  guint64 sequence = quince_usage_book_get_sequence (book, source);
+  guint64 sequence = quince_usage_aggregator_get_sequence (book, source);
   guint64 last_window = 0;
   for (guint i = 0; i < events->events.events_len; i++)
     {
@@ -121,7 +121,7 @@
 }
 
 static guint64
-apply_usage (QuinceUsageBook *book, const QuinceUsageRecord *usage)
+apply_usage (QuinceUsageAggregator *book, const QuinceUsageRecord *usage)
 {
   guint64 last_window = 0;
   for (guint i = 0; i < usage->sources.sources_len; i++)
@@ -132,7 +132,7 @@
 /* ---- USAGE_CLOSED and USAGE_SENT records -------------------------------- */
 
 static void
-apply_closed (QuinceUsageBook *book, const QuinceUsageWindow *closed)
+apply_closed (QuinceUsageAggregator *book, const QuinceUsageWindow *closed)
 {
   if (closed->window <= book->last_closed_window)
     return; /* two leaders may close a window: the first record counts */
@@ -143,7 +143,7 @@
 }
 
 static void
-apply_sent (QuinceUsageBook *book, guint64 number)
+apply_sent (QuinceUsageAggregator *book, guint64 number)
 {
   for (guint i = 0; i < book->unsent->len; i++)
     if (((const QuinceUsageWindow *)book->unsent->pdata[i])->window == number)
@@ -154,9 +154,9 @@
 }
 
 void
-quince_usage_book_apply (QuinceUsageBook *book, guint64 index, const QuinceBatchRecord *record)
+quince_usage_aggregator_apply (QuinceUsageAggregator *book, guint64 index, const QuinceBatchRecord *record)
 {
-  LiveRecord live = { .index = index };
+  RetainedRecord live = { .index = index };
   if (record->kind == QUINCE_BATCH_RECORD_USAGE)
     live.window = apply_usage (book, &record->QuinceBatchRecord_u.usage);
   else if (record->kind == QUINCE_BATCH_RECORD_USAGE_CLOSED)
@@ -173,7 +173,7 @@
 }
 
 guint64
-quince_usage_book_get_sequence (const QuinceUsageBook *book, guint64 source)
+quince_usage_aggregator_get_sequence (const QuinceUsageAggregator *book, guint64 source)
 {
   const guint64 *sequence = g_hash_table_lookup (book->sequences, &source);
   return sequence != NULL ? *sequence : 0;
@@ -210,7 +210,7 @@
 }
 
 QuinceUsageWindow *
-quince_usage_book_next_to_close (QuinceUsageBook *book, guint64 now_ms, guint64 delay_ms)
+quince_usage_aggregator_next_to_close (QuinceUsageAggregator *book, guint64 now_ms, guint64 delay_ms)
 {
   if (book->open->len == 0)
     return NULL;
@@ -220,16 +220,16 @@
 }
 
 const QuinceUsageWindow *
-quince_usage_book_next_to_send (const QuinceUsageBook *book)
+quince_usage_aggregator_next_to_send (const QuinceUsageAggregator *book)
 {
   return book->unsent->len > 0 ? book->unsent->pdata[0] : NULL;
 }
 
 GArray *
-quince_usage_book_take_obsolete (QuinceUsageBook *book)
+quince_usage_aggregator_take_obsolete (QuinceUsageAggregator *book)
 {
   GArray *indexes = g_array_new (FALSE, FALSE, sizeof (guint64));
-  const QuinceUsageWindow *unsent = quince_usage_book_next_to_send (book);
+  const QuinceUsageWindow *unsent = quince_usage_aggregator_next_to_send (book);
   /* Keeps the records of unacknowledged windows and of the last closed window.  Without its USAGE_CLOSED
    * record, late events would reopen older windows; without its USAGE_SENT record, a new leader would report
    * it again. */
@@ -237,7 +237,7 @@
       = unsent != NULL ? MIN (unsent->window, book->last_closed_window) : book->last_closed_window;
   for (guint i = book->records->len; i > 0; i--)
     {
-      const LiveRecord *record = &g_array_index (book->records, LiveRecord, i - 1);
+      const RetainedRecord *record = &g_array_index (book->records, RetainedRecord, i - 1);
       if (record->window >= oldest_needed_window)
         continue;
       g_array_append_val (indexes, record->index);
--- a/lib/core/usage/usage-book.h
+++ b/lib/core/usage/usage-book.h
@@ -14,33 +14,35 @@
 
 G_BEGIN_DECLS
 
-typedef struct _QuinceUsageBook QuinceUsageBook;
+typedef struct _QuinceUsageAggregator QuinceUsageAggregator;
 
 /* @window_ms: length of a window, ms; window k starts at k * @window_ms since 1970 */
-QuinceUsageBook *quince_usage_book_new (guint64 window_ms);
-void quince_usage_book_free (QuinceUsageBook *book);
-G_DEFINE_AUTOPTR_CLEANUP_FUNC (QuinceUsageBook, quince_usage_book_free)
+QuinceUsageAggregator *quince_usage_aggregator_new (guint64 window_ms);
+void quince_usage_aggregator_free (QuinceUsageAggregator *book);
+G_DEFINE_AUTOPTR_CLEANUP_FUNC (QuinceUsageAggregator, quince_usage_aggregator_free)
 
 /* Applies a committed record of the kind USAGE, USAGE_CLOSED or USAGE_SENT; records must be applied in log
  * order.  @index: index of the record in the log */
-void quince_usage_book_apply (QuinceUsageBook *book, guint64 index, const QuinceBatchRecord *record);
+void
+quince_usage_aggregator_apply (QuinceUsageAggregator *book, guint64 index, const QuinceBatchRecord *record);
 /* Returns the highest sequence number of @source in a committed record, or 0 if there is none. */
-guint64 quince_usage_book_get_sequence (const QuinceUsageBook *book, guint64 source);
+guint64 quince_usage_aggregator_get_sequence (const QuinceUsageAggregator *book, guint64 source);
 
 /**
- * quince_usage_book_next_to_close:
+ * quince_usage_aggregator_next_to_close:
  * @now_ms: time of the agreed clock, ms
  * @delay_ms: how long after the end of a window its events may still arrive, ms
  *
  * Returns: (transfer full) (nullable): the oldest open window with events, with its counts; %NULL if there is
  * none, or if @delay_ms have not passed since its end
  */
-QuinceUsageWindow *quince_usage_book_next_to_close (QuinceUsageBook *book, guint64 now_ms, guint64 delay_ms);
+QuinceUsageWindow *
+quince_usage_aggregator_next_to_close (QuinceUsageAggregator *book, guint64 now_ms, guint64 delay_ms);
 /* Returns: (transfer none) (nullable): the oldest closed window whose report is not acknowledged, or %NULL */
-const QuinceUsageWindow *quince_usage_book_next_to_send (const QuinceUsageBook *book);
+const QuinceUsageWindow *quince_usage_aggregator_next_to_send (const QuinceUsageAggregator *book);
 /* Returns: (transfer full) (element-type guint64): log indexes of records that replicas may delete; each
  * index is returned once */
-GArray *quince_usage_book_take_obsolete (QuinceUsageBook *book);
+GArray *quince_usage_aggregator_take_obsolete (QuinceUsageAggregator *book);
 
 void quince_usage_window_free (QuinceUsageWindow *window);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (QuinceUsageWindow, quince_usage_window_free)
