--- a/daemons/replica/usage-collector.c
+++ b/daemons/replica/usage-collector.c
@@ -8,7 +8,7 @@
 #include "runtime/log.h"
 #include "runtime/metrics.h"
 #include "runtime/clock.h"
-#include "core/usage/usage-book.h"
+#include "core/usage/usage-aggregator.h"
 
 #include "platform.h"
 
@@ -47,8 +47,8 @@
   guint64 close_delay_ms;
   QuinceHttpPool *platform;
   QuinceAgreedClock *clock;
-  QuinceUsageAggregator *book; /* NULL: not leading */
-  GHashTable *sources;         /* source (guint64) to Source, owned */
+  QuinceUsageAggregator *aggregator; /* NULL: not leading */
+  GHashTable *sources;               /* source (guint64) to Source, owned */
   gboolean leads;
   gint64 close_after_us; /* monotonic: all fronts have reported what they kept; 0: not known yet */
   guint64 closing;       /* window whose closing record is not committed yet; 0: none */
@@ -86,7 +86,7 @@
     return source;
   source = g_new0 (Source, 1);
   source->source = id;
-  source->reported = quince_usage_aggregator_get_sequence (collector->book, id);
+  source->reported = quince_usage_aggregator_get_sequence (collector->aggregator, id);
   source->events = g_array_new (FALSE, TRUE, sizeof (QuinceUsageEvent));
   g_array_set_clear_func (source->events, clear_event);
   g_hash_table_insert (collector->sources, &source->source, source);
@@ -96,7 +96,7 @@
 static void
 acknowledge (QuinceUsageCollector *collector, const Source *source)
 {
-  guint64 sequence = quince_usage_aggregator_get_sequence (collector->book, source->source);
+  guint64 sequence = quince_usage_aggregator_get_sequence (collector->aggregator, source->source);
   if (source->link == NULL || sequence == 0)
     return;
   QuinceMessage message = { .kind = QUINCE_MESSAGE_USAGE_ACK };
@@ -186,8 +186,8 @@
   gint64 wall_ms = quince_agreed_clock_get (collector->clock, now_ms, quince_wall_ms ());
   if (collector->closing != 0 || quince_now_us () < collector->close_after_us)
     return;
-  g_autoptr (QuinceUsageWindow) window
-      = quince_usage_aggregator_next_to_close (collector->book, (guint64)wall_ms, collector->close_delay_ms);
+  g_autoptr (QuinceUsageWindow) window = quince_usage_aggregator_next_to_close (
+      collector->aggregator, (guint64)wall_ms, collector->close_delay_ms);
   if (window == NULL)
     return;
   QuinceBatchRecord record = { .kind = QUINCE_BATCH_RECORD_USAGE_CLOSED };
@@ -199,7 +199,7 @@
 static void
 forget_records (QuinceUsageCollector *collector)
 {
-  g_autoptr (GArray) indexes = quince_usage_aggregator_take_obsolete (collector->book);
+  g_autoptr (GArray) indexes = quince_usage_aggregator_take_obsolete (collector->aggregator);
   if (indexes->len == 0)
     return;
   QuinceBatchRecord record = { .kind = QUINCE_BATCH_RECORD_FORGET };
@@ -220,9 +220,9 @@
 void
 quince_usage_collector_committed (QuinceUsageCollector *collector, guint64 index, QuinceBatchRecord *record)
 {
-  if (collector->book == NULL)
-    collector->book = quince_usage_aggregator_new (collector->window_ms);
-  quince_usage_aggregator_apply (collector->book, index, record);
+  if (collector->aggregator == NULL)
+    collector->aggregator = quince_usage_aggregator_new (collector->window_ms);
+  quince_usage_aggregator_apply (collector->aggregator, index, record);
   if (record->kind == QUINCE_BATCH_RECORD_USAGE_CLOSED)
     collector->closing = 0;
   if (record->kind == QUINCE_BATCH_RECORD_USAGE_SENT)
@@ -276,7 +276,7 @@
 static void
 send_report (QuinceUsageCollector *collector)
 {
-  const QuinceUsageWindow *window = quince_usage_aggregator_next_to_send (collector->book);
+  const QuinceUsageWindow *window = quince_usage_aggregator_next_to_send (collector->aggregator);
   gboolean busy = collector->exchange != NULL || collector->acknowledged;
   if (window == NULL || busy || quince_now_us () < collector->not_before_us
       || !quince_ledger_node_may_order (collector->ledger))
@@ -312,8 +312,8 @@
 void
 quince_usage_collector_lead (QuinceUsageCollector *collector)
 {
-  if (collector->book == NULL)
-    collector->book = quince_usage_aggregator_new (collector->window_ms);
+  if (collector->aggregator == NULL)
+    collector->aggregator = quince_usage_aggregator_new (collector->window_ms);
   collector->leads = TRUE;
   collector->closing = 0;
   collector->close_after_us = 0;
@@ -330,7 +330,7 @@
     quince_http_exchange_cancel (collector->exchange);
   collector->exchange = NULL;
   g_hash_table_remove_all (collector->sources);
-  g_clear_pointer (&collector->book, quince_usage_aggregator_free);
+  g_clear_pointer (&collector->aggregator, quince_usage_aggregator_free);
 }
 
 QuinceUsageCollector *
--- a/daemons/replica/usage-collector.h
+++ b/daemons/replica/usage-collector.h
@@ -5,8 +5,8 @@
  * the ledger before it is acknowledged, and so are the counts of a window before they are sent: a report that
  * is repeated, by this leader or a later one, is the same to the byte.
  *
- * Owns the usage book, the agreed clock, what fronts reported since the last record, the connections to the
- * platform and the report in progress.
+ * Owns the usage aggregator, the agreed clock, what fronts reported since the last record, the connections to
+ * the platform and the report in progress.
  */
 #pragma once
 
--- a/tests/unit/test-usage-book.c
+++ b/tests/unit/test-usage-book.c
@@ -9,14 +9,14 @@
 #include <cmocka.h>
 
 #include "core/usage/agreed-clock.h"
-#include "core/usage/usage-book.h"
+#include "core/usage/usage-aggregator.h"
 
 #define WINDOW_MS 5000
 #define CLOSE_DELAY_MS 4000
 #define SOURCE 77
 
 static void
-apply_event (QuinceUsageAggregator *book,
+apply_event (QuinceUsageAggregator *aggregator,
              guint64 index,
              guint64 source,
              guint64 sequence,
@@ -30,39 +30,40 @@
   QuinceBatchRecord record = { .kind = QUINCE_BATCH_RECORD_USAGE };
   record.QuinceBatchRecord_u.usage.sources.sources_val = &events;
   record.QuinceBatchRecord_u.usage.sources.sources_len = 1;
-  quince_usage_aggregator_apply (book, index, &record);
+  quince_usage_aggregator_apply (aggregator, index, &record);
 }
 
 static void
-apply_closed (QuinceUsageAggregator *book, guint64 index, const QuinceUsageWindow *window)
+apply_closed (QuinceUsageAggregator *aggregator, guint64 index, const QuinceUsageWindow *window)
 {
   QuinceBatchRecord record = { .kind = QUINCE_BATCH_RECORD_USAGE_CLOSED };
   record.QuinceBatchRecord_u.usage_closed = *window;
-  quince_usage_aggregator_apply (book, index, &record);
+  quince_usage_aggregator_apply (aggregator, index, &record);
 }
 
 static void
-apply_sent (QuinceUsageAggregator *book, guint64 index, guint64 window)
+apply_sent (QuinceUsageAggregator *aggregator, guint64 index, guint64 window)
 {
   QuinceBatchRecord record = { .kind = QUINCE_BATCH_RECORD_USAGE_SENT };
   record.QuinceBatchRecord_u.usage_sent = window;
-  quince_usage_aggregator_apply (book, index, &record);
+  quince_usage_aggregator_apply (aggregator, index, &record);
 }
 
 static void
 test_ignore_duplicate_events (void **state)
 {
-  g_autoptr (QuinceUsageAggregator) book = quince_usage_aggregator_new (WINDOW_MS);
-  apply_event (book, 1, SOURCE, 1, "b", 10001);
-  apply_event (book, 2, SOURCE, 2, "a", 14999);
-  apply_event (book, 3, SOURCE, 2, "a", 14999); /* duplicate */
-  apply_event (book, 4, SOURCE + 1, 1, "b", 12000);
-  apply_event (book, 5, SOURCE, 3, "a", 15000); /* in the next window */
-  assert_int_equal (quince_usage_aggregator_get_sequence (book, SOURCE), 3);
-  assert_int_equal (quince_usage_aggregator_get_sequence (book, SOURCE + 2), 0);
-  assert_null (quince_usage_aggregator_next_to_close (book, 15000 + CLOSE_DELAY_MS - 1, CLOSE_DELAY_MS));
+  g_autoptr (QuinceUsageAggregator) aggregator = quince_usage_aggregator_new (WINDOW_MS);
+  apply_event (aggregator, 1, SOURCE, 1, "b", 10001);
+  apply_event (aggregator, 2, SOURCE, 2, "a", 14999);
+  apply_event (aggregator, 3, SOURCE, 2, "a", 14999); /* duplicate */
+  apply_event (aggregator, 4, SOURCE + 1, 1, "b", 12000);
+  apply_event (aggregator, 5, SOURCE, 3, "a", 15000); /* in the next window */
+  assert_int_equal (quince_usage_aggregator_get_sequence (aggregator, SOURCE), 3);
+  assert_int_equal (quince_usage_aggregator_get_sequence (aggregator, SOURCE + 2), 0);
+  assert_null (
+      quince_usage_aggregator_next_to_close (aggregator, 15000 + CLOSE_DELAY_MS - 1, CLOSE_DELAY_MS));
   g_autoptr (QuinceUsageWindow) window
-      = quince_usage_aggregator_next_to_close (book, 15000 + CLOSE_DELAY_MS, CLOSE_DELAY_MS);
+      = quince_usage_aggregator_next_to_close (aggregator, 15000 + CLOSE_DELAY_MS, CLOSE_DELAY_MS);
   assert_int_equal (window->window, 2);
   assert_int_equal (window->counts.counts_len, 2);
   assert_string_equal (window->counts.counts_val[0].tenant, "a");
@@ -75,45 +76,47 @@
 static void
 test_closed_window_is_final (void **state)
 {
-  g_autoptr (QuinceUsageAggregator) book = quince_usage_aggregator_new (WINDOW_MS);
-  apply_event (book, 1, SOURCE, 1, "a", 10000);
-  g_autoptr (QuinceUsageWindow) window = quince_usage_aggregator_next_to_close (book, 30000, CLOSE_DELAY_MS);
-  apply_closed (book, 2, window);
-  apply_event (book, 3, SOURCE, 2, "a", 10001);
-  assert_null (quince_usage_aggregator_next_to_close (book, 30000, CLOSE_DELAY_MS));
+  g_autoptr (QuinceUsageAggregator) aggregator = quince_usage_aggregator_new (WINDOW_MS);
+  apply_event (aggregator, 1, SOURCE, 1, "a", 10000);
+  g_autoptr (QuinceUsageWindow) window
+      = quince_usage_aggregator_next_to_close (aggregator, 30000, CLOSE_DELAY_MS);
+  apply_closed (aggregator, 2, window);
+  apply_event (aggregator, 3, SOURCE, 2, "a", 10001);
+  assert_null (quince_usage_aggregator_next_to_close (aggregator, 30000, CLOSE_DELAY_MS));
   QuinceUsageCount other_count = { .tenant = (char *)"a", .requests = 2 };
   QuinceUsageWindow duplicate = { .window = 2 };
   duplicate.counts.counts_val = &other_count;
   duplicate.counts.counts_len = 1;
-  apply_closed (book, 4, &duplicate);
-  const QuinceUsageWindow *report = quince_usage_aggregator_next_to_send (book);
+  apply_closed (aggregator, 4, &duplicate);
+  const QuinceUsageWindow *report = quince_usage_aggregator_next_to_send (aggregator);
   assert_int_equal (report->window, 2);
   assert_int_equal (report->counts.counts_val[0].requests, 1);
-  apply_sent (book, 5, 2);
-  assert_null (quince_usage_aggregator_next_to_send (book));
+  apply_sent (aggregator, 5, 2);
+  assert_null (quince_usage_aggregator_next_to_send (aggregator));
 }
 
 /* Records of reported windows become obsolete, but not those that keep the last window closed and sent. */
 static void
 test_obsolete_records (void **state)
 {
-  g_autoptr (QuinceUsageAggregator) book = quince_usage_aggregator_new (WINDOW_MS);
-  apply_event (book, 1, SOURCE, 1, "a", 10000);
-  apply_event (book, 2, SOURCE, 2, "a", 16000);
-  g_autoptr (QuinceUsageWindow) window = quince_usage_aggregator_next_to_close (book, 19000, CLOSE_DELAY_MS);
-  apply_closed (book, 3, window);
-  g_autoptr (GArray) before_acknowledgement = quince_usage_aggregator_take_obsolete (book);
+  g_autoptr (QuinceUsageAggregator) aggregator = quince_usage_aggregator_new (WINDOW_MS);
+  apply_event (aggregator, 1, SOURCE, 1, "a", 10000);
+  apply_event (aggregator, 2, SOURCE, 2, "a", 16000);
+  g_autoptr (QuinceUsageWindow) window
+      = quince_usage_aggregator_next_to_close (aggregator, 19000, CLOSE_DELAY_MS);
+  apply_closed (aggregator, 3, window);
+  g_autoptr (GArray) before_acknowledgement = quince_usage_aggregator_take_obsolete (aggregator);
   assert_int_equal (before_acknowledgement->len, 0);
-  apply_sent (book, 4, 2);
+  apply_sent (aggregator, 4, 2);
   /* If USAGE_SENT were deleted before USAGE_CLOSED, a new leader would report the window again. */
-  g_autoptr (GArray) before_next_close = quince_usage_aggregator_take_obsolete (book);
+  g_autoptr (GArray) before_next_close = quince_usage_aggregator_take_obsolete (aggregator);
   assert_int_equal (before_next_close->len, 0);
   g_autoptr (QuinceUsageWindow) next_window
-      = quince_usage_aggregator_next_to_close (book, 24000, CLOSE_DELAY_MS);
-  apply_closed (book, 6, next_window);
-  g_autoptr (GArray) indexes = quince_usage_aggregator_take_obsolete (book);
+      = quince_usage_aggregator_next_to_close (aggregator, 24000, CLOSE_DELAY_MS);
+  apply_closed (aggregator, 6, next_window);
+  g_autoptr (GArray) indexes = quince_usage_aggregator_take_obsolete (aggregator);
   assert_int_equal (indexes->len, 3); /* the USAGE, USAGE_CLOSED and USAGE_SENT records */
-  g_autoptr (GArray) again = quince_usage_aggregator_take_obsolete (book);
+  g_autoptr (GArray) again = quince_usage_aggregator_take_obsolete (aggregator);
   assert_int_equal (again->len, 0);
   /* A new leader that lacks the USAGE_SENT record. */
   g_autoptr (QuinceUsageAggregator) new_leader = quince_usage_aggregator_new (WINDOW_MS);
