--- a/lib/core/usage/usage-aggregator.c
+++ b/lib/core/usage/usage-aggregator.c
@@ -1,6 +1,5 @@
 /*
- * usage-aggregator.c: counts the requests of each tenant per usage window and tracks which windows were
- * reported.
+ * usage-aggregator.c: counts requests per tenant and usage window, and tracks which windows were reported.
  */
 #include "core/usage/usage-aggregator.h"
 
--- a/lib/core/usage/usage-aggregator.h
+++ b/lib/core/usage/usage-aggregator.h
@@ -1,13 +1,12 @@
 /*
- * usage-aggregator.h: counts the requests of each tenant per usage window and tracks which windows were
- * reported.
+ * usage-aggregator.h: counts requests per tenant and usage window, and tracks which windows were reported.
  *
  * The counts depend only on the committed records of the ledger, so every leader computes the same ones.
  * Windows are closed in ascending order.  Events that arrive after their window was closed are ignored: its
  * report, which is repeated until it is acknowledged, never changes.
  *
- * The book owns the counts and the indexes of the records.  Pure: time is an argument, in milliseconds of the
- * agreed clock (agreed-clock.h).
+ * The aggregator owns the counts and the indexes of the records.  Pure: time is an argument, in milliseconds
+ * of the agreed clock (agreed-clock.h).
  */
 #pragma once
 
