--- a/daemons/front/caller-request.c
+++ b/daemons/front/caller-request.c
@@ -370,7 +370,7 @@
   g_autofree char *key = g_steal_pointer (&request->key);
   if (tenants == NULL)
     return TRUE;
-  const QuinceTenant *tenant = key != NULL ? quince_tenant_table_find_key (tenants, key) : NULL;
+  const QuinceTenant *tenant = key != NULL ? quince_tenant_table_find_by_key (tenants, key) : NULL;
   if (tenant != NULL)
     {
       request->tenant = g_strdup (tenant->name);
--- a/lib/core/routing/route-table.c
+++ b/lib/core/routing/route-table.c
@@ -20,14 +20,14 @@
 {
   QuinceRoute *route = g_new0 (QuinceRoute, 1);
   route->max_attempts = 1;
-  route->parts = g_array_new (FALSE, FALSE, sizeof (QuinceRoutePart));
+  route->parts = g_array_new (FALSE, FALSE, sizeof (QuinceWeightedService));
   return route;
 }
 
 void
-quince_route_add_part (QuinceRoute *route, const char *service, double weight)
+quince_route_add_weighted_service (QuinceRoute *route, const char *service, double weight)
 {
-  QuinceRoutePart part = { g_strdup (service), weight };
+  QuinceWeightedService part = { g_strdup (service), weight };
   g_array_append_val (route->parts, part);
 }
 
@@ -37,7 +37,7 @@
   if (route == NULL)
     return;
   for (guint i = 0; i < route->parts->len; i++)
-    g_free (g_array_index (route->parts, QuinceRoutePart, i).service);
+    g_free (g_array_index (route->parts, QuinceWeightedService, i).service);
   g_array_unref (route->parts);
   g_free (route->name);
   g_free (route->host);
@@ -233,14 +233,14 @@
 {
   double total = 0;
   for (guint i = 0; i < route->parts->len; i++)
-    total += g_array_index (route->parts, QuinceRoutePart, i).weight;
+    total += g_array_index (route->parts, QuinceWeightedService, i).weight;
   double left = unit * total;
   for (guint i = 0; i + 1 < route->parts->len; i++)
     {
-      const QuinceRoutePart *part = &g_array_index (route->parts, QuinceRoutePart, i);
+      const QuinceWeightedService *part = &g_array_index (route->parts, QuinceWeightedService, i);
       if (left < part->weight)
         return part->service;
       left -= part->weight;
     }
-  return g_array_index (route->parts, QuinceRoutePart, route->parts->len - 1).service;
+  return g_array_index (route->parts, QuinceWeightedService, route->parts->len - 1).service;
 }
--- a/lib/core/routing/route-table.h
+++ b/lib/core/routing/route-table.h
@@ -23,7 +23,7 @@
 {
   char *service;
   double weight;
-} QuinceRoutePart;
+} QuinceWeightedService;
 
 typedef struct
 {
@@ -41,7 +41,7 @@
   gboolean sticky;         /* workers keep prompts: prefer the one that has the request's */
   gboolean single_version; /* one weight version for all of a result */
   gboolean is_public;      /* callers need no API key, whatever tenants there are */
-  GArray *parts;           /* QuinceRoutePart, at least one */
+  GArray *parts;           /* QuinceWeightedService, at least one */
   char **regions;          /* where it may be served, NULL-terminated; NULL: anywhere */
 } QuinceRoute;
 
@@ -70,11 +70,11 @@
 typedef struct
 {
   char *name;
-  guint slots;            /* requests that a worker runs at once; 0: not given */
-  GPtrArray *models;      /* names, owned */
-  guint cold_start_ms;    /* how long a worker is cold after a start; 0: never */
-  double cold_per_s;      /* requests a second that a cold worker can serve; 0: no limit given */
-  QuinceScaling *scaling; /* NULL: none may be ordered */
+  guint slots;                    /* requests that a worker runs at once; 0: not given */
+  GPtrArray *models;              /* names, owned */
+  guint cold_start_ms;            /* how long a worker is cold after a start; 0: never */
+  double cold_max_requests_per_s; /* requests a second that a cold worker can serve; 0: no limit given */
+  QuinceScaling *scaling;         /* NULL: none may be ordered */
 } QuinceService;
 
 /* Limits on what callers send and how long they take. */
@@ -112,7 +112,7 @@
 const char *quince_route_pick_service (const QuinceRoute *route, double unit);
 
 QuinceRoute *quince_route_new (void);
-void quince_route_add_part (QuinceRoute *route, const char *service, double weight);
+void quince_route_add_weighted_service (QuinceRoute *route, const char *service, double weight);
 void quince_route_free (QuinceRoute *route);
 /* The regions that @route and @tenant (nullable) allow; lives as long as both. */
 void
--- a/lib/core/routing/tenant-table.c
+++ b/lib/core/routing/tenant-table.c
@@ -91,7 +91,7 @@
 }
 
 const QuinceTenant *
-quince_tenant_table_find_key (const QuinceTenantTable *table, const char *key)
+quince_tenant_table_find_by_key (const QuinceTenantTable *table, const char *key)
 {
   g_autofree char *digest = quince_tenant_key_digest (table->salt, key);
   return g_hash_table_lookup (table->by_digest, digest);
--- a/lib/core/routing/tenant-table.h
+++ b/lib/core/routing/tenant-table.h
@@ -37,7 +37,7 @@
 void
 quince_tenant_table_add_digest (QuinceTenantTable *table, const QuinceTenant *tenant, const char *digest);
 /* The tenant that API key @key belongs to. (transfer none) (nullable): %NULL: none */
-const QuinceTenant *quince_tenant_table_find_key (const QuinceTenantTable *table, const char *key);
+const QuinceTenant *quince_tenant_table_find_by_key (const QuinceTenantTable *table, const char *key);
 /* (transfer none) (nullable) */
 const QuinceTenant *quince_tenant_table_find (const QuinceTenantTable *table, const char *name);
 /* (transfer container) (element-type QuinceTenant): all, in no order */
--- a/lib/core/routing/warmup-limit.c
+++ b/lib/core/routing/warmup-limit.c
@@ -11,7 +11,7 @@
 #include <math.h>
 
 guint
-quince_warmup_most (double per_s, double overage, double slack)
+quince_warmup_get_max_sends (double per_s, double overage, double slack)
 {
   if (!(per_s > 0))
     return G_MAXUINT;
@@ -28,24 +28,25 @@
   guint sends;
 } Grant;
 
-struct _QuinceWarmupBook
+struct _QuinceWarmupLimiter
 {
   GHashTable *workers; /* id to GArray of Grant, both owned */
   gint64 margin_us;
-  gint64 quiet_until_us; /* until then a former leader's grants may arrive in the same second as a new one */
+  gint64 cold_blocked_until_us; /* until then a former leader's grants may arrive in the same second as a new
+                                   one */
 };
 
-QuinceWarmupBook *
-quince_warmup_book_new (gint64 margin_us)
+QuinceWarmupLimiter *
+quince_warmup_limiter_new (gint64 margin_us)
 {
-  QuinceWarmupBook *book = g_new0 (QuinceWarmupBook, 1);
+  QuinceWarmupLimiter *book = g_new0 (QuinceWarmupLimiter, 1);
   book->workers = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, (GDestroyNotify)g_array_unref);
   book->margin_us = margin_us;
   return book;
 }
 
 void
-quince_warmup_book_free (QuinceWarmupBook *book)
+quince_warmup_limiter_free (QuinceWarmupLimiter *book)
 {
   if (book == NULL)
     return;
@@ -54,20 +55,20 @@
 }
 
 static gint64
-free_after (const QuinceWarmupBook *book, gint64 until_us)
+get_grant_expiry_us (const QuinceWarmupLimiter *book, gint64 until_us)
 {
-  return until_us + book->margin_us + QUINCE_WARMUP_SPAN_US + 1; /* a second has both its ends */
+  return until_us + book->margin_us + QUINCE_WARMUP_WINDOW_US + 1; /* a second has both its ends */
 }
 
 void
-quince_warmup_book_take_over (QuinceWarmupBook *book, gint64 used_until_us)
+quince_warmup_limiter_take_over (QuinceWarmupLimiter *book, gint64 used_until_us)
 {
   g_hash_table_remove_all (book->workers);
-  book->quiet_until_us = free_after (book, used_until_us);
+  book->cold_blocked_until_us = get_grant_expiry_us (book, used_until_us);
 }
 
 static void
-drop_free (GArray *grants, gint64 now_us)
+drop_expired_grants (GArray *grants, gint64 now_us)
 {
   for (guint i = grants->len; i > 0; i--)
     if (g_array_index (grants, Grant, i - 1).free_us <= now_us)
@@ -84,15 +85,15 @@
 }
 
 guint
-quince_warmup_book_give (QuinceWarmupBook *book,
-                         gint64 now_us,
-                         const char *worker,
-                         gboolean is_cold,
-                         guint most,
-                         guint sends,
-                         gint64 until_us)
-{
-  if (is_cold && now_us < book->quiet_until_us)
+quince_warmup_limiter_grant (QuinceWarmupLimiter *book,
+                             gint64 now_us,
+                             const char *worker,
+                             gboolean is_cold,
+                             guint most,
+                             guint sends,
+                             gint64 until_us)
+{
+  if (is_cold && now_us < book->cold_blocked_until_us)
     return 0;
   GArray *grants = g_hash_table_lookup (book->workers, worker);
   if (grants == NULL)
@@ -100,27 +101,27 @@
       grants = g_array_new (FALSE, FALSE, sizeof (Grant));
       g_hash_table_insert (book->workers, g_strdup (worker), grants);
     }
-  drop_free (grants, now_us);
+  drop_expired_grants (grants, now_us);
   guint used = count_sends (grants);
   guint granted = used < most ? MIN (sends, most - used) : 0;
-  const Grant added = { .free_us = free_after (book, MAX (until_us, now_us)), .sends = granted };
+  const Grant added = { .free_us = get_grant_expiry_us (book, MAX (until_us, now_us)), .sends = granted };
   if (granted > 0)
     g_array_append_val (grants, added);
   return granted;
 }
 
 gint64
-quince_warmup_book_get_free_us (QuinceWarmupBook *book,
-                                gint64 now_us,
-                                const char *worker,
-                                gboolean is_cold,
-                                guint most)
+quince_warmup_limiter_get_next_grant_us (QuinceWarmupLimiter *book,
+                                         gint64 now_us,
+                                         const char *worker,
+                                         gboolean is_cold,
+                                         guint most)
 {
-  gint64 quiet_us = is_cold ? MAX (book->quiet_until_us, now_us) : now_us;
+  gint64 quiet_us = is_cold ? MAX (book->cold_blocked_until_us, now_us) : now_us;
   GArray *grants = g_hash_table_lookup (book->workers, worker);
   if (grants == NULL)
     return quiet_us;
-  drop_free (grants, now_us);
+  drop_expired_grants (grants, now_us);
   if (count_sends (grants) < most)
     return quiet_us;
   gint64 first = G_MAXINT64;
@@ -130,21 +131,21 @@
 }
 
 void
-quince_warmup_book_expire (QuinceWarmupBook *book, gint64 now_us)
+quince_warmup_limiter_expire (QuinceWarmupLimiter *book, gint64 now_us)
 {
   GHashTableIter iter;
   gpointer grants;
   g_hash_table_iter_init (&iter, book->workers);
   while (g_hash_table_iter_next (&iter, NULL, &grants))
     {
-      drop_free (grants, now_us);
+      drop_expired_grants (grants, now_us);
       if (((GArray *)grants)->len == 0)
         g_hash_table_iter_remove (&iter);
     }
 }
 
 guint
-quince_warmup_book_get_size (const QuinceWarmupBook *book)
+quince_warmup_limiter_get_n_workers (const QuinceWarmupLimiter *book)
 {
   return g_hash_table_size (book->workers);
 }
@@ -152,41 +153,41 @@
 /* ---- The lease of a process that is granted sends ------------------------ */
 
 gboolean
-quince_warmup_lease_has_room (const QuinceWarmupLease *lease, gint64 now_us)
+quince_warmup_lease_can_send (const QuinceWarmupLease *lease, gint64 now_us)
 {
   return lease->sends > 0 && now_us < lease->until_us;
 }
 
 gboolean
-quince_warmup_lease_use (QuinceWarmupLease *lease, gint64 now_us)
+quince_warmup_lease_use_send (QuinceWarmupLease *lease, gint64 now_us)
 {
-  if (!quince_warmup_lease_has_room (lease, now_us))
+  if (!quince_warmup_lease_can_send (lease, now_us))
     return FALSE;
   lease->sends--;
   return TRUE;
 }
 
 gboolean
-quince_warmup_lease_may_ask (const QuinceWarmupLease *lease, gint64 now_us, gint64 patience_us)
+quince_warmup_lease_may_request (const QuinceWarmupLease *lease, gint64 now_us, gint64 patience_us)
 {
   gboolean waits = lease->ask != 0 && now_us - lease->requested_us < patience_us;
-  return !waits && now_us >= lease->again_us && !quince_warmup_lease_has_room (lease, now_us);
+  return !waits && now_us >= lease->again_us && !quince_warmup_lease_can_send (lease, now_us);
 }
 
 void
-quince_warmup_lease_note_request (QuinceWarmupLease *lease, gint64 now_us, guint64 ask)
+quince_warmup_lease_start_request (QuinceWarmupLease *lease, gint64 now_us, guint64 ask)
 {
   lease->ask = ask;
   lease->requested_us = now_us;
 }
 
 void
-quince_warmup_lease_answered (QuinceWarmupLease *lease,
-                              gint64 now_us,
-                              guint64 ask,
-                              guint sends,
-                              gint64 valid_us,
-                              gint64 again_us)
+quince_warmup_lease_handle_answer (QuinceWarmupLease *lease,
+                                   gint64 now_us,
+                                   guint64 ask,
+                                   guint sends,
+                                   gint64 valid_us,
+                                   gint64 again_us)
 {
   if (ask == 0 || ask != lease->ask)
     return;
--- a/lib/core/routing/warmup-limit.h
+++ b/lib/core/routing/warmup-limit.h
@@ -14,49 +14,49 @@
 G_BEGIN_DECLS
 
 /* The limit holds in every window of this length, us: it is given in requests a second. */
-#define QUINCE_WARMUP_SPAN_US G_USEC_PER_SEC
+#define QUINCE_WARMUP_WINDOW_US G_USEC_PER_SEC
 
 /* Requests in any second at a worker that can serve @per_s: that times @overage, and @slack more; at least 1.
  * Returns: G_MAXUINT if @per_s gives no limit */
-guint quince_warmup_most (double per_s, double overage, double slack);
+guint quince_warmup_get_max_sends (double per_s, double overage, double slack);
 
 /* ---- The book of the process that grants --------------------------------- */
 
-typedef struct _QuinceWarmupBook QuinceWarmupBook;
+typedef struct _QuinceWarmupLimiter QuinceWarmupLimiter;
 
 /* @margin_us: a send arrives at most this much later than the last moment at which it was allowed to leave */
-QuinceWarmupBook *quince_warmup_book_new (gint64 margin_us);
-void quince_warmup_book_free (QuinceWarmupBook *book);
-G_DEFINE_AUTOPTR_CLEANUP_FUNC (QuinceWarmupBook, quince_warmup_book_free)
+QuinceWarmupLimiter *quince_warmup_limiter_new (gint64 margin_us);
+void quince_warmup_limiter_free (QuinceWarmupLimiter *book);
+G_DEFINE_AUTOPTR_CLEANUP_FUNC (QuinceWarmupLimiter, quince_warmup_limiter_free)
 /* Clears the book at the start of a leadership: the former leader's last grants may be used until
  * @used_until_us. */
-void quince_warmup_book_take_over (QuinceWarmupBook *book, gint64 used_until_us);
+void quince_warmup_limiter_take_over (QuinceWarmupLimiter *book, gint64 used_until_us);
 /**
- * quince_warmup_book_give:
+ * quince_warmup_limiter_grant:
  * @is_cold: %FALSE: only this process sends to @worker, so grants of a former leader don't count
- * @most: requests in any second, see quince_warmup_most()
+ * @most: requests in any second, see quince_warmup_get_max_sends()
  * @sends: how many are wanted
  * @until_us: latest time at which they leave
  *
  * Returns: how many are granted, 0 to @sends
  */
-guint quince_warmup_book_give (QuinceWarmupBook *book,
-                               gint64 now_us,
-                               const char *worker,
-                               gboolean is_cold,
-                               guint most,
-                               guint sends,
-                               gint64 until_us);
+guint quince_warmup_limiter_grant (QuinceWarmupLimiter *book,
+                                   gint64 now_us,
+                                   const char *worker,
+                                   gboolean is_cold,
+                                   guint most,
+                                   guint sends,
+                                   gint64 until_us);
 /* When one more may be granted; a time up to @now_us means at once. */
-gint64 quince_warmup_book_get_free_us (QuinceWarmupBook *book,
-                                       gint64 now_us,
-                                       const char *worker,
-                                       gboolean is_cold,
-                                       guint most);
+gint64 quince_warmup_limiter_get_next_grant_us (QuinceWarmupLimiter *book,
+                                                gint64 now_us,
+                                                const char *worker,
+                                                gboolean is_cold,
+                                                guint most);
 /* Drops workers without sends that still count. */
-void quince_warmup_book_expire (QuinceWarmupBook *book, gint64 now_us);
+void quince_warmup_limiter_expire (QuinceWarmupLimiter *book, gint64 now_us);
 /* Workers with sends on record.  For tests: nothing else shows that expiring frees memory. */
-guint quince_warmup_book_get_size (const QuinceWarmupBook *book);
+guint quince_warmup_limiter_get_n_workers (const QuinceWarmupLimiter *book);
 
 /* ---- The lease of a process that is granted sends ------------------------ */
 
@@ -72,20 +72,20 @@
 } QuinceWarmupLease;
 
 /* The lease covers one more send now. */
-gboolean quince_warmup_lease_has_room (const QuinceWarmupLease *lease, gint64 now_us);
+gboolean quince_warmup_lease_can_send (const QuinceWarmupLease *lease, gint64 now_us);
 /* Uses one send of the lease. Returns: whether it covered one */
-gboolean quince_warmup_lease_use (QuinceWarmupLease *lease, gint64 now_us);
+gboolean quince_warmup_lease_use_send (QuinceWarmupLease *lease, gint64 now_us);
 /* Whether to request sends now: the lease is used up and no request is in progress.  A request without an
  * answer for @patience_us counts as lost. */
-gboolean quince_warmup_lease_may_ask (const QuinceWarmupLease *lease, gint64 now_us, gint64 patience_us);
-void quince_warmup_lease_note_request (QuinceWarmupLease *lease, gint64 now_us, guint64 ask);
+gboolean quince_warmup_lease_may_request (const QuinceWarmupLease *lease, gint64 now_us, gint64 patience_us);
+void quince_warmup_lease_start_request (QuinceWarmupLease *lease, gint64 now_us, guint64 ask);
 /* The answer to request @ask: @sends, for @valid_us from the moment of the request; the next request no
  * sooner than @again_us from now.  Answers to earlier requests are ignored. */
-void quince_warmup_lease_answered (QuinceWarmupLease *lease,
-                                   gint64 now_us,
-                                   guint64 ask,
-                                   guint sends,
-                                   gint64 valid_us,
-                                   gint64 again_us);
+void quince_warmup_lease_handle_answer (QuinceWarmupLease *lease,
+                                        gint64 now_us,
+                                        guint64 ask,
+                                        guint sends,
+                                        gint64 valid_us,
+                                        gint64 again_us);
 
 G_END_DECLS
--- a/lib/core/trace/log-line.c
+++ b/lib/core/trace/log-line.c
@@ -7,10 +7,10 @@
 
 G_DEFINE_QUARK (quince - log - trace - error - quark, quince_log_trace_error)
 
-static const char *const first_keys[] = { "time", "level", "program", "name", "event" };
+static const char *const required_keys[] = { "time", "level", "program", "name", "event" };
 
 static void
-pair_clear (gpointer data)
+clear_pair (gpointer data)
 {
   QuinceLogPair *pair = data;
   g_free (pair->key);
@@ -41,7 +41,7 @@
 
 /* (transfer full) (nullable): the value that begins after an opening quote; %NULL without a closing one. */
 static char *
-read_quoted (const char **at)
+parse_quoted_value (const char **at)
 {
   g_autoptr (GString) value = g_string_new (NULL);
   const char *next = *at;
@@ -63,7 +63,7 @@
   if (**at == '"')
     {
       (*at)++;
-      return read_quoted (at);
+      return parse_quoted_value (at);
     }
   gsize length = strcspn (*at, " ");
   char *value = g_strndup (*at, length);
@@ -72,7 +72,7 @@
 }
 
 static gboolean
-read_pair (const char **at, QuinceLogPair *pair)
+parse_pair (const char **at, QuinceLogPair *pair)
 {
   gsize length = strcspn (*at, "= ");
   if (length == 0 || (*at)[length] != '=')
@@ -87,12 +87,12 @@
 }
 
 static gboolean
-begins_well (const QuinceLogLine *line)
+starts_with_required_keys (const QuinceLogLine *line)
 {
-  if (line->pairs->len < G_N_ELEMENTS (first_keys))
+  if (line->pairs->len < G_N_ELEMENTS (required_keys))
     return FALSE;
-  for (guint i = 0; i < G_N_ELEMENTS (first_keys); i++)
-    if (!g_str_equal (g_array_index (line->pairs, QuinceLogPair, i).key, first_keys[i]))
+  for (guint i = 0; i < G_N_ELEMENTS (required_keys); i++)
+    if (!g_str_equal (g_array_index (line->pairs, QuinceLogPair, i).key, required_keys[i]))
       return FALSE;
   return TRUE;
 }
@@ -102,17 +102,17 @@
 {
   g_autoptr (QuinceLogLine) line = g_new0 (QuinceLogLine, 1);
   line->pairs = g_array_new (FALSE, TRUE, sizeof (QuinceLogPair));
-  g_array_set_clear_func (line->pairs, pair_clear);
+  g_array_set_clear_func (line->pairs, clear_pair);
   gboolean good = TRUE;
   while (good && *text != '\0' && *text != '\n')
     {
       QuinceLogPair pair;
-      good = read_pair (&text, &pair);
+      good = parse_pair (&text, &pair);
       if (good)
         g_array_append_val (line->pairs, pair);
     }
   g_autoptr (GDateTime) time = NULL;
-  if (good && begins_well (line))
+  if (good && starts_with_required_keys (line))
     time = g_date_time_new_from_iso8601 (quince_log_line_get (line, "time"), NULL);
   if (time == NULL)
     {
--- a/lib/core/trace/log-trace.c
+++ b/lib/core/trace/log-trace.c
@@ -6,7 +6,7 @@
 #include <string.h>
 
 /* Width of the column of process names, characters: holds most names; longer ones push their line right. */
-#define COLUMN_PROCESS 12
+#define PROCESS_COLUMN_WIDTH 12
 
 struct _QuinceLogTrace
 {
@@ -20,12 +20,12 @@
   GHashTable *processes; /* borrowed names */
   gint64 first_us;
   gint64 last_us;
-} Concerned;
+} TraceScope;
 
 /* Keys by which a line names what it is about. */
 static const char *const subject_keys[] = { "request", "sample", "batch" };
 
-/* Context: events about a worker count if the worker is concerned, others if the process is. */
+/* Context: events about a worker count if the worker is trace_scope, others if the process is. */
 static const char *const worker_context_events[] = { "worker_changed", "worker_gone", "weights_order_ended" };
 static const char *const process_context_events[]
     = { "configuration", "dependency_lost", "dependency_regained", "entry_refused",
@@ -73,7 +73,7 @@
 }
 
 static gboolean
-is_one_of (const char *event, const char *const *events, gsize n_events)
+list_contains (const char *event, const char *const *events, gsize n_events)
 {
   for (gsize i = 0; i < n_events; i++)
     if (g_str_equal (event, events[i]))
@@ -82,30 +82,31 @@
 }
 
 static void
-note_concerned (Concerned *concerned, const QuinceLogLine *line)
+extend_scope (TraceScope *trace_scope, const QuinceLogLine *line)
 {
   const char *worker = quince_log_line_get (line, "worker");
   if (worker != NULL)
-    g_hash_table_add (concerned->workers, (gpointer)worker);
-  g_hash_table_add (concerned->processes, (gpointer)quince_log_line_get (line, "name"));
-  if (concerned->first_us == 0 || line->time_us < concerned->first_us)
-    concerned->first_us = line->time_us;
-  concerned->last_us = MAX (concerned->last_us, line->time_us);
+    g_hash_table_add (trace_scope->workers, (gpointer)worker);
+  g_hash_table_add (trace_scope->processes, (gpointer)quince_log_line_get (line, "name"));
+  if (trace_scope->first_us == 0 || line->time_us < trace_scope->first_us)
+    trace_scope->first_us = line->time_us;
+  trace_scope->last_us = MAX (trace_scope->last_us, line->time_us);
 }
 
 /* (transfer full) (nullable): what a line of context is about; a later line replaces an earlier one of the
  * same topic.  %NULL: it is no context of this trace. */
 static char *
-context_topic (const Concerned *concerned, const QuinceLogLine *line)
+get_context_topic (const TraceScope *trace_scope, const QuinceLogLine *line)
 {
   const char *event = quince_log_line_get (line, "event");
   const char *process = quince_log_line_get (line, "name");
   const char *worker = quince_log_line_get (line, "worker");
-  if (!g_hash_table_contains (concerned->processes, process) || line->time_us > concerned->last_us)
+  if (!g_hash_table_contains (trace_scope->processes, process) || line->time_us > trace_scope->last_us)
     return NULL;
-  if (is_one_of (event, worker_context_events, G_N_ELEMENTS (worker_context_events)) && worker != NULL)
-    return g_hash_table_contains (concerned->workers, worker) ? g_strjoin (" ", process, worker, NULL) : NULL;
-  if (!is_one_of (event, process_context_events, G_N_ELEMENTS (process_context_events)))
+  if (list_contains (event, worker_context_events, G_N_ELEMENTS (worker_context_events)) && worker != NULL)
+    return g_hash_table_contains (trace_scope->workers, worker) ? g_strjoin (" ", process, worker, NULL)
+                                                                : NULL;
+  if (!list_contains (event, process_context_events, G_N_ELEMENTS (process_context_events)))
     return NULL;
   const char *what = quince_log_line_get (line, "what");
   const char *model = quince_log_line_get (line, "model");
@@ -124,17 +125,17 @@
 
 /* Adds the newest line of each topic before the trace begins, and all lines of context within it. */
 static void
-add_context (const QuinceLogTrace *trace, const Concerned *concerned, GPtrArray *selected)
+add_context (const QuinceLogTrace *trace, const TraceScope *trace_scope, GPtrArray *selected)
 {
   g_autoptr (GHashTable) before = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   for (guint i = 0; i < trace->lines->len; i++)
     {
       QuinceLogLine *line = trace->lines->pdata[i];
-      g_autofree char *topic = context_topic (concerned, line);
+      g_autofree char *topic = get_context_topic (trace_scope, line);
       if (topic == NULL)
         continue;
       const QuinceLogLine *known = g_hash_table_lookup (before, topic);
-      if (line->time_us >= concerned->first_us)
+      if (line->time_us >= trace_scope->first_us)
         g_ptr_array_add (selected, line);
       else if (known == NULL || known->time_us <= line->time_us)
         g_hash_table_replace (before, g_steal_pointer (&topic), line);
@@ -152,13 +153,13 @@
 format_line (GString *text, const QuinceLogLine *line, gint64 first_us, gboolean is_context)
 {
   g_string_append_printf (text, "%+9.3f s  %-*s %s%s", (double)(line->time_us - first_us) / G_USEC_PER_SEC,
-                          COLUMN_PROCESS, quince_log_line_get (line, "name"), is_context ? "(belief) " : "",
-                          quince_log_line_get (line, "event"));
+                          PROCESS_COLUMN_WIDTH, quince_log_line_get (line, "name"),
+                          is_context ? "(belief) " : "", quince_log_line_get (line, "event"));
   for (guint i = 0; i < line->pairs->len; i++)
     {
       const QuinceLogPair *pair = &g_array_index (line->pairs, QuinceLogPair, i);
-      static const char *const head_keys[] = { "time", "program", "name", "event", "level" };
-      if (!is_one_of (pair->key, head_keys, G_N_ELEMENTS (head_keys)))
+      static const char *const omitted_keys[] = { "time", "program", "name", "event", "level" };
+      if (!list_contains (pair->key, omitted_keys, G_N_ELEMENTS (omitted_keys)))
         g_string_append_printf (text, " %s=%s", pair->key, pair->value);
     }
   g_string_append_c (text, '\n');
@@ -170,21 +171,21 @@
   g_autoptr (GHashTable) workers = g_hash_table_new (g_str_hash, g_str_equal);
   g_autoptr (GHashTable) processes = g_hash_table_new (g_str_hash, g_str_equal);
   g_autoptr (GPtrArray) selected = g_ptr_array_new ();
-  Concerned concerned = { .workers = workers, .processes = processes };
+  TraceScope trace_scope = { .workers = workers, .processes = processes };
   for (guint i = 0; i < trace->lines->len; i++)
     {
       QuinceLogLine *line = trace->lines->pdata[i];
       if (!names (line, id))
         continue;
-      note_concerned (&concerned, line);
+      extend_scope (&trace_scope, line);
       g_ptr_array_add (selected, line);
     }
   if (selected->len == 0)
     return NULL;
-  add_context (trace, &concerned, selected);
+  add_context (trace, &trace_scope, selected);
   g_ptr_array_sort (selected, compare_lines);
   g_autoptr (GString) text = g_string_new (NULL);
   for (guint i = 0; i < selected->len; i++)
-    format_line (text, selected->pdata[i], concerned.first_us, !names (selected->pdata[i], id));
+    format_line (text, selected->pdata[i], trace_scope.first_us, !names (selected->pdata[i], id));
   return g_string_free (g_steal_pointer (&text), FALSE);
 }
--- a/lib/core/trace/log-trace.h
+++ b/lib/core/trace/log-trace.h
@@ -15,7 +15,7 @@
 typedef enum
 {
   QUINCE_LOG_TRACE_ERROR_MALFORMED, /* no key=value line that begins with time, level, program, name, event */
-  QUINCE_LOG_TRACE_ERROR_UNKNOWN,   /* an event that the daemons do not log */
+  QUINCE_LOG_TRACE_ERROR_UNKNOWN_EVENT, /* an event that the daemons do not log */
 } QuinceLogTraceError;
 
 /* Whether @line is well formed and its event is one that the daemons log; docs/OPERATIONS.md lists them. */
--- a/lib/core/trace/log-vocabulary.c
+++ b/lib/core/trace/log-vocabulary.c
@@ -116,6 +116,6 @@
   const char *event = quince_log_line_get (line, "event");
   if (is_known_event (event))
     return TRUE;
-  g_set_error (error, QUINCE_LOG_TRACE_ERROR, QUINCE_LOG_TRACE_ERROR_UNKNOWN, "event=%s", event);
+  g_set_error (error, QUINCE_LOG_TRACE_ERROR, QUINCE_LOG_TRACE_ERROR_UNKNOWN_EVENT, "event=%s", event);
   return FALSE;
 }
--- a/lib/forward/warmup-sends.c
+++ b/lib/forward/warmup-sends.c
@@ -24,7 +24,7 @@
   QuinceWarmupBounds bounds;
   const QuinceWarmupSendsCallbacks *callbacks;
   gpointer user_data;
-  QuinceWarmupBook *book;
+  QuinceWarmupLimiter *book;
   GHashTable *leases; /* QuinceWarmupLease by id of the worker, both owned */
   guint64 asks;       /* so far */
   gint64 next_ask_us; /* not before */
@@ -46,7 +46,7 @@
   sends->bounds = *bounds;
   sends->callbacks = callbacks;
   sends->user_data = user_data;
-  sends->book = quince_warmup_book_new (QUINCE_WARMUP_MARGIN_US);
+  sends->book = quince_warmup_limiter_new (QUINCE_WARMUP_MARGIN_US);
   sends->leases = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   /* An answer to a process that ran here before must not match an ask of this one. */
   sends->asks = (guint64)quince_now_us ();
@@ -58,7 +58,7 @@
 {
   if (sends == NULL)
     return;
-  quince_warmup_book_free (sends->book);
+  quince_warmup_limiter_free (sends->book);
   g_hash_table_unref (sends->leases);
   g_free (sends);
 }
@@ -86,7 +86,8 @@
   const QuinceService *configured = sends->callbacks->find_service (service, sends->user_data);
   if (configured == NULL)
     return G_MAXUINT;
-  return quince_warmup_most (configured->cold_per_s, sends->bounds.overage, sends->bounds.slack);
+  return quince_warmup_get_max_sends (configured->cold_max_requests_per_s, sends->bounds.overage,
+                                      sends->bounds.slack);
 }
 
 gint64
@@ -108,10 +109,10 @@
 {
   gboolean cold = quince_worker_is_cold (worker, now_us);
   if (sends->callbacks->may_give != NULL)
-    return quince_warmup_book_get_free_us (sends->book, now_us, worker->id, cold, most) <= now_us
+    return quince_warmup_limiter_get_next_grant_us (sends->book, now_us, worker->id, cold, most) <= now_us
            && (!cold || may_give (sends));
   const QuinceWarmupLease *lease = find_lease (sends, worker->id);
-  return !cold || (lease != NULL && quince_warmup_lease_has_room (lease, now_us));
+  return !cold || (lease != NULL && quince_warmup_lease_can_send (lease, now_us));
 }
 
 gboolean
@@ -122,13 +123,13 @@
     {
       gint64 until_us = now_us + (cold ? QUINCE_WARMUP_SEND_WITHIN_US : 0);
       if ((cold && !may_give (sends))
-          || quince_warmup_book_give (sends->book, now_us, worker->id, cold, most, 1, until_us) == 0)
+          || quince_warmup_limiter_grant (sends->book, now_us, worker->id, cold, most, 1, until_us) == 0)
         return FALSE;
     }
   else if (cold)
     {
       QuinceWarmupLease *lease = find_lease (sends, worker->id);
-      if (lease == NULL || !quince_warmup_lease_use (lease, now_us))
+      if (lease == NULL || !quince_warmup_lease_use_send (lease, now_us))
         return FALSE;
     }
   if (cold)
@@ -147,7 +148,7 @@
       lease = g_new0 (QuinceWarmupLease, 1);
       g_hash_table_insert (sends->leases, g_strdup (worker->id), lease);
     }
-  if (!quince_warmup_lease_may_ask (lease, now_us, ASK_PATIENCE_US))
+  if (!quince_warmup_lease_may_request (lease, now_us, ASK_PATIENCE_US))
     return;
   /* The lease counts from here: the ask leaves later, if at all. */
   gint64 requested_us = quince_now_us ();
@@ -158,7 +159,7 @@
       lease->again_us = now_us + NO_LEADER_US;
       return;
     }
-  quince_warmup_lease_note_request (lease, requested_us, ask);
+  quince_warmup_lease_start_request (lease, requested_us, ask);
   sends->next_ask_us = now_us + ASK_EVERY_US;
 }
 
@@ -169,8 +170,8 @@
                                  guint most)
 {
   if (sends->callbacks->may_give != NULL)
-    return quince_warmup_book_get_free_us (sends->book, now_us, worker->id,
-                                           quince_worker_is_cold (worker, now_us), most);
+    return quince_warmup_limiter_get_next_grant_us (sends->book, now_us, worker->id,
+                                                    quince_worker_is_cold (worker, now_us), most);
   const QuinceWarmupLease *lease = find_lease (sends, worker->id);
   return lease != NULL && lease->refused ? MAX (lease->again_us, now_us) : now_us;
 }
@@ -189,7 +190,7 @@
   if (lease == NULL)
     return;
   valid_us = MIN (valid_us, QUINCE_WARMUP_VALID_US);
-  quince_warmup_lease_answered (lease, quince_now_us (), ask, given, valid_us, again_us);
+  quince_warmup_lease_handle_answer (lease, quince_now_us (), ask, given, valid_us, again_us);
 }
 
 void
@@ -213,7 +214,7 @@
 quince_warmup_sends_take_over (QuinceWarmupSends *sends)
 {
   gint64 used_until_us = quince_now_us () + QUINCE_WARMUP_VALID_US + QUINCE_WARMUP_SEND_WITHIN_US;
-  quince_warmup_book_take_over (sends->book, used_until_us);
+  quince_warmup_limiter_take_over (sends->book, used_until_us);
 }
 
 guint
@@ -230,8 +231,8 @@
   *again_us = NO_LEADER_US;
   if (may_give (sends))
     {
-      given = quince_warmup_book_give (sends->book, now, worker, TRUE, most, wanted, until_us);
-      *again_us = quince_warmup_book_get_free_us (sends->book, now, worker, TRUE, most) - now;
+      given = quince_warmup_limiter_grant (sends->book, now, worker, TRUE, most, wanted, until_us);
+      *again_us = quince_warmup_limiter_get_next_grant_us (sends->book, now, worker, TRUE, most) - now;
     }
   count (given > 0 ? "given" : "refused", given > 0 ? given : wanted);
   return given;
@@ -240,7 +241,7 @@
 void
 quince_warmup_sends_expire (QuinceWarmupSends *sends, gint64 now_us)
 {
-  quince_warmup_book_expire (sends->book, now_us);
+  quince_warmup_limiter_expire (sends->book, now_us);
   GHashTableIter iter;
   gpointer value;
   g_hash_table_iter_init (&iter, sends->leases);
@@ -248,7 +249,7 @@
     {
       const QuinceWarmupLease *lease = value;
       gint64 used_us = MAX (MAX (lease->requested_us, lease->until_us), lease->again_us);
-      if (now_us - used_us > 10 * QUINCE_WARMUP_SPAN_US)
+      if (now_us - used_us > 10 * QUINCE_WARMUP_WINDOW_US)
         g_hash_table_iter_remove (&iter);
     }
 }
--- a/tests/platform/test-forward.c
+++ b/tests/platform/test-forward.c
@@ -430,7 +430,7 @@
   ColdService cold = { .service = quince_service_new ("svc") };
   const QuinceWarmupBounds bounds = { .overage = 1, .slack = 0 };
   begin (&world);
-  cold.service->cold_per_s = 2;
+  cold.service->cold_max_requests_per_s = 2;
   cold.sends = quince_warmup_sends_new (&bounds, &cold_callbacks, &cold);
   quince_backends_set_warmup (world.backends, cold.sends);
   for (guint i = 0; i < WORKERS; i++)
--- a/tests/platform/test-warmth.c
+++ b/tests/platform/test-warmth.c
@@ -57,7 +57,7 @@
   const QuinceWarmupBounds bounds = { .overage = 1.5, .slack = 0 };
   *world = (World){ .gives = TRUE, .reached = TRUE };
   world->service = quince_service_new ("svc");
-  world->service->cold_per_s = 2;
+  world->service->cold_max_requests_per_s = 2;
   world->service->cold_start_ms = 3000;
   world->backends = quince_backends_new (quince_topology_new ("z1", ""));
   world->sends = quince_warmup_sends_new (&bounds, callbacks, world);
@@ -329,7 +329,7 @@
   World world;
   const char *id = NULL;
   begin (&world, &asker);
-  world.service->cold_per_s = 0;
+  world.service->cold_max_requests_per_s = 0;
   list (&world, "a", "z1", 3000);
   for (guint i = 0; i < 4 * SENDS_MAX; i++)
     assert_int_equal (choose (&world, &id), QUINCE_BACKEND_CHOSEN);
--- a/tests/unit/test-log-trace.c
+++ b/tests/unit/test-log-trace.c
@@ -39,7 +39,7 @@
 }
 
 static void
-test_story_in_order (void **state)
+test_trace_order (void **state)
 {
   static const char *const expected[] = {
     "(belief) worker_changed worker=w1 service=s address=127.0.0.1:1 state=draining",
@@ -62,7 +62,7 @@
 
 /* Other workers, other processes, other requests, what came before a newer belief or after the end. */
 static void
-test_story_leaves_out_the_rest (void **state)
+test_trace_excludes_unrelated_lines (void **state)
 {
   static const char *const absent[] = { "w9", "meta_store", "r2", "state=ready", "version=4" };
   g_autoptr (QuinceLogTrace) trace = read_lines ();
@@ -82,7 +82,7 @@
 }
 
 static void
-test_vocabulary (void **state)
+test_log_line_check (void **state)
 {
   static const struct
   {
@@ -91,7 +91,7 @@
   } cases[] = {
     { AT ("01.000") "f1 event=worker_gone worker=w1", -1 },
     { AT ("01.000") "\"\" event=stopped status=0", -1 },
-    { AT ("01.000") "f1 event=worker_vanished worker=w1", QUINCE_LOG_TRACE_ERROR_UNKNOWN },
+    { AT ("01.000") "f1 event=worker_vanished worker=w1", QUINCE_LOG_TRACE_ERROR_UNKNOWN_EVENT },
     { AT ("01.000") "f1 event=worker_gone worker", QUINCE_LOG_TRACE_ERROR_MALFORMED },
     { AT ("01.000") "f1 event=worker_gone worker=\"w1", QUINCE_LOG_TRACE_ERROR_MALFORMED },
     { "event=worker_gone worker=w1", QUINCE_LOG_TRACE_ERROR_MALFORMED },
@@ -111,10 +111,10 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_story_in_order),
-    cmocka_unit_test (test_story_leaves_out_the_rest),
+    cmocka_unit_test (test_trace_order),
+    cmocka_unit_test (test_trace_excludes_unrelated_lines),
     cmocka_unit_test (test_quoted_values),
-    cmocka_unit_test (test_vocabulary),
+    cmocka_unit_test (test_log_line_check),
   };
   return cmocka_run_group_tests_name ("log-story", tests, NULL, NULL);
 }
--- a/tests/unit/test-tenants.c
+++ b/tests/unit/test-tenants.c
@@ -25,12 +25,12 @@
   assert_string_not_equal (digest, elsewhere);
   quince_tenant_table_add_digest (table, first, digest);
   quince_tenant_table_add_digest (table, second, other);
-  assert_ptr_equal (quince_tenant_table_find_key (table, "key-1"), first);
-  assert_ptr_equal (quince_tenant_table_find_key (table, "key-2"), second);
-  assert_null (quince_tenant_table_find_key (table, "key-3"));
-  assert_null (quince_tenant_table_find_key (table, ""));
+  assert_ptr_equal (quince_tenant_table_find_by_key (table, "key-1"), first);
+  assert_ptr_equal (quince_tenant_table_find_by_key (table, "key-2"), second);
+  assert_null (quince_tenant_table_find_by_key (table, "key-3"));
+  assert_null (quince_tenant_table_find_by_key (table, ""));
   /* A digest is no key. */
-  assert_null (quince_tenant_table_find_key (table, digest));
+  assert_null (quince_tenant_table_find_by_key (table, digest));
   assert_ptr_equal (quince_tenant_table_find (table, "second"), second);
   assert_null (quince_tenant_table_find (table, "third"));
   g_autoptr (GPtrArray) all = quince_tenant_table_list (table);
@@ -50,7 +50,7 @@
 
 /* Logs of builds that knew no tenants are read, and those of this build are. */
 static void
-test_records_of_both_kinds (void **state)
+test_records_with_and_without_tenant (void **state)
 {
   g_autoptr (QuinceBatchBook) book = quince_batch_book_new (&no_callbacks, NULL);
   QuinceBatchRecord *before = g_new0 (QuinceBatchRecord, 1);
@@ -78,7 +78,7 @@
 {
   const struct CMUnitTest tests[] = {
     cmocka_unit_test (test_keys),
-    cmocka_unit_test (test_records_of_both_kinds),
+    cmocka_unit_test (test_records_with_and_without_tenant),
   };
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/tools/cold-commands.c
+++ b/tools/cold-commands.c
@@ -60,8 +60,8 @@
     quince_table_add (table, NO_VALUE);
   else
     quince_table_add_format (table, "%" G_GINT64_FORMAT, worker->cold_remaining_us / 1000);
-  if (service != NULL && service->cold_per_s > 0)
-    quince_table_add_format (table, "%.1f", service->cold_per_s);
+  if (service != NULL && service->cold_max_requests_per_s > 0)
+    quince_table_add_format (table, "%.1f", service->cold_max_requests_per_s);
   else
     quince_table_add (table, NO_VALUE);
 }
