--- a/daemons/front/route-splits.c
+++ b/daemons/front/route-splits.c
@@ -45,7 +45,7 @@
 const char *
 quince_route_splits_next_service (QuinceRouteSplits *splits, const QuinceRoute *route)
 {
-  if (route->parts->len == 1)
+  if (route->weighted_services->len == 1)
     return quince_route_pick_service (route, 0);
   double *position = find_position (splits, route->name);
   *position += SPLIT_STEP;
--- a/lib/core/routing/route-table.c
+++ b/lib/core/routing/route-table.c
@@ -20,15 +20,15 @@
 {
   QuinceRoute *route = g_new0 (QuinceRoute, 1);
   route->max_attempts = 1;
-  route->parts = g_array_new (FALSE, FALSE, sizeof (QuinceWeightedService));
+  route->weighted_services = g_array_new (FALSE, FALSE, sizeof (QuinceWeightedService));
   return route;
 }
 
 void
 quince_route_add_weighted_service (QuinceRoute *route, const char *service, double weight)
 {
-  QuinceWeightedService part = { g_strdup (service), weight };
-  g_array_append_val (route->parts, part);
+  QuinceWeightedService weighted_service = { g_strdup (service), weight };
+  g_array_append_val (route->weighted_services, weighted_service);
 }
 
 void
@@ -36,9 +36,9 @@
 {
   if (route == NULL)
     return;
-  for (guint i = 0; i < route->parts->len; i++)
-    g_free (g_array_index (route->parts, QuinceWeightedService, i).service);
-  g_array_unref (route->parts);
+  for (guint i = 0; i < route->weighted_services->len; i++)
+    g_free (g_array_index (route->weighted_services, QuinceWeightedService, i).service);
+  g_array_unref (route->weighted_services);
   g_free (route->name);
   g_free (route->host);
   g_free (route->prefix);
@@ -64,7 +64,7 @@
 }
 
 static void
-scaling_free (QuinceScaling *scaling)
+free_scaling (QuinceScaling *scaling)
 {
   if (scaling == NULL)
     return;
@@ -79,12 +79,12 @@
     return;
   g_free (service->name);
   g_ptr_array_unref (service->models);
-  scaling_free (service->scaling);
+  free_scaling (service->scaling);
   g_free (service);
 }
 
 static void
-zone_price_clear (gpointer data)
+clear_zone_price (gpointer data)
 {
   QuinceZonePrice *price = data;
   g_clear_pointer (&price->zone, g_free);
@@ -95,7 +95,7 @@
 {
   QuinceScaling *scaling = g_new0 (QuinceScaling, 1);
   scaling->prices = g_array_new (FALSE, FALSE, sizeof (QuinceZonePrice));
-  g_array_set_clear_func (scaling->prices, zone_price_clear);
+  g_array_set_clear_func (scaling->prices, clear_zone_price);
   return scaling;
 }
 
@@ -124,28 +124,29 @@
 }
 
 static char *
-host_key (const char *host)
+get_host_key (const char *host)
 {
   const char *colon = strchr (host, ':');
-  g_autofree char *name = colon != NULL ? g_strndup (host, (gsize)(colon - host)) : g_strdup (host);
-  return g_ascii_strdown (name, -1);
+  g_autofree char *host_name = colon != NULL ? g_strndup (host, (gsize)(colon - host)) : g_strdup (host);
+  return g_ascii_strdown (host_name, -1);
 }
 
 void
 quince_route_table_add_route (QuinceRouteTable *table, QuinceRoute *route)
 {
   g_ptr_array_add (table->routes, route);
-  g_autofree char *key = host_key (route->host);
+  g_autofree char *key = get_host_key (route->host);
   GPtrArray *routes = g_hash_table_lookup (table->by_host, key);
   if (routes == NULL)
     {
       routes = g_ptr_array_new ();
       g_hash_table_insert (table->by_host, g_steal_pointer (&key), routes);
     }
-  guint at = 0;
-  while (at < routes->len && strlen (((QuinceRoute *)routes->pdata[at])->prefix) >= strlen (route->prefix))
-    at++;
-  g_ptr_array_insert (routes, (gint)at, route);
+  guint position = 0;
+  while (position < routes->len
+         && strlen (((QuinceRoute *)routes->pdata[position])->prefix) >= strlen (route->prefix))
+    position++;
+  g_ptr_array_insert (routes, (gint)position, route);
 }
 
 void
@@ -217,7 +218,7 @@
 const QuinceRoute *
 quince_route_table_find (const QuinceRouteTable *table, const char *host, const char *target)
 {
-  g_autofree char *key = host_key (host);
+  g_autofree char *key = get_host_key (host);
   GPtrArray *routes = g_hash_table_lookup (table->by_host, key);
   for (guint i = 0; routes != NULL && i < routes->len; i++)
     {
@@ -229,18 +230,20 @@
 }
 
 const char *
-quince_route_pick_service (const QuinceRoute *route, double unit)
+quince_route_pick_service (const QuinceRoute *route, double fraction)
 {
-  double total = 0;
-  for (guint i = 0; i < route->parts->len; i++)
-    total += g_array_index (route->parts, QuinceWeightedService, i).weight;
-  double left = unit * total;
-  for (guint i = 0; i + 1 < route->parts->len; i++)
+  double total_weight = 0;
+  for (guint i = 0; i < route->weighted_services->len; i++)
+    total_weight += g_array_index (route->weighted_services, QuinceWeightedService, i).weight;
+  double remaining_weight = fraction * total_weight;
+  for (guint i = 0; i + 1 < route->weighted_services->len; i++)
     {
-      const QuinceWeightedService *part = &g_array_index (route->parts, QuinceWeightedService, i);
-      if (left < part->weight)
-        return part->service;
-      left -= part->weight;
+      const QuinceWeightedService *candidate
+          = &g_array_index (route->weighted_services, QuinceWeightedService, i);
+      if (remaining_weight < candidate->weight)
+        return candidate->service;
+      remaining_weight -= candidate->weight;
     }
-  return g_array_index (route->parts, QuinceWeightedService, route->parts->len - 1).service;
+  return g_array_index (route->weighted_services, QuinceWeightedService, route->weighted_services->len - 1)
+      .service;
 }
--- a/lib/core/routing/route-table.h
+++ b/lib/core/routing/route-table.h
@@ -31,18 +31,18 @@
   char *host;
   char *prefix; /* begins and ends with a slash */
   QuinceRouteKind kind;
-  guint timeout_ms;        /* 0: none */
-  guint target_latency_ms; /* the latency objective */
-  guint deadline_ms;       /* rollouts: from submission to the last result; 0: none */
-  guint queue_ttl_ms;      /* rollouts: a sample may be abandoned so long after submission; 0: never */
-  guint max_attempts;      /* workers that one request may be sent to, at least 1 */
-  guint priority;          /* 0 first */
-  gboolean resumable;      /* a stream may go on at another worker after its last event */
-  gboolean sticky;         /* workers keep prompts: prefer the one that has the request's */
-  gboolean single_version; /* one weight version for all of a result */
-  gboolean is_public;      /* callers need no API key, whatever tenants there are */
-  GArray *parts;           /* QuinceWeightedService, at least one */
-  char **regions;          /* where it may be served, NULL-terminated; NULL: anywhere */
+  guint timeout_ms;          /* 0: none */
+  guint target_latency_ms;   /* the latency objective */
+  guint deadline_ms;         /* rollouts: from submission to the last result; 0: none */
+  guint queue_ttl_ms;        /* rollouts: a sample may be abandoned so long after submission; 0: never */
+  guint max_attempts;        /* workers that one request may be sent to, at least 1 */
+  guint priority;            /* 0 first */
+  gboolean resumable;        /* a stream may go on at another worker after its last event */
+  gboolean sticky;           /* workers keep prompts: prefer the one that has the request's */
+  gboolean single_version;   /* one weight version for all of a result */
+  gboolean is_public;        /* callers need no API key, whatever tenants there are */
+  GArray *weighted_services; /* QuinceWeightedService, at least one */
+  char **regions;            /* where it may be served, NULL-terminated; NULL: anywhere */
 } QuinceRoute;
 
 /* Price of workers in one zone. */
@@ -54,14 +54,14 @@
 
 /**
  * QuinceScaling: how many workers of a service may be ordered.
- * @least, @most: limits on the workers of each zone, spot workers included
+ * @min_workers, @max_workers: limits on the workers of each zone, spot workers included
  * @boot_ms: from an order until a new worker serves
  * @prices: (element-type QuinceZonePrice): other zones have price 1
  */
 typedef struct
 {
-  guint least;
-  guint most;
+  guint min_workers;
+  guint max_workers;
   guint boot_ms;
   GArray *prices;
 } QuinceScaling;
@@ -108,8 +108,8 @@
 /* The route of @host (a port in it is ignored) whose prefix begins @target and is longest, or %NULL. */
 const QuinceRoute *
 quince_route_table_find (const QuinceRouteTable *table, const char *host, const char *target);
-/* The service of the part that @unit, a random number from 0 to 1, falls into by the weights. */
-const char *quince_route_pick_service (const QuinceRoute *route, double unit);
+/* The service of the part that @fraction, a random number from 0 to 1, falls into by the weights. */
+const char *quince_route_pick_service (const QuinceRoute *route, double fraction);
 
 QuinceRoute *quince_route_new (void);
 void quince_route_add_weighted_service (QuinceRoute *route, const char *service, double weight);
--- a/lib/core/routing/tenant-table.c
+++ b/lib/core/routing/tenant-table.c
@@ -13,7 +13,7 @@
 };
 
 static void
-tenant_free (gpointer data)
+free_tenant (gpointer data)
 {
   QuinceTenant *tenant = data;
   g_free (tenant->name);
@@ -47,7 +47,7 @@
 {
   QuinceTenantTable *table = g_new0 (QuinceTenantTable, 1);
   table->salt = g_strdup (salt);
-  table->by_name = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, tenant_free);
+  table->by_name = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, free_tenant);
   table->by_digest = g_hash_table_new_full (g_str_hash, digests_equal, g_free, NULL);
   return table;
 }
@@ -66,9 +66,9 @@
 const QuinceTenant *
 quince_tenant_table_add (QuinceTenantTable *table, const char *name, gint priority)
 {
-  const QuinceTenant *known = quince_tenant_table_find (table, name);
-  if (known != NULL)
-    return known;
+  const QuinceTenant *existing = quince_tenant_table_find (table, name);
+  if (existing != NULL)
+    return existing;
   QuinceTenant *tenant = g_new0 (QuinceTenant, 1);
   tenant->name = g_strdup (name);
   tenant->priority = priority;
@@ -79,9 +79,9 @@
 void
 quince_tenant_table_set_regions (QuinceTenantTable *table, const QuinceTenant *tenant, char **regions)
 {
-  QuinceTenant *own = g_hash_table_lookup (table->by_name, tenant->name);
-  g_strfreev (own->regions);
-  own->regions = regions;
+  QuinceTenant *stored = g_hash_table_lookup (table->by_name, tenant->name);
+  g_strfreev (stored->regions);
+  stored->regions = regions;
 }
 
 void
--- a/lib/core/scaling/scale-plan.c
+++ b/lib/core/scaling/scale-plan.c
@@ -113,7 +113,7 @@
 count_room_in (const QuinceScaleZone *zone, const QuinceScaling *scaling, gint64 now_us)
 {
   guint count = quince_scale_count_zone (zone) + quince_scale_count_pending_in (zone, now_us);
-  return scaling->most > count ? scaling->most - count : 0;
+  return scaling->max_workers > count ? scaling->max_workers - count : 0;
 }
 
 static void
@@ -228,7 +228,7 @@
     {
       QuinceScaleZone *zone = g_array_index (offers, Offer, i - 1).zone;
       guint count = quince_scale_count_zone (zone);
-      guint above_least = count > scaling->least ? count - scaling->least : 0;
+      guint above_least = count > scaling->min_workers ? count - scaling->min_workers : 0;
       guint returned = MIN (MIN (zone->added, zone->serving), MIN (spare, above_least));
       if (returned == 0 || now_us < zone->not_before_us)
         continue;
--- a/lib/core/trace/log-line.c
+++ b/lib/core/trace/log-line.c
@@ -41,10 +41,10 @@
 
 /* (transfer full) (nullable): the value that begins after an opening quote; %NULL without a closing one. */
 static char *
-parse_quoted_value (const char **at)
+parse_quoted_value (const char **cursor)
 {
   g_autoptr (GString) value = g_string_new (NULL);
-  const char *next = *at;
+  const char *next = *cursor;
   for (; *next != '\0' && *next != '"'; next++)
     {
       if (*next == '\\' && next[1] != '\0')
@@ -53,36 +53,36 @@
     }
   if (*next != '"')
     return NULL;
-  *at = next + 1;
+  *cursor = next + 1;
   return g_string_free (g_steal_pointer (&value), FALSE);
 }
 
 static char *
-read_value (const char **at)
+parse_value (const char **cursor)
 {
-  if (**at == '"')
+  if (**cursor == '"')
     {
-      (*at)++;
-      return parse_quoted_value (at);
+      (*cursor)++;
+      return parse_quoted_value (cursor);
     }
-  gsize length = strcspn (*at, " ");
-  char *value = g_strndup (*at, length);
-  *at += length;
+  gsize length = strcspn (*cursor, " ");
+  char *value = g_strndup (*cursor, length);
+  *cursor += length;
   return value;
 }
 
 static gboolean
-parse_pair (const char **at, QuinceLogPair *pair)
+parse_pair (const char **cursor, QuinceLogPair *pair)
 {
-  gsize length = strcspn (*at, "= ");
-  if (length == 0 || (*at)[length] != '=')
+  gsize length = strcspn (*cursor, "= ");
+  if (length == 0 || (*cursor)[length] != '=')
     return FALSE;
-  const char *value_at = *at + length + 1;
-  char *value = read_value (&value_at);
+  const char *value_cursor = *cursor + length + 1;
+  char *value = parse_value (&value_cursor);
   if (value == NULL)
     return FALSE;
-  *pair = (QuinceLogPair){ .key = g_strndup (*at, length), .value = value };
-  *at = value_at + strspn (value_at, " ");
+  *pair = (QuinceLogPair){ .key = g_strndup (*cursor, length), .value = value };
+  *cursor = value_cursor + strspn (value_cursor, " ");
   return TRUE;
 }
 
@@ -103,16 +103,16 @@
   g_autoptr (QuinceLogLine) line = g_new0 (QuinceLogLine, 1);
   line->pairs = g_array_new (FALSE, TRUE, sizeof (QuinceLogPair));
   g_array_set_clear_func (line->pairs, clear_pair);
-  gboolean good = TRUE;
-  while (good && *text != '\0' && *text != '\n')
+  gboolean valid = TRUE;
+  while (valid && *text != '\0' && *text != '\n')
     {
       QuinceLogPair pair;
-      good = parse_pair (&text, &pair);
-      if (good)
+      valid = parse_pair (&text, &pair);
+      if (valid)
         g_array_append_val (line->pairs, pair);
     }
   g_autoptr (GDateTime) time = NULL;
-  if (good && starts_with_required_keys (line))
+  if (valid && starts_with_required_keys (line))
     time = g_date_time_new_from_iso8601 (quince_log_line_get (line, "time"), NULL);
   if (time == NULL)
     {
--- a/lib/core/trace/log-line.h
+++ b/lib/core/trace/log-line.h
@@ -18,7 +18,7 @@
 typedef struct
 {
   gint64 time_us; /* of the writer's clock, Unix time */
-  guint number;   /* lines added before it: keeps the order of one process within a millisecond */
+  guint sequence; /* lines added before it: keeps the order of one process within a millisecond */
   GArray *pairs;  /* QuinceLogPair, owned; in the line's order */
 } QuinceLogLine;
 
--- a/lib/core/trace/log-trace.c
+++ b/lib/core/trace/log-trace.c
@@ -53,18 +53,18 @@
 void
 quince_log_trace_add (QuinceLogTrace *trace, const char *text)
 {
-  const char *begin = strstr (text, "time=");
-  QuinceLogLine *line = begin != NULL ? quince_log_line_parse (begin, NULL) : NULL;
+  const char *line_start = strstr (text, "time=");
+  QuinceLogLine *line = line_start != NULL ? quince_log_line_parse (line_start, NULL) : NULL;
   if (line == NULL)
     return;
-  line->number = trace->lines->len;
+  line->sequence = trace->lines->len;
   g_ptr_array_add (trace->lines, line);
 }
 
 /* ---- Which lines -------------------------------------------------------- */
 
 static gboolean
-names (const QuinceLogLine *line, const char *id)
+mentions_id (const QuinceLogLine *line, const char *id)
 {
   for (guint i = 0; i < G_N_ELEMENTS (subject_keys); i++)
     if (g_strcmp0 (quince_log_line_get (line, subject_keys[i]), id) == 0)
@@ -73,10 +73,10 @@
 }
 
 static gboolean
-list_contains (const char *event, const char *const *events, gsize n_events)
+list_contains (const char *text, const char *const *list, gsize length)
 {
-  for (gsize i = 0; i < n_events; i++)
-    if (g_str_equal (event, events[i]))
+  for (gsize i = 0; i < length; i++)
+    if (g_str_equal (text, list[i]))
       return TRUE;
   return FALSE;
 }
@@ -108,9 +108,9 @@
                                                                 : NULL;
   if (!list_contains (event, process_context_events, G_N_ELEMENTS (process_context_events)))
     return NULL;
-  const char *what = quince_log_line_get (line, "what");
+  const char *dependency = quince_log_line_get (line, "what");
   const char *model = quince_log_line_get (line, "model");
-  return g_strjoin (" ", process, what != NULL ? what : event, model != NULL ? model : "", NULL);
+  return g_strjoin (" ", process, dependency != NULL ? dependency : event, model != NULL ? model : "", NULL);
 }
 
 static gint
@@ -120,29 +120,29 @@
   const QuinceLogLine *second = *(QuinceLogLine *const *)b;
   if (first->time_us != second->time_us)
     return first->time_us < second->time_us ? -1 : 1;
-  return first->number < second->number ? -1 : 1;
+  return first->sequence < second->sequence ? -1 : 1;
 }
 
 /* Adds the newest line of each topic before the trace begins, and all lines of context within it. */
 static void
 add_context (const QuinceLogTrace *trace, const TraceScope *trace_scope, GPtrArray *selected)
 {
-  g_autoptr (GHashTable) before = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
+  g_autoptr (GHashTable) latest_by_topic = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   for (guint i = 0; i < trace->lines->len; i++)
     {
       QuinceLogLine *line = trace->lines->pdata[i];
       g_autofree char *topic = get_context_topic (trace_scope, line);
       if (topic == NULL)
         continue;
-      const QuinceLogLine *known = g_hash_table_lookup (before, topic);
+      const QuinceLogLine *previous = g_hash_table_lookup (latest_by_topic, topic);
       if (line->time_us >= trace_scope->first_us)
         g_ptr_array_add (selected, line);
-      else if (known == NULL || known->time_us <= line->time_us)
-        g_hash_table_replace (before, g_steal_pointer (&topic), line);
+      else if (previous == NULL || previous->time_us <= line->time_us)
+        g_hash_table_replace (latest_by_topic, g_steal_pointer (&topic), line);
     }
   GHashTableIter iter;
   gpointer line;
-  g_hash_table_iter_init (&iter, before);
+  g_hash_table_iter_init (&iter, latest_by_topic);
   while (g_hash_table_iter_next (&iter, NULL, &line))
     g_ptr_array_add (selected, line);
 }
@@ -175,7 +175,7 @@
   for (guint i = 0; i < trace->lines->len; i++)
     {
       QuinceLogLine *line = trace->lines->pdata[i];
-      if (!names (line, id))
+      if (!mentions_id (line, id))
         continue;
       extend_scope (&trace_scope, line);
       g_ptr_array_add (selected, line);
@@ -186,6 +186,6 @@
   g_ptr_array_sort (selected, compare_lines);
   g_autoptr (GString) text = g_string_new (NULL);
   for (guint i = 0; i < selected->len; i++)
-    format_line (text, selected->pdata[i], trace_scope.first_us, !names (selected->pdata[i], id));
+    format_line (text, selected->pdata[i], trace_scope.first_us, !mentions_id (selected->pdata[i], id));
   return g_string_free (g_steal_pointer (&text), FALSE);
 }
--- a/lib/forward/warmup-sends.c
+++ b/lib/forward/warmup-sends.c
@@ -24,7 +24,7 @@
   QuinceWarmupBounds bounds;
   const QuinceWarmupSendsCallbacks *callbacks;
   gpointer user_data;
-  QuinceWarmupLimiter *book;
+  QuinceWarmupLimiter *limiter;
   GHashTable *leases; /* QuinceWarmupLease by id of the worker, both owned */
   guint64 asks;       /* so far */
   gint64 next_ask_us; /* not before */
@@ -46,7 +46,7 @@
   sends->bounds = *bounds;
   sends->callbacks = callbacks;
   sends->user_data = user_data;
-  sends->book = quince_warmup_limiter_new (QUINCE_WARMUP_MARGIN_US);
+  sends->limiter = quince_warmup_limiter_new (QUINCE_WARMUP_MARGIN_US);
   sends->leases = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   /* An answer to a process that ran here before must not match an ask of this one. */
   sends->asks = (guint64)quince_now_us ();
@@ -58,7 +58,7 @@
 {
   if (sends == NULL)
     return;
-  quince_warmup_limiter_free (sends->book);
+  quince_warmup_limiter_free (sends->limiter);
   g_hash_table_unref (sends->leases);
   g_free (sends);
 }
@@ -109,7 +109,7 @@
 {
   gboolean cold = quince_worker_is_cold (worker, now_us);
   if (sends->callbacks->may_give != NULL)
-    return quince_warmup_limiter_get_next_grant_us (sends->book, now_us, worker->id, cold, most) <= now_us
+    return quince_warmup_limiter_get_next_grant_us (sends->limiter, now_us, worker->id, cold, most) <= now_us
            && (!cold || may_give (sends));
   const QuinceWarmupLease *lease = find_lease (sends, worker->id);
   return !cold || (lease != NULL && quince_warmup_lease_can_send (lease, now_us));
@@ -123,7 +123,7 @@
     {
       gint64 until_us = now_us + (cold ? QUINCE_WARMUP_SEND_WITHIN_US : 0);
       if ((cold && !may_give (sends))
-          || quince_warmup_limiter_grant (sends->book, now_us, worker->id, cold, most, 1, until_us) == 0)
+          || quince_warmup_limiter_grant (sends->limiter, now_us, worker->id, cold, most, 1, until_us) == 0)
         return FALSE;
     }
   else if (cold)
@@ -156,7 +156,7 @@
   if (!sends->callbacks->ask (ask, worker->id, ASK_SENDS, sends->user_data))
     {
       lease->refused = TRUE;
-      lease->again_us = now_us + NO_LEADER_US;
+      lease->next_request_us = now_us + NO_LEADER_US;
       return;
     }
   quince_warmup_lease_start_request (lease, requested_us, ask);
@@ -170,10 +170,10 @@
                                  guint most)
 {
   if (sends->callbacks->may_give != NULL)
-    return quince_warmup_limiter_get_next_grant_us (sends->book, now_us, worker->id,
+    return quince_warmup_limiter_get_next_grant_us (sends->limiter, now_us, worker->id,
                                                     quince_worker_is_cold (worker, now_us), most);
   const QuinceWarmupLease *lease = find_lease (sends, worker->id);
-  return lease != NULL && lease->refused ? MAX (lease->again_us, now_us) : now_us;
+  return lease != NULL && lease->refused ? MAX (lease->next_request_us, now_us) : now_us;
 }
 
 /* ---- Who asks ------------------------------------------------------------- */
@@ -202,8 +202,8 @@
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
       QuinceWarmupLease *lease = value;
-      lease->ask = 0;
-      lease->again_us = 0;
+      lease->request_id = 0;
+      lease->next_request_us = 0;
       lease->refused = FALSE;
     }
 }
@@ -214,7 +214,7 @@
 quince_warmup_sends_take_over (QuinceWarmupSends *sends)
 {
   gint64 used_until_us = quince_now_us () + QUINCE_WARMUP_VALID_US + QUINCE_WARMUP_SEND_WITHIN_US;
-  quince_warmup_limiter_take_over (sends->book, used_until_us);
+  quince_warmup_limiter_take_over (sends->limiter, used_until_us);
 }
 
 guint
@@ -231,8 +231,8 @@
   *again_us = NO_LEADER_US;
   if (may_give (sends))
     {
-      given = quince_warmup_limiter_grant (sends->book, now, worker, TRUE, most, wanted, until_us);
-      *again_us = quince_warmup_limiter_get_next_grant_us (sends->book, now, worker, TRUE, most) - now;
+      given = quince_warmup_limiter_grant (sends->limiter, now, worker, TRUE, most, wanted, until_us);
+      *again_us = quince_warmup_limiter_get_next_grant_us (sends->limiter, now, worker, TRUE, most) - now;
     }
   count (given > 0 ? "given" : "refused", given > 0 ? given : wanted);
   return given;
@@ -241,14 +241,14 @@
 void
 quince_warmup_sends_expire (QuinceWarmupSends *sends, gint64 now_us)
 {
-  quince_warmup_limiter_expire (sends->book, now_us);
+  quince_warmup_limiter_expire (sends->limiter, now_us);
   GHashTableIter iter;
   gpointer value;
   g_hash_table_iter_init (&iter, sends->leases);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
       const QuinceWarmupLease *lease = value;
-      gint64 used_us = MAX (MAX (lease->requested_us, lease->until_us), lease->again_us);
+      gint64 used_us = MAX (MAX (lease->requested_us, lease->expires_us), lease->next_request_us);
       if (now_us - used_us > 10 * QUINCE_WARMUP_WINDOW_US)
         g_hash_table_iter_remove (&iter);
     }
--- a/tests/platform/test-scaling.c
+++ b/tests/platform/test-scaling.c
@@ -288,8 +288,8 @@
       = read_scaling ("{\"min\":2,\"max\":32,\"bootTimeoutS\":4.5,\"spotPrice\":0.18,"
                       "\"zonePrices\":{\"z1\":0.85,\"z2\":1.2}}");
   const QuinceScaling *scaling = quince_route_table_find_service (table, "llm")->scaling;
-  assert_int_equal (scaling->least, 2);
-  assert_int_equal (scaling->most, 32);
+  assert_int_equal (scaling->min_workers, 2);
+  assert_int_equal (scaling->max_workers, 32);
   assert_int_equal (scaling->boot_ms, 4500);
   assert_int_equal (scaling->prices->len, 2);
   assert_string_equal (g_array_index (scaling->prices, QuinceZonePrice, 1).zone, "z2");
@@ -298,7 +298,7 @@
   g_autoptr (QuinceRouteTable) none = read_scaling ("{\"min\":2,\"max\":-1}");
   assert_null (quince_route_table_find_service (none, "llm")->scaling);
   g_autoptr (QuinceRouteTable) crossed = read_scaling ("{\"min\":9,\"max\":3,\"bootTimeoutS\":-1}");
-  assert_int_equal (quince_route_table_find_service (crossed, "llm")->scaling->least, 3);
+  assert_int_equal (quince_route_table_find_service (crossed, "llm")->scaling->min_workers, 3);
   assert_int_equal (quince_route_table_find_service (crossed, "llm")->scaling->boot_ms, 0);
 }
 
--- a/tests/unit/test-log-trace.c
+++ b/tests/unit/test-log-trace.c
@@ -11,30 +11,34 @@
 
 #include "core/trace/log-trace.h"
 
-#define AT(time) "time=2026-12-02T10:00:" time "Z level=info program=quinceroute-front name="
+#define LOG_LINE(time) "time=2026-12-02T10:00:" time "Z level=info program=quinceroute-front name="
 
 /* Of two fronts, out of order, one with the prefix of a log collector. */
-static const char *const lines[] = {
-  AT ("09.500") "f1 event=request_answered request=r1 status=200 worker=w2 attempts=2 worker_ms=9 age_ms=20",
-  AT ("01.000") "f1 event=worker_changed worker=w1 service=s address=127.0.0.1:1 state=ready version=1",
-  AT ("02.000") "f1 event=worker_changed worker=w1 service=s address=127.0.0.1:1 state=draining version=1",
-  AT ("03.000") "f1 event=worker_changed worker=w9 service=s address=127.0.0.1:9 state=ready version=1",
-  AT ("04.000") "f2 event=dependency_lost what=meta_store",
-  AT ("05.000") "f1 event=configuration version=3 routes=2",
-  "collector: " AT ("09.480") "f1 event=request_retried request=r1 worker=w1 cause=worker_lost attempts=1",
-  AT ("09.490") "f1 event=worker_gone worker=w1",
-  AT ("09.495") "f1 event=request_refused request=r2 target=\"/a \\\"b\" status=503 cause=no_worker age_ms=0",
-  AT ("09.900") "f1 event=configuration version=4 routes=2",
+static const char *const log_lines[] = {
+  LOG_LINE (
+      "09.500") "f1 event=request_answered request=r1 status=200 worker=w2 attempts=2 worker_ms=9 age_ms=20",
+  LOG_LINE ("01.000") "f1 event=worker_changed worker=w1 service=s address=127.0.0.1:1 state=ready version=1",
+  LOG_LINE (
+      "02.000") "f1 event=worker_changed worker=w1 service=s address=127.0.0.1:1 state=draining version=1",
+  LOG_LINE ("03.000") "f1 event=worker_changed worker=w9 service=s address=127.0.0.1:9 state=ready version=1",
+  LOG_LINE ("04.000") "f2 event=dependency_lost what=meta_store",
+  LOG_LINE ("05.000") "f1 event=configuration version=3 routes=2",
+  "collector: " LOG_LINE (
+      "09.480") "f1 event=request_retried request=r1 worker=w1 cause=worker_lost attempts=1",
+  LOG_LINE ("09.490") "f1 event=worker_gone worker=w1",
+  LOG_LINE (
+      "09.495") "f1 event=request_refused request=r2 target=\"/a \\\"b\" status=503 cause=no_worker age_ms=0",
+  LOG_LINE ("09.900") "f1 event=configuration version=4 routes=2",
   "ready callers=127.0.0.1:1",
   "",
 };
 
 static QuinceLogTrace *
-read_lines (void)
+make_trace (void)
 {
   QuinceLogTrace *trace = quince_log_trace_new ();
-  for (guint i = 0; i < G_N_ELEMENTS (lines); i++)
-    quince_log_trace_add (trace, lines[i]);
+  for (guint i = 0; i < G_N_ELEMENTS (log_lines); i++)
+    quince_log_trace_add (trace, log_lines[i]);
   return trace;
 }
 
@@ -48,15 +52,15 @@
     "+0.010 s  f1           (belief) worker_gone worker=w1",
     "+0.020 s  f1           request_answered request=r1 status=200 worker=w2",
   };
-  g_autoptr (QuinceLogTrace) trace = read_lines ();
+  g_autoptr (QuinceLogTrace) trace = make_trace ();
   g_autofree char *text = quince_log_trace_format (trace, "r1");
-  const char *at = text;
+  const char *cursor = text;
   for (guint i = 0; i < G_N_ELEMENTS (expected); i++)
     {
-      const char *found = strstr (at, expected[i]);
+      const char *found = strstr (cursor, expected[i]);
       if (found == NULL)
         fail_msg ("not found: %s in\n%s", expected[i], text);
-      at = found + strlen (expected[i]);
+      cursor = found + strlen (expected[i]);
     }
 }
 
@@ -65,7 +69,7 @@
 test_trace_excludes_unrelated_lines (void **state)
 {
   static const char *const absent[] = { "w9", "meta_store", "r2", "state=ready", "version=4" };
-  g_autoptr (QuinceLogTrace) trace = read_lines ();
+  g_autoptr (QuinceLogTrace) trace = make_trace ();
   g_autofree char *text = quince_log_trace_format (trace, "r1");
   for (guint i = 0; i < G_N_ELEMENTS (absent); i++)
     if (strstr (text, absent[i]) != NULL)
@@ -76,7 +80,7 @@
 static void
 test_quoted_values (void **state)
 {
-  g_autoptr (QuinceLogTrace) trace = read_lines ();
+  g_autoptr (QuinceLogTrace) trace = make_trace ();
   g_autofree char *text = quince_log_trace_format (trace, "r2");
   assert_non_null (strstr (text, "target=/a \"b status=503 cause=no_worker"));
 }
@@ -87,13 +91,13 @@
   static const struct
   {
     const char *line;
-    int code; /* -1: good */
+    int code; /* -1: valid */
   } cases[] = {
-    { AT ("01.000") "f1 event=worker_gone worker=w1", -1 },
-    { AT ("01.000") "\"\" event=stopped status=0", -1 },
-    { AT ("01.000") "f1 event=worker_vanished worker=w1", QUINCE_LOG_TRACE_ERROR_UNKNOWN_EVENT },
-    { AT ("01.000") "f1 event=worker_gone worker", QUINCE_LOG_TRACE_ERROR_MALFORMED },
-    { AT ("01.000") "f1 event=worker_gone worker=\"w1", QUINCE_LOG_TRACE_ERROR_MALFORMED },
+    { LOG_LINE ("01.000") "f1 event=worker_gone worker=w1", -1 },
+    { LOG_LINE ("01.000") "\"\" event=stopped status=0", -1 },
+    { LOG_LINE ("01.000") "f1 event=worker_vanished worker=w1", QUINCE_LOG_TRACE_ERROR_UNKNOWN_EVENT },
+    { LOG_LINE ("01.000") "f1 event=worker_gone worker", QUINCE_LOG_TRACE_ERROR_MALFORMED },
+    { LOG_LINE ("01.000") "f1 event=worker_gone worker=\"w1", QUINCE_LOG_TRACE_ERROR_MALFORMED },
     { "event=worker_gone worker=w1", QUINCE_LOG_TRACE_ERROR_MALFORMED },
     { "time=yesterday level=info program=p name=n event=stopped", QUINCE_LOG_TRACE_ERROR_MALFORMED },
     { "", QUINCE_LOG_TRACE_ERROR_MALFORMED },
@@ -101,8 +105,8 @@
   for (guint i = 0; i < G_N_ELEMENTS (cases); i++)
     {
       g_autoptr (GError) error = NULL;
-      gboolean good = quince_log_line_check (cases[i].line, &error);
-      if (good != (cases[i].code == -1) || (!good && error->code != cases[i].code))
+      gboolean valid = quince_log_line_check (cases[i].line, &error);
+      if (valid != (cases[i].code == -1) || (!valid && error->code != cases[i].code))
         fail_msg ("%s: %s", cases[i].line, error != NULL ? error->message : "taken");
     }
 }
--- a/tests/unit/test-scale-plan.c
+++ b/tests/unit/test-scale-plan.c
@@ -49,8 +49,8 @@
   world->service = quince_service_new ("llm");
   world->service->cold_start_ms = 3000;
   QuinceScaling *scaling = quince_scaling_new ();
-  scaling->least = 1;
-  scaling->most = 32;
+  scaling->min_workers = 1;
+  scaling->max_workers = 32;
   scaling->boot_ms = boot_ms;
   for (guint i = 0; i < ZONES; i++)
     {
@@ -146,7 +146,7 @@
   QuinceScaleOrder order;
   if (!quince_scale_plan_step (world->plan, world->now_us, world->service, zones, world->needed, &order))
     return;
-  assert_true (order.desired <= world->service->scaling->most);
+  assert_true (order.desired <= world->service->scaling->max_workers);
   take_order (world, &order);
   quince_scale_order_clear (&order);
 }
@@ -274,7 +274,7 @@
 test_bounds (void **state)
 {
   World *world = settled_world (4000);
-  world->service->scaling->most = 20;
+  world->service->scaling->max_workers = 20;
   world->evacuated[1] = TRUE;
   run (world, 15);
   assert_int_equal (world->usual[0], 20);
@@ -303,7 +303,7 @@
 test_bound_of_both_kinds (void **state)
 {
   World *world = mixed_world ();
-  world->service->scaling->most = 20;
+  world->service->scaling->max_workers = 20;
   world->evacuated[1] = TRUE;
   run (world, 3);
   assert_int_equal (world->last.desired, STOOD - 6 + 4);
--- a/tests/unit/test-tenants.c
+++ b/tests/unit/test-tenants.c
@@ -11,7 +11,7 @@
 #include "core/routing/tenant-table.h"
 
 static void
-test_keys (void **state)
+test_find_by_key (void **state)
 {
   g_autoptr (QuinceTenantTable) table = quince_tenant_table_new ("salt");
   const QuinceTenant *first = quince_tenant_table_add (table, "first", 2);
@@ -19,12 +19,12 @@
   assert_ptr_equal (quince_tenant_table_add (table, "first", 9), first);
   assert_int_equal (first->priority, 2);
   g_autofree char *digest = quince_tenant_key_digest ("salt", "key-1");
-  g_autofree char *other = quince_tenant_key_digest ("salt", "key-2");
-  g_autofree char *elsewhere = quince_tenant_key_digest ("another salt", "key-1");
-  assert_string_not_equal (digest, other);
-  assert_string_not_equal (digest, elsewhere);
+  g_autofree char *other_digest = quince_tenant_key_digest ("salt", "key-2");
+  g_autofree char *digest_with_other_salt = quince_tenant_key_digest ("another salt", "key-1");
+  assert_string_not_equal (digest, other_digest);
+  assert_string_not_equal (digest, digest_with_other_salt);
   quince_tenant_table_add_digest (table, first, digest);
-  quince_tenant_table_add_digest (table, second, other);
+  quince_tenant_table_add_digest (table, second, other_digest);
   assert_ptr_equal (quince_tenant_table_find_by_key (table, "key-1"), first);
   assert_ptr_equal (quince_tenant_table_find_by_key (table, "key-2"), second);
   assert_null (quince_tenant_table_find_by_key (table, "key-3"));
@@ -53,31 +53,31 @@
 test_records_with_and_without_tenant (void **state)
 {
   g_autoptr (QuinceBatchBook) book = quince_batch_book_new (&no_callbacks, NULL);
-  QuinceBatchRecord *before = g_new0 (QuinceBatchRecord, 1);
-  before->kind = QUINCE_BATCH_RECORD_SUBMIT;
-  before->QuinceBatchRecord_u.submit = make_batch ("before");
-  QuinceBatchRecord *now = g_new0 (QuinceBatchRecord, 1);
-  now->kind = QUINCE_BATCH_RECORD_SUBMIT_OF_TENANT;
-  now->QuinceBatchRecord_u.submit_of_tenant.tenant = quince_string ("tenant-a");
-  now->QuinceBatchRecord_u.submit_of_tenant.batch = make_batch ("now");
-  g_autoptr (GBytes) encoded = quince_batch_record_encode (now, NULL);
-  g_autoptr (GBytes) encoded_before = quince_batch_record_encode (before, NULL);
+  QuinceBatchRecord *without_tenant = g_new0 (QuinceBatchRecord, 1);
+  without_tenant->kind = QUINCE_BATCH_RECORD_SUBMIT;
+  without_tenant->QuinceBatchRecord_u.submit = make_batch ("before");
+  QuinceBatchRecord *with_tenant = g_new0 (QuinceBatchRecord, 1);
+  with_tenant->kind = QUINCE_BATCH_RECORD_SUBMIT_OF_TENANT;
+  with_tenant->QuinceBatchRecord_u.submit_of_tenant.tenant = quince_string ("tenant-a");
+  with_tenant->QuinceBatchRecord_u.submit_of_tenant.batch = make_batch ("now");
+  g_autoptr (GBytes) encoded_with_tenant = quince_batch_record_encode (with_tenant, NULL);
+  g_autoptr (GBytes) encoded_without_tenant = quince_batch_record_encode (without_tenant, NULL);
   gsize length;
-  gconstpointer data = g_bytes_get_data (encoded, &length);
+  gconstpointer data = g_bytes_get_data (encoded_with_tenant, &length);
   quince_batch_book_apply (book, 2, quince_batch_record_decode (data, length, NULL));
-  data = g_bytes_get_data (encoded_before, &length);
+  data = g_bytes_get_data (encoded_without_tenant, &length);
   quince_batch_book_apply (book, 1, quince_batch_record_decode (data, length, NULL));
   assert_string_equal (quince_batch_book_find (book, "now")->tenant, "tenant-a");
   assert_string_equal (quince_batch_book_find (book, "before")->tenant, "");
-  quince_batch_record_free (before);
-  quince_batch_record_free (now);
+  quince_batch_record_free (without_tenant);
+  quince_batch_record_free (with_tenant);
 }
 
 int
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_keys),
+    cmocka_unit_test (test_find_by_key),
     cmocka_unit_test (test_records_with_and_without_tenant),
   };
   return cmocka_run_group_tests (tests, NULL, NULL);
