--- a/lib/core/routing/route-table.c
+++ b/lib/core/routing/route-table.c
@@ -1,5 +1,5 @@
 /*
- * route-table.c: routes by host and longest prefix; one configuration, which never changes.
+ * route-table.c: finds the route of a request by its host and the longest matching path prefix.
  */
 #include "core/routing/route-table.h"
 
@@ -11,8 +11,8 @@
   QuinceCallerLimits limits;
   GPtrArray *routes;
   GPtrArray *services;
-  QuinceTenantTable *tenants; /* NULL: the configuration has none */
-  GHashTable *by_host;        /* host to GPtrArray of routes, longest prefix first */
+  QuinceTenantTable *tenants; /* owned; NULL: the configuration has no tenants */
+  GHashTable *by_host;        /* key of the host to GPtrArray of routes, longest prefix first */
 };
 
 QuinceRoute *
@@ -123,6 +123,7 @@
   g_free (table);
 }
 
+/* Returns the key of @host in by_host: in lower case and without a port. (transfer full) */
 static char *
 get_host_key (const char *host)
 {
--- a/lib/core/routing/tenant-table.c
+++ b/lib/core/routing/tenant-table.c
@@ -1,5 +1,5 @@
 /*
- * tenant-table.c: tenants by name, and by the digests of their API keys.
+ * tenant-table.c: finds tenants by name and by the digests of their API keys.
  */
 #include "core/routing/tenant-table.h"
 
@@ -8,8 +8,8 @@
 struct _QuinceTenantTable
 {
   char *salt;
-  GHashTable *by_name;   /* name to QuinceTenant, owned */
-  GHashTable *by_digest; /* digest, owned, to QuinceTenant */
+  GHashTable *by_name;   /* tenant name to QuinceTenant, which is owned */
+  GHashTable *by_digest; /* digest, which is owned, to QuinceTenant, which by_name owns */
 };
 
 static void
@@ -27,7 +27,7 @@
   return g_compute_hmac_for_string (G_CHECKSUM_SHA256, (const guchar *)salt, strlen (salt), key, -1);
 }
 
-/* Takes the same time wherever the texts differ, so that its duration reveals nothing of a digest. */
+/* Compares strings of equal length in constant time, which prevents timing attacks on the digests. */
 static gboolean
 digests_equal (gconstpointer first, gconstpointer second)
 {
--- a/lib/core/routing/tenant-table.h
+++ b/lib/core/routing/tenant-table.h
@@ -1,7 +1,7 @@
 /*
- * tenant-table.h: the tenants of a configuration, and the tenant of an API key.
+ * tenant-table.h: the tenants of a configuration, found by name or by API key.
  *
- * Holds HMAC-SHA-256 digests of keys under the salt of their configuration, never the keys.  Pure.
+ * The table stores no API keys, only their HMAC-SHA-256 digests, computed with the configuration's salt.
  */
 #pragma once
 
@@ -9,38 +9,39 @@
 
 G_BEGIN_DECLS
 
-/* Priority of a tenant without one: that of the route counts. */
+/* The tenant has no priority of its own; the priority of the route applies. */
 #define QUINCE_TENANT_NO_PRIORITY (-1)
 
 typedef struct
 {
   char *name;
-  gint priority;  /* 0 first; overrides that of the route; or QUINCE_TENANT_NO_PRIORITY */
-  char **regions; /* where its requests may be served, NULL-terminated; NULL: anywhere */
+  gint priority;  /* overrides the route's, 0 is highest; or QUINCE_TENANT_NO_PRIORITY */
+  char **regions; /* regions that may serve the tenant's requests, NULL-terminated; NULL: all */
 } QuinceTenant;
 
 typedef struct _QuinceTenantTable QuinceTenantTable;
 
-/* (transfer full): the digest of @key under @salt, in hexadecimal. */
+/* Returns the HMAC-SHA-256 digest of @key with @salt as its secret, in hexadecimal. (transfer full) */
 char *quince_tenant_key_digest (const char *salt, const char *key);
 
-/* @salt: the one under which the digests of this table were made */
+/* @salt: the salt with which the digests added to this table were computed; copied */
 QuinceTenantTable *quince_tenant_table_new (const char *salt);
 void quince_tenant_table_free (QuinceTenantTable *table);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (QuinceTenantTable, quince_tenant_table_free)
-/* Adds a tenant, or returns the one of that name. (transfer none) */
+/* Adds a tenant and returns it; returns an existing tenant of that name unchanged. (transfer none) */
 const QuinceTenant *quince_tenant_table_add (QuinceTenantTable *table, const char *name, gint priority);
-/* (transfer full) (nullable): @regions: where requests of @tenant, which is one of this table's, may be
- * served */
+/* Sets the regions that may serve the requests of @tenant, a tenant of this table.
+ * @regions: (transfer full) (nullable): %NULL-terminated; %NULL: all regions */
 void quince_tenant_table_set_regions (QuinceTenantTable *table, const QuinceTenant *tenant, char **regions);
-/* Adds the digest of a key of @tenant, which is one of this table's. */
+/* Assigns an API key, given by its digest, to @tenant, a tenant of this table.  Replaces an earlier
+ * assignment of the same digest. */
 void
 quince_tenant_table_add_digest (QuinceTenantTable *table, const QuinceTenant *tenant, const char *digest);
-/* The tenant that API key @key belongs to. (transfer none) (nullable): %NULL: none */
+/* Returns the tenant to which the API key @key belongs, or %NULL if it is unknown. (transfer none) */
 const QuinceTenant *quince_tenant_table_find_by_key (const QuinceTenantTable *table, const char *key);
-/* (transfer none) (nullable) */
+/* Returns the tenant named @name, or %NULL. (transfer none) */
 const QuinceTenant *quince_tenant_table_find (const QuinceTenantTable *table, const char *name);
-/* (transfer container) (element-type QuinceTenant): all, in no order */
+/* Returns all tenants, in no particular order. (transfer container) (element-type QuinceTenant) */
 GPtrArray *quince_tenant_table_list (const QuinceTenantTable *table);
 
 G_END_DECLS
--- a/lib/core/routing/warmup-limit.c
+++ b/lib/core/routing/warmup-limit.c
@@ -1,11 +1,10 @@
 /*
  * warmup-limit.c: limits the requests that reach a cold worker in any second.
  *
- * A send granted at time G until time U may arrive at any moment from G to U plus a margin.  Two sends
- * can arrive within one second only if the earlier one may arrive less than a second before the later one is
- * granted.  A new send is granted while fewer earlier ones than the limit may do so.  This holds
- * for every window of a second: of the sends that arrive in it, the one granted last counted all
- * others.
+ * A send that is granted at time G and leaves by time U reaches the worker between G and U plus a margin.  A
+ * grant therefore counts until U plus the margin plus one window.  The limiter grants a send only while fewer
+ * sends than the limit count.  This bounds every window: when the last granted of the sends that arrive in it
+ * was granted, all others still counted.
  */
 #include "core/routing/warmup-limit.h"
 
@@ -20,21 +19,20 @@
   return max_sends >= 1 ? (guint)MIN (max_sends, G_MAXINT) : 1;
 }
 
-/* ---- The book of the process that grants --------------------------------- */
+/* ---- Limiter of the leader ----------------------------------------------- */
 
-/* Sends that were granted together. */
+/* Sends to one worker that were granted together. */
 typedef struct
 {
-  gint64 expires_us; /* from then on a new grant cannot arrive in the same second as these */
+  gint64 expires_us; /* from this time on, the sends no longer count against the limit */
   guint sends;
 } SendGrant;
 
 struct _QuinceWarmupLimiter
 {
-  GHashTable *workers; /* id to GArray of SendGrant, both owned */
+  GHashTable *workers; /* worker id to GArray of SendGrant, both owned */
   gint64 margin_us;
-  gint64 cold_blocked_until_us; /* until then a former leader's grants may arrive in the same second as a new
-                                   one */
+  gint64 cold_blocked_until_us; /* no grants for cold workers before; set after a change of leader */
 };
 
 QuinceWarmupLimiter *
@@ -58,7 +56,8 @@
 static gint64
 get_grant_expiry_us (const QuinceWarmupLimiter *limiter, gint64 send_by_us)
 {
-  return send_by_us + limiter->margin_us + QUINCE_WARMUP_WINDOW_US + 1; /* a second has both its ends */
+  /* One more microsecond, since the window includes both of its ends. */
+  return send_by_us + limiter->margin_us + QUINCE_WARMUP_WINDOW_US + 1;
 }
 
 void
@@ -152,7 +151,7 @@
   return g_hash_table_size (limiter->workers);
 }
 
-/* ---- The lease of a process that is granted sends ------------------------ */
+/* ---- Lease of a front ---------------------------------------------------- */
 
 gboolean
 quince_warmup_lease_can_send (const QuinceWarmupLease *lease, gint64 now_us)
--- a/lib/core/routing/warmup-limit.h
+++ b/lib/core/routing/warmup-limit.h
@@ -1,11 +1,12 @@
 /*
- * warmup-limit.h: limits the requests that reach a cold worker in any second, from all processes together.
+ * warmup-limit.h: limits how many requests all processes together send to a cold worker in any second.
  *
- * The leader keeps a book: for each worker the sends that it has granted and that may still arrive in the
- * same second as a new one.  A front keeps a lease for each worker: sends that the leader granted it, for a
- * time.
+ * The leader keeps a limiter, which counts for each worker the granted sends that may arrive in the same
+ * second as a new one.  A front keeps a lease for each worker: a number of sends that the leader has granted
+ * it until the lease expires.  A send is one request sent to one worker.
  *
- * Pure: time is an argument, in microseconds of one clock that counts suspensions too.
+ * Reads no clock: callers pass the time, in microseconds, from a clock that also advances while the machine
+ * is suspended.
  */
 #pragma once
 
@@ -13,32 +14,41 @@
 
 G_BEGIN_DECLS
 
-/* The limit holds in every window of this length, us: it is given in requests a second. */
+/* Length of the sliding window to which the limit applies. */
 #define QUINCE_WARMUP_WINDOW_US G_USEC_PER_SEC
 
-/* Requests in any second at a worker that can serve @max_requests_per_s: that times @overage, and @slack
- * more; at least 1. Returns: G_MAXUINT if @max_requests_per_s gives no limit */
+/**
+ * quince_warmup_get_max_sends:
+ * @max_requests_per_s: requests per second that a cold worker can serve; 0: no limit is configured
+ * @overage: factor by which @max_requests_per_s is multiplied
+ * @slack: number of requests added to the product
+ *
+ * Returns: the maximum number of sends to the worker in any second, rounded down and at least 1; G_MAXUINT if
+ * no limit is configured
+ */
 guint quince_warmup_get_max_sends (double max_requests_per_s, double overage, double slack);
 
-/* ---- The book of the process that grants --------------------------------- */
+/* ---- Limiter of the leader ----------------------------------------------- */
 
 typedef struct _QuinceWarmupLimiter QuinceWarmupLimiter;
 
-/* @margin_us: a send arrives at most this much later than the last moment at which it was allowed to leave */
+/* @margin_us: a send reaches the worker at most this long after its deadline for leaving */
 QuinceWarmupLimiter *quince_warmup_limiter_new (gint64 margin_us);
 void quince_warmup_limiter_free (QuinceWarmupLimiter *limiter);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (QuinceWarmupLimiter, quince_warmup_limiter_free)
-/* Clears the book at the start of a leadership: the former leader's last grants may be used until
- * @used_until_us. */
+/* Resets the limiter when this process becomes the leader.  Sends that the former leader granted may leave
+ * until @used_until_us; the limiter grants none to cold workers until all of them are outside the window. */
 void quince_warmup_limiter_take_over (QuinceWarmupLimiter *limiter, gint64 used_until_us);
 /**
  * quince_warmup_limiter_grant:
- * @is_cold: %FALSE: only this process sends to @worker_id, so grants of a former leader don't count
- * @max_sends: requests in any second, see quince_warmup_get_max_sends()
- * @wanted_sends: how many are wanted
- * @send_by_us: latest time at which they leave
+ * @is_cold: whether the worker is cold; the grants of a former leader delay only sends to cold workers
+ * @max_sends: maximum number of sends in any second; see quince_warmup_get_max_sends()
+ * @wanted_sends: number of sends requested
+ * @send_by_us: deadline by which the granted sends leave
+ *
+ * Grants sends to a worker as far as the limit allows and counts them against it.
  *
- * Returns: how many are granted, 0 to @wanted_sends
+ * Returns: the number of sends granted, 0 to @wanted_sends
  */
 guint quince_warmup_limiter_grant (QuinceWarmupLimiter *limiter,
                                    gint64 now_us,
@@ -47,40 +57,49 @@
                                    guint max_sends,
                                    guint wanted_sends,
                                    gint64 send_by_us);
-/* When one more may be granted; a time up to @now_us means at once. */
+/* Returns the earliest time at which the limiter may grant another send; @now_us if it may do so already. */
 gint64 quince_warmup_limiter_get_next_grant_us (QuinceWarmupLimiter *limiter,
                                                 gint64 now_us,
                                                 const char *worker_id,
                                                 gboolean is_cold,
                                                 guint max_sends);
-/* Drops workers without sends that still count. */
+/* Removes expired grants, and workers that have no others. */
 void quince_warmup_limiter_expire (QuinceWarmupLimiter *limiter, gint64 now_us);
-/* Workers with sends on record.  For tests: nothing else shows that expiring frees memory. */
+/* Returns the number of workers that the limiter tracks.  Only tests use it, to check that expired entries
+ * are removed. */
 guint quince_warmup_limiter_get_n_workers (const QuinceWarmupLimiter *limiter);
 
-/* ---- The lease of a process that is granted sends ------------------------ */
+/* ---- Lease of a front ---------------------------------------------------- */
 
-/* Sends to one worker that the leader has granted. */
+/* Sends to one worker that the leader has granted this process.  A zeroed struct holds no sends. */
 typedef struct
 {
-  guint remaining_sends;  /* left of the grant */
-  gint64 expires_us;      /* end of the lease */
-  gint64 next_request_us; /* next request no sooner */
-  guint64 request_id;     /* number of the request in progress; 0: none */
-  gint64 requested_us;    /* when it was made */
-  gboolean refused;       /* the last answer granted nothing */
+  guint remaining_sends;  /* granted sends that are not used yet */
+  gint64 expires_us;      /* unused sends are void from this time on */
+  gint64 next_request_us; /* earliest time of the next request to the leader */
+  guint64 request_id;     /* id of the request in flight; 0: none */
+  gint64 requested_us;    /* time of the last request */
+  gboolean refused;       /* the last request was granted no sends or found no leader */
 } QuinceWarmupLease;
 
-/* The lease covers one more send now. */
+/* Returns whether the lease has a send left and has not expired. */
 gboolean quince_warmup_lease_can_send (const QuinceWarmupLease *lease, gint64 now_us);
-/* Uses one send of the lease. Returns: whether it covered one */
+/* Uses one send of the lease.  Returns %FALSE if the lease has none left or has expired. */
 gboolean quince_warmup_lease_use_send (QuinceWarmupLease *lease, gint64 now_us);
-/* Whether to request sends now: the lease is used up and no request is in progress.  A request without an
- * answer for @timeout_us counts as lost. */
+/* Returns whether to request sends from the leader now: the lease has no usable sends, no request is in
+ * flight, and the retry delay is over.  A request without an answer for @timeout_us counts as lost. */
 gboolean quince_warmup_lease_may_request (const QuinceWarmupLease *lease, gint64 now_us, gint64 timeout_us);
+/* Records that request @request_id, not 0, was made at @now_us; the validity of its lease starts then. */
 void quince_warmup_lease_start_request (QuinceWarmupLease *lease, gint64 now_us, guint64 request_id);
-/* The answer to request @request_id: @sends, for @valid_us from the moment of the request; the next request
- * no sooner than @retry_after_us from now.  Answers to earlier requests are ignored. */
+/**
+ * quince_warmup_lease_handle_answer:
+ * @request_id: id of the answered request; answers to any but the request in flight are ignored
+ * @sends: number of sends granted; 0: refused
+ * @valid_us: validity of the lease, counted from the time of the request
+ * @retry_after_us: delay from now until the next request may be made
+ *
+ * Replaces the contents of the lease by the leader's answer.
+ */
 void quince_warmup_lease_handle_answer (QuinceWarmupLease *lease,
                                         gint64 now_us,
                                         guint64 request_id,
--- a/lib/core/trace/log-line.c
+++ b/lib/core/trace/log-line.c
@@ -1,5 +1,5 @@
 /*
- * log-line.c: parses one line of key=value pairs; a value with spaces is quoted.
+ * log-line.c: parses a log line of key=value pairs.  Values that contain spaces are quoted.
  */
 #include "log-line.h"
 
@@ -7,6 +7,7 @@
 
 G_DEFINE_QUARK (quince - log - trace - error - quark, quince_log_trace_error)
 
+/* Keys with which each log line starts, in this order. */
 static const char *const required_keys[] = { "time", "level", "program", "name", "event" };
 
 static void
@@ -39,7 +40,8 @@
   return NULL;
 }
 
-/* (transfer full) (nullable): the value that begins after an opening quote; %NULL without a closing one. */
+/* Parses a quoted value whose opening quote was consumed and moves @cursor behind its closing quote.  Returns
+ * %NULL if there is no closing quote. (transfer full) */
 static char *
 parse_quoted_value (const char **cursor)
 {
@@ -116,8 +118,9 @@
     time = g_date_time_new_from_iso8601 (quince_log_line_get (line, "time"), NULL);
   if (time == NULL)
     {
-      g_set_error (error, QUINCE_LOG_TRACE_ERROR, QUINCE_LOG_TRACE_ERROR_MALFORMED,
-                   "no line of time, level, program, name, event and other pairs");
+      g_set_error (
+          error, QUINCE_LOG_TRACE_ERROR, QUINCE_LOG_TRACE_ERROR_MALFORMED,
+          "malformed log line: expected key=value pairs that start with time, level, program, name, event");
       return NULL;
     }
   line->time_us = g_date_time_to_unix (time) * G_USEC_PER_SEC + g_date_time_get_microsecond (time);
--- a/lib/core/trace/log-line.h
+++ b/lib/core/trace/log-line.h
@@ -1,7 +1,5 @@
 /*
- * log-line.h: a parsed log line of key=value pairs.
- *
- * Plain data, owned by the one who parsed it.  Pure.
+ * log-line.h: parser of log lines, which consist of key=value pairs.
  */
 #pragma once
 
@@ -12,21 +10,22 @@
 typedef struct
 {
   char *key;
-  char *value; /* without its quotes */
+  char *value; /* without quotes and escapes */
 } QuinceLogPair;
 
 typedef struct
 {
-  gint64 time_us; /* of the writer's clock, Unix time */
-  guint sequence; /* lines added before it: keeps the order of one process within a millisecond */
-  GArray *pairs;  /* QuinceLogPair, owned; in the line's order */
+  gint64 time_us; /* Unix time, by the clock of the process that wrote the line */
+  guint sequence; /* position among the lines of a trace; orders lines with equal times */
+  GArray *pairs;  /* QuinceLogPair, owned; in the order of the line */
 } QuinceLogLine;
 
-/* (transfer full) (nullable): %NULL with a QUINCE_LOG_TRACE_ERROR */
+/* Parses a log line; stops at the end of the line.  Returns %NULL and sets QUINCE_LOG_TRACE_ERROR_MALFORMED
+ * if the line is malformed. (transfer full) */
 QuinceLogLine *quince_log_line_parse (const char *text, GError **error);
 void quince_log_line_free (gpointer line);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (QuinceLogLine, quince_log_line_free)
-/* (nullable) (transfer none): the first value of @key; %NULL: none */
+/* Returns the first value of @key, or %NULL if the line has no such key. (transfer none) */
 const char *quince_log_line_get (const QuinceLogLine *line, const char *key);
 
 G_END_DECLS
--- a/lib/core/trace/log-trace.c
+++ b/lib/core/trace/log-trace.c
@@ -1,11 +1,11 @@
 /*
- * log-trace.c: selects, orders and formats the log lines about one request, sample or batch.
+ * log-trace.c: selects, sorts and formats the log lines about one request, sample or batch.
  */
 #include "log-line.h"
 
 #include <string.h>
 
-/* Width of the column of process names, characters: holds most names; longer ones push their line right. */
+/* Minimum width of the column of process names, in characters. */
 #define PROCESS_COLUMN_WIDTH 12
 
 struct _QuinceLogTrace
@@ -13,19 +13,20 @@
   GPtrArray *lines; /* QuinceLogLine, owned */
 };
 
-/* Workers and processes in the lines that name the id. */
+/* The workers, processes and period of the lines that contain the id. */
 typedef struct
 {
-  GHashTable *workers;   /* borrowed names */
-  GHashTable *processes; /* borrowed names */
-  gint64 first_us;
-  gint64 last_us;
+  GHashTable *workers;   /* ids, which the lines own */
+  GHashTable *processes; /* names, which the lines own */
+  gint64 first_us;       /* time of the first line; 0: no line yet */
+  gint64 last_us;        /* time of the last line */
 } TraceScope;
 
-/* Keys by which a line names what it is about. */
+/* Keys whose value is the id of a request, sample or batch. */
 static const char *const subject_keys[] = { "request", "sample", "batch" };
 
-/* Context: events about a worker count if the worker is trace_scope, others if the process is. */
+/* Events that give context to a trace: those about a worker if the worker is in scope, others if their
+ * process is. */
 static const char *const worker_context_events[] = { "worker_changed", "worker_gone", "weights_order_ended" };
 static const char *const process_context_events[]
     = { "configuration", "dependency_lost", "dependency_regained", "entry_refused",
@@ -61,7 +62,7 @@
   g_ptr_array_add (trace->lines, line);
 }
 
-/* ---- Which lines -------------------------------------------------------- */
+/* ---- Selection ---------------------------------------------------------- */
 
 static gboolean
 mentions_id (const QuinceLogLine *line, const char *id)
@@ -93,8 +94,8 @@
   trace_scope->last_us = MAX (trace_scope->last_us, line->time_us);
 }
 
-/* (transfer full) (nullable): what a line of context is about; a later line replaces an earlier one of the
- * same topic.  %NULL: it is no context of this trace. */
+/* Returns the topic of a context line, or %NULL if the line gives no context to this trace. (transfer full)
+ * Of the lines before the trace, only the latest of each topic is shown. */
 static char *
 get_context_topic (const TraceScope *trace_scope, const QuinceLogLine *line)
 {
@@ -123,7 +124,7 @@
   return first->sequence < second->sequence ? -1 : 1;
 }
 
-/* Adds the newest line of each topic before the trace begins, and all lines of context within it. */
+/* Selects the latest context line of each topic before the trace starts, and all context lines within it. */
 static void
 add_context (const QuinceLogTrace *trace, const TraceScope *trace_scope, GPtrArray *selected)
 {
@@ -147,7 +148,7 @@
     g_ptr_array_add (selected, line);
 }
 
-/* ---- Text --------------------------------------------------------------- */
+/* ---- Formatting --------------------------------------------------------- */
 
 static void
 format_line (GString *text, const QuinceLogLine *line, gint64 first_us, gboolean is_context)
--- a/lib/core/trace/log-trace.h
+++ b/lib/core/trace/log-trace.h
@@ -1,7 +1,7 @@
 /*
- * log-trace.h: the log lines of all processes about one request, sample or batch, in order.
+ * log-trace.h: collects log lines of several processes and formats the trace of a request, sample or batch.
  *
- * Owns the lines that were added.  Pure: lines are text, in any order and from any number of processes.
+ * Lines may be added in any order.
  */
 #pragma once
 
@@ -14,11 +14,12 @@
 
 typedef enum
 {
-  QUINCE_LOG_TRACE_ERROR_MALFORMED, /* no key=value line that begins with time, level, program, name, event */
-  QUINCE_LOG_TRACE_ERROR_UNKNOWN_EVENT, /* an event that the daemons do not log */
+  QUINCE_LOG_TRACE_ERROR_MALFORMED, /* not key=value pairs starting with time, level, program, name, event */
+  QUINCE_LOG_TRACE_ERROR_UNKNOWN_EVENT, /* the event is none that the daemons log */
 } QuinceLogTraceError;
 
-/* Whether @line is well formed and its event is one that the daemons log; docs/OPERATIONS.md lists them. */
+/* Returns whether @line is well formed and has an event that the daemons log; docs/OPERATIONS.md lists these.
+ * Otherwise sets @error to a QuinceLogTraceError. */
 gboolean quince_log_line_check (const char *line, GError **error);
 
 typedef struct _QuinceLogTrace QuinceLogTrace;
@@ -27,17 +28,19 @@
 void quince_log_trace_free (QuinceLogTrace *trace);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (QuinceLogTrace, quince_log_trace_free)
 
-/* Adds one line.  Text before its time= is dropped, and a text that is no log line is ignored. */
+/* Adds a copy of one line.  Ignores text before "time=", such as the prefix of a log collector, and lines
+ * that are malformed. */
 void quince_log_trace_add (QuinceLogTrace *trace, const char *line);
 
 /**
  * quince_log_trace_format:
- * @id: of a request, a sample or a batch
+ * @id: id of a request, sample or batch
  *
- * In the order of their times: the lines that name @id, and, as context, the state of the processes in them:
- * workers in those lines, ledger, metadata store, configuration and policy.
+ * Formats the lines that contain @id, ordered by time.  Among them it shows, marked as "(belief)", the
+ * context that the processes in these lines had logged up to the last of them: the states of the workers
+ * involved, of the ledger, metadata store, configuration and policy.
  *
- * Returns: (transfer full) (nullable): one line of text for each; %NULL when no line names @id
+ * Returns: (transfer full) (nullable): the trace, one log line per line; %NULL if no line contains @id
  */
 char *quince_log_trace_format (const QuinceLogTrace *trace, const char *id);
 
--- a/lib/core/trace/log-vocabulary.c
+++ b/lib/core/trace/log-vocabulary.c
@@ -1,7 +1,8 @@
 /*
- * log-vocabulary.c: the events that the daemons log; docs/OPERATIONS.md explains each.
+ * log-vocabulary.c: checks the event of a log line against the list of events that the daemons log.
  *
- * scripts/check-names.sh fails if this list, that table and the code differ.
+ * docs/OPERATIONS.md explains each event.  scripts/check-names.sh fails if the list differs from that page or
+ * from the events in the code.
  */
 #include "log-line.h"
 
@@ -116,6 +117,7 @@
   const char *event = quince_log_line_get (line, "event");
   if (is_known_event (event))
     return TRUE;
-  g_set_error (error, QUINCE_LOG_TRACE_ERROR, QUINCE_LOG_TRACE_ERROR_UNKNOWN_EVENT, "event=%s", event);
+  g_set_error (error, QUINCE_LOG_TRACE_ERROR, QUINCE_LOG_TRACE_ERROR_UNKNOWN_EVENT, "unknown event '%s'",
+               event);
   return FALSE;
 }
--- a/tests/unit/test-log-trace.c
+++ b/tests/unit/test-log-trace.c
@@ -1,5 +1,5 @@
 /*
- * test-log-trace.c: the trace of a request out of the lines of several processes, and the vocabulary.
+ * test-log-trace.c: the trace of a request from the logs of several processes, and the check of log lines.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -13,7 +13,7 @@
 
 #define LOG_LINE(time) "time=2026-12-02T10:00:" time "Z level=info program=quinceroute-front name="
 
-/* Of two fronts, out of order, one with the prefix of a log collector. */
+/* Lines of two fronts, not sorted by time; one has the prefix of a log collector. */
 static const char *const log_lines[] = {
   LOG_LINE (
       "09.500") "f1 event=request_answered request=r1 status=200 worker=w2 attempts=2 worker_ms=9 age_ms=20",
@@ -64,7 +64,7 @@
     }
 }
 
-/* Other workers, other processes, other requests, what came before a newer belief or after the end. */
+/* A trace omits other workers, processes and requests, outdated context, and lines after its end. */
 static void
 test_trace_excludes_unrelated_lines (void **state)
 {
@@ -107,7 +107,7 @@
       g_autoptr (GError) error = NULL;
       gboolean valid = quince_log_line_check (cases[i].line, &error);
       if (valid != (cases[i].code == -1) || (!valid && error->code != cases[i].code))
-        fail_msg ("%s: %s", cases[i].line, error != NULL ? error->message : "taken");
+        fail_msg ("%s: %s", cases[i].line, error != NULL ? error->message : "accepted");
     }
 }
 
@@ -120,5 +120,5 @@
     cmocka_unit_test (test_quoted_values),
     cmocka_unit_test (test_log_line_check),
   };
-  return cmocka_run_group_tests_name ("log-story", tests, NULL, NULL);
+  return cmocka_run_group_tests_name ("log-trace", tests, NULL, NULL);
 }
--- a/tests/unit/test-tenants.c
+++ b/tests/unit/test-tenants.c
@@ -1,5 +1,5 @@
 /*
- * test-tenants.c: tenants by their keys, and batches of tenants in the book of batches.
+ * test-tenants.c: lookup of tenants by API key, and the tenant in records of submitted batches.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -29,7 +29,7 @@
   assert_ptr_equal (quince_tenant_table_find_by_key (table, "key-2"), second);
   assert_null (quince_tenant_table_find_by_key (table, "key-3"));
   assert_null (quince_tenant_table_find_by_key (table, ""));
-  /* A digest is no key. */
+  /* A digest does not work as an API key. */
   assert_null (quince_tenant_table_find_by_key (table, digest));
   assert_ptr_equal (quince_tenant_table_find (table, "second"), second);
   assert_null (quince_tenant_table_find (table, "third"));
@@ -48,7 +48,7 @@
                            .model = quince_string ("") };
 }
 
-/* Logs of builds that knew no tenants are read, and those of this build are. */
+/* Submissions are read with and without a tenant; builds without tenants wrote the latter. */
 static void
 test_records_with_and_without_tenant (void **state)
 {
--- a/tests/unit/test-warmup.c
+++ b/tests/unit/test-warmup.c
@@ -1,6 +1,6 @@
 /*
- * test-warmup.c: the bound on requests of a second to a cold worker: one giver, leases, delays, a new giver;
- * and what the bound does to a load, beside a share that grows.
+ * test-warmup.c: cold workers get at most the limit of requests in any second, across slow messages, frozen
+ * fronts and changes of leader.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -23,7 +23,7 @@
 {
   assert_int_equal (quince_warmup_get_max_sends (13, 1.5, 5), 24);
   assert_int_equal (quince_warmup_get_max_sends (2, 1.5, 0), 3);
-  /* One in a second at the least: a worker that gets none never warms up. */
+  /* At least one per second: a worker without requests never warms up. */
   assert_int_equal (quince_warmup_get_max_sends (0.2, 1, 0), 1);
   assert_int_equal (quince_warmup_get_max_sends (0, 1.5, 5), G_MAXUINT);
 }
@@ -36,7 +36,7 @@
   return (first > second) - (first < second);
 }
 
-/* The most arrivals in any second, wherever it begins. */
+/* Returns the maximum number of arrivals in any second.  Sorts @arrivals. */
 static guint
 max_arrivals_per_second (GArray *arrivals)
 {
@@ -55,13 +55,13 @@
 static void
 add_arrival (GArray *arrivals, GRand *rand, gint64 now_us)
 {
-  /* A send leaves at once or waits for its connection, and then takes its way. */
+  /* A send leaves immediately or waits for a connection, and then spends time on the network. */
   gint64 connect_us = g_rand_int_range (rand, 0, 4) == 0 ? g_rand_int_range (rand, 0, SEND_WITHIN_US) : 0;
   gint64 arrives_us = now_us + connect_us + g_rand_int_range (rand, 0, MARGIN_US);
   g_array_append_val (arrivals, arrives_us);
 }
 
-/* ---- One giver ------------------------------------------------------------ */
+/* ---- Limiter -------------------------------------------------------------- */
 
 static void
 test_grants_stay_within_limit (void **state)
@@ -75,7 +75,7 @@
         if (quince_warmup_limiter_grant (limiter, now, "w", TRUE, MAX_SENDS, 1, now + SEND_WITHIN_US) == 1)
           add_arrival (arrivals, rand, now);
       assert_true (max_arrivals_per_second (arrivals) <= MAX_SENDS);
-      /* The worker gets more than the 13 a second that it bears. */
+      /* The limit allows more than the 13 requests per second that the worker can serve. */
       assert_true (arrivals->len > 20 * 13);
     }
 }
@@ -94,7 +94,7 @@
   assert_int_equal (quince_warmup_limiter_grant (limiter, next_grant_us - 1, "w", TRUE, 3, 1, next_grant_us),
                     0);
   assert_int_equal (quince_warmup_limiter_grant (limiter, next_grant_us, "w", TRUE, 3, 5, next_grant_us), 2);
-  /* Another worker is another limit. */
+  /* Each worker has its own limit. */
   assert_int_equal (quince_warmup_limiter_grant (limiter, next_grant_us, "x", TRUE, 3, 5, next_grant_us), 3);
   quince_warmup_limiter_expire (limiter, next_grant_us + 10 * SECOND_US);
   assert_int_equal (quince_warmup_limiter_get_n_workers (limiter), 0);
@@ -111,7 +111,7 @@
       quince_warmup_limiter_grant (limiter, next_grant_us - 1, "w", TRUE, MAX_SENDS, 1, next_grant_us), 0);
   assert_int_equal (quince_warmup_limiter_get_next_grant_us (limiter, used_until_us, "w", TRUE, MAX_SENDS),
                     next_grant_us);
-  /* A warm worker is not made to wait. */
+  /* Sends to a warm worker are granted without delay. */
   assert_int_equal (
       quince_warmup_limiter_grant (limiter, used_until_us, "w", FALSE, MAX_SENDS, 1, used_until_us), 1);
   assert_int_equal (
@@ -130,7 +130,7 @@
   quince_warmup_lease_handle_answer (&lease, 30 * MS_US, 7, 2, LEASE_VALID_US, 50 * MS_US);
   assert_true (quince_warmup_lease_use_send (&lease, 31 * MS_US));
   assert_false (quince_warmup_lease_may_request (&lease, 100 * MS_US, 300 * MS_US));
-  /* It counts from the ask. */
+  /* Validity starts at the request, not at its answer. */
   assert_true (quince_warmup_lease_can_send (&lease, 10 * MS_US + LEASE_VALID_US - 1));
   assert_false (quince_warmup_lease_use_send (&lease, 10 * MS_US + LEASE_VALID_US));
   assert_true (quince_warmup_lease_may_request (&lease, 10 * MS_US + LEASE_VALID_US, 300 * MS_US));
@@ -141,26 +141,26 @@
 {
   QuinceWarmupLease lease = { 0 };
   quince_warmup_lease_start_request (&lease, 0, 7);
-  /* Its giver was frozen: the front asks again, and then the first answer comes. */
+  /* The first request times out, and its answer arrives after the second request was sent. */
   assert_true (quince_warmup_lease_may_request (&lease, 300 * MS_US, 300 * MS_US));
   quince_warmup_lease_start_request (&lease, 300 * MS_US, 8);
   quince_warmup_lease_handle_answer (&lease, 310 * MS_US, 7, 5, LEASE_VALID_US, 0);
   assert_false (quince_warmup_lease_use_send (&lease, 311 * MS_US));
   quince_warmup_lease_handle_answer (&lease, 320 * MS_US, 8, 1, LEASE_VALID_US, 0);
   assert_true (quince_warmup_lease_use_send (&lease, 321 * MS_US));
-  /* An answer that comes twice. */
+  /* A duplicate of the answer is ignored. */
   quince_warmup_lease_handle_answer (&lease, 322 * MS_US, 8, 1, LEASE_VALID_US, 0);
   assert_false (quince_warmup_lease_use_send (&lease, 323 * MS_US));
 }
 
-/* ---- Many senders ----------------------------------------------------------- */
+/* ---- Many fronts and changes of leader ---------------------------------------- */
 
 typedef struct
 {
   QuinceWarmupLease lease;
   gint64 frozen_until_us;
-  gint64 request_arrives_us; /* the ask reaches the giver then; 0: none is on its way */
-  gint64 answer_arrives_us;  /* when the answer arrives; 0: no request in progress */
+  gint64 request_arrives_us; /* when the request reaches the leader; 0: none is on its way */
+  gint64 answer_arrives_us;  /* when the answer reaches the front; 0: none is on its way */
   guint64 request_id;
   guint granted_sends;
 } Front;
@@ -170,7 +170,7 @@
   GRand *rand;
   GArray *arrivals;
   QuinceWarmupLimiter *limiter;
-  gint64 no_leader_until_us; /* no giver until then */
+  gint64 no_leader_until_us; /* when the next leader takes over */
   Front fronts[FRONTS];
   guint64 last_request_id;
 } Cluster;
@@ -224,7 +224,7 @@
     }
 }
 
-/* The giver dies, and another one leads a moment after it could act last. */
+/* The leader fails, and a new one takes over after a random delay, without its predecessor's state. */
 static void
 replace_leader (Cluster *cluster, gint64 now)
 {
@@ -265,10 +265,10 @@
       total += arrivals->len;
       quince_warmup_limiter_free (cluster.limiter);
     }
-  assert_true (total > 30 * 20); /* it does give */
+  assert_true (total > 30 * 20); /* sends are granted at all */
 }
 
-/* ---- A share that grows, or a bound on the rate ------------------------------ */
+/* ---- Rate limit compared with a growing share of slots ------------------------ */
 
 #define WORKERS 12
 #define COLD_WORKERS 4
@@ -277,15 +277,15 @@
 
 typedef struct
 {
-  guint max_arrivals; /* requests at a cold worker in any second */
-  guint refused;      /* no place anywhere */
+  guint max_arrivals; /* maximum number of requests at a cold worker in any second */
+  guint refused;      /* requests for which no worker had a free slot */
 } LoadResult;
 
 typedef struct
 {
-  gboolean limit_by_rate; /* a bound on the rate; otherwise a cold worker's share of its places grows */
+  gboolean limit_by_rate; /* FALSE: the slots of cold workers grow over time instead */
   QuinceWarmupLimiter *limiter;
-  GArray *end_times_us[WORKERS]; /* of the requests that run there */
+  GArray *end_times_us[WORKERS]; /* of the requests that run at each worker */
   GArray *arrivals[WORKERS];
 } Pool;
 
@@ -297,7 +297,7 @@
       g_array_remove_index_fast (end_times_us, i - 1);
 }
 
-/* G_MAXDOUBLE: it takes no more. */
+/* Returns the share of used slots of @worker; G_MAXDOUBLE if it accepts no request now. */
 static double
 get_worker_load (Pool *pool, guint worker, gint64 now)
 {
@@ -314,7 +314,7 @@
   return running < slots ? (double)running / slots : G_MAXDOUBLE;
 }
 
-/* Returns: %FALSE: there is no place anywhere */
+/* Returns FALSE if no worker accepts the request. */
 static gboolean
 send_to_least_loaded (Pool *pool, gint64 now, gint64 duration_us)
 {
@@ -339,8 +339,8 @@
   return TRUE;
 }
 
-/* Requests of 80 to 400 ms come @requests_per_s a second, in bursts of eight, for five seconds; a third of
- * the workers is cold for the first three. */
+/* Sends @requests_per_s requests of 80 to 400 ms each in bursts of eight, for five seconds.  A third of the
+ * workers is cold during the first three seconds. */
 static LoadResult
 run_load (gboolean limit_by_rate, guint requests_per_s)
 {
@@ -373,9 +373,10 @@
     {
       LoadResult growing_share = run_load (FALSE, loads[i]);
       LoadResult rate_limit = run_load (TRUE, loads[i]);
-      print_message ("%u a second: by weight at most %u in a second, %u refused; by rate %u, %u refused\n",
-                     loads[i], growing_share.max_arrivals, growing_share.refused, rate_limit.max_arrivals,
-                     rate_limit.refused);
+      print_message (
+          "%u requests/s: growing share: at most %u in a second, %u refused; rate limit: %u, %u refused\n",
+          loads[i], growing_share.max_arrivals, growing_share.refused, rate_limit.max_arrivals,
+          rate_limit.refused);
       assert_true (rate_limit.max_arrivals <= MAX_SENDS);
       assert_true (rate_limit.refused <= growing_share.refused);
     }
