--- a/tests/unit/test-log-trace.c
+++ b/tests/unit/test-log-trace.c
@@ -11,24 +11,20 @@
 
 #include "core/trace/log-trace.h"
 
-#define LOG_LINE(time) "time=2026-12-02T10:00:" time "Z level=info program=quinceroute-front name="
+#define AT(time) "time=2026-12-02T10:00:" time "Z level=info program=quinceroute-front name="
 
 /* Lines of two fronts, not sorted by time; one has the prefix of a log collector. */
 static const char *const log_lines[] = {
-  LOG_LINE (
-      "09.500") "f1 event=request_answered request=r1 status=200 worker=w2 attempts=2 worker_ms=9 age_ms=20",
-  LOG_LINE ("01.000") "f1 event=worker_changed worker=w1 service=s address=127.0.0.1:1 state=ready version=1",
-  LOG_LINE (
-      "02.000") "f1 event=worker_changed worker=w1 service=s address=127.0.0.1:1 state=draining version=1",
-  LOG_LINE ("03.000") "f1 event=worker_changed worker=w9 service=s address=127.0.0.1:9 state=ready version=1",
-  LOG_LINE ("04.000") "f2 event=dependency_lost what=meta_store",
-  LOG_LINE ("05.000") "f1 event=configuration version=3 routes=2",
-  "collector: " LOG_LINE (
-      "09.480") "f1 event=request_retried request=r1 worker=w1 cause=worker_lost attempts=1",
-  LOG_LINE ("09.490") "f1 event=worker_gone worker=w1",
-  LOG_LINE (
-      "09.495") "f1 event=request_refused request=r2 target=\"/a \\\"b\" status=503 cause=no_worker age_ms=0",
-  LOG_LINE ("09.900") "f1 event=configuration version=4 routes=2",
+  AT ("09.500") "f1 event=request_answered request=r1 status=200 worker=w2 attempts=2 worker_ms=9 age_ms=20",
+  AT ("01.000") "f1 event=worker_changed worker=w1 service=s address=127.0.0.1:1 state=ready version=1",
+  AT ("02.000") "f1 event=worker_changed worker=w1 service=s address=127.0.0.1:1 state=draining version=1",
+  AT ("03.000") "f1 event=worker_changed worker=w9 service=s address=127.0.0.1:9 state=ready version=1",
+  AT ("04.000") "f2 event=dependency_lost what=meta_store",
+  AT ("05.000") "f1 event=configuration version=3 routes=2",
+  "collector: " AT ("09.480") "f1 event=request_retried request=r1 worker=w1 cause=worker_lost attempts=1",
+  AT ("09.490") "f1 event=worker_gone worker=w1",
+  AT ("09.495") "f1 event=request_refused request=r2 target=\"/a \\\"b\" status=503 cause=no_worker age_ms=0",
+  AT ("09.900") "f1 event=configuration version=4 routes=2",
   "ready callers=127.0.0.1:1",
   "",
 };
@@ -93,11 +89,11 @@
     const char *line;
     int code; /* -1: valid */
   } cases[] = {
-    { LOG_LINE ("01.000") "f1 event=worker_gone worker=w1", -1 },
-    { LOG_LINE ("01.000") "\"\" event=stopped status=0", -1 },
-    { LOG_LINE ("01.000") "f1 event=worker_vanished worker=w1", QUINCE_LOG_TRACE_ERROR_UNKNOWN_EVENT },
-    { LOG_LINE ("01.000") "f1 event=worker_gone worker", QUINCE_LOG_TRACE_ERROR_MALFORMED },
-    { LOG_LINE ("01.000") "f1 event=worker_gone worker=\"w1", QUINCE_LOG_TRACE_ERROR_MALFORMED },
+    { AT ("01.000") "f1 event=worker_gone worker=w1", -1 },
+    { AT ("01.000") "\"\" event=stopped status=0", -1 },
+    { AT ("01.000") "f1 event=worker_vanished worker=w1", QUINCE_LOG_TRACE_ERROR_UNKNOWN_EVENT },
+    { AT ("01.000") "f1 event=worker_gone worker", QUINCE_LOG_TRACE_ERROR_MALFORMED },
+    { AT ("01.000") "f1 event=worker_gone worker=\"w1", QUINCE_LOG_TRACE_ERROR_MALFORMED },
     { "event=worker_gone worker=w1", QUINCE_LOG_TRACE_ERROR_MALFORMED },
     { "time=yesterday level=info program=p name=n event=stopped", QUINCE_LOG_TRACE_ERROR_MALFORMED },
     { "", QUINCE_LOG_TRACE_ERROR_MALFORMED },
--- a/tests/unit/test-warmup.c
+++ b/tests/unit/test-warmup.c
@@ -121,7 +121,7 @@
 /* ---- Leases ---------------------------------------------------------------- */
 
 static void
-test_lease (void **state)
+test_lease_expiry (void **state)
 {
   QuinceWarmupLease lease = { 0 };
   assert_true (quince_warmup_lease_may_request (&lease, 0, 300 * MS_US));
@@ -287,7 +287,7 @@
   QuinceWarmupLimiter *limiter;
   GArray *end_times_us[WORKERS]; /* of the requests that run at each worker */
   GArray *arrivals[WORKERS];
-} Pool;
+} WorkerPool;
 
 static void
 remove_finished (GArray *end_times_us, gint64 now)
@@ -299,7 +299,7 @@
 
 /* Returns the share of used slots of @worker; G_MAXDOUBLE if it accepts no request now. */
 static double
-get_worker_load (Pool *pool, guint worker, gint64 now)
+get_worker_load (WorkerPool *pool, guint worker, gint64 now)
 {
   gboolean cold = worker < COLD_WORKERS && now < COLD_DURATION_US;
   guint slots = SLOTS_PER_WORKER;
@@ -316,26 +316,26 @@
 
 /* Returns FALSE if no worker accepts the request. */
 static gboolean
-send_to_least_loaded (Pool *pool, gint64 now, gint64 duration_us)
+send_to_least_loaded (WorkerPool *pool, gint64 now, gint64 duration_us)
 {
   double lowest_load = G_MAXDOUBLE;
-  guint best = 0;
+  guint least_loaded = 0;
   for (guint i = 0; i < WORKERS; i++)
     {
       double load = get_worker_load (pool, i, now);
       if (load >= lowest_load)
         continue;
       lowest_load = load;
-      best = i;
+      least_loaded = i;
     }
   if (lowest_load == G_MAXDOUBLE)
     return FALSE;
-  gint64 end = now + duration_us;
-  g_autofree char *id = g_strdup_printf ("%u", best);
+  gint64 end_us = now + duration_us;
+  g_autofree char *id = g_strdup_printf ("%u", least_loaded);
   quince_warmup_limiter_grant (pool->limiter, now, id, TRUE, MAX_SENDS, 1, now);
-  g_array_append_val (pool->end_times_us[best], end);
-  if (best < COLD_WORKERS && now < COLD_DURATION_US)
-    g_array_append_val (pool->arrivals[best], now);
+  g_array_append_val (pool->end_times_us[least_loaded], end_us);
+  if (least_loaded < COLD_WORKERS && now < COLD_DURATION_US)
+    g_array_append_val (pool->arrivals[least_loaded], now);
   return TRUE;
 }
 
@@ -346,7 +346,7 @@
 {
   g_autoptr (GRand) rand = g_rand_new_with_seed (requests_per_s);
   g_autoptr (QuinceWarmupLimiter) limiter = quince_warmup_limiter_new (0);
-  Pool pool = { .limit_by_rate = limit_by_rate, .limiter = limiter };
+  WorkerPool pool = { .limit_by_rate = limit_by_rate, .limiter = limiter };
   LoadResult result = { 0 };
   for (guint i = 0; i < WORKERS; i++)
     {
@@ -390,7 +390,7 @@
     cmocka_unit_test (test_grants_stay_within_limit),
     cmocka_unit_test (test_grants_expire),
     cmocka_unit_test (test_new_leader_waits_for_old_grants),
-    cmocka_unit_test (test_lease),
+    cmocka_unit_test (test_lease_expiry),
     cmocka_unit_test (test_stale_and_duplicate_answers),
     cmocka_unit_test (test_limit_across_leader_changes),
     cmocka_unit_test (test_rate_limit_beats_growing_share),
