--- a/lib/core/routing/route-table.h
+++ b/lib/core/routing/route-table.h
@@ -119,6 +119,7 @@
 
 /* Creates a route with one attempt and no services. */
 QuinceRoute *quince_route_new (void);
+/* Adds a service that receives a share of the route's traffic.  @service: its name, which is copied */
 void quince_route_add_weighted_service (QuinceRoute *route, const char *service, double weight);
 void quince_route_free (QuinceRoute *route);
 /* Sets @residency to the regions that @route and @tenant allow.  It points to their region lists and must not
@@ -129,6 +130,7 @@
 QuinceService *quince_service_new (const char *name);
 /* Frees a service that was not added to a table. */
 void quince_service_free (QuinceService *service);
+/* Creates scaling settings without prices; a service owns and frees them. */
 QuinceScaling *quince_scaling_new (void);
 
 G_END_DECLS
--- a/lib/core/trace/log-trace.h
+++ b/lib/core/trace/log-trace.h
@@ -14,8 +14,11 @@
 
 typedef enum
 {
-  QUINCE_LOG_TRACE_ERROR_MALFORMED, /* not key=value pairs starting with time, level, program, name, event */
-  QUINCE_LOG_TRACE_ERROR_UNKNOWN_EVENT, /* the event is none that the daemons log */
+  /* The line has an invalid time, or is not a list of pairs that starts with the keys time, level, program,
+   * name and event. */
+  QUINCE_LOG_TRACE_ERROR_MALFORMED,
+  /* The daemons log no event of this name. */
+  QUINCE_LOG_TRACE_ERROR_UNKNOWN_EVENT,
 } QuinceLogTraceError;
 
 /* Returns whether @line is well formed and has an event that the daemons log; docs/OPERATIONS.md lists these.
@@ -36,9 +39,9 @@
  * quince_log_trace_format:
  * @id: id of a request, sample or batch
  *
- * Formats the lines that contain @id, ordered by time.  Among them it shows, marked as "(belief)", the
- * context that the processes in these lines had logged up to the last of them: the states of the workers
- * involved, of the ledger, metadata store, configuration and policy.
+ * Formats the lines that contain @id, ordered by time, and between them context lines, marked "(belief)".
+ * Context lines come from the same processes, up to the last line that contains @id; they show the state of
+ * the workers involved, the ledger, the metadata store, the configuration and the policy.
  *
  * Returns: (transfer full) (nullable): the trace, one log line per line; %NULL if no line contains @id
  */
--- a/tests/unit/test-tenants.c
+++ b/tests/unit/test-tenants.c
@@ -48,7 +48,7 @@
                            .model = quince_string ("") };
 }
 
-/* Submissions are read with and without a tenant; builds without tenants wrote the latter. */
+/* Submissions are applied with and without a tenant; records of older builds have none. */
 static void
 test_records_with_and_without_tenant (void **state)
 {
