--- a/daemons/replica/sample-demand.c
+++ b/daemons/replica/sample-demand.c
@@ -34,9 +34,10 @@
       const QuinceSample *sample = set->samples->pdata[i];
       const QuinceBatchJob *batch = sample->entry->batch;
       if (sample->state == QUINCE_SAMPLE_WAITING || sample->state == QUINCE_SAMPLE_RUNNING)
-        quince_load_plan_note_sample (plan, batch->model, batch->minimum_version, could_begin (sample, now));
+        quince_load_plan_record_sample (plan, batch->model, batch->minimum_version,
+                                        could_begin (sample, now));
       if (sample->state == QUINCE_SAMPLE_RUNNING)
-        quince_load_plan_note_run (plan, sample->worker_id, lasts_us (set, sample, now));
+        quince_load_plan_record_run (plan, sample->worker_id, lasts_us (set, sample, now));
     }
 }
 
--- a/daemons/replica/step-demand.c
+++ b/daemons/replica/step-demand.c
@@ -43,6 +43,6 @@
   gint64 took_ms = quince_wall_ms () - (gint64)batch->submitted_ms;
   g_autofree char *labels = g_strdup_printf ("model=\"%s\"", batch->model);
   quince_metric_set ("quince_replica_step_lateness", labels, (double)took_ms / route->deadline_ms);
-  quince_model_placement_note_step (placement, batch->model, took_ms * 1000,
-                                    (gint64)route->deadline_ms * 1000);
+  quince_model_placement_record_step (placement, batch->model, took_ms * 1000,
+                                      (gint64)route->deadline_ms * 1000);
 }
--- a/daemons/replica/weight-orders.c
+++ b/daemons/replica/weight-orders.c
@@ -82,8 +82,8 @@
   gint64 ordered_us = quince_weight_load_get_ordered_us (load);
   ServiceState *state = get_service_state (orders, quince_weight_load_get_service (load));
   if (ordered_us != 0)
-    quince_load_window_note (&state->window, quince_now_us (), ordered_us,
-                             quince_load_concurrent_max (state->usable));
+    quince_load_window_record_load (&state->window, quince_now_us (), ordered_us,
+                                    quince_load_concurrent_max (state->usable));
 }
 
 static gboolean
@@ -169,7 +169,7 @@
 } NamedVersion;
 
 static gint64
-named_for_us (QuinceWeightOrders *orders, gint64 now_us, const char *model, guint64 version)
+version_age_us (QuinceWeightOrders *orders, gint64 now_us, const char *model, guint64 version)
 {
   const NamedVersion *known = g_hash_table_lookup (orders->named, model);
   if (known != NULL && known->version == version)
@@ -239,12 +239,12 @@
   if (worker->draining || is_paused (orders, worker->id, now_us))
     return FALSE;
   guint64 wanted = quince_observer_get_version (orders->observer, model);
-  const QuinceLoadCase load = { .worker = worker->id,
-                                .model = model,
-                                .has = quince_worker_get_version (worker, model),
-                                .wanted = wanted,
-                                .named_for_us = named_for_us (orders, now_us, model, wanted) };
-  return !quince_load_plan_puts_off (plan, &load);
+  const QuincePendingLoad load = { .worker = worker->id,
+                                   .model = model,
+                                   .has = quince_worker_get_version (worker, model),
+                                   .wanted = wanted,
+                                   .version_age_us = version_age_us (orders, now_us, model, wanted) };
+  return !quince_load_plan_should_defer (plan, &load);
 }
 
 static void
@@ -260,9 +260,9 @@
   guint64 wanted = quince_observer_get_version (orders->observer, model);
   guint64 has = quince_worker_get_version (worker, model);
   gboolean fresh = has >= wanted || g_hash_table_contains (orders->loads, worker->id);
-  quince_load_turns_count (turns, model, fresh);
+  quince_load_turns_count_worker (turns, model, fresh);
   if (!fresh && may_load (orders, now_us, plan, worker, model))
-    quince_load_turns_add (turns, model, wanted - has, worker->running, worker);
+    quince_load_turns_add_candidate (turns, model, wanted - has, worker->running, worker);
 }
 
 static void
@@ -316,7 +316,7 @@
       if (worker != NULL && quince_backends_may_send (orders->backends, worker))
         take_turn (orders, now, plan, worker, turns);
     }
-  guint at_once = quince_load_window_get (&state->window, quince_load_concurrent_max (state->usable));
+  guint at_once = quince_load_window_get_size (&state->window, quince_load_concurrent_max (state->usable));
   guint loading = loads_of_service (orders, service->name);
   begin_loads (orders, turns, at_once > loading ? at_once - loading : 0,
                !has_single_version (routes, service->name));
--- a/lib/core/scaling/scale-loss.c
+++ b/lib/core/scaling/scale-loss.c
@@ -9,17 +9,17 @@
 /* Workers that disappear without an evacuation are replaced after this time, us, or after the time of a start
  * where that is longer: one that crashed, or whose entry lapsed in an outage of the store, is back earlier.
  * Not measured. */
-#define LOSS_MIN_US (3 * G_USEC_PER_SEC)
+#define LOSS_CONFIRM_MIN_US (3 * G_USEC_PER_SEC)
 /* The need for workers is the greatest of this time, us, since steps of trainers come some seconds apart. Not
  * measured. */
-#define NEED_KEEP_US (5 * G_USEC_PER_SEC)
+#define NEED_WINDOW_US (5 * G_USEC_PER_SEC)
 /* Share of the time in which work is due that is planned for: the longest texts of a step, once started, take
  * as long as all the rest.  The share itself is not measured; that samples count by it and not with a slot
  * each saved 583 paid seconds of workers with one of three zones evacuated, and all work was still done. */
-#define DUE_SHARE 0.5
+#define DEADLINE_SHARE 0.5
 /* A need that has lasted for this share of the time until a new worker is warm is expected to outlast that
  * time; where a start takes a minute a step of a few seconds orders nothing.  Not measured. */
-#define NEED_SHARE 0.25
+#define SHORTAGE_MIN_SHARE 0.25
 
 static void
 zone_free (gpointer data)
@@ -58,19 +58,19 @@
 {
   QuinceScaleZone *zone = g_new0 (QuinceScaleZone, 1);
   zone->name = g_strdup (name);
-  zone->refused_us = QUINCE_SCALE_REFUSED_MIN_US;
+  zone->refusal_pause_us = QUINCE_SCALE_REFUSAL_PAUSE_MIN_US;
   g_ptr_array_add (service->zones, zone);
   return zone;
 }
 
 guint
-quince_scale_count_zone (const QuinceScaleZone *zone)
+quince_scale_count_serving_in_zone (const QuinceScaleZone *zone)
 {
   return zone->serving + zone->spot;
 }
 
 static guint
-count_zone_initial (const QuinceScaleZone *zone)
+count_initial_in_zone (const QuinceScaleZone *zone)
 {
   return zone->initial + zone->initial_spot;
 }
@@ -80,7 +80,7 @@
 {
   guint count = 0;
   for (guint i = 0; i < service->zones->len; i++)
-    count += quince_scale_count_zone (service->zones->pdata[i]);
+    count += quince_scale_count_serving_in_zone (service->zones->pdata[i]);
   return count;
 }
 
@@ -89,7 +89,7 @@
 {
   guint count = 0;
   for (guint i = 0; i < service->zones->len; i++)
-    count += count_zone_initial (service->zones->pdata[i]);
+    count += count_initial_in_zone (service->zones->pdata[i]);
   return count;
 }
 
@@ -123,7 +123,7 @@
   guint extra_before = zone->serving > zone->initial ? zone->serving - zone->initial : 0;
   guint extra = serving > zone->initial ? serving - zone->initial : 0;
   guint added = count_added (service);
-  guint replaceable = service->seen_lost > added ? service->seen_lost - added : 0;
+  guint replaceable = service->recent_lost > added ? service->recent_lost - added : 0;
   if (replaces && extra > extra_before)
     zone->added += MIN (extra - extra_before, replaceable);
   /* Workers that go are counted off the added ones first, so that none is given back twice. */
@@ -139,13 +139,13 @@
              gboolean replaces,
              gint64 now_us)
 {
-  guint before = quince_scale_count_zone (zone);
+  guint before = quince_scale_count_serving_in_zone (zone);
   guint serving = seen != NULL ? seen->serving : 0;
   zone->spot = seen != NULL ? MIN (seen->spot, serving) : 0;
   count_arrivals (service, zone, serving - zone->spot, replaces);
   if (seen != NULL)
     zone->evacuated = seen->evacuated;
-  if (quince_scale_count_zone (zone) != before)
+  if (quince_scale_count_serving_in_zone (zone) != before)
     service->changed_us = now_us;
 }
 
@@ -155,12 +155,12 @@
 {
   guint lost = quince_scale_count_lost (service);
   if (lost > 0)
-    service->seen_lost_us = now_us;
-  service->seen_lost = MAX (service->seen_lost, lost);
-  gint64 keep_us = (gint64)scaling->boot_ms * 1000 + QUINCE_SCALE_LISTING_US;
-  gboolean recently = service->seen_lost_us != 0 && now_us - service->seen_lost_us <= keep_us;
+    service->last_lost_us = now_us;
+  service->recent_lost = MAX (service->recent_lost, lost);
+  gint64 keep_us = (gint64)scaling->boot_ms * 1000 + QUINCE_SCALE_LISTING_DELAY_US;
+  gboolean recently = service->last_lost_us != 0 && now_us - service->last_lost_us <= keep_us;
   if (!recently)
-    service->seen_lost = 0;
+    service->recent_lost = 0;
   return recently;
 }
 
@@ -200,9 +200,9 @@
 }
 
 static void
-note_needed (QuinceScaleService *service, guint needed, gint64 now_us)
+record_needed (QuinceScaleService *service, guint needed, gint64 now_us)
 {
-  if (needed < service->needed && now_us - service->needed_us < NEED_KEEP_US)
+  if (needed < service->needed && now_us - service->needed_us < NEED_WINDOW_US)
     return;
   service->needed = needed;
   service->needed_us = now_us;
@@ -226,15 +226,15 @@
   for (guint i = 0; i < service->zones->len; i++)
     {
       const QuinceScaleZone *zone = service->zones->pdata[i];
-      count += zone->evacuated ? count_zone_initial (zone) : 0;
+      count += zone->evacuated ? count_initial_in_zone (zone) : 0;
     }
   return count;
 }
 
 guint
-quince_scale_count_pending_in (const QuinceScaleZone *zone, gint64 now_us)
+quince_scale_count_pending_in_zone (const QuinceScaleZone *zone, gint64 now_us)
 {
-  gboolean pending = zone->desired > zone->serving && now_us < zone->listed_us;
+  gboolean pending = zone->desired > zone->serving && now_us < zone->listing_deadline_us;
   return pending ? zone->desired - zone->serving : 0;
 }
 
@@ -243,29 +243,29 @@
 {
   guint count = 0;
   for (guint i = 0; i < service->zones->len; i++)
-    count += quince_scale_count_pending_in (service->zones->pdata[i], now_us);
+    count += quince_scale_count_pending_in_zone (service->zones->pdata[i], now_us);
   return count;
 }
 
 /* Of @gone workers that disappeared without an evacuation, those that don't come back: the fewest that were
  * gone at any moment of the time @wait_us in which they would. */
 static guint
-count_lost_for_good (QuinceScaleService *service, guint gone, gint64 wait_us, gint64 now_us)
+count_permanently_lost (QuinceScaleService *service, guint gone, gint64 wait_us, gint64 now_us)
 {
-  service->lost_for_good = MIN (service->lost_for_good, gone);
+  service->permanently_lost = MIN (service->permanently_lost, gone);
   if (service->lost_us == 0 || gone == 0)
     {
       service->lost_us = gone > 0 ? now_us : 0;
-      service->lost_least = gone;
-      return service->lost_for_good;
+      service->lost_min = gone;
+      return service->permanently_lost;
     }
-  service->lost_least = MIN (service->lost_least, gone);
+  service->lost_min = MIN (service->lost_min, gone);
   if (now_us - service->lost_us < wait_us)
-    return service->lost_for_good;
-  service->lost_for_good = service->lost_least;
+    return service->permanently_lost;
+  service->permanently_lost = service->lost_min;
   service->lost_us = now_us;
-  service->lost_least = gone;
-  return service->lost_for_good;
+  service->lost_min = gone;
+  return service->permanently_lost;
 }
 
 guint
@@ -273,28 +273,28 @@
 {
   guint lost = quince_scale_count_lost (service);
   guint evacuated = MIN (count_evacuated (service), lost);
-  gint64 wait_us = MAX ((gint64)scaling->boot_ms * 1000, LOSS_MIN_US);
-  lost = evacuated + count_lost_for_good (service, lost - evacuated, wait_us, now_us);
+  gint64 wait_us = MAX ((gint64)scaling->boot_ms * 1000, LOSS_CONFIRM_MIN_US);
+  lost = evacuated + count_permanently_lost (service, lost - evacuated, wait_us, now_us);
   guint serving = quince_scale_count_serving (service);
   guint busy = service->needed > serving ? service->needed - serving : 0;
   return MIN (lost, busy);
 }
 
 gboolean
-quince_scale_will_last (QuinceScaleService *service,
-                        const QuinceService *configured,
-                        guint missing,
-                        gint64 now_us)
+quince_scale_shortage_persists (QuinceScaleService *service,
+                                const QuinceService *configured,
+                                guint missing,
+                                gint64 now_us)
 {
   if (missing == 0)
     {
-      service->short_us = 0;
+      service->shortage_since_us = 0;
       return FALSE;
     }
-  if (service->short_us == 0)
-    service->short_us = now_us;
+  if (service->shortage_since_us == 0)
+    service->shortage_since_us = now_us;
   gint64 warm_us = ((gint64)configured->scaling->boot_ms + configured->cold_start_ms) * 1000;
-  return now_us - service->short_us >= (gint64)(NEED_SHARE * (double)warm_us);
+  return now_us - service->shortage_since_us >= (gint64)(SHORTAGE_MIN_SHARE * (double)warm_us);
 }
 
 void
@@ -306,13 +306,13 @@
 {
   update_zones (service, scaling, zones, now_us);
   learn (service, now_us);
-  note_needed (service, needed, now_us);
+  record_needed (service, needed, now_us);
 }
 
 double
 quince_scale_slots_needed (gint64 work_us, gint64 age_us, gint64 due_us)
 {
-  double left_us = DUE_SHARE * (double)due_us - (double)age_us;
+  double left_us = DEADLINE_SHARE * (double)due_us - (double)age_us;
   if (work_us <= 0 || due_us <= 0 || left_us <= (double)work_us)
     return 1;
   return (double)work_us / left_us;
--- a/lib/core/scaling/scale-plan-private.h
+++ b/lib/core/scaling/scale-plan-private.h
@@ -10,10 +10,10 @@
 
 /* Time beyond a worker's start until it is listed, us: its first heartbeat and the next read of the list (0.6
  * s). Not measured. */
-#define QUINCE_SCALE_LISTING_US (2 * G_USEC_PER_SEC)
+#define QUINCE_SCALE_LISTING_DELAY_US (2 * G_USEC_PER_SEC)
 /* Pause after a refused order, us, doubled with each further refusal.  Not measured: a start takes seconds,
  * so an earlier attempt would gain little. */
-#define QUINCE_SCALE_REFUSED_MIN_US (2 * G_USEC_PER_SEC)
+#define QUINCE_SCALE_REFUSAL_PAUSE_MIN_US (2 * G_USEC_PER_SEC)
 
 /* One zone of a service. */
 typedef struct
@@ -27,11 +27,11 @@
   guint initial_spot; /* the same when the plan learned the service */
 
   /* Orders of this process since it leads. */
-  guint desired;        /* count of the last order; 0: none */
-  gint64 listed_us;     /* workers that were ordered are listed by then, or don't come */
-  gint64 not_before_us; /* no order before, after a refusal */
-  gint64 refused_us;    /* pause after the next refusal */
-  gboolean repeat;      /* the last order may not have been accepted */
+  guint desired;              /* count of the last order; 0: none */
+  gint64 listing_deadline_us; /* workers that were ordered are listed by then, or don't come */
+  gint64 not_before_us;       /* no order before, after a refusal */
+  gint64 refusal_pause_us;    /* pause after the next refusal */
+  gboolean repeat;            /* the last order may not have been accepted */
 } QuinceScaleZone;
 
 /* One service. */
@@ -42,14 +42,14 @@
   gint64 changed_us;   /* when the count of a zone last changed */
   guint needed;        /* most workers that open work needed lately */
   gint64 needed_us;    /* when it was noted */
-  gint64 seen_lost_us; /* when workers were last lost; 0: never */
-  guint seen_lost;  /* most workers lost at once lately; at most this many arrivals count as replacements */
-  gint64 lost_us;   /* start of the wait for lost workers to come back; 0: none are lost */
-  guint lost_least; /* fewest lost at any moment since lost_us */
-  guint lost_for_good;  /* result of the last full wait: workers that will not come back */
-  gint64 short_us;      /* since when workers are missing; 0: none are */
-  gint64 spare_us;      /* since when there are too many; 0: there are not */
-  gint64 not_before_us; /* no order before, for any zone */
+  gint64 last_lost_us; /* when workers were last lost; 0: never */
+  guint recent_lost; /* most workers lost at once lately; at most this many arrivals count as replacements */
+  gint64 lost_us;    /* start of the wait for lost workers to come back; 0: none are lost */
+  guint lost_min;    /* fewest lost at any moment since lost_us */
+  guint permanently_lost;   /* result of the last full wait: workers that will not come back */
+  gint64 shortage_since_us; /* since when workers are missing; 0: none are */
+  gint64 surplus_since_us;  /* since when there are too many; 0: there are not */
+  gint64 not_before_us;     /* no order before, for any zone */
 } QuinceScaleService;
 
 QuinceScaleService *quince_scale_service_new (void);
@@ -57,13 +57,13 @@
 /* Returns: (transfer none) (nullable) */
 QuinceScaleZone *quince_scale_find_zone (const QuinceScaleService *service, const char *name);
 /* Workers that serve, spot workers included: in a zone, in all zones, and in all zones initially. */
-guint quince_scale_count_zone (const QuinceScaleZone *zone);
+guint quince_scale_count_serving_in_zone (const QuinceScaleZone *zone);
 guint quince_scale_count_serving (const QuinceScaleService *service);
 guint quince_scale_count_initial (const QuinceScaleService *service);
 /* Initial workers that don't serve now; 0 while the initial ones aren't known. */
 guint quince_scale_count_lost (const QuinceScaleService *service);
 /* Workers that were ordered and are still to be listed: in a zone, and in all zones. */
-guint quince_scale_count_pending_in (const QuinceScaleZone *zone, gint64 now_us);
+guint quince_scale_count_pending_in_zone (const QuinceScaleZone *zone, gint64 now_us);
 guint quince_scale_count_pending (const QuinceScaleService *service, gint64 now_us);
 /* Takes the list of workers; to be called at each step, before the functions below.
  * @zones: (element-type QuinceZoneWorkers); @needed: as in quince_scale_plan_step() */
@@ -76,7 +76,7 @@
 guint quince_scale_count_missing (QuinceScaleService *service, const QuinceScaling *scaling, gint64 now_us);
 /* Whether @missing workers have been needed for so long that one that is ordered now is expected to be of
  * use; to be called at each step. */
-gboolean quince_scale_will_last (QuinceScaleService *service,
-                                 const QuinceService *configured,
-                                 guint missing,
-                                 gint64 now_us);
+gboolean quince_scale_shortage_persists (QuinceScaleService *service,
+                                         const QuinceService *configured,
+                                         guint missing,
+                                         gint64 now_us);
--- a/lib/core/scaling/scale-plan.c
+++ b/lib/core/scaling/scale-plan.c
@@ -4,22 +4,23 @@
 #include "scale-plan-private.h"
 
 /* Shortest time between two orders for one service, us: at most two a second.  Not measured. */
-#define ORDER_PAUSE_US (500 * 1000)
-/* Longest pause after a refused order, us: three doublings of QUINCE_SCALE_REFUSED_MIN_US.  Not measured. */
-#define REFUSED_MAX_US (16 * G_USEC_PER_SEC)
+#define ORDER_INTERVAL_MIN_US (500 * 1000)
+/* Longest pause after a refused order, us: three doublings of QUINCE_SCALE_REFUSAL_PAUSE_MIN_US.  Not
+ * measured. */
+#define REFUSAL_PAUSE_MAX_US (16 * G_USEC_PER_SEC)
 /* Workers are given back once there have been too many for this time, us, so that a zone that comes and goes
  * doesn't make added workers come and go.  Not measured. */
-#define SPARE_US (8 * G_USEC_PER_SEC)
+#define SURPLUS_HOLD_US (8 * G_USEC_PER_SEC)
 /* Time from one part that is given back to the next, us: workers that came back are cold at first.  Not
  * measured. */
-#define GIVE_BACK_PAUSE_US (2 * G_USEC_PER_SEC)
+#define RELEASE_INTERVAL_US (2 * G_USEC_PER_SEC)
 /* In how many parts the added workers of a zone are given back.  Not measured. */
-#define GIVE_BACK_PARTS 4
+#define RELEASE_STEPS 4
 
 struct _QuinceScalePlan
 {
-  GHashTable *services; /* QuinceScaleService by name, both owned */
-  gint64 led_us;        /* when this process began to lead */
+  GHashTable *services;   /* QuinceScaleService by name, both owned */
+  gint64 leader_since_us; /* when this process began to lead */
 };
 
 /* A zone and the price of its workers, relative to the usual price. */
@@ -27,7 +28,7 @@
 {
   QuinceScaleZone *zone;
   double price;
-} Offer;
+} PricedZone;
 
 static void
 service_free (gpointer data)
@@ -72,7 +73,7 @@
 /* ---- Where to order ----------------------------------------------------- */
 
 static double
-price_of_zone (const QuinceScaling *scaling, const char *zone)
+get_zone_price (const QuinceScaling *scaling, const char *zone)
 {
   for (guint i = 0; i < scaling->prices->len; i++)
     {
@@ -86,22 +87,22 @@
 static gint
 compare_prices (gconstpointer a, gconstpointer b)
 {
-  const Offer *first = a;
-  const Offer *second = b;
+  const PricedZone *first = a;
+  const PricedZone *second = b;
   if (first->price != second->price)
     return first->price < second->price ? -1 : 1;
   return g_strcmp0 (first->zone->name, second->zone->name);
 }
 
-/* Returns: (transfer full) (element-type Offer): all zones, cheapest first */
+/* Returns: (transfer full) (element-type PricedZone): all zones, cheapest first */
 static GArray *
-list_offers (const QuinceScaleService *service, const QuinceScaling *scaling)
+list_zones_by_price (const QuinceScaleService *service, const QuinceScaling *scaling)
 {
-  GArray *offers = g_array_new (FALSE, FALSE, sizeof (Offer));
+  GArray *offers = g_array_new (FALSE, FALSE, sizeof (PricedZone));
   for (guint i = 0; i < service->zones->len; i++)
     {
       QuinceScaleZone *zone = service->zones->pdata[i];
-      Offer offer = { zone, price_of_zone (scaling, zone->name) };
+      PricedZone offer = { zone, get_zone_price (scaling, zone->name) };
       g_array_append_val (offers, offer);
     }
   g_array_sort (offers, compare_prices);
@@ -110,22 +111,22 @@
 
 /* How many more workers @zone may have by its bound, spot workers and pending ones included. */
 static guint
-count_room_in (const QuinceScaleZone *zone, const QuinceScaling *scaling, gint64 now_us)
+count_room_in_zone (const QuinceScaleZone *zone, const QuinceScaling *scaling, gint64 now_us)
 {
-  guint count = quince_scale_count_zone (zone) + quince_scale_count_pending_in (zone, now_us);
+  guint count = quince_scale_count_serving_in_zone (zone) + quince_scale_count_pending_in_zone (zone, now_us);
   return scaling->max_workers > count ? scaling->max_workers - count : 0;
 }
 
 static void
-give_order (QuinceScaleService *service,
-            QuinceScaleZone *zone,
-            guint desired,
-            gint64 now_us,
-            QuinceScaleOrder *order)
+issue_order (QuinceScaleService *service,
+             QuinceScaleZone *zone,
+             guint desired,
+             gint64 now_us,
+             QuinceScaleOrder *order)
 {
   zone->desired = desired;
   zone->repeat = FALSE;
-  service->not_before_us = now_us + ORDER_PAUSE_US;
+  service->not_before_us = now_us + ORDER_INTERVAL_MIN_US;
   order->zone = g_strdup (zone->name);
   order->desired = desired;
 }
@@ -134,23 +135,23 @@
  * might come on top of it.  An order that is no longer needed is not repeated; workers that it brought are
  * given back later. */
 static gboolean
-repeat_order (QuinceScaleService *service,
-              const QuinceScaling *scaling,
-              const GArray *offers,
-              guint missing,
-              gint64 now_us,
-              QuinceScaleOrder *order)
+retry_order (QuinceScaleService *service,
+             const QuinceScaling *scaling,
+             const GArray *offers,
+             guint missing,
+             gint64 now_us,
+             QuinceScaleOrder *order)
 {
   for (guint i = 0; i < offers->len; i++)
     {
-      QuinceScaleZone *zone = g_array_index (offers, Offer, i).zone;
+      QuinceScaleZone *zone = g_array_index (offers, PricedZone, i).zone;
       gboolean adds = zone->desired > zone->serving;
       zone->repeat = zone->repeat && adds == (missing > 0) && !zone->evacuated;
       if (!zone->repeat || now_us < zone->not_before_us)
         continue;
       if (adds)
-        zone->listed_us = now_us + (gint64)scaling->boot_ms * 1000 + QUINCE_SCALE_LISTING_US;
-      give_order (service, zone, zone->desired, now_us, order);
+        zone->listing_deadline_us = now_us + (gint64)scaling->boot_ms * 1000 + QUINCE_SCALE_LISTING_DELAY_US;
+      issue_order (service, zone, zone->desired, now_us, order);
       return TRUE;
     }
   return FALSE;
@@ -165,24 +166,24 @@
                gint64 now_us,
                QuinceScaleOrder *order)
 {
-  guint more = MIN (missing, count_room_in (zone, scaling, now_us));
+  guint more = MIN (missing, count_room_in_zone (zone, scaling, now_us));
   if (zone->evacuated || more == 0 || now_us < zone->not_before_us)
     return FALSE;
-  guint count = zone->serving + quince_scale_count_pending_in (zone, now_us);
-  zone->listed_us = now_us + (gint64)scaling->boot_ms * 1000 + QUINCE_SCALE_LISTING_US;
-  give_order (service, zone, count + more, now_us, order);
+  guint count = zone->serving + quince_scale_count_pending_in_zone (zone, now_us);
+  zone->listing_deadline_us = now_us + (gint64)scaling->boot_ms * 1000 + QUINCE_SCALE_LISTING_DELAY_US;
+  issue_order (service, zone, count + more, now_us, order);
   return TRUE;
 }
 
 /* The cheapest zone that may have more.  Zones without any worker left may be without power, so they come
  * last. */
 static gboolean
-order_more (QuinceScaleService *service,
-            const QuinceScaling *scaling,
-            const GArray *offers,
-            guint missing,
-            gint64 now_us,
-            QuinceScaleOrder *order)
+order_missing (QuinceScaleService *service,
+               const QuinceScaling *scaling,
+               const GArray *offers,
+               guint missing,
+               gint64 now_us,
+               QuinceScaleOrder *order)
 {
   guint pending = quince_scale_count_pending (service, now_us);
   if (missing <= pending)
@@ -190,8 +191,8 @@
   for (guint empty = 0; empty < 2; empty++)
     for (guint i = 0; i < offers->len; i++)
       {
-        QuinceScaleZone *zone = g_array_index (offers, Offer, i).zone;
-        if ((quince_scale_count_zone (zone) == 0) == (empty == 1)
+        QuinceScaleZone *zone = g_array_index (offers, PricedZone, i).zone;
+        if ((quince_scale_count_serving_in_zone (zone) == 0) == (empty == 1)
             && order_in_zone (service, scaling, zone, missing - pending, now_us, order))
           return TRUE;
       }
@@ -200,19 +201,20 @@
 
 /* ---- Giving back -------------------------------------------------------- */
 
-/* Returns: workers beyond the initial ones, once there have been some for SPARE_US and none is pending */
+/* Returns: workers beyond the initial ones, once there have been some for SURPLUS_HOLD_US and none is pending
+ */
 static guint
-count_spare (QuinceScaleService *service, gint64 now_us)
+count_surplus (QuinceScaleService *service, gint64 now_us)
 {
   guint serving = quince_scale_count_serving (service);
   guint initial = quince_scale_count_initial (service);
   gboolean too_many
       = service->learned && serving > initial && quince_scale_count_pending (service, now_us) == 0;
   if (!too_many)
-    service->spare_us = 0;
-  else if (service->spare_us == 0)
-    service->spare_us = now_us;
-  return too_many && now_us - service->spare_us >= SPARE_US ? serving - initial : 0;
+    service->surplus_since_us = 0;
+  else if (service->surplus_since_us == 0)
+    service->surplus_since_us = now_us;
+  return too_many && now_us - service->surplus_since_us >= SURPLUS_HOLD_US ? serving - initial : 0;
 }
 
 /* The dearest zone first; only added workers, and never below the zone's lower bound. */
@@ -226,16 +228,16 @@
 {
   for (guint i = offers->len; i > 0 && spare > 0; i--)
     {
-      QuinceScaleZone *zone = g_array_index (offers, Offer, i - 1).zone;
-      guint count = quince_scale_count_zone (zone);
+      QuinceScaleZone *zone = g_array_index (offers, PricedZone, i - 1).zone;
+      guint count = quince_scale_count_serving_in_zone (zone);
       guint above_least = count > scaling->min_workers ? count - scaling->min_workers : 0;
       guint returned = MIN (MIN (zone->added, zone->serving), MIN (spare, above_least));
       if (returned == 0 || now_us < zone->not_before_us)
         continue;
-      returned = MIN (returned, MAX (zone->added / GIVE_BACK_PARTS, 1));
-      zone->listed_us = 0;
-      give_order (service, zone, zone->serving - returned, now_us, order);
-      service->not_before_us = now_us + GIVE_BACK_PAUSE_US;
+      returned = MIN (returned, MAX (zone->added / RELEASE_STEPS, 1));
+      zone->listing_deadline_us = 0;
+      issue_order (service, zone, zone->serving - returned, now_us, order);
+      service->not_before_us = now_us + RELEASE_INTERVAL_US;
       return TRUE;
     }
   return FALSE;
@@ -244,29 +246,29 @@
 /* ---- Steps -------------------------------------------------------------- */
 
 static void
-forget_orders (QuinceScaleZone *zone)
+reset_orders (QuinceScaleZone *zone)
 {
   zone->desired = 0;
-  zone->listed_us = 0;
+  zone->listing_deadline_us = 0;
   zone->not_before_us = 0;
-  zone->refused_us = QUINCE_SCALE_REFUSED_MIN_US;
+  zone->refusal_pause_us = QUINCE_SCALE_REFUSAL_PAUSE_MIN_US;
   zone->repeat = FALSE;
 }
 
 void
 quince_scale_plan_lead (QuinceScalePlan *plan, gint64 now_us)
 {
-  plan->led_us = now_us;
+  plan->leader_since_us = now_us;
   GHashTableIter iter;
   gpointer value;
   g_hash_table_iter_init (&iter, plan->services);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
       QuinceScaleService *service = value;
-      service->short_us = 0;
-      service->spare_us = 0;
+      service->shortage_since_us = 0;
+      service->surplus_since_us = 0;
       for (guint i = 0; i < service->zones->len; i++)
-        forget_orders (service->zones->pdata[i]);
+        reset_orders (service->zones->pdata[i]);
     }
 }
 
@@ -282,22 +284,23 @@
   QuinceScaleService *service = find_service (plan, configured->name);
   quince_scale_update (service, scaling, zones, needed, now_us);
   guint missing = quince_scale_count_missing (service, scaling, now_us);
-  gboolean lasts = quince_scale_will_last (service, configured, missing, now_us);
-  guint spare = count_spare (service, now_us);
-  gint64 others_listed_us = plan->led_us + (gint64)scaling->boot_ms * 1000 + QUINCE_SCALE_LISTING_US;
+  gboolean lasts = quince_scale_shortage_persists (service, configured, missing, now_us);
+  guint spare = count_surplus (service, now_us);
+  gint64 others_listed_us
+      = plan->leader_since_us + (gint64)scaling->boot_ms * 1000 + QUINCE_SCALE_LISTING_DELAY_US;
   if (order == NULL || now_us < service->not_before_us || now_us < others_listed_us)
     return FALSE;
-  g_autoptr (GArray) offers = list_offers (service, scaling);
-  return repeat_order (service, scaling, offers, missing, now_us, order)
-         || (lasts && order_more (service, scaling, offers, missing, now_us, order))
+  g_autoptr (GArray) offers = list_zones_by_price (service, scaling);
+  return retry_order (service, scaling, offers, missing, now_us, order)
+         || (lasts && order_missing (service, scaling, offers, missing, now_us, order))
          || give_back (service, scaling, offers, spare, now_us, order);
 }
 
 static void
-pause_orders (QuinceScaleZone *zone, gint64 now_us)
+pause_orders_after_refusal (QuinceScaleZone *zone, gint64 now_us)
 {
-  zone->not_before_us = now_us + zone->refused_us;
-  zone->refused_us = MIN (2 * zone->refused_us, REFUSED_MAX_US);
+  zone->not_before_us = now_us + zone->refusal_pause_us;
+  zone->refusal_pause_us = MIN (2 * zone->refusal_pause_us, REFUSAL_PAUSE_MAX_US);
 }
 
 void
@@ -311,14 +314,14 @@
   QuinceScaleZone *zone = service != NULL ? quince_scale_find_zone (service, order->zone) : NULL;
   if (zone == NULL)
     return;
-  if (outcome == QUINCE_SCALE_TAKEN)
+  if (outcome == QUINCE_SCALE_ACCEPTED)
     {
-      zone->refused_us = QUINCE_SCALE_REFUSED_MIN_US;
+      zone->refusal_pause_us = QUINCE_SCALE_REFUSAL_PAUSE_MIN_US;
       return;
     }
-  pause_orders (zone, now_us);
-  if (outcome == QUINCE_SCALE_NONE_THERE)
-    zone->listed_us = 0;
+  pause_orders_after_refusal (zone, now_us);
+  if (outcome == QUINCE_SCALE_NO_CAPACITY)
+    zone->listing_deadline_us = 0;
   else
     zone->repeat = TRUE;
 }
--- a/lib/core/scaling/scale-plan.h
+++ b/lib/core/scaling/scale-plan.h
@@ -36,9 +36,9 @@
 
 typedef enum
 {
-  QUINCE_SCALE_TAKEN,      /* accepted: the workers start */
-  QUINCE_SCALE_NONE_THERE, /* refused: the zone has no capacity now */
-  QUINCE_SCALE_UNKNOWN,    /* no answer, or an unclear one: it may have been accepted */
+  QUINCE_SCALE_ACCEPTED,    /* accepted: the workers start */
+  QUINCE_SCALE_NO_CAPACITY, /* refused: the zone has no capacity now */
+  QUINCE_SCALE_UNKNOWN,     /* no answer, or an unclear one: it may have been accepted */
 } QuinceScaleOutcome;
 
 typedef struct _QuinceScalePlan QuinceScalePlan;
@@ -50,7 +50,7 @@
 void quince_scale_order_clear (QuinceScaleOrder *order);
 
 /* This process orders from now on.  Workers that a former leader ordered may not be listed yet, so nothing is
- * ordered for the time in which they must be (the time of a start and QUINCE_SCALE_LISTING_US). */
+ * ordered for the time in which they must be (the time of a start and QUINCE_SCALE_LISTING_DELAY_US). */
 void quince_scale_plan_lead (QuinceScalePlan *plan, gint64 now_us);
 
 /**
--- a/lib/core/weights/load-plan.c
+++ b/lib/core/weights/load-plan.c
@@ -6,15 +6,15 @@
 /* Duration of a run, us, from which on its worker's load waits: it may be the last run of its step, and a
  * load under it makes the step later by as much.  Twice the second that a load takes; measured with the whole
  * rule: 7.0 s in place of 8.0 s for a step (unit test load-plan). */
-#define LONG_RUN_US (2 * G_USEC_PER_SEC)
+#define LONG_RUN_MIN_US (2 * G_USEC_PER_SEC)
 /* Time after a version was named in which no worker that still serves loads it, us: the trainer's next batch
  * comes 0.1 to 0.3 s later, and its samples are to find the workers open. */
-#define NEXT_STEP_US (400 * 1000)
+#define NEXT_STEP_WAIT_US (400 * 1000)
 /* Longest time for which a load waits, us: the next version would make the worker useless all at once.  Not
  * measured: about two steps of the users' trainers. */
-#define PUT_OFF_MAX_US (8 * G_USEC_PER_SEC)
+#define DEFER_MAX_US (8 * G_USEC_PER_SEC)
 /* Versions that a worker may be behind and still serve the next step: the users' trainers allow one. */
-#define BEHIND_MAX 1
+#define VERSIONS_BEHIND_MAX 1
 
 typedef struct
 {
@@ -48,10 +48,10 @@
 }
 
 void
-quince_load_plan_note_sample (QuinceLoadPlan *plan,
-                              const char *model,
-                              guint64 minimum_version,
-                              gboolean waits)
+quince_load_plan_record_sample (QuinceLoadPlan *plan,
+                                const char *model,
+                                guint64 minimum_version,
+                                gboolean waits)
 {
   ModelWork *work = g_hash_table_lookup (plan->models, model);
   if (work == NULL)
@@ -64,7 +64,7 @@
 }
 
 void
-quince_load_plan_note_run (QuinceLoadPlan *plan, const char *worker, gint64 lasts_us)
+quince_load_plan_record_run (QuinceLoadPlan *plan, const char *worker, gint64 lasts_us)
 {
   gint64 *longest = g_hash_table_lookup (plan->longest, worker);
   if (longest == NULL)
@@ -75,19 +75,19 @@
 
 /* Open samples can run there, and so can samples of the next step. */
 static gboolean
-still_serves (const ModelWork *work, const QuinceLoadCase *load)
+can_serve_next_step (const ModelWork *work, const QuincePendingLoad *load)
 {
-  return load->has > 0 && load->wanted - load->has <= BEHIND_MAX
+  return load->has > 0 && load->wanted - load->has <= VERSIONS_BEHIND_MAX
          && (work == NULL || load->has >= work->needed);
 }
 
 gboolean
-quince_load_plan_puts_off (const QuinceLoadPlan *plan, const QuinceLoadCase *load)
+quince_load_plan_should_defer (const QuinceLoadPlan *plan, const QuincePendingLoad *load)
 {
   const ModelWork *work = g_hash_table_lookup (plan->models, load->model);
   const gint64 *longest = g_hash_table_lookup (plan->longest, load->worker);
-  if (!still_serves (work, load) || load->named_for_us >= PUT_OFF_MAX_US)
+  if (!can_serve_next_step (work, load) || load->version_age_us >= DEFER_MAX_US)
     return FALSE;
-  return load->named_for_us < NEXT_STEP_US || (work != NULL && work->waiting > 0)
-         || (longest != NULL && *longest >= LONG_RUN_US);
+  return load->version_age_us < NEXT_STEP_WAIT_US || (work != NULL && work->waiting > 0)
+         || (longest != NULL && *longest >= LONG_RUN_MIN_US);
 }
--- a/lib/core/weights/load-plan.h
+++ b/lib/core/weights/load-plan.h
@@ -19,20 +19,20 @@
 void quince_load_plan_free (QuinceLoadPlan *plan);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (QuinceLoadPlan, quince_load_plan_free)
 /* A sample of @model is not done, and needs @minimum_version or newer; @waits: it has no worker yet. */
-void quince_load_plan_note_sample (QuinceLoadPlan *plan,
-                                   const char *model,
-                                   guint64 minimum_version,
-                                   gboolean waits);
+void quince_load_plan_record_sample (QuinceLoadPlan *plan,
+                                     const char *model,
+                                     guint64 minimum_version,
+                                     gboolean waits);
 /* A sample runs at @worker and is expected to take @lasts_us from its start to its end. */
-void quince_load_plan_note_run (QuinceLoadPlan *plan, const char *worker, gint64 lasts_us);
+void quince_load_plan_record_run (QuinceLoadPlan *plan, const char *worker, gint64 lasts_us);
 
 /**
- * QuinceLoadCase:
+ * QuincePendingLoad:
  * @worker: id
  * @model: that it is to serve
  * @has: version that it has of it
  * @wanted: version that was named last
- * @named_for_us: since when @wanted is known here
+ * @version_age_us: since when @wanted is known here
  */
 typedef struct
 {
@@ -40,10 +40,10 @@
   const char *model;
   guint64 has;
   guint64 wanted;
-  gint64 named_for_us;
-} QuinceLoadCase;
+  gint64 version_age_us;
+} QuincePendingLoad;
 
 /* Whether the load of a worker that is behind is put off. */
-gboolean quince_load_plan_puts_off (const QuinceLoadPlan *plan, const QuinceLoadCase *load);
+gboolean quince_load_plan_should_defer (const QuinceLoadPlan *plan, const QuincePendingLoad *load);
 
 G_END_DECLS
--- a/lib/core/weights/load-turns.c
+++ b/lib/core/weights/load-turns.c
@@ -64,7 +64,7 @@
 }
 
 void
-quince_load_turns_count (QuinceLoadTurns *turns, const char *model, gboolean fresh)
+quince_load_turns_count_worker (QuinceLoadTurns *turns, const char *model, gboolean fresh)
 {
   Model *found = find_model (turns, model);
   found->workers++;
@@ -72,11 +72,11 @@
 }
 
 void
-quince_load_turns_add (QuinceLoadTurns *turns,
-                       const char *model,
-                       guint64 behind,
-                       guint running,
-                       gpointer worker)
+quince_load_turns_add_candidate (QuinceLoadTurns *turns,
+                                 const char *model,
+                                 guint64 behind,
+                                 guint running,
+                                 gpointer worker)
 {
   Model *found = find_model (turns, model);
   const Candidate added = { behind, running, worker };
@@ -86,7 +86,7 @@
 
 /* The next one last. */
 static gint
-compare_candidates (gconstpointer a, gconstpointer b)
+compare_priority (gconstpointer a, gconstpointer b)
 {
   const Candidate *first = a;
   const Candidate *second = b;
@@ -96,7 +96,7 @@
 }
 
 static double
-fresh_part (const Model *model)
+get_up_to_date_share (const Model *model)
 {
   return (double)model->fresh / MAX (model->workers, 1);
 }
@@ -108,13 +108,14 @@
   for (guint i = 0; i < turns->models->len; i++)
     {
       Model *model = turns->models->pdata[i];
-      if (model->candidates->len > 0 && (next == NULL || fresh_part (model) < fresh_part (next)))
+      if (model->candidates->len > 0
+          && (next == NULL || get_up_to_date_share (model) < get_up_to_date_share (next)))
         next = model;
     }
   if (next == NULL)
     return NULL;
   if (!next->sorted)
-    g_array_sort (next->candidates, compare_candidates);
+    g_array_sort (next->candidates, compare_priority);
   next->sorted = TRUE;
   const Candidate *last = &g_array_index (next->candidates, Candidate, next->candidates->len - 1);
   gpointer worker = last->worker;
--- a/lib/core/weights/load-window.c
+++ b/lib/core/weights/load-window.c
@@ -5,48 +5,48 @@
 
 /* Loads at once before any has ended, within the bound of the service.  Not measured: a source of weights
  * that is too slow for so many shows it within one load. */
-#define START_LOADS 8
+#define INITIAL_LOADS 8
 /* Shortest time of a load that counts, us: a load alone takes 0.9 s (measured); a shorter one found the
  * version there already. */
-#define ALONE_MIN_US (900 * 1000)
+#define COUNTED_LOAD_MIN_US (900 * 1000)
 /* Times the duration of a load alone from which on it was slowed down by others.  Reports lag by 0.1 s, and a
  * late poll adds as much. */
-#define SLOW_TIMES 1.5
+#define SLOW_LOAD_FACTOR 1.5
 /* Growth of the number of loads for each load that was not slow, before the first slow one: it doubles with
  * each round. */
-#define GROWTH_FIRST 1.0
+#define INITIAL_GROWTH 1.0
 /* The same after the first slow one: a tenth.  Not measured. */
 #define GROWTH 0.1
 /* Part of the number that is left after a slow load.  Not measured. */
-#define SHRINK 0.7
+#define SHRINK_FACTOR 0.7
 
 static double
 size_of (const QuinceLoadWindow *window)
 {
-  return window->size > 0 ? window->size : START_LOADS;
+  return window->size > 0 ? window->size : INITIAL_LOADS;
 }
 
 guint
-quince_load_window_get (const QuinceLoadWindow *window, guint most)
+quince_load_window_get_size (const QuinceLoadWindow *window, guint most)
 {
   return MAX (MIN ((guint)size_of (window), most), 1);
 }
 
 void
-quince_load_window_note (QuinceLoadWindow *window, gint64 now_us, gint64 began_us, guint most)
+quince_load_window_record_load (QuinceLoadWindow *window, gint64 now_us, gint64 began_us, guint most)
 {
   gint64 took_us = now_us - began_us;
-  if (took_us < ALONE_MIN_US)
+  if (took_us < COUNTED_LOAD_MIN_US)
     return;
   /* One that is alone is no slower than others make it: a greater model, or slower storage. */
-  gboolean alone = window->alone_us == 0 || size_of (window) <= 1;
-  window->alone_us = alone ? took_us : MIN (window->alone_us, took_us);
-  double growth = window->shrunk_us == 0 ? GROWTH_FIRST : GROWTH;
-  if ((double)took_us <= SLOW_TIMES * (double)window->alone_us)
+  gboolean alone = window->baseline_us == 0 || size_of (window) <= 1;
+  window->baseline_us = alone ? took_us : MIN (window->baseline_us, took_us);
+  double growth = window->shrunk_us == 0 ? INITIAL_GROWTH : GROWTH;
+  if ((double)took_us <= SLOW_LOAD_FACTOR * (double)window->baseline_us)
     window->size = MAX (size_of (window), MIN (size_of (window) + growth, most));
   else if (began_us >= window->shrunk_us)
     {
-      window->size = MAX (MIN (size_of (window), MAX (most, 1)) * SHRINK, 1);
+      window->size = MAX (MIN (size_of (window), MAX (most, 1)) * SHRINK_FACTOR, 1);
       window->shrunk_us = now_us;
     }
 }
--- a/lib/core/weights/model-placement.c
+++ b/lib/core/weights/model-placement.c
@@ -7,11 +7,11 @@
 
 /* Time after its last step from which on a model's demand fades, us.  Not measured: above the deadline of a
  * step (12 s). */
-#define STEP_KEEP_US (15 * G_USEC_PER_SEC)
+#define DEMAND_KEEP_US (15 * G_USEC_PER_SEC)
 /* Time in which it halves then, us.  Not measured. */
-#define HALF_LIFE_US (12 * G_USEC_PER_SEC)
+#define DEMAND_HALF_LIFE_US (12 * G_USEC_PER_SEC)
 /* Time between two moves of workers, us.  Not measured. */
-#define MOVE_EVERY_US (2 * G_USEC_PER_SEC)
+#define MOVE_INTERVAL_US (2 * G_USEC_PER_SEC)
 /* Weight of the newest step in the smoothed work and lateness of a model's steps.  Not measured. */
 #define NEWEST_STEP_WEIGHT 0.5
 /* Least lateness of a step that counts, as a part of its deadline.  Not measured. */
@@ -21,21 +21,21 @@
 #define LATENESS_MAX 2.0
 /* Part of a worker that a model must lack before one moves to it.  Not measured: keeps workers from moving to
  * and fro. */
-#define LACK_MIN 0.6
+#define DEFICIT_MIN 0.6
 /* Part of a worker that the other model must have beyond its share.  Not measured. */
 #define SURPLUS_MIN 0.4
 /* Part of a worker that a model must lack to get one from the reserve: anything at all. */
-#define LACK_ANY 0.01
+#define RESERVE_DEFICIT_MIN 0.01
 /* Workers of every model where there are enough: one may be slow or lost.  Not measured. */
-#define EACH_MIN 2
+#define WORKERS_PER_MODEL_MIN 2
 /* Time in which the remembered peak of a model's samples halves, us.  Not measured. */
 #define PEAK_HALF_LIFE_US (60 * G_USEC_PER_SEC)
 /* Room above that peak, as a factor.  Not measured. */
-#define PEAK_ROOM 1.5
+#define PEAK_HEADROOM 1.5
 /* Workers of a model beyond what its samples can fill.  Not measured. */
 #define SPARE 2
 /* Workers beyond its share from which on one goes to the reserve.  Not measured: more than the spare ones. */
-#define RELEASE_SURPLUS 3
+#define RELEASE_SURPLUS_MIN 3
 /* Time after which the placement of a worker that is not listed is forgotten, us.  Not measured. */
 #define PLACEMENT_KEEP_US (60 * G_USEC_PER_SEC)
 
@@ -51,27 +51,27 @@
 {
   char *model;
   gint64 seen_us;
-} Placed;
+} Assignment;
 
 struct _QuinceModelPlacement
 {
   GHashTable *demand;    /* Demand by model, owned */
-  GHashTable *placement; /* Placed by worker id, owned */
-  gint64 move_after_us;
+  GHashTable *placement; /* Assignment by worker id, owned */
+  gint64 next_move_us;
 };
 
 /* One model while placement are dealt out. */
 typedef struct
 {
   const char *model;
-  double ideal;
+  double target_workers;
   guint count;
 } Share;
 
 static void
 assignment_free (gpointer data)
 {
-  Placed *model = data;
+  Assignment *model = data;
   g_free (model->model);
   g_free (model);
 }
@@ -96,24 +96,24 @@
 }
 
 static double
-demand_of (QuinceModelPlacement *placement, gint64 now_us, const char *model)
+get_demand (QuinceModelPlacement *placement, gint64 now_us, const char *model)
 {
   const Demand *demand = g_hash_table_lookup (placement->demand, model);
   if (demand == NULL)
     return 0;
-  gint64 idle_us = MAX (now_us - demand->at_us - STEP_KEEP_US, 0);
-  return demand->tokens * exp2 (-(double)idle_us / HALF_LIFE_US);
+  gint64 idle_us = MAX (now_us - demand->at_us - DEMAND_KEEP_US, 0);
+  return demand->tokens * exp2 (-(double)idle_us / DEMAND_HALF_LIFE_US);
 }
 
 static double
-peak_of (QuinceModelPlacement *placement, gint64 now_us, const char *model)
+get_peak (QuinceModelPlacement *placement, gint64 now_us, const char *model)
 {
   const Demand *demand = g_hash_table_lookup (placement->demand, model);
   return demand != NULL ? demand->peak * exp2 (-(double)(now_us - demand->at_us) / PEAK_HALF_LIFE_US) : 0;
 }
 
 static double
-lateness_of (QuinceModelPlacement *placement, const char *model)
+get_lateness (QuinceModelPlacement *placement, const char *model)
 {
   const Demand *demand = g_hash_table_lookup (placement->demand, model);
   return demand != NULL && demand->lateness > 0 ? demand->lateness : 1;
@@ -126,10 +126,10 @@
 }
 
 void
-quince_model_placement_note_step (QuinceModelPlacement *placement,
-                                  const char *model,
-                                  gint64 took_us,
-                                  gint64 due_us)
+quince_model_placement_record_step (QuinceModelPlacement *placement,
+                                    const char *model,
+                                    gint64 took_us,
+                                    gint64 due_us)
 {
   Demand *demand = g_hash_table_lookup (placement->demand, model);
   if (demand == NULL || due_us <= 0)
@@ -146,8 +146,8 @@
                                    guint samples)
 {
   const Demand *before = g_hash_table_lookup (placement->demand, model);
-  const Demand next = { .tokens = smooth (demand_of (placement, now_us, model), tokens),
-                        .peak = MAX (peak_of (placement, now_us, model), samples),
+  const Demand next = { .tokens = smooth (get_demand (placement, now_us, model), tokens),
+                        .peak = MAX (get_peak (placement, now_us, model), samples),
                         .lateness = before != NULL ? before->lateness : 0,
                         .at_us = now_us };
   g_hash_table_replace (placement->demand, g_strdup (model), g_memdup2 (&next, sizeof next));
@@ -156,59 +156,61 @@
 const char *
 quince_model_placement_get (QuinceModelPlacement *placement, const char *worker)
 {
-  const Placed *model = g_hash_table_lookup (placement->placement, worker);
+  const Assignment *model = g_hash_table_lookup (placement->placement, worker);
   return model != NULL ? model->model : NULL;
 }
 
 /* ---- Shares ----------------------------------------------------------- */
 
 static double
-weight_of (QuinceModelPlacement *placement, gint64 now_us, const char *model)
+get_weighted_demand (QuinceModelPlacement *placement, gint64 now_us, const char *model)
 {
-  return demand_of (placement, now_us, model) * lateness_of (placement, model);
+  return get_demand (placement, now_us, model) * get_lateness (placement, model);
 }
 
 /* Workers that each model should have, by its part of the demand. */
 static void
-find_ideals (QuinceModelPlacement *placement, gint64 now_us, GArray *shares, guint n_workers)
+compute_targets (QuinceModelPlacement *placement, gint64 now_us, GArray *shares, guint n_workers)
 {
   double total = 0;
   for (guint i = 0; i < shares->len; i++)
-    total += weight_of (placement, now_us, g_array_index (shares, Share, i).model);
-  guint least = n_workers >= EACH_MIN * shares->len ? EACH_MIN : 1;
+    total += get_weighted_demand (placement, now_us, g_array_index (shares, Share, i).model);
+  guint least = n_workers >= WORKERS_PER_MODEL_MIN * shares->len ? WORKERS_PER_MODEL_MIN : 1;
   double rest = (double)n_workers - (double)least * shares->len;
   for (guint i = 0; i < shares->len; i++)
     {
       Share *share = &g_array_index (shares, Share, i);
-      double part = total > 0 ? weight_of (placement, now_us, share->model) / total : 1.0 / shares->len;
-      share->ideal = MAX (part * n_workers, least);
+      double part
+          = total > 0 ? get_weighted_demand (placement, now_us, share->model) / total : 1.0 / shares->len;
+      share->target_workers = MAX (part * n_workers, least);
     }
   /* What the least shares take, the others give up in proportion. */
   double above = 0;
   for (guint i = 0; i < shares->len; i++)
-    above += g_array_index (shares, Share, i).ideal - least;
+    above += g_array_index (shares, Share, i).target_workers - least;
   for (guint i = 0; i < shares->len && above > 0 && rest >= 0; i++)
     {
       Share *share = &g_array_index (shares, Share, i);
-      share->ideal = least + (share->ideal - least) * rest / above;
+      share->target_workers = least + (share->target_workers - least) * rest / above;
     }
 }
 
 /* No model gets more workers than its samples can fill. */
 static void
-cap_ideals (QuinceModelPlacement *placement, gint64 now_us, GArray *shares, guint slots)
+cap_targets (QuinceModelPlacement *placement, gint64 now_us, GArray *shares, guint slots)
 {
   for (guint i = 0; i < shares->len; i++)
     {
       Share *share = &g_array_index (shares, Share, i);
-      double peak = peak_of (placement, now_us, share->model);
+      double peak = get_peak (placement, now_us, share->model);
       if (peak > 0)
-        share->ideal = MIN (share->ideal, ceil (peak * PEAK_ROOM / MAX (slots, 1)) + SPARE);
+        share->target_workers
+            = MIN (share->target_workers, ceil (peak * PEAK_HEADROOM / MAX (slots, 1)) + SPARE);
     }
 }
 
 static Share *
-share_of (GArray *shares, const char *model)
+find_share (GArray *shares, const char *model)
 {
   for (guint i = 0; i < shares->len; i++)
     if (g_strcmp0 (g_array_index (shares, Share, i).model, model) == 0)
@@ -217,26 +219,26 @@
 }
 
 static Share *
-most_lacking (GArray *shares)
+find_largest_deficit (GArray *shares)
 {
   Share *found = NULL;
   for (guint i = 0; i < shares->len; i++)
     {
       Share *share = &g_array_index (shares, Share, i);
-      if (found == NULL || share->ideal - share->count > found->ideal - found->count)
+      if (found == NULL || share->target_workers - share->count > found->target_workers - found->count)
         found = share;
     }
   return found;
 }
 
 static Share *
-most_surplus (GArray *shares)
+find_largest_surplus (GArray *shares)
 {
   Share *found = NULL;
   for (guint i = 0; i < shares->len; i++)
     {
       Share *share = &g_array_index (shares, Share, i);
-      if (found == NULL || share->count - share->ideal > found->count - found->ideal)
+      if (found == NULL || share->count - share->target_workers > found->count - found->target_workers)
         found = share;
     }
   return found;
@@ -247,7 +249,7 @@
 static void
 set_assignment (QuinceModelPlacement *placement, gint64 now_us, const char *worker, Share *share)
 {
-  Placed *model = g_new0 (Placed, 1);
+  Assignment *model = g_new0 (Assignment, 1);
   model->model = g_strdup (share->model);
   model->seen_us = now_us;
   g_hash_table_replace (placement->placement, g_strdup (worker), model);
@@ -260,9 +262,9 @@
 {
   for (guint i = 0; i < workers->len; i++)
     {
-      Placed *model
+      Assignment *model
           = g_hash_table_lookup (placement->placement, g_array_index (workers, QuincePlacementWorker, i).id);
-      Share *share = model != NULL ? share_of (shares, model->model) : NULL;
+      Share *share = model != NULL ? find_share (shares, model->model) : NULL;
       if (share == NULL)
         continue;
       model->seen_us = now_us;
@@ -272,7 +274,7 @@
   gpointer value;
   g_hash_table_iter_init (&iter, placement->placement);
   while (g_hash_table_iter_next (&iter, NULL, &value))
-    if (now_us - ((const Placed *)value)->seen_us > PLACEMENT_KEEP_US)
+    if (now_us - ((const Assignment *)value)->seen_us > PLACEMENT_KEEP_US)
       g_hash_table_iter_remove (&iter);
 }
 
@@ -283,17 +285,18 @@
   for (guint i = 0; i < workers->len; i++)
     {
       const QuincePlacementWorker *worker = &g_array_index (workers, QuincePlacementWorker, i);
-      if (share_of (shares, quince_model_placement_get (placement, worker->id)) != NULL)
+      if (find_share (shares, quince_model_placement_get (placement, worker->id)) != NULL)
         continue;
-      Share *share = as_held ? share_of (shares, worker->held) : most_lacking (shares);
-      if (share != NULL && share->ideal - share->count >= (as_held ? LACK_MIN : LACK_ANY))
+      Share *share = as_held ? find_share (shares, worker->held) : find_largest_deficit (shares);
+      if (share != NULL
+          && share->target_workers - share->count >= (as_held ? DEFICIT_MIN : RESERVE_DEFICIT_MIN))
         set_assignment (placement, now_us, worker->id, share);
     }
 }
 
 /* Some worker whose model is @share's model. */
 static const char *
-any_of (QuinceModelPlacement *placement, const Share *share, const GArray *workers)
+find_assigned_worker (QuinceModelPlacement *placement, const Share *share, const GArray *workers)
 {
   for (guint i = 0; i < workers->len; i++)
     {
@@ -305,20 +308,21 @@
 }
 
 static void
-move_one (QuinceModelPlacement *placement, gint64 now_us, GArray *shares, const GArray *workers)
+move_worker (QuinceModelPlacement *placement, gint64 now_us, GArray *shares, const GArray *workers)
 {
-  Share *to = most_lacking (shares);
-  Share *from = most_surplus (shares);
-  gboolean lacks = to->ideal - to->count >= LACK_MIN && from->count - from->ideal >= SURPLUS_MIN;
-  gboolean idles = from->count - from->ideal >= RELEASE_SURPLUS;
-  const char *worker = lacks || idles ? any_of (placement, from, workers) : NULL;
-  if (worker == NULL || now_us < placement->move_after_us)
+  Share *to = find_largest_deficit (shares);
+  Share *from = find_largest_surplus (shares);
+  gboolean lacks
+      = to->target_workers - to->count >= DEFICIT_MIN && from->count - from->target_workers >= SURPLUS_MIN;
+  gboolean idles = from->count - from->target_workers >= RELEASE_SURPLUS_MIN;
+  const char *worker = lacks || idles ? find_assigned_worker (placement, from, workers) : NULL;
+  if (worker == NULL || now_us < placement->next_move_us)
     return;
   if (lacks)
     set_assignment (placement, now_us, worker, to);
   else
     g_hash_table_remove (placement->placement, worker);
-  placement->move_after_us = now_us + MOVE_EVERY_US;
+  placement->next_move_us = now_us + MOVE_INTERVAL_US;
 }
 
 void
@@ -337,9 +341,9 @@
       g_array_append_val (shares, share);
     }
   count_assigned (placement, now_us, shares, workers);
-  find_ideals (placement, now_us, shares, workers->len);
-  cap_ideals (placement, now_us, shares, slots);
+  compute_targets (placement, now_us, shares, workers->len);
+  cap_targets (placement, now_us, shares, slots);
   fill (placement, now_us, shares, workers, TRUE);
   fill (placement, now_us, shares, workers, FALSE);
-  move_one (placement, now_us, shares, workers);
+  move_worker (placement, now_us, shares, workers);
 }
--- a/lib/core/weights/model-placement.h
+++ b/lib/core/weights/model-placement.h
@@ -29,10 +29,10 @@
 
 /* A step of @model took @took_us where @due_us were allowed: models that are late get workers of models that
  * are early. */
-void quince_model_placement_note_step (QuinceModelPlacement *placement,
-                                       const char *model,
-                                       gint64 took_us,
-                                       gint64 due_us);
+void quince_model_placement_record_step (QuinceModelPlacement *placement,
+                                         const char *model,
+                                         gint64 took_us,
+                                         gint64 due_us);
 
 /**
  * QuincePlacementWorker:
--- a/tests/unit/test-load-plan.c
+++ b/tests/unit/test-load-plan.c
@@ -14,15 +14,15 @@
 #define LATER (1 * SECOND)
 
 static gboolean
-puts_off (const QuinceLoadPlan *plan, const char *worker, guint64 has, guint64 wanted, gint64 named_for_us)
+puts_off (const QuinceLoadPlan *plan, const char *worker, guint64 has, guint64 wanted, gint64 version_age_us)
 {
-  const QuinceLoadCase load
-      = { .worker = worker, .model = "m", .has = has, .wanted = wanted, .named_for_us = named_for_us };
-  return quince_load_plan_puts_off (plan, &load);
+  const QuincePendingLoad load
+      = { .worker = worker, .model = "m", .has = has, .wanted = wanted, .version_age_us = version_age_us };
+  return quince_load_plan_should_defer (plan, &load);
 }
 
 static void
-test_idle_worker_waits_for_the_next_step (void **state)
+test_defer_until_next_step (void **state)
 {
   g_autoptr (QuinceLoadPlan) plan = quince_load_plan_new ();
   assert_true (puts_off (plan, "w", 4, 5, 0));
@@ -30,36 +30,36 @@
 }
 
 static void
-test_useless_worker_loads_at_once (void **state)
+test_load_at_once_if_too_old (void **state)
 {
   g_autoptr (QuinceLoadPlan) plan = quince_load_plan_new ();
-  quince_load_plan_note_run (plan, "w", 6 * SECOND);
-  quince_load_plan_note_sample (plan, "m", 4, TRUE);
+  quince_load_plan_record_run (plan, "w", 6 * SECOND);
+  quince_load_plan_record_sample (plan, "m", 4, TRUE);
   assert_false (puts_off (plan, "w", 3, 5, 0));
   /* one without any weights of the model */
   assert_false (puts_off (plan, "w", 0, 1, 0));
   /* a step that allows no older weights */
-  quince_load_plan_note_sample (plan, "m", 5, TRUE);
+  quince_load_plan_record_sample (plan, "m", 5, TRUE);
   assert_false (puts_off (plan, "w", 4, 5, 0));
 }
 
 static void
-test_waiting_samples_find_workers_open (void **state)
+test_defer_while_samples_wait (void **state)
 {
   g_autoptr (QuinceLoadPlan) plan = quince_load_plan_new ();
-  quince_load_plan_note_sample (plan, "m", 4, FALSE);
+  quince_load_plan_record_sample (plan, "m", 4, FALSE);
   assert_false (puts_off (plan, "w", 4, 5, LATER));
-  quince_load_plan_note_sample (plan, "m", 4, TRUE);
+  quince_load_plan_record_sample (plan, "m", 4, TRUE);
   assert_true (puts_off (plan, "w", 4, 5, LATER));
 }
 
 static void
-test_long_run_is_not_stopped (void **state)
+test_defer_during_long_run (void **state)
 {
   g_autoptr (QuinceLoadPlan) plan = quince_load_plan_new ();
-  quince_load_plan_note_run (plan, "short", SECOND);
-  quince_load_plan_note_run (plan, "long", 6 * SECOND);
-  quince_load_plan_note_run (plan, "long", SECOND / 2);
+  quince_load_plan_record_run (plan, "short", SECOND);
+  quince_load_plan_record_run (plan, "long", 6 * SECOND);
+  quince_load_plan_record_run (plan, "long", SECOND / 2);
   assert_false (puts_off (plan, "short", 4, 5, LATER));
   assert_true (puts_off (plan, "long", 4, 5, LATER));
   /* not for ever */
@@ -83,7 +83,7 @@
 
 /* Returns: turns until the last run of the step has ended */
 static guint
-play_step (gboolean planned)
+simulate_step (gboolean planned)
 {
   guint left[WORKERS];
   guint loading[WORKERS] = { 0 };
@@ -99,7 +99,7 @@
         {
           g_autofree char *name = g_strdup_printf ("w%u", i);
           if (left[i] > 0)
-            quince_load_plan_note_run (plan, name, (gint64)total_turns (i) * TURN_US);
+            quince_load_plan_record_run (plan, name, (gint64)total_turns (i) * TURN_US);
           running += left[i] > 0;
           loads += loading[i] > 0;
         }
@@ -124,21 +124,19 @@
 
 /* 8.0 s before, 7.0 s now: the longest text alone decides. */
 static void
-test_step_ends_with_its_longest_text (void **state)
+test_deferral_shortens_step (void **state)
 {
-  assert_int_equal (play_step (FALSE), LONG_TURNS + LOAD_TURNS);
-  assert_int_equal (play_step (TRUE), LONG_TURNS);
+  assert_int_equal (simulate_step (FALSE), LONG_TURNS + LOAD_TURNS);
+  assert_int_equal (simulate_step (TRUE), LONG_TURNS);
 }
 
 int
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_idle_worker_waits_for_the_next_step),
-    cmocka_unit_test (test_useless_worker_loads_at_once),
-    cmocka_unit_test (test_waiting_samples_find_workers_open),
-    cmocka_unit_test (test_long_run_is_not_stopped),
-    cmocka_unit_test (test_step_ends_with_its_longest_text),
+    cmocka_unit_test (test_defer_until_next_step),    cmocka_unit_test (test_load_at_once_if_too_old),
+    cmocka_unit_test (test_defer_while_samples_wait), cmocka_unit_test (test_defer_during_long_run),
+    cmocka_unit_test (test_deferral_shortens_step),
   };
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/tests/unit/test-load-turns.c
+++ b/tests/unit/test-load-turns.c
@@ -13,8 +13,8 @@
 #define MODELS 3
 #define WORKERS 38
 /* Loads that are borne in a second, and seconds between the versions of each model. */
-#define LOADS_A_SECOND 10
-static const guint every_s[MODELS] = { 4, 7, 9 };
+#define LOADS_PER_SECOND 10
+static const guint version_interval_s[MODELS] = { 4, 7, 9 };
 static const char *const names[MODELS] = { "a", "b", "c" };
 
 typedef struct
@@ -33,11 +33,11 @@
     for (guint i = 0; i < WORKERS; i++)
       {
         guint64 behind = world->wanted[model] - world->has[model][i];
-        quince_load_turns_count (turns, names[model], behind == 0);
+        quince_load_turns_count_worker (turns, names[model], behind == 0);
         if (behind > 0)
-          quince_load_turns_add (turns, names[model], behind, 0, &world->has[model][i]);
+          quince_load_turns_add_candidate (turns, names[model], behind, 0, &world->has[model][i]);
       }
-  for (guint i = 0; i < LOADS_A_SECOND; i++)
+  for (guint i = 0; i < LOADS_PER_SECOND; i++)
     {
       guint64 *has = quince_load_turns_next (turns);
       if (has == NULL)
@@ -60,13 +60,13 @@
 
 /* The model that names versions most often does not take the loads of the others. */
 static void
-test_each_model_has_its_share (void **state)
+test_models_share_loads (void **state)
 {
   World world = { 0 };
   for (guint second = 1; second <= 120; second++)
     {
       for (guint model = 0; model < MODELS; model++)
-        world.wanted[model] += second % every_s[model] == 0;
+        world.wanted[model] += second % version_interval_s[model] == 0;
       load (&world);
       for (guint model = 0; model < MODELS; model++)
         if (second > 20 && serving (&world, model) < WORKERS / 3)
@@ -76,15 +76,15 @@
 }
 
 static void
-test_within_a_model (void **state)
+test_order_within_model (void **state)
 {
   g_autoptr (QuinceLoadTurns) turns = quince_load_turns_new ();
   int workers[3];
   for (guint i = 0; i < 3; i++)
-    quince_load_turns_count (turns, "a", FALSE);
-  quince_load_turns_add (turns, "a", 1, 0, &workers[0]);
-  quince_load_turns_add (turns, "a", 2, 5, &workers[1]);
-  quince_load_turns_add (turns, "a", 2, 1, &workers[2]);
+    quince_load_turns_count_worker (turns, "a", FALSE);
+  quince_load_turns_add_candidate (turns, "a", 1, 0, &workers[0]);
+  quince_load_turns_add_candidate (turns, "a", 2, 5, &workers[1]);
+  quince_load_turns_add_candidate (turns, "a", 2, 1, &workers[2]);
   assert_ptr_equal (quince_load_turns_next (turns), &workers[2]);
   assert_ptr_equal (quince_load_turns_next (turns), &workers[1]);
   assert_ptr_equal (quince_load_turns_next (turns), &workers[0]);
@@ -95,8 +95,8 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_each_model_has_its_share),
-    cmocka_unit_test (test_within_a_model),
+    cmocka_unit_test (test_models_share_loads),
+    cmocka_unit_test (test_order_within_model),
   };
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/tests/unit/test-load-window.c
+++ b/tests/unit/test-load-window.c
@@ -38,7 +38,8 @@
   gint64 took_us = world->now_us - world->began_us[i] + CHECK_INTERVAL_US;
   world->loaded++;
   world->took_us += took_us;
-  quince_load_window_note (&world->window, world->began_us[i] + took_us, world->began_us[i], world->most);
+  quince_load_window_record_load (&world->window, world->began_us[i] + took_us, world->began_us[i],
+                                  world->most);
   world->loading--;
   world->began_us[i] = world->began_us[world->loading];
   world->left_us[i] = world->left_us[world->loading];
@@ -56,7 +57,7 @@
       for (guint i = world->loading; i > 0; i--)
         if ((world->left_us[i - 1] -= pace * TURN_US) <= 0)
           load_ended (world, i - 1);
-      while (world->loading < quince_load_window_get (&world->window, world->most))
+      while (world->loading < quince_load_window_get_size (&world->window, world->most))
         {
           world->began_us[world->loading] = world->now_us;
           world->left_us[world->loading++] = ALONE_US;
@@ -74,7 +75,7 @@
 /* Ten at once are borne and the workers are thousands: loads stay short, and most of what is borne is used.
  */
 static void
-test_source_bears_few (void **state)
+test_slow_source (void **state)
 {
   World world = { .bears = 10, .most = 564, .now_us = 1 };
   run (&world, 10);
@@ -88,45 +89,45 @@
 
 /* All that are to load may load at once: it does not take long until they do. */
 static void
-test_source_bears_many (void **state)
+test_fast_source (void **state)
 {
   World world = { .bears = 1000, .most = 200, .now_us = 1 };
   run (&world, 6);
-  assert_int_equal (quince_load_window_get (&world.window, world.most), 200);
+  assert_int_equal (quince_load_window_get_size (&world.window, world.most), 200);
   assert_true (mean_us (&world) < 12 * ALONE_US / 10);
 }
 
 /* A small service keeps its bound, whatever the loads take. */
 static void
-test_few_workers (void **state)
+test_small_service (void **state)
 {
   World world = { .bears = 2, .most = 2, .now_us = 1 };
   run (&world, 20);
   assert_int_equal (world.peak, 2);
-  assert_int_equal (quince_load_window_get (&world.window, 2), 2);
-  assert_int_equal (quince_load_window_get (&world.window, 0), 1);
+  assert_int_equal (quince_load_window_get_size (&world.window, 2), 2);
+  assert_int_equal (quince_load_window_get_size (&world.window, 0), 1);
 }
 
 /* Loads that began before the number fell do not let it fall again. */
 static void
-test_one_fall_a_round (void **state)
+test_single_decrease_per_round (void **state)
 {
   QuinceLoadWindow window = { 0 };
   gint64 began = 1;
-  quince_load_window_note (&window, began + ALONE_US, began, 100);
+  quince_load_window_record_load (&window, began + ALONE_US, began, 100);
   for (guint i = 0; i < 40; i++)
-    quince_load_window_note (&window, began + 5 * ALONE_US + i, began, 100);
-  assert_true (quince_load_window_get (&window, 100) >= 6);
+    quince_load_window_record_load (&window, began + 5 * ALONE_US + i, began, 100);
+  assert_true (quince_load_window_get_size (&window, 100) >= 6);
 }
 
 int
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_source_bears_few),
-    cmocka_unit_test (test_source_bears_many),
-    cmocka_unit_test (test_few_workers),
-    cmocka_unit_test (test_one_fall_a_round),
+    cmocka_unit_test (test_slow_source),
+    cmocka_unit_test (test_fast_source),
+    cmocka_unit_test (test_small_service),
+    cmocka_unit_test (test_single_decrease_per_round),
   };
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/tests/unit/test-model-placement.c
+++ b/tests/unit/test-model-placement.c
@@ -46,7 +46,7 @@
 }
 
 static void
-test_equal_without_demand (void **state)
+test_equal_shares_without_demand (void **state)
 {
   g_autoptr (QuinceModelPlacement) placement = quince_model_placement_new ();
   g_autoptr (GPtrArray) models = names ("m", 3);
@@ -57,7 +57,7 @@
 }
 
 static void
-test_follows_demand_one_at_a_time (void **state)
+test_moves_one_worker_at_a_time (void **state)
 {
   g_autoptr (QuinceModelPlacement) placement = quince_model_placement_new ();
   g_autoptr (GPtrArray) models = names ("m", 3);
@@ -83,7 +83,7 @@
 
 /* Failed first: a worker that was taken away left its model with two, for good. */
 static void
-test_lost_worker_is_made_up_for (void **state)
+test_rebalance_after_lost_workers (void **state)
 {
   g_autoptr (QuinceModelPlacement) placement = quince_model_placement_new ();
   g_autoptr (GPtrArray) models = names ("m", 2);
@@ -116,7 +116,7 @@
 
 /* Failed first: every worker was brought to every version, however few samples there were. */
 static void
-test_reserve (void **state)
+test_surplus_workers_go_to_reserve (void **state)
 {
   g_autoptr (QuinceModelPlacement) placement = quince_model_placement_new ();
   g_autoptr (GPtrArray) models = names ("m", 1);
@@ -139,7 +139,7 @@
 
 /* A new leader leaves the workers that have the model at it. */
 static void
-test_holders_come_first (void **state)
+test_new_leader_keeps_loaded_models (void **state)
 {
   g_autoptr (QuinceModelPlacement) placement = quince_model_placement_new ();
   g_autoptr (GPtrArray) models = names ("m", 2);
@@ -162,7 +162,7 @@
 /* Failed first (by the tokens of the last seconds: 15 workers against 7): two trainers with the same work in
  * each step, of which one is through with it twice as often. */
 static void
-test_a_late_trainer_keeps_its_share (void **state)
+test_share_independent_of_step_rate (void **state)
 {
   g_autoptr (QuinceModelPlacement) placement = quince_model_placement_new ();
   g_autoptr (GPtrArray) models = names ("m", 2);
@@ -181,7 +181,7 @@
 
 /* Failed first (11 each): the same work, but the steps of one are late, and those of the other early. */
 static void
-test_late_steps_draw_workers (void **state)
+test_late_steps_get_more_workers (void **state)
 {
   g_autoptr (QuinceModelPlacement) placement = quince_model_placement_new ();
   g_autoptr (GPtrArray) models = names ("m", 2);
@@ -190,13 +190,13 @@
     {
       quince_model_placement_add_demand (placement, second * SECOND, "m0", 100, 1000);
       quince_model_placement_add_demand (placement, second * SECOND, "m1", 100, 1000);
-      quince_model_placement_note_step (placement, "m0", 4 * SECOND, 8 * SECOND);
-      quince_model_placement_note_step (placement, "m1", 10 * SECOND, 8 * SECOND);
+      quince_model_placement_record_step (placement, "m0", 4 * SECOND, 8 * SECOND);
+      quince_model_placement_record_step (placement, "m1", 10 * SECOND, 8 * SECOND);
       assign (placement, second * SECOND, models, workers);
     }
   assert_in_range (count_of (placement, workers, "m1"), 14, 16);
   /* One step that could not run says little. */
-  quince_model_placement_note_step (placement, "m0", 100 * SECOND, 8 * SECOND);
+  quince_model_placement_record_step (placement, "m0", 100 * SECOND, 8 * SECOND);
   assign (placement, 82 * SECOND, models, workers);
   assert_in_range (count_of (placement, workers, "m0"), 6, 9);
 }
@@ -205,14 +205,14 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_equal_without_demand),
-    cmocka_unit_test (test_follows_demand_one_at_a_time),
-    cmocka_unit_test (test_lost_worker_is_made_up_for),
+    cmocka_unit_test (test_equal_shares_without_demand),
+    cmocka_unit_test (test_moves_one_worker_at_a_time),
+    cmocka_unit_test (test_rebalance_after_lost_workers),
     cmocka_unit_test (test_fewer_workers_than_models),
-    cmocka_unit_test (test_reserve),
-    cmocka_unit_test (test_holders_come_first),
-    cmocka_unit_test (test_a_late_trainer_keeps_its_share),
-    cmocka_unit_test (test_late_steps_draw_workers),
+    cmocka_unit_test (test_surplus_workers_go_to_reserve),
+    cmocka_unit_test (test_new_leader_keeps_loaded_models),
+    cmocka_unit_test (test_share_independent_of_step_rate),
+    cmocka_unit_test (test_late_steps_get_more_workers),
   };
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/tests/unit/test-scale-plan.c
+++ b/tests/unit/test-scale-plan.c
@@ -10,7 +10,7 @@
 #include "core/scaling/scale-plan.h"
 
 #define ZONES 3
-#define STOOD 16
+#define INITIAL_WORKERS 16
 #define STEP_US (200 * 1000)
 #define BUSY 60 /* workers that the open work would keep busy: more than stand there */
 
@@ -56,7 +56,7 @@
     {
       QuinceZonePrice price = { g_strdup (names[i]), prices[i] };
       g_array_append_val (scaling->prices, price);
-      world->usual[i] = STOOD;
+      world->usual[i] = INITIAL_WORKERS;
     }
   world->service->scaling = scaling;
   world->now_us = 100 * G_USEC_PER_SEC;
@@ -94,7 +94,7 @@
 }
 
 static void
-take_order (World *world, QuinceScaleOrder *order)
+handle_order (World *world, QuinceScaleOrder *order)
 {
   guint zone = find (order->zone);
   guint *there = &world->usual[zone];
@@ -102,9 +102,9 @@
   world->last = *order;
   world->last.zone = (char *)names[zone];
   world->last_us = world->now_us;
-  QuinceScaleOutcome outcome = QUINCE_SCALE_TAKEN;
+  QuinceScaleOutcome outcome = QUINCE_SCALE_ACCEPTED;
   if (order->desired > *there && world->none_there[zone])
-    outcome = QUINCE_SCALE_NONE_THERE;
+    outcome = QUINCE_SCALE_NO_CAPACITY;
   else if (order->desired < *there)
     *there = order->desired;
   else
@@ -112,7 +112,7 @@
       world->coming[zone].desired = order->desired;
       world->coming[zone].at_us = world->now_us + (gint64)world->service->scaling->boot_ms * 1000;
     }
-  if (world->mute && outcome == QUINCE_SCALE_TAKEN)
+  if (world->mute && outcome == QUINCE_SCALE_ACCEPTED)
     outcome = QUINCE_SCALE_UNKNOWN;
   quince_scale_plan_order_ended (world->plan, world->now_us, "llm", order, outcome);
 }
@@ -147,7 +147,7 @@
   if (!quince_scale_plan_step (world->plan, world->now_us, world->service, zones, world->needed, &order))
     return;
   assert_true (order.desired <= world->service->scaling->max_workers);
-  take_order (world, &order);
+  handle_order (world, &order);
   quince_scale_order_clear (&order);
 }
 
@@ -190,28 +190,28 @@
   run (world, 3);
   assert_int_equal (world->orders, 1);
   assert_string_equal (world->last.zone, "a");
-  assert_int_equal (world->last.desired, 2 * STOOD);
+  assert_int_equal (world->last.desired, 2 * INITIAL_WORKERS);
   run (world, 30);
   assert_int_equal (world->orders, 1);
-  assert_int_equal (serving (world), ZONES * STOOD);
+  assert_int_equal (serving (world), ZONES * INITIAL_WORKERS);
   world_free (world);
 }
 
 /* A zone's workers vanish: nothing is ordered in it, and nothing at all if they are soon back. */
 static void
-test_lost_zone (void **state)
+test_replace_vanished_zone (void **state)
 {
   World *world = settled_world (4000);
   world->usual[0] = 0;
   run (world, 3);
-  world->usual[0] = STOOD;
+  world->usual[0] = INITIAL_WORKERS;
   run (world, 20);
   assert_int_equal (world->orders, 0);
   world->usual[0] = 0;
   run (world, 20);
   assert_int_equal (world->orders, 1);
   assert_string_equal (world->last.zone, "c");
-  assert_int_equal (serving (world), ZONES * STOOD);
+  assert_int_equal (serving (world), ZONES * INITIAL_WORKERS);
   world_free (world);
 }
 
@@ -232,25 +232,25 @@
     world->usual[i] -= 3;
   run (world, 20);
   assert_int_equal (world->orders, 1);
-  assert_int_equal (world->usual[0], STOOD - 3 + 9);
+  assert_int_equal (world->usual[0], INITIAL_WORKERS - 3 + 9);
   world_free (world);
 }
 
 static void
-test_no_work_no_order (void **state)
+test_order_only_needed_workers (void **state)
 {
   World *world = settled_world (4000);
   world->needed = 0;
   run (world, 6);
   world->evacuated[1] = TRUE;
   run (world, 10);
-  world->needed = 2 * STOOD; /* those that stay carry it */
+  world->needed = 2 * INITIAL_WORKERS; /* those that stay carry it */
   run (world, 10);
   assert_int_equal (world->orders, 0);
-  world->needed = 2 * STOOD + 5;
+  world->needed = 2 * INITIAL_WORKERS + 5;
   run (world, 10);
   assert_int_equal (world->orders, 1);
-  assert_int_equal (serving (world), 2 * STOOD + 5);
+  assert_int_equal (serving (world), 2 * INITIAL_WORKERS + 5);
   world_free (world);
 }
 
@@ -271,7 +271,7 @@
 }
 
 static void
-test_bounds (void **state)
+test_zone_limits (void **state)
 {
   World *world = settled_world (4000);
   world->service->scaling->max_workers = 20;
@@ -285,12 +285,12 @@
 
 /* What stood there with workers of both kinds. */
 static World *
-mixed_world (void)
+mixed_platform (void)
 {
   World *world = world_new (4000);
   for (guint i = 0; i < ZONES; i++)
     {
-      world->usual[i] = STOOD - 6;
+      world->usual[i] = INITIAL_WORKERS - 6;
       world->spot[i] = 6;
     }
   run (world, 10);
@@ -300,17 +300,17 @@
 
 /* Both kinds of a zone count for its bound; the order counts the usual kind. */
 static void
-test_bound_of_both_kinds (void **state)
+test_zone_limit_includes_spot_workers (void **state)
 {
-  World *world = mixed_world ();
+  World *world = mixed_platform ();
   world->service->scaling->max_workers = 20;
   world->evacuated[1] = TRUE;
   run (world, 3);
-  assert_int_equal (world->last.desired, STOOD - 6 + 4);
+  assert_int_equal (world->last.desired, INITIAL_WORKERS - 6 + 4);
   run (world, 12);
   assert_int_equal (world->orders, 2);
-  assert_int_equal (world->usual[0], STOOD - 6 + 4);
-  assert_int_equal (world->usual[2], STOOD - 6 + 4);
+  assert_int_equal (world->usual[0], INITIAL_WORKERS - 6 + 4);
+  assert_int_equal (world->usual[2], INITIAL_WORKERS - 6 + 4);
   world_free (world);
 }
 
@@ -318,18 +318,18 @@
 static void
 test_reclaimed (void **state)
 {
-  World *world = mixed_world ();
+  World *world = mixed_platform ();
   for (guint i = 0; i < ZONES; i++)
     world->spot[i] = 0;
   run (world, 15);
   assert_int_equal (world->orders, 1);
-  assert_int_equal (serving (world), ZONES * STOOD);
-  assert_int_equal (world->usual[0], STOOD - 6 + 3 * 6);
+  assert_int_equal (serving (world), ZONES * INITIAL_WORKERS);
+  assert_int_equal (world->usual[0], INITIAL_WORKERS - 6 + 3 * 6);
   for (guint i = 0; i < ZONES; i++)
     world->spot[i] = 6;
   run (world, 60);
-  assert_int_equal (serving (world), ZONES * STOOD);
-  assert_int_equal (world->usual[0], STOOD - 6);
+  assert_int_equal (serving (world), ZONES * INITIAL_WORKERS);
+  assert_int_equal (world->usual[0], INITIAL_WORKERS - 6);
   world_free (world);
 }
 
@@ -342,7 +342,7 @@
   world->evacuated[1] = TRUE;
   run (world, 10);
   assert_int_equal (world->orders, 2);
-  assert_int_equal (world->usual[2], 2 * STOOD);
+  assert_int_equal (world->usual[2], 2 * INITIAL_WORKERS);
   world_free (world);
 
   world = settled_world (4000);
@@ -352,13 +352,13 @@
   assert_in_range (world->orders, 6, 14);
   world->none_there[2] = FALSE;
   run (world, 40);
-  assert_int_equal (serving (world), ZONES * STOOD);
+  assert_int_equal (serving (world), ZONES * INITIAL_WORKERS);
   world_free (world);
 }
 
 /* An order without an answer is given again, as it was. */
 static void
-test_no_answer (void **state)
+test_retry_unanswered_order (void **state)
 {
   World *world = settled_world (4000);
   world->mute = TRUE;
@@ -372,13 +372,13 @@
   assert_int_equal (world->last.desired, desired);
   world->mute = FALSE;
   run (world, 20);
-  assert_int_equal (serving (world), ZONES * STOOD);
+  assert_int_equal (serving (world), ZONES * INITIAL_WORKERS);
   assert_in_range (world->orders, 2, 3);
   world_free (world);
 }
 
 static void
-test_given_back (void **state)
+test_release_surplus (void **state)
 {
   World *world = settled_world (4000);
   world->evacuated[1] = TRUE;
@@ -392,7 +392,7 @@
   for (guint i = 0; i < 300; i++)
     {
       step (world);
-      assert_true (serving (world) >= ZONES * STOOD);
+      assert_true (serving (world) >= ZONES * INITIAL_WORKERS);
       if (serving (world) == before)
         continue;
       assert_in_range (before - serving (world), 1, 4);
@@ -400,14 +400,14 @@
       last_us = world->last_us;
       before = serving (world);
     }
-  assert_int_equal (serving (world), ZONES * STOOD);
-  assert_int_equal (world->usual[0], STOOD);
+  assert_int_equal (serving (world), ZONES * INITIAL_WORKERS);
+  assert_int_equal (world->usual[0], INITIAL_WORKERS);
   world_free (world);
 }
 
 /* What an operator added is not given back. */
 static void
-test_added_by_others (void **state)
+test_keep_externally_added_workers (void **state)
 {
   World *world = settled_world (4000);
   world->usual[1] += 8;
@@ -465,7 +465,7 @@
     world->none_there[i] = world->evacuated[i] = FALSE;
   world->mute = FALSE;
   run (world, 120);
-  assert_true (serving (world) >= ZONES * STOOD);
+  assert_true (serving (world) >= ZONES * INITIAL_WORKERS);
   world_free (world);
 }
 
@@ -480,7 +480,7 @@
   assert_int_equal (world->orders, 0);
   run (world, 2);
   assert_int_equal (world->orders, 1);
-  assert_int_equal (world->last.desired, 2 * STOOD);
+  assert_int_equal (world->last.desired, 2 * INITIAL_WORKERS);
   world_free (world);
 
   /* What the former one ordered is there by then. */
@@ -488,7 +488,7 @@
   world->evacuated[1] = TRUE;
   quince_scale_plan_lead (world->plan, world->now_us);
   run (world, 3);
-  world->usual[2] = 2 * STOOD;
+  world->usual[2] = 2 * INITIAL_WORKERS;
   run (world, 30);
   assert_int_equal (world->orders, 0);
   world_free (world);
@@ -506,7 +506,7 @@
 
 /* Workers that somebody else added stay, also when their own zone was lost and comes back. */
 static void
-test_others_in_a_lost_zone (void **state)
+test_keep_external_workers_of_recovered_zone (void **state)
 {
   World *world = settled_world (4000);
   world->usual[1] += 8;
@@ -515,14 +515,14 @@
   run (world, 30);
   world->evacuated[1] = FALSE;
   run (world, 60);
-  assert_true (world->usual[1] >= STOOD + 8);
-  assert_true (serving (world) >= ZONES * STOOD + 8);
+  assert_true (world->usual[1] >= INITIAL_WORKERS + 8);
+  assert_true (serving (world) >= ZONES * INITIAL_WORKERS + 8);
   world_free (world);
 }
 
 /* A process that learned while a zone was gone takes none of its workers for replacements of a few others. */
 static void
-test_learned_without_a_zone (void **state)
+test_leader_started_during_zone_loss (void **state)
 {
   World *world = settled_world (4000);
   g_clear_pointer (&world->plan, quince_scale_plan_free);
@@ -532,9 +532,9 @@
   run (world, 10);
   world->usual[0] -= 1;
   run (world, 2);
-  world->usual[1] = STOOD;
+  world->usual[1] = INITIAL_WORKERS;
   run (world, 90);
-  assert_true (serving (world) >= ZONES * STOOD - 2);
+  assert_true (serving (world) >= ZONES * INITIAL_WORKERS - 2);
   world_free (world);
 }
 
@@ -554,14 +554,14 @@
   run (world, 5);
   succeed (world);
   run (world, 60);
-  assert_int_equal (serving (world), ZONES * STOOD + 3);
-  assert_int_equal (world->usual[2], STOOD + 3);
-  assert_int_equal (world->usual[0], STOOD);
+  assert_int_equal (serving (world), ZONES * INITIAL_WORKERS + 3);
+  assert_int_equal (world->usual[2], INITIAL_WORKERS + 3);
+  assert_int_equal (world->usual[0], INITIAL_WORKERS);
   world_free (world);
 }
 
 static void
-test_places_needed (void **state)
+test_slots_needed (void **state)
 {
   const gint64 second = G_USEC_PER_SEC;
   /* 1 s of work in half of 8 s: a quarter of a place; with each second less is left. */
@@ -581,24 +581,24 @@
   const struct CMUnitTest tests[] = {
     cmocka_unit_test (test_nothing_lost),
     cmocka_unit_test (test_evacuated_zone),
-    cmocka_unit_test (test_lost_zone),
+    cmocka_unit_test (test_replace_vanished_zone),
     cmocka_unit_test (test_crashed_workers),
-    cmocka_unit_test (test_no_work_no_order),
+    cmocka_unit_test (test_order_only_needed_workers),
     cmocka_unit_test (test_start_longer_than_need),
-    cmocka_unit_test (test_bounds),
-    cmocka_unit_test (test_bound_of_both_kinds),
+    cmocka_unit_test (test_zone_limits),
+    cmocka_unit_test (test_zone_limit_includes_spot_workers),
     cmocka_unit_test (test_reclaimed),
     cmocka_unit_test (test_none_there),
-    cmocka_unit_test (test_no_answer),
-    cmocka_unit_test (test_given_back),
-    cmocka_unit_test (test_added_by_others),
+    cmocka_unit_test (test_retry_unanswered_order),
+    cmocka_unit_test (test_release_surplus),
+    cmocka_unit_test (test_keep_externally_added_workers),
     cmocka_unit_test (test_flapping_zone),
     cmocka_unit_test (test_random_losses),
     cmocka_unit_test (test_new_leader),
-    cmocka_unit_test (test_others_in_a_lost_zone),
-    cmocka_unit_test (test_learned_without_a_zone),
+    cmocka_unit_test (test_keep_external_workers_of_recovered_zone),
+    cmocka_unit_test (test_leader_started_during_zone_loss),
     cmocka_unit_test (test_heir_gives_back),
-    cmocka_unit_test (test_places_needed),
+    cmocka_unit_test (test_slots_needed),
   };
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
