--- a/daemons/replica/weight-orders.c
+++ b/daemons/replica/weight-orders.c
@@ -241,8 +241,8 @@
   guint64 wanted = quince_observer_get_version (orders->observer, model);
   const QuincePendingLoad load = { .worker = worker->id,
                                    .model = model,
-                                   .has = quince_worker_get_version (worker, model),
-                                   .wanted = wanted,
+                                   .loaded_version = quince_worker_get_version (worker, model),
+                                   .wanted_version = wanted,
                                    .version_age_us = version_age_us (orders, now_us, model, wanted) };
   return !quince_load_plan_should_defer (plan, &load);
 }
--- a/lib/core/scaling/scale-loss.c
+++ b/lib/core/scaling/scale-loss.c
@@ -5,7 +5,7 @@
 
 /* The initial workers are learned once no zone's count has changed for this time, us: when a deployment
  * starts, its workers are listed over about a second. */
-#define SETTLE_US (2 * G_USEC_PER_SEC)
+#define INITIAL_COUNT_SETTLE_US (2 * G_USEC_PER_SEC)
 /* Workers that disappear without an evacuation are replaced after this time, us, or after the time of a start
  * where that is longer: one that crashed, or whose entry lapsed in an outage of the store, is back earlier.
  * Not measured. */
@@ -98,9 +98,9 @@
 {
   for (guint i = 0; i < zones->len; i++)
     {
-      const QuinceZoneWorkers *capacity = &g_array_index (zones, QuinceZoneWorkers, i);
-      if (g_str_equal (capacity->zone, name))
-        return capacity;
+      const QuinceZoneWorkers *workers = &g_array_index (zones, QuinceZoneWorkers, i);
+      if (g_str_equal (workers->zone, name))
+        return workers;
     }
   return NULL;
 }
@@ -118,13 +118,13 @@
  * those: they are given back, also where another leader ordered them, when no longer needed.  Other arrivals
  * are left alone, for instance a zone that was away when this process started and comes back. */
 static void
-count_arrivals (const QuinceScaleService *service, QuinceScaleZone *zone, guint serving, gboolean replaces)
+count_arrivals (const QuinceScaleService *service, QuinceScaleZone *zone, guint serving, gboolean may_replace)
 {
   guint extra_before = zone->serving > zone->initial ? zone->serving - zone->initial : 0;
   guint extra = serving > zone->initial ? serving - zone->initial : 0;
   guint added = count_added (service);
   guint replaceable = service->recent_lost > added ? service->recent_lost - added : 0;
-  if (replaces && extra > extra_before)
+  if (may_replace && extra > extra_before)
     zone->added += MIN (extra - extra_before, replaceable);
   /* Workers that go are counted off the added ones first, so that none is given back twice. */
   if (extra < extra_before)
@@ -135,17 +135,17 @@
 static void
 update_zone (QuinceScaleService *service,
              QuinceScaleZone *zone,
-             const QuinceZoneWorkers *seen,
-             gboolean replaces,
+             const QuinceZoneWorkers *listed,
+             gboolean may_replace,
              gint64 now_us)
 {
-  guint before = quince_scale_count_serving_in_zone (zone);
-  guint serving = seen != NULL ? seen->serving : 0;
-  zone->spot = seen != NULL ? MIN (seen->spot, serving) : 0;
-  count_arrivals (service, zone, serving - zone->spot, replaces);
-  if (seen != NULL)
-    zone->evacuated = seen->evacuated;
-  if (quince_scale_count_serving_in_zone (zone) != before)
+  guint previous_count = quince_scale_count_serving_in_zone (zone);
+  guint serving = listed != NULL ? listed->serving : 0;
+  zone->spot = listed != NULL ? MIN (listed->spot, serving) : 0;
+  count_arrivals (service, zone, serving - zone->spot, may_replace);
+  if (listed != NULL)
+    zone->evacuated = listed->evacuated;
+  if (quince_scale_count_serving_in_zone (zone) != previous_count)
     service->changed_us = now_us;
 }
 
@@ -167,7 +167,7 @@
 static void
 update_zones (QuinceScaleService *service, const QuinceScaling *scaling, const GArray *zones, gint64 now_us)
 {
-  gboolean replaces = arrivals_may_replace (service, scaling, now_us);
+  gboolean may_replace = arrivals_may_replace (service, scaling, now_us);
   for (guint i = 0; i < zones->len; i++)
     {
       const char *name = g_array_index (zones, QuinceZoneWorkers, i).zone;
@@ -177,15 +177,15 @@
   for (guint i = 0; i < service->zones->len; i++)
     {
       QuinceScaleZone *zone = service->zones->pdata[i];
-      update_zone (service, zone, find_zone_workers (zones, zone->name), replaces, now_us);
+      update_zone (service, zone, find_zone_workers (zones, zone->name), may_replace, now_us);
     }
 }
 
 static void
-learn (QuinceScaleService *service, gint64 now_us)
+learn_initial_workers (QuinceScaleService *service, gint64 now_us)
 {
   if (service->learned || quince_scale_count_serving (service) == 0
-      || now_us - service->changed_us < SETTLE_US)
+      || now_us - service->changed_us < INITIAL_COUNT_SETTLE_US)
     return;
   for (guint i = 0; i < service->zones->len; i++)
     if (((const QuinceScaleZone *)service->zones->pdata[i])->evacuated)
@@ -250,21 +250,21 @@
 /* Of @gone workers that disappeared without an evacuation, those that don't come back: the fewest that were
  * gone at any moment of the time @wait_us in which they would. */
 static guint
-count_permanently_lost (QuinceScaleService *service, guint gone, gint64 wait_us, gint64 now_us)
+count_permanently_lost (QuinceScaleService *service, guint absent, gint64 wait_us, gint64 now_us)
 {
-  service->permanently_lost = MIN (service->permanently_lost, gone);
-  if (service->lost_us == 0 || gone == 0)
+  service->permanently_lost = MIN (service->permanently_lost, absent);
+  if (service->loss_wait_start_us == 0 || absent == 0)
     {
-      service->lost_us = gone > 0 ? now_us : 0;
-      service->lost_min = gone;
+      service->loss_wait_start_us = absent > 0 ? now_us : 0;
+      service->lost_min = absent;
       return service->permanently_lost;
     }
-  service->lost_min = MIN (service->lost_min, gone);
-  if (now_us - service->lost_us < wait_us)
+  service->lost_min = MIN (service->lost_min, absent);
+  if (now_us - service->loss_wait_start_us < wait_us)
     return service->permanently_lost;
   service->permanently_lost = service->lost_min;
-  service->lost_us = now_us;
-  service->lost_min = gone;
+  service->loss_wait_start_us = now_us;
+  service->lost_min = absent;
   return service->permanently_lost;
 }
 
@@ -276,8 +276,8 @@
   gint64 wait_us = MAX ((gint64)scaling->boot_ms * 1000, LOSS_CONFIRM_MIN_US);
   lost = evacuated + count_permanently_lost (service, lost - evacuated, wait_us, now_us);
   guint serving = quince_scale_count_serving (service);
-  guint busy = service->needed > serving ? service->needed - serving : 0;
-  return MIN (lost, busy);
+  guint shortage = service->needed > serving ? service->needed - serving : 0;
+  return MIN (lost, shortage);
 }
 
 gboolean
@@ -305,15 +305,15 @@
                      gint64 now_us)
 {
   update_zones (service, scaling, zones, now_us);
-  learn (service, now_us);
+  learn_initial_workers (service, now_us);
   record_needed (service, needed, now_us);
 }
 
 double
-quince_scale_slots_needed (gint64 work_us, gint64 age_us, gint64 due_us)
+quince_scale_slots_needed (gint64 work_us, gint64 age_us, gint64 allowed_us)
 {
-  double left_us = DEADLINE_SHARE * (double)due_us - (double)age_us;
-  if (work_us <= 0 || due_us <= 0 || left_us <= (double)work_us)
+  double remaining_us = DEADLINE_SHARE * (double)allowed_us - (double)age_us;
+  if (work_us <= 0 || allowed_us <= 0 || remaining_us <= (double)work_us)
     return 1;
-  return (double)work_us / left_us;
+  return (double)work_us / remaining_us;
 }
--- a/lib/core/scaling/scale-plan-private.h
+++ b/lib/core/scaling/scale-plan-private.h
@@ -29,9 +29,9 @@
   /* Orders of this process since it leads. */
   guint desired;              /* count of the last order; 0: none */
   gint64 listing_deadline_us; /* workers that were ordered are listed by then, or don't come */
-  gint64 not_before_us;       /* no order before, after a refusal */
+  gint64 next_order_us;       /* no order before, after a refusal */
   gint64 refusal_pause_us;    /* pause after the next refusal */
-  gboolean repeat;            /* the last order may not have been accepted */
+  gboolean needs_retry;       /* the last order may not have been accepted */
 } QuinceScaleZone;
 
 /* One service. */
@@ -44,12 +44,12 @@
   gint64 needed_us;    /* when it was noted */
   gint64 last_lost_us; /* when workers were last lost; 0: never */
   guint recent_lost; /* most workers lost at once lately; at most this many arrivals count as replacements */
-  gint64 lost_us;    /* start of the wait for lost workers to come back; 0: none are lost */
-  guint lost_min;    /* fewest lost at any moment since lost_us */
-  guint permanently_lost;   /* result of the last full wait: workers that will not come back */
-  gint64 shortage_since_us; /* since when workers are missing; 0: none are */
-  gint64 surplus_since_us;  /* since when there are too many; 0: there are not */
-  gint64 not_before_us;     /* no order before, for any zone */
+  gint64 loss_wait_start_us; /* start of the wait for lost workers to come back; 0: none are lost */
+  guint lost_min;            /* fewest lost at any moment since lost_us */
+  guint permanently_lost;    /* result of the last full wait: workers that will not come back */
+  gint64 shortage_since_us;  /* since when workers are missing; 0: none are */
+  gint64 surplus_since_us;   /* since when there are too many; 0: there are not */
+  gint64 next_order_us;      /* no order before, for any zone */
 } QuinceScaleService;
 
 QuinceScaleService *quince_scale_service_new (void);
--- a/lib/core/scaling/scale-plan.c
+++ b/lib/core/scaling/scale-plan.c
@@ -98,15 +98,15 @@
 static GArray *
 list_zones_by_price (const QuinceScaleService *service, const QuinceScaling *scaling)
 {
-  GArray *offers = g_array_new (FALSE, FALSE, sizeof (PricedZone));
+  GArray *priced_zones = g_array_new (FALSE, FALSE, sizeof (PricedZone));
   for (guint i = 0; i < service->zones->len; i++)
     {
       QuinceScaleZone *zone = service->zones->pdata[i];
-      PricedZone offer = { zone, get_zone_price (scaling, zone->name) };
-      g_array_append_val (offers, offer);
+      PricedZone priced_zone = { zone, get_zone_price (scaling, zone->name) };
+      g_array_append_val (priced_zones, priced_zone);
     }
-  g_array_sort (offers, compare_prices);
-  return offers;
+  g_array_sort (priced_zones, compare_prices);
+  return priced_zones;
 }
 
 /* How many more workers @zone may have by its bound, spot workers and pending ones included. */
@@ -125,8 +125,8 @@
              QuinceScaleOrder *order)
 {
   zone->desired = desired;
-  zone->repeat = FALSE;
-  service->not_before_us = now_us + ORDER_INTERVAL_MIN_US;
+  zone->needs_retry = FALSE;
+  service->next_order_us = now_us + ORDER_INTERVAL_MIN_US;
   order->zone = g_strdup (zone->name);
   order->desired = desired;
 }
@@ -137,19 +137,19 @@
 static gboolean
 retry_order (QuinceScaleService *service,
              const QuinceScaling *scaling,
-             const GArray *offers,
+             const GArray *priced_zones,
              guint missing,
              gint64 now_us,
              QuinceScaleOrder *order)
 {
-  for (guint i = 0; i < offers->len; i++)
+  for (guint i = 0; i < priced_zones->len; i++)
     {
-      QuinceScaleZone *zone = g_array_index (offers, PricedZone, i).zone;
-      gboolean adds = zone->desired > zone->serving;
-      zone->repeat = zone->repeat && adds == (missing > 0) && !zone->evacuated;
-      if (!zone->repeat || now_us < zone->not_before_us)
+      QuinceScaleZone *zone = g_array_index (priced_zones, PricedZone, i).zone;
+      gboolean adds_workers = zone->desired > zone->serving;
+      zone->needs_retry = zone->needs_retry && adds_workers == (missing > 0) && !zone->evacuated;
+      if (!zone->needs_retry || now_us < zone->next_order_us)
         continue;
-      if (adds)
+      if (adds_workers)
         zone->listing_deadline_us = now_us + (gint64)scaling->boot_ms * 1000 + QUINCE_SCALE_LISTING_DELAY_US;
       issue_order (service, zone, zone->desired, now_us, order);
       return TRUE;
@@ -166,12 +166,12 @@
                gint64 now_us,
                QuinceScaleOrder *order)
 {
-  guint more = MIN (missing, count_room_in_zone (zone, scaling, now_us));
-  if (zone->evacuated || more == 0 || now_us < zone->not_before_us)
+  guint n_new_workers = MIN (missing, count_room_in_zone (zone, scaling, now_us));
+  if (zone->evacuated || n_new_workers == 0 || now_us < zone->next_order_us)
     return FALSE;
   guint count = zone->serving + quince_scale_count_pending_in_zone (zone, now_us);
   zone->listing_deadline_us = now_us + (gint64)scaling->boot_ms * 1000 + QUINCE_SCALE_LISTING_DELAY_US;
-  issue_order (service, zone, count + more, now_us, order);
+  issue_order (service, zone, count + n_new_workers, now_us, order);
   return TRUE;
 }
 
@@ -180,7 +180,7 @@
 static gboolean
 order_missing (QuinceScaleService *service,
                const QuinceScaling *scaling,
-               const GArray *offers,
+               const GArray *priced_zones,
                guint missing,
                gint64 now_us,
                QuinceScaleOrder *order)
@@ -188,11 +188,11 @@
   guint pending = quince_scale_count_pending (service, now_us);
   if (missing <= pending)
     return FALSE;
-  for (guint empty = 0; empty < 2; empty++)
-    for (guint i = 0; i < offers->len; i++)
+  for (guint empty_zones = 0; empty_zones < 2; empty_zones++)
+    for (guint i = 0; i < priced_zones->len; i++)
       {
-        QuinceScaleZone *zone = g_array_index (offers, PricedZone, i).zone;
-        if ((quince_scale_count_serving_in_zone (zone) == 0) == (empty == 1)
+        QuinceScaleZone *zone = g_array_index (priced_zones, PricedZone, i).zone;
+        if ((quince_scale_count_serving_in_zone (zone) == 0) == (empty_zones == 1)
             && order_in_zone (service, scaling, zone, missing - pending, now_us, order))
           return TRUE;
       }
@@ -208,36 +208,36 @@
 {
   guint serving = quince_scale_count_serving (service);
   guint initial = quince_scale_count_initial (service);
-  gboolean too_many
+  gboolean has_surplus
       = service->learned && serving > initial && quince_scale_count_pending (service, now_us) == 0;
-  if (!too_many)
+  if (!has_surplus)
     service->surplus_since_us = 0;
   else if (service->surplus_since_us == 0)
     service->surplus_since_us = now_us;
-  return too_many && now_us - service->surplus_since_us >= SURPLUS_HOLD_US ? serving - initial : 0;
+  return has_surplus && now_us - service->surplus_since_us >= SURPLUS_HOLD_US ? serving - initial : 0;
 }
 
 /* The dearest zone first; only added workers, and never below the zone's lower bound. */
 static gboolean
-give_back (QuinceScaleService *service,
-           const QuinceScaling *scaling,
-           const GArray *offers,
-           guint spare,
-           gint64 now_us,
-           QuinceScaleOrder *order)
+release_workers (QuinceScaleService *service,
+                 const QuinceScaling *scaling,
+                 const GArray *priced_zones,
+                 guint surplus,
+                 gint64 now_us,
+                 QuinceScaleOrder *order)
 {
-  for (guint i = offers->len; i > 0 && spare > 0; i--)
+  for (guint i = priced_zones->len; i > 0 && surplus > 0; i--)
     {
-      QuinceScaleZone *zone = g_array_index (offers, PricedZone, i - 1).zone;
+      QuinceScaleZone *zone = g_array_index (priced_zones, PricedZone, i - 1).zone;
       guint count = quince_scale_count_serving_in_zone (zone);
-      guint above_least = count > scaling->min_workers ? count - scaling->min_workers : 0;
-      guint returned = MIN (MIN (zone->added, zone->serving), MIN (spare, above_least));
-      if (returned == 0 || now_us < zone->not_before_us)
+      guint above_min = count > scaling->min_workers ? count - scaling->min_workers : 0;
+      guint n_released = MIN (MIN (zone->added, zone->serving), MIN (surplus, above_min));
+      if (n_released == 0 || now_us < zone->next_order_us)
         continue;
-      returned = MIN (returned, MAX (zone->added / RELEASE_STEPS, 1));
+      n_released = MIN (n_released, MAX (zone->added / RELEASE_STEPS, 1));
       zone->listing_deadline_us = 0;
-      issue_order (service, zone, zone->serving - returned, now_us, order);
-      service->not_before_us = now_us + RELEASE_INTERVAL_US;
+      issue_order (service, zone, zone->serving - n_released, now_us, order);
+      service->next_order_us = now_us + RELEASE_INTERVAL_US;
       return TRUE;
     }
   return FALSE;
@@ -250,9 +250,9 @@
 {
   zone->desired = 0;
   zone->listing_deadline_us = 0;
-  zone->not_before_us = 0;
+  zone->next_order_us = 0;
   zone->refusal_pause_us = QUINCE_SCALE_REFUSAL_PAUSE_MIN_US;
-  zone->repeat = FALSE;
+  zone->needs_retry = FALSE;
 }
 
 void
@@ -284,22 +284,22 @@
   QuinceScaleService *service = find_service (plan, configured->name);
   quince_scale_update (service, scaling, zones, needed, now_us);
   guint missing = quince_scale_count_missing (service, scaling, now_us);
-  gboolean lasts = quince_scale_shortage_persists (service, configured, missing, now_us);
-  guint spare = count_surplus (service, now_us);
-  gint64 others_listed_us
+  gboolean shortage_persists = quince_scale_shortage_persists (service, configured, missing, now_us);
+  guint surplus = count_surplus (service, now_us);
+  gint64 predecessor_orders_listed_us
       = plan->leader_since_us + (gint64)scaling->boot_ms * 1000 + QUINCE_SCALE_LISTING_DELAY_US;
-  if (order == NULL || now_us < service->not_before_us || now_us < others_listed_us)
+  if (order == NULL || now_us < service->next_order_us || now_us < predecessor_orders_listed_us)
     return FALSE;
-  g_autoptr (GArray) offers = list_zones_by_price (service, scaling);
-  return retry_order (service, scaling, offers, missing, now_us, order)
-         || (lasts && order_missing (service, scaling, offers, missing, now_us, order))
-         || give_back (service, scaling, offers, spare, now_us, order);
+  g_autoptr (GArray) priced_zones = list_zones_by_price (service, scaling);
+  return retry_order (service, scaling, priced_zones, missing, now_us, order)
+         || (shortage_persists && order_missing (service, scaling, priced_zones, missing, now_us, order))
+         || release_workers (service, scaling, priced_zones, surplus, now_us, order);
 }
 
 static void
 pause_orders_after_refusal (QuinceScaleZone *zone, gint64 now_us)
 {
-  zone->not_before_us = now_us + zone->refusal_pause_us;
+  zone->next_order_us = now_us + zone->refusal_pause_us;
   zone->refusal_pause_us = MIN (2 * zone->refusal_pause_us, REFUSAL_PAUSE_MAX_US);
 }
 
@@ -323,7 +323,7 @@
   if (outcome == QUINCE_SCALE_NO_CAPACITY)
     zone->listing_deadline_us = 0;
   else
-    zone->repeat = TRUE;
+    zone->needs_retry = TRUE;
 }
 
 guint
--- a/lib/core/scaling/scale-plan.h
+++ b/lib/core/scaling/scale-plan.h
@@ -84,7 +84,7 @@
  * Returns: the share of one worker's slot, 0 to 1, that ends the work in time; 1 where it is late or where
  * something isn't known
  */
-double quince_scale_slots_needed (gint64 work_us, gint64 age_us, gint64 due_us);
+double quince_scale_slots_needed (gint64 work_us, gint64 age_us, gint64 allowed_us);
 /* Returns: how many initial workers of @service don't serve now; 0 also while those aren't known */
 guint quince_scale_plan_get_lost (const QuinceScalePlan *plan, const char *service);
 
--- a/lib/core/weights/load-plan.c
+++ b/lib/core/weights/load-plan.c
@@ -18,14 +18,14 @@
 
 typedef struct
 {
-  guint64 needed; /* by the newest step that is open */
-  guint waiting;
+  guint64 minimum_version_needed; /* by the newest step that is open */
+  guint waiting_samples;
 } ModelWork;
 
 struct _QuinceLoadPlan
 {
-  GHashTable *models;  /* ModelWork by model, both owned */
-  GHashTable *longest; /* worker id to gint64, both owned: duration of its longest run, us */
+  GHashTable *models;       /* ModelWork by model, both owned */
+  GHashTable *longest_runs; /* worker id to gint64, both owned: duration of its longest run, us */
 };
 
 QuinceLoadPlan *
@@ -33,7 +33,7 @@
 {
   QuinceLoadPlan *plan = g_new0 (QuinceLoadPlan, 1);
   plan->models = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
-  plan->longest = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
+  plan->longest_runs = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   return plan;
 }
 
@@ -43,7 +43,7 @@
   if (plan == NULL)
     return;
   g_hash_table_unref (plan->models);
-  g_hash_table_unref (plan->longest);
+  g_hash_table_unref (plan->longest_runs);
   g_free (plan);
 }
 
@@ -51,7 +51,7 @@
 quince_load_plan_record_sample (QuinceLoadPlan *plan,
                                 const char *model,
                                 guint64 minimum_version,
-                                gboolean waits)
+                                gboolean is_waiting)
 {
   ModelWork *work = g_hash_table_lookup (plan->models, model);
   if (work == NULL)
@@ -59,35 +59,35 @@
       work = g_new0 (ModelWork, 1);
       g_hash_table_insert (plan->models, g_strdup (model), work);
     }
-  work->needed = MAX (work->needed, minimum_version);
-  work->waiting += waits;
+  work->minimum_version_needed = MAX (work->minimum_version_needed, minimum_version);
+  work->waiting_samples += is_waiting;
 }
 
 void
-quince_load_plan_record_run (QuinceLoadPlan *plan, const char *worker, gint64 lasts_us)
+quince_load_plan_record_run (QuinceLoadPlan *plan, const char *worker, gint64 duration_us)
 {
-  gint64 *longest = g_hash_table_lookup (plan->longest, worker);
-  if (longest == NULL)
-    g_hash_table_insert (plan->longest, g_strdup (worker), g_memdup2 (&lasts_us, sizeof lasts_us));
+  gint64 *longest_us = g_hash_table_lookup (plan->longest_runs, worker);
+  if (longest_us == NULL)
+    g_hash_table_insert (plan->longest_runs, g_strdup (worker), g_memdup2 (&duration_us, sizeof duration_us));
   else
-    *longest = MAX (*longest, lasts_us);
+    *longest_us = MAX (*longest_us, duration_us);
 }
 
 /* Open samples can run there, and so can samples of the next step. */
 static gboolean
 can_serve_next_step (const ModelWork *work, const QuincePendingLoad *load)
 {
-  return load->has > 0 && load->wanted - load->has <= VERSIONS_BEHIND_MAX
-         && (work == NULL || load->has >= work->needed);
+  return load->loaded_version > 0 && load->wanted_version - load->loaded_version <= VERSIONS_BEHIND_MAX
+         && (work == NULL || load->loaded_version >= work->minimum_version_needed);
 }
 
 gboolean
 quince_load_plan_should_defer (const QuinceLoadPlan *plan, const QuincePendingLoad *load)
 {
   const ModelWork *work = g_hash_table_lookup (plan->models, load->model);
-  const gint64 *longest = g_hash_table_lookup (plan->longest, load->worker);
+  const gint64 *longest_us = g_hash_table_lookup (plan->longest_runs, load->worker);
   if (!can_serve_next_step (work, load) || load->version_age_us >= DEFER_MAX_US)
     return FALSE;
-  return load->version_age_us < NEXT_STEP_WAIT_US || (work != NULL && work->waiting > 0)
-         || (longest != NULL && *longest >= LONG_RUN_MIN_US);
+  return load->version_age_us < NEXT_STEP_WAIT_US || (work != NULL && work->waiting_samples > 0)
+         || (longest_us != NULL && *longest_us >= LONG_RUN_MIN_US);
 }
--- a/lib/core/weights/load-plan.h
+++ b/lib/core/weights/load-plan.h
@@ -22,9 +22,9 @@
 void quince_load_plan_record_sample (QuinceLoadPlan *plan,
                                      const char *model,
                                      guint64 minimum_version,
-                                     gboolean waits);
+                                     gboolean is_waiting);
 /* A sample runs at @worker and is expected to take @lasts_us from its start to its end. */
-void quince_load_plan_record_run (QuinceLoadPlan *plan, const char *worker, gint64 lasts_us);
+void quince_load_plan_record_run (QuinceLoadPlan *plan, const char *worker, gint64 duration_us);
 
 /**
  * QuincePendingLoad:
@@ -38,8 +38,8 @@
 {
   const char *worker;
   const char *model;
-  guint64 has;
-  guint64 wanted;
+  guint64 loaded_version;
+  guint64 wanted_version;
   gint64 version_age_us;
 } QuincePendingLoad;
 
--- a/lib/core/weights/load-turns.c
+++ b/lib/core/weights/load-turns.c
@@ -5,8 +5,8 @@
 
 typedef struct
 {
-  guint64 behind;
-  guint running;
+  guint64 versions_behind;
+  guint running_samples;
   gpointer worker;
 } Candidate;
 
@@ -14,7 +14,7 @@
 {
   char *name;
   guint workers;
-  guint fresh;
+  guint up_to_date;
   GArray *candidates; /* Candidate */
   gboolean sorted;    /* the next one last */
 } Model;
@@ -64,22 +64,22 @@
 }
 
 void
-quince_load_turns_count_worker (QuinceLoadTurns *turns, const char *model, gboolean fresh)
+quince_load_turns_count_worker (QuinceLoadTurns *turns, const char *model, gboolean up_to_date)
 {
   Model *found = find_model (turns, model);
   found->workers++;
-  found->fresh += fresh;
+  found->up_to_date += up_to_date;
 }
 
 void
 quince_load_turns_add_candidate (QuinceLoadTurns *turns,
                                  const char *model,
-                                 guint64 behind,
-                                 guint running,
+                                 guint64 versions_behind,
+                                 guint running_samples,
                                  gpointer worker)
 {
   Model *found = find_model (turns, model);
-  const Candidate added = { behind, running, worker };
+  const Candidate added = { versions_behind, running_samples, worker };
   g_array_append_val (found->candidates, added);
   found->sorted = FALSE;
 }
@@ -90,15 +90,16 @@
 {
   const Candidate *first = a;
   const Candidate *second = b;
-  if (first->behind != second->behind)
-    return first->behind < second->behind ? -1 : 1;
-  return (first->running < second->running) - (first->running > second->running);
+  if (first->versions_behind != second->versions_behind)
+    return first->versions_behind < second->versions_behind ? -1 : 1;
+  return (first->running_samples < second->running_samples)
+         - (first->running_samples > second->running_samples);
 }
 
 static double
 get_up_to_date_share (const Model *model)
 {
-  return (double)model->fresh / MAX (model->workers, 1);
+  return (double)model->up_to_date / MAX (model->workers, 1);
 }
 
 gpointer
@@ -120,6 +121,6 @@
   const Candidate *last = &g_array_index (next->candidates, Candidate, next->candidates->len - 1);
   gpointer worker = last->worker;
   g_array_set_size (next->candidates, next->candidates->len - 1);
-  next->fresh++;
+  next->up_to_date++;
   return worker;
 }
--- a/lib/core/weights/load-turns.h
+++ b/lib/core/weights/load-turns.h
@@ -19,13 +19,13 @@
 void quince_load_turns_free (QuinceLoadTurns *turns);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (QuinceLoadTurns, quince_load_turns_free)
 /* A worker is kept at @model; @fresh: it has the version named last, or loads now. */
-void quince_load_turns_count_worker (QuinceLoadTurns *turns, const char *model, gboolean fresh);
+void quince_load_turns_count_worker (QuinceLoadTurns *turns, const char *model, gboolean up_to_date);
 /* A worker may load now: one of those counted as not fresh.  @behind: versions; @running: its runs;
  * @worker: returned as it is */
 void quince_load_turns_add_candidate (QuinceLoadTurns *turns,
                                       const char *model,
-                                      guint64 behind,
-                                      guint running,
+                                      guint64 versions_behind,
+                                      guint running_samples,
                                       gpointer worker);
 /* Returns: the worker whose turn it is, which counts as fresh from now on; %NULL: no more */
 gpointer quince_load_turns_next (QuinceLoadTurns *turns);
--- a/lib/core/weights/load-window.c
+++ b/lib/core/weights/load-window.c
@@ -16,37 +16,37 @@
  * each round. */
 #define INITIAL_GROWTH 1.0
 /* The same after the first slow one: a tenth.  Not measured. */
-#define GROWTH 0.1
+#define STEADY_GROWTH 0.1
 /* Part of the number that is left after a slow load.  Not measured. */
 #define SHRINK_FACTOR 0.7
 
 static double
-size_of (const QuinceLoadWindow *window)
+get_size (const QuinceLoadWindow *window)
 {
   return window->size > 0 ? window->size : INITIAL_LOADS;
 }
 
 guint
-quince_load_window_get_size (const QuinceLoadWindow *window, guint most)
+quince_load_window_get_size (const QuinceLoadWindow *window, guint max_loads)
 {
-  return MAX (MIN ((guint)size_of (window), most), 1);
+  return MAX (MIN ((guint)get_size (window), max_loads), 1);
 }
 
 void
-quince_load_window_record_load (QuinceLoadWindow *window, gint64 now_us, gint64 began_us, guint most)
+quince_load_window_record_load (QuinceLoadWindow *window, gint64 now_us, gint64 started_us, guint max_loads)
 {
-  gint64 took_us = now_us - began_us;
-  if (took_us < COUNTED_LOAD_MIN_US)
+  gint64 duration_us = now_us - started_us;
+  if (duration_us < COUNTED_LOAD_MIN_US)
     return;
   /* One that is alone is no slower than others make it: a greater model, or slower storage. */
-  gboolean alone = window->baseline_us == 0 || size_of (window) <= 1;
-  window->baseline_us = alone ? took_us : MIN (window->baseline_us, took_us);
-  double growth = window->shrunk_us == 0 ? INITIAL_GROWTH : GROWTH;
-  if ((double)took_us <= SLOW_LOAD_FACTOR * (double)window->baseline_us)
-    window->size = MAX (size_of (window), MIN (size_of (window) + growth, most));
-  else if (began_us >= window->shrunk_us)
+  gboolean is_baseline = window->baseline_us == 0 || get_size (window) <= 1;
+  window->baseline_us = is_baseline ? duration_us : MIN (window->baseline_us, duration_us);
+  double growth = window->last_decrease_us == 0 ? INITIAL_GROWTH : STEADY_GROWTH;
+  if ((double)duration_us <= SLOW_LOAD_FACTOR * (double)window->baseline_us)
+    window->size = MAX (get_size (window), MIN (get_size (window) + growth, max_loads));
+  else if (started_us >= window->last_decrease_us)
     {
-      window->size = MAX (MIN (size_of (window), MAX (most, 1)) * SHRINK_FACTOR, 1);
-      window->shrunk_us = now_us;
+      window->size = MAX (MIN (get_size (window), MAX (max_loads, 1)) * SHRINK_FACTOR, 1);
+      window->last_decrease_us = now_us;
     }
 }
--- a/lib/core/weights/load-window.h
+++ b/lib/core/weights/load-window.h
@@ -16,14 +16,15 @@
 
 typedef struct
 {
-  double size;        /* loads at once; 0: as at the start */
-  gint64 baseline_us; /* the least time that a load took; 0: none has ended */
-  gint64 shrunk_us;   /* when it fell last: loads that began before tell nothing new */
+  double size;             /* loads at once; 0: as at the start */
+  gint64 baseline_us;      /* the least time that a load took; 0: none has ended */
+  gint64 last_decrease_us; /* when it fell last: loads that began before tell nothing new */
 } QuinceLoadWindow;
 
 /* Returns: loads at once, at least one.  @most: bound of the service; see load-next.h */
-guint quince_load_window_get_size (const QuinceLoadWindow *window, guint most);
+guint quince_load_window_get_size (const QuinceLoadWindow *window, guint max_loads);
 /* A worker has loaded what it was ordered at @began_us. */
-void quince_load_window_record_load (QuinceLoadWindow *window, gint64 now_us, gint64 began_us, guint most);
+void
+quince_load_window_record_load (QuinceLoadWindow *window, gint64 now_us, gint64 started_us, guint max_loads);
 
 G_END_DECLS
--- a/lib/core/weights/model-placement.c
+++ b/lib/core/weights/model-placement.c
@@ -44,19 +44,19 @@
   double tokens; /* of a step; not of a second: a late trainer asks for fewer steps, not for fewer workers */
   double peak;   /* samples at once */
   double lateness; /* time that a step takes, as a part of the time allowed; 0: none has ended */
-  gint64 at_us;
+  gint64 last_step_us;
 } Demand;
 
 typedef struct
 {
   char *model;
-  gint64 seen_us;
+  gint64 last_listed_us;
 } Assignment;
 
 struct _QuinceModelPlacement
 {
-  GHashTable *demand;    /* Demand by model, owned */
-  GHashTable *placement; /* Assignment by worker id, owned */
+  GHashTable *demands;     /* Demand by model, owned */
+  GHashTable *assignments; /* Assignment by worker id, owned */
   gint64 next_move_us;
 };
 
@@ -65,23 +65,23 @@
 {
   const char *model;
   double target_workers;
-  guint count;
-} Share;
+  guint assigned_workers;
+} ModelShare;
 
 static void
 assignment_free (gpointer data)
 {
-  Assignment *model = data;
-  g_free (model->model);
-  g_free (model);
+  Assignment *assignment = data;
+  g_free (assignment->model);
+  g_free (assignment);
 }
 
 QuinceModelPlacement *
 quince_model_placement_new (void)
 {
   QuinceModelPlacement *placement = g_new0 (QuinceModelPlacement, 1);
-  placement->demand = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
-  placement->placement = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, assignment_free);
+  placement->demands = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
+  placement->assignments = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, assignment_free);
   return placement;
 }
 
@@ -90,52 +90,53 @@
 {
   if (placement == NULL)
     return;
-  g_hash_table_unref (placement->demand);
-  g_hash_table_unref (placement->placement);
+  g_hash_table_unref (placement->demands);
+  g_hash_table_unref (placement->assignments);
   g_free (placement);
 }
 
 static double
 get_demand (QuinceModelPlacement *placement, gint64 now_us, const char *model)
 {
-  const Demand *demand = g_hash_table_lookup (placement->demand, model);
+  const Demand *demand = g_hash_table_lookup (placement->demands, model);
   if (demand == NULL)
     return 0;
-  gint64 idle_us = MAX (now_us - demand->at_us - DEMAND_KEEP_US, 0);
+  gint64 idle_us = MAX (now_us - demand->last_step_us - DEMAND_KEEP_US, 0);
   return demand->tokens * exp2 (-(double)idle_us / DEMAND_HALF_LIFE_US);
 }
 
 static double
 get_peak (QuinceModelPlacement *placement, gint64 now_us, const char *model)
 {
-  const Demand *demand = g_hash_table_lookup (placement->demand, model);
-  return demand != NULL ? demand->peak * exp2 (-(double)(now_us - demand->at_us) / PEAK_HALF_LIFE_US) : 0;
+  const Demand *demand = g_hash_table_lookup (placement->demands, model);
+  return demand != NULL ? demand->peak * exp2 (-(double)(now_us - demand->last_step_us) / PEAK_HALF_LIFE_US)
+                        : 0;
 }
 
 static double
 get_lateness (QuinceModelPlacement *placement, const char *model)
 {
-  const Demand *demand = g_hash_table_lookup (placement->demand, model);
+  const Demand *demand = g_hash_table_lookup (placement->demands, model);
   return demand != NULL && demand->lateness > 0 ? demand->lateness : 1;
 }
 
 static double
-smooth (double before, double newest)
+update_average (double previous, double newest_value)
 {
-  return before > 0 ? before + NEWEST_STEP_WEIGHT * (newest - before) : newest;
+  return previous > 0 ? previous + NEWEST_STEP_WEIGHT * (newest_value - previous) : newest_value;
 }
 
 void
 quince_model_placement_record_step (QuinceModelPlacement *placement,
                                     const char *model,
                                     gint64 took_us,
-                                    gint64 due_us)
+                                    gint64 allowed_us)
 {
-  Demand *demand = g_hash_table_lookup (placement->demand, model);
-  if (demand == NULL || due_us <= 0)
+  Demand *demand = g_hash_table_lookup (placement->demands, model);
+  if (demand == NULL || allowed_us <= 0)
     return;
-  double lateness = CLAMP ((double)took_us / (double)due_us, LATENESS_MIN, LATENESS_MAX);
-  demand->lateness = smooth (demand->lateness, lateness);
+  double lateness = CLAMP ((double)took_us / (double)allowed_us, LATENESS_MIN, LATENESS_MAX);
+  demand->lateness = update_average (demand->lateness, lateness);
 }
 
 void
@@ -145,19 +146,19 @@
                                    double tokens,
                                    guint samples)
 {
-  const Demand *before = g_hash_table_lookup (placement->demand, model);
-  const Demand next = { .tokens = smooth (get_demand (placement, now_us, model), tokens),
+  const Demand *previous = g_hash_table_lookup (placement->demands, model);
+  const Demand next = { .tokens = update_average (get_demand (placement, now_us, model), tokens),
                         .peak = MAX (get_peak (placement, now_us, model), samples),
-                        .lateness = before != NULL ? before->lateness : 0,
-                        .at_us = now_us };
-  g_hash_table_replace (placement->demand, g_strdup (model), g_memdup2 (&next, sizeof next));
+                        .lateness = previous != NULL ? previous->lateness : 0,
+                        .last_step_us = now_us };
+  g_hash_table_replace (placement->demands, g_strdup (model), g_memdup2 (&next, sizeof next));
 }
 
 const char *
 quince_model_placement_get (QuinceModelPlacement *placement, const char *worker)
 {
-  const Assignment *model = g_hash_table_lookup (placement->placement, worker);
-  return model != NULL ? model->model : NULL;
+  const Assignment *assignment = g_hash_table_lookup (placement->assignments, worker);
+  return assignment != NULL ? assignment->model : NULL;
 }
 
 /* ---- Shares ----------------------------------------------------------- */
@@ -174,24 +175,25 @@
 {
   double total = 0;
   for (guint i = 0; i < shares->len; i++)
-    total += get_weighted_demand (placement, now_us, g_array_index (shares, Share, i).model);
-  guint least = n_workers >= WORKERS_PER_MODEL_MIN * shares->len ? WORKERS_PER_MODEL_MIN : 1;
-  double rest = (double)n_workers - (double)least * shares->len;
+    total += get_weighted_demand (placement, now_us, g_array_index (shares, ModelShare, i).model);
+  guint min_workers = n_workers >= WORKERS_PER_MODEL_MIN * shares->len ? WORKERS_PER_MODEL_MIN : 1;
+  double distributable_workers = (double)n_workers - (double)min_workers * shares->len;
   for (guint i = 0; i < shares->len; i++)
     {
-      Share *share = &g_array_index (shares, Share, i);
-      double part
+      ModelShare *share = &g_array_index (shares, ModelShare, i);
+      double demand_share
           = total > 0 ? get_weighted_demand (placement, now_us, share->model) / total : 1.0 / shares->len;
-      share->target_workers = MAX (part * n_workers, least);
+      share->target_workers = MAX (demand_share * n_workers, min_workers);
     }
   /* What the least shares take, the others give up in proportion. */
-  double above = 0;
+  double total_above_min = 0;
   for (guint i = 0; i < shares->len; i++)
-    above += g_array_index (shares, Share, i).target_workers - least;
-  for (guint i = 0; i < shares->len && above > 0 && rest >= 0; i++)
+    total_above_min += g_array_index (shares, ModelShare, i).target_workers - min_workers;
+  for (guint i = 0; i < shares->len && total_above_min > 0 && distributable_workers >= 0; i++)
     {
-      Share *share = &g_array_index (shares, Share, i);
-      share->target_workers = least + (share->target_workers - least) * rest / above;
+      ModelShare *share = &g_array_index (shares, ModelShare, i);
+      share->target_workers
+          = min_workers + (share->target_workers - min_workers) * distributable_workers / total_above_min;
     }
 }
 
@@ -201,7 +203,7 @@
 {
   for (guint i = 0; i < shares->len; i++)
     {
-      Share *share = &g_array_index (shares, Share, i);
+      ModelShare *share = &g_array_index (shares, ModelShare, i);
       double peak = get_peak (placement, now_us, share->model);
       if (peak > 0)
         share->target_workers
@@ -209,36 +211,40 @@
     }
 }
 
-static Share *
+static ModelShare *
 find_share (GArray *shares, const char *model)
 {
   for (guint i = 0; i < shares->len; i++)
-    if (g_strcmp0 (g_array_index (shares, Share, i).model, model) == 0)
-      return &g_array_index (shares, Share, i);
+    if (g_strcmp0 (g_array_index (shares, ModelShare, i).model, model) == 0)
+      return &g_array_index (shares, ModelShare, i);
   return NULL;
 }
 
-static Share *
+static ModelShare *
 find_largest_deficit (GArray *shares)
 {
-  Share *found = NULL;
+  ModelShare *found = NULL;
   for (guint i = 0; i < shares->len; i++)
     {
-      Share *share = &g_array_index (shares, Share, i);
-      if (found == NULL || share->target_workers - share->count > found->target_workers - found->count)
+      ModelShare *share = &g_array_index (shares, ModelShare, i);
+      if (found == NULL
+          || share->target_workers - share->assigned_workers
+                 > found->target_workers - found->assigned_workers)
         found = share;
     }
   return found;
 }
 
-static Share *
+static ModelShare *
 find_largest_surplus (GArray *shares)
 {
-  Share *found = NULL;
+  ModelShare *found = NULL;
   for (guint i = 0; i < shares->len; i++)
     {
-      Share *share = &g_array_index (shares, Share, i);
-      if (found == NULL || share->count - share->target_workers > found->count - found->target_workers)
+      ModelShare *share = &g_array_index (shares, ModelShare, i);
+      if (found == NULL
+          || share->assigned_workers - share->target_workers
+                 > found->assigned_workers - found->target_workers)
         found = share;
     }
   return found;
@@ -247,13 +253,13 @@
 /* ---- Placement ------------------------------------------------------------ */
 
 static void
-set_assignment (QuinceModelPlacement *placement, gint64 now_us, const char *worker, Share *share)
+set_assignment (QuinceModelPlacement *placement, gint64 now_us, const char *worker, ModelShare *share)
 {
-  Assignment *model = g_new0 (Assignment, 1);
-  model->model = g_strdup (share->model);
-  model->seen_us = now_us;
-  g_hash_table_replace (placement->placement, g_strdup (worker), model);
-  share->count++;
+  Assignment *assignment = g_new0 (Assignment, 1);
+  assignment->model = g_strdup (share->model);
+  assignment->last_listed_us = now_us;
+  g_hash_table_replace (placement->assignments, g_strdup (worker), assignment);
+  share->assigned_workers++;
 }
 
 /* Counts the workers of each model, and forgets workers that are gone for long. */
@@ -262,41 +268,47 @@
 {
   for (guint i = 0; i < workers->len; i++)
     {
-      Assignment *model
-          = g_hash_table_lookup (placement->placement, g_array_index (workers, QuincePlacementWorker, i).id);
-      Share *share = model != NULL ? find_share (shares, model->model) : NULL;
+      Assignment *assignment = g_hash_table_lookup (placement->assignments,
+                                                    g_array_index (workers, QuincePlacementWorker, i).id);
+      ModelShare *share = assignment != NULL ? find_share (shares, assignment->model) : NULL;
       if (share == NULL)
         continue;
-      model->seen_us = now_us;
-      share->count++;
+      assignment->last_listed_us = now_us;
+      share->assigned_workers++;
     }
   GHashTableIter iter;
   gpointer value;
-  g_hash_table_iter_init (&iter, placement->placement);
+  g_hash_table_iter_init (&iter, placement->assignments);
   while (g_hash_table_iter_next (&iter, NULL, &value))
-    if (now_us - ((const Assignment *)value)->seen_us > PLACEMENT_KEEP_US)
+    if (now_us - ((const Assignment *)value)->last_listed_us > PLACEMENT_KEEP_US)
       g_hash_table_iter_remove (&iter);
 }
 
 /* Models for workers without one, while a model lacks some: with what they hold, then with any. */
 static void
-fill (QuinceModelPlacement *placement, gint64 now_us, GArray *shares, const GArray *workers, gboolean as_held)
+assign_unassigned (QuinceModelPlacement *placement,
+                   gint64 now_us,
+                   GArray *shares,
+                   const GArray *workers,
+                   gboolean as_loaded)
 {
   for (guint i = 0; i < workers->len; i++)
     {
       const QuincePlacementWorker *worker = &g_array_index (workers, QuincePlacementWorker, i);
       if (find_share (shares, quince_model_placement_get (placement, worker->id)) != NULL)
         continue;
-      Share *share = as_held ? find_share (shares, worker->held) : find_largest_deficit (shares);
+      ModelShare *share
+          = as_loaded ? find_share (shares, worker->loaded_model) : find_largest_deficit (shares);
       if (share != NULL
-          && share->target_workers - share->count >= (as_held ? DEFICIT_MIN : RESERVE_DEFICIT_MIN))
+          && share->target_workers - share->assigned_workers
+                 >= (as_loaded ? DEFICIT_MIN : RESERVE_DEFICIT_MIN))
         set_assignment (placement, now_us, worker->id, share);
     }
 }
 
 /* Some worker whose model is @share's model. */
 static const char *
-find_assigned_worker (QuinceModelPlacement *placement, const Share *share, const GArray *workers)
+find_assigned_worker (QuinceModelPlacement *placement, const ModelShare *share, const GArray *workers)
 {
   for (guint i = 0; i < workers->len; i++)
     {
@@ -310,18 +322,19 @@
 static void
 move_worker (QuinceModelPlacement *placement, gint64 now_us, GArray *shares, const GArray *workers)
 {
-  Share *to = find_largest_deficit (shares);
-  Share *from = find_largest_surplus (shares);
-  gboolean lacks
-      = to->target_workers - to->count >= DEFICIT_MIN && from->count - from->target_workers >= SURPLUS_MIN;
-  gboolean idles = from->count - from->target_workers >= RELEASE_SURPLUS_MIN;
-  const char *worker = lacks || idles ? find_assigned_worker (placement, from, workers) : NULL;
+  ModelShare *destination = find_largest_deficit (shares);
+  ModelShare *source = find_largest_surplus (shares);
+  gboolean has_deficit = destination->target_workers - destination->assigned_workers >= DEFICIT_MIN
+                         && source->assigned_workers - source->target_workers >= SURPLUS_MIN;
+  gboolean is_releasable = source->assigned_workers - source->target_workers >= RELEASE_SURPLUS_MIN;
+  const char *worker
+      = has_deficit || is_releasable ? find_assigned_worker (placement, source, workers) : NULL;
   if (worker == NULL || now_us < placement->next_move_us)
     return;
-  if (lacks)
-    set_assignment (placement, now_us, worker, to);
+  if (has_deficit)
+    set_assignment (placement, now_us, worker, destination);
   else
-    g_hash_table_remove (placement->placement, worker);
+    g_hash_table_remove (placement->assignments, worker);
   placement->next_move_us = now_us + MOVE_INTERVAL_US;
 }
 
@@ -334,16 +347,16 @@
 {
   if (models->len == 0)
     return;
-  g_autoptr (GArray) shares = g_array_new (FALSE, FALSE, sizeof (Share));
+  g_autoptr (GArray) shares = g_array_new (FALSE, FALSE, sizeof (ModelShare));
   for (guint i = 0; i < models->len; i++)
     {
-      const Share share = { .model = models->pdata[i] };
+      const ModelShare share = { .model = models->pdata[i] };
       g_array_append_val (shares, share);
     }
   count_assigned (placement, now_us, shares, workers);
   compute_targets (placement, now_us, shares, workers->len);
   cap_targets (placement, now_us, shares, slots);
-  fill (placement, now_us, shares, workers, TRUE);
-  fill (placement, now_us, shares, workers, FALSE);
+  assign_unassigned (placement, now_us, shares, workers, TRUE);
+  assign_unassigned (placement, now_us, shares, workers, FALSE);
   move_worker (placement, now_us, shares, workers);
 }
--- a/lib/core/weights/model-placement.h
+++ b/lib/core/weights/model-placement.h
@@ -32,7 +32,7 @@
 void quince_model_placement_record_step (QuinceModelPlacement *placement,
                                          const char *model,
                                          gint64 took_us,
-                                         gint64 due_us);
+                                         gint64 allowed_us);
 
 /**
  * QuincePlacementWorker:
@@ -42,7 +42,7 @@
 typedef struct
 {
   const char *id;
-  const char *held;
+  const char *loaded_model;
 } QuincePlacementWorker;
 
 /**
--- a/tests/unit/test-load-plan.c
+++ b/tests/unit/test-load-plan.c
@@ -10,14 +10,21 @@
 
 #include "core/weights/load-plan.h"
 
-#define SECOND G_USEC_PER_SEC
-#define LATER (1 * SECOND)
+#define SECOND_US G_USEC_PER_SEC
+#define AFTER_NEXT_STEP_WAIT_US (1 * SECOND_US)
 
 static gboolean
-puts_off (const QuinceLoadPlan *plan, const char *worker, guint64 has, guint64 wanted, gint64 version_age_us)
+should_defer (const QuinceLoadPlan *plan,
+              const char *worker,
+              guint64 loaded_version,
+              guint64 wanted_version,
+              gint64 version_age_us)
 {
-  const QuincePendingLoad load
-      = { .worker = worker, .model = "m", .has = has, .wanted = wanted, .version_age_us = version_age_us };
+  const QuincePendingLoad load = { .worker = worker,
+                                   .model = "m",
+                                   .loaded_version = loaded_version,
+                                   .wanted_version = wanted_version,
+                                   .version_age_us = version_age_us };
   return quince_load_plan_should_defer (plan, &load);
 }
 
@@ -25,22 +32,22 @@
 test_defer_until_next_step (void **state)
 {
   g_autoptr (QuinceLoadPlan) plan = quince_load_plan_new ();
-  assert_true (puts_off (plan, "w", 4, 5, 0));
-  assert_false (puts_off (plan, "w", 4, 5, LATER));
+  assert_true (should_defer (plan, "w", 4, 5, 0));
+  assert_false (should_defer (plan, "w", 4, 5, AFTER_NEXT_STEP_WAIT_US));
 }
 
 static void
 test_load_at_once_if_too_old (void **state)
 {
   g_autoptr (QuinceLoadPlan) plan = quince_load_plan_new ();
-  quince_load_plan_record_run (plan, "w", 6 * SECOND);
+  quince_load_plan_record_run (plan, "w", 6 * SECOND_US);
   quince_load_plan_record_sample (plan, "m", 4, TRUE);
-  assert_false (puts_off (plan, "w", 3, 5, 0));
+  assert_false (should_defer (plan, "w", 3, 5, 0));
   /* one without any weights of the model */
-  assert_false (puts_off (plan, "w", 0, 1, 0));
+  assert_false (should_defer (plan, "w", 0, 1, 0));
   /* a step that allows no older weights */
   quince_load_plan_record_sample (plan, "m", 5, TRUE);
-  assert_false (puts_off (plan, "w", 4, 5, 0));
+  assert_false (should_defer (plan, "w", 4, 5, 0));
 }
 
 static void
@@ -48,76 +55,76 @@
 {
   g_autoptr (QuinceLoadPlan) plan = quince_load_plan_new ();
   quince_load_plan_record_sample (plan, "m", 4, FALSE);
-  assert_false (puts_off (plan, "w", 4, 5, LATER));
+  assert_false (should_defer (plan, "w", 4, 5, AFTER_NEXT_STEP_WAIT_US));
   quince_load_plan_record_sample (plan, "m", 4, TRUE);
-  assert_true (puts_off (plan, "w", 4, 5, LATER));
+  assert_true (should_defer (plan, "w", 4, 5, AFTER_NEXT_STEP_WAIT_US));
 }
 
 static void
 test_defer_during_long_run (void **state)
 {
   g_autoptr (QuinceLoadPlan) plan = quince_load_plan_new ();
-  quince_load_plan_record_run (plan, "short", SECOND);
-  quince_load_plan_record_run (plan, "long", 6 * SECOND);
-  quince_load_plan_record_run (plan, "long", SECOND / 2);
-  assert_false (puts_off (plan, "short", 4, 5, LATER));
-  assert_true (puts_off (plan, "long", 4, 5, LATER));
+  quince_load_plan_record_run (plan, "short", SECOND_US);
+  quince_load_plan_record_run (plan, "long", 6 * SECOND_US);
+  quince_load_plan_record_run (plan, "long", SECOND_US / 2);
+  assert_false (should_defer (plan, "short", 4, 5, AFTER_NEXT_STEP_WAIT_US));
+  assert_true (should_defer (plan, "long", 4, 5, AFTER_NEXT_STEP_WAIT_US));
   /* not for ever */
-  assert_false (puts_off (plan, "long", 4, 5, 9 * SECOND));
+  assert_false (should_defer (plan, "long", 4, 5, 9 * SECOND_US));
 }
 
 /* One step of a trainer on some workers, in turns of 100 ms: its samples begin at once, and each worker has
  * one version to load, which stops its runs for a second, two workers at a time. */
 #define WORKERS 8
-#define TURN_US (100 * 1000)
-#define LOAD_TURNS 10
-#define LOADS_AT_ONCE 2
-#define LONG_TURNS 70
-#define SHORT_TURNS 8
+#define TICK_US (100 * 1000)
+#define LOAD_TICKS 10
+#define MAX_CONCURRENT_LOADS 2
+#define LONG_RUN_TICKS 70
+#define SHORT_RUN_TICKS 8
 
 static guint
-total_turns (guint worker)
+get_run_ticks (guint worker)
 {
-  return worker % 2 == 0 ? LONG_TURNS : SHORT_TURNS;
+  return worker % 2 == 0 ? LONG_RUN_TICKS : SHORT_RUN_TICKS;
 }
 
 /* Returns: turns until the last run of the step has ended */
 static guint
-simulate_step (gboolean planned)
+simulate_step (gboolean use_plan)
 {
-  guint left[WORKERS];
-  guint loading[WORKERS] = { 0 };
+  guint remaining_ticks[WORKERS];
+  guint loading_ticks[WORKERS] = { 0 };
   gboolean loaded[WORKERS] = { FALSE };
   for (guint i = 0; i < WORKERS; i++)
-    left[i] = total_turns (i);
-  for (guint turn = 0;; turn++)
+    remaining_ticks[i] = get_run_ticks (i);
+  for (guint tick = 0;; tick++)
     {
       g_autoptr (QuinceLoadPlan) plan = quince_load_plan_new ();
-      guint running = 0;
-      guint loads = 0;
+      guint running_workers = 0;
+      guint active_loads = 0;
       for (guint i = 0; i < WORKERS; i++)
         {
           g_autofree char *name = g_strdup_printf ("w%u", i);
-          if (left[i] > 0)
-            quince_load_plan_record_run (plan, name, (gint64)total_turns (i) * TURN_US);
-          running += left[i] > 0;
-          loads += loading[i] > 0;
+          if (remaining_ticks[i] > 0)
+            quince_load_plan_record_run (plan, name, (gint64)get_run_ticks (i) * TICK_US);
+          running_workers += remaining_ticks[i] > 0;
+          active_loads += loading_ticks[i] > 0;
         }
-      if (running == 0)
-        return turn;
+      if (running_workers == 0)
+        return tick;
       for (guint i = 0; i < WORKERS; i++)
         {
           g_autofree char *name = g_strdup_printf ("w%u", i);
-          gboolean may = !planned || !puts_off (plan, name, 4, 5, (gint64)turn * TURN_US);
-          if (!loaded[i] && loading[i] == 0 && loads < LOADS_AT_ONCE && may)
+          gboolean may_load = !use_plan || !should_defer (plan, name, 4, 5, (gint64)tick * TICK_US);
+          if (!loaded[i] && loading_ticks[i] == 0 && active_loads < MAX_CONCURRENT_LOADS && may_load)
             {
-              loading[i] = LOAD_TURNS;
-              loads++;
+              loading_ticks[i] = LOAD_TICKS;
+              active_loads++;
             }
-          if (loading[i] > 0)
-            loaded[i] = --loading[i] == 0;
-          else if (left[i] > 0)
-            left[i]--;
+          if (loading_ticks[i] > 0)
+            loaded[i] = --loading_ticks[i] == 0;
+          else if (remaining_ticks[i] > 0)
+            remaining_ticks[i]--;
         }
     }
 }
@@ -126,8 +133,8 @@
 static void
 test_deferral_shortens_step (void **state)
 {
-  assert_int_equal (simulate_step (FALSE), LONG_TURNS + LOAD_TURNS);
-  assert_int_equal (simulate_step (TRUE), LONG_TURNS);
+  assert_int_equal (simulate_step (FALSE), LONG_RUN_TICKS + LOAD_TICKS);
+  assert_int_equal (simulate_step (TRUE), LONG_RUN_TICKS);
 }
 
 int
--- a/tests/unit/test-load-turns.c
+++ b/tests/unit/test-load-turns.c
@@ -15,46 +15,48 @@
 /* Loads that are borne in a second, and seconds between the versions of each model. */
 #define LOADS_PER_SECOND 10
 static const guint version_interval_s[MODELS] = { 4, 7, 9 };
-static const char *const names[MODELS] = { "a", "b", "c" };
+static const char *const model_names[MODELS] = { "a", "b", "c" };
 
 typedef struct
 {
-  guint64 wanted[MODELS];
-  guint64 has[MODELS][WORKERS];
+  guint64 wanted_version[MODELS];
+  guint64 loaded_version[MODELS][WORKERS];
   guint loads[MODELS];
-} World;
+} Simulation;
 
 /* One second: as many loads as are borne. */
 static void
-load (World *world)
+simulate_second (Simulation *simulation)
 {
   g_autoptr (QuinceLoadTurns) turns = quince_load_turns_new ();
   for (guint model = 0; model < MODELS; model++)
     for (guint i = 0; i < WORKERS; i++)
       {
-        guint64 behind = world->wanted[model] - world->has[model][i];
-        quince_load_turns_count_worker (turns, names[model], behind == 0);
-        if (behind > 0)
-          quince_load_turns_add_candidate (turns, names[model], behind, 0, &world->has[model][i]);
+        guint64 versions_behind = simulation->wanted_version[model] - simulation->loaded_version[model][i];
+        quince_load_turns_count_worker (turns, model_names[model], versions_behind == 0);
+        if (versions_behind > 0)
+          quince_load_turns_add_candidate (turns, model_names[model], versions_behind, 0,
+                                           &simulation->loaded_version[model][i]);
       }
   for (guint i = 0; i < LOADS_PER_SECOND; i++)
     {
-      guint64 *has = quince_load_turns_next (turns);
-      if (has == NULL)
+      guint64 *loaded_version = quince_load_turns_next (turns);
+      if (loaded_version == NULL)
         return;
-      guint model = (guint)(((gsize)has - (gsize)world->has) / sizeof world->has[0]);
-      *has = world->wanted[model];
-      world->loads[model]++;
+      guint model = (guint)(((gsize)loaded_version - (gsize)simulation->loaded_version)
+                            / sizeof simulation->loaded_version[0]);
+      *loaded_version = simulation->wanted_version[model];
+      simulation->loads[model]++;
     }
 }
 
 /* Workers that serve the newest step, which allows the version before. */
 static guint
-serving (const World *world, guint model)
+count_serving (const Simulation *simulation, guint model)
 {
   guint count = 0;
   for (guint i = 0; i < WORKERS; i++)
-    count += world->has[model][i] + 1 >= world->wanted[model];
+    count += simulation->loaded_version[model][i] + 1 >= simulation->wanted_version[model];
   return count;
 }
 
@@ -62,17 +64,18 @@
 static void
 test_models_share_loads (void **state)
 {
-  World world = { 0 };
+  Simulation simulation = { 0 };
   for (guint second = 1; second <= 120; second++)
     {
       for (guint model = 0; model < MODELS; model++)
-        world.wanted[model] += second % version_interval_s[model] == 0;
-      load (&world);
+        simulation.wanted_version[model] += second % version_interval_s[model] == 0;
+      simulate_second (&simulation);
       for (guint model = 0; model < MODELS; model++)
-        if (second > 20 && serving (&world, model) < WORKERS / 3)
-          fail_msg ("second %u: %u workers serve model %s", second, serving (&world, model), names[model]);
+        if (second > 20 && count_serving (&simulation, model) < WORKERS / 3)
+          fail_msg ("second %u: %u workers serve model %s", second, count_serving (&simulation, model),
+                    model_names[model]);
     }
-  print_message ("loads: %u, %u, %u\n", world.loads[0], world.loads[1], world.loads[2]);
+  print_message ("loads: %u, %u, %u\n", simulation.loads[0], simulation.loads[1], simulation.loads[2]);
 }
 
 static void
--- a/tests/unit/test-load-window.c
+++ b/tests/unit/test-load-window.c
@@ -10,9 +10,9 @@
 
 #include "core/weights/load-window.h"
 
-#define ALONE_US (900 * 1000)
+#define UNCONTENDED_LOAD_US (900 * 1000)
 #define CHECK_INTERVAL_US (80 * 1000)
-#define TURN_US (20 * 1000)
+#define TICK_US (20 * 1000)
 #define WORKERS_MAX 600
 
 /* Workers that are to load again and again, as many at once as the window says; a load goes on by its share
@@ -20,56 +20,59 @@
 typedef struct
 {
   QuinceLoadWindow window;
-  guint bears;
-  guint most;
+  guint source_capacity;
+  guint max_loads;
   gint64 now_us;
-  guint loading;
-  gint64 began_us[WORKERS_MAX];
-  double left_us[WORKERS_MAX];
-  guint loaded;
-  gint64 took_us; /* all of them together */
-  guint peak;
-} World;
+  guint active_loads;
+  gint64 started_us[WORKERS_MAX];
+  double remaining_us[WORKERS_MAX];
+  guint completed_loads;
+  gint64 total_duration_us; /* all of them together */
+  guint peak_active_loads;
+} Simulation;
 
 static void
-load_ended (World *world, guint i)
+complete_load (Simulation *simulation, guint i)
 {
   /* It is seen at a look. */
-  gint64 took_us = world->now_us - world->began_us[i] + CHECK_INTERVAL_US;
-  world->loaded++;
-  world->took_us += took_us;
-  quince_load_window_record_load (&world->window, world->began_us[i] + took_us, world->began_us[i],
-                                  world->most);
-  world->loading--;
-  world->began_us[i] = world->began_us[world->loading];
-  world->left_us[i] = world->left_us[world->loading];
+  gint64 duration_us = simulation->now_us - simulation->started_us[i] + CHECK_INTERVAL_US;
+  simulation->completed_loads++;
+  simulation->total_duration_us += duration_us;
+  quince_load_window_record_load (&simulation->window, simulation->started_us[i] + duration_us,
+                                  simulation->started_us[i], simulation->max_loads);
+  simulation->active_loads--;
+  simulation->started_us[i] = simulation->started_us[simulation->active_loads];
+  simulation->remaining_us[i] = simulation->remaining_us[simulation->active_loads];
 }
 
 static void
-run (World *world, guint seconds)
+run (Simulation *simulation, guint seconds)
 {
-  world->loaded = 0;
-  world->took_us = 0;
-  for (guint turn = 0; turn < seconds * (G_USEC_PER_SEC / TURN_US); turn++)
+  simulation->completed_loads = 0;
+  simulation->total_duration_us = 0;
+  for (guint tick = 0; tick < seconds * (G_USEC_PER_SEC / TICK_US); tick++)
     {
-      world->now_us += TURN_US;
-      double pace = world->loading > world->bears ? (double)world->bears / world->loading : 1;
-      for (guint i = world->loading; i > 0; i--)
-        if ((world->left_us[i - 1] -= pace * TURN_US) <= 0)
-          load_ended (world, i - 1);
-      while (world->loading < quince_load_window_get_size (&world->window, world->most))
+      simulation->now_us += TICK_US;
+      double progress_rate = simulation->active_loads > simulation->source_capacity
+                                 ? (double)simulation->source_capacity / simulation->active_loads
+                                 : 1;
+      for (guint i = simulation->active_loads; i > 0; i--)
+        if ((simulation->remaining_us[i - 1] -= progress_rate * TICK_US) <= 0)
+          complete_load (simulation, i - 1);
+      while (simulation->active_loads
+             < quince_load_window_get_size (&simulation->window, simulation->max_loads))
         {
-          world->began_us[world->loading] = world->now_us;
-          world->left_us[world->loading++] = ALONE_US;
+          simulation->started_us[simulation->active_loads] = simulation->now_us;
+          simulation->remaining_us[simulation->active_loads++] = UNCONTENDED_LOAD_US;
         }
-      world->peak = MAX (world->peak, world->loading);
+      simulation->peak_active_loads = MAX (simulation->peak_active_loads, simulation->active_loads);
     }
 }
 
 static gint64
-mean_us (const World *world)
+get_mean_duration_us (const Simulation *simulation)
 {
-  return world->took_us / MAX (world->loaded, 1);
+  return simulation->total_duration_us / MAX (simulation->completed_loads, 1);
 }
 
 /* Ten at once are borne and the workers are thousands: loads stay short, and most of what is borne is used.
@@ -77,35 +80,35 @@
 static void
 test_slow_source (void **state)
 {
-  World world = { .bears = 10, .most = 564, .now_us = 1 };
-  run (&world, 10);
-  run (&world, 60);
-  print_message ("at most %u at once, %u loaded in a minute, each in %.2f s\n", world.peak, world.loaded,
-                 (double)mean_us (&world) / G_USEC_PER_SEC);
-  assert_true (world.peak < 30);
-  assert_true (mean_us (&world) < 16 * ALONE_US / 10);
-  assert_true (world.loaded > 60 * 8);
+  Simulation simulation = { .source_capacity = 10, .max_loads = 564, .now_us = 1 };
+  run (&simulation, 10);
+  run (&simulation, 60);
+  print_message ("at most %u at once, %u loaded in a minute, each in %.2f s\n", simulation.peak_active_loads,
+                 simulation.completed_loads, (double)get_mean_duration_us (&simulation) / G_USEC_PER_SEC);
+  assert_true (simulation.peak_active_loads < 30);
+  assert_true (get_mean_duration_us (&simulation) < 16 * UNCONTENDED_LOAD_US / 10);
+  assert_true (simulation.completed_loads > 60 * 8);
 }
 
 /* All that are to load may load at once: it does not take long until they do. */
 static void
 test_fast_source (void **state)
 {
-  World world = { .bears = 1000, .most = 200, .now_us = 1 };
-  run (&world, 6);
-  assert_int_equal (quince_load_window_get_size (&world.window, world.most), 200);
-  assert_true (mean_us (&world) < 12 * ALONE_US / 10);
+  Simulation simulation = { .source_capacity = 1000, .max_loads = 200, .now_us = 1 };
+  run (&simulation, 6);
+  assert_int_equal (quince_load_window_get_size (&simulation.window, simulation.max_loads), 200);
+  assert_true (get_mean_duration_us (&simulation) < 12 * UNCONTENDED_LOAD_US / 10);
 }
 
 /* A small service keeps its bound, whatever the loads take. */
 static void
 test_small_service (void **state)
 {
-  World world = { .bears = 2, .most = 2, .now_us = 1 };
-  run (&world, 20);
-  assert_int_equal (world.peak, 2);
-  assert_int_equal (quince_load_window_get_size (&world.window, 2), 2);
-  assert_int_equal (quince_load_window_get_size (&world.window, 0), 1);
+  Simulation simulation = { .source_capacity = 2, .max_loads = 2, .now_us = 1 };
+  run (&simulation, 20);
+  assert_int_equal (simulation.peak_active_loads, 2);
+  assert_int_equal (quince_load_window_get_size (&simulation.window, 2), 2);
+  assert_int_equal (quince_load_window_get_size (&simulation.window, 0), 1);
 }
 
 /* Loads that began before the number fell do not let it fall again. */
@@ -113,10 +116,10 @@
 test_single_decrease_per_round (void **state)
 {
   QuinceLoadWindow window = { 0 };
-  gint64 began = 1;
-  quince_load_window_record_load (&window, began + ALONE_US, began, 100);
+  gint64 started = 1;
+  quince_load_window_record_load (&window, started + UNCONTENDED_LOAD_US, started, 100);
   for (guint i = 0; i < 40; i++)
-    quince_load_window_record_load (&window, began + 5 * ALONE_US + i, began, 100);
+    quince_load_window_record_load (&window, started + 5 * UNCONTENDED_LOAD_US + i, started, 100);
   assert_true (quince_load_window_get_size (&window, 100) >= 6);
 }
 
--- a/tests/unit/test-model-placement.c
+++ b/tests/unit/test-model-placement.c
@@ -10,10 +10,10 @@
 
 #include "core/weights/model-placement.h"
 
-#define SECOND G_USEC_PER_SEC
+#define SECOND_US G_USEC_PER_SEC
 
 static GPtrArray *
-names (const char *prefix, guint count)
+make_names (const char *prefix, guint count)
 {
   GPtrArray *list = g_ptr_array_new_with_free_func (g_free);
   for (guint i = 0; i < count; i++)
@@ -21,7 +21,7 @@
   return list;
 }
 
-#define SLOTS 8
+#define SLOTS_PER_WORKER 8
 
 /* As the workers' owner tells them; none holds a model yet. */
 static void
@@ -33,11 +33,11 @@
       const QuincePlacementWorker row = { workers->pdata[i], NULL };
       g_array_append_val (rows, row);
     }
-  quince_model_placement_assign (placement, now_us, models, rows, SLOTS);
+  quince_model_placement_assign (placement, now_us, models, rows, SLOTS_PER_WORKER);
 }
 
 static guint
-count_of (QuinceModelPlacement *placement, const GPtrArray *workers, const char *model)
+count_assigned (QuinceModelPlacement *placement, const GPtrArray *workers, const char *model)
 {
   guint count = 0;
   for (guint i = 0; i < workers->len; i++)
@@ -49,36 +49,36 @@
 test_equal_shares_without_demand (void **state)
 {
   g_autoptr (QuinceModelPlacement) placement = quince_model_placement_new ();
-  g_autoptr (GPtrArray) models = names ("m", 3);
-  g_autoptr (GPtrArray) workers = names ("w", 9);
+  g_autoptr (GPtrArray) models = make_names ("m", 3);
+  g_autoptr (GPtrArray) workers = make_names ("w", 9);
   assign (placement, 0, models, workers);
   for (guint i = 0; i < 3; i++)
-    assert_int_equal (count_of (placement, workers, models->pdata[i]), 3);
+    assert_int_equal (count_assigned (placement, workers, models->pdata[i]), 3);
 }
 
 static void
 test_moves_one_worker_at_a_time (void **state)
 {
   g_autoptr (QuinceModelPlacement) placement = quince_model_placement_new ();
-  g_autoptr (GPtrArray) models = names ("m", 3);
-  g_autoptr (GPtrArray) workers = names ("w", 9);
+  g_autoptr (GPtrArray) models = make_names ("m", 3);
+  g_autoptr (GPtrArray) workers = make_names ("w", 9);
   assign (placement, 0, models, workers);
-  quince_model_placement_add_demand (placement, SECOND, "m0", 100, 1000);
-  quince_model_placement_add_demand (placement, SECOND, "m1", 100, 1000);
-  quince_model_placement_add_demand (placement, SECOND, "m2", 400, 1000);
-  assign (placement, SECOND, models, workers);
-  assert_int_equal (count_of (placement, workers, "m2"), 4);
-  assign (placement, SECOND + 1, models, workers);
-  assert_int_equal (count_of (placement, workers, "m2"), 4);
+  quince_model_placement_add_demand (placement, SECOND_US, "m0", 100, 1000);
+  quince_model_placement_add_demand (placement, SECOND_US, "m1", 100, 1000);
+  quince_model_placement_add_demand (placement, SECOND_US, "m2", 400, 1000);
+  assign (placement, SECOND_US, models, workers);
+  assert_int_equal (count_assigned (placement, workers, "m2"), 4);
+  assign (placement, SECOND_US + 1, models, workers);
+  assert_int_equal (count_assigned (placement, workers, "m2"), 4);
   for (guint i = 2; i < 20; i++)
-    assign (placement, i * 2 * SECOND, models, workers);
-  assert_int_equal (count_of (placement, workers, "m2"), 5);
-  assert_int_equal (count_of (placement, workers, "m0"), 2);
+    assign (placement, i * 2 * SECOND_US, models, workers);
+  assert_int_equal (count_assigned (placement, workers, "m2"), 5);
+  assert_int_equal (count_assigned (placement, workers, "m0"), 2);
   /* Nothing moves to and fro. */
-  guint before = count_of (placement, workers, "m1");
+  guint before = count_assigned (placement, workers, "m1");
   for (guint i = 20; i < 40; i++)
-    assign (placement, i * 2 * SECOND, models, workers);
-  assert_int_equal (count_of (placement, workers, "m1"), before);
+    assign (placement, i * 2 * SECOND_US, models, workers);
+  assert_int_equal (count_assigned (placement, workers, "m1"), before);
 }
 
 /* Failed first: a worker that was taken away left its model with two, for good. */
@@ -86,8 +86,8 @@
 test_rebalance_after_lost_workers (void **state)
 {
   g_autoptr (QuinceModelPlacement) placement = quince_model_placement_new ();
-  g_autoptr (GPtrArray) models = names ("m", 2);
-  g_autoptr (GPtrArray) workers = names ("w", 8);
+  g_autoptr (GPtrArray) models = make_names ("m", 2);
+  g_autoptr (GPtrArray) workers = make_names ("w", 8);
   assign (placement, 0, models, workers);
   for (guint lost = 0; lost < 2; lost++)
     for (guint i = 0; i < workers->len; i++)
@@ -96,19 +96,19 @@
           g_ptr_array_remove_index (workers, i);
           break;
         }
-  assert_int_equal (count_of (placement, workers, "m0"), 2);
+  assert_int_equal (count_assigned (placement, workers, "m0"), 2);
   for (guint i = 1; i < 10; i++)
-    assign (placement, i * 3 * SECOND, models, workers);
-  assert_int_equal (count_of (placement, workers, "m0"), 3);
-  assert_int_equal (count_of (placement, workers, "m1"), 3);
+    assign (placement, i * 3 * SECOND_US, models, workers);
+  assert_int_equal (count_assigned (placement, workers, "m0"), 3);
+  assert_int_equal (count_assigned (placement, workers, "m1"), 3);
 }
 
 static void
 test_fewer_workers_than_models (void **state)
 {
   g_autoptr (QuinceModelPlacement) placement = quince_model_placement_new ();
-  g_autoptr (GPtrArray) models = names ("m", 3);
-  g_autoptr (GPtrArray) workers = names ("w", 2);
+  g_autoptr (GPtrArray) models = make_names ("m", 3);
+  g_autoptr (GPtrArray) workers = make_names ("w", 2);
   assign (placement, 0, models, workers);
   for (guint i = 0; i < 2; i++)
     assert_non_null (quince_model_placement_get (placement, workers->pdata[i]));
@@ -119,22 +119,22 @@
 test_surplus_workers_go_to_reserve (void **state)
 {
   g_autoptr (QuinceModelPlacement) placement = quince_model_placement_new ();
-  g_autoptr (GPtrArray) models = names ("m", 1);
-  g_autoptr (GPtrArray) workers = names ("w", 300);
+  g_autoptr (GPtrArray) models = make_names ("m", 1);
+  g_autoptr (GPtrArray) workers = make_names ("w", 300);
   quince_model_placement_add_demand (placement, 0, "m0", 100, 96);
   assign (placement, 0, models, workers);
-  assert_int_equal (count_of (placement, workers, "m0"), 20); /* 96 * 1.5 / 8 and two more */
+  assert_int_equal (count_assigned (placement, workers, "m0"), 20); /* 96 * 1.5 / 8 and two more */
   /* A lost one is made up for at once. */
   g_ptr_array_remove_index (workers, 0);
-  assign (placement, SECOND, models, workers);
-  assert_int_equal (count_of (placement, workers, "m0"), 20);
+  assign (placement, SECOND_US, models, workers);
+  assert_int_equal (count_assigned (placement, workers, "m0"), 20);
   /* More samples, more workers; long after them, fewer. */
-  quince_model_placement_add_demand (placement, 2 * SECOND, "m0", 100, 200);
-  assign (placement, 2 * SECOND, models, workers);
-  assert_int_equal (count_of (placement, workers, "m0"), 40);
+  quince_model_placement_add_demand (placement, 2 * SECOND_US, "m0", 100, 200);
+  assign (placement, 2 * SECOND_US, models, workers);
+  assert_int_equal (count_assigned (placement, workers, "m0"), 40);
   for (guint i = 0; i < 150; i++)
-    assign (placement, (3 + i * 2) * SECOND, models, workers);
-  assert_in_range (count_of (placement, workers, "m0"), 2, 8);
+    assign (placement, (3 + i * 2) * SECOND_US, models, workers);
+  assert_in_range (count_assigned (placement, workers, "m0"), 2, 8);
 }
 
 /* A new leader leaves the workers that have the model at it. */
@@ -142,8 +142,8 @@
 test_new_leader_keeps_loaded_models (void **state)
 {
   g_autoptr (QuinceModelPlacement) placement = quince_model_placement_new ();
-  g_autoptr (GPtrArray) models = names ("m", 2);
-  g_autoptr (GPtrArray) workers = names ("w", 100);
+  g_autoptr (GPtrArray) models = make_names ("m", 2);
+  g_autoptr (GPtrArray) workers = make_names ("w", 100);
   g_autoptr (GArray) rows = g_array_new (FALSE, FALSE, sizeof (QuincePlacementWorker));
   for (guint i = 0; i < workers->len; i++)
     {
@@ -152,9 +152,9 @@
     }
   quince_model_placement_add_demand (placement, 0, "m0", 100, 40);
   quince_model_placement_add_demand (placement, 0, "m1", 100, 40);
-  quince_model_placement_assign (placement, 0, models, rows, SLOTS);
-  assert_int_equal (count_of (placement, workers, "m0"), 10);
-  assert_int_equal (count_of (placement, workers, "m1"), 10);
+  quince_model_placement_assign (placement, 0, models, rows, SLOTS_PER_WORKER);
+  assert_int_equal (count_assigned (placement, workers, "m0"), 10);
+  assert_int_equal (count_assigned (placement, workers, "m1"), 10);
   for (guint i = 80; i < 100; i++)
     assert_string_equal (quince_model_placement_get (placement, workers->pdata[i]), i >= 90 ? "m1" : "m0");
 }
@@ -165,18 +165,18 @@
 test_share_independent_of_step_rate (void **state)
 {
   g_autoptr (QuinceModelPlacement) placement = quince_model_placement_new ();
-  g_autoptr (GPtrArray) models = names ("m", 2);
-  g_autoptr (GPtrArray) workers = names ("w", 22);
+  g_autoptr (GPtrArray) models = make_names ("m", 2);
+  g_autoptr (GPtrArray) workers = make_names ("w", 22);
   for (guint second = 0; second < 80; second++)
     {
       if (second % 4 == 0)
-        quince_model_placement_add_demand (placement, second * SECOND, "m0", 100, 1000);
+        quince_model_placement_add_demand (placement, second * SECOND_US, "m0", 100, 1000);
       if (second % 8 == 0)
-        quince_model_placement_add_demand (placement, second * SECOND, "m1", 100, 1000);
-      assign (placement, second * SECOND, models, workers);
+        quince_model_placement_add_demand (placement, second * SECOND_US, "m1", 100, 1000);
+      assign (placement, second * SECOND_US, models, workers);
     }
-  assert_int_equal (count_of (placement, workers, "m0"), 11);
-  assert_int_equal (count_of (placement, workers, "m1"), 11);
+  assert_int_equal (count_assigned (placement, workers, "m0"), 11);
+  assert_int_equal (count_assigned (placement, workers, "m1"), 11);
 }
 
 /* Failed first (11 each): the same work, but the steps of one are late, and those of the other early. */
@@ -184,21 +184,21 @@
 test_late_steps_get_more_workers (void **state)
 {
   g_autoptr (QuinceModelPlacement) placement = quince_model_placement_new ();
-  g_autoptr (GPtrArray) models = names ("m", 2);
-  g_autoptr (GPtrArray) workers = names ("w", 22);
+  g_autoptr (GPtrArray) models = make_names ("m", 2);
+  g_autoptr (GPtrArray) workers = make_names ("w", 22);
   for (guint second = 0; second < 80; second += 4)
     {
-      quince_model_placement_add_demand (placement, second * SECOND, "m0", 100, 1000);
-      quince_model_placement_add_demand (placement, second * SECOND, "m1", 100, 1000);
-      quince_model_placement_record_step (placement, "m0", 4 * SECOND, 8 * SECOND);
-      quince_model_placement_record_step (placement, "m1", 10 * SECOND, 8 * SECOND);
-      assign (placement, second * SECOND, models, workers);
+      quince_model_placement_add_demand (placement, second * SECOND_US, "m0", 100, 1000);
+      quince_model_placement_add_demand (placement, second * SECOND_US, "m1", 100, 1000);
+      quince_model_placement_record_step (placement, "m0", 4 * SECOND_US, 8 * SECOND_US);
+      quince_model_placement_record_step (placement, "m1", 10 * SECOND_US, 8 * SECOND_US);
+      assign (placement, second * SECOND_US, models, workers);
     }
-  assert_in_range (count_of (placement, workers, "m1"), 14, 16);
+  assert_in_range (count_assigned (placement, workers, "m1"), 14, 16);
   /* One step that could not run says little. */
-  quince_model_placement_record_step (placement, "m0", 100 * SECOND, 8 * SECOND);
-  assign (placement, 82 * SECOND, models, workers);
-  assert_in_range (count_of (placement, workers, "m0"), 6, 9);
+  quince_model_placement_record_step (placement, "m0", 100 * SECOND_US, 8 * SECOND_US);
+  assign (placement, 82 * SECOND_US, models, workers);
+  assert_in_range (count_assigned (placement, workers, "m0"), 6, 9);
 }
 
 int
