--- a/lib/core/scaling/scale-loss.c
+++ b/lib/core/scaling/scale-loss.c
@@ -58,7 +58,7 @@
 {
   QuinceScaleZone *zone = g_new0 (QuinceScaleZone, 1);
   zone->name = g_strdup (name);
-  zone->refusal_pause_us = QUINCE_SCALE_REFUSAL_PAUSE_MIN_US;
+  zone->backoff_us = QUINCE_SCALE_BACKOFF_MIN_US;
   g_ptr_array_add (service->zones, zone);
   return zone;
 }
--- a/lib/core/scaling/scale-plan-private.h
+++ b/lib/core/scaling/scale-plan-private.h
@@ -13,7 +13,7 @@
 #define QUINCE_SCALE_LISTING_DELAY_US (2 * G_USEC_PER_SEC)
 /* Pause after a refused order, us, doubled with each further refusal.  Not measured: a start takes seconds,
  * so an earlier attempt would gain little. */
-#define QUINCE_SCALE_REFUSAL_PAUSE_MIN_US (2 * G_USEC_PER_SEC)
+#define QUINCE_SCALE_BACKOFF_MIN_US (2 * G_USEC_PER_SEC)
 
 /* One zone of a service. */
 typedef struct
@@ -30,7 +30,7 @@
   guint desired;              /* count of the last order; 0: none */
   gint64 listing_deadline_us; /* workers that were ordered are listed by then, or don't come */
   gint64 next_order_us;       /* no order before, after a refusal */
-  gint64 refusal_pause_us;    /* pause after the next refusal */
+  gint64 backoff_us;          /* pause after the next refusal */
   gboolean needs_retry;       /* the last order may not have been accepted */
 } QuinceScaleZone;
 
--- a/lib/core/scaling/scale-plan.c
+++ b/lib/core/scaling/scale-plan.c
@@ -5,9 +5,9 @@
 
 /* Shortest time between two orders for one service, us: at most two a second.  Not measured. */
 #define ORDER_INTERVAL_MIN_US (500 * 1000)
-/* Longest pause after a refused order, us: three doublings of QUINCE_SCALE_REFUSAL_PAUSE_MIN_US.  Not
+/* Longest pause after a refused order, us: three doublings of QUINCE_SCALE_BACKOFF_MIN_US.  Not
  * measured. */
-#define REFUSAL_PAUSE_MAX_US (16 * G_USEC_PER_SEC)
+#define BACKOFF_MAX_US (16 * G_USEC_PER_SEC)
 /* Workers are given back once there have been too many for this time, us, so that a zone that comes and goes
  * doesn't make added workers come and go.  Not measured. */
 #define SURPLUS_HOLD_US (8 * G_USEC_PER_SEC)
@@ -251,7 +251,7 @@
   zone->desired = 0;
   zone->listing_deadline_us = 0;
   zone->next_order_us = 0;
-  zone->refusal_pause_us = QUINCE_SCALE_REFUSAL_PAUSE_MIN_US;
+  zone->backoff_us = QUINCE_SCALE_BACKOFF_MIN_US;
   zone->needs_retry = FALSE;
 }
 
@@ -297,10 +297,10 @@
 }
 
 static void
-pause_orders_after_refusal (QuinceScaleZone *zone, gint64 now_us)
+back_off_zone (QuinceScaleZone *zone, gint64 now_us)
 {
-  zone->next_order_us = now_us + zone->refusal_pause_us;
-  zone->refusal_pause_us = MIN (2 * zone->refusal_pause_us, REFUSAL_PAUSE_MAX_US);
+  zone->next_order_us = now_us + zone->backoff_us;
+  zone->backoff_us = MIN (2 * zone->backoff_us, BACKOFF_MAX_US);
 }
 
 void
@@ -316,10 +316,10 @@
     return;
   if (outcome == QUINCE_SCALE_ACCEPTED)
     {
-      zone->refusal_pause_us = QUINCE_SCALE_REFUSAL_PAUSE_MIN_US;
+      zone->backoff_us = QUINCE_SCALE_BACKOFF_MIN_US;
       return;
     }
-  pause_orders_after_refusal (zone, now_us);
+  back_off_zone (zone, now_us);
   if (outcome == QUINCE_SCALE_NO_CAPACITY)
     zone->listing_deadline_us = 0;
   else
