--- a/lib/core/weights/model-placement.c
+++ b/lib/core/weights/model-placement.c
@@ -33,11 +33,11 @@
 /* Room above that peak, as a factor.  Not measured. */
 #define PEAK_HEADROOM 1.5
 /* Workers of a model beyond what its samples can fill.  Not measured. */
-#define SPARE 2
+#define SPARE_WORKERS 2
 /* Workers beyond its share from which on one goes to the reserve.  Not measured: more than the spare ones. */
 #define RELEASE_SURPLUS_MIN 3
 /* Time after which the placement of a worker that is not listed is forgotten, us.  Not measured. */
-#define PLACEMENT_KEEP_US (60 * G_USEC_PER_SEC)
+#define ASSIGNMENT_KEEP_US (60 * G_USEC_PER_SEC)
 
 typedef struct
 {
@@ -207,7 +207,7 @@
       double peak = get_peak (placement, now_us, share->model);
       if (peak > 0)
         share->target_workers
-            = MIN (share->target_workers, ceil (peak * PEAK_HEADROOM / MAX (slots, 1)) + SPARE);
+            = MIN (share->target_workers, ceil (peak * PEAK_HEADROOM / MAX (slots, 1)) + SPARE_WORKERS);
     }
 }
 
@@ -280,7 +280,7 @@
   gpointer value;
   g_hash_table_iter_init (&iter, placement->assignments);
   while (g_hash_table_iter_next (&iter, NULL, &value))
-    if (now_us - ((const Assignment *)value)->last_listed_us > PLACEMENT_KEEP_US)
+    if (now_us - ((const Assignment *)value)->last_listed_us > ASSIGNMENT_KEEP_US)
       g_hash_table_iter_remove (&iter);
 }
 
