--- a/lib/core/weights/load-plan.c
+++ b/lib/core/weights/load-plan.c
@@ -1,31 +1,30 @@
 /*
- * load-plan.c: loads of weights beside the samples that run and wait.
+ * load-plan.c: decides whether a worker loads new weights now or after its current work.
  */
 #include "core/weights/load-plan.h"
 
-/* Duration of a run, us, from which on its worker's load waits: it may be the last run of its step, and a
- * load under it makes the step later by as much.  Twice the second that a load takes; measured with the whole
- * rule: 7.0 s in place of 8.0 s for a step (unit test load-plan). */
+/* Minimum expected duration of a run that defers the load of its worker, us.  A load stops the worker's runs
+ * for about a second, and a long run may be the last one of its step. */
 #define LONG_RUN_MIN_US (2 * G_USEC_PER_SEC)
-/* Time after a version was named in which no worker that still serves loads it, us: the trainer's next batch
- * comes 0.1 to 0.3 s later, and its samples are to find the workers open. */
+/* Time after the announcement of a version during which usable workers do not load it, us.  The samples of
+ * the trainer's next batch arrive after 0.1 to 0.3 s and need workers that accept them. */
 #define NEXT_STEP_WAIT_US (400 * 1000)
-/* Longest time for which a load waits, us: the next version would make the worker useless all at once.  Not
- * measured: about two steps of the users' trainers. */
+/* Longest time for which a load is deferred, us: about two training steps.  A version that follows would make
+ * the worker unusable. */
 #define DEFER_MAX_US (8 * G_USEC_PER_SEC)
-/* Versions that a worker may be behind and still serve the next step: the users' trainers allow one. */
+/* Number of versions by which a worker may be behind and still serve the next step. */
 #define VERSIONS_BEHIND_MAX 1
 
 typedef struct
 {
-  guint64 minimum_version_needed; /* by the newest step that is open */
-  guint waiting_samples;
+  guint64 minimum_version_needed; /* highest minimum version of all open samples */
+  guint waiting_samples;          /* could start now, but have no worker yet */
 } ModelWork;
 
 struct _QuinceLoadPlan
 {
   GHashTable *models;       /* ModelWork by model, both owned */
-  GHashTable *longest_runs; /* worker id to gint64, both owned: duration of its longest run, us */
+  GHashTable *longest_runs; /* gint64 by worker id, both owned: expected duration of the longest run, us */
 };
 
 QuinceLoadPlan *
@@ -73,7 +72,7 @@
     *longest_us = MAX (*longest_us, duration_us);
 }
 
-/* Open samples can run there, and so can samples of the next step. */
+/* Returns TRUE if the worker can run all open samples of the model and the samples of the next step. */
 static gboolean
 can_serve_next_step (const ModelWork *work, const QuincePendingLoad *load)
 {
--- a/lib/core/weights/load-plan.h
+++ b/lib/core/weights/load-plan.h
@@ -1,11 +1,11 @@
 /*
- * load-plan.h: which workers load new weights now, and which a little later.
+ * load-plan.h: decides which workers load new weights now and which load them later.
  *
- * A load stops all runs of a worker for about a second.  A trainer's step asks for weights that may be one
- * version old, so a worker that is one version behind still serves it: it loads once the step's samples have
- * begun and its own long runs have ended.  A worker that serves no step loads at once.
+ * A load stops all runs of a worker for about a second.  A training step accepts weights that are one version
+ * old, so a worker that is one version behind can still serve it.  Such a worker loads once the samples of
+ * the step have started and its own long runs have ended.  A worker that is too far behind loads immediately.
  *
- * For: weight-orders.c, which fills a plan for each check.  Owns: the plan's counts.  Pure.
+ * weight-orders.c fills a new plan for each check.  The plan does no I/O.
  */
 #pragma once
 
@@ -18,21 +18,22 @@
 QuinceLoadPlan *quince_load_plan_new (void);
 void quince_load_plan_free (QuinceLoadPlan *plan);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (QuinceLoadPlan, quince_load_plan_free)
-/* A sample of @model is not done, and needs @minimum_version or newer; @waits: it has no worker yet. */
+/* Records an unfinished sample of @model that needs weights of @minimum_version or newer.  @is_waiting is
+ * TRUE if the sample could start now but has no worker yet. */
 void quince_load_plan_record_sample (QuinceLoadPlan *plan,
                                      const char *model,
                                      guint64 minimum_version,
                                      gboolean is_waiting);
-/* A sample runs at @worker and is expected to take @lasts_us from its start to its end. */
+/* Records a sample that runs on @worker and is expected to take @duration_us in total. */
 void quince_load_plan_record_run (QuinceLoadPlan *plan, const char *worker, gint64 duration_us);
 
 /**
  * QuincePendingLoad:
- * @worker: id
- * @model: that it is to serve
- * @has: version that it has of it
- * @wanted: version that was named last
- * @version_age_us: since when @wanted is known here
+ * @worker: id of the worker
+ * @model: model to load
+ * @loaded_version: version of @model that the worker has; 0 if none
+ * @wanted_version: newest announced version of @model, greater than @loaded_version
+ * @version_age_us: time since this process learned of @wanted_version, us
  */
 typedef struct
 {
@@ -43,7 +44,7 @@
   gint64 version_age_us;
 } QuincePendingLoad;
 
-/* Whether the load of a worker that is behind is put off. */
+/* Returns TRUE if the worker is to load later, FALSE if it is to load now. */
 gboolean quince_load_plan_should_defer (const QuinceLoadPlan *plan, const QuincePendingLoad *load);
 
 G_END_DECLS
--- a/lib/core/weights/load-turns.c
+++ b/lib/core/weights/load-turns.c
@@ -1,5 +1,5 @@
 /*
- * load-turns.c: loads by turns among models.
+ * load-turns.c: shares concurrent loads of weights fairly among models.
  */
 #include "core/weights/load-turns.h"
 
@@ -13,15 +13,15 @@
 typedef struct
 {
   char *name;
-  guint workers;
-  guint up_to_date;
+  guint workers;      /* all workers assigned to the model */
+  guint up_to_date;   /* of workers: those that have the newest version or are loading it */
   GArray *candidates; /* Candidate */
-  gboolean sorted;    /* the next one last */
+  gboolean sorted;    /* candidates are in ascending order of priority */
 } Model;
 
 struct _QuinceLoadTurns
 {
-  GPtrArray *models; /* Model, owned: few */
+  GPtrArray *models; /* Model, owned; searched linearly, since a service has few models */
 };
 
 static void
@@ -84,7 +84,7 @@
   found->sorted = FALSE;
 }
 
-/* The next one last. */
+/* Sorts in ascending order of priority, so that the next worker can be taken from the end. */
 static gint
 compare_priority (gconstpointer a, gconstpointer b)
 {
--- a/lib/core/weights/load-turns.h
+++ b/lib/core/weights/load-turns.h
@@ -1,11 +1,11 @@
 /*
- * load-turns.h: which of the workers that are behind loads next, where they cannot all load at once.
+ * load-turns.h: decides which worker loads new weights next when not all of them can load at once.
  *
- * Models share the loads: the next one goes to the model with the smallest part of its workers at the newest
- * version, so that a model with frequent versions takes no more than its share.  Within a model the worker
- * goes first that is the furthest behind, then the one that runs the least.
+ * The next load goes to the model with the smallest share of workers at the newest version, so that a model
+ * with frequent versions cannot starve the others.  Within a model, the worker that is the most versions
+ * behind comes first, then the worker with the fewest running samples.
  *
- * For: weight-orders.c, which fills turns for each check.  Owns: the candidates.  Pure.
+ * weight-orders.c fills a new object for each check.  It does no I/O.
  */
 #pragma once
 
@@ -18,16 +18,16 @@
 QuinceLoadTurns *quince_load_turns_new (void);
 void quince_load_turns_free (QuinceLoadTurns *turns);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (QuinceLoadTurns, quince_load_turns_free)
-/* A worker is kept at @model; @fresh: it has the version named last, or loads now. */
+/* Counts a worker that is assigned to @model.  @up_to_date is TRUE if it has the newest version or is loading
+ * it. */
 void quince_load_turns_count_worker (QuinceLoadTurns *turns, const char *model, gboolean up_to_date);
-/* A worker may load now: one of those counted as not fresh.  @behind: versions; @running: its runs;
- * @worker: returned as it is */
+/* Adds a worker that may load now and was counted as not up to date.  @worker is an opaque pointer. */
 void quince_load_turns_add_candidate (QuinceLoadTurns *turns,
                                       const char *model,
                                       guint64 versions_behind,
                                       guint running_samples,
                                       gpointer worker);
-/* Returns: the worker whose turn it is, which counts as fresh from now on; %NULL: no more */
+/* Returns the @worker of the next candidate and counts it as up to date, or NULL if no candidate is left. */
 gpointer quince_load_turns_next (QuinceLoadTurns *turns);
 
 G_END_DECLS
--- a/lib/core/weights/load-window.c
+++ b/lib/core/weights/load-window.c
@@ -1,23 +1,22 @@
 /*
- * load-window.c: the number of loads at once follows the time that they take.
+ * load-window.c: adapts the number of concurrent loads to their duration.
  */
 #include "core/weights/load-window.h"
 
-/* Loads at once before any has ended, within the bound of the service.  Not measured: a source of weights
- * that is too slow for so many shows it within one load. */
+/* Concurrent loads before the first one has ended. */
 #define INITIAL_LOADS 8
-/* Shortest time of a load that counts, us: a load alone takes 0.9 s (measured); a shorter one found the
- * version there already. */
+/* Shortest duration of a load that is taken into account, us.  A shorter load means that the worker already
+ * had the version. */
 #define COUNTED_LOAD_MIN_US (900 * 1000)
-/* Times the duration of a load alone from which on it was slowed down by others.  Reports lag by 0.1 s, and a
- * late poll adds as much. */
+/* A load is slow if it takes more than this factor times the baseline.  Reports and polls may each add a
+ * delay of 0.1 s. */
 #define SLOW_LOAD_FACTOR 1.5
-/* Growth of the number of loads for each load that was not slow, before the first slow one: it doubles with
- * each round. */
+/* Growth of the window for each load that was not slow, before the first slow one.  The window doubles with
+ * each round of loads. */
 #define INITIAL_GROWTH 1.0
-/* The same after the first slow one: a tenth.  Not measured. */
+/* Growth of the window for each load that was not slow, after the first slow one. */
 #define STEADY_GROWTH 0.1
-/* Part of the number that is left after a slow load.  Not measured. */
+/* Factor by which a slow load shrinks the window. */
 #define SHRINK_FACTOR 0.7
 
 static double
@@ -38,7 +37,8 @@
   gint64 duration_us = now_us - started_us;
   if (duration_us < COUNTED_LOAD_MIN_US)
     return;
-  /* One that is alone is no slower than others make it: a greater model, or slower storage. */
+  /* At size 1 the latest load becomes the baseline even if it took longer: no concurrent load delayed it, so
+   * the model has grown or the storage has become slower. */
   gboolean is_baseline = window->baseline_us == 0 || get_size (window) <= 1;
   window->baseline_us = is_baseline ? duration_us : MIN (window->baseline_us, duration_us);
   double growth = window->last_decrease_us == 0 ? INITIAL_GROWTH : STEADY_GROWTH;
--- a/lib/core/weights/model-placement.c
+++ b/lib/core/weights/model-placement.c
@@ -1,49 +1,51 @@
 /*
- * model-placement.c: which model each worker serves, and which are in reserve.
+ * model-placement.c: assigns each worker to one model, or to the reserve.
  */
 #include "core/weights/model-placement.h"
 
 #include <math.h>
 
-/* Time after its last step from which on a model's demand fades, us.  Not measured: above the deadline of a
- * step (12 s). */
+/* Time for which a model keeps its full demand after its last step, us.  Longer than the deadline of a step
+ * (12 s). */
 #define DEMAND_KEEP_US (15 * G_USEC_PER_SEC)
-/* Time in which it halves then, us.  Not measured. */
+/* Half-life of the demand after that time, us. */
 #define DEMAND_HALF_LIFE_US (12 * G_USEC_PER_SEC)
-/* Time between two moves of workers, us.  Not measured. */
+/* Shortest time between two moves of workers of any service, us. */
 #define MOVE_INTERVAL_US (2 * G_USEC_PER_SEC)
-/* Weight of the newest step in the smoothed work and lateness of a model's steps.  Not measured. */
+/* Weight of the newest step in the moving averages of a model's tokens and lateness. */
 #define NEWEST_STEP_WEIGHT 0.5
-/* Least lateness of a step that counts, as a part of its deadline.  Not measured. */
+/* Lower limit of the lateness of a single step. */
 #define LATENESS_MIN 0.5
-/* Greatest such lateness: a step that could not run at all (a leader lost, the store away) says little of the
- * workers that its model needs.  Not measured. */
+/* Upper limit of the lateness of a single step.  A step that could not run at all, for instance while there
+ * was no leader or no store, does not show how many workers the model needs. */
 #define LATENESS_MAX 2.0
-/* Part of a worker that a model must lack before one moves to it.  Not measured: keeps workers from moving to
- * and fro. */
+/* Minimum deficit, in workers, at which a model gets a worker from another model or keeps one that has loaded
+ * it. The threshold prevents workers from moving back and forth. */
 #define DEFICIT_MIN 0.6
-/* Part of a worker that the other model must have beyond its share.  Not measured. */
+/* Minimum surplus, in workers, at which a model gives up a worker to another model. */
 #define SURPLUS_MIN 0.4
-/* Part of a worker that a model must lack to get one from the reserve: anything at all. */
+/* Minimum deficit, in workers, at which a model gets a worker from the reserve; only excludes rounding
+ * errors. */
 #define RESERVE_DEFICIT_MIN 0.01
-/* Workers of every model where there are enough: one may be slow or lost.  Not measured. */
+/* Smallest target of each model if there are enough workers, since one may be slow or lost. */
 #define WORKERS_PER_MODEL_MIN 2
-/* Time in which the remembered peak of a model's samples halves, us.  Not measured. */
+/* Half-life of the recorded peak of a model's open samples, us. */
 #define PEAK_HALF_LIFE_US (60 * G_USEC_PER_SEC)
-/* Room above that peak, as a factor.  Not measured. */
+/* Headroom above that peak, as a factor, when the workers of a model are limited. */
 #define PEAK_HEADROOM 1.5
-/* Workers of a model beyond what its samples can fill.  Not measured. */
+/* Workers that a model may have beyond those that its samples can fill. */
 #define SPARE_WORKERS 2
-/* Workers beyond its share from which on one goes to the reserve.  Not measured: more than the spare ones. */
+/* Minimum surplus, in workers, at which a model returns a worker to the reserve.  Greater than SPARE_WORKERS.
+ */
 #define RELEASE_SURPLUS_MIN 3
-/* Time after which the placement of a worker that is not listed is forgotten, us.  Not measured. */
+/* Time after which the assignment of a worker that is no longer listed is dropped, us. */
 #define ASSIGNMENT_KEEP_US (60 * G_USEC_PER_SEC)
 
 typedef struct
 {
-  double tokens; /* of a step; not of a second: a late trainer asks for fewer steps, not for fewer workers */
-  double peak;   /* samples at once */
-  double lateness; /* time that a step takes, as a part of the time allowed; 0: none has ended */
+  double tokens;   /* average per step, which does not depend on how often steps are submitted */
+  double peak;     /* open samples at the same time */
+  double lateness; /* average duration of a step divided by its deadline; 0: no step has ended */
   gint64 last_step_us;
 } Demand;
 
@@ -60,7 +62,7 @@
   gint64 next_move_us;
 };
 
-/* One model while placement are dealt out. */
+/* Target and current number of workers of one model during an assignment. */
 typedef struct
 {
   const char *model;
@@ -169,7 +171,7 @@
   return get_demand (placement, now_us, model) * get_lateness (placement, model);
 }
 
-/* Workers that each model should have, by its part of the demand. */
+/* Sets the target of each model in proportion to its demand. */
 static void
 compute_targets (QuinceModelPlacement *placement, gint64 now_us, GArray *shares, guint n_workers)
 {
@@ -185,7 +187,7 @@
           = total > 0 ? get_weighted_demand (placement, now_us, share->model) / total : 1.0 / shares->len;
       share->target_workers = MAX (demand_share * n_workers, min_workers);
     }
-  /* What the least shares take, the others give up in proportion. */
+  /* Models above the minimum give up, in proportion, the workers that the others need to reach it. */
   double total_above_min = 0;
   for (guint i = 0; i < shares->len; i++)
     total_above_min += g_array_index (shares, ModelShare, i).target_workers - min_workers;
@@ -197,7 +199,7 @@
     }
 }
 
-/* No model gets more workers than its samples can fill. */
+/* Limits the target of each model to the workers that its samples can fill. */
 static void
 cap_targets (QuinceModelPlacement *placement, gint64 now_us, GArray *shares, guint slots)
 {
@@ -262,7 +264,7 @@
   share->assigned_workers++;
 }
 
-/* Counts the workers of each model, and forgets workers that are gone for long. */
+/* Counts the workers of each model and drops assignments that have expired. */
 static void
 count_assigned (QuinceModelPlacement *placement, gint64 now_us, GArray *shares, const GArray *workers)
 {
@@ -284,7 +286,8 @@
       g_hash_table_iter_remove (&iter);
 }
 
-/* Models for workers without one, while a model lacks some: with what they hold, then with any. */
+/* Assigns workers without a model to models that lack workers: with @as_loaded to the model that the worker
+ * has loaded, otherwise to the model with the largest deficit. */
 static void
 assign_unassigned (QuinceModelPlacement *placement,
                    gint64 now_us,
@@ -306,7 +309,7 @@
     }
 }
 
-/* Some worker whose model is @share's model. */
+/* Returns the id of a worker that is assigned to the model of @share, or NULL if there is none. */
 static const char *
 find_assigned_worker (QuinceModelPlacement *placement, const ModelShare *share, const GArray *workers)
 {
@@ -319,6 +322,8 @@
   return NULL;
 }
 
+/* Moves one worker from the model with the largest surplus to the one with the largest deficit, or to the
+ * reserve. */
 static void
 move_worker (QuinceModelPlacement *placement, gint64 now_us, GArray *shares, const GArray *workers)
 {
--- a/lib/core/weights/model-placement.h
+++ b/lib/core/weights/model-placement.h
@@ -1,12 +1,12 @@
 /*
- * model-placement.h: which model each worker of a service serves, and which workers are in reserve.
+ * model-placement.h: decides which model each worker of a service serves and which workers are in reserve.
  *
- * Each version that a worker loads has its price, so a worker is kept at the newest version of one model
- * only.  The placement follows the demand for each model, one worker at a time; a worker that no model needs
+ * Loading a version stops a worker for a moment, so each worker is kept at the newest version of one model
+ * only. Workers move between models one at a time as the demand changes.  A worker that no model needs
  * is in reserve and loads nothing.
  *
- * For: weight-orders.c and step-demand.c.  Owns: the placement and the demand, in memory of the leader. Pure:
- * time is an argument, in microseconds of one monotonic clock.
+ * The leader keeps the assignments and the demand in memory; weight-orders.c and step-demand.c use them.  All
+ * times are microseconds of one monotonic clock.
  */
 #pragma once
 
@@ -19,16 +19,17 @@
 QuinceModelPlacement *quince_model_placement_new (void);
 void quince_model_placement_free (QuinceModelPlacement *placement);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (QuinceModelPlacement, quince_model_placement_free)
-/* A step of @tokens was asked of @model, of which @samples are not done now.  A model is trained by one
- * trainer: its steps are averaged, not added. */
+/* Records a new step of @tokens for @model, of which @samples are unfinished.  Steps of a model come from one
+ * trainer, one after another, so they are averaged rather than added. */
 void quince_model_placement_add_demand (QuinceModelPlacement *placement,
                                         gint64 now_us,
                                         const char *model,
                                         double tokens,
                                         guint samples);
 
-/* A step of @model took @took_us where @due_us were allowed: models that are late get workers of models that
- * are early. */
+/* Records that a step of @model took @took_us of the @allowed_us until its deadline.  Models whose steps are
+ * late get workers of models whose steps are early.  Does nothing if @allowed_us is not positive or no demand
+ * for @model was recorded. */
 void quince_model_placement_record_step (QuinceModelPlacement *placement,
                                          const char *model,
                                          gint64 took_us,
@@ -36,8 +37,8 @@
 
 /**
  * QuincePlacementWorker:
- * @id: of the worker; lives through the call
- * @held: (nullable): the model that it was brought to last
+ * @id: id of the worker, valid during the call
+ * @loaded_model: (nullable): the model that the worker loaded last
  */
 typedef struct
 {
@@ -47,19 +48,19 @@
 
 /**
  * quince_model_placement_assign:
- * @models: names, all of one service
- * @workers: (element-type QuincePlacementWorker): the workers of that service that take work
- * @slots: samples that a worker runs at once
+ * @models: names of all models of one service
+ * @workers: (element-type QuincePlacementWorker): the workers of that service that accept work
+ * @slots: number of samples that a worker runs at once
  *
- * Gives placement to as many workers as the samples of each model need, all where that is not known, and
- * moves one worker where the demand has shifted.
+ * Assigns as many workers to each model as its samples need, or all workers while no samples have been
+ * recorded.  Moves at most one worker between models or to the reserve.
  */
 void quince_model_placement_assign (QuinceModelPlacement *placement,
                                     gint64 now_us,
                                     const GPtrArray *models,
                                     const GArray *workers,
                                     guint slots);
-/* NULL: the worker has none, or is not one. */
+/* Returns the model that @worker is assigned to, or NULL if @worker is in reserve or unknown. */
 const char *quince_model_placement_get (QuinceModelPlacement *placement, const char *worker);
 
 G_END_DECLS
