--- a/lib/core/scaling/scale-plan.c
+++ b/lib/core/scaling/scale-plan.c
@@ -15,7 +15,7 @@
  * measured. */
 #define RELEASE_INTERVAL_US (2 * G_USEC_PER_SEC)
 /* In how many parts the added workers of a zone are given back.  Not measured. */
-#define RELEASE_STEPS 4
+#define RELEASE_DIVISOR 4
 
 struct _QuinceScalePlan
 {
@@ -234,7 +234,7 @@
       guint n_released = MIN (MIN (zone->added, zone->serving), MIN (surplus, above_min));
       if (n_released == 0 || now_us < zone->next_order_us)
         continue;
-      n_released = MIN (n_released, MAX (zone->added / RELEASE_STEPS, 1));
+      n_released = MIN (n_released, MAX (zone->added / RELEASE_DIVISOR, 1));
       zone->listing_deadline_us = 0;
       issue_order (service, zone, zone->serving - n_released, now_us, order);
       service->next_order_us = now_us + RELEASE_INTERVAL_US;
