--- a/lib/core/scaling/scale-loss.c
+++ b/lib/core/scaling/scale-loss.c
@@ -1,24 +1,22 @@
 /*
- * scale-loss.c: counts the workers of a service: which are lost, and for how many of them there is work.
+ * scale-loss.c: counts the serving, lost and missing workers of a service.
  */
 #include "scale-plan-private.h"
 
-/* The initial workers are learned once no zone's count has changed for this time, us: when a deployment
- * starts, its workers are listed over about a second. */
+/* The initial workers are recorded once no zone's count has changed for this time, us.  The workers of a new
+ * deployment are listed over about a second. */
 #define INITIAL_COUNT_SETTLE_US (2 * G_USEC_PER_SEC)
-/* Workers that disappear without an evacuation are replaced after this time, us, or after the time of a start
- * where that is longer: one that crashed, or whose entry lapsed in an outage of the store, is back earlier.
- * Not measured. */
+/* Minimum time after which workers that disappeared without an evacuation are replaced, us.  A worker that
+ * crashed, or whose entry expired during an outage of the store, usually returns earlier. */
 #define LOSS_CONFIRM_MIN_US (3 * G_USEC_PER_SEC)
-/* The need for workers is the greatest of this time, us, since steps of trainers come some seconds apart. Not
- * measured. */
+/* Time after the last need as high as the current one until a lower need takes effect, us.  Training steps
+ * arrive a few seconds apart. */
 #define NEED_WINDOW_US (5 * G_USEC_PER_SEC)
-/* Share of the time in which work is due that is planned for: the longest texts of a step, once started, take
- * as long as all the rest.  The share itself is not measured; that samples count by it and not with a slot
- * each saved 583 paid seconds of workers with one of three zones evacuated, and all work was still done. */
+/* Fraction of the time allowed for a sample within which its work is planned to end.  The longest samples of
+ * a step take as long as all the others together. */
 #define DEADLINE_SHARE 0.5
-/* A need that has lasted for this share of the time until a new worker is warm is expected to outlast that
- * time; where a start takes a minute a step of a few seconds orders nothing.  Not measured. */
+/* Fraction of the boot and cold start time for which a shortage must have lasted before workers are ordered.
+ * A shortage of a few seconds is over before a worker that boots for a minute can serve. */
 #define SHORTAGE_MIN_SHARE 0.25
 
 static void
@@ -114,9 +112,9 @@
   return count;
 }
 
-/* Workers beyond the initial ones that arrive while some are lost, up to the number of lost ones, replace
- * those: they are given back, also where another leader ordered them, when no longer needed.  Other arrivals
- * are left alone, for instance a zone that was away when this process started and comes back. */
+/* Workers beyond the initial ones that arrive while others are lost count as replacements, whichever leader
+ * ordered them, up to the number of lost workers.  Replacements are released when they are no longer needed.
+ * Other arrivals are kept, for instance the workers of a zone that was down when this process started. */
 static void
 count_arrivals (const QuinceScaleService *service, QuinceScaleZone *zone, guint serving, gboolean may_replace)
 {
@@ -126,7 +124,7 @@
   guint replaceable = service->recent_lost > added ? service->recent_lost - added : 0;
   if (may_replace && extra > extra_before)
     zone->added += MIN (extra - extra_before, replaceable);
-  /* Workers that go are counted off the added ones first, so that none is given back twice. */
+  /* Replacements are the first to be subtracted, so that none of them is released twice. */
   if (extra < extra_before)
     zone->added -= MIN (zone->added, extra_before - extra);
   zone->serving = serving;
@@ -149,7 +147,7 @@
     service->changed_us = now_us;
 }
 
-/* Whether a worker that arrives now may have been ordered in place of a lost one. */
+/* Returns TRUE if a worker that arrives now may have been ordered to replace a lost one. */
 static gboolean
 arrivals_may_replace (QuinceScaleService *service, const QuinceScaling *scaling, gint64 now_us)
 {
@@ -189,7 +187,7 @@
     return;
   for (guint i = 0; i < service->zones->len; i++)
     if (((const QuinceScaleZone *)service->zones->pdata[i])->evacuated)
-      return; /* its workers aren't counted as serving */
+      return; /* its workers are not counted as serving */
   for (guint i = 0; i < service->zones->len; i++)
     {
       QuinceScaleZone *zone = service->zones->pdata[i];
@@ -208,7 +206,7 @@
   service->needed_us = now_us;
 }
 
-/* ---- What is missing ---------------------------------------------------- */
+/* ---- Missing workers ---------------------------------------------------- */
 
 guint
 quince_scale_count_lost (const QuinceScaleService *service)
@@ -218,7 +216,7 @@
   return service->learned && initial > serving ? initial - serving : 0;
 }
 
-/* Initial workers of evacuated zones: their loss is known to last. */
+/* Counts the initial workers of evacuated zones.  They are replaced without a wait. */
 static guint
 count_evacuated (const QuinceScaleService *service)
 {
@@ -247,8 +245,8 @@
   return count;
 }
 
-/* Of @gone workers that disappeared without an evacuation, those that don't come back: the fewest that were
- * gone at any moment of the time @wait_us in which they would. */
+/* Returns how many of the @absent workers, which disappeared without an evacuation, are not expected to
+ * return: the smallest number that was absent at any time during the last full wait of @wait_us. */
 static guint
 count_permanently_lost (QuinceScaleService *service, guint absent, gint64 wait_us, gint64 now_us)
 {
--- a/lib/core/scaling/scale-plan.c
+++ b/lib/core/scaling/scale-plan.c
@@ -1,29 +1,28 @@
 /*
- * scale-plan.c: orders workers in place of those that a service lost, and gives them back.
+ * scale-plan.c: orders replacements for lost workers and releases them when they are no longer needed.
  */
 #include "scale-plan-private.h"
 
-/* Shortest time between two orders for one service, us: at most two a second.  Not measured. */
+/* Minimum time between two orders for one service, us. */
 #define ORDER_INTERVAL_MIN_US (500 * 1000)
-/* Longest pause after a refused order, us: three doublings of QUINCE_SCALE_BACKOFF_MIN_US.  Not
- * measured. */
+/* Maximum back-off of a zone, us: QUINCE_SCALE_BACKOFF_MIN_US doubled three times. */
 #define BACKOFF_MAX_US (16 * G_USEC_PER_SEC)
-/* Workers are given back once there have been too many for this time, us, so that a zone that comes and goes
- * doesn't make added workers come and go.  Not measured. */
+/* Time for which there must be a surplus before workers are released, us.  Prevents a flapping zone from
+ * ordering and releasing workers over and over. */
 #define SURPLUS_HOLD_US (8 * G_USEC_PER_SEC)
-/* Time from one part that is given back to the next, us: workers that came back are cold at first.  Not
- * measured. */
+/* Minimum time between two releases, us.  Workers that have just returned are still cold. */
 #define RELEASE_INTERVAL_US (2 * G_USEC_PER_SEC)
-/* In how many parts the added workers of a zone are given back.  Not measured. */
+/* Each release returns one part in RELEASE_DIVISOR of the replacements that remain in a zone, at least one
+ * worker. */
 #define RELEASE_DIVISOR 4
 
 struct _QuinceScalePlan
 {
   GHashTable *services;   /* QuinceScaleService by name, both owned */
-  gint64 leader_since_us; /* when this process began to lead */
+  gint64 leader_since_us; /* when this process became the leader */
 };
 
-/* A zone and the price of its workers, relative to the usual price. */
+/* A zone and the price of its workers relative to the usual price. */
 typedef struct
 {
   QuinceScaleZone *zone;
@@ -70,7 +69,7 @@
   return service;
 }
 
-/* ---- Where to order ----------------------------------------------------- */
+/* ---- Orders ------------------------------------------------------------- */
 
 static double
 get_zone_price (const QuinceScaling *scaling, const char *zone)
@@ -94,7 +93,7 @@
   return g_strcmp0 (first->zone->name, second->zone->name);
 }
 
-/* Returns: (transfer full) (element-type PricedZone): all zones, cheapest first */
+/* Returns all zones, cheapest first: (transfer full) (element-type PricedZone). */
 static GArray *
 list_zones_by_price (const QuinceScaleService *service, const QuinceScaling *scaling)
 {
@@ -109,7 +108,8 @@
   return priced_zones;
 }
 
-/* How many more workers @zone may have by its bound, spot workers and pending ones included. */
+/* Returns how many more workers @zone may have by its limit, which includes spot workers and pending workers.
+ */
 static guint
 count_room_in_zone (const QuinceScaleZone *zone, const QuinceScaling *scaling, gint64 now_us)
 {
@@ -131,9 +131,9 @@
   order->desired = desired;
 }
 
-/* An order that may not have been accepted is repeated first, with the same count, since a different one
- * might come on top of it.  An order that is no longer needed is not repeated; workers that it brought are
- * given back later. */
+/* Retries an order that may not have been accepted.  The count stays the same, since a different order could
+ * add to the first one.  An order that is no longer needed is not retried; workers that it started are
+ * released later. */
 static gboolean
 retry_order (QuinceScaleService *service,
              const QuinceScaling *scaling,
@@ -157,7 +157,7 @@
   return FALSE;
 }
 
-/* Orders up to @missing workers in @zone, within its bound. */
+/* Orders up to @missing workers in @zone, within its limit. */
 static gboolean
 order_in_zone (QuinceScaleService *service,
                const QuinceScaling *scaling,
@@ -175,8 +175,8 @@
   return TRUE;
 }
 
-/* The cheapest zone that may have more.  Zones without any worker left may be without power, so they come
- * last. */
+/* Orders workers in the cheapest zone below its limit.  Zones without any worker come last, since they may be
+ * down. */
 static gboolean
 order_missing (QuinceScaleService *service,
                const QuinceScaling *scaling,
@@ -199,10 +199,10 @@
   return FALSE;
 }
 
-/* ---- Giving back -------------------------------------------------------- */
+/* ---- Releases ----------------------------------------------------------- */
 
-/* Returns: workers beyond the initial ones, once there have been some for SURPLUS_HOLD_US and none is pending
- */
+/* Returns the number of workers beyond the initial ones, or 0 while workers are pending or the surplus is
+ * younger than SURPLUS_HOLD_US. */
 static guint
 count_surplus (QuinceScaleService *service, gint64 now_us)
 {
@@ -217,7 +217,8 @@
   return has_surplus && now_us - service->surplus_since_us >= SURPLUS_HOLD_US ? serving - initial : 0;
 }
 
-/* The dearest zone first; only added workers, and never below the zone's lower bound. */
+/* Releases workers in the most expensive zone that has replacements.  Never releases other workers or goes
+ * below the lower limit of the zone. */
 static gboolean
 release_workers (QuinceScaleService *service,
                  const QuinceScaling *scaling,
--- a/lib/core/scaling/scale-plan.h
+++ b/lib/core/scaling/scale-plan.h
@@ -1,16 +1,17 @@
 /*
- * scale-plan.h: how many workers of a service each zone should have: orders in place of lost workers.
+ * scale-plan.h: decides how many workers of a service each zone should have.
  *
- * Workers that a zone lost, or that an evacuation takes away, are replaced in the other zones, and given back
- * once they are no longer needed.  An order is a count, not a difference, so that repeating it changes
- * nothing.
+ * Workers that are lost, or whose zone is evacuated, are replaced in the cheapest zone below its limit.  The
+ * replacements are released when they are no longer needed.  An order gives the total number of on-demand
+ * workers of a zone, so that it can be retried safely.
  *
- * The initial workers of each zone are learned from the list of workers by leaders and other replicas alike,
- * so a new leader knows them from its own observation.  Where something isn't known the plan orders less.
+ * All replicas record the initial workers of each zone from the list of workers, so a new leader already
+ * knows them.  If a count is unknown, the plan orders fewer workers.
  *
- * Spot workers are counted but never ordered, since the platform takes them away just when others are lost.
+ * Spot workers are counted but never ordered, since the platform may reclaim them just when other workers
+ * are lost.
  *
- * Owns the counts and orders of each service.  Pure: time is an argument, us of a monotonic clock.
+ * The plan does no I/O.  All times are microseconds of one monotonic clock.
  */
 #pragma once
 
@@ -18,16 +19,16 @@
 
 G_BEGIN_DECLS
 
-/* The workers of one service in one zone, as listed now. */
+/* Listed workers of one service in one zone. */
 typedef struct
 {
   const char *zone;
-  guint serving;      /* listed, neither draining nor evacuated; with spot workers */
+  guint serving;      /* neither draining nor evacuated; includes spot workers */
   guint spot;         /* of serving: spot workers */
-  gboolean evacuated; /* by an operator */
+  gboolean evacuated; /* an operator has evacuated the zone */
 } QuinceZoneWorkers;
 
-/* How many workers, without spot workers, @zone should have. */
+/* Number of on-demand workers that @zone should have. */
 typedef struct
 {
   char *zone; /* owned */
@@ -36,9 +37,9 @@
 
 typedef enum
 {
-  QUINCE_SCALE_ACCEPTED,    /* accepted: the workers start */
+  QUINCE_SCALE_ACCEPTED,    /* accepted: the platform starts or stops the workers */
   QUINCE_SCALE_NO_CAPACITY, /* refused: the zone has no capacity now */
-  QUINCE_SCALE_UNKNOWN,     /* no answer, or an unclear one: it may have been accepted */
+  QUINCE_SCALE_UNKNOWN,     /* no clear answer: the order may have been accepted */
 } QuinceScaleOutcome;
 
 typedef struct _QuinceScalePlan QuinceScalePlan;
@@ -46,23 +47,25 @@
 QuinceScalePlan *quince_scale_plan_new (void);
 void quince_scale_plan_free (QuinceScalePlan *plan);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (QuinceScalePlan, quince_scale_plan_free)
-/* Releases the fields of @order. */
+/* Frees the fields of @order. */
 void quince_scale_order_clear (QuinceScaleOrder *order);
 
-/* This process orders from now on.  Workers that a former leader ordered may not be listed yet, so nothing is
- * ordered for the time in which they must be (the time of a start and QUINCE_SCALE_LISTING_DELAY_US). */
+/* Starts a term of this process as leader.  The plan issues no order for the boot time of a worker plus
+ * QUINCE_SCALE_LISTING_DELAY_US, since workers that the previous leader ordered may not be listed yet. */
 void quince_scale_plan_lead (QuinceScalePlan *plan, gint64 now_us);
 
 /**
  * quince_scale_plan_step:
- * @service: with its bounds, prices and time of a start; its scaling is set
+ * @service: its scaling must be set
  * @zones: (element-type QuinceZoneWorkers)
- * @needed: workers that the service's open work needs to end in time; 0: none, or not known
- * @order: (out) (nullable): %NULL: only updates the counts; to be cleared by the caller where %TRUE is
- * returned
+ * @needed: number of workers that the open samples of the service need to meet their deadlines; 0: none or
+ * unknown
+ * @order: (out) (nullable): order to send; with %NULL only the counts are updated
  *
- * Returns: whether @order is to be given now.  The caller says by quince_scale_plan_order_ended() how it
- * ended, and passes %NULL until then
+ * Updates the counts and decides on the next order.  The caller sends the order, passes %NULL as @order until
+ * it has the answer, and reports the answer with quince_scale_plan_order_ended().
+ *
+ * Returns: %TRUE if @order was set; the caller must clear it
  */
 gboolean quince_scale_plan_step (QuinceScalePlan *plan,
                                  gint64 now_us,
@@ -70,6 +73,7 @@
                                  const GArray *zones,
                                  guint needed,
                                  QuinceScaleOrder *order);
+/* Records the outcome of the @order of @service that quince_scale_plan_step() returned. */
 void quince_scale_plan_order_ended (QuinceScalePlan *plan,
                                     gint64 now_us,
                                     const char *service,
@@ -77,15 +81,15 @@
                                     QuinceScaleOutcome outcome);
 /**
  * quince_scale_slots_needed:
- * @work_us: work that is left; 0: not known
- * @age_us: time since it was submitted
- * @due_us: time from its submission in which it is due; 0: not known
+ * @work_us: remaining work, us; 0: unknown
+ * @age_us: time since the submission, us
+ * @allowed_us: time from the submission to the deadline, us; 0: unknown
  *
- * Returns: the share of one worker's slot, 0 to 1, that ends the work in time; 1 where it is late or where
- * something isn't known
+ * Returns: the share of a worker's slot that completes the work in time, more than 0 and at most 1; 1 if the
+ * work is late or a value is unknown
  */
 double quince_scale_slots_needed (gint64 work_us, gint64 age_us, gint64 allowed_us);
-/* Returns: how many initial workers of @service don't serve now; 0 also while those aren't known */
+/* Returns how many fewer workers of @service serve than initially, or 0 if the initial number is unknown. */
 guint quince_scale_plan_get_lost (const QuinceScalePlan *plan, const char *service);
 
 G_END_DECLS
--- a/lib/core/weights/model-placement.c
+++ b/lib/core/weights/model-placement.c
@@ -20,7 +20,7 @@
  * was no leader or no store, does not show how many workers the model needs. */
 #define LATENESS_MAX 2.0
 /* Minimum deficit, in workers, at which a model gets a worker from another model or keeps one that has loaded
- * it. The threshold prevents workers from moving back and forth. */
+ * it.  The threshold prevents workers from moving back and forth. */
 #define DEFICIT_MIN 0.6
 /* Minimum surplus, in workers, at which a model gives up a worker to another model. */
 #define SURPLUS_MIN 0.4
--- a/lib/core/weights/model-placement.h
+++ b/lib/core/weights/model-placement.h
@@ -2,7 +2,7 @@
  * model-placement.h: decides which model each worker of a service serves and which workers are in reserve.
  *
  * Loading a version stops a worker for a moment, so each worker is kept at the newest version of one model
- * only. Workers move between models one at a time as the demand changes.  A worker that no model needs
+ * only.  Workers move between models one at a time as the demand changes.  A worker that no model needs
  * is in reserve and loads nothing.
  *
  * The leader keeps the assignments and the demand in memory; weight-orders.c and step-demand.c use them.  All
