--- a/tests/unit/test-load-plan.c
+++ b/tests/unit/test-load-plan.c
@@ -1,5 +1,5 @@
 /*
- * test-load-plan.c: loads of weights beside the samples that run and wait.
+ * test-load-plan.c: guards against loads of weights that stop long runs or block waiting samples.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -43,9 +43,9 @@
   quince_load_plan_record_run (plan, "w", 6 * SECOND_US);
   quince_load_plan_record_sample (plan, "m", 4, TRUE);
   assert_false (should_defer (plan, "w", 3, 5, 0));
-  /* one without any weights of the model */
+  /* The worker has no weights of the model. */
   assert_false (should_defer (plan, "w", 0, 1, 0));
-  /* a step that allows no older weights */
+  /* The step accepts only the newest weights. */
   quince_load_plan_record_sample (plan, "m", 5, TRUE);
   assert_false (should_defer (plan, "w", 4, 5, 0));
 }
@@ -69,12 +69,12 @@
   quince_load_plan_record_run (plan, "long", SECOND_US / 2);
   assert_false (should_defer (plan, "short", 4, 5, AFTER_NEXT_STEP_WAIT_US));
   assert_true (should_defer (plan, "long", 4, 5, AFTER_NEXT_STEP_WAIT_US));
-  /* not for ever */
+  /* The deferral is limited. */
   assert_false (should_defer (plan, "long", 4, 5, 9 * SECOND_US));
 }
 
-/* One step of a trainer on some workers, in turns of 100 ms: its samples begin at once, and each worker has
- * one version to load, which stops its runs for a second, two workers at a time. */
+/* Simulates one training step in ticks of 100 ms.  All samples start at tick 0.  Each worker has one version
+ * to load, which stops its runs for a second; at most two workers load at a time. */
 #define WORKERS 8
 #define TICK_US (100 * 1000)
 #define LOAD_TICKS 10
@@ -88,7 +88,7 @@
   return worker % 2 == 0 ? LONG_RUN_TICKS : SHORT_RUN_TICKS;
 }
 
-/* Returns: turns until the last run of the step has ended */
+/* Returns the number of ticks until the last run of the step has ended. */
 static guint
 simulate_step (gboolean use_plan)
 {
@@ -129,7 +129,7 @@
     }
 }
 
-/* 8.0 s before, 7.0 s now: the longest text alone decides. */
+/* With deferral the loads do not delay the longest sample, so the step ends with it. */
 static void
 test_deferral_shortens_step (void **state)
 {
--- a/tests/unit/test-load-turns.c
+++ b/tests/unit/test-load-turns.c
@@ -1,5 +1,5 @@
 /*
- * test-load-turns.c: models share the loads that are borne at once.
+ * test-load-turns.c: guards against a model with frequent versions starving the loads of other models.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -12,7 +12,7 @@
 
 #define MODELS 3
 #define WORKERS 38
-/* Loads that are borne in a second, and seconds between the versions of each model. */
+/* Loads per second of all models, and seconds between the versions of each model. */
 #define LOADS_PER_SECOND 10
 static const guint version_interval_s[MODELS] = { 4, 7, 9 };
 static const char *const model_names[MODELS] = { "a", "b", "c" };
@@ -24,7 +24,7 @@
   guint loads[MODELS];
 } Simulation;
 
-/* One second: as many loads as are borne. */
+/* Runs LOADS_PER_SECOND loads, or fewer if all workers are up to date. */
 static void
 simulate_second (Simulation *simulation)
 {
@@ -50,7 +50,7 @@
     }
 }
 
-/* Workers that serve the newest step, which allows the version before. */
+/* Counts the workers that can serve the newest step, which accepts the previous version. */
 static guint
 count_serving (const Simulation *simulation, guint model)
 {
@@ -60,7 +60,7 @@
   return count;
 }
 
-/* The model that names versions most often does not take the loads of the others. */
+/* Each model keeps at least a third of its workers usable, whatever the interval of its versions. */
 static void
 test_models_share_loads (void **state)
 {
--- a/tests/unit/test-load-window.c
+++ b/tests/unit/test-load-window.c
@@ -1,5 +1,5 @@
 /*
- * test-load-window.c: loads of weights at once, at a source that bears a number of them which nobody tells.
+ * test-load-window.c: guards against too many or too few concurrent loads from storage of unknown bandwidth.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -15,8 +15,8 @@
 #define TICK_US (20 * 1000)
 #define WORKERS_MAX 600
 
-/* Workers that are to load again and again, as many at once as the window says; a load goes on by its share
- * of what the source bears. */
+/* Simulates workers that load repeatedly, with as many concurrent loads as the window allows.  The loads
+ * share the bandwidth of the source, which completes source_capacity concurrent loads without delay. */
 typedef struct
 {
   QuinceLoadWindow window;
@@ -27,14 +27,14 @@
   gint64 started_us[WORKERS_MAX];
   double remaining_us[WORKERS_MAX];
   guint completed_loads;
-  gint64 total_duration_us; /* all of them together */
+  gint64 total_duration_us; /* sum over all completed loads */
   guint peak_active_loads;
 } Simulation;
 
 static void
 complete_load (Simulation *simulation, guint i)
 {
-  /* It is seen at a look. */
+  /* The next poll notices the end of the load. */
   gint64 duration_us = simulation->now_us - simulation->started_us[i] + CHECK_INTERVAL_US;
   simulation->completed_loads++;
   simulation->total_duration_us += duration_us;
@@ -75,7 +75,7 @@
   return simulation->total_duration_us / MAX (simulation->completed_loads, 1);
 }
 
-/* Ten at once are borne and the workers are thousands: loads stay short, and most of what is borne is used.
+/* The source sustains 10 concurrent loads of 564 allowed: loads stay short and most of its bandwidth is used.
  */
 static void
 test_slow_source (void **state)
@@ -83,14 +83,15 @@
   Simulation simulation = { .source_capacity = 10, .max_loads = 564, .now_us = 1 };
   run (&simulation, 10);
   run (&simulation, 60);
-  print_message ("at most %u at once, %u loaded in a minute, each in %.2f s\n", simulation.peak_active_loads,
-                 simulation.completed_loads, (double)get_mean_duration_us (&simulation) / G_USEC_PER_SEC);
+  print_message ("peak of %u concurrent loads, %u loads in a minute, mean duration %.2f s\n",
+                 simulation.peak_active_loads, simulation.completed_loads,
+                 (double)get_mean_duration_us (&simulation) / G_USEC_PER_SEC);
   assert_true (simulation.peak_active_loads < 30);
   assert_true (get_mean_duration_us (&simulation) < 16 * UNCONTENDED_LOAD_US / 10);
   assert_true (simulation.completed_loads > 60 * 8);
 }
 
-/* All that are to load may load at once: it does not take long until they do. */
+/* The source sustains all allowed loads: the window reaches the limit within 6 s. */
 static void
 test_fast_source (void **state)
 {
@@ -100,7 +101,7 @@
   assert_true (get_mean_duration_us (&simulation) < 12 * UNCONTENDED_LOAD_US / 10);
 }
 
-/* A small service keeps its bound, whatever the loads take. */
+/* The window stays at the limit of a small service, whatever the duration of the loads. */
 static void
 test_small_service (void **state)
 {
@@ -111,7 +112,7 @@
   assert_int_equal (quince_load_window_get_size (&simulation.window, 0), 1);
 }
 
-/* Loads that began before the number fell do not let it fall again. */
+/* Loads that started before the window shrank do not shrink it again. */
 static void
 test_single_decrease_per_round (void **state)
 {
--- a/tests/unit/test-model-placement.c
+++ b/tests/unit/test-model-placement.c
@@ -1,5 +1,5 @@
 /*
- * test-model-placement.c: workers are dealt out by demand, and moved one at a time.
+ * test-model-placement.c: guards against models with too few workers and against needless moves of workers.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -23,7 +23,7 @@
 
 #define SLOTS_PER_WORKER 8
 
-/* As the workers' owner tells them; none holds a model yet. */
+/* Assigns the models to @workers, none of which has loaded a model yet. */
 static void
 assign (QuinceModelPlacement *placement, gint64 now_us, const GPtrArray *models, const GPtrArray *workers)
 {
@@ -74,14 +74,14 @@
     assign (placement, i * 2 * SECOND_US, models, workers);
   assert_int_equal (count_assigned (placement, workers, "m2"), 5);
   assert_int_equal (count_assigned (placement, workers, "m0"), 2);
-  /* Nothing moves to and fro. */
+  /* A stable demand moves no further worker. */
   guint before = count_assigned (placement, workers, "m1");
   for (guint i = 20; i < 40; i++)
     assign (placement, i * 2 * SECOND_US, models, workers);
   assert_int_equal (count_assigned (placement, workers, "m1"), before);
 }
 
-/* Failed first: a worker that was taken away left its model with two, for good. */
+/* Guards against a model that permanently stays short of workers after it lost some. */
 static void
 test_rebalance_after_lost_workers (void **state)
 {
@@ -114,7 +114,7 @@
     assert_non_null (quince_model_placement_get (placement, workers->pdata[i]));
 }
 
-/* Failed first: every worker was brought to every version, however few samples there were. */
+/* Guards against loading each version on all workers when a model has few samples. */
 static void
 test_surplus_workers_go_to_reserve (void **state)
 {
@@ -123,12 +123,12 @@
   g_autoptr (GPtrArray) workers = make_names ("w", 300);
   quince_model_placement_add_demand (placement, 0, "m0", 100, 96);
   assign (placement, 0, models, workers);
-  assert_int_equal (count_assigned (placement, workers, "m0"), 20); /* 96 * 1.5 / 8 and two more */
-  /* A lost one is made up for at once. */
+  assert_int_equal (count_assigned (placement, workers, "m0"), 20); /* 96 * 1.5 / 8, and 2 spare workers */
+  /* A lost worker is replaced immediately. */
   g_ptr_array_remove_index (workers, 0);
   assign (placement, SECOND_US, models, workers);
   assert_int_equal (count_assigned (placement, workers, "m0"), 20);
-  /* More samples, more workers; long after them, fewer. */
+  /* More samples add workers; workers return to the reserve some time after the last sample. */
   quince_model_placement_add_demand (placement, 2 * SECOND_US, "m0", 100, 200);
   assign (placement, 2 * SECOND_US, models, workers);
   assert_int_equal (count_assigned (placement, workers, "m0"), 40);
@@ -137,7 +137,7 @@
   assert_in_range (count_assigned (placement, workers, "m0"), 2, 8);
 }
 
-/* A new leader leaves the workers that have the model at it. */
+/* A new leader keeps workers at the model that they have loaded. */
 static void
 test_new_leader_keeps_loaded_models (void **state)
 {
@@ -159,8 +159,8 @@
     assert_string_equal (quince_model_placement_get (placement, workers->pdata[i]), i >= 90 ? "m1" : "m0");
 }
 
-/* Failed first (by the tokens of the last seconds: 15 workers against 7): two trainers with the same work in
- * each step, of which one is through with it twice as often. */
+/* Guards against favoring the model with more frequent steps: both models have the same work per step, but
+ * one submits steps twice as often. */
 static void
 test_share_independent_of_step_rate (void **state)
 {
@@ -179,7 +179,7 @@
   assert_int_equal (count_assigned (placement, workers, "m1"), 11);
 }
 
-/* Failed first (11 each): the same work, but the steps of one are late, and those of the other early. */
+/* Two models have the same work, but the steps of one are late and those of the other are early. */
 static void
 test_late_steps_get_more_workers (void **state)
 {
@@ -195,7 +195,7 @@
       assign (placement, second * SECOND_US, models, workers);
     }
   assert_in_range (count_assigned (placement, workers, "m1"), 14, 16);
-  /* One step that could not run says little. */
+  /* A single very late step has a limited effect. */
   quince_model_placement_record_step (placement, "m0", 100 * SECOND_US, 8 * SECOND_US);
   assign (placement, 82 * SECOND_US, models, workers);
   assert_in_range (count_assigned (placement, workers, "m0"), 6, 9);
--- a/tests/unit/test-scale-plan.c
+++ b/tests/unit/test-scale-plan.c
@@ -1,5 +1,6 @@
 /*
- * test-scale-plan.c: lost workers are replaced in the zones that stay, cheapest first, and given back.
+ * test-scale-plan.c: guards against lost workers that are not replaced, and against replacements that are
+ * ordered twice, in the wrong zone or never released.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -12,13 +13,13 @@
 #define ZONES 3
 #define INITIAL_WORKERS 16
 #define STEP_US (200 * 1000)
-#define NEEDED_WORKERS 60 /* workers that the open work would keep busy: more than stand there */
+#define NEEDED_WORKERS 60 /* more than the initial workers of all zones */
 
-/* A platform: what is ordered comes after the time of a start, unless it is told otherwise. */
+/* Simulates a platform on which ordered workers start after the boot time, unless a zone has no capacity. */
 typedef struct
 {
   QuinceScalePlan *plan;
-  QuinceScalePlan *standby; /* of another process: it only looks */
+  QuinceScalePlan *standby; /* plan of another replica that does not lead */
   QuinceService *service;
   gint64 now_us;
   guint on_demand[ZONES];
@@ -26,14 +27,14 @@
   gboolean evacuated[ZONES];
   guint needed;
   gboolean no_capacity[ZONES];
-  gboolean unanswered; /* orders are taken and not answered */
+  gboolean unanswered; /* orders are accepted, but not answered */
   guint n_orders;
-  QuinceScaleOrder last_order; /* its zone is one of the names below */
+  QuinceScaleOrder last_order; /* its zone points into names */
   gint64 last_order_us;
   struct
   {
     guint desired;
-    gint64 ready_us; /* 0: nothing comes */
+    gint64 ready_us; /* 0: no worker is starting */
   } starting[ZONES];
 } Simulation;
 
@@ -162,7 +163,7 @@
     step (simulation);
 }
 
-/* What stood there is learned, and nothing was ordered for it. */
+/* Returns a simulation in which the plan has recorded the initial workers and issued no order. */
 static Simulation *
 settled_simulation (guint boot_ms)
 {
@@ -185,7 +186,7 @@
   simulation_free (simulation);
 }
 
-/* One order brings all of them, into the cheapest zone that stays. */
+/* One order replaces all workers of the zone, in the cheapest remaining zone. */
 static void
 test_evacuated_zone (void **state)
 {
@@ -201,7 +202,8 @@
   simulation_free (simulation);
 }
 
-/* A zone's workers vanish: nothing is ordered in it, and nothing at all if they are soon back. */
+/* All workers of a zone disappear.  Nothing is ordered if they return soon; otherwise they are replaced in
+ * another zone. */
 static void
 test_replace_vanished_zone (void **state)
 {
@@ -219,7 +221,7 @@
   simulation_free (simulation);
 }
 
-/* Workers of all zones crash for good, of some zones in turn for a moment. */
+/* Workers that return after a moment are not replaced; workers of several zones that stay away are. */
 static void
 test_crashed_workers (void **state)
 {
@@ -248,7 +250,7 @@
   run (simulation, 6);
   simulation->evacuated[1] = TRUE;
   run (simulation, 10);
-  simulation->needed = 2 * INITIAL_WORKERS; /* those that stay carry it */
+  simulation->needed = 2 * INITIAL_WORKERS; /* as many as remain */
   run (simulation, 10);
   assert_int_equal (simulation->n_orders, 0);
   simulation->needed = 2 * INITIAL_WORKERS + 5;
@@ -258,7 +260,7 @@
   simulation_free (simulation);
 }
 
-/* The work is done before a worker that takes a minute to start would serve. */
+/* Nothing is ordered if the work is done before a worker that boots for a minute could serve. */
 static void
 test_start_longer_than_need (void **state)
 {
@@ -287,7 +289,7 @@
   simulation_free (simulation);
 }
 
-/* What stood there with workers of both kinds. */
+/* Returns a simulation whose initial workers include spot workers. */
 static Simulation *
 simulation_with_spot_workers (void)
 {
@@ -302,7 +304,7 @@
   return simulation;
 }
 
-/* Both kinds of a zone count for its bound; the order counts the usual kind. */
+/* The limit of a zone includes spot workers; an order counts only on-demand workers. */
 static void
 test_zone_limit_includes_spot_workers (void **state)
 {
@@ -318,7 +320,7 @@
   simulation_free (simulation);
 }
 
-/* Those that may go are taken away in all zones, and come back: usual ones stand in for them meanwhile. */
+/* On-demand workers replace spot workers that are reclaimed in all zones, until the spot workers return. */
 static void
 test_replace_reclaimed_spot_workers (void **state)
 {
@@ -337,7 +339,8 @@
   simulation_free (simulation);
 }
 
-/* 409 in one zone: the next one at once.  In all: asked again with growing pauses. */
+/* If one zone has no capacity, the next one is tried.  If no zone has capacity, orders are retried with an
+ * increasing back-off. */
 static void
 test_zone_without_capacity (void **state)
 {
@@ -360,7 +363,7 @@
   simulation_free (simulation);
 }
 
-/* An order without an answer is given again, as it was. */
+/* An order without an answer is retried unchanged. */
 static void
 test_retry_unanswered_order (void **state)
 {
@@ -409,7 +412,7 @@
   simulation_free (simulation);
 }
 
-/* What an operator added is not given back. */
+/* Workers that an operator added are not released. */
 static void
 test_keep_externally_added_workers (void **state)
 {
@@ -420,7 +423,7 @@
   simulation_free (simulation);
 }
 
-/* A zone that is evacuated and taken back by turns. */
+/* A zone is evacuated and restored again and again: orders stay few. */
 static void
 test_flapping_zone (void **state)
 {
@@ -434,7 +437,8 @@
   simulation_free (simulation);
 }
 
-/* Each of many random losses: counts stay in their bounds, orders are bounded by time, all comes back. */
+/* After random losses and failures the counts stay within their limits, the rate of orders is limited, and
+ * all workers are restored. */
 static void
 test_random_losses (void **state)
 {
@@ -473,7 +477,8 @@
   simulation_free (simulation);
 }
 
-/* A new leader has seen what stood there.  It waits for what the former one may have ordered. */
+/* A new leader has recorded the initial workers itself, and first waits for workers that the previous leader
+ * may have ordered. */
 static void
 test_new_leader (void **state)
 {
@@ -487,7 +492,7 @@
   assert_int_equal (simulation->last_order.desired, 2 * INITIAL_WORKERS);
   simulation_free (simulation);
 
-  /* What the former one ordered is there by then. */
+  /* The workers that the previous leader ordered arrive during the wait. */
   simulation = settled_simulation (4000);
   simulation->evacuated[1] = TRUE;
   quince_scale_plan_lead (simulation->plan, simulation->now_us);
@@ -498,7 +503,7 @@
   simulation_free (simulation);
 }
 
-/* Another process leads from now on. */
+/* Makes the standby the leader. */
 static void
 switch_leader (Simulation *simulation)
 {
@@ -508,7 +513,7 @@
   quince_scale_plan_lead (simulation->plan, simulation->now_us);
 }
 
-/* Workers that somebody else added stay, also when their own zone was lost and comes back. */
+/* Workers that an operator added are not released, even after their zone was lost and has returned. */
 static void
 test_keep_external_workers_of_recovered_zone (void **state)
 {
@@ -524,7 +529,8 @@
   simulation_free (simulation);
 }
 
-/* A process that learned while a zone was gone takes none of its workers for replacements of a few others. */
+/* A replica that recorded the initial workers while a zone was down does not treat the returning workers of
+ * that zone as replacements for a few other lost workers. */
 static void
 test_leader_started_during_zone_loss (void **state)
 {
@@ -542,16 +548,16 @@
   simulation_free (simulation);
 }
 
-/* The heir knows what was added in place of lost workers, and gives back just that. */
+/* A new leader releases exactly the replacements that the previous leader ordered. */
 static void
 test_new_leader_releases_replacements (void **state)
 {
   Simulation *simulation = settled_simulation (4000);
-  simulation->on_demand[2] += 3; /* somebody else's */
+  simulation->on_demand[2] += 3; /* added by an operator */
   run (simulation, 10);
   simulation->evacuated[1] = TRUE;
   run (simulation, 3);
-  switch_leader (simulation); /* before they are listed */
+  switch_leader (simulation); /* before the ordered workers are listed */
   run (simulation, 20);
   assert_int_equal (simulation->n_orders, 1);
   simulation->evacuated[1] = FALSE;
@@ -568,10 +574,10 @@
 test_slots_needed (void **state)
 {
   const gint64 second = G_USEC_PER_SEC;
-  /* 1 s of work in half of 8 s: a quarter of a place; with each second less is left. */
+  /* 1 s of work within half of 8 s needs a quarter of a slot; the share rises as the time passes. */
   assert_float_equal (quince_scale_slots_needed (second, 0, 8 * second), 0.25, 1e-9);
   assert_float_equal (quince_scale_slots_needed (second, 2 * second, 8 * second), 0.5, 1e-9);
-  /* Late, or not known: a place of its own, and never more than one. */
+  /* Late work, or work of unknown size or deadline, needs exactly one slot. */
   assert_float_equal (quince_scale_slots_needed (second, 3.5 * second, 8 * second), 1, 1e-9);
   assert_float_equal (quince_scale_slots_needed (second, 60 * second, 8 * second), 1, 1e-9);
   assert_float_equal (quince_scale_slots_needed (30 * second, 0, 8 * second), 1, 1e-9);
