--- a/lib/core/scaling/scale-loss.c
+++ b/lib/core/scaling/scale-loss.c
@@ -118,15 +118,15 @@
 static void
 count_arrivals (const QuinceScaleService *service, QuinceScaleZone *zone, guint serving, gboolean may_replace)
 {
-  guint extra_before = zone->serving > zone->initial ? zone->serving - zone->initial : 0;
+  guint previous_extra = zone->serving > zone->initial ? zone->serving - zone->initial : 0;
   guint extra = serving > zone->initial ? serving - zone->initial : 0;
   guint added = count_added (service);
-  guint replaceable = service->recent_lost > added ? service->recent_lost - added : 0;
-  if (may_replace && extra > extra_before)
-    zone->added += MIN (extra - extra_before, replaceable);
+  guint max_replacements = service->recent_lost > added ? service->recent_lost - added : 0;
+  if (may_replace && extra > previous_extra)
+    zone->added += MIN (extra - previous_extra, max_replacements);
   /* Replacements are the first to be subtracted, so that none of them is released twice. */
-  if (extra < extra_before)
-    zone->added -= MIN (zone->added, extra_before - extra);
+  if (extra < previous_extra)
+    zone->added -= MIN (zone->added, previous_extra - extra);
   zone->serving = serving;
 }
 
@@ -155,8 +155,8 @@
   if (lost > 0)
     service->last_lost_us = now_us;
   service->recent_lost = MAX (service->recent_lost, lost);
-  gint64 keep_us = (gint64)scaling->boot_ms * 1000 + QUINCE_SCALE_LISTING_DELAY_US;
-  gboolean recently = service->last_lost_us != 0 && now_us - service->last_lost_us <= keep_us;
+  gint64 replacement_window_us = (gint64)scaling->boot_ms * 1000 + QUINCE_SCALE_LISTING_DELAY_US;
+  gboolean recently = service->last_lost_us != 0 && now_us - service->last_lost_us <= replacement_window_us;
   if (!recently)
     service->recent_lost = 0;
   return recently;
--- a/lib/core/scaling/scale-plan.c
+++ b/lib/core/scaling/scale-plan.c
@@ -111,7 +111,7 @@
 /* Returns how many more workers @zone may have by its limit, which includes spot workers and pending workers.
  */
 static guint
-count_room_in_zone (const QuinceScaleZone *zone, const QuinceScaling *scaling, gint64 now_us)
+get_zone_headroom (const QuinceScaleZone *zone, const QuinceScaling *scaling, gint64 now_us)
 {
   guint count = quince_scale_count_serving_in_zone (zone) + quince_scale_count_pending_in_zone (zone, now_us);
   return scaling->max_workers > count ? scaling->max_workers - count : 0;
@@ -166,7 +166,7 @@
                gint64 now_us,
                QuinceScaleOrder *order)
 {
-  guint n_new_workers = MIN (missing, count_room_in_zone (zone, scaling, now_us));
+  guint n_new_workers = MIN (missing, get_zone_headroom (zone, scaling, now_us));
   if (zone->evacuated || n_new_workers == 0 || now_us < zone->next_order_us)
     return FALSE;
   guint count = zone->serving + quince_scale_count_pending_in_zone (zone, now_us);
--- a/lib/core/weights/model-placement.c
+++ b/lib/core/weights/model-placement.c
@@ -7,7 +7,7 @@
 
 /* Time for which a model keeps its full demand after its last step, us.  Longer than the deadline of a step
  * (12 s). */
-#define DEMAND_KEEP_US (15 * G_USEC_PER_SEC)
+#define DEMAND_DECAY_DELAY_US (15 * G_USEC_PER_SEC)
 /* Half-life of the demand after that time, us. */
 #define DEMAND_HALF_LIFE_US (12 * G_USEC_PER_SEC)
 /* Shortest time between two moves of workers of any service, us. */
@@ -34,12 +34,13 @@
 /* Headroom above that peak, as a factor, when the workers of a model are limited. */
 #define PEAK_HEADROOM 1.5
 /* Workers that a model may have beyond those that its samples can fill. */
-#define SPARE_WORKERS 2
-/* Minimum surplus, in workers, at which a model returns a worker to the reserve.  Greater than SPARE_WORKERS.
+#define SPARE_WORKERS_PER_MODEL 2
+/* Minimum surplus, in workers, at which a model returns a worker to the reserve.  Greater than
+ * SPARE_WORKERS_PER_MODEL.
  */
 #define RELEASE_SURPLUS_MIN 3
 /* Time after which the assignment of a worker that is no longer listed is dropped, us. */
-#define ASSIGNMENT_KEEP_US (60 * G_USEC_PER_SEC)
+#define ASSIGNMENT_RETENTION_US (60 * G_USEC_PER_SEC)
 
 typedef struct
 {
@@ -103,7 +104,7 @@
   const Demand *demand = g_hash_table_lookup (placement->demands, model);
   if (demand == NULL)
     return 0;
-  gint64 idle_us = MAX (now_us - demand->last_step_us - DEMAND_KEEP_US, 0);
+  gint64 idle_us = MAX (now_us - demand->last_step_us - DEMAND_DECAY_DELAY_US, 0);
   return demand->tokens * exp2 (-(double)idle_us / DEMAND_HALF_LIFE_US);
 }
 
@@ -208,8 +209,8 @@
       ModelShare *share = &g_array_index (shares, ModelShare, i);
       double peak = get_peak (placement, now_us, share->model);
       if (peak > 0)
-        share->target_workers
-            = MIN (share->target_workers, ceil (peak * PEAK_HEADROOM / MAX (slots, 1)) + SPARE_WORKERS);
+        share->target_workers = MIN (share->target_workers,
+                                     ceil (peak * PEAK_HEADROOM / MAX (slots, 1)) + SPARE_WORKERS_PER_MODEL);
     }
 }
 
@@ -282,7 +283,7 @@
   gpointer value;
   g_hash_table_iter_init (&iter, placement->assignments);
   while (g_hash_table_iter_next (&iter, NULL, &value))
-    if (now_us - ((const Assignment *)value)->last_listed_us > ASSIGNMENT_KEEP_US)
+    if (now_us - ((const Assignment *)value)->last_listed_us > ASSIGNMENT_RETENTION_US)
       g_hash_table_iter_remove (&iter);
 }
 
