--- a/lib/core/scaling/scale-loss.c
+++ b/lib/core/scaling/scale-loss.c
@@ -11,7 +11,7 @@
 #define LOSS_CONFIRM_MIN_US (3 * G_USEC_PER_SEC)
 /* Time after the last need as high as the current one until a lower need takes effect, us.  Training steps
  * arrive a few seconds apart. */
-#define NEED_WINDOW_US (5 * G_USEC_PER_SEC)
+#define NEED_DECREASE_DELAY_US (5 * G_USEC_PER_SEC)
 /* Fraction of the time allowed for a sample within which its work is planned to end.  The longest samples of
  * a step take as long as all the others together. */
 #define DEADLINE_SHARE 0.5
@@ -200,7 +200,7 @@
 static void
 record_needed (QuinceScaleService *service, guint needed, gint64 now_us)
 {
-  if (needed < service->needed && now_us - service->needed_us < NEED_WINDOW_US)
+  if (needed < service->needed && now_us - service->needed_us < NEED_DECREASE_DELAY_US)
     return;
   service->needed = needed;
   service->needed_us = now_us;
