--- a/lib/core/scaling/scale-loss.c
+++ b/lib/core/scaling/scale-loss.c
@@ -9,14 +9,14 @@
 /* Minimum time after which workers that disappeared without an evacuation are replaced, us.  A worker that
  * crashed, or whose entry expired during an outage of the store, usually returns earlier. */
 #define LOSS_CONFIRM_MIN_US (3 * G_USEC_PER_SEC)
-/* Time after the last need as high as the current one until a lower need takes effect, us.  Training steps
- * arrive a few seconds apart. */
+/* Delay before a decrease of the needed workers takes effect, us.  Training steps arrive a few seconds apart.
+ */
 #define NEED_DECREASE_DELAY_US (5 * G_USEC_PER_SEC)
-/* Fraction of the time allowed for a sample within which its work is planned to end.  The longest samples of
- * a step take as long as all the others together. */
+/* A sample is planned to end within this fraction of the time allowed for it.  The longest samples of a step
+ * take as long as all the others together. */
 #define DEADLINE_SHARE 0.5
-/* Fraction of the boot and cold start time for which a shortage must have lasted before workers are ordered.
- * A shortage of a few seconds is over before a worker that boots for a minute can serve. */
+/* A shortage must last for this fraction of the boot and cold start time before workers are ordered.  A
+ * shortage of a few seconds is over before a worker that boots for a minute can serve. */
 #define SHORTAGE_MIN_SHARE 0.25
 
 static void
--- a/lib/core/scaling/scale-plan-private.h
+++ b/lib/core/scaling/scale-plan-private.h
@@ -37,13 +37,13 @@
 /* Workers and orders of one service. */
 typedef struct
 {
-  GPtrArray *zones;    /* QuinceScaleZone, owned */
-  gboolean learned;    /* the initial workers have been recorded */
-  gint64 changed_us;   /* when the count of a zone last changed */
-  guint needed;        /* workers that open samples need; reduced with a delay of NEED_DECREASE_DELAY_US */
-  gint64 needed_us;    /* when needed was last set */
-  gint64 last_lost_us; /* when workers were last seen to be lost; 0: never */
-  guint recent_lost;   /* highest recent number of lost workers; limits the number of replacements */
+  GPtrArray *zones;          /* QuinceScaleZone, owned */
+  gboolean learned;          /* the initial workers have been recorded */
+  gint64 changed_us;         /* when the count of a zone last changed */
+  guint needed;              /* workers that the open samples need; a decrease takes effect with a delay */
+  gint64 needed_us;          /* when needed was last set or reached again */
+  gint64 last_lost_us;       /* when workers were last seen to be lost; 0: never */
+  guint recent_lost;         /* highest recent number of lost workers; limits the number of replacements */
   gint64 loss_wait_start_us; /* start of the wait for lost workers to return; 0: none are lost */
   guint lost_min;            /* smallest number of lost workers since loss_wait_start_us */
   guint permanently_lost;    /* workers that did not return during the last full wait */
@@ -75,8 +75,8 @@
                           const GArray *zones,
                           guint needed,
                           gint64 now_us);
-/* Returns the number of workers to replace: those that are evacuated or unlikely to return, limited to the
- * number that the open samples need.  Each step must call it. */
+/* Returns how many lost workers to replace: evacuated workers and workers that are unlikely to return,
+ * limited to the number that the open samples need.  Each step must call it. */
 guint quince_scale_count_missing (QuinceScaleService *service, const QuinceScaling *scaling, gint64 now_us);
 /* Returns TRUE if workers have been missing for so long that a worker ordered now is expected to be needed
  * when it can serve.  Each step must call it. */
--- a/lib/core/scaling/scale-plan.c
+++ b/lib/core/scaling/scale-plan.c
@@ -108,8 +108,7 @@
   return priced_zones;
 }
 
-/* Returns how many more workers @zone may have by its limit, which includes spot workers and pending workers.
- */
+/* Returns how many more workers @zone may have.  Its limit includes spot workers and pending workers. */
 static guint
 get_zone_headroom (const QuinceScaleZone *zone, const QuinceScaling *scaling, gint64 now_us)
 {
--- a/lib/core/weights/load-turns.c
+++ b/lib/core/weights/load-turns.c
@@ -14,7 +14,7 @@
 {
   char *name;
   guint workers;      /* all workers assigned to the model */
-  guint up_to_date;   /* of workers: those that have the newest version or are loading it */
+  guint up_to_date;   /* how many of workers have the newest version or are loading it */
   GArray *candidates; /* Candidate */
   gboolean sorted;    /* candidates are in ascending order of priority */
 } Model;
--- a/lib/core/weights/model-placement.c
+++ b/lib/core/weights/model-placement.c
@@ -24,20 +24,18 @@
 #define DEFICIT_MIN 0.6
 /* Minimum surplus, in workers, at which a model gives up a worker to another model. */
 #define SURPLUS_MIN 0.4
-/* Minimum deficit, in workers, at which a model gets a worker from the reserve; only excludes rounding
- * errors. */
+/* Minimum deficit, in workers, at which a model gets a worker from the reserve; excludes rounding errors. */
 #define RESERVE_DEFICIT_MIN 0.01
 /* Smallest target of each model if there are enough workers, since one may be slow or lost. */
 #define WORKERS_PER_MODEL_MIN 2
 /* Half-life of the recorded peak of a model's open samples, us. */
 #define PEAK_HALF_LIFE_US (60 * G_USEC_PER_SEC)
-/* Headroom above that peak, as a factor, when the workers of a model are limited. */
+/* Factor of headroom above that peak when the number of workers of a model is limited. */
 #define PEAK_HEADROOM 1.5
 /* Workers that a model may have beyond those that its samples can fill. */
 #define SPARE_WORKERS_PER_MODEL 2
-/* Minimum surplus, in workers, at which a model returns a worker to the reserve.  Greater than
- * SPARE_WORKERS_PER_MODEL.
- */
+/* Minimum surplus, in workers, at which a model returns a worker to the reserve; above
+ * SPARE_WORKERS_PER_MODEL. */
 #define RELEASE_SURPLUS_MIN 3
 /* Time after which the assignment of a worker that is no longer listed is dropped, us. */
 #define ASSIGNMENT_RETENTION_US (60 * G_USEC_PER_SEC)
