--- a/daemons/replica/batch-answers.c
+++ b/daemons/replica/batch-answers.c
@@ -55,7 +55,7 @@
   gsize bytes = 0;
   for (guint64 i = position; i < entry->results->len && (results->len == 0 || bytes < max_bytes); i++)
     {
-      const QuinceBatchListing *listing = entry->results->pdata[i];
+      const QuinceEncodedResult *listing = entry->results->pdata[i];
       const QuinceBatchResult *result = quince_result_cache_get (cache, listing->body, error);
       if (result == NULL)
         return FALSE;
--- a/daemons/replica/batch-calls.c
+++ b/daemons/replica/batch-calls.c
@@ -35,7 +35,7 @@
   /* All fields belong to the main context. */
   QuinceLedgerNode *ledger;
   QuinceResidencyCoordinator *residency;
-  QuinceBatchBook *book;  /* NULL: not leading */
+  QuinceBatchTable *book; /* NULL: not leading */
   GHashTable *submitting; /* batch id to guint64, both owned: index of its record, not committed yet */
   GPtrArray *waiters;     /* Waiter, owned */
   QuinceResultCache *results;
@@ -70,7 +70,7 @@
 {
   Waiter *waiter = data;
   QuinceBatchCalls *calls = waiter->calls;
-  QuinceBatchEntry *entry = quince_batch_book_find (calls->book, waiter->batch);
+  QuinceBatchEntry *entry = quince_batch_table_find (calls->book, waiter->batch);
   quince_timer_clear (&waiter->timer);
   if (entry != NULL && quince_ledger_node_may_answer (calls->ledger))
     quince_batch_answer_results (calls->results, waiter->link, waiter->id, entry, waiter->position);
@@ -185,7 +185,7 @@
                   const QuinceHttpHeaders *headers,
                   const char *id)
 {
-  g_autoptr (GPtrArray) entries = quince_batch_book_list (calls->book);
+  g_autoptr (GPtrArray) entries = quince_batch_table_list (calls->book);
   const char *host = quince_http_headers_get (headers, "Host");
   gboolean may = quince_residency_coordinator_admit (calls->residency, entries, id, host != NULL ? host : "",
                                                      call->target, quince_platform_read_tenant (headers));
@@ -205,7 +205,7 @@
   quince_platform_read_request (headers, &facts);
   const char *id = facts.request_id;
   const guint64 *pending = id != NULL ? g_hash_table_lookup (calls->submitting, id) : NULL;
-  const QuinceBatchEntry *known = id != NULL ? quince_batch_book_find (calls->book, id) : NULL;
+  const QuinceBatchEntry *known = id != NULL ? quince_batch_table_find (calls->book, id) : NULL;
   if (id == NULL || (known != NULL && !belongs_to (known, quince_platform_read_tenant (headers))))
     quince_batch_answer_status (link, call->id, 400);
   else if (known != NULL)
@@ -240,7 +240,7 @@
                     const QuinceHttpHeaders *headers,
                     const QuinceCall *parsed)
 {
-  QuinceBatchEntry *entry = parsed->id != NULL ? quince_batch_book_find (calls->book, parsed->id) : NULL;
+  QuinceBatchEntry *entry = parsed->id != NULL ? quince_batch_table_find (calls->book, parsed->id) : NULL;
   gboolean pending = parsed->id != NULL && g_hash_table_contains (calls->submitting, parsed->id);
   const char *tenant = quince_platform_read_tenant (headers);
   if (entry == NULL || !belongs_to (entry, tenant))
@@ -362,7 +362,7 @@
 }
 
 void
-quince_batch_calls_set_book (QuinceBatchCalls *calls, QuinceBatchBook *book)
+quince_batch_calls_set_table (QuinceBatchCalls *calls, QuinceBatchTable *book)
 {
   calls->book = book;
 }
--- a/daemons/replica/batch-calls.h
+++ b/daemons/replica/batch-calls.h
@@ -25,7 +25,7 @@
                                     QuinceLedgerNode *ledger,
                                     QuinceResidencyCoordinator *residency);
 /* The book that calls are answered from; not owned; valid until quince_batch_calls_end_all(). */
-void quince_batch_calls_set_book (QuinceBatchCalls *calls, QuinceBatchBook *book);
+void quince_batch_calls_set_table (QuinceBatchCalls *calls, QuinceBatchTable *book);
 /* Answers @call now or later; to be called while this replica leads and may answer.
  * @unlisted: samples without a result, over all batches */
 void quince_batch_calls_take (QuinceBatchCalls *calls,
--- a/daemons/replica/batch-service.c
+++ b/daemons/replica/batch-service.c
@@ -28,7 +28,7 @@
   QuinceProgressFile *progress_file;
   QuinceResidencyCoordinator *residency;
   /* Owned: */
-  QuinceBatchBook *book; /* NULL: no record was read since this replica last led */
+  QuinceBatchTable *book; /* NULL: no record was read since this replica last led */
   QuinceBatchCalls *calls;
   QuinceSampleRunner *runner; /* NULL: not leading */
   QuinceTimer *forget_timer;
@@ -44,7 +44,7 @@
 static guint
 open_samples (QuinceBatchService *service, const char *model)
 {
-  g_autoptr (GPtrArray) entries = quince_batch_book_list (service->book);
+  g_autoptr (GPtrArray) entries = quince_batch_table_list (service->book);
   guint count = 0;
   for (guint i = 0; i < entries->len; i++)
     {
@@ -112,18 +112,18 @@
     quince_sample_runner_remove (service->runner, entry);
 }
 
-static const QuinceBatchBookCallbacks book_callbacks = { .submitted = batch_submitted,
-                                                         .listed = batch_listed,
-                                                         .ended = batch_ended,
-                                                         .forgotten = batch_forgotten };
+static const QuinceBatchTableCallbacks batch_table_callbacks = { .submitted = batch_submitted,
+                                                                 .listed = batch_listed,
+                                                                 .ended = batch_ended,
+                                                                 .forgotten = batch_forgotten };
 
 static void
 ensure_book (QuinceBatchService *service)
 {
   if (service->book != NULL)
     return;
-  service->book = quince_batch_book_new (&book_callbacks, service);
-  quince_batch_calls_set_book (service->calls, service->book);
+  service->book = quince_batch_table_new (&batch_table_callbacks, service);
+  quince_batch_calls_set_table (service->calls, service->book);
 }
 
 void
@@ -133,7 +133,7 @@
   gboolean submits
       = record->kind == QUINCE_BATCH_RECORD_SUBMIT || record->kind == QUINCE_BATCH_RECORD_SUBMIT_OF_TENANT;
   guint status = submits ? 202 : 200;
-  quince_batch_book_apply (service->book, index, record);
+  quince_batch_table_apply (service->book, index, record);
   if (index != 0)
     quince_batch_calls_committed (service->calls, index, status);
 }
@@ -190,7 +190,7 @@
 GPtrArray *
 quince_batch_service_list (QuinceBatchService *service)
 {
-  return service->book != NULL ? quince_batch_book_list (service->book) : g_ptr_array_new ();
+  return service->book != NULL ? quince_batch_table_list (service->book) : g_ptr_array_new ();
 }
 
 /* Returns: (transfer full): of @items, those of batches whose regions allow the machine @node (nullable);
@@ -202,7 +202,7 @@
   for (guint i = 0; node != NULL && i < items->len; i++)
     {
       const QuinceProgressItem *item = &g_array_index (items, QuinceProgressItem, i);
-      const QuinceBatchEntry *entry = quince_batch_book_find (service->book, item->batch);
+      const QuinceBatchEntry *entry = quince_batch_table_find (service->book, item->batch);
       if (entry != NULL
           && quince_residency_coordinator_allows (service->residency, node, entry->batch->host,
                                                   entry->batch->path, entry->tenant))
@@ -274,7 +274,7 @@
 {
   gboolean leads = service->runner != NULL;
   quince_metric_set ("quince_replica_batches", "",
-                     service->book != NULL ? quince_batch_book_get_size (service->book) : 0);
+                     service->book != NULL ? quince_batch_table_get_size (service->book) : 0);
   quince_metric_set ("quince_replica_samples_waiting", "",
                      leads ? quince_sample_runner_get_waiting (service->runner) : 0);
   quince_metric_set ("quince_replica_samples_running", "",
@@ -300,7 +300,7 @@
   QuinceBatchService *service = data;
   if (service->book == NULL || !quince_ledger_node_may_accept (service->ledger))
     return G_SOURCE_CONTINUE;
-  g_autoptr (GPtrArray) entries = quince_batch_book_list (service->book);
+  g_autoptr (GPtrArray) entries = quince_batch_table_list (service->book);
   gint64 now_ms = quince_wall_ms ();
   for (guint i = 0; i < entries->len; i++)
     {
@@ -321,7 +321,7 @@
   ensure_book (service);
   service->runner = quince_sample_runner_new (service->backends, service->observer, service->progress,
                                               &runner_callbacks, service);
-  g_autoptr (GPtrArray) entries = quince_batch_book_list (service->book);
+  g_autoptr (GPtrArray) entries = quince_batch_table_list (service->book);
   for (guint i = 0; i < entries->len; i++)
     {
       QuinceBatchEntry *entry = entries->pdata[i];
@@ -342,7 +342,7 @@
   g_clear_pointer (&service->runner, quince_sample_runner_free);
   quince_batch_calls_end_all (service->calls);
   quince_residency_coordinator_settle (service->residency, NULL);
-  g_clear_pointer (&service->book, quince_batch_book_free);
+  g_clear_pointer (&service->book, quince_batch_table_free);
   service->unlisted = 0;
 }
 
@@ -383,6 +383,6 @@
   quince_timer_clear (&service->forget_timer);
   quince_sample_runner_free (service->runner);
   quince_batch_calls_free (service->calls);
-  quince_batch_book_free (service->book);
+  quince_batch_table_free (service->book);
   g_free (service);
 }
--- a/daemons/replica/ledger-backup.c
+++ b/daemons/replica/ledger-backup.c
@@ -92,7 +92,7 @@
 read_chunk (const QuinceLedgerBackup *backup, QuinceBatchLog *log, Chunk *chunk)
 {
   g_autoptr (GError) error = NULL;
-  if (!quince_batch_log_walk (log, backup->next_index, collect_entry, chunk, &error))
+  if (!quince_batch_log_foreach (log, backup->next_index, collect_entry, chunk, &error))
     quince_log_failure ("ledger_disk_failed", "doing=read reason=\"%s\"", error->message);
 }
 
--- a/daemons/replica/ledger-follower.c
+++ b/daemons/replica/ledger-follower.c
@@ -201,7 +201,7 @@
   hello->zone = (char *)follower->zone;
   hello->last_index = end.index;
   hello->last_epoch = end.epoch;
-  hello->commit_index = MIN (quince_batch_log_get_commit (follower->log), end.index);
+  hello->commit_index = MIN (quince_batch_log_get_commit_index (follower->log), end.index);
   hello->commit_epoch = quince_batch_log_get_epoch (follower->log, hello->commit_index);
   quince_link_send (link, &message);
   follower->lost = FALSE;
--- a/daemons/replica/ledger-node.c
+++ b/daemons/replica/ledger-node.c
@@ -301,10 +301,11 @@
   const QuinceBatchLog *log = quince_ledger_storage_get_log (node->storage);
   node->self.node = g_strdup (options->node);
   node->self.address = g_strdup (quince_link_server_get_address (node->server));
-  node->self.replica = quince_batch_log_get_replica (log);
+  node->self.replica = quince_batch_log_get_replica_id (log);
   node->zone = g_strdup (options->zone);
-  node->group = quince_ledger_group_new (&node->self, &options->limits, quince_batch_log_get_kept (log),
-                                         options->may_found, quince_now_us ());
+  node->group
+      = quince_ledger_group_new (&node->self, &options->limits, quince_batch_log_get_persistent_state (log),
+                                 options->may_found, quince_now_us ());
   quince_ledger_group_set_zone (node->group, node->self.replica, node->zone);
   quince_ledger_storage_set_group (node->storage, node->group);
 }
--- a/daemons/replica/ledger-records.c
+++ b/daemons/replica/ledger-records.c
@@ -204,7 +204,7 @@
   QuinceLedgerRecords *records = data;
   g_autoptr (GError) error = NULL;
   records->turn_ends_us = quince_now_us () + READ_TURN_US;
-  if (!quince_batch_log_walk (records->log, records->delivered_index + 1, deliver_stored, records, &error))
+  if (!quince_batch_log_foreach (records->log, records->delivered_index + 1, deliver_stored, records, &error))
     {
       /* It cannot answer for records that it cannot read: another replica can. */
       quince_log_failure ("ledger_disk_failed", "doing=read reason=\"%s\"", error->message);
--- a/daemons/replica/sample-outcome.c
+++ b/daemons/replica/sample-outcome.c
@@ -13,8 +13,8 @@
 static void
 text_whole (QuinceSampleSet *set, QuinceSample *sample)
 {
-  quince_length_model_note (quince_sample_set_get_lengths (set, sample->entry->batch->model),
-                            sample->estimated_tokens, sample->last_event);
+  quince_length_model_record (quince_sample_set_get_lengths (set, sample->entry->batch->model),
+                              sample->estimated_tokens, sample->last_event);
   quince_step_reports_text_whole (set->reports, sample->entry, quince_now_us ());
   if (sample->single_version && sample->versions->len > 1)
     {
--- a/daemons/replica/sample-runner.c
+++ b/daemons/replica/sample-runner.c
@@ -200,7 +200,7 @@
   quince_step_reports_begin (runner->set.reports, entry, submitted_us);
   for (guint i = 0; i < entry->batch->items.items_len; i++)
     {
-      if (entry->is_listed[i])
+      if (entry->has_result[i])
         continue;
       QuinceSample *sample = quince_sample_new (entry, i);
       QuincePlatformLength length;
--- a/daemons/replica/sample-set.c
+++ b/daemons/replica/sample-set.c
@@ -94,8 +94,9 @@
 double
 quince_sample_set_remaining_events (QuinceSampleSet *set, const QuinceSample *sample)
 {
-  return quince_length_model_remaining (quince_sample_set_get_lengths (set, sample->entry->batch->model),
-                                        sample->estimated_tokens, sample->last_event);
+  return quince_length_model_estimate_remaining (
+      quince_sample_set_get_lengths (set, sample->entry->batch->model), sample->estimated_tokens,
+      sample->last_event);
 }
 
 /* ---- Services ----------------------------------------------------------- */
--- a/lib/batchlog/batch-log-compact.c
+++ b/lib/batchlog/batch-log-compact.c
@@ -15,13 +15,13 @@
 typedef struct
 {
   guint64 commit;
-  guint64 last_read; /* index of the last record that was read */
-  guint left;        /* records that may still be read */
-  GArray *indexes;   /* guint64: records to empty */
+  guint64 last_scanned_index; /* index of the last record that was read */
+  guint left;                 /* records that may still be read */
+  GArray *indexes;            /* guint64: records to empty */
 } Walk;
 
 static gboolean
-is_forget (const QuinceLogEntry *entry)
+is_forget_record (const QuinceLogEntry *entry)
 {
   guint32 kind = 0;
   if (entry->record.record_len < KIND_BYTES)
@@ -31,7 +31,7 @@
 }
 
 static void
-add_forgotten (Walk *walk, const QuinceLogEntry *entry)
+add_forgotten_indexes (Walk *walk, const QuinceLogEntry *entry)
 {
   g_autoptr (QuinceBatchRecord) record
       = quince_batch_record_unpack (entry->record.record_val, entry->record.record_len, NULL);
@@ -44,15 +44,15 @@
 }
 
 static gboolean
-read_record (const QuinceLogEntry *entry, gpointer data)
+scan_record (const QuinceLogEntry *entry, gpointer data)
 {
   Walk *walk = data;
   if (entry->index > walk->commit || walk->left == 0)
     return FALSE;
   walk->left--;
-  walk->last_read = entry->index;
-  if (is_forget (entry))
-    add_forgotten (walk, entry);
+  walk->last_scanned_index = entry->index;
+  if (is_forget_record (entry))
+    add_forgotten_indexes (walk, entry);
   return TRUE;
 }
 
@@ -60,14 +60,15 @@
 quince_batch_log_compact (QuinceBatchLog *log, guint64 *compacted, guint max_records, GError **error)
 {
   g_autoptr (GArray) indexes = g_array_new (FALSE, FALSE, sizeof (guint64));
-  Walk walk = { .commit = quince_batch_log_get_commit (log),
-                .last_read = *compacted,
+  Walk walk = { .commit = quince_batch_log_get_commit_index (log),
+                .last_scanned_index = *compacted,
                 .left = max_records,
                 .indexes = indexes };
-  if (!quince_batch_log_walk (log, *compacted + 1, read_record, &walk, error))
+  if (!quince_batch_log_foreach (log, *compacted + 1, scan_record, &walk, error))
     return FALSE;
-  if (indexes->len > 0 && !quince_batch_log_blank (log, (const guint64 *)indexes->data, indexes->len, error))
+  if (indexes->len > 0
+      && !quince_batch_log_clear_records (log, (const guint64 *)indexes->data, indexes->len, error))
     return FALSE;
-  *compacted = walk.last_read;
+  *compacted = walk.last_scanned_index;
   return TRUE;
 }
--- a/lib/batchlog/batch-log.c
+++ b/lib/batchlog/batch-log.c
@@ -29,24 +29,25 @@
 
 typedef enum
 {
-  STATEMENT_PUT,
-  STATEMENT_CUT, /* from an index on */
-  STATEMENT_EPOCH,
-  STATEMENT_LAST,
-  STATEMENT_WALK,
-  STATEMENT_BLANK,
+  STATEMENT_INSERT_RECORD,
+  STATEMENT_TRUNCATE, /* from an index on */
+  STATEMENT_SELECT_EPOCH,
+  STATEMENT_SELECT_LAST_INDEX,
+  STATEMENT_SELECT_RECORDS,
+  STATEMENT_CLEAR_RECORD,
   STATEMENT_PUT_META,
   STATEMENT_GET_META,
   N_STATEMENTS
 } Statement;
 
 static const char *const statement_texts[N_STATEMENTS] = {
-  [STATEMENT_PUT] = "INSERT INTO log VALUES (?1, ?2, ?3)",
-  [STATEMENT_CUT] = "DELETE FROM log WHERE position >= ?1",
-  [STATEMENT_EPOCH] = "SELECT epoch FROM log WHERE position = ?1",
-  [STATEMENT_LAST] = "SELECT ifnull(max(position), 0) FROM log",
-  [STATEMENT_WALK] = "SELECT position, epoch, record FROM log WHERE position >= ?1 ORDER BY position",
-  [STATEMENT_BLANK] = "UPDATE log SET record = x'' WHERE position = ?1",
+  [STATEMENT_INSERT_RECORD] = "INSERT INTO log VALUES (?1, ?2, ?3)",
+  [STATEMENT_TRUNCATE] = "DELETE FROM log WHERE position >= ?1",
+  [STATEMENT_SELECT_EPOCH] = "SELECT epoch FROM log WHERE position = ?1",
+  [STATEMENT_SELECT_LAST_INDEX] = "SELECT ifnull(max(position), 0) FROM log",
+  [STATEMENT_SELECT_RECORDS]
+  = "SELECT position, epoch, record FROM log WHERE position >= ?1 ORDER BY position",
+  [STATEMENT_CLEAR_RECORD] = "UPDATE log SET record = x'' WHERE position = ?1",
   [STATEMENT_PUT_META] = "INSERT OR REPLACE INTO meta VALUES (?1, ?2)",
   [STATEMENT_GET_META] = "SELECT number FROM meta WHERE name = ?1",
 };
@@ -90,7 +91,7 @@
 
 /* The one number that the statement yields, or 0. */
 static guint64
-ask_number (QuinceBatchLog *log, Statement which)
+query_number (QuinceBatchLog *log, Statement which)
 {
   sqlite3_stmt *statement = log->statements[which];
   guint64 number = sqlite3_step (statement) == SQLITE_ROW ? (guint64)sqlite3_column_int64 (statement, 0) : 0;
@@ -103,7 +104,7 @@
 get_meta (QuinceBatchLog *log, const char *name)
 {
   sqlite3_bind_text (log->statements[STATEMENT_GET_META], 1, name, -1, SQLITE_STATIC);
-  return ask_number (log, STATEMENT_GET_META);
+  return query_number (log, STATEMENT_GET_META);
 }
 
 static gboolean
@@ -118,7 +119,7 @@
 /* ---- Opening ---------------------------------------------------------- */
 
 static guint64
-random_replica (void)
+generate_replica_id (void)
 {
   guint64 id = ((guint64)g_random_int () << 32) | g_random_int ();
   id ^= (guint64)g_get_real_time ();
@@ -139,7 +140,7 @@
   log->kept.promised = get_meta (log, "promised");
   log->kept.noted = get_meta (log, "noted");
   log->kept.ordered = get_meta (log, "ordered");
-  log->last_index = ask_number (log, STATEMENT_LAST);
+  log->last_index = query_number (log, STATEMENT_SELECT_LAST_INDEX);
   return TRUE;
 }
 
@@ -156,7 +157,7 @@
 }
 
 static void
-remove_files (const char *path)
+remove_database_files (const char *path)
 {
   static const char *const endings[] = { "", "-wal", "-journal" };
   for (guint i = 0; i < G_N_ELEMENTS (endings); i++)
@@ -175,7 +176,7 @@
   if (log == NULL)
     {
       quince_log_failure ("ledger_disk_failed", "doing=open reason=\"%s\"", unreadable->message);
-      remove_files (path);
+      remove_database_files (path);
       log = try_open (path, error);
     }
   if (log == NULL)
@@ -183,7 +184,7 @@
   *was_empty = log->replica == 0;
   if (*was_empty)
     {
-      guint64 replica = random_replica ();
+      guint64 replica = generate_replica_id ();
       if (!put_meta (log, "replica", replica, error))
         return NULL;
       log->replica = replica;
@@ -203,7 +204,7 @@
 }
 
 guint64
-quince_batch_log_get_replica (const QuinceBatchLog *log)
+quince_batch_log_get_replica_id (const QuinceBatchLog *log)
 {
   return log->replica;
 }
@@ -215,19 +216,19 @@
 }
 
 guint64
-quince_batch_log_get_commit (const QuinceBatchLog *log)
+quince_batch_log_get_commit_index (const QuinceBatchLog *log)
 {
   return log->commit;
 }
 
 const QuinceLedgerKept *
-quince_batch_log_get_kept (const QuinceBatchLog *log)
+quince_batch_log_get_persistent_state (const QuinceBatchLog *log)
 {
   return &log->kept;
 }
 
 static gboolean
-keep_number (QuinceBatchLog *log, const char *name, guint64 *kept, guint64 number, GError **error)
+save_number (QuinceBatchLog *log, const char *name, guint64 *kept, guint64 number, GError **error)
 {
   if (*kept == number)
     return TRUE;
@@ -238,66 +239,66 @@
 }
 
 gboolean
-quince_batch_log_keep (QuinceBatchLog *log, const QuinceLedgerKept *kept, GError **error)
+quince_batch_log_save_persistent_state (QuinceBatchLog *log, const QuinceLedgerKept *kept, GError **error)
 {
-  return keep_number (log, "promised", &log->kept.promised, kept->promised, error)
-         && keep_number (log, "noted", &log->kept.noted, kept->noted, error)
-         && keep_number (log, "ordered", &log->kept.ordered, kept->ordered, error);
+  return save_number (log, "promised", &log->kept.promised, kept->promised, error)
+         && save_number (log, "noted", &log->kept.noted, kept->noted, error)
+         && save_number (log, "ordered", &log->kept.ordered, kept->ordered, error);
 }
 
 guint64
 quince_batch_log_get_epoch (QuinceBatchLog *log, guint64 index)
 {
-  sqlite3_bind_int64 (log->statements[STATEMENT_EPOCH], 1, (sqlite3_int64)index);
-  return ask_number (log, STATEMENT_EPOCH);
+  sqlite3_bind_int64 (log->statements[STATEMENT_SELECT_EPOCH], 1, (sqlite3_int64)index);
+  return query_number (log, STATEMENT_SELECT_EPOCH);
 }
 
 /* ---- Writing ---------------------------------------------------------- */
 
 static gboolean
-cut_from (QuinceBatchLog *log, guint64 index, GError **error)
+truncate_from (QuinceBatchLog *log, guint64 index, GError **error)
 {
-  sqlite3_bind_int64 (log->statements[STATEMENT_CUT], 1, (sqlite3_int64)index);
-  return finish (log, STATEMENT_CUT, error);
+  sqlite3_bind_int64 (log->statements[STATEMENT_TRUNCATE], 1, (sqlite3_int64)index);
+  return finish (log, STATEMENT_TRUNCATE, error);
 }
 
 static gboolean
-put_entry (QuinceBatchLog *log, const QuinceLogEntry *entry, guint64 *last_index, GError **error)
+store_entry (QuinceBatchLog *log, const QuinceLogEntry *entry, guint64 *last_index, GError **error)
 {
   if (entry->index <= *last_index)
     {
       if (quince_batch_log_get_epoch (log, entry->index) == entry->epoch)
         return TRUE;
-      if (!cut_from (log, entry->index, error))
+      if (!truncate_from (log, entry->index, error))
         return FALSE;
     }
-  sqlite3_stmt *statement = log->statements[STATEMENT_PUT];
+  sqlite3_stmt *statement = log->statements[STATEMENT_INSERT_RECORD];
   sqlite3_bind_int64 (statement, 1, (sqlite3_int64)entry->index);
   sqlite3_bind_int64 (statement, 2, (sqlite3_int64)entry->epoch);
   sqlite3_bind_blob64 (statement, 3, entry->record.record_len > 0 ? entry->record.record_val : "",
                        entry->record.record_len, SQLITE_STATIC);
   *last_index = entry->index;
-  return finish (log, STATEMENT_PUT, error);
+  return finish (log, STATEMENT_INSERT_RECORD, error);
 }
 
 static gboolean
-put_all (QuinceBatchLog *log,
-         const QuinceLogEntry *entries,
-         guint n_entries,
-         gboolean reset,
-         guint64 end_index,
-         guint64 commit,
-         guint64 *last_index,
-         GError **error)
+store_entries (QuinceBatchLog *log,
+               const QuinceLogEntry *entries,
+               guint n_entries,
+               gboolean reset,
+               guint64 end_index,
+               guint64 commit,
+               guint64 *last_index,
+               GError **error)
 {
-  if (reset && !cut_from (log, 0, error))
+  if (reset && !truncate_from (log, 0, error))
     return FALSE;
   if (reset)
     *last_index = 0;
   for (guint i = 0; i < n_entries; i++)
-    if (!put_entry (log, &entries[i], last_index, error))
+    if (!store_entry (log, &entries[i], last_index, error))
       return FALSE;
-  if (*last_index > end_index && !cut_from (log, end_index + 1, error))
+  if (*last_index > end_index && !truncate_from (log, end_index + 1, error))
     return FALSE;
   *last_index = MIN (*last_index, end_index);
   return put_meta (log, "commit", commit, error);
@@ -315,7 +316,7 @@
   guint64 last_index = log->last_index;
   if (!execute (log, "BEGIN IMMEDIATE", error))
     return FALSE;
-  if (!put_all (log, entries, n_entries, reset, end_index, commit, &last_index, error)
+  if (!store_entries (log, entries, n_entries, reset, end_index, commit, &last_index, error)
       || !execute (log, "COMMIT", error))
     {
       execute (log, "ROLLBACK", NULL);
@@ -327,14 +328,14 @@
 }
 
 gboolean
-quince_batch_log_blank (QuinceBatchLog *log, const guint64 *indexes, guint n_indexes, GError **error)
+quince_batch_log_clear_records (QuinceBatchLog *log, const guint64 *indexes, guint n_indexes, GError **error)
 {
   if (!execute (log, "BEGIN IMMEDIATE", error))
     return FALSE;
   for (guint i = 0; i < n_indexes; i++)
     {
-      sqlite3_bind_int64 (log->statements[STATEMENT_BLANK], 1, (sqlite3_int64)indexes[i]);
-      if (finish (log, STATEMENT_BLANK, error))
+      sqlite3_bind_int64 (log->statements[STATEMENT_CLEAR_RECORD], 1, (sqlite3_int64)indexes[i]);
+      if (finish (log, STATEMENT_CLEAR_RECORD, error))
         continue;
       execute (log, "ROLLBACK", NULL);
       return FALSE;
@@ -343,13 +344,13 @@
 }
 
 gboolean
-quince_batch_log_walk (QuinceBatchLog *log,
-                       guint64 first_index,
-                       QuinceBatchLogVisit visit,
-                       gpointer user_data,
-                       GError **error)
+quince_batch_log_foreach (QuinceBatchLog *log,
+                          guint64 first_index,
+                          QuinceBatchLogForeachFunc visit,
+                          gpointer user_data,
+                          GError **error)
 {
-  sqlite3_stmt *statement = log->statements[STATEMENT_WALK];
+  sqlite3_stmt *statement = log->statements[STATEMENT_SELECT_RECORDS];
   sqlite3_bind_int64 (statement, 1, (sqlite3_int64)first_index);
   int status = SQLITE_ROW;
   gboolean more = TRUE;
--- a/lib/batchlog/batch-log.h
+++ b/lib/batchlog/batch-log.h
@@ -29,15 +29,16 @@
 void quince_batch_log_close (QuinceBatchLog *log);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (QuinceBatchLog, quince_batch_log_close)
 
-guint64 quince_batch_log_get_replica (const QuinceBatchLog *log);
+guint64 quince_batch_log_get_replica_id (const QuinceBatchLog *log);
 guint64 quince_batch_log_get_last_index (const QuinceBatchLog *log);
-const QuinceLedgerKept *quince_batch_log_get_kept (const QuinceBatchLog *log);
+const QuinceLedgerKept *quince_batch_log_get_persistent_state (const QuinceBatchLog *log);
 /* Writes the numbers that differ; when it returns, they survive a loss of power. */
-gboolean quince_batch_log_keep (QuinceBatchLog *log, const QuinceLedgerKept *kept, GError **error);
+gboolean
+quince_batch_log_save_persistent_state (QuinceBatchLog *log, const QuinceLedgerKept *kept, GError **error);
 /* Epoch of the record @index; 0 where there is none. */
 guint64 quince_batch_log_get_epoch (QuinceBatchLog *log, guint64 index);
 /* The greatest index that was known to be committed when records were last appended. */
-guint64 quince_batch_log_get_commit (const QuinceBatchLog *log);
+guint64 quince_batch_log_get_commit_index (const QuinceBatchLog *log);
 
 /**
  * quince_batch_log_append:
@@ -56,7 +57,7 @@
                                   GError **error);
 /* Empties the records at @indexes, whose batch is forgotten; the indexes stay. */
 gboolean
-quince_batch_log_blank (QuinceBatchLog *log, const guint64 *indexes, guint n_indexes, GError **error);
+quince_batch_log_clear_records (QuinceBatchLog *log, const guint64 *indexes, guint n_indexes, GError **error);
 /**
  * quince_batch_log_compact:
  * @compacted: (inout): index up to which the log was searched already; 0 at first and after a reset
@@ -70,11 +71,11 @@
 
 /* Called for each record in the order of the log; @entry is valid until the return.  Returning %FALSE ends
  * the walk, which then succeeds. */
-typedef gboolean (*QuinceBatchLogVisit) (const QuinceLogEntry *entry, gpointer user_data);
-gboolean quince_batch_log_walk (QuinceBatchLog *log,
-                                guint64 first_index,
-                                QuinceBatchLogVisit visit,
-                                gpointer user_data,
-                                GError **error);
+typedef gboolean (*QuinceBatchLogForeachFunc) (const QuinceLogEntry *entry, gpointer user_data);
+gboolean quince_batch_log_foreach (QuinceBatchLog *log,
+                                   guint64 first_index,
+                                   QuinceBatchLogForeachFunc visit,
+                                   gpointer user_data,
+                                   GError **error);
 
 G_END_DECLS
--- a/lib/batchlog/result-cache.c
+++ b/lib/batchlog/result-cache.c
@@ -20,13 +20,13 @@
 };
 
 static gsize
-size_of (const Unpacked *unpacked)
+get_cached_bytes (const Unpacked *unpacked)
 {
   return sizeof *unpacked + unpacked->result->text.text_len + g_bytes_get_size (unpacked->body);
 }
 
 static void
-unpacked_free (gpointer data)
+cached_result_free (gpointer data)
 {
   Unpacked *unpacked = data;
   quince_batch_result_free (unpacked->result);
@@ -50,7 +50,7 @@
   if (cache == NULL)
     return;
   g_hash_table_unref (cache->by_body);
-  g_queue_clear_full (&cache->order, unpacked_free);
+  g_queue_clear_full (&cache->order, cached_result_free);
   g_free (cache);
 }
 
@@ -68,7 +68,7 @@
   unpacked->result = result;
   g_hash_table_insert (cache->by_body, body, unpacked);
   g_queue_push_tail (&cache->order, unpacked);
-  cache->bytes += size_of (unpacked);
+  cache->bytes += get_cached_bytes (unpacked);
   return result;
 }
 
@@ -78,9 +78,9 @@
   while (cache->bytes > cache->max_bytes)
     {
       Unpacked *oldest = g_queue_pop_head (&cache->order);
-      cache->bytes -= size_of (oldest);
+      cache->bytes -= get_cached_bytes (oldest);
       g_hash_table_remove (cache->by_body, oldest->body);
-      unpacked_free (oldest);
+      cached_result_free (oldest);
     }
 }
 
--- a/lib/core/batches/batch-book.c
+++ b/lib/core/batches/batch-book.c
@@ -3,18 +3,18 @@
  */
 #include "core/batches/batch-book.h"
 
-struct _QuinceBatchBook
+struct _QuinceBatchTable
 {
   GHashTable *by_id; /* QuinceBatchEntry, owned */
   GPtrArray *order;  /* the same, in order of submission */
-  const QuinceBatchBookCallbacks *callbacks;
+  const QuinceBatchTableCallbacks *callbacks;
   gpointer user_data;
 };
 
 static void
-listing_free (gpointer data)
+encoded_result_free (gpointer data)
 {
-  QuinceBatchListing *listing = data;
+  QuinceEncodedResult *listing = data;
   g_bytes_unref (listing->body);
   g_free (listing);
 }
@@ -26,15 +26,15 @@
   quince_batch_job_free (entry->batch);
   g_ptr_array_unref (entry->results);
   g_array_unref (entry->indexes);
-  g_free (entry->is_listed);
+  g_free (entry->has_result);
   g_free (entry->tenant);
   g_free (entry);
 }
 
-QuinceBatchBook *
-quince_batch_book_new (const QuinceBatchBookCallbacks *callbacks, gpointer user_data)
+QuinceBatchTable *
+quince_batch_table_new (const QuinceBatchTableCallbacks *callbacks, gpointer user_data)
 {
-  QuinceBatchBook *book = g_new0 (QuinceBatchBook, 1);
+  QuinceBatchTable *book = g_new0 (QuinceBatchTable, 1);
   book->by_id = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, entry_free);
   book->order = g_ptr_array_new ();
   book->callbacks = callbacks;
@@ -43,7 +43,7 @@
 }
 
 void
-quince_batch_book_free (QuinceBatchBook *book)
+quince_batch_table_free (QuinceBatchTable *book)
 {
   if (book == NULL)
     return;
@@ -53,14 +53,14 @@
 }
 
 static void
-tell (QuinceBatchBook *book, void (*callback) (QuinceBatchEntry *, gpointer), QuinceBatchEntry *entry)
+tell (QuinceBatchTable *book, void (*callback) (QuinceBatchEntry *, gpointer), QuinceBatchEntry *entry)
 {
   if (callback != NULL)
     callback (entry, book->user_data);
 }
 
 static void
-apply_submit (QuinceBatchBook *book, guint64 index, QuinceBatchJob *submitted, const char *tenant)
+apply_submit (QuinceBatchTable *book, guint64 index, QuinceBatchJob *submitted, const char *tenant)
 {
   if (g_hash_table_contains (book->by_id, submitted->id))
     return;
@@ -69,8 +69,8 @@
   entry->batch = g_memdup2 (submitted, sizeof *submitted);
   *submitted = (QuinceBatchJob){ 0 };
   entry->tenant = g_strdup (tenant);
-  entry->results = g_ptr_array_new_with_free_func (listing_free);
-  entry->is_listed = g_new0 (gboolean, entry->batch->items.items_len);
+  entry->results = g_ptr_array_new_with_free_func (encoded_result_free);
+  entry->has_result = g_new0 (gboolean, entry->batch->items.items_len);
   entry->indexes = g_array_new (FALSE, FALSE, sizeof (guint64));
   g_array_append_val (entry->indexes, index);
   g_hash_table_insert (book->by_id, entry->batch->id, entry);
@@ -80,17 +80,17 @@
 
 /* (transfer full): @body */
 static void
-apply_listed (QuinceBatchBook *book, guint64 index, const char *batch, guint item, GBytes *body)
+add_result (QuinceBatchTable *book, guint64 index, const char *batch, guint item, GBytes *body)
 {
   g_autoptr (GBytes) owned = body;
   QuinceBatchEntry *entry = g_hash_table_lookup (book->by_id, batch);
   if (entry == NULL)
     return;
   g_array_append_val (entry->indexes, index);
-  if (item >= entry->batch->items.items_len || entry->is_listed[item])
+  if (item >= entry->batch->items.items_len || entry->has_result[item])
     return;
-  entry->is_listed[item] = TRUE;
-  QuinceBatchListing *listing = g_new0 (QuinceBatchListing, 1);
+  entry->has_result[item] = TRUE;
+  QuinceEncodedResult *listing = g_new0 (QuinceEncodedResult, 1);
   listing->item = item;
   listing->body = g_steal_pointer (&owned);
   g_ptr_array_add (entry->results, listing);
@@ -99,13 +99,13 @@
 
 /* A result as builds wrote it that decoded all results when they read the log. */
 static void
-apply_result (QuinceBatchBook *book, guint64 index, const QuinceBatchResult *result)
+apply_result (QuinceBatchTable *book, guint64 index, const QuinceBatchResult *result)
 {
-  apply_listed (book, index, result->batch, result->item, quince_batch_result_encode (result, NULL));
+  add_result (book, index, result->batch, result->item, quince_batch_result_encode (result, NULL));
 }
 
 static void
-apply_end (QuinceBatchBook *book, guint64 index, const QuinceBatchRecord *record)
+apply_end (QuinceBatchTable *book, guint64 index, const QuinceBatchRecord *record)
 {
   QuinceBatchEntry *entry = g_hash_table_lookup (book->by_id, record->QuinceBatchRecord_u.ended);
   if (entry == NULL)
@@ -118,7 +118,7 @@
 }
 
 static void
-apply_forget (QuinceBatchBook *book, const QuinceBatchRecord *record)
+apply_forget (QuinceBatchTable *book, const QuinceBatchRecord *record)
 {
   QuinceBatchEntry *entry = g_hash_table_lookup (book->by_id, record->QuinceBatchRecord_u.forget.batch);
   if (entry == NULL)
@@ -129,7 +129,7 @@
 }
 
 void
-quince_batch_book_apply (QuinceBatchBook *book, guint64 index, QuinceBatchRecord *record)
+quince_batch_table_apply (QuinceBatchTable *book, guint64 index, QuinceBatchRecord *record)
 {
   switch (record->kind)
     {
@@ -148,7 +148,7 @@
         QuinceListedResult *listed = &record->QuinceBatchRecord_u.listed;
         GBytes *body = g_bytes_new_take (g_steal_pointer (&listed->body.body_val), listed->body.body_len);
         listed->body.body_len = 0;
-        apply_listed (book, index, listed->batch, listed->item, body);
+        add_result (book, index, listed->batch, listed->item, body);
         break;
       }
     case QUINCE_BATCH_RECORD_END:
@@ -166,19 +166,19 @@
 }
 
 QuinceBatchEntry *
-quince_batch_book_find (QuinceBatchBook *book, const char *batch)
+quince_batch_table_find (QuinceBatchTable *book, const char *batch)
 {
   return g_hash_table_lookup (book->by_id, batch);
 }
 
 guint
-quince_batch_book_get_size (const QuinceBatchBook *book)
+quince_batch_table_get_size (const QuinceBatchTable *book)
 {
   return book->order->len;
 }
 
 GPtrArray *
-quince_batch_book_list (QuinceBatchBook *book)
+quince_batch_table_list (QuinceBatchTable *book)
 {
   GPtrArray *list = g_ptr_array_sized_new (book->order->len);
   for (guint i = 0; i < book->order->len; i++)
--- a/lib/core/batches/batch-book.h
+++ b/lib/core/batches/batch-book.h
@@ -17,23 +17,23 @@
 {
   guint item;   /* place among the items of the batch */
   GBytes *body; /* owned: quince_batch_result_unpack() decodes it */
-} QuinceBatchListing;
+} QuinceEncodedResult;
 
 typedef struct
 {
   QuinceBatchJob *batch; /* owned */
   char *tenant;          /* who submitted it; "": the deployment knows no tenants, or its route is public */
   gboolean ended;
-  GPtrArray *results;  /* QuinceBatchListing, owned, by position */
-  gboolean *is_listed; /* by item */
-  GArray *indexes;     /* guint64: log records that speak of this batch */
-  gpointer owner_data; /* the owner's; cleared by its callbacks */
+  GPtrArray *results;   /* QuinceEncodedResult, owned, by position */
+  gboolean *has_result; /* by item */
+  GArray *indexes;      /* guint64: log records that speak of this batch */
+  gpointer owner_data;  /* the owner's; cleared by its callbacks */
 } QuinceBatchEntry;
 
-typedef struct _QuinceBatchBook QuinceBatchBook;
+typedef struct _QuinceBatchTable QuinceBatchTable;
 
 /**
- * QuinceBatchBookCallbacks: what a record changed; each is nullable
+ * QuinceBatchTableCallbacks: what a record changed; each is nullable
  * @submitted: a new batch
  * @listed: the result at the last position of the batch is new
  * @ended: its submitter ended it
@@ -45,17 +45,17 @@
   void (*listed) (QuinceBatchEntry *entry, gpointer user_data);
   void (*ended) (QuinceBatchEntry *entry, gpointer user_data);
   void (*forgotten) (QuinceBatchEntry *entry, gpointer user_data);
-} QuinceBatchBookCallbacks;
+} QuinceBatchTableCallbacks;
 
-QuinceBatchBook *quince_batch_book_new (const QuinceBatchBookCallbacks *callbacks, gpointer user_data);
-void quince_batch_book_free (QuinceBatchBook *book);
-G_DEFINE_AUTOPTR_CLEANUP_FUNC (QuinceBatchBook, quince_batch_book_free)
+QuinceBatchTable *quince_batch_table_new (const QuinceBatchTableCallbacks *callbacks, gpointer user_data);
+void quince_batch_table_free (QuinceBatchTable *book);
+G_DEFINE_AUTOPTR_CLEANUP_FUNC (QuinceBatchTable, quince_batch_table_free)
 /* (transfer full): @record; takes the record at @index of the log in. */
-void quince_batch_book_apply (QuinceBatchBook *book, guint64 index, QuinceBatchRecord *record);
-QuinceBatchEntry *quince_batch_book_find (QuinceBatchBook *book, const char *batch);
-guint quince_batch_book_get_size (const QuinceBatchBook *book);
+void quince_batch_table_apply (QuinceBatchTable *book, guint64 index, QuinceBatchRecord *record);
+QuinceBatchEntry *quince_batch_table_find (QuinceBatchTable *book, const char *batch);
+guint quince_batch_table_get_size (const QuinceBatchTable *book);
 /* (transfer container): all entries, in order of their submission. */
-GPtrArray *quince_batch_book_list (QuinceBatchBook *book);
+GPtrArray *quince_batch_table_list (QuinceBatchTable *book);
 /* The place of the item of that id, or -1. */
 gint quince_batch_entry_find_item (const QuinceBatchEntry *entry, const char *item);
 
--- a/lib/core/batches/length-model.c
+++ b/lib/core/batches/length-model.c
@@ -5,16 +5,16 @@
 
 /* Part of the weight of earlier texts that each whole text keeps: the last 200 texts or so count, about one
  * step of the users' trainers. */
-#define KEEP_WEIGHT 0.995
+#define DECAY_FACTOR 0.995
 /* Part of its length so far that is still to come of a text longer than expected: lengths are spread widely,
  * so that a text which has outgrown its estimate is likely far from its end.  Not measured by itself. */
-#define OVERSHOOT_PART 0.3
+#define OVERSHOOT_REMAINING_FRACTION 0.3
 
 struct _QuinceLengthModel
 {
   /* Of whole texts with an estimate, with fading weights. */
   double estimated_tokens;
-  double estimated_events;
+  double events_with_estimate;
   /* Of all whole texts, with fading weights. */
   double events;
   double texts;
@@ -34,15 +34,15 @@
 }
 
 void
-quince_length_model_note (QuinceLengthModel *model, guint estimated_tokens, guint64 events)
+quince_length_model_record (QuinceLengthModel *model, guint estimated_tokens, guint64 events)
 {
-  model->events = model->events * KEEP_WEIGHT + (double)events;
-  model->texts = model->texts * KEEP_WEIGHT + 1;
+  model->events = model->events * DECAY_FACTOR + (double)events;
+  model->texts = model->texts * DECAY_FACTOR + 1;
   model->longest = MAX (model->longest, events);
   if (estimated_tokens == 0)
     return;
-  model->estimated_tokens = model->estimated_tokens * KEEP_WEIGHT + estimated_tokens;
-  model->estimated_events = model->estimated_events * KEEP_WEIGHT + (double)events;
+  model->estimated_tokens = model->estimated_tokens * DECAY_FACTOR + estimated_tokens;
+  model->events_with_estimate = model->events_with_estimate * DECAY_FACTOR + (double)events;
 }
 
 static double
@@ -52,15 +52,15 @@
     return model->texts > 0 ? model->events / model->texts : 1;
   /* Until a text has ended an event counts as a token: the order of samples is right all the same. */
   double events_per_token
-      = model->estimated_tokens > 0 ? model->estimated_events / model->estimated_tokens : 1;
+      = model->estimated_tokens > 0 ? model->events_with_estimate / model->estimated_tokens : 1;
   return MAX (estimated_tokens * events_per_token, 1);
 }
 
 double
-quince_length_model_remaining (const QuinceLengthModel *model, guint estimated_tokens, guint64 made)
+quince_length_model_estimate_remaining (const QuinceLengthModel *model, guint estimated_tokens, guint64 made)
 {
   double expected = expect (model, estimated_tokens);
-  double left = MAX (expected - (double)made, OVERSHOOT_PART * (double)made);
+  double left = MAX (expected - (double)made, OVERSHOOT_REMAINING_FRACTION * (double)made);
   if (model->longest > made)
     left = MIN (left, (double)(model->longest - made));
   return MAX (left, 1);
--- a/lib/core/batches/length-model.h
+++ b/lib/core/batches/length-model.h
@@ -21,8 +21,9 @@
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (QuinceLengthModel, quince_length_model_free)
 
 /* A text became whole with @events events; @estimated_tokens: what its caller had estimated, 0: nothing. */
-void quince_length_model_note (QuinceLengthModel *model, guint estimated_tokens, guint64 events);
+void quince_length_model_record (QuinceLengthModel *model, guint estimated_tokens, guint64 events);
 /* Events still to come for a text that has @made of them. */
-double quince_length_model_remaining (const QuinceLengthModel *model, guint estimated_tokens, guint64 made);
+double
+quince_length_model_estimate_remaining (const QuinceLengthModel *model, guint estimated_tokens, guint64 made);
 
 G_END_DECLS
--- a/tests/platform/test-residency.c
+++ b/tests/platform/test-residency.c
@@ -177,7 +177,7 @@
   g_autoptr (QuinceBatchLog) log = quince_batch_log_open (folder, &was_empty, NULL);
   assert_non_null (log);
   Kept kept = { 0 };
-  assert_true (quince_batch_log_walk (log, 1, count_record, &kept, NULL));
+  assert_true (quince_batch_log_foreach (log, 1, count_record, &kept, NULL));
   return kept.records;
 }
 
--- a/tests/unit/kept-values.h
+++ b/tests/unit/kept-values.h
@@ -72,7 +72,7 @@
                                  .member = 17 })                                                             \
   }
 
-static QuinceMessage kept_messages[] = {
+static QuinceMessage expected_messages[] = {
   { QUINCE_MESSAGE_LEDGER_HELLO,
     { .ledger_hello
       = { MEMBER, .last_index = 1, .last_epoch = 2, .commit_index = 3, .commit_epoch = 4, TEXT ("z1") } } },
@@ -166,5 +166,5 @@
   { QUINCE_BATCH_RECORD_LISTED, { .listed = { TEXT ("batch-1"), 5, BYTES ("body") } } },
 };
 
-static QuinceLedgerView kept_view = VIEW;
-static QuinceBatchResult kept_result = RESULT;
+static QuinceLedgerView expected_view = VIEW;
+static QuinceBatchResult expected_result = RESULT;
--- a/tests/unit/test-batch-log.c
+++ b/tests/unit/test-batch-log.c
@@ -107,23 +107,23 @@
 }
 
 static gboolean
-note_length (const QuinceLogEntry *entry, gpointer data)
+collect_length (const QuinceLogEntry *entry, gpointer data)
 {
   g_array_append_val ((GArray *)data, entry->record.record_len);
   return TRUE;
 }
 
 static guint
-length_at (World *world, guint64 index)
+get_record_length (World *world, guint64 index)
 {
   g_autoptr (GArray) lengths = g_array_new (FALSE, FALSE, sizeof (guint));
-  assert_true (quince_batch_log_walk (world->log, 1, note_length, lengths, NULL));
+  assert_true (quince_batch_log_foreach (world->log, 1, collect_length, lengths, NULL));
   assert_true (lengths->len >= index);
   return g_array_index (lengths, guint, index - 1);
 }
 
 static goffset
-disk_bytes (World *world)
+get_database_bytes (World *world)
 {
   GStatBuf status;
   g_autofree char *path = g_build_filename (world->folder, "batches.sqlite", NULL);
@@ -133,51 +133,51 @@
 }
 
 static void
-test_records_and_promise_survive (void **state)
+test_reopen_keeps_records_and_state (void **state)
 {
   World *world = *state;
-  guint64 replica = quince_batch_log_get_replica (world->log);
+  guint64 replica = quince_batch_log_get_replica_id (world->log);
   append_bytes (world, 1, 3, (char *)"one", 3);
   append_bytes (world, 2, 3, (char *)"two", 3);
   const QuinceLedgerKept kept = { .promised = 9, .noted = 7, .ordered = 5 };
-  assert_true (quince_batch_log_keep (world->log, &kept, NULL));
+  assert_true (quince_batch_log_save_persistent_state (world->log, &kept, NULL));
   reopen (world);
   assert_true (replica != 0);
-  assert_int_equal (quince_batch_log_get_replica (world->log), replica);
+  assert_int_equal (quince_batch_log_get_replica_id (world->log), replica);
   assert_int_equal (quince_batch_log_get_last_index (world->log), 2);
   assert_int_equal (quince_batch_log_get_epoch (world->log, 2), 3);
-  assert_memory_equal (quince_batch_log_get_kept (world->log), &kept, sizeof kept);
-  assert_int_equal (quince_batch_log_get_commit (world->log), 2);
+  assert_memory_equal (quince_batch_log_get_persistent_state (world->log), &kept, sizeof kept);
+  assert_int_equal (quince_batch_log_get_commit_index (world->log), 2);
 }
 
 static void
-test_other_epoch_replaces (void **state)
+test_append_with_other_epoch_truncates (void **state)
 {
   World *world = *state;
   for (guint64 index = 1; index <= 5; index++)
     append_bytes (world, index, 1, (char *)"old", 3);
   append_bytes (world, 3, 2, (char *)"newer", 5);
   assert_int_equal (quince_batch_log_get_last_index (world->log), 3);
-  assert_int_equal (length_at (world, 2), 3);
-  assert_int_equal (length_at (world, 3), 5);
+  assert_int_equal (get_record_length (world, 2), 3);
+  assert_int_equal (get_record_length (world, 3), 5);
 }
 
 static void
-test_unreadable_file_counts_as_empty (void **state)
+test_unreadable_file_is_replaced (void **state)
 {
   World *world = *state;
-  guint64 replica = quince_batch_log_get_replica (world->log);
+  guint64 replica = quince_batch_log_get_replica_id (world->log);
   append_bytes (world, 1, 1, (char *)"one", 3);
   quince_batch_log_close (world->log);
   g_autofree char *path = g_build_filename (world->folder, "batches.sqlite", NULL);
   assert_true (g_file_set_contents (path, "this is no database at all, but it is long enough", -1, NULL));
   open_log (world, TRUE);
   assert_int_equal (quince_batch_log_get_last_index (world->log), 0);
-  assert_int_not_equal (quince_batch_log_get_replica (world->log), replica);
+  assert_int_not_equal (quince_batch_log_get_replica_id (world->log), replica);
 }
 
 static void
-test_forgotten_records_are_emptied (void **state)
+test_compact_clears_forgotten_records (void **state)
 {
   World *world = *state;
   guint64 compacted = 0;
@@ -186,15 +186,15 @@
   guint64 forget = append_forget (world, &gone, 1);
   assert_true (quince_batch_log_compact (world->log, &compacted, 100, NULL));
   assert_int_equal (compacted, forget);
-  assert_true (length_at (world, kept) > BODY_BYTES);
-  assert_int_equal (length_at (world, gone), 0);
-  assert_true (length_at (world, forget) > 0);
+  assert_true (get_record_length (world, kept) > BODY_BYTES);
+  assert_int_equal (get_record_length (world, gone), 0);
+  assert_true (get_record_length (world, forget) > 0);
   assert_int_equal (quince_batch_log_get_epoch (world->log, gone), 1);
 }
 
 /* Only what is committed forgets, at most so many records a call, and no record behind the FORGET. */
 static void
-test_compaction_is_bounded (void **state)
+test_compact_respects_limits (void **state)
 {
   World *world = *state;
   guint64 compacted = 0;
@@ -205,15 +205,15 @@
   assert_int_equal (append_batch_record (world, "later"), later);
   assert_true (quince_batch_log_compact (world->log, &compacted, 1, NULL));
   assert_int_equal (compacted, first);
-  assert_true (length_at (world, first) > 0);
+  assert_true (get_record_length (world, first) > 0);
   assert_true (quince_batch_log_compact (world->log, &compacted, 1, NULL));
   assert_int_equal (compacted, forget);
-  assert_int_equal (length_at (world, first), 0);
-  assert_true (length_at (world, later) > 0);
+  assert_int_equal (get_record_length (world, first), 0);
+  assert_true (get_record_length (world, later) > 0);
 }
 
 static void
-test_uncommitted_does_not_forget (void **state)
+test_compact_ignores_uncommitted_forget (void **state)
 {
   World *world = *state;
   guint64 compacted = 0;
@@ -229,12 +229,12 @@
   assert_true (quince_batch_log_append (world->log, &entry, 1, FALSE, entry.index, batch, NULL));
   assert_true (quince_batch_log_compact (world->log, &compacted, 100, NULL));
   assert_int_equal (compacted, batch);
-  assert_true (length_at (world, batch) > 0);
+  assert_true (get_record_length (world, batch) > 0);
 }
 
 /* Batches come and go: the file does not grow with their number. */
 static void
-test_disk_stays_bounded (void **state)
+test_database_size_is_bounded (void **state)
 {
   World *world = *state;
   guint64 compacted = 0;
@@ -247,22 +247,22 @@
       append_forget (world, indexes, ITEMS);
       assert_true (quince_batch_log_compact (world->log, &compacted, 100, NULL));
       if (batch == 0)
-        after_first = disk_bytes (world);
+        after_first = get_database_bytes (world);
     }
-  assert_true (disk_bytes (world) < 2 * after_first);
+  assert_true (get_database_bytes (world) < 2 * after_first);
 }
 
 int
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test_setup_teardown (test_records_and_promise_survive, setup, teardown),
-    cmocka_unit_test_setup_teardown (test_other_epoch_replaces, setup, teardown),
-    cmocka_unit_test_setup_teardown (test_unreadable_file_counts_as_empty, setup, teardown),
-    cmocka_unit_test_setup_teardown (test_forgotten_records_are_emptied, setup, teardown),
-    cmocka_unit_test_setup_teardown (test_compaction_is_bounded, setup, teardown),
-    cmocka_unit_test_setup_teardown (test_uncommitted_does_not_forget, setup, teardown),
-    cmocka_unit_test_setup_teardown (test_disk_stays_bounded, setup, teardown),
+    cmocka_unit_test_setup_teardown (test_reopen_keeps_records_and_state, setup, teardown),
+    cmocka_unit_test_setup_teardown (test_append_with_other_epoch_truncates, setup, teardown),
+    cmocka_unit_test_setup_teardown (test_unreadable_file_is_replaced, setup, teardown),
+    cmocka_unit_test_setup_teardown (test_compact_clears_forgotten_records, setup, teardown),
+    cmocka_unit_test_setup_teardown (test_compact_respects_limits, setup, teardown),
+    cmocka_unit_test_setup_teardown (test_compact_ignores_uncommitted_forget, setup, teardown),
+    cmocka_unit_test_setup_teardown (test_database_size_is_bounded, setup, teardown),
   };
   return cmocka_run_group_tests_name ("batch-log", tests, NULL, NULL);
 }
--- a/tests/unit/test-decisions-sample-move.c
+++ b/tests/unit/test-decisions-sample-move.c
@@ -23,13 +23,13 @@
 test_length_model_learns_events_per_token (void **state)
 {
   g_autoptr (QuinceLengthModel) model = quince_length_model_new ();
-  assert_true (quince_length_model_remaining (model, 1000, 0)
-               > quince_length_model_remaining (model, 500, 0));
+  assert_true (quince_length_model_estimate_remaining (model, 1000, 0)
+               > quince_length_model_estimate_remaining (model, 500, 0));
   for (guint i = 1; i <= 100; i++)
-    quince_length_model_note (model, 50 * i, i);
-  double expected = quince_length_model_remaining (model, 1000, 0);
+    quince_length_model_record (model, 50 * i, i);
+  double expected = quince_length_model_estimate_remaining (model, 1000, 0);
   assert_true (expected > 19.9 && expected < 20.1);
-  double remaining = quince_length_model_remaining (model, 1000, 15);
+  double remaining = quince_length_model_estimate_remaining (model, 1000, 15);
   assert_true (remaining > 4.9 && remaining < 5.1);
 }
 
@@ -38,8 +38,8 @@
 {
   g_autoptr (QuinceLengthModel) model = quince_length_model_new ();
   for (guint i = 0; i < 50; i++)
-    quince_length_model_note (model, 0, i % 2 == 0 ? 10 : 30);
-  double expected = quince_length_model_remaining (model, 0, 0);
+    quince_length_model_record (model, 0, i % 2 == 0 ? 10 : 30);
+  double expected = quince_length_model_estimate_remaining (model, 0, 0);
   assert_true (expected > 19 && expected < 21);
 }
 
@@ -49,11 +49,11 @@
 test_length_model_text_exceeds_estimate (void **state)
 {
   g_autoptr (QuinceLengthModel) model = quince_length_model_new ();
-  quince_length_model_note (model, 500, 10);
-  quince_length_model_note (model, 5000, 100);
-  assert_true (quince_length_model_remaining (model, 500, 50) > 10);
-  assert_true (quince_length_model_remaining (model, 500, 98) <= 2);
-  assert_true (quince_length_model_remaining (model, 500, 200) >= 1);
+  quince_length_model_record (model, 500, 10);
+  quince_length_model_record (model, 5000, 100);
+  assert_true (quince_length_model_estimate_remaining (model, 500, 50) > 10);
+  assert_true (quince_length_model_estimate_remaining (model, 500, 98) <= 2);
+  assert_true (quince_length_model_estimate_remaining (model, 500, 200) >= 1);
 }
 
 /* ---- Paces -------------------------------------------------------------- */
--- a/tests/unit/test-kept-bytes.c
+++ b/tests/unit/test-kept-bytes.c
@@ -40,7 +40,7 @@
 }
 
 static GBytes *
-bytes_of_hex (const char *text)
+parse_hex (const char *text)
 {
   gsize length = strlen (text) / 2;
   guint8 *bytes = g_malloc (length + 1);
@@ -62,7 +62,7 @@
     {
       g_auto (GStrv) words = g_strsplit (lines[i], " ", 2);
       assert_int_equal (g_strv_length (words), 2);
-      g_hash_table_insert (fixtures, g_strdup (words[0]), bytes_of_hex (words[1]));
+      g_hash_table_insert (fixtures, g_strdup (words[0]), parse_hex (words[1]));
     }
   return 0;
 }
@@ -113,13 +113,13 @@
 static void
 test_messages (void **state)
 {
-  for (guint i = 0; i < G_N_ELEMENTS (kept_messages); i++)
+  for (guint i = 0; i < G_N_ELEMENTS (expected_messages); i++)
     {
-      assert_int_equal (kept_messages[i].kind, 11 + i);
-      assert_same_bytes (fixture ("message-%d", (int)kept_messages[i].kind), (xdrproc_t)xdr_QuinceMessage,
-                         sizeof (QuinceMessage), &kept_messages[i]);
+      assert_int_equal (expected_messages[i].kind, 11 + i);
+      assert_same_bytes (fixture ("message-%d", (int)expected_messages[i].kind), (xdrproc_t)xdr_QuinceMessage,
+                         sizeof (QuinceMessage), &expected_messages[i]);
     }
-  assert_int_equal (kept_messages[G_N_ELEMENTS (kept_messages) - 1].kind, 34);
+  assert_int_equal (expected_messages[G_N_ELEMENTS (expected_messages) - 1].kind, 34);
 }
 
 static void
@@ -158,9 +158,9 @@
                          sizeof (QuinceBatchRecord), &kept_records[i]);
     }
   assert_same_bytes (fixture ("view"), (xdrproc_t)xdr_QuinceLedgerView, sizeof (QuinceLedgerView),
-                     &kept_view);
+                     &expected_view);
   assert_same_bytes (fixture ("result"), (xdrproc_t)xdr_QuinceBatchResult, sizeof (QuinceBatchResult),
-                     &kept_result);
+                     &expected_result);
 }
 
 /* Compressed bytes depend on the version of zlib: they are read alone. */
@@ -213,18 +213,18 @@
   QuinceBatchLog *log = quince_batch_log_open (folder, &was_empty, NULL);
   assert_non_null (log);
   assert_false (was_empty);
-  g_autofree char *replica = g_strdup_printf ("%" G_GUINT64_FORMAT, quince_batch_log_get_replica (log));
+  g_autofree char *replica = g_strdup_printf ("%" G_GUINT64_FORMAT, quince_batch_log_get_replica_id (log));
   g_autofree char *kept_replica = g_strndup (g_bytes_get_data (fixture ("log-replica"), NULL),
                                              g_bytes_get_size (fixture ("log-replica")));
   assert_string_equal (replica, kept_replica);
   assert_int_equal (quince_batch_log_get_last_index (log), G_N_ELEMENTS (kept_records));
-  assert_int_equal (quince_batch_log_get_commit (log), LOG_COMMIT);
-  const QuinceLedgerKept *kept = quince_batch_log_get_kept (log);
+  assert_int_equal (quince_batch_log_get_commit_index (log), LOG_COMMIT);
+  const QuinceLedgerKept *kept = quince_batch_log_get_persistent_state (log);
   assert_int_equal (kept->promised, LOG_PROMISED);
   assert_int_equal (kept->noted, LOG_NOTED);
   assert_int_equal (kept->ordered, LOG_ORDERED);
   Walk walk = { 0 };
-  assert_true (quince_batch_log_walk (log, 1, check_entry, &walk, NULL));
+  assert_true (quince_batch_log_foreach (log, 1, check_entry, &walk, NULL));
   assert_int_equal (walk.seen, G_N_ELEMENTS (kept_records));
   quince_batch_log_close (log);
   static const char *const endings[] = { "", "-wal", "-shm", "-journal" };
--- a/tests/unit/test-packed-message.c
+++ b/tests/unit/test-packed-message.c
@@ -74,7 +74,7 @@
 
 /* What hardly shrinks is not worth its unpacking. */
 static void
-test_random_bytes (void **state)
+test_incompressible_message_is_not_packed (void **state)
 {
   static char bytes[16 * 1024];
   g_autoptr (GRand) random = g_rand_new_with_seed (7);
@@ -118,7 +118,7 @@
 
 /* A link unpacks what it receives. */
 static void
-test_links_unpack (void **state)
+test_link_unpacks_messages (void **state)
 {
   Arrival arrival = { 0 };
   g_autoptr (QuinceLinkServer) server
@@ -189,7 +189,7 @@
 
 /* A result is listed without being decoded, and comes back as it was, from either kind of record. */
 static void
-test_listed_results (void **state)
+test_table_keeps_encoded_results (void **state)
 {
   g_autofree char *text = g_malloc (RESULT_BYTES);
   for (guint i = 0; i < RESULT_BYTES; i++)
@@ -217,21 +217,21 @@
   };
   submit.QuinceBatchRecord_u.submit.items.items_val = items;
   submit.QuinceBatchRecord_u.submit.items.items_len = 2;
-  const QuinceBatchBookCallbacks callbacks = { 0 };
-  g_autoptr (QuinceBatchBook) book = quince_batch_book_new (&callbacks, NULL);
+  const QuinceBatchTableCallbacks callbacks = { 0 };
+  g_autoptr (QuinceBatchTable) book = quince_batch_table_new (&callbacks, NULL);
   const QuinceBatchRecord *records[] = { &submit, &listed, &before };
   for (guint i = 0; i < G_N_ELEMENTS (records); i++)
     {
       g_autoptr (GBytes) encoded = quince_batch_record_encode (records[i], NULL);
       g_autoptr (GBytes) packed = quince_batch_record_pack (encoded);
       gconstpointer data = g_bytes_get_data (packed, &length);
-      quince_batch_book_apply (book, i + 1, quince_batch_record_unpack (data, length, NULL));
+      quince_batch_table_apply (book, i + 1, quince_batch_record_unpack (data, length, NULL));
     }
-  const GPtrArray *results = quince_batch_book_find (book, "batch-1")->results;
+  const GPtrArray *results = quince_batch_table_find (book, "batch-1")->results;
   assert_int_equal (results->len, 2);
   for (guint i = 0; i < 2; i++)
     {
-      const QuinceBatchListing *listing = results->pdata[i];
+      const QuinceEncodedResult *listing = results->pdata[i];
       assert_int_equal (listing->item, 1 - i);
       g_autoptr (QuinceBatchResult) back = quince_batch_result_unpack (listing->body, NULL);
       assert_int_equal (back->text.text_len, RESULT_BYTES);
@@ -248,9 +248,12 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_listed_results), cmocka_unit_test (test_large),
-    cmocka_unit_test (test_small),          cmocka_unit_test (test_records),
-    cmocka_unit_test (test_random_bytes),   cmocka_unit_test (test_links_unpack),
+    cmocka_unit_test (test_table_keeps_encoded_results),
+    cmocka_unit_test (test_large),
+    cmocka_unit_test (test_small),
+    cmocka_unit_test (test_records),
+    cmocka_unit_test (test_incompressible_message_is_not_packed),
+    cmocka_unit_test (test_link_unpacks_messages),
     cmocka_unit_test (test_broken),
   };
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/tests/unit/test-result-cache.c
+++ b/tests/unit/test-result-cache.c
@@ -30,7 +30,7 @@
 }
 
 static void
-test_read_again (void **state)
+test_cache_hit (void **state)
 {
   g_autoptr (QuinceResultCache) cache = quince_result_cache_new (MAX_BYTES);
   g_autoptr (GBytes) body = pack (7);
@@ -61,7 +61,7 @@
 
 /* What one answer needs stays until it is written, also above the bound. */
 static void
-test_one_answer (void **state)
+test_results_stay_valid_until_trim (void **state)
 {
   g_autoptr (QuinceResultCache) cache = quince_result_cache_new (MAX_BYTES);
   g_autoptr (GPtrArray) bodies = g_ptr_array_new_with_free_func ((GDestroyNotify)g_bytes_unref);
@@ -90,9 +90,9 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_read_again),
+    cmocka_unit_test (test_cache_hit),
     cmocka_unit_test (test_bound),
-    cmocka_unit_test (test_one_answer),
+    cmocka_unit_test (test_results_stay_valid_until_trim),
     cmocka_unit_test (test_broken),
   };
   return cmocka_run_group_tests (tests, NULL, NULL);
