--- a/daemons/replica/batch-answers.c
+++ b/daemons/replica/batch-answers.c
@@ -55,8 +55,8 @@
   gsize bytes = 0;
   for (guint64 i = position; i < entry->results->len && (results->len == 0 || bytes < max_bytes); i++)
     {
-      const QuinceEncodedResult *listing = entry->results->pdata[i];
-      const QuinceBatchResult *result = quince_result_cache_get (cache, listing->body, error);
+      const QuinceEncodedResult *encoded_result = entry->results->pdata[i];
+      const QuinceBatchResult *result = quince_result_cache_get (cache, encoded_result->body, error);
       if (result == NULL)
         return FALSE;
       g_ptr_array_add (results, (gpointer)result);
--- a/daemons/replica/batch-answers.h
+++ b/daemons/replica/batch-answers.h
@@ -6,7 +6,7 @@
  */
 #pragma once
 
-#include "core/batches/batch-book.h"
+#include "core/batches/batch-table.h"
 #include "http1/http1.h"
 #include "runtime/link.h"
 #include "batchlog/result-cache.h"
--- a/daemons/replica/batch-calls.c
+++ b/daemons/replica/batch-calls.c
@@ -35,9 +35,9 @@
   /* All fields belong to the main context. */
   QuinceLedgerNode *ledger;
   QuinceResidencyCoordinator *residency;
-  QuinceBatchTable *book; /* NULL: not leading */
-  GHashTable *submitting; /* batch id to guint64, both owned: index of its record, not committed yet */
-  GPtrArray *waiters;     /* Waiter, owned */
+  QuinceBatchTable *table; /* NULL: not leading */
+  GHashTable *submitting;  /* batch id to guint64, both owned: index of its record, not committed yet */
+  GPtrArray *waiters;      /* Waiter, owned */
   QuinceResultCache *results;
 };
 
@@ -70,7 +70,7 @@
 {
   Waiter *waiter = data;
   QuinceBatchCalls *calls = waiter->calls;
-  QuinceBatchEntry *entry = quince_batch_table_find (calls->book, waiter->batch);
+  QuinceBatchEntry *entry = quince_batch_table_find (calls->table, waiter->batch);
   quince_timer_clear (&waiter->timer);
   if (entry != NULL && quince_ledger_node_may_answer (calls->ledger))
     quince_batch_answer_results (calls->results, waiter->link, waiter->id, entry, waiter->position);
@@ -185,7 +185,7 @@
                   const QuinceHttpHeaders *headers,
                   const char *id)
 {
-  g_autoptr (GPtrArray) entries = quince_batch_table_list (calls->book);
+  g_autoptr (GPtrArray) entries = quince_batch_table_list (calls->table);
   const char *host = quince_http_headers_get (headers, "Host");
   gboolean may = quince_residency_coordinator_admit (calls->residency, entries, id, host != NULL ? host : "",
                                                      call->target, quince_platform_read_tenant (headers));
@@ -205,7 +205,7 @@
   quince_platform_read_request (headers, &facts);
   const char *id = facts.request_id;
   const guint64 *pending = id != NULL ? g_hash_table_lookup (calls->submitting, id) : NULL;
-  const QuinceBatchEntry *known = id != NULL ? quince_batch_table_find (calls->book, id) : NULL;
+  const QuinceBatchEntry *known = id != NULL ? quince_batch_table_find (calls->table, id) : NULL;
   if (id == NULL || (known != NULL && !belongs_to (known, quince_platform_read_tenant (headers))))
     quince_batch_answer_status (link, call->id, 400);
   else if (known != NULL)
@@ -240,7 +240,7 @@
                     const QuinceHttpHeaders *headers,
                     const QuinceCall *parsed)
 {
-  QuinceBatchEntry *entry = parsed->id != NULL ? quince_batch_table_find (calls->book, parsed->id) : NULL;
+  QuinceBatchEntry *entry = parsed->id != NULL ? quince_batch_table_find (calls->table, parsed->id) : NULL;
   gboolean pending = parsed->id != NULL && g_hash_table_contains (calls->submitting, parsed->id);
   const char *tenant = quince_platform_read_tenant (headers);
   if (entry == NULL || !belongs_to (entry, tenant))
@@ -325,7 +325,7 @@
     }
   g_ptr_array_set_size (calls->waiters, 0);
   g_hash_table_remove_all (calls->submitting);
-  calls->book = NULL;
+  calls->table = NULL;
   /* It may not lead again for long: the memory is given back. */
   quince_result_cache_free (calls->results);
   calls->results = quince_result_cache_new (RESULTS_UNPACKED_BYTES);
@@ -362,7 +362,7 @@
 }
 
 void
-quince_batch_calls_set_table (QuinceBatchCalls *calls, QuinceBatchTable *book)
+quince_batch_calls_set_table (QuinceBatchCalls *calls, QuinceBatchTable *table)
 {
-  calls->book = book;
+  calls->table = table;
 }
--- a/daemons/replica/batch-service.c
+++ b/daemons/replica/batch-service.c
@@ -28,7 +28,7 @@
   QuinceProgressFile *progress_file;
   QuinceResidencyCoordinator *residency;
   /* Owned: */
-  QuinceBatchTable *book; /* NULL: no record was read since this replica last led */
+  QuinceBatchTable *table; /* NULL: no record was read since this replica last led */
   QuinceBatchCalls *calls;
   QuinceSampleRunner *runner; /* NULL: not leading */
   QuinceTimer *forget_timer;
@@ -38,13 +38,13 @@
   gint64 keep_us;
 };
 
-/* ---- Events of the book ------------------------------------------------- */
+/* ---- Events of the table ------------------------------------------------- */
 
 /* Samples of @model without a result, in batches that are not ended. */
 static guint
 open_samples (QuinceBatchService *service, const char *model)
 {
-  g_autoptr (GPtrArray) entries = quince_batch_table_list (service->book);
+  g_autoptr (GPtrArray) entries = quince_batch_table_list (service->table);
   guint count = 0;
   for (guint i = 0; i < entries->len; i++)
     {
@@ -118,22 +118,22 @@
                                                                  .forgotten = batch_forgotten };
 
 static void
-ensure_book (QuinceBatchService *service)
+ensure_table (QuinceBatchService *service)
 {
-  if (service->book != NULL)
+  if (service->table != NULL)
     return;
-  service->book = quince_batch_table_new (&batch_table_callbacks, service);
-  quince_batch_calls_set_table (service->calls, service->book);
+  service->table = quince_batch_table_new (&batch_table_callbacks, service);
+  quince_batch_calls_set_table (service->calls, service->table);
 }
 
 void
 quince_batch_service_committed (QuinceBatchService *service, guint64 index, QuinceBatchRecord *record)
 {
-  ensure_book (service);
+  ensure_table (service);
   gboolean submits
       = record->kind == QUINCE_BATCH_RECORD_SUBMIT || record->kind == QUINCE_BATCH_RECORD_SUBMIT_OF_TENANT;
   guint status = submits ? 202 : 200;
-  quince_batch_table_apply (service->book, index, record);
+  quince_batch_table_apply (service->table, index, record);
   if (index != 0)
     quince_batch_calls_committed (service->calls, index, status);
 }
@@ -143,7 +143,7 @@
 void
 quince_batch_service_call (QuinceBatchService *service, QuinceLink *link, const QuinceServiceCall *call)
 {
-  /* While a new leader reads its log the book is incomplete. */
+  /* While a new leader reads its log the table is incomplete. */
   if (service->runner == NULL || !quince_ledger_node_may_answer (service->ledger))
     quince_batch_answer_status (link, call->id, 503);
   else
@@ -190,7 +190,7 @@
 GPtrArray *
 quince_batch_service_list (QuinceBatchService *service)
 {
-  return service->book != NULL ? quince_batch_table_list (service->book) : g_ptr_array_new ();
+  return service->table != NULL ? quince_batch_table_list (service->table) : g_ptr_array_new ();
 }
 
 /* Returns: (transfer full): of @items, those of batches whose regions allow the machine @node (nullable);
@@ -202,7 +202,7 @@
   for (guint i = 0; node != NULL && i < items->len; i++)
     {
       const QuinceProgressItem *item = &g_array_index (items, QuinceProgressItem, i);
-      const QuinceBatchEntry *entry = quince_batch_table_find (service->book, item->batch);
+      const QuinceBatchEntry *entry = quince_batch_table_find (service->table, item->batch);
       if (entry != NULL
           && quince_residency_coordinator_allows (service->residency, node, entry->batch->host,
                                                   entry->batch->path, entry->tenant))
@@ -274,7 +274,7 @@
 {
   gboolean leads = service->runner != NULL;
   quince_metric_set ("quince_replica_batches", "",
-                     service->book != NULL ? quince_batch_table_get_size (service->book) : 0);
+                     service->table != NULL ? quince_batch_table_get_size (service->table) : 0);
   quince_metric_set ("quince_replica_samples_waiting", "",
                      leads ? quince_sample_runner_get_waiting (service->runner) : 0);
   quince_metric_set ("quince_replica_samples_running", "",
@@ -298,9 +298,9 @@
 forget_old (gpointer data)
 {
   QuinceBatchService *service = data;
-  if (service->book == NULL || !quince_ledger_node_may_accept (service->ledger))
+  if (service->table == NULL || !quince_ledger_node_may_accept (service->ledger))
     return G_SOURCE_CONTINUE;
-  g_autoptr (GPtrArray) entries = quince_batch_table_list (service->book);
+  g_autoptr (GPtrArray) entries = quince_batch_table_list (service->table);
   gint64 now_ms = quince_wall_ms ();
   for (guint i = 0; i < entries->len; i++)
     {
@@ -318,10 +318,10 @@
 void
 quince_batch_service_lead (QuinceBatchService *service)
 {
-  ensure_book (service);
+  ensure_table (service);
   service->runner = quince_sample_runner_new (service->backends, service->observer, service->progress,
                                               &runner_callbacks, service);
-  g_autoptr (GPtrArray) entries = quince_batch_table_list (service->book);
+  g_autoptr (GPtrArray) entries = quince_batch_table_list (service->table);
   for (guint i = 0; i < entries->len; i++)
     {
       QuinceBatchEntry *entry = entries->pdata[i];
@@ -342,7 +342,7 @@
   g_clear_pointer (&service->runner, quince_sample_runner_free);
   quince_batch_calls_end_all (service->calls);
   quince_residency_coordinator_settle (service->residency, NULL);
-  g_clear_pointer (&service->book, quince_batch_table_free);
+  g_clear_pointer (&service->table, quince_batch_table_free);
   service->unlisted = 0;
 }
 
@@ -383,6 +383,6 @@
   quince_timer_clear (&service->forget_timer);
   quince_sample_runner_free (service->runner);
   quince_batch_calls_free (service->calls);
-  quince_batch_table_free (service->book);
+  quince_batch_table_free (service->table);
   g_free (service);
 }
--- a/daemons/replica/batch-service.h
+++ b/daemons/replica/batch-service.h
@@ -1,13 +1,13 @@
 /*
- * batch-service.h: the batches in the ledger: their records become a book, their samples run at the leader.
+ * batch-service.h: the batches in the ledger: their records become a table, their samples run at the leader.
  *
- * Owns the book of batches, the sample runner (at the leader), the calls of fronts that wait (batch-calls.h)
+ * Owns the table of batches, the sample runner (at the leader), the calls of fronts that wait (batch-calls.h)
  * and the timer by which old batches are forgotten.  Relies on the ledger node, which calls it with committed
  * records and changes of the lead, and to which it appends.
  */
 #pragma once
 
-#include "core/batches/batch-book.h"
+#include "core/batches/batch-table.h"
 #include "core/weights/load-plan.h"
 #include "core/weights/model-placement.h"
 #include "observer/observer.h"
--- a/daemons/replica/residency-coordinator.c
+++ b/daemons/replica/residency-coordinator.c
@@ -5,7 +5,7 @@
 
 #include <string.h>
 
-#include "core/batches/batch-book.h"
+#include "core/batches/batch-table.h"
 #include "runtime/log.h"
 #include "core/routing/machine-zones.h"
 #include "runtime/metrics.h"
--- a/daemons/replica/sample-runner.h
+++ b/daemons/replica/sample-runner.h
@@ -4,7 +4,7 @@
 #pragma once
 
 #include "forward/backends.h"
-#include "core/batches/batch-book.h"
+#include "core/batches/batch-table.h"
 #include "core/weights/load-plan.h"
 #include "observer/observer.h"
 
--- a/daemons/replica/sample.h
+++ b/daemons/replica/sample.h
@@ -8,7 +8,7 @@
 
 #include "core/decisions/sample-next.h"
 #include "forward/backends.h"
-#include "core/batches/batch-book.h"
+#include "core/batches/batch-table.h"
 #include "forward/forward.h"
 #include "core/request/request-digest.h"
 #include "core/routing/worker-table.h"
--- a/daemons/replica/step-report.h
+++ b/daemons/replica/step-report.h
@@ -8,7 +8,7 @@
  */
 #pragma once
 
-#include "core/batches/batch-book.h"
+#include "core/batches/batch-table.h"
 
 typedef struct _QuinceStepReports QuinceStepReports;
 
--- a/lib/batchlog/batch-log.c
+++ b/lib/batchlog/batch-log.c
@@ -38,7 +38,7 @@
   STATEMENT_PUT_META,
   STATEMENT_GET_META,
   N_STATEMENTS
-} Statement;
+} StatementId;
 
 static const char *const statement_texts[N_STATEMENTS] = {
   [STATEMENT_INSERT_RECORD] = "INSERT INTO log VALUES (?1, ?2, ?3)",
@@ -56,34 +56,36 @@
 {
   sqlite3 *database;
   sqlite3_stmt *statements[N_STATEMENTS];
-  guint64 replica;
+  guint64 replica_id;
   guint64 last_index;
-  guint64 commit;
-  QuinceLedgerKept kept;
+  guint64 commit_index;
+  QuinceLedgerKept persistent_state;
 };
 
 /* ---- Statements ------------------------------------------------------- */
 
 static gboolean
-fail (QuinceBatchLog *log, const char *doing, GError **error)
+set_sqlite_error (QuinceBatchLog *log, const char *operation, GError **error)
 {
-  g_set_error (error, DISK_ERROR_DOMAIN, DISK_ERROR_CODE, "%s: %s", doing, sqlite3_errmsg (log->database));
+  g_set_error (error, DISK_ERROR_DOMAIN, DISK_ERROR_CODE, "%s: %s", operation,
+               sqlite3_errmsg (log->database));
   return FALSE;
 }
 
 static gboolean
-execute (QuinceBatchLog *log, const char *text, GError **error)
+execute_sql (QuinceBatchLog *log, const char *text, GError **error)
 {
-  return sqlite3_exec (log->database, text, NULL, NULL, NULL) == SQLITE_OK || fail (log, "execute", error);
+  return sqlite3_exec (log->database, text, NULL, NULL, NULL) == SQLITE_OK
+         || set_sqlite_error (log, "execute", error);
 }
 
 static gboolean
-finish (QuinceBatchLog *log, Statement which, GError **error)
+run_statement (QuinceBatchLog *log, StatementId id, GError **error)
 {
-  sqlite3_stmt *statement = log->statements[which];
+  sqlite3_stmt *statement = log->statements[id];
   gboolean done = sqlite3_step (statement) == SQLITE_DONE;
   if (!done)
-    fail (log, statement_texts[which], error);
+    set_sqlite_error (log, statement_texts[id], error);
   sqlite3_reset (statement);
   sqlite3_clear_bindings (statement);
   return done;
@@ -91,9 +93,9 @@
 
 /* The one number that the statement yields, or 0. */
 static guint64
-query_number (QuinceBatchLog *log, Statement which)
+query_number (QuinceBatchLog *log, StatementId id)
 {
-  sqlite3_stmt *statement = log->statements[which];
+  sqlite3_stmt *statement = log->statements[id];
   guint64 number = sqlite3_step (statement) == SQLITE_ROW ? (guint64)sqlite3_column_int64 (statement, 0) : 0;
   sqlite3_reset (statement);
   sqlite3_clear_bindings (statement);
@@ -113,7 +115,7 @@
   sqlite3_stmt *statement = log->statements[STATEMENT_PUT_META];
   sqlite3_bind_text (statement, 1, name, -1, SQLITE_STATIC);
   sqlite3_bind_int64 (statement, 2, (sqlite3_int64)number);
-  return finish (log, STATEMENT_PUT_META, error);
+  return run_statement (log, STATEMENT_PUT_META, error);
 }
 
 /* ---- Opening ---------------------------------------------------------- */
@@ -121,25 +123,25 @@
 static guint64
 generate_replica_id (void)
 {
-  guint64 id = ((guint64)g_random_int () << 32) | g_random_int ();
-  id ^= (guint64)g_get_real_time ();
+  guint64 replica_id = ((guint64)g_random_int () << 32) | g_random_int ();
+  replica_id ^= (guint64)g_get_real_time ();
   /* SQLite's numbers are signed; 0 means none. */
-  return (id & G_MAXINT64) | 1;
+  return (replica_id & G_MAXINT64) | 1;
 }
 
 static gboolean
-prepare (QuinceBatchLog *log, GError **error)
+initialize (QuinceBatchLog *log, GError **error)
 {
-  if (!execute (log, schema_text, error))
+  if (!execute_sql (log, schema_text, error))
     return FALSE;
   for (guint i = 0; i < N_STATEMENTS; i++)
     if (sqlite3_prepare_v2 (log->database, statement_texts[i], -1, &log->statements[i], NULL) != SQLITE_OK)
-      return fail (log, statement_texts[i], error);
-  log->replica = get_meta (log, "replica");
-  log->commit = get_meta (log, "commit");
-  log->kept.promised = get_meta (log, "promised");
-  log->kept.noted = get_meta (log, "noted");
-  log->kept.ordered = get_meta (log, "ordered");
+      return set_sqlite_error (log, statement_texts[i], error);
+  log->replica_id = get_meta (log, "replica");
+  log->commit_index = get_meta (log, "commit");
+  log->persistent_state.promised = get_meta (log, "promised");
+  log->persistent_state.noted = get_meta (log, "noted");
+  log->persistent_state.ordered = get_meta (log, "ordered");
   log->last_index = query_number (log, STATEMENT_SELECT_LAST_INDEX);
   return TRUE;
 }
@@ -150,19 +152,19 @@
   g_autoptr (QuinceBatchLog) log = g_new0 (QuinceBatchLog, 1);
   if (sqlite3_open (path, &log->database) != SQLITE_OK)
     {
-      fail (log, path, error);
+      set_sqlite_error (log, path, error);
       return NULL;
     }
-  return prepare (log, error) ? g_steal_pointer (&log) : NULL;
+  return initialize (log, error) ? g_steal_pointer (&log) : NULL;
 }
 
 static void
 remove_database_files (const char *path)
 {
-  static const char *const endings[] = { "", "-wal", "-journal" };
-  for (guint i = 0; i < G_N_ELEMENTS (endings); i++)
+  static const char *const suffixes[] = { "", "-wal", "-journal" };
+  for (guint i = 0; i < G_N_ELEMENTS (suffixes); i++)
     {
-      g_autofree char *file = g_strconcat (path, endings[i], NULL);
+      g_autofree char *file = g_strconcat (path, suffixes[i], NULL);
       g_remove (file);
     }
 }
@@ -171,23 +173,23 @@
 quince_batch_log_open (const char *folder, gboolean *was_empty, GError **error)
 {
   g_autofree char *path = g_build_filename (folder, LOG_FILE, NULL);
-  g_autoptr (GError) unreadable = NULL;
-  g_autoptr (QuinceBatchLog) log = try_open (path, &unreadable);
+  g_autoptr (GError) open_error = NULL;
+  g_autoptr (QuinceBatchLog) log = try_open (path, &open_error);
   if (log == NULL)
     {
-      quince_log_failure ("ledger_disk_failed", "doing=open reason=\"%s\"", unreadable->message);
+      quince_log_failure ("ledger_disk_failed", "doing=open reason=\"%s\"", open_error->message);
       remove_database_files (path);
       log = try_open (path, error);
     }
   if (log == NULL)
     return NULL;
-  *was_empty = log->replica == 0;
+  *was_empty = log->replica_id == 0;
   if (*was_empty)
     {
-      guint64 replica = generate_replica_id ();
-      if (!put_meta (log, "replica", replica, error))
+      guint64 replica_id = generate_replica_id ();
+      if (!put_meta (log, "replica", replica_id, error))
         return NULL;
-      log->replica = replica;
+      log->replica_id = replica_id;
     }
   return g_steal_pointer (&log);
 }
@@ -206,7 +208,7 @@
 guint64
 quince_batch_log_get_replica_id (const QuinceBatchLog *log)
 {
-  return log->replica;
+  return log->replica_id;
 }
 
 guint64
@@ -218,32 +220,32 @@
 guint64
 quince_batch_log_get_commit_index (const QuinceBatchLog *log)
 {
-  return log->commit;
+  return log->commit_index;
 }
 
 const QuinceLedgerKept *
 quince_batch_log_get_persistent_state (const QuinceBatchLog *log)
 {
-  return &log->kept;
+  return &log->persistent_state;
 }
 
 static gboolean
-save_number (QuinceBatchLog *log, const char *name, guint64 *kept, guint64 number, GError **error)
+save_number (QuinceBatchLog *log, const char *name, guint64 *saved, guint64 number, GError **error)
 {
-  if (*kept == number)
+  if (*saved == number)
     return TRUE;
   if (!put_meta (log, name, number, error))
     return FALSE;
-  *kept = number;
+  *saved = number;
   return TRUE;
 }
 
 gboolean
-quince_batch_log_save_persistent_state (QuinceBatchLog *log, const QuinceLedgerKept *kept, GError **error)
+quince_batch_log_save_persistent_state (QuinceBatchLog *log, const QuinceLedgerKept *state, GError **error)
 {
-  return save_number (log, "promised", &log->kept.promised, kept->promised, error)
-         && save_number (log, "noted", &log->kept.noted, kept->noted, error)
-         && save_number (log, "ordered", &log->kept.ordered, kept->ordered, error);
+  return save_number (log, "promised", &log->persistent_state.promised, state->promised, error)
+         && save_number (log, "noted", &log->persistent_state.noted, state->noted, error)
+         && save_number (log, "ordered", &log->persistent_state.ordered, state->ordered, error);
 }
 
 guint64
@@ -259,7 +261,7 @@
 truncate_from (QuinceBatchLog *log, guint64 index, GError **error)
 {
   sqlite3_bind_int64 (log->statements[STATEMENT_TRUNCATE], 1, (sqlite3_int64)index);
-  return finish (log, STATEMENT_TRUNCATE, error);
+  return run_statement (log, STATEMENT_TRUNCATE, error);
 }
 
 static gboolean
@@ -278,7 +280,7 @@
   sqlite3_bind_blob64 (statement, 3, entry->record.record_len > 0 ? entry->record.record_val : "",
                        entry->record.record_len, SQLITE_STATIC);
   *last_index = entry->index;
-  return finish (log, STATEMENT_INSERT_RECORD, error);
+  return run_statement (log, STATEMENT_INSERT_RECORD, error);
 }
 
 static gboolean
@@ -287,7 +289,7 @@
                guint n_entries,
                gboolean reset,
                guint64 end_index,
-               guint64 commit,
+               guint64 commit_index,
                guint64 *last_index,
                GError **error)
 {
@@ -301,7 +303,7 @@
   if (*last_index > end_index && !truncate_from (log, end_index + 1, error))
     return FALSE;
   *last_index = MIN (*last_index, end_index);
-  return put_meta (log, "commit", commit, error);
+  return put_meta (log, "commit", commit_index, error);
 }
 
 gboolean
@@ -310,43 +312,43 @@
                          guint n_entries,
                          gboolean reset,
                          guint64 end_index,
-                         guint64 commit,
+                         guint64 commit_index,
                          GError **error)
 {
   guint64 last_index = log->last_index;
-  if (!execute (log, "BEGIN IMMEDIATE", error))
+  if (!execute_sql (log, "BEGIN IMMEDIATE", error))
     return FALSE;
-  if (!store_entries (log, entries, n_entries, reset, end_index, commit, &last_index, error)
-      || !execute (log, "COMMIT", error))
+  if (!store_entries (log, entries, n_entries, reset, end_index, commit_index, &last_index, error)
+      || !execute_sql (log, "COMMIT", error))
     {
-      execute (log, "ROLLBACK", NULL);
+      execute_sql (log, "ROLLBACK", NULL);
       return FALSE;
     }
   log->last_index = last_index;
-  log->commit = commit;
+  log->commit_index = commit_index;
   return TRUE;
 }
 
 gboolean
 quince_batch_log_clear_records (QuinceBatchLog *log, const guint64 *indexes, guint n_indexes, GError **error)
 {
-  if (!execute (log, "BEGIN IMMEDIATE", error))
+  if (!execute_sql (log, "BEGIN IMMEDIATE", error))
     return FALSE;
   for (guint i = 0; i < n_indexes; i++)
     {
       sqlite3_bind_int64 (log->statements[STATEMENT_CLEAR_RECORD], 1, (sqlite3_int64)indexes[i]);
-      if (finish (log, STATEMENT_CLEAR_RECORD, error))
+      if (run_statement (log, STATEMENT_CLEAR_RECORD, error))
         continue;
-      execute (log, "ROLLBACK", NULL);
+      execute_sql (log, "ROLLBACK", NULL);
       return FALSE;
     }
-  return execute (log, "COMMIT", error);
+  return execute_sql (log, "COMMIT", error);
 }
 
 gboolean
 quince_batch_log_foreach (QuinceBatchLog *log,
                           guint64 first_index,
-                          QuinceBatchLogForeachFunc visit,
+                          QuinceBatchLogForeachFunc func,
                           gpointer user_data,
                           GError **error)
 {
@@ -360,8 +362,8 @@
                                .epoch = (guint64)sqlite3_column_int64 (statement, 1) };
       entry.record.record_val = (char *)sqlite3_column_blob (statement, 2);
       entry.record.record_len = (u_int)sqlite3_column_bytes (statement, 2);
-      more = visit (&entry, user_data);
+      more = func (&entry, user_data);
     }
   sqlite3_reset (statement);
-  return status == SQLITE_ROW || status == SQLITE_DONE || fail (log, "walk", error);
+  return status == SQLITE_ROW || status == SQLITE_DONE || set_sqlite_error (log, "walk", error);
 }
--- a/lib/batchlog/batch-log.h
+++ b/lib/batchlog/batch-log.h
@@ -34,7 +34,7 @@
 const QuinceLedgerKept *quince_batch_log_get_persistent_state (const QuinceBatchLog *log);
 /* Writes the numbers that differ; when it returns, they survive a loss of power. */
 gboolean
-quince_batch_log_save_persistent_state (QuinceBatchLog *log, const QuinceLedgerKept *kept, GError **error);
+quince_batch_log_save_persistent_state (QuinceBatchLog *log, const QuinceLedgerKept *state, GError **error);
 /* Epoch of the record @index; 0 where there is none. */
 guint64 quince_batch_log_get_epoch (QuinceBatchLog *log, guint64 index);
 /* The greatest index that was known to be committed when records were last appended. */
@@ -44,7 +44,7 @@
  * quince_batch_log_append:
  * @reset: drop all records first
  * @end_index: records beyond it are removed
- * @commit: commit index, kept with the records
+ * @commit_index: commit index, kept with the records
  *
  * In one transaction: %FALSE: nothing has changed.
  */
@@ -53,28 +53,28 @@
                                   guint n_entries,
                                   gboolean reset,
                                   guint64 end_index,
-                                  guint64 commit,
+                                  guint64 commit_index,
                                   GError **error);
 /* Empties the records at @indexes, whose batch is forgotten; the indexes stay. */
 gboolean
 quince_batch_log_clear_records (QuinceBatchLog *log, const guint64 *indexes, guint n_indexes, GError **error);
 /**
  * quince_batch_log_compact:
- * @compacted: (inout): index up to which the log was searched already; 0 at first and after a reset
+ * @compacted_index: (inout): index up to which the log was searched already; 0 at first and after a reset
  * @max_records: records to read in this call
  *
  * Empties the records of the batches that committed records forget.  May be called again over the same
  * records.
  */
 gboolean
-quince_batch_log_compact (QuinceBatchLog *log, guint64 *compacted, guint max_records, GError **error);
+quince_batch_log_compact (QuinceBatchLog *log, guint64 *compacted_index, guint max_records, GError **error);
 
 /* Called for each record in the order of the log; @entry is valid until the return.  Returning %FALSE ends
  * the walk, which then succeeds. */
 typedef gboolean (*QuinceBatchLogForeachFunc) (const QuinceLogEntry *entry, gpointer user_data);
 gboolean quince_batch_log_foreach (QuinceBatchLog *log,
                                    guint64 first_index,
-                                   QuinceBatchLogForeachFunc visit,
+                                   QuinceBatchLogForeachFunc func,
                                    gpointer user_data,
                                    GError **error);
 
--- a/lib/batchlog/result-cache.c
+++ b/lib/batchlog/result-cache.c
@@ -9,7 +9,7 @@
 {
   GBytes *body; /* owned reference: the packed bytes, by which it is found */
   QuinceBatchResult *result;
-} Unpacked;
+} CachedResult;
 
 struct _QuinceResultCache
 {
@@ -20,18 +20,18 @@
 };
 
 static gsize
-get_cached_bytes (const Unpacked *unpacked)
+get_cached_bytes (const CachedResult *cached)
 {
-  return sizeof *unpacked + unpacked->result->text.text_len + g_bytes_get_size (unpacked->body);
+  return sizeof *cached + cached->result->text.text_len + g_bytes_get_size (cached->body);
 }
 
 static void
 cached_result_free (gpointer data)
 {
-  Unpacked *unpacked = data;
-  quince_batch_result_free (unpacked->result);
-  g_bytes_unref (unpacked->body);
-  g_free (unpacked);
+  CachedResult *cached = data;
+  quince_batch_result_free (cached->result);
+  g_bytes_unref (cached->body);
+  g_free (cached);
 }
 
 QuinceResultCache *
@@ -57,18 +57,18 @@
 const QuinceBatchResult *
 quince_result_cache_get (QuinceResultCache *cache, GBytes *body, GError **error)
 {
-  Unpacked *unpacked = g_hash_table_lookup (cache->by_body, body);
-  if (unpacked != NULL)
-    return unpacked->result;
+  CachedResult *cached = g_hash_table_lookup (cache->by_body, body);
+  if (cached != NULL)
+    return cached->result;
   QuinceBatchResult *result = quince_batch_result_unpack (body, error);
   if (result == NULL)
     return NULL;
-  unpacked = g_new0 (Unpacked, 1);
-  unpacked->body = g_bytes_ref (body);
-  unpacked->result = result;
-  g_hash_table_insert (cache->by_body, body, unpacked);
-  g_queue_push_tail (&cache->order, unpacked);
-  cache->bytes += get_cached_bytes (unpacked);
+  cached = g_new0 (CachedResult, 1);
+  cached->body = g_bytes_ref (body);
+  cached->result = result;
+  g_hash_table_insert (cache->by_body, body, cached);
+  g_queue_push_tail (&cache->order, cached);
+  cache->bytes += get_cached_bytes (cached);
   return result;
 }
 
@@ -77,7 +77,7 @@
 {
   while (cache->bytes > cache->max_bytes)
     {
-      Unpacked *oldest = g_queue_pop_head (&cache->order);
+      CachedResult *oldest = g_queue_pop_head (&cache->order);
       cache->bytes -= get_cached_bytes (oldest);
       g_hash_table_remove (cache->by_body, oldest->body);
       cached_result_free (oldest);
--- a/lib/batchlog/result-cache.h
+++ b/lib/batchlog/result-cache.h
@@ -6,7 +6,7 @@
  */
 #pragma once
 
-#include "core/batches/batch-book.h"
+#include "core/batches/batch-table.h"
 
 G_BEGIN_DECLS
 
--- a/lib/core/batches/batch-book.h
+++ b/lib/core/batches/batch-table.h
@@ -1,5 +1,5 @@
 /*
- * batch-book.h: batches, their items and listed results, as the records of the ledger give them.
+ * batch-table.h: batches, their items and listed results, as the records of the ledger give them.
  *
  * The same records in the same order give the same book.  The position of a result never changes, and a
  * record that is applied twice changes nothing.
@@ -48,15 +48,15 @@
 } QuinceBatchTableCallbacks;
 
 QuinceBatchTable *quince_batch_table_new (const QuinceBatchTableCallbacks *callbacks, gpointer user_data);
-void quince_batch_table_free (QuinceBatchTable *book);
+void quince_batch_table_free (QuinceBatchTable *table);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (QuinceBatchTable, quince_batch_table_free)
 /* (transfer full): @record; takes the record at @index of the log in. */
-void quince_batch_table_apply (QuinceBatchTable *book, guint64 index, QuinceBatchRecord *record);
-QuinceBatchEntry *quince_batch_table_find (QuinceBatchTable *book, const char *batch);
-guint quince_batch_table_get_size (const QuinceBatchTable *book);
+void quince_batch_table_apply (QuinceBatchTable *table, guint64 index, QuinceBatchRecord *record);
+QuinceBatchEntry *quince_batch_table_find (QuinceBatchTable *table, const char *batch_id);
+guint quince_batch_table_get_size (const QuinceBatchTable *table);
 /* (transfer container): all entries, in order of their submission. */
-GPtrArray *quince_batch_table_list (QuinceBatchTable *book);
+GPtrArray *quince_batch_table_list (QuinceBatchTable *table);
 /* The place of the item of that id, or -1. */
-gint quince_batch_entry_find_item (const QuinceBatchEntry *entry, const char *item);
+gint quince_batch_entry_find_item (const QuinceBatchEntry *entry, const char *item_id);
 
 G_END_DECLS
--- a/lib/core/batches/length-model.c
+++ b/lib/core/batches/length-model.c
@@ -18,7 +18,7 @@
   /* Of all whole texts, with fading weights. */
   double events;
   double texts;
-  guint64 longest;
+  guint64 longest_events;
 };
 
 QuinceLengthModel *
@@ -38,7 +38,7 @@
 {
   model->events = model->events * DECAY_FACTOR + (double)events;
   model->texts = model->texts * DECAY_FACTOR + 1;
-  model->longest = MAX (model->longest, events);
+  model->longest_events = MAX (model->longest_events, events);
   if (estimated_tokens == 0)
     return;
   model->estimated_tokens = model->estimated_tokens * DECAY_FACTOR + estimated_tokens;
@@ -46,7 +46,7 @@
 }
 
 static double
-expect (const QuinceLengthModel *model, guint estimated_tokens)
+get_expected_events (const QuinceLengthModel *model, guint estimated_tokens)
 {
   if (estimated_tokens == 0)
     return model->texts > 0 ? model->events / model->texts : 1;
@@ -57,11 +57,14 @@
 }
 
 double
-quince_length_model_estimate_remaining (const QuinceLengthModel *model, guint estimated_tokens, guint64 made)
+quince_length_model_estimate_remaining (const QuinceLengthModel *model,
+                                        guint estimated_tokens,
+                                        guint64 events_so_far)
 {
-  double expected = expect (model, estimated_tokens);
-  double left = MAX (expected - (double)made, OVERSHOOT_REMAINING_FRACTION * (double)made);
-  if (model->longest > made)
-    left = MIN (left, (double)(model->longest - made));
-  return MAX (left, 1);
+  double expected = get_expected_events (model, estimated_tokens);
+  double remaining
+      = MAX (expected - (double)events_so_far, OVERSHOOT_REMAINING_FRACTION * (double)events_so_far);
+  if (model->longest_events > events_so_far)
+    remaining = MIN (remaining, (double)(model->longest_events - events_so_far));
+  return MAX (remaining, 1);
 }
--- a/lib/core/batches/length-model.h
+++ b/lib/core/batches/length-model.h
@@ -23,7 +23,8 @@
 /* A text became whole with @events events; @estimated_tokens: what its caller had estimated, 0: nothing. */
 void quince_length_model_record (QuinceLengthModel *model, guint estimated_tokens, guint64 events);
 /* Events still to come for a text that has @made of them. */
-double
-quince_length_model_estimate_remaining (const QuinceLengthModel *model, guint estimated_tokens, guint64 made);
+double quince_length_model_estimate_remaining (const QuinceLengthModel *model,
+                                               guint estimated_tokens,
+                                               guint64 events_so_far);
 
 G_END_DECLS
--- a/tests/unit/kept-values.h
+++ b/tests/unit/kept-values.h
@@ -151,7 +151,7 @@
 };
 
 /* The index is the kind. */
-static QuinceBatchRecord kept_records[] = {
+static QuinceBatchRecord expected_records[] = {
   { QUINCE_BATCH_RECORD_SUBMIT, { .submit = JOB } },
   { QUINCE_BATCH_RECORD_RESULT, { .result = RESULT } },
   { QUINCE_BATCH_RECORD_END, { .ended = TEXT ("batch-1") } },
--- a/tests/unit/test-batch-log.c
+++ b/tests/unit/test-batch-log.c
@@ -12,98 +12,98 @@
 
 #include "batchlog/batch-log.h"
 
-#define BODY_BYTES 50000 /* of a record: so large that the file shows when they are emptied */
-#define ITEMS 8          /* records of a batch */
+#define RECORD_TEXT_BYTES 50000 /* of a record: so large that the file shows when they are emptied */
+#define RECORDS_PER_BATCH 8     /* records of a batch */
 
 typedef struct
 {
   char *folder; /* owned */
   QuinceBatchLog *log;
   guint64 last_index;
-} World;
+} Fixture;
 
 static void
-open_log (World *world, gboolean expect_empty)
+open_log (Fixture *fixture, gboolean expect_empty)
 {
   gboolean was_empty = FALSE;
-  world->log = quince_batch_log_open (world->folder, &was_empty, NULL);
-  assert_non_null (world->log);
+  fixture->log = quince_batch_log_open (fixture->folder, &was_empty, NULL);
+  assert_non_null (fixture->log);
   assert_int_equal (was_empty, expect_empty);
 }
 
 static void
-reopen (World *world)
+reopen (Fixture *fixture)
 {
-  quince_batch_log_close (world->log);
-  open_log (world, FALSE);
+  quince_batch_log_close (fixture->log);
+  open_log (fixture, FALSE);
 }
 
 static int
 setup (void **state)
 {
-  World *world = g_new0 (World, 1);
-  world->folder = g_dir_make_tmp ("quince-batch-log-XXXXXX", NULL);
-  open_log (world, TRUE);
-  *state = world;
+  Fixture *fixture = g_new0 (Fixture, 1);
+  fixture->folder = g_dir_make_tmp ("quince-batch-log-XXXXXX", NULL);
+  open_log (fixture, TRUE);
+  *state = fixture;
   return 0;
 }
 
 static int
 teardown (void **state)
 {
-  World *world = *state;
-  quince_batch_log_close (world->log);
+  Fixture *fixture = *state;
+  quince_batch_log_close (fixture->log);
   static const char *const names[] = { "batches.sqlite", "batches.sqlite-wal", "batches.sqlite-journal" };
   for (guint i = 0; i < G_N_ELEMENTS (names); i++)
     {
-      g_autofree char *path = g_build_filename (world->folder, names[i], NULL);
+      g_autofree char *path = g_build_filename (fixture->folder, names[i], NULL);
       g_remove (path);
     }
-  g_rmdir (world->folder);
-  g_free (world->folder);
-  g_free (world);
+  g_rmdir (fixture->folder);
+  g_free (fixture->folder);
+  g_free (fixture);
   return 0;
 }
 
 static void
-append_bytes (World *world, guint64 index, guint64 epoch, char *bytes, guint length)
+append_bytes (Fixture *fixture, guint64 index, guint64 epoch, char *bytes, guint length)
 {
   QuinceLogEntry entry = { .index = index, .epoch = epoch };
   entry.record.record_val = bytes;
   entry.record.record_len = length;
-  assert_true (quince_batch_log_append (world->log, &entry, 1, FALSE, index, index, NULL));
-  world->last_index = index;
+  assert_true (quince_batch_log_append (fixture->log, &entry, 1, FALSE, index, index, NULL));
+  fixture->last_index = index;
 }
 
 static guint64
-append_record (World *world, const QuinceBatchRecord *record)
+append_record (Fixture *fixture, const QuinceBatchRecord *record)
 {
   g_autoptr (GBytes) encoded = quince_batch_record_encode (record, NULL);
   gsize length;
   const void *bytes = g_bytes_get_data (encoded, &length);
-  append_bytes (world, world->last_index + 1, 1, (char *)bytes, (guint)length);
-  return world->last_index;
+  append_bytes (fixture, fixture->last_index + 1, 1, (char *)bytes, (guint)length);
+  return fixture->last_index;
 }
 
 /* A batch's records: the end is one for all that name it; the body makes them large. */
 static guint64
-append_batch_record (World *world, const char *batch)
+append_batch_record (Fixture *fixture, const char *batch)
 {
-  g_autofree char *name = g_strnfill (BODY_BYTES, 'x');
-  memcpy (name, batch, strlen (batch));
+  g_autofree char *batch_id = g_strnfill (RECORD_TEXT_BYTES, 'x');
+  memcpy (batch_id, batch, strlen (batch));
   QuinceBatchRecord record = { .kind = QUINCE_BATCH_RECORD_END };
-  record.QuinceBatchRecord_u.ended = name;
-  return append_record (world, &record);
+  record.QuinceBatchRecord_u.ended = batch_id;
+  return append_record (fixture, &record);
 }
 
 static guint64
-append_forget (World *world, guint64 *indexes, guint n_indexes)
+append_forget (Fixture *fixture, guint64 *indexes, guint n_indexes)
 {
   QuinceBatchRecord record = { .kind = QUINCE_BATCH_RECORD_FORGET };
   record.QuinceBatchRecord_u.forget.batch = (char *)"b";
   record.QuinceBatchRecord_u.forget.indexes.indexes_val = indexes;
   record.QuinceBatchRecord_u.forget.indexes.indexes_len = n_indexes;
-  return append_record (world, &record);
+  return append_record (fixture, &record);
 }
 
 static gboolean
@@ -114,20 +114,20 @@
 }
 
 static guint
-get_record_length (World *world, guint64 index)
+get_record_length (Fixture *fixture, guint64 index)
 {
   g_autoptr (GArray) lengths = g_array_new (FALSE, FALSE, sizeof (guint));
-  assert_true (quince_batch_log_foreach (world->log, 1, collect_length, lengths, NULL));
+  assert_true (quince_batch_log_foreach (fixture->log, 1, collect_length, lengths, NULL));
   assert_true (lengths->len >= index);
   return g_array_index (lengths, guint, index - 1);
 }
 
 static goffset
-get_database_bytes (World *world)
+get_database_bytes (Fixture *fixture)
 {
   GStatBuf status;
-  g_autofree char *path = g_build_filename (world->folder, "batches.sqlite", NULL);
-  reopen (world); /* writes the write-ahead log into the file */
+  g_autofree char *path = g_build_filename (fixture->folder, "batches.sqlite", NULL);
+  reopen (fixture); /* writes the write-ahead log into the file */
   assert_int_equal (g_stat (path, &status), 0);
   return status.st_size;
 }
@@ -135,121 +135,121 @@
 static void
 test_reopen_keeps_records_and_state (void **state)
 {
-  World *world = *state;
-  guint64 replica = quince_batch_log_get_replica_id (world->log);
-  append_bytes (world, 1, 3, (char *)"one", 3);
-  append_bytes (world, 2, 3, (char *)"two", 3);
-  const QuinceLedgerKept kept = { .promised = 9, .noted = 7, .ordered = 5 };
-  assert_true (quince_batch_log_save_persistent_state (world->log, &kept, NULL));
-  reopen (world);
-  assert_true (replica != 0);
-  assert_int_equal (quince_batch_log_get_replica_id (world->log), replica);
-  assert_int_equal (quince_batch_log_get_last_index (world->log), 2);
-  assert_int_equal (quince_batch_log_get_epoch (world->log, 2), 3);
-  assert_memory_equal (quince_batch_log_get_persistent_state (world->log), &kept, sizeof kept);
-  assert_int_equal (quince_batch_log_get_commit_index (world->log), 2);
+  Fixture *fixture = *state;
+  guint64 replica_id = quince_batch_log_get_replica_id (fixture->log);
+  append_bytes (fixture, 1, 3, (char *)"one", 3);
+  append_bytes (fixture, 2, 3, (char *)"two", 3);
+  const QuinceLedgerKept saved = { .promised = 9, .noted = 7, .ordered = 5 };
+  assert_true (quince_batch_log_save_persistent_state (fixture->log, &saved, NULL));
+  reopen (fixture);
+  assert_true (replica_id != 0);
+  assert_int_equal (quince_batch_log_get_replica_id (fixture->log), replica_id);
+  assert_int_equal (quince_batch_log_get_last_index (fixture->log), 2);
+  assert_int_equal (quince_batch_log_get_epoch (fixture->log, 2), 3);
+  assert_memory_equal (quince_batch_log_get_persistent_state (fixture->log), &saved, sizeof saved);
+  assert_int_equal (quince_batch_log_get_commit_index (fixture->log), 2);
 }
 
 static void
 test_append_with_other_epoch_truncates (void **state)
 {
-  World *world = *state;
+  Fixture *fixture = *state;
   for (guint64 index = 1; index <= 5; index++)
-    append_bytes (world, index, 1, (char *)"old", 3);
-  append_bytes (world, 3, 2, (char *)"newer", 5);
-  assert_int_equal (quince_batch_log_get_last_index (world->log), 3);
-  assert_int_equal (get_record_length (world, 2), 3);
-  assert_int_equal (get_record_length (world, 3), 5);
+    append_bytes (fixture, index, 1, (char *)"old", 3);
+  append_bytes (fixture, 3, 2, (char *)"newer", 5);
+  assert_int_equal (quince_batch_log_get_last_index (fixture->log), 3);
+  assert_int_equal (get_record_length (fixture, 2), 3);
+  assert_int_equal (get_record_length (fixture, 3), 5);
 }
 
 static void
 test_unreadable_file_is_replaced (void **state)
 {
-  World *world = *state;
-  guint64 replica = quince_batch_log_get_replica_id (world->log);
-  append_bytes (world, 1, 1, (char *)"one", 3);
-  quince_batch_log_close (world->log);
-  g_autofree char *path = g_build_filename (world->folder, "batches.sqlite", NULL);
+  Fixture *fixture = *state;
+  guint64 replica_id = quince_batch_log_get_replica_id (fixture->log);
+  append_bytes (fixture, 1, 1, (char *)"one", 3);
+  quince_batch_log_close (fixture->log);
+  g_autofree char *path = g_build_filename (fixture->folder, "batches.sqlite", NULL);
   assert_true (g_file_set_contents (path, "this is no database at all, but it is long enough", -1, NULL));
-  open_log (world, TRUE);
-  assert_int_equal (quince_batch_log_get_last_index (world->log), 0);
-  assert_int_not_equal (quince_batch_log_get_replica_id (world->log), replica);
+  open_log (fixture, TRUE);
+  assert_int_equal (quince_batch_log_get_last_index (fixture->log), 0);
+  assert_int_not_equal (quince_batch_log_get_replica_id (fixture->log), replica_id);
 }
 
 static void
 test_compact_clears_forgotten_records (void **state)
 {
-  World *world = *state;
-  guint64 compacted = 0;
-  guint64 kept = append_batch_record (world, "kept");
-  guint64 gone = append_batch_record (world, "gone");
-  guint64 forget = append_forget (world, &gone, 1);
-  assert_true (quince_batch_log_compact (world->log, &compacted, 100, NULL));
-  assert_int_equal (compacted, forget);
-  assert_true (get_record_length (world, kept) > BODY_BYTES);
-  assert_int_equal (get_record_length (world, gone), 0);
-  assert_true (get_record_length (world, forget) > 0);
-  assert_int_equal (quince_batch_log_get_epoch (world->log, gone), 1);
+  Fixture *fixture = *state;
+  guint64 compacted_index = 0;
+  guint64 kept_index = append_batch_record (fixture, "kept");
+  guint64 forgotten_index = append_batch_record (fixture, "gone");
+  guint64 forget_index = append_forget (fixture, &forgotten_index, 1);
+  assert_true (quince_batch_log_compact (fixture->log, &compacted_index, 100, NULL));
+  assert_int_equal (compacted_index, forget_index);
+  assert_true (get_record_length (fixture, kept_index) > RECORD_TEXT_BYTES);
+  assert_int_equal (get_record_length (fixture, forgotten_index), 0);
+  assert_true (get_record_length (fixture, forget_index) > 0);
+  assert_int_equal (quince_batch_log_get_epoch (fixture->log, forgotten_index), 1);
 }
 
 /* Only what is committed forgets, at most so many records a call, and no record behind the FORGET. */
 static void
 test_compact_respects_limits (void **state)
 {
-  World *world = *state;
-  guint64 compacted = 0;
-  guint64 first = append_batch_record (world, "first");
+  Fixture *fixture = *state;
+  guint64 compacted_index = 0;
+  guint64 first = append_batch_record (fixture, "first");
   guint64 later = first + 2;
   guint64 indexes[] = { first, later };
-  guint64 forget = append_forget (world, indexes, 2);
-  assert_int_equal (append_batch_record (world, "later"), later);
-  assert_true (quince_batch_log_compact (world->log, &compacted, 1, NULL));
-  assert_int_equal (compacted, first);
-  assert_true (get_record_length (world, first) > 0);
-  assert_true (quince_batch_log_compact (world->log, &compacted, 1, NULL));
-  assert_int_equal (compacted, forget);
-  assert_int_equal (get_record_length (world, first), 0);
-  assert_true (get_record_length (world, later) > 0);
+  guint64 forget_index = append_forget (fixture, indexes, 2);
+  assert_int_equal (append_batch_record (fixture, "later"), later);
+  assert_true (quince_batch_log_compact (fixture->log, &compacted_index, 1, NULL));
+  assert_int_equal (compacted_index, first);
+  assert_true (get_record_length (fixture, first) > 0);
+  assert_true (quince_batch_log_compact (fixture->log, &compacted_index, 1, NULL));
+  assert_int_equal (compacted_index, forget_index);
+  assert_int_equal (get_record_length (fixture, first), 0);
+  assert_true (get_record_length (fixture, later) > 0);
 }
 
 static void
 test_compact_ignores_uncommitted_forget (void **state)
 {
-  World *world = *state;
-  guint64 compacted = 0;
-  guint64 batch = append_batch_record (world, "b");
+  Fixture *fixture = *state;
+  guint64 compacted_index = 0;
+  guint64 batch_index = append_batch_record (fixture, "b");
   QuinceBatchRecord record = { .kind = QUINCE_BATCH_RECORD_FORGET };
   record.QuinceBatchRecord_u.forget.batch = (char *)"b";
-  record.QuinceBatchRecord_u.forget.indexes.indexes_val = &batch;
+  record.QuinceBatchRecord_u.forget.indexes.indexes_val = &batch_index;
   record.QuinceBatchRecord_u.forget.indexes.indexes_len = 1;
   g_autoptr (GBytes) encoded = quince_batch_record_encode (&record, NULL);
-  QuinceLogEntry entry = { .index = batch + 1, .epoch = 1 };
+  QuinceLogEntry entry = { .index = batch_index + 1, .epoch = 1 };
   entry.record.record_val = (char *)g_bytes_get_data (encoded, NULL);
   entry.record.record_len = (u_int)g_bytes_get_size (encoded);
-  assert_true (quince_batch_log_append (world->log, &entry, 1, FALSE, entry.index, batch, NULL));
-  assert_true (quince_batch_log_compact (world->log, &compacted, 100, NULL));
-  assert_int_equal (compacted, batch);
-  assert_true (get_record_length (world, batch) > 0);
+  assert_true (quince_batch_log_append (fixture->log, &entry, 1, FALSE, entry.index, batch_index, NULL));
+  assert_true (quince_batch_log_compact (fixture->log, &compacted_index, 100, NULL));
+  assert_int_equal (compacted_index, batch_index);
+  assert_true (get_record_length (fixture, batch_index) > 0);
 }
 
 /* Batches come and go: the file does not grow with their number. */
 static void
 test_database_size_is_bounded (void **state)
 {
-  World *world = *state;
-  guint64 compacted = 0;
-  goffset after_first = 0;
+  Fixture *fixture = *state;
+  guint64 compacted_index = 0;
+  goffset size_after_first_batch = 0;
   for (guint batch = 0; batch < 20; batch++)
     {
-      guint64 indexes[ITEMS];
-      for (guint i = 0; i < ITEMS; i++)
-        indexes[i] = append_batch_record (world, "b");
-      append_forget (world, indexes, ITEMS);
-      assert_true (quince_batch_log_compact (world->log, &compacted, 100, NULL));
+      guint64 indexes[RECORDS_PER_BATCH];
+      for (guint i = 0; i < RECORDS_PER_BATCH; i++)
+        indexes[i] = append_batch_record (fixture, "b");
+      append_forget (fixture, indexes, RECORDS_PER_BATCH);
+      assert_true (quince_batch_log_compact (fixture->log, &compacted_index, 100, NULL));
       if (batch == 0)
-        after_first = get_database_bytes (world);
+        size_after_first_batch = get_database_bytes (fixture);
     }
-  assert_true (get_database_bytes (world) < 2 * after_first);
+  assert_true (get_database_bytes (fixture) < 2 * size_after_first_batch);
 }
 
 int
--- a/tests/unit/test-kept-bytes.c
+++ b/tests/unit/test-kept-bytes.c
@@ -74,10 +74,10 @@
   return 0;
 }
 
-static GBytes *fixture (const char *format, ...) G_GNUC_PRINTF (1, 2);
+static GBytes *get_fixture (const char *format, ...) G_GNUC_PRINTF (1, 2);
 
 static GBytes *
-fixture (const char *format, ...)
+get_fixture (const char *format, ...)
 {
   va_list arguments;
   va_start (arguments, format);
@@ -92,41 +92,41 @@
 /* @kept decodes, encodes again to the same bytes, and @value, whose fields are known, encodes to them as
  * well. */
 static void
-assert_same_bytes (GBytes *kept, xdrproc_t proc, gsize size, gconstpointer value)
+assert_same_encoding (GBytes *stored, xdrproc_t proc, gsize size, gconstpointer value)
 {
   gsize length;
-  gconstpointer data = g_bytes_get_data (kept, &length);
+  gconstpointer data = g_bytes_get_data (stored, &length);
   gpointer decoded = quince_xdr_decode (proc, size, data, length, NULL);
   assert_non_null (decoded);
-  g_autoptr (GBytes) again = quince_xdr_encode (proc, decoded, NULL);
-  g_autoptr (GBytes) built = quince_xdr_encode (proc, value, NULL);
+  g_autoptr (GBytes) reencoded = quince_xdr_encode (proc, decoded, NULL);
+  g_autoptr (GBytes) expected = quince_xdr_encode (proc, value, NULL);
   quince_xdr_free (proc, decoded);
-  assert_non_null (again);
-  assert_non_null (built);
-  assert_true (g_bytes_equal (kept, again));
-  assert_true (g_bytes_equal (kept, built));
+  assert_non_null (reencoded);
+  assert_non_null (expected);
+  assert_true (g_bytes_equal (stored, reencoded));
+  assert_true (g_bytes_equal (stored, expected));
 }
 
 /* ---- Messages ---------------------------------------------------------------- */
 
 /* Every kind that a front or replica sends: 11 to 34. */
 static void
-test_messages (void **state)
+test_message_encoding (void **state)
 {
   for (guint i = 0; i < G_N_ELEMENTS (expected_messages); i++)
     {
       assert_int_equal (expected_messages[i].kind, 11 + i);
-      assert_same_bytes (fixture ("message-%d", (int)expected_messages[i].kind), (xdrproc_t)xdr_QuinceMessage,
-                         sizeof (QuinceMessage), &expected_messages[i]);
+      assert_same_encoding (get_fixture ("message-%d", (int)expected_messages[i].kind),
+                            (xdrproc_t)xdr_QuinceMessage, sizeof (QuinceMessage), &expected_messages[i]);
     }
   assert_int_equal (expected_messages[G_N_ELEMENTS (expected_messages) - 1].kind, 34);
 }
 
 static void
-test_fields (void **state)
+test_decoded_message_fields (void **state)
 {
   gsize length;
-  gconstpointer data = g_bytes_get_data (fixture ("message-34"), &length);
+  gconstpointer data = g_bytes_get_data (get_fixture ("message-34"), &length);
   g_autoptr (QuinceMessage) message = quince_message_decode (data, length, NULL);
   assert_non_null (message);
   const QuinceLedgerLead *lead = &message->QuinceMessage_u.ledger_lead;
@@ -136,10 +136,10 @@
   assert_int_equal (lead->promised_to, 4);
   assert_int_equal (lead->shown_primary, 8);
   assert_true (lead->shown_answers);
-  data = g_bytes_get_data (fixture ("message-26"), &length);
-  g_autoptr (QuinceMessage) news = quince_message_decode (data, length, NULL);
-  assert_non_null (news);
-  const QuinceSuspectReport *suspect = news->QuinceMessage_u.suspect_news.suspects.suspects_val;
+  data = g_bytes_get_data (get_fixture ("message-26"), &length);
+  g_autoptr (QuinceMessage) suspect_message = quince_message_decode (data, length, NULL);
+  assert_non_null (suspect_message);
+  const QuinceSuspectReport *suspect = suspect_message->QuinceMessage_u.suspect_news.suspects.suspects_val;
   assert_string_equal (suspect->software, "engine-1.2");
   assert_int_equal (suspect->workers.workers_val[1], 14);
   assert_true (suspect->prompt);
@@ -149,26 +149,26 @@
 /* ---- What is stored ----------------------------------------------------------- */
 
 static void
-test_records (void **state)
+test_record_encoding (void **state)
 {
-  for (guint i = 0; i < G_N_ELEMENTS (kept_records); i++)
+  for (guint i = 0; i < G_N_ELEMENTS (expected_records); i++)
     {
-      assert_int_equal (kept_records[i].kind, i);
-      assert_same_bytes (fixture ("record-%u", i), (xdrproc_t)xdr_QuinceBatchRecord,
-                         sizeof (QuinceBatchRecord), &kept_records[i]);
+      assert_int_equal (expected_records[i].kind, i);
+      assert_same_encoding (get_fixture ("record-%u", i), (xdrproc_t)xdr_QuinceBatchRecord,
+                            sizeof (QuinceBatchRecord), &expected_records[i]);
     }
-  assert_same_bytes (fixture ("view"), (xdrproc_t)xdr_QuinceLedgerView, sizeof (QuinceLedgerView),
-                     &expected_view);
-  assert_same_bytes (fixture ("result"), (xdrproc_t)xdr_QuinceBatchResult, sizeof (QuinceBatchResult),
-                     &expected_result);
+  assert_same_encoding (get_fixture ("view"), (xdrproc_t)xdr_QuinceLedgerView, sizeof (QuinceLedgerView),
+                        &expected_view);
+  assert_same_encoding (get_fixture ("result"), (xdrproc_t)xdr_QuinceBatchResult, sizeof (QuinceBatchResult),
+                        &expected_result);
 }
 
 /* Compressed bytes depend on the version of zlib: they are read alone. */
 static void
-test_packed (void **state)
+test_unpack_compressed_record (void **state)
 {
   gsize length;
-  gconstpointer data = g_bytes_get_data (fixture ("packed-record"), &length);
+  gconstpointer data = g_bytes_get_data (get_fixture ("packed-record"), &length);
   assert_true (length < PACKED_TEXT_BYTES);
   g_autoptr (QuinceBatchRecord) record = quince_batch_record_unpack (data, length, NULL);
   assert_non_null (record);
@@ -181,56 +181,56 @@
 
 typedef struct
 {
-  guint seen;
-} Walk;
+  guint n_checked;
+} EntryCheck;
 
 static gboolean
 check_entry (const QuinceLogEntry *entry, gpointer data)
 {
-  Walk *walk = data;
-  assert_true (walk->seen < G_N_ELEMENTS (kept_records));
-  assert_int_equal (entry->index, walk->seen + 1);
+  EntryCheck *check = data;
+  assert_true (check->n_checked < G_N_ELEMENTS (expected_records));
+  assert_int_equal (entry->index, check->n_checked + 1);
   assert_int_equal (entry->epoch, LOG_EPOCH);
   g_autoptr (GBytes) bytes = g_bytes_new (entry->record.record_val, entry->record.record_len);
-  assert_same_bytes (bytes, (xdrproc_t)xdr_QuinceBatchRecord, sizeof (QuinceBatchRecord),
-                     &kept_records[walk->seen]);
-  walk->seen++;
+  assert_same_encoding (bytes, (xdrproc_t)xdr_QuinceBatchRecord, sizeof (QuinceBatchRecord),
+                        &expected_records[check->n_checked]);
+  check->n_checked++;
   return TRUE;
 }
 
 /* The file of an earlier version opens as it is: same replica, numbers and records. */
 static void
-test_log (void **state)
+test_open_log_of_earlier_version (void **state)
 {
   g_autofree char *folder = g_dir_make_tmp ("quince-kept-log-XXXXXX", NULL);
-  g_autofree char *from = fixture_path ("kept-log/" LOG_FILE);
-  g_autofree char *to = g_build_filename (folder, LOG_FILE, NULL);
+  g_autofree char *source_path = fixture_path ("kept-log/" LOG_FILE);
+  g_autofree char *log_path = g_build_filename (folder, LOG_FILE, NULL);
   g_autofree char *text = NULL;
   gsize length;
-  assert_true (g_file_get_contents (from, &text, &length, NULL));
-  assert_true (g_file_set_contents (to, text, (gssize)length, NULL));
+  assert_true (g_file_get_contents (source_path, &text, &length, NULL));
+  assert_true (g_file_set_contents (log_path, text, (gssize)length, NULL));
   gboolean was_empty = TRUE;
   QuinceBatchLog *log = quince_batch_log_open (folder, &was_empty, NULL);
   assert_non_null (log);
   assert_false (was_empty);
-  g_autofree char *replica = g_strdup_printf ("%" G_GUINT64_FORMAT, quince_batch_log_get_replica_id (log));
-  g_autofree char *kept_replica = g_strndup (g_bytes_get_data (fixture ("log-replica"), NULL),
-                                             g_bytes_get_size (fixture ("log-replica")));
-  assert_string_equal (replica, kept_replica);
-  assert_int_equal (quince_batch_log_get_last_index (log), G_N_ELEMENTS (kept_records));
+  g_autofree char *replica_id = g_strdup_printf ("%" G_GUINT64_FORMAT, quince_batch_log_get_replica_id (log));
+  g_autofree char *expected_replica_id = g_strndup (g_bytes_get_data (get_fixture ("log-replica"), NULL),
+                                                    g_bytes_get_size (get_fixture ("log-replica")));
+  assert_string_equal (replica_id, expected_replica_id);
+  assert_int_equal (quince_batch_log_get_last_index (log), G_N_ELEMENTS (expected_records));
   assert_int_equal (quince_batch_log_get_commit_index (log), LOG_COMMIT);
-  const QuinceLedgerKept *kept = quince_batch_log_get_persistent_state (log);
-  assert_int_equal (kept->promised, LOG_PROMISED);
-  assert_int_equal (kept->noted, LOG_NOTED);
-  assert_int_equal (kept->ordered, LOG_ORDERED);
-  Walk walk = { 0 };
-  assert_true (quince_batch_log_foreach (log, 1, check_entry, &walk, NULL));
-  assert_int_equal (walk.seen, G_N_ELEMENTS (kept_records));
+  const QuinceLedgerKept *persistent_state = quince_batch_log_get_persistent_state (log);
+  assert_int_equal (persistent_state->promised, LOG_PROMISED);
+  assert_int_equal (persistent_state->noted, LOG_NOTED);
+  assert_int_equal (persistent_state->ordered, LOG_ORDERED);
+  EntryCheck check = { 0 };
+  assert_true (quince_batch_log_foreach (log, 1, check_entry, &check, NULL));
+  assert_int_equal (check.n_checked, G_N_ELEMENTS (expected_records));
   quince_batch_log_close (log);
-  static const char *const endings[] = { "", "-wal", "-shm", "-journal" };
-  for (guint i = 0; i < G_N_ELEMENTS (endings); i++)
+  static const char *const suffixes[] = { "", "-wal", "-shm", "-journal" };
+  for (guint i = 0; i < G_N_ELEMENTS (suffixes); i++)
     {
-      g_autofree char *file = g_strconcat (to, endings[i], NULL);
+      g_autofree char *file = g_strconcat (log_path, suffixes[i], NULL);
       g_remove (file);
     }
   g_rmdir (folder);
@@ -240,8 +240,11 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_messages), cmocka_unit_test (test_fields), cmocka_unit_test (test_records),
-    cmocka_unit_test (test_packed),   cmocka_unit_test (test_log),
+    cmocka_unit_test (test_message_encoding),
+    cmocka_unit_test (test_decoded_message_fields),
+    cmocka_unit_test (test_record_encoding),
+    cmocka_unit_test (test_unpack_compressed_record),
+    cmocka_unit_test (test_open_log_of_earlier_version),
   };
   return cmocka_run_group_tests_name ("kept-bytes", tests, read_fixtures, free_fixtures);
 }
--- a/tests/unit/test-result-cache.c
+++ b/tests/unit/test-result-cache.c
@@ -13,14 +13,14 @@
 #include "runtime/packed-message.h"
 #include "batchlog/result-cache.h"
 
-#define TEXT_BYTES 8000             /* of a result */
-#define MAX_BYTES (10 * TEXT_BYTES) /* bound of the cache: some of the results that are read */
+#define RESULT_TEXT_BYTES 8000                   /* of a result */
+#define CACHE_MAX_BYTES (10 * RESULT_TEXT_BYTES) /* bound of the cache: some of the results that are read */
 
 /* A packed result whose text begins with @number. */
 static GBytes *
-pack (guint number)
+make_packed_result (guint number)
 {
-  char text[TEXT_BYTES];
+  char text[RESULT_TEXT_BYTES];
   memset (text, 'a', sizeof text);
   g_snprintf (text, sizeof text, "%08u", number);
   QuinceBatchResult result = { .batch = "b", .item = number, .score = "s" };
@@ -32,8 +32,8 @@
 static void
 test_cache_hit (void **state)
 {
-  g_autoptr (QuinceResultCache) cache = quince_result_cache_new (MAX_BYTES);
-  g_autoptr (GBytes) body = pack (7);
+  g_autoptr (QuinceResultCache) cache = quince_result_cache_new (CACHE_MAX_BYTES);
+  g_autoptr (GBytes) body = make_packed_result (7);
   const QuinceBatchResult *first = quince_result_cache_get (cache, body, NULL);
   assert_non_null (first);
   assert_int_equal (first->item, 7);
@@ -44,17 +44,17 @@
 
 /* Each of many results, read by turns: never more than the bound is kept, and all are right. */
 static void
-test_bound (void **state)
+test_trim_enforces_limit (void **state)
 {
-  g_autoptr (QuinceResultCache) cache = quince_result_cache_new (MAX_BYTES);
+  g_autoptr (QuinceResultCache) cache = quince_result_cache_new (CACHE_MAX_BYTES);
   g_autoptr (GPtrArray) bodies = g_ptr_array_new_with_free_func ((GDestroyNotify)g_bytes_unref);
   for (guint i = 0; i < 50; i++)
-    g_ptr_array_add (bodies, pack (i));
+    g_ptr_array_add (bodies, make_packed_result (i));
   for (guint i = 0; i < 500; i++)
     {
       guint number = (i * 7) % 50;
       quince_result_cache_trim (cache);
-      assert_true (quince_result_cache_get_bytes (cache) <= MAX_BYTES);
+      assert_true (quince_result_cache_get_bytes (cache) <= CACHE_MAX_BYTES);
       assert_int_equal (quince_result_cache_get (cache, bodies->pdata[number], NULL)->item, number);
     }
 }
@@ -63,12 +63,12 @@
 static void
 test_results_stay_valid_until_trim (void **state)
 {
-  g_autoptr (QuinceResultCache) cache = quince_result_cache_new (MAX_BYTES);
+  g_autoptr (QuinceResultCache) cache = quince_result_cache_new (CACHE_MAX_BYTES);
   g_autoptr (GPtrArray) bodies = g_ptr_array_new_with_free_func ((GDestroyNotify)g_bytes_unref);
   const QuinceBatchResult *results[30];
   for (guint i = 0; i < G_N_ELEMENTS (results); i++)
     {
-      g_ptr_array_add (bodies, pack (i));
+      g_ptr_array_add (bodies, make_packed_result (i));
       results[i] = quince_result_cache_get (cache, bodies->pdata[i], NULL);
     }
   for (guint i = 0; i < G_N_ELEMENTS (results); i++)
@@ -76,9 +76,9 @@
 }
 
 static void
-test_broken (void **state)
+test_corrupt_result (void **state)
 {
-  g_autoptr (QuinceResultCache) cache = quince_result_cache_new (MAX_BYTES);
+  g_autoptr (QuinceResultCache) cache = quince_result_cache_new (CACHE_MAX_BYTES);
   g_autoptr (GBytes) body = g_bytes_new_static ("\x78 is no such stream", 20);
   g_autoptr (GError) error = NULL;
   assert_null (quince_result_cache_get (cache, body, &error));
@@ -91,9 +91,9 @@
 {
   const struct CMUnitTest tests[] = {
     cmocka_unit_test (test_cache_hit),
-    cmocka_unit_test (test_bound),
+    cmocka_unit_test (test_trim_enforces_limit),
     cmocka_unit_test (test_results_stay_valid_until_trim),
-    cmocka_unit_test (test_broken),
+    cmocka_unit_test (test_corrupt_result),
   };
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/tests/unit/test-tenants.c
+++ b/tests/unit/test-tenants.c
@@ -7,7 +7,7 @@
 
 #include <cmocka.h>
 
-#include "core/batches/batch-book.h"
+#include "core/batches/batch-table.h"
 #include "core/routing/tenant-table.h"
 
 static void
@@ -52,7 +52,7 @@
 static void
 test_records_with_and_without_tenant (void **state)
 {
-  g_autoptr (QuinceBatchTable) book = quince_batch_table_new (&no_callbacks, NULL);
+  g_autoptr (QuinceBatchTable) table = quince_batch_table_new (&no_callbacks, NULL);
   QuinceBatchRecord *without_tenant = g_new0 (QuinceBatchRecord, 1);
   without_tenant->kind = QUINCE_BATCH_RECORD_SUBMIT;
   without_tenant->QuinceBatchRecord_u.submit = make_batch ("before");
@@ -64,11 +64,11 @@
   g_autoptr (GBytes) encoded_without_tenant = quince_batch_record_encode (without_tenant, NULL);
   gsize length;
   gconstpointer data = g_bytes_get_data (encoded_with_tenant, &length);
-  quince_batch_table_apply (book, 2, quince_batch_record_decode (data, length, NULL));
+  quince_batch_table_apply (table, 2, quince_batch_record_decode (data, length, NULL));
   data = g_bytes_get_data (encoded_without_tenant, &length);
-  quince_batch_table_apply (book, 1, quince_batch_record_decode (data, length, NULL));
-  assert_string_equal (quince_batch_table_find (book, "now")->tenant, "tenant-a");
-  assert_string_equal (quince_batch_table_find (book, "before")->tenant, "");
+  quince_batch_table_apply (table, 1, quince_batch_record_decode (data, length, NULL));
+  assert_string_equal (quince_batch_table_find (table, "now")->tenant, "tenant-a");
+  assert_string_equal (quince_batch_table_find (table, "before")->tenant, "");
   quince_batch_record_free (without_tenant);
   quince_batch_record_free (with_tenant);
 }
