--- a/lib/batchlog/batch-log-compact.c
+++ b/lib/batchlog/batch-log-compact.c
@@ -1,23 +1,23 @@
 /*
- * batch-log-compact.c: gives back the disk space of forgotten batches.
+ * batch-log-compact.c: frees the disk space of forgotten batches.
  *
- * A FORGET record names the records of its batch.  Once it is committed they are emptied.  The FORGET record
- * itself stays: a replica that comes back with the old records needs it, or a forgotten batch would live
- * again there.
+ * A FORGET record lists the indexes of its batch's records.  Compaction clears these records once the FORGET
+ * record is committed.  The FORGET record itself stays: a replica that rejoins with the old records would
+ * otherwise restore the batch.
  */
 #include "batchlog/batch-log.h"
 #include "runtime/packed-message.h"
 
 #include <string.h>
 
-#define RECORD_KIND_BYTES 4 /* bytes; an XDR union begins with its kind, big-endian */
+#define RECORD_KIND_BYTES 4 /* an XDR union starts with its kind, big-endian */
 
 typedef struct
 {
   guint64 commit_index;
-  guint64 last_scanned_index; /* index of the last record that was read */
-  guint records_left;         /* records that may still be read */
-  GArray *forgotten_indexes;  /* guint64: records to empty */
+  guint64 last_scanned_index; /* of the last record that was read */
+  guint records_left;         /* how many more records may be read */
+  GArray *forgotten_indexes;  /* guint64: records to clear */
 } CompactionScan;
 
 static gboolean
@@ -30,6 +30,8 @@
   return GUINT32_FROM_BE (kind) == QUINCE_BATCH_RECORD_FORGET;
 }
 
+/* Adds the indexes of a FORGET record.  Ignores indexes behind the record itself and records that do not
+ * decode. */
 static void
 add_forgotten_indexes (CompactionScan *scan, const QuinceLogEntry *entry)
 {
--- a/lib/batchlog/batch-log.c
+++ b/lib/batchlog/batch-log.c
@@ -1,5 +1,5 @@
 /*
- * batch-log.c: the log of the batch ledger in one SQLite file.
+ * batch-log.c: stores the log of the batch ledger in one SQLite database.
  */
 #include "batchlog/batch-log.h"
 
@@ -10,12 +10,12 @@
 
 #define LOG_FILE "batches.sqlite"
 
-/* The only error is that the file cannot be opened, read or written: no caller tells several apart. */
+/* Callers do not distinguish failures to open, read and write the file, so one code covers them all. */
 #define DISK_ERROR_DOMAIN (g_quark_from_static_string ("quince-batch-log-error"))
-#define DISK_ERROR_CODE 0 /* a GError code, not a quantity */
+#define DISK_ERROR_CODE 0 /* GError code */
 
-/* Exclusive locking keeps the index of the write-ahead log on the heap; it must come before the journal mode.
- */
+/* Exclusive locking keeps the index of the write-ahead log on the heap instead of in a -shm file.  SQLite
+ * requires that it is set before the journal mode. */
 static const char schema_text[]
     = "PRAGMA locking_mode = EXCLUSIVE;"
       "PRAGMA journal_mode = WAL;"
@@ -30,7 +30,7 @@
 typedef enum
 {
   STATEMENT_INSERT_RECORD,
-  STATEMENT_TRUNCATE, /* from an index on */
+  STATEMENT_TRUNCATE, /* deletes the record at an index and all later ones */
   STATEMENT_SELECT_EPOCH,
   STATEMENT_SELECT_LAST_INDEX,
   STATEMENT_SELECT_RECORDS,
@@ -64,6 +64,7 @@
 
 /* ---- Statements ------------------------------------------------------- */
 
+/* Sets @error to SQLite's message.  Returns FALSE. */
 static gboolean
 set_sqlite_error (QuinceBatchLog *log, const char *operation, GError **error)
 {
@@ -76,7 +77,7 @@
 execute_sql (QuinceBatchLog *log, const char *text, GError **error)
 {
   return sqlite3_exec (log->database, text, NULL, NULL, NULL) == SQLITE_OK
-         || set_sqlite_error (log, "execute", error);
+         || set_sqlite_error (log, "execute SQL", error);
 }
 
 static gboolean
@@ -91,7 +92,7 @@
   return done;
 }
 
-/* The one number that the statement yields, or 0. */
+/* Returns the number that the statement yields, or 0 if it yields no row or fails. */
 static guint64
 query_number (QuinceBatchLog *log, StatementId id)
 {
@@ -118,14 +119,14 @@
   return run_statement (log, STATEMENT_PUT_META, error);
 }
 
-/* ---- Opening ---------------------------------------------------------- */
+/* ---- Open and close --------------------------------------------------- */
 
 static guint64
 generate_replica_id (void)
 {
   guint64 replica_id = ((guint64)g_random_int () << 32) | g_random_int ();
   replica_id ^= (guint64)g_get_real_time ();
-  /* SQLite's numbers are signed; 0 means none. */
+  /* SQLite's integers are signed, and 0 means that there is no id. */
   return (replica_id & G_MAXINT64) | 1;
 }
 
@@ -255,7 +256,7 @@
   return query_number (log, STATEMENT_SELECT_EPOCH);
 }
 
-/* ---- Writing ---------------------------------------------------------- */
+/* ---- Read and write records ------------------------------------------- */
 
 static gboolean
 truncate_from (QuinceBatchLog *log, guint64 index, GError **error)
@@ -365,5 +366,5 @@
       more = func (&entry, user_data);
     }
   sqlite3_reset (statement);
-  return status == SQLITE_ROW || status == SQLITE_DONE || set_sqlite_error (log, "walk", error);
+  return status == SQLITE_ROW || status == SQLITE_DONE || set_sqlite_error (log, "read records", error);
 }
--- a/lib/batchlog/batch-log.h
+++ b/lib/batchlog/batch-log.h
@@ -1,13 +1,14 @@
 /*
  * batch-log.h: the log of the batch ledger on one machine's disk (SQLite).
  *
- * Each append is one synchronous commit: when it returns, its records survive a loss of power.  An index that
- * is appended again with another epoch replaces that record and all after it.  The replica id is random and
- * made with the file: an empty disk is another replica.
+ * Each append is one synchronous transaction: once it returns, its records survive a power failure.  A record
+ * appended at an index that is in use with another epoch replaces the record there and removes all later
+ * ones; with the same epoch, the stored record stays.  The replica id is random and created with the file, so
+ * that a replica with a new disk gets a new id.
  *
- * Owns the database file, which one process may open.  Each @error says that the file cannot be opened, read
- * or written, with SQLite's text; its domain and code are private, since no caller tells several failures
- * apart.
+ * Only one process may open the database file.  Each @error means that the file cannot be opened, read or
+ * written, and carries SQLite's message.  Its domain and code are private: callers do not distinguish these
+ * failures.
  */
 #pragma once
 
@@ -20,10 +21,13 @@
 
 /**
  * quince_batch_log_open:
- * @folder: existing
- * @was_empty: (out): the log was created; a file that cannot be read as a log is removed first
+ * @folder: an existing folder
+ * @was_empty: (out): %TRUE if the file had no replica id yet, so that a new one was created
  *
- * Returns: (transfer full) (nullable): the log
+ * Opens the log, or creates it if there is none.  If the file cannot be opened, logs the error, removes the
+ * file and creates an empty log.
+ *
+ * Returns: (transfer full) (nullable): the log, or %NULL with @error
  */
 QuinceBatchLog *quince_batch_log_open (const char *folder, gboolean *was_empty, GError **error);
 void quince_batch_log_close (QuinceBatchLog *log);
@@ -32,21 +36,23 @@
 guint64 quince_batch_log_get_replica_id (const QuinceBatchLog *log);
 guint64 quince_batch_log_get_last_index (const QuinceBatchLog *log);
 const QuinceLedgerKept *quince_batch_log_get_persistent_state (const QuinceBatchLog *log);
-/* Writes the numbers that differ; when it returns, they survive a loss of power. */
+/* Writes the numbers that differ from the stored ones.  Once it returns, they survive a power failure. */
 gboolean
 quince_batch_log_save_persistent_state (QuinceBatchLog *log, const QuinceLedgerKept *state, GError **error);
-/* Epoch of the record @index; 0 where there is none. */
+/* Returns the epoch of the record at @index, or 0 if there is none or it cannot be read. */
 guint64 quince_batch_log_get_epoch (QuinceBatchLog *log, guint64 index);
-/* The greatest index that was known to be committed when records were last appended. */
+/* Returns the commit index passed to the last quince_batch_log_append(). */
 guint64 quince_batch_log_get_commit_index (const QuinceBatchLog *log);
 
 /**
  * quince_batch_log_append:
- * @reset: drop all records first
- * @end_index: records beyond it are removed
- * @commit_index: commit index, kept with the records
+ * @reset: whether to remove all records first
+ * @end_index: last index of the log after the call; later records are removed
+ * @commit_index: highest index known to be committed, stored with the records
+ *
+ * Appends @entries in one transaction.
  *
- * In one transaction: %FALSE: nothing has changed.
+ * Returns: %TRUE, or %FALSE with @error if nothing has changed
  */
 gboolean quince_batch_log_append (QuinceBatchLog *log,
                                   const QuinceLogEntry *entries,
@@ -55,23 +61,23 @@
                                   guint64 end_index,
                                   guint64 commit_index,
                                   GError **error);
-/* Empties the records at @indexes, whose batch is forgotten; the indexes stay. */
+/* Clears the contents of the records at @indexes; the records keep their indexes and epochs. */
 gboolean
 quince_batch_log_clear_records (QuinceBatchLog *log, const guint64 *indexes, guint n_indexes, GError **error);
 /**
  * quince_batch_log_compact:
- * @compacted_index: (inout): index up to which the log was searched already; 0 at first and after a reset
- * @max_records: records to read in this call
+ * @compacted_index: (inout): last index already searched for FORGET records; 0 at first and after a reset
+ * @max_records: maximum number of records to read in this call
  *
- * Empties the records of the batches that committed records forget.  May be called again over the same
- * records.
+ * Clears the records that committed FORGET records list.  Searching the same records again is harmless.
  */
 gboolean
 quince_batch_log_compact (QuinceBatchLog *log, guint64 *compacted_index, guint max_records, GError **error);
 
-/* Called for each record in the order of the log; @entry is valid until the return.  Returning %FALSE ends
- * the walk, which then succeeds. */
+/* Called for each record in index order.  @entry is valid until the function returns.  Returns %FALSE to
+ * stop, which is not an error. */
 typedef gboolean (*QuinceBatchLogForeachFunc) (const QuinceLogEntry *entry, gpointer user_data);
+/* Calls @func for each record from @first_index on. */
 gboolean quince_batch_log_foreach (QuinceBatchLog *log,
                                    guint64 first_index,
                                    QuinceBatchLogForeachFunc func,
--- a/lib/batchlog/result-cache.c
+++ b/lib/batchlog/result-cache.c
@@ -1,5 +1,5 @@
 /*
- * result-cache.c: unpacked results in the order in which they were unpacked.
+ * result-cache.c: caches unpacked results and evicts the oldest ones first.
  */
 #include "batchlog/result-cache.h"
 
@@ -7,14 +7,14 @@
 
 typedef struct
 {
-  GBytes *body; /* owned reference: the packed bytes, by which it is found */
-  QuinceBatchResult *result;
+  GBytes *body;              /* owned reference; packed result, the key of the cache */
+  QuinceBatchResult *result; /* owned */
 } CachedResult;
 
 struct _QuinceResultCache
 {
-  GHashTable *by_body; /* Unpacked by its packed bytes, the same object; owned by the queue */
-  GQueue order;        /* Unpacked, owned, the oldest first */
+  GHashTable *by_body; /* GBytes (by address) to CachedResult; the queue owns both */
+  GQueue order;        /* CachedResult, owned, oldest first */
   gsize max_bytes;
   gsize bytes;
 };
--- a/lib/core/batches/batch-table.c
+++ b/lib/core/batches/batch-table.c
@@ -1,12 +1,12 @@
 /*
- * batch-table.c: batches, their items and listed results.
+ * batch-table.c: applies ledger records to the table of batches.
  */
 #include "core/batches/batch-table.h"
 
 struct _QuinceBatchTable
 {
-  GHashTable *by_id; /* QuinceBatchEntry, owned */
-  GPtrArray *order;  /* the same, in order of submission */
+  GHashTable *by_id; /* batch id to QuinceBatchEntry; owns the entries */
+  GPtrArray *order;  /* QuinceBatchEntry, not owned, in the order of submission */
   const QuinceBatchTableCallbacks *callbacks;
   gpointer user_data;
 };
@@ -65,7 +65,7 @@
   if (g_hash_table_contains (table->by_id, submitted->id))
     return;
   QuinceBatchEntry *entry = g_new0 (QuinceBatchEntry, 1);
-  /* The texts move over; the record is left empty. */
+  /* Moves the job out of the record, so that freeing the record does not free it. */
   entry->batch = g_memdup2 (submitted, sizeof *submitted);
   *submitted = (QuinceBatchJob){ 0 };
   entry->tenant = g_strdup (tenant);
@@ -78,7 +78,7 @@
   notify (table, table->callbacks->submitted, entry);
 }
 
-/* (transfer full): @body */
+/* Takes ownership of @body. */
 static void
 add_result (QuinceBatchTable *table, guint64 index, const char *batch_id, guint item, GBytes *body)
 {
@@ -97,7 +97,8 @@
   notify (table, table->callbacks->listed, entry);
 }
 
-/* A result as builds wrote it that decoded all results when they read the log. */
+/* Applies a RESULT record, which logs of earlier versions hold.  Newer versions write LISTED records, whose
+ * result stays encoded until a caller reads it. */
 static void
 apply_result (QuinceBatchTable *table, guint64 index, const QuinceBatchResult *result)
 {
@@ -160,7 +161,7 @@
     case QUINCE_BATCH_RECORD_USAGE:
     case QUINCE_BATCH_RECORD_USAGE_CLOSED:
     case QUINCE_BATCH_RECORD_USAGE_SENT:
-      break; /* of the usage book */
+      break; /* QuinceUsageAggregator applies these */
     }
   quince_batch_record_free (record);
 }
--- a/lib/core/batches/batch-table.h
+++ b/lib/core/batches/batch-table.h
@@ -1,10 +1,9 @@
 /*
- * batch-table.h: batches, their items and listed results, as the records of the ledger give them.
+ * batch-table.h: the batches of the ledger, their items and their results, built from the ledger's records.
  *
- * The same records in the same order give the same book.  The position of a result never changes, and a
- * record that is applied twice changes nothing.
- *
- * For: each replica.  Owns: the batches.  Relies on: the order of the ledger; pure.
+ * Each replica applies the committed records in log order; the same records always give the same table.  The
+ * position of a result in its batch never changes.  A repeated submission, result or end of a batch is
+ * ignored.  The table performs no I/O.
  */
 #pragma once
 
@@ -12,32 +11,32 @@
 
 G_BEGIN_DECLS
 
-/* A result at its position. */
+/* One result of a batch, still encoded. */
 typedef struct
 {
-  guint item;   /* place among the items of the batch */
-  GBytes *body; /* owned: quince_batch_result_unpack() decodes it */
+  guint item;   /* index in the items of the batch */
+  GBytes *body; /* owned; decode with quince_batch_result_unpack() */
 } QuinceEncodedResult;
 
 typedef struct
 {
   QuinceBatchJob *batch; /* owned */
-  char *tenant;          /* who submitted it; "": the deployment knows no tenants, or its route is public */
+  char *tenant;          /* submitter; "" if the deployment has no tenants or the route is public */
   gboolean ended;
-  GPtrArray *results;   /* QuinceEncodedResult, owned, by position */
-  gboolean *has_result; /* by item */
-  GArray *indexes;      /* guint64: log records that speak of this batch */
-  gpointer owner_data;  /* the owner's; cleared by its callbacks */
+  GPtrArray *results;   /* QuinceEncodedResult, owned, in the order of their records */
+  gboolean *has_result; /* whether the item has a result, by item index */
+  GArray *indexes;     /* guint64: log indexes of its records, submission first, including repeated results */
+  gpointer owner_data; /* for the owner of the table; the table does not access it */
 } QuinceBatchEntry;
 
 typedef struct _QuinceBatchTable QuinceBatchTable;
 
 /**
- * QuinceBatchTableCallbacks: what a record changed; each is nullable
- * @submitted: a new batch
- * @listed: the result at the last position of the batch is new
- * @ended: its submitter ended it
- * @forgotten: it is about to be released
+ * QuinceBatchTableCallbacks: called when a record changes a batch; each is nullable
+ * @submitted: the batch was added
+ * @listed: a result was added as the last one of the batch
+ * @ended: the submitter ended the batch
+ * @forgotten: the batch is about to be removed and freed; @entry is valid until the callback returns
  */
 typedef struct
 {
@@ -47,16 +46,19 @@
   void (*forgotten) (QuinceBatchEntry *entry, gpointer user_data);
 } QuinceBatchTableCallbacks;
 
+/* @callbacks: not copied; must outlive the table */
 QuinceBatchTable *quince_batch_table_new (const QuinceBatchTableCallbacks *callbacks, gpointer user_data);
 void quince_batch_table_free (QuinceBatchTable *table);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (QuinceBatchTable, quince_batch_table_free)
-/* (transfer full): @record; takes the record at @index of the log in. */
+/* Applies the record at log index @index.  Takes ownership of @record.  Ignores usage records. */
 void quince_batch_table_apply (QuinceBatchTable *table, guint64 index, QuinceBatchRecord *record);
+/* Returns the batch, owned by the table, or NULL if there is none with this id. */
 QuinceBatchEntry *quince_batch_table_find (QuinceBatchTable *table, const char *batch_id);
+/* Returns the number of batches. */
 guint quince_batch_table_get_size (const QuinceBatchTable *table);
-/* (transfer container): all entries, in order of their submission. */
+/* (transfer container): Returns all batches (QuinceBatchEntry) in the order of their submission. */
 GPtrArray *quince_batch_table_list (QuinceBatchTable *table);
-/* The place of the item of that id, or -1. */
+/* Returns the index of the item with the id @item_id, or -1 if there is none. */
 gint quince_batch_entry_find_item (const QuinceBatchEntry *entry, const char *item_id);
 
 G_END_DECLS
--- a/lib/core/batches/length-model.c
+++ b/lib/core/batches/length-model.c
@@ -1,24 +1,24 @@
 /*
- * length-model.c: expected lengths of texts.
+ * length-model.c: averages of completed texts with exponential decay.
  */
 #include "core/batches/length-model.h"
 
-/* Part of the weight of earlier texts that each whole text keeps: the last 200 texts or so count, about one
- * step of the users' trainers. */
+/* Factor by which each completed text reduces the weight of earlier ones: an effective window of 200 texts,
+ * about one training step. */
 #define DECAY_FACTOR 0.995
-/* Part of its length so far that is still to come of a text longer than expected: lengths are spread widely,
- * so that a text which has outgrown its estimate is likely far from its end.  Not measured by itself. */
+/* Expected remainder of a text that exceeds its estimate, as a fraction of its events so far.  Lengths vary
+ * widely, so such a text is usually far from its end. */
 #define OVERSHOOT_REMAINING_FRACTION 0.3
 
 struct _QuinceLengthModel
 {
-  /* Of whole texts with an estimate, with fading weights. */
+  /* Decayed sums over completed texts that had an estimate. */
   double estimated_tokens;
   double events_with_estimate;
-  /* Of all whole texts, with fading weights. */
+  /* Decayed sums over all completed texts. */
   double events;
   double texts;
-  guint64 longest_events;
+  guint64 longest_events; /* of any completed text; does not decay */
 };
 
 QuinceLengthModel *
@@ -50,7 +50,7 @@
 {
   if (estimated_tokens == 0)
     return model->texts > 0 ? model->events / model->texts : 1;
-  /* Until a text has ended an event counts as a token: the order of samples is right all the same. */
+  /* Until a text with an estimate completes, assume one token per event: samples still sort correctly. */
   double events_per_token
       = model->estimated_tokens > 0 ? model->events_with_estimate / model->estimated_tokens : 1;
   return MAX (estimated_tokens * events_per_token, 1);
--- a/lib/core/batches/length-model.h
+++ b/lib/core/batches/length-model.h
@@ -1,12 +1,9 @@
 /*
- * length-model.h: how many events a sample's text will have, from its caller's estimate and from texts that
- * ended.
+ * length-model.h: predicts how many events a sample's text will have.
  *
- * Callers estimate in tokens; workers make events of several tokens.  How many tokens an event holds is not
- * known beforehand: the model learns it, and the estimates' mean error, from each text that became whole.
- *
- * For: the ledger's leader, one for each model.  Owns: its averages, in memory.  Pure: no clock and no random
- * source.
+ * Callers estimate lengths in tokens, while workers send events of several tokens.  The length model learns
+ * the ratio of events to estimated tokens from completed texts, which also corrects the mean error of the
+ * estimates.  The ledger's leader keeps one length model for each served model, in memory only.
  */
 #pragma once
 
@@ -20,9 +17,11 @@
 void quince_length_model_free (QuinceLengthModel *model);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (QuinceLengthModel, quince_length_model_free)
 
-/* A text became whole with @events events; @estimated_tokens: what its caller had estimated, 0: nothing. */
+/* Records a completed text of @events events.
+ * @estimated_tokens: the caller's estimate, 0 if it gave none */
 void quince_length_model_record (QuinceLengthModel *model, guint estimated_tokens, guint64 events);
-/* Events still to come for a text that has @made of them. */
+/* Returns the expected number of further events, at least 1, of a text that has @events_so_far events.
+ * @estimated_tokens: the caller's estimate, 0 if it gave none */
 double quince_length_model_estimate_remaining (const QuinceLengthModel *model,
                                                guint estimated_tokens,
                                                guint64 events_so_far);
--- a/tests/unit/kept-values.h
+++ b/tests/unit/kept-values.h
@@ -1,14 +1,15 @@
 /*
- * kept-values.h: one filled value of every kind of message and stored record, for test-kept-bytes.c.
+ * kept-values.h: one value of each kind of message and stored record, for test-kept-bytes.c.
  *
- * Each field has a value of its own, so that a field that moves or changes its width changes the bytes.
+ * Neighbouring fields have different values, so that a field that moves or changes its width changes the
+ * encoded bytes.
  */
 #pragma once
 
 #include "protocol/codec.h"
 
 #define TEXT(text) ((char *)(text))
-/* An opaque<> or an array of the protocol: its length, then its elements. */
+/* Initializers of an XDR opaque<> and an XDR array: length, then elements. */
 #define BYTES(text)                                                                                          \
   {                                                                                                          \
     sizeof (text) - 1, (char *)(text)                                                                        \
@@ -150,7 +151,7 @@
                        .shown_answers = TRUE } } },
 };
 
-/* The index is the kind. */
+/* Indexed by the record kind. */
 static QuinceBatchRecord expected_records[] = {
   { QUINCE_BATCH_RECORD_SUBMIT, { .submit = JOB } },
   { QUINCE_BATCH_RECORD_RESULT, { .result = RESULT } },
--- a/tests/unit/test-batch-log.c
+++ b/tests/unit/test-batch-log.c
@@ -1,5 +1,6 @@
 /*
- * test-batch-log.c: the log on disk: what is appended stays, other epochs replace, forgotten batches leave.
+ * test-batch-log.c: the batch log on disk: records survive a reopen, records of another epoch replace
+ * existing ones, and compaction clears the records of forgotten batches.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -12,8 +13,8 @@
 
 #include "batchlog/batch-log.h"
 
-#define RECORD_TEXT_BYTES 50000 /* of a record: so large that the file shows when they are emptied */
-#define RECORDS_PER_BATCH 8     /* records of a batch */
+#define RECORD_TEXT_BYTES 50000 /* large, so that cleared records show in the size of the file */
+#define RECORDS_PER_BATCH 8
 
 typedef struct
 {
@@ -85,7 +86,8 @@
   return fixture->last_index;
 }
 
-/* A batch's records: the end is one for all that name it; the body makes them large. */
+/* Appends an END record whose batch id starts with @batch and is padded to RECORD_TEXT_BYTES.  It stands for
+ * any record of the batch. */
 static guint64
 append_batch_record (Fixture *fixture, const char *batch)
 {
@@ -127,7 +129,7 @@
 {
   GStatBuf status;
   g_autofree char *path = g_build_filename (fixture->folder, "batches.sqlite", NULL);
-  reopen (fixture); /* writes the write-ahead log into the file */
+  reopen (fixture); /* checkpoints the write-ahead log into the database file */
   assert_int_equal (g_stat (path, &status), 0);
   return status.st_size;
 }
@@ -192,7 +194,7 @@
   assert_int_equal (quince_batch_log_get_epoch (fixture->log, forgotten_index), 1);
 }
 
-/* Only what is committed forgets, at most so many records a call, and no record behind the FORGET. */
+/* A call reads at most max_records records, and clears no record behind the FORGET record. */
 static void
 test_compact_respects_limits (void **state)
 {
@@ -212,6 +214,7 @@
   assert_true (get_record_length (fixture, later) > 0);
 }
 
+/* Compaction ignores a FORGET record that is not committed, since it may still be replaced. */
 static void
 test_compact_ignores_uncommitted_forget (void **state)
 {
@@ -232,7 +235,7 @@
   assert_true (get_record_length (fixture, batch_index) > 0);
 }
 
-/* Batches come and go: the file does not grow with their number. */
+/* The file does not grow with the number of forgotten batches. */
 static void
 test_database_size_is_bounded (void **state)
 {
--- a/tests/unit/test-kept-bytes.c
+++ b/tests/unit/test-kept-bytes.c
@@ -1,9 +1,8 @@
 /*
- * test-kept-bytes.c: messages and stored data of earlier versions keep their bytes.
+ * test-kept-bytes.c: messages and stored data stay compatible with earlier versions, byte for byte.
  *
- * fixtures/kept-bytes.txt and fixtures/kept-log were written by the version that had 35 kinds of messages,
- * before those of programs that no longer exist were removed.  A front or replica of that version speaks with
- * newer ones while a deployment is replaced, and its data folder is opened by them.
+ * An earlier version wrote fixtures/kept-bytes.txt and fixtures/kept-log.  During a rolling upgrade its
+ * fronts and replicas exchange messages with newer ones, and newer replicas open its data folders.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -20,16 +19,16 @@
 #include "kept-values.h"
 
 #define LOG_FILE "batches.sqlite"
-/* Epoch, committed index and kept numbers of the log in fixtures/kept-log. */
+/* Epoch, commit index and persistent state of the log in fixtures/kept-log. */
 #define LOG_EPOCH 3
 #define LOG_COMMIT 8
 #define LOG_PROMISED 31
 #define LOG_NOTED 32
 #define LOG_ORDERED 33
-/* Long enough to be packed: its record is shorter than its text. */
+/* Text of fixture packed-record, long enough that the record is compressed. */
 #define PACKED_TEXT_BYTES 4000
 
-static GHashTable *fixtures; /* name to GBytes, both owned */
+static GHashTable *fixtures; /* name to GBytes; owns both */
 
 /* ---- Fixtures --------------------------------------------------------------- */
 
@@ -49,7 +48,7 @@
   return g_bytes_new_take (bytes, length);
 }
 
-/* Each line is a name and bytes in hexadecimal digits. */
+/* Each line holds a name and bytes in hexadecimal. */
 static int
 read_fixtures (void **state)
 {
@@ -89,8 +88,7 @@
   return bytes;
 }
 
-/* @kept decodes, encodes again to the same bytes, and @value, whose fields are known, encodes to them as
- * well. */
+/* Asserts that @stored decodes and encodes again to the same bytes, and that @value encodes to them too. */
 static void
 assert_same_encoding (GBytes *stored, xdrproc_t proc, gsize size, gconstpointer value)
 {
@@ -109,7 +107,7 @@
 
 /* ---- Messages ---------------------------------------------------------------- */
 
-/* Every kind that a front or replica sends: 11 to 34. */
+/* Fronts and replicas send the message kinds 11 to 34. */
 static void
 test_message_encoding (void **state)
 {
@@ -146,7 +144,7 @@
   assert_int_equal (suspect->member, 17);
 }
 
-/* ---- What is stored ----------------------------------------------------------- */
+/* ---- Stored data -------------------------------------------------------------- */
 
 static void
 test_record_encoding (void **state)
@@ -163,7 +161,7 @@
                         &expected_result);
 }
 
-/* Compressed bytes depend on the version of zlib: they are read alone. */
+/* Compressed bytes depend on the version of zlib, so the record is only decoded, not encoded again. */
 static void
 test_unpack_compressed_record (void **state)
 {
@@ -198,7 +196,7 @@
   return TRUE;
 }
 
-/* The file of an earlier version opens as it is: same replica, numbers and records. */
+/* A log of an earlier version opens with its replica id, persistent state and records. */
 static void
 test_open_log_of_earlier_version (void **state)
 {
--- a/tests/unit/test-packed-message.c
+++ b/tests/unit/test-packed-message.c
@@ -1,6 +1,6 @@
 /*
- * test-packed-message.c: large messages come through compressed, and broken ones are refused with a typed
- * error.
+ * test-packed-message.c: large messages, records and results are compressed and decode to their original
+ * contents; corrupt ones fail with an error.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -14,9 +14,10 @@
 #include "core/batches/batch-table.h"
 #include "runtime/packed-message.h"
 
-/* A text of a sample on the users' sites. */
+/* Typical size of a sample's text. */
 #define RESULT_TEXT_BYTES 6000
 
+/* Returns an encoded FEED_UPDATE message with @n_items similar items. */
 static GBytes *
 make_feed_update (guint n_items)
 {
@@ -72,7 +73,7 @@
   assert_ptr_equal (packed, encoded);
 }
 
-/* What hardly shrinks is not worth its unpacking. */
+/* A message that compression hardly shrinks is not packed. */
 static void
 test_incompressible_message_is_not_packed (void **state)
 {
@@ -116,7 +117,6 @@
 
 static const QuinceLinkCallbacks link_callbacks = { .message = on_message };
 
-/* A link unpacks what it receives. */
 static void
 test_link_unpacks_messages (void **state)
 {
@@ -187,7 +187,7 @@
   quince_message_free (outer);
 }
 
-/* A result is listed without being decoded, and comes back as it was, from either kind of record. */
+/* The batch table keeps results encoded, and both LISTED and RESULT records yield the original result. */
 static void
 test_table_keeps_encoded_results (void **state)
 {
--- a/tests/unit/test-result-cache.c
+++ b/tests/unit/test-result-cache.c
@@ -1,5 +1,5 @@
 /*
- * test-result-cache.c: results that are read again are not unpacked again, and what is kept is bounded.
+ * test-result-cache.c: a cached result is not unpacked again, and trimming limits the size of the cache.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -13,10 +13,10 @@
 #include "runtime/packed-message.h"
 #include "batchlog/result-cache.h"
 
-#define RESULT_TEXT_BYTES 8000                   /* of a result */
-#define CACHE_MAX_BYTES (10 * RESULT_TEXT_BYTES) /* bound of the cache: some of the results that are read */
+#define RESULT_TEXT_BYTES 8000                   /* text of each result */
+#define CACHE_MAX_BYTES (10 * RESULT_TEXT_BYTES) /* fewer results than the tests read */
 
-/* A packed result whose text begins with @number. */
+/* Returns a packed result whose text starts with @number. */
 static GBytes *
 make_packed_result (guint number)
 {
@@ -42,7 +42,7 @@
   assert_ptr_equal (quince_result_cache_get (cache, body, NULL), first);
 }
 
-/* Each of many results, read by turns: never more than the bound is kept, and all are right. */
+/* Reads many results repeatedly: a trimmed cache is within its limit, and each result is the right one. */
 static void
 test_trim_enforces_limit (void **state)
 {
@@ -59,7 +59,7 @@
     }
 }
 
-/* What one answer needs stays until it is written, also above the bound. */
+/* Results that one response uses stay valid until the next trim, even if they exceed the limit. */
 static void
 test_results_stay_valid_until_trim (void **state)
 {
