--- a/daemons/replica/ledger-backup.c
+++ b/daemons/replica/ledger-backup.c
@@ -104,7 +104,7 @@
     return;
   guint64 last_index = g_array_index (chunk->entries, QuinceLogEntry, chunk->entries->len - 1).index;
   backup->next_index = last_index + 1;
-  quince_send_window_sent (backup->window, last_index, chunk->bytes);
+  quince_send_window_add_message (backup->window, last_index, chunk->bytes);
 }
 
 void
--- a/daemons/replica/ledger-node.c
+++ b/daemons/replica/ledger-node.c
@@ -270,7 +270,7 @@
   if (!quince_ledger_node_is_leading (node))
     return;
   /* The disk keeps that this leader may give orders in its epoch. */
-  quince_ledger_group_note_orders (node->group, now_us);
+  quince_ledger_group_record_orders (node->group, now_us);
   quince_ledger_storage_keep (node->storage, "note_orders");
 }
 
--- a/daemons/replica/ledger-replication.c
+++ b/daemons/replica/ledger-replication.c
@@ -217,7 +217,7 @@
       quince_ledger_group_peer_refused (replication->group, ack->promised);
       return FALSE;
     }
-  quince_send_window_acknowledged (backup->window, ack->last_index);
+  quince_send_window_acknowledge (backup->window, ack->last_index);
   quince_ledger_group_peer_acked (replication->group, backup->replica, ack->last_index, (gint64)ack->echo_us);
   send_to (replication, backup, FALSE);
   return TRUE;
--- a/lib/core/group/ledger-campaign.c
+++ b/lib/core/group/ledger-campaign.c
@@ -83,7 +83,7 @@
 {
   return group->role == QUINCE_LEDGER_LEADER
          && (now_us - group->leading_since_us < group->limits.leader_silence_us
-             || quince_ledger_group_is_confirmed (group, now_us));
+             || quince_ledger_group_has_leader_lease (group, now_us));
 }
 
 /* A candidate that lacks records of this log is refused: this replica campaigns itself soon. */
--- a/lib/core/group/ledger-group-private.h
+++ b/lib/core/group/ledger-group-private.h
@@ -87,9 +87,9 @@
 
 /* ---- ledger-zones.c ---- */
 /* Members are to be spread over zones. */
-gboolean quince_ledger_group_spreads (const QuinceLedgerGroup *group);
+gboolean quince_ledger_group_is_zone_aware (const QuinceLedgerGroup *group);
 /* Most members in one zone. */
-guint quince_ledger_group_get_zone_max (const QuinceLedgerGroup *group);
+guint quince_ledger_group_get_members_per_zone_max (const QuinceLedgerGroup *group);
 /* Members of @view in the zone of @replica; 0 where it is not known. */
 guint quince_ledger_group_count_in_zone (const QuinceLedgerGroup *group,
                                          const QuinceLedgerView *view,
@@ -100,9 +100,9 @@
  */
 gboolean quince_ledger_group_has_quorum_contact (const QuinceLedgerGroup *group, gint64 now_us);
 /* No candidate can have enough promises: a quorum has followed this leader lately. */
-gboolean quince_ledger_group_quorum_follows (const QuinceLedgerGroup *group, gint64 now_us);
+gboolean quince_ledger_group_has_quorum_lease (const QuinceLedgerGroup *group, gint64 now_us);
 /* No other replica can lead now. */
-gboolean quince_ledger_group_is_confirmed (const QuinceLedgerGroup *group, gint64 now_us);
+gboolean quince_ledger_group_has_leader_lease (const QuinceLedgerGroup *group, gint64 now_us);
 
 /* ---- ledger-campaign.c ---- */
 /* Enough members have promised this replica's campaign for it to write itself into the store. */
--- a/lib/core/group/ledger-group.h
+++ b/lib/core/group/ledger-group.h
@@ -231,7 +231,7 @@
 gboolean quince_ledger_group_may_order (QuinceLedgerGroup *group, gint64 now_us);
 /* Keeps that this replica may give orders in its epoch; to be called several times a second at a leader that
  * has read its log. */
-void quince_ledger_group_note_orders (QuinceLedgerGroup *group, gint64 now_us);
+void quince_ledger_group_record_orders (QuinceLedgerGroup *group, gint64 now_us);
 gboolean quince_ledger_group_has_member (const QuinceLedgerGroup *group, guint64 replica);
 
 G_END_DECLS
--- a/lib/core/group/ledger-leases.c
+++ b/lib/core/group/ledger-leases.c
@@ -25,7 +25,7 @@
 
 /* The greatest index up to which all but @lacking of @replicas hold the log. */
 static guint64
-held_by_all_but (const QuinceLedgerGroup *group, const GArray *replicas, guint lacking)
+get_index_held_by_all_except (const QuinceLedgerGroup *group, const GArray *replicas, guint lacking)
 {
   g_autoptr (GArray) held = g_array_new (FALSE, FALSE, sizeof (guint64));
   for (guint i = 0; i < replicas->len; i++)
@@ -39,7 +39,7 @@
 
 /* The greatest index that a quorum of the view holds. */
 static guint64
-held_by_quorum (const QuinceLedgerGroup *group)
+get_index_held_by_quorum (const QuinceLedgerGroup *group)
 {
   const QuinceLedgerView *view = group->view;
   if (view->members.members_len < group->limits.quorum)
@@ -47,13 +47,13 @@
   g_autoptr (GArray) replicas = g_array_new (FALSE, FALSE, sizeof (guint64));
   for (guint i = 0; i < view->members.members_len; i++)
     g_array_append_val (replicas, view->members.members_val[i].replica);
-  return held_by_all_but (group, replicas, replicas->len - group->limits.quorum);
+  return get_index_held_by_all_except (group, replicas, replicas->len - group->limits.quorum);
 }
 
 /* How many replicas of all proposed views may lack a record, or be silent, so that a quorum of each of these
  * views is left. */
 static guint
-get_proposed_spare (const QuinceLedgerGroup *group)
+get_proposed_failures_max (const QuinceLedgerGroup *group)
 {
   return group->proposed_members_min - MIN (group->limits.quorum, group->proposed_members_min);
 }
@@ -63,12 +63,13 @@
 {
   if (group->role != QUINCE_LEDGER_LEADER)
     return group->commit_index;
-  guint64 held = held_by_quorum (group);
+  guint64 held = get_index_held_by_quorum (group);
   /* Any of the proposed views may come into force: a quorum of each holds what is committed.  Not all of
    * their members, or one that is lost while the store does not tell whether its view is in force would hold
    * up every record. */
   if (group->proposed_members->len > 0)
-    held = MIN (held, held_by_all_but (group, group->proposed_members, get_proposed_spare (group)));
+    held = MIN (held, get_index_held_by_all_except (group, group->proposed_members,
+                                                    get_proposed_failures_max (group)));
   if (held >= group->recovery_index)
     group->commit_index = MAX (group->commit_index, held);
   return group->commit_index;
@@ -78,7 +79,7 @@
 
 /* Other members of the view that answered something that was sent within the last @within_us. */
 static guint
-count_answering (const QuinceLedgerGroup *group, gint64 now_us, gint64 within_us)
+count_recent_acks (const QuinceLedgerGroup *group, gint64 now_us, gint64 within_us)
 {
   guint count = 0;
   for (guint i = 0; i < group->view->members.members_len; i++)
@@ -92,7 +93,7 @@
 
 /* Any of the proposed views may be in force: a quorum of the members of each has answered lately. */
 static gboolean
-proposed_quorum_follows (const QuinceLedgerGroup *group, gint64 now_us)
+has_proposed_quorum_lease (const QuinceLedgerGroup *group, gint64 now_us)
 {
   guint silent = 0;
   for (guint i = 0; i < group->proposed_members->len; i++)
@@ -103,21 +104,21 @@
           = peer != NULL && peer->acked_us > 0 && now_us - peer->acked_us <= group->limits.confirm_us;
       silent += replica != group->self.replica && !answers;
     }
-  return silent <= get_proposed_spare (group);
+  return silent <= get_proposed_failures_max (group);
 }
 
 gboolean
-quince_ledger_group_quorum_follows (const QuinceLedgerGroup *group, gint64 now_us)
+quince_ledger_group_has_quorum_lease (const QuinceLedgerGroup *group, gint64 now_us)
 {
   guint others = MIN (group->limits.quorum, group->view->members.members_len) - 1;
-  return count_answering (group, now_us, group->limits.confirm_us) >= others
-         && proposed_quorum_follows (group, now_us);
+  return count_recent_acks (group, now_us, group->limits.confirm_us) >= others
+         && has_proposed_quorum_lease (group, now_us);
 }
 
 /* An answer of the store is enough only where no record is committed, and no leader elected, without this
  * replica. */
 static gboolean
-store_confirms (const QuinceLedgerGroup *group, gint64 now_us)
+store_confirms_leader (const QuinceLedgerGroup *group, gint64 now_us)
 {
   return group->view->members.members_len <= group->limits.quorum && group->proposed_members->len == 0
          && now_us - group->confirmed_us <= group->limits.confirm_us;
@@ -156,9 +157,9 @@
 }
 
 gboolean
-quince_ledger_group_is_confirmed (const QuinceLedgerGroup *group, gint64 now_us)
+quince_ledger_group_has_leader_lease (const QuinceLedgerGroup *group, gint64 now_us)
 {
-  return store_confirms (group, now_us) || quince_ledger_group_quorum_follows (group, now_us);
+  return store_confirms_leader (group, now_us) || quince_ledger_group_has_quorum_lease (group, now_us);
 }
 
 gboolean
@@ -166,14 +167,15 @@
 {
   if (group->role != QUINCE_LEDGER_LEADER || group->hands_over)
     return FALSE;
-  return quince_ledger_group_is_confirmed (group, now_us)
+  return quince_ledger_group_has_leader_lease (group, now_us)
          && quince_ledger_group_get_commit_index (group) >= group->recovery_index;
 }
 
 gboolean
 quince_ledger_group_may_accept (QuinceLedgerGroup *group, gint64 now_us)
 {
-  return quince_ledger_group_may_answer (group, now_us) && quince_ledger_group_quorum_follows (group, now_us)
+  return quince_ledger_group_may_answer (group, now_us)
+         && quince_ledger_group_has_quorum_lease (group, now_us)
          && group->view->members.members_len >= group->limits.quorum;
 }
 
@@ -181,11 +183,11 @@
 quince_ledger_group_may_order (QuinceLedgerGroup *group, gint64 now_us)
 {
   return group->role == QUINCE_LEDGER_LEADER && !group->hands_over
-         && quince_ledger_group_quorum_follows (group, now_us) && now_us >= group->order_after_us;
+         && quince_ledger_group_has_quorum_lease (group, now_us) && now_us >= group->order_after_us;
 }
 
 void
-quince_ledger_group_note_orders (QuinceLedgerGroup *group, gint64 now_us)
+quince_ledger_group_record_orders (QuinceLedgerGroup *group, gint64 now_us)
 {
   if (quince_ledger_group_may_order (group, now_us))
     group->kept.ordered = group->view->epoch;
--- a/lib/core/group/ledger-proposals.c
+++ b/lib/core/group/ledger-proposals.c
@@ -7,12 +7,12 @@
 
 /* Pause after a proposal that failed, us.  Not measured: a few calls of the store, short against the 1 s of
  * silence of a member that is to be replaced. */
-#define RETRY_US (300 * 1000)
+#define PROPOSAL_RETRY_DELAY_US (300 * 1000)
 
 /* ---- At a backup, and at the first start ------------------------------- */
 
 static QuinceLedgerView *
-found_view (QuinceLedgerGroup *group)
+make_initial_view (QuinceLedgerGroup *group)
 {
   QuinceLedgerView *view = g_new0 (QuinceLedgerView, 1);
   view->epoch = 1;
@@ -24,7 +24,7 @@
 
 /* The members stay: it is not known yet which of them have all committed records. */
 static QuinceLedgerView *
-takeover_view (QuinceLedgerGroup *group)
+make_takeover_view (QuinceLedgerGroup *group)
 {
   if (!quince_ledger_group_is_elected (group) || !quince_ledger_group_promise_self (group))
     return NULL;
@@ -39,7 +39,7 @@
 /* Members that were all restarted at other addresses find each other by the view alone: the lead and the
  * members stay, this replica's address is corrected.  A leader that is heard does that itself. */
 static QuinceLedgerView *
-moved_view (const QuinceLedgerGroup *group, gint64 now_us)
+make_address_change_view (const QuinceLedgerGroup *group, gint64 now_us)
 {
   gboolean alone = group->view->primary == group->self.replica
                    || now_us - group->leader_contact_us >= group->limits.leader_silence_us;
@@ -53,10 +53,10 @@
 }
 
 static QuinceLedgerView *
-backup_view (QuinceLedgerGroup *group, gint64 now_us)
+make_backup_proposal (QuinceLedgerGroup *group, gint64 now_us)
 {
-  QuinceLedgerView *view = takeover_view (group);
-  return view != NULL ? view : moved_view (group, now_us);
+  QuinceLedgerView *view = make_takeover_view (group);
+  return view != NULL ? view : make_address_change_view (group, now_us);
 }
 
 /* ---- At the leader ----------------------------------------------------- */
@@ -82,10 +82,10 @@
 
 /* The member whose place @peer may take: the same machine with another disk, a silent or a leaving one. */
 static const QuinceLedgerMember *
-replaceable_by (const QuinceLedgerGroup *group,
-                gint64 now_us,
-                const QuinceLedgerView *view,
-                const QuinceLedgerPeer *peer)
+find_replaceable_member (const QuinceLedgerGroup *group,
+                         gint64 now_us,
+                         const QuinceLedgerView *view,
+                         const QuinceLedgerPeer *peer)
 {
   const QuinceLedgerMember *found = NULL;
   for (guint i = 0; i < view->members.members_len; i++)
@@ -111,7 +111,7 @@
 
 /* A peer that may join, in a zone that may have one more member; %NULL: there is none. */
 static const QuinceLedgerPeer *
-joiner_elsewhere (QuinceLedgerGroup *group, gint64 now_us, const QuinceLedgerView *view)
+find_joiner_in_zone_with_room (QuinceLedgerGroup *group, gint64 now_us, const QuinceLedgerView *view)
 {
   GHashTableIter iter;
   gpointer peer;
@@ -119,7 +119,7 @@
   while (g_hash_table_iter_next (&iter, NULL, &peer))
     if (may_join (group, now_us, view, peer)
         && quince_ledger_group_count_in_zone (group, view, ((const QuinceLedgerPeer *)peer)->replica)
-               < quince_ledger_group_get_zone_max (group))
+               < quince_ledger_group_get_members_per_zone_max (group))
       return peer;
   return NULL;
 }
@@ -127,29 +127,30 @@
 /* The zone of @peer has members enough, and a replica of another zone can take the place.  A machine that
  * came back with another disk takes its own place. */
 static gboolean
-gives_way (QuinceLedgerGroup *group,
-           gint64 now_us,
-           const QuinceLedgerView *view,
-           const QuinceLedgerPeer *peer)
+defers_to_other_zone (QuinceLedgerGroup *group,
+                      gint64 now_us,
+                      const QuinceLedgerView *view,
+                      const QuinceLedgerPeer *peer)
 {
-  return quince_ledger_group_spreads (group) && !quince_ledger_view_has_node (view, peer->node)
+  return quince_ledger_group_is_zone_aware (group) && !quince_ledger_view_has_node (view, peer->node)
          && quince_ledger_group_count_in_zone (group, view, peer->replica)
-                >= quince_ledger_group_get_zone_max (group)
-         && joiner_elsewhere (group, now_us, view) != NULL;
+                >= quince_ledger_group_get_members_per_zone_max (group)
+         && find_joiner_in_zone_with_room (group, now_us, view) != NULL;
 }
 
 /* A member of a zone that has too many gives its place to a replica elsewhere, one at a time. */
 static gboolean
-spread_members (QuinceLedgerGroup *group, gint64 now_us, QuinceLedgerView *view)
+rebalance_zones (QuinceLedgerGroup *group, gint64 now_us, QuinceLedgerView *view)
 {
-  const QuinceLedgerPeer *joiner
-      = quince_ledger_group_spreads (group) ? joiner_elsewhere (group, now_us, view) : NULL;
+  const QuinceLedgerPeer *joiner = quince_ledger_group_is_zone_aware (group)
+                                       ? find_joiner_in_zone_with_room (group, now_us, view)
+                                       : NULL;
   for (guint i = 0; joiner != NULL && i < view->members.members_len; i++)
     {
       guint64 replica = view->members.members_val[i].replica;
       if (replica == group->self.replica
           || quince_ledger_group_count_in_zone (group, view, replica)
-                 <= quince_ledger_group_get_zone_max (group))
+                 <= quince_ledger_group_get_members_per_zone_max (group))
         continue;
       quince_ledger_view_remove (view, replica);
       quince_ledger_view_add (view, joiner->node, joiner->address, joiner->replica);
@@ -159,7 +160,7 @@
 }
 
 static gboolean
-take_joiners_in (QuinceLedgerGroup *group, gint64 now_us, QuinceLedgerView *view)
+add_joiners (QuinceLedgerGroup *group, gint64 now_us, QuinceLedgerView *view)
 {
   gboolean changed = FALSE;
   GHashTableIter iter;
@@ -169,9 +170,9 @@
     {
       const QuinceLedgerPeer *peer = value;
       changed = quince_ledger_view_move (view, peer->replica, peer->address) || changed;
-      if (!may_join (group, now_us, view, peer) || gives_way (group, now_us, view, peer))
+      if (!may_join (group, now_us, view, peer) || defers_to_other_zone (group, now_us, view, peer))
         continue;
-      const QuinceLedgerMember *replaced = replaceable_by (group, now_us, view, peer);
+      const QuinceLedgerMember *replaced = find_replaceable_member (group, now_us, view, peer);
       if (replaced == NULL && view->members.members_len >= group->limits.members_max)
         continue;
       if (replaced != NULL)
@@ -183,7 +184,7 @@
 }
 
 static gboolean
-take_silent_out (const QuinceLedgerGroup *group, gint64 now_us, QuinceLedgerView *view)
+remove_silent_and_excluded (const QuinceLedgerGroup *group, gint64 now_us, QuinceLedgerView *view)
 {
   gboolean changed = FALSE;
   for (guint i = 0; i < view->members.members_len;)
@@ -225,7 +226,7 @@
 
 /* Each member that may lead next has all committed records. */
 static gboolean
-is_sound (QuinceLedgerGroup *group, gint64 now_us, const QuinceLedgerView *view)
+are_members_caught_up (QuinceLedgerGroup *group, gint64 now_us, const QuinceLedgerView *view)
 {
   for (guint i = 0; i < view->members.members_len; i++)
     {
@@ -238,30 +239,30 @@
 }
 
 static QuinceLedgerView *
-leader_view (QuinceLedgerGroup *group, gint64 now_us)
+make_leader_proposal (QuinceLedgerGroup *group, gint64 now_us)
 {
   /* A member has promised to follow another replica: this one needs promises of a greater epoch. */
   if (group->refused_with > group->view->epoch)
-    return takeover_view (group);
+    return make_takeover_view (group);
   g_autoptr (QuinceLedgerView) view = quince_ledger_view_copy (group->view);
   if (quince_ledger_group_is_unpublished (group))
     return g_steal_pointer (&view);
-  gboolean changed = take_joiners_in (group, now_us, view);
-  changed = take_silent_out (group, now_us, view) || changed;
-  changed = changed || spread_members (group, now_us, view);
+  gboolean changed = add_joiners (group, now_us, view);
+  changed = remove_silent_and_excluded (group, now_us, view) || changed;
+  changed = changed || rebalance_zones (group, now_us, view);
   changed = changed || hand_over (group, view);
   /* A proposal with unknown outcome is settled by any newer one; so is a note of a change that is not wanted
    * any more. */
   if (!changed && (group->proposed_members->len > 0 || group->wants_notes))
     return g_steal_pointer (&view);
-  gboolean sound = changed && is_sound (group, now_us, view);
+  gboolean sound = changed && are_members_caught_up (group, now_us, view);
   return sound && quince_ledger_group_is_noted (group, now_us, view) ? g_steal_pointer (&view) : NULL;
 }
 
 /* ---- Proposals --------------------------------------------------------- */
 
 static void
-remember_members (QuinceLedgerGroup *group, const QuinceLedgerView *view)
+record_proposed_members (QuinceLedgerGroup *group, const QuinceLedgerView *view)
 {
   guint members = view->members.members_len;
   group->proposed_members_min
@@ -279,15 +280,15 @@
     return NULL;
   QuinceLedgerView *view = NULL;
   if (group->role == QUINCE_LEDGER_LEADER)
-    view = leader_view (group, now_us);
+    view = make_leader_proposal (group, now_us);
   else if (group->role == QUINCE_LEDGER_BACKUP)
-    view = backup_view (group, now_us);
+    view = make_backup_proposal (group, now_us);
   else if (group->may_found)
-    view = found_view (group);
+    view = make_initial_view (group);
   if (view == NULL)
     return NULL;
   if (group->role == QUINCE_LEDGER_LEADER)
-    remember_members (group, view);
+    record_proposed_members (group, view);
   group->proposal = quince_ledger_view_copy (view);
   group->proposed_us = now_us;
   *expected_revision = group->revision;
@@ -306,7 +307,7 @@
   if (outcome == QUINCE_PROPOSAL_DONE)
     quince_ledger_group_set_view (group, now_us, group->proposed_us, proposal, revision);
   else
-    group->propose_after_us = now_us + RETRY_US;
+    group->propose_after_us = now_us + PROPOSAL_RETRY_DELAY_US;
   if (outcome == QUINCE_PROPOSAL_UNKNOWN)
     group->proposal_may_come = TRUE;
   if (outcome == QUINCE_PROPOSAL_NOT_DONE && !group->proposal_may_come)
--- a/lib/core/group/ledger-recipients.c
+++ b/lib/core/group/ledger-recipients.c
@@ -41,10 +41,10 @@
 /* The first of @spares in the zone with fewest recipients: a member of a lost zone is replaced from another
  * one. */
 static guint
-next_spare (const QuinceLedgerGroup *group, const GArray *recipients, const GPtrArray *spares)
+choose_spare (const QuinceLedgerGroup *group, const GArray *recipients, const GPtrArray *spares)
 {
   guint best = 0;
-  for (guint i = 1; quince_ledger_group_spreads (group) && i < spares->len; i++)
+  for (guint i = 1; quince_ledger_group_is_zone_aware (group) && i < spares->len; i++)
     if (count_in_zone (group, recipients, spares->pdata[i])
         < count_in_zone (group, recipients, spares->pdata[best]))
       best = i;
@@ -73,7 +73,7 @@
   for (guint i = 0; spares->len > 0 && i < spares_max; i++)
     {
       const QuinceLedgerPeer *spare
-          = g_ptr_array_steal_index (spares, next_spare (group, recipients, spares));
+          = g_ptr_array_steal_index (spares, choose_spare (group, recipients, spares));
       g_array_append_val (recipients, spare->replica);
     }
 }
--- a/lib/core/group/ledger-succession.c
+++ b/lib/core/group/ledger-succession.c
@@ -42,7 +42,7 @@
 static gboolean
 may_ask_for_notes (const QuinceLedgerGroup *group, gint64 now_us)
 {
-  return notes_needed (group) <= 1 || quince_ledger_group_quorum_follows (group, now_us);
+  return notes_needed (group) <= 1 || quince_ledger_group_has_quorum_lease (group, now_us);
 }
 
 gboolean
--- a/lib/core/group/ledger-zones.c
+++ b/lib/core/group/ledger-zones.c
@@ -13,7 +13,7 @@
 }
 
 static const char *
-zone_of (const QuinceLedgerGroup *group, guint64 replica)
+get_replica_zone (const QuinceLedgerGroup *group, guint64 replica)
 {
   return g_hash_table_lookup (group->zones, &replica);
 }
@@ -23,22 +23,22 @@
                                    const QuinceLedgerView *view,
                                    guint64 replica)
 {
-  const char *zone = zone_of (group, replica);
+  const char *zone = get_replica_zone (group, replica);
   guint count = 0;
   for (guint i = 0; zone != NULL && i < view->members.members_len; i++)
-    count += g_strcmp0 (zone_of (group, view->members.members_val[i].replica), zone) == 0;
+    count += g_strcmp0 (get_replica_zone (group, view->members.members_val[i].replica), zone) == 0;
   return count;
 }
 
 gboolean
-quince_ledger_group_spreads (const QuinceLedgerGroup *group)
+quince_ledger_group_is_zone_aware (const QuinceLedgerGroup *group)
 {
   return group->limits.zone_losses > 0;
 }
 
 guint
-quince_ledger_group_get_zone_max (const QuinceLedgerGroup *group)
+quince_ledger_group_get_members_per_zone_max (const QuinceLedgerGroup *group)
 {
-  guint may_be_lost = group->limits.members_max - group->limits.quorum;
-  return MAX (may_be_lost / MAX (group->limits.zone_losses, 1), 1);
+  guint lost_members_max = group->limits.members_max - group->limits.quorum;
+  return MAX (lost_members_max / MAX (group->limits.zone_losses, 1), 1);
 }
--- a/lib/core/group/send-window.c
+++ b/lib/core/group/send-window.c
@@ -36,7 +36,7 @@
 }
 
 void
-quince_send_window_sent (QuinceSendWindow *window, guint64 last_index, gsize bytes)
+quince_send_window_add_message (QuinceSendWindow *window, guint64 last_index, gsize bytes)
 {
   const Sent sent = { .last_index = last_index, .bytes = bytes };
   g_queue_push_tail (&window->messages, g_memdup2 (&sent, sizeof sent));
@@ -44,7 +44,7 @@
 }
 
 void
-quince_send_window_acknowledged (QuinceSendWindow *window, guint64 last_index)
+quince_send_window_acknowledge (QuinceSendWindow *window, guint64 last_index)
 {
   for (Sent *sent = g_queue_peek_head (&window->messages); sent != NULL && sent->last_index <= last_index;
        sent = g_queue_peek_head (&window->messages))
--- a/lib/core/group/send-window.h
+++ b/lib/core/group/send-window.h
@@ -17,9 +17,9 @@
 void quince_send_window_free (QuinceSendWindow *window);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (QuinceSendWindow, quince_send_window_free)
 /* A message with records up to @last_index was sent; @bytes: size of the records */
-void quince_send_window_sent (QuinceSendWindow *window, guint64 last_index, gsize bytes);
+void quince_send_window_add_message (QuinceSendWindow *window, guint64 last_index, gsize bytes);
 /* The backup has all records up to @last_index on disk. */
-void quince_send_window_acknowledged (QuinceSendWindow *window, guint64 last_index);
+void quince_send_window_acknowledge (QuinceSendWindow *window, guint64 last_index);
 gboolean quince_send_window_is_open (const QuinceSendWindow *window);
 
 G_END_DECLS
--- a/tests/unit/ledger-scene.h
+++ b/tests/unit/ledger-scene.h
@@ -11,10 +11,10 @@
 static inline void
 settle (World *world)
 {
-  for (guint i = 0; i < 200 && !(world_is_whole (world) && world_leader (world) >= 0); i++)
+  for (guint i = 0; i < 200 && !(world_has_enough_members (world) && world_find_leader (world) >= 0); i++)
     world_run (world, 100);
-  assert_true (world_is_whole (world));
-  assert_int_not_equal (world_leader (world), -1);
+  assert_true (world_has_enough_members (world));
+  assert_int_not_equal (world_find_leader (world), -1);
   /* What the last change of members left to settle is settled. */
   world_run (world, 2000);
 }
@@ -33,7 +33,7 @@
 {
   for (guint waited = 0; waited <= within_ms; waited += 10)
     {
-      gint leader = world_leader (world);
+      gint leader = world_find_leader (world);
       if (leader >= 0 && leader != (gint)former)
         return waited;
       world_run (world, 10);
--- a/tests/unit/ledger-world.h
+++ b/tests/unit/ledger-world.h
@@ -36,7 +36,7 @@
 
 /* Every record that was reported as committed must be in the log of each leader. */
 static inline void
-world_check_lead (World *world, WorldNode *node)
+world_check_leader_log (World *world, WorldNode *node)
 {
   if (node->disk.log->len < world->committed->len)
     fail_msg ("seed %u: a leader holds %u records, %u were committed", world->seed, node->disk.log->len,
@@ -51,7 +51,7 @@
 }
 
 static inline void
-world_advance (World *world, guint index)
+world_record_commits (World *world, guint index)
 {
   WorldNode *node = &world->nodes[index];
   if (node->led_epoch == 0)
@@ -62,7 +62,7 @@
       world->leads++;
       g_autofree char *what = g_strdup_printf ("LEADS n%u", index);
       world_trace (world, what, NULL);
-      world_check_lead (world, node);
+      world_check_leader_log (world, node);
     }
   if (!node->recovered)
     return;
@@ -84,7 +84,7 @@
 
 /* A link to the leader lasts until one of its ends is restarted, or the leader has a new epoch. */
 static inline void
-world_follow (World *world, guint index)
+world_connect_to_leader (World *world, guint index)
 {
   WorldNode *node = &world->nodes[index];
   const QuinceLedgerView *view = quince_ledger_group_get_view (node->group);
@@ -135,7 +135,7 @@
 
 /* A quorum that promised makes a leader where the store is away or slow; it informs the members at once. */
 static inline void
-world_lead (World *world, guint index)
+world_lead_without_store (World *world, guint index)
 {
   WorldNode *node = &world->nodes[index];
   if (!quince_ledger_group_lead_without_store (node->group, world->now_us, world_store_fails (world, index)))
@@ -151,15 +151,15 @@
 static inline void
 world_query_leader (World *world, guint index)
 {
-  static const gint64 every_us[] = { [QUINCE_LEDGER_QUERY_LEADER] = 1000 * 1000,
-                                     [QUINCE_LEDGER_QUERY_MEMBERS] = 440 * 1000,
-                                     [QUINCE_LEDGER_QUERY_VOTES] = 0,
-                                     [QUINCE_LEDGER_QUERY_NOTES] = 0 };
+  static const gint64 interval_us_by_kind[] = { [QUINCE_LEDGER_QUERY_LEADER] = 1000 * 1000,
+                                                [QUINCE_LEDGER_QUERY_MEMBERS] = 440 * 1000,
+                                                [QUINCE_LEDGER_QUERY_VOTES] = 0,
+                                                [QUINCE_LEDGER_QUERY_NOTES] = 0 };
   WorldNode *node = &world->nodes[index];
   QuinceLedgerQuery query;
   QuinceLedgerQueryKind kind
       = quince_ledger_group_get_query (node->group, world->now_us, world_store_fails (world, index), &query);
-  if (kind == QUINCE_LEDGER_QUERY_NONE || world->now_us - node->queried_us < every_us[kind])
+  if (kind == QUINCE_LEDGER_QUERY_NONE || world->now_us - node->queried_us < interval_us_by_kind[kind])
     return;
   node->queried_us = world->now_us;
   const QuinceLedgerView *view = quince_ledger_group_get_view (node->group);
@@ -174,13 +174,13 @@
 }
 
 static inline void
-world_take_lead (World *world, guint index, const WorldMessage *message)
+world_receive_lead (World *world, guint index, const WorldMessage *message)
 {
   WorldNode *node = &world->nodes[index];
   quince_ledger_group_take_lead (node->group, world->now_us, &message->lead);
   world_update_role (world, index);
   world_propose (world, index);
-  world_lead (world, index);
+  world_lead_without_store (world, index);
 }
 
 static inline void
@@ -205,10 +205,10 @@
   world_query_leader (world, index);
   world_inform_members (world, index);
   world_propose (world, index);
-  world_lead (world, index);
+  world_lead_without_store (world, index);
   world_update_role (world, index);
   if (quince_ledger_group_get_role (node->group) == QUINCE_LEDGER_BACKUP)
-    world_follow (world, index);
+    world_connect_to_leader (world, index);
   if (node->led_epoch == 0)
     return;
   if (quince_ledger_group_may_accept (node->group, world->now_us) && node->recovered)
@@ -220,15 +220,15 @@
   for (guint i = 0; i < world->n_nodes; i++)
     if (i != index)
       world_send_append (world, index, i);
-  world_advance (world, index);
+  world_record_commits (world, index);
   if (node->recovered)
-    quince_ledger_group_note_orders (node->group, world->now_us);
+    quince_ledger_group_record_orders (node->group, world->now_us);
 }
 
 /* ---- Receiving -------------------------------------------------------- */
 
 static inline void
-world_take_append (World *world, guint index, const WorldMessage *message)
+world_receive_append (World *world, guint index, const WorldMessage *message)
 {
   WorldNode *node = &world->nodes[index];
   const QuinceLedgerView *view = quince_ledger_group_get_view (node->group);
@@ -262,7 +262,7 @@
 }
 
 static inline void
-world_take_ack (World *world, guint index, const WorldMessage *message)
+world_receive_ack (World *world, guint index, const WorldMessage *message)
 {
   WorldNode *node = &world->nodes[index];
   if (message->epoch != node->led_epoch || node->led_epoch == 0)
@@ -272,11 +272,11 @@
     quince_ledger_group_peer_refused (node->group, message->promised);
   else
     quince_ledger_group_peer_acked (node->group, message->replica, message->index, message->sent_us);
-  world_advance (world, index);
+  world_record_commits (world, index);
 }
 
 static inline void
-world_take_ask (World *world, guint index, const WorldMessage *message)
+world_receive_promise_request (World *world, guint index, const WorldMessage *message)
 {
   WorldNode *node = &world->nodes[index];
   if (!quince_ledger_group_promise (node->group, world->now_us, message->replica, message->epoch,
@@ -291,7 +291,7 @@
 
 /* The change reaches the store now, whether its answer arrives or not. */
 static inline void
-world_store_answer (World *world, WorldMessage *message)
+world_complete_store_call (World *world, WorldMessage *message)
 {
   gboolean fails = world_store_fails (world, message->to) && !message->late;
   gboolean done = message->outcome == QUINCE_PROPOSAL_DONE && !fails && world->revision == message->revision;
@@ -318,7 +318,7 @@
   WorldNode *node = &world->nodes[message->to];
   if (message->kind == WORLD_STORE_ANSWER)
     {
-      world_store_answer (world, message);
+      world_complete_store_call (world, message);
       return;
     }
   if (node->group == NULL || (message->incarnation != 0 && message->incarnation != node->incarnation)
@@ -336,13 +336,13 @@
         world_take_hello (world, node, message->from);
       break;
     case WORLD_APPEND:
-      world_take_append (world, message->to, message);
+      world_receive_append (world, message->to, message);
       break;
     case WORLD_ACK:
-      world_take_ack (world, message->to, message);
+      world_receive_ack (world, message->to, message);
       break;
     case WORLD_ASK:
-      world_take_ask (world, message->to, message);
+      world_receive_promise_request (world, message->to, message);
       break;
     case WORLD_PROMISE:
       quince_ledger_group_promised_by (node->group, world->now_us, message->replica, message->epoch,
@@ -354,7 +354,7 @@
       world_send_lead (world, message->to, message->from);
       break;
     case WORLD_LEAD:
-      world_take_lead (world, message->to, message);
+      world_receive_lead (world, message->to, message);
       break;
     case WORLD_STORE_ANSWER:
       break;
@@ -457,7 +457,7 @@
 
 /* The node that leads and knows all, or -1. */
 static inline gint
-world_leader (World *world)
+world_find_leader (World *world)
 {
   for (guint i = 0; i < world->n_nodes; i++)
     if (world->nodes[i].group != NULL && world->nodes[i].recovered
@@ -468,7 +468,7 @@
 
 /* Every node that is up is a member of the view in the store. */
 static inline gboolean
-world_is_whole (World *world)
+world_has_enough_members (World *world)
 {
   guint members = 0;
   for (guint i = 0; i < world->n_nodes; i++)
@@ -478,7 +478,7 @@
 }
 
 static inline void
-assert_commits_go_on (World *world, guint within_ms)
+assert_commits_continue (World *world, guint within_ms)
 {
   guint before = world->committed->len;
   world_run (world, within_ms);
--- a/tests/unit/test-ledger-group.c
+++ b/tests/unit/test-ledger-group.c
@@ -9,10 +9,10 @@
 static void
 settle (World *world)
 {
-  for (guint i = 0; i < 100 && !(world_is_whole (world) && world_leader (world) >= 0); i++)
+  for (guint i = 0; i < 100 && !(world_has_enough_members (world) && world_find_leader (world) >= 0); i++)
     world_run (world, 100);
-  assert_true (world_is_whole (world));
-  assert_int_not_equal (world_leader (world), -1);
+  assert_true (world_has_enough_members (world));
+  assert_int_not_equal (world_find_leader (world), -1);
 }
 
 static void
@@ -20,14 +20,14 @@
 {
   World *world = world_new (1, 3, 1);
   settle (world);
-  assert_int_not_equal (world_leader (world), -1);
-  assert_commits_go_on (world, 500);
+  assert_int_not_equal (world_find_leader (world), -1);
+  assert_commits_continue (world, 500);
   world_free (world);
 }
 
 /* Nothing is acknowledged on one disk alone. */
 static void
-test_one_machine_acknowledges_nothing (void **state)
+test_no_commit_without_quorum (void **state)
 {
   World *world = world_new (2, 3, 1);
   world_kill (world, 1);
@@ -42,9 +42,9 @@
 {
   World *world = world_new (3, 3, 1);
   settle (world);
-  guint leader = (guint)world_leader (world);
+  guint leader = (guint)world_find_leader (world);
   world_kill (world, (leader + 1) % 3);
-  assert_commits_go_on (world, 1500);
+  assert_commits_continue (world, 1500);
   world_free (world);
 }
 
@@ -54,26 +54,26 @@
 {
   World *world = world_new (4, 3, 1);
   settle (world);
-  guint leader = (guint)world_leader (world);
+  guint leader = (guint)world_find_leader (world);
   world->store_down = TRUE;
   world_cut_off (world, (leader + 1) % 3, TRUE);
   for (guint i = 0; i < 8; i++)
-    assert_commits_go_on (world, 1500);
+    assert_commits_continue (world, 1500);
   world_free (world);
 }
 
 static void
-test_lost_leader_is_followed (void **state)
+test_failover_after_leader_loss (void **state)
 {
   World *world = world_new (5, 3, 1);
   settle (world);
-  guint leader = (guint)world_leader (world);
+  guint leader = (guint)world_find_leader (world);
   world_kill (world, leader);
-  for (guint i = 0; i < 60 && world_leader (world) < 0; i++)
+  for (guint i = 0; i < 60 && world_find_leader (world) < 0; i++)
     world_run (world, 100);
-  assert_int_not_equal (world_leader (world), -1);
-  assert_int_not_equal (world_leader (world), (gint)leader);
-  assert_commits_go_on (world, 500);
+  assert_int_not_equal (world_find_leader (world), -1);
+  assert_int_not_equal (world_find_leader (world), (gint)leader);
+  assert_commits_continue (world, 500);
   world_free (world);
 }
 
@@ -89,8 +89,8 @@
       world_run (world, 1000);
       world_start (world, i % 3, FALSE);
       world_run (world, 4500);
-      assert_true (world_is_whole (world));
-      assert_commits_go_on (world, 1500);
+      assert_true (world_has_enough_members (world));
+      assert_commits_continue (world, 1500);
     }
   world_free (world);
 }
@@ -104,7 +104,7 @@
       World *world = world_new (100 + seed, 3, 1);
       settle (world);
       world_run (world, seed * 17);
-      guint leader = (guint)world_leader (world);
+      guint leader = (guint)world_find_leader (world);
       guint wiped = (leader + seed) % 3;
       for (guint i = 0; i < 3; i++)
         world_kill (world, i);
@@ -113,18 +113,18 @@
       for (guint i = 0; i < 3; i++)
         world_start (world, i, FALSE);
       world_run (world, 4000);
-      assert_commits_go_on (world, 1500);
+      assert_commits_continue (world, 1500);
       world_free (world);
     }
 }
 
 /* A machine is emptied; right after it another one loses its disk. */
 static void
-test_retire_then_lost_disk (void **state)
+test_lost_disk_after_drain (void **state)
 {
   World *world = world_new (7, 3, 1);
   settle (world);
-  guint leaving = (guint)world_leader (world);
+  guint leaving = (guint)world_find_leader (world);
   g_autofree char *name = g_strdup_printf ("n%u", leaving);
   const char *const nodes[] = { name, NULL };
   for (guint i = 0; i < 3; i++)
@@ -139,27 +139,27 @@
   world_start (world, lost, FALSE);
   quince_ledger_group_set_leaving (world->nodes[lost].group, nodes);
   world_run (world, 4500);
-  assert_commits_go_on (world, 1500);
+  assert_commits_continue (world, 1500);
   world_free (world);
 }
 
 /* A frozen leader that wakes does not speak for the ledger, and gives no orders. */
 static void
-test_frozen_leader_wakes (void **state)
+test_frozen_leader_loses_lease (void **state)
 {
   World *world = world_new (8, 3, 1);
   settle (world);
-  guint former = (guint)world_leader (world);
+  guint former = (guint)world_find_leader (world);
   world->nodes[former].frozen = TRUE;
   world_run (world, 3500);
   assert_false (quince_ledger_group_may_answer (world->nodes[former].group, world->now_us));
   assert_false (quince_ledger_group_may_order (world->nodes[former].group, world->now_us));
-  gint now = world_leader (world);
+  gint now = world_find_leader (world);
   assert_int_not_equal (now, -1);
   assert_false (quince_ledger_group_may_order (world->nodes[now].group, world->now_us));
   world->nodes[former].frozen = FALSE;
   world_run (world, 4500);
-  now = world_leader (world);
+  now = world_find_leader (world);
   assert_true (quince_ledger_group_may_order (world->nodes[now].group, world->now_us));
   world_free (world);
 }
@@ -195,7 +195,7 @@
       break;
     case 6:
       /* Another disk may go once the machine that lost the last one holds all again. */
-      if (*wiped >= 0 && !(world_is_whole (world) && world_leader (world) >= 0))
+      if (*wiped >= 0 && !(world_has_enough_members (world) && world_find_leader (world) >= 0))
         break;
       world_wipe (world, node);
       *wiped = (gint)node;
@@ -238,21 +238,21 @@
         {
           heal (world);
           world_run (world, 9000);
-          if (world_leader (world) < 0)
+          if (world_find_leader (world) < 0)
             fail_msg ("seed %u: no replica leads 9 s after the last fault", seed);
-          assert_true (world_is_whole (world));
+          assert_true (world_has_enough_members (world));
         }
     }
   heal (world);
   world_run (world, 9000);
-  assert_commits_go_on (world, 1000);
+  assert_commits_continue (world, 1000);
   world_free (world);
 }
 
 static guint
-count_fed (World *world)
+count_recipients (World *world)
 {
-  const WorldNode *leader = &world->nodes[world_leader (world)];
+  const WorldNode *leader = &world->nodes[world_find_leader (world)];
   guint count = 0;
   for (guint i = 0; i < world->n_nodes; i++)
     count += world_is_recipient (world, leader, world->nodes[i].disk.replica);
@@ -267,19 +267,20 @@
   World *world = world_new (7, 12, 1);
   settle (world);
   world_run (world, 3000);
-  assert_int_equal (count_fed (world), 4); /* two members beside the leader, two spare ones */
+  assert_int_equal (count_recipients (world), 4); /* two members beside the leader, two spare ones */
   for (guint round = 0; round < 6; round++)
     {
-      guint lost = ((guint)world_leader (world) + 1 + round % 2) % world->n_nodes;
+      guint lost = ((guint)world_find_leader (world) + 1 + round % 2) % world->n_nodes;
       world_kill (world, lost);
       world_run (world, 6000);
-      assert_commits_go_on (world, 1000);
-      assert_int_equal (count_fed (world), 4);
-      const QuinceLedgerView *view = quince_ledger_group_get_view (world->nodes[world_leader (world)].group);
+      assert_commits_continue (world, 1000);
+      assert_int_equal (count_recipients (world), 4);
+      const QuinceLedgerView *view
+          = quince_ledger_group_get_view (world->nodes[world_find_leader (world)].group);
       assert_int_equal (view->members.members_len, 3);
       world_start (world, lost, FALSE);
     }
-  assert_true (world_is_whole (world));
+  assert_true (world_has_enough_members (world));
   world_free (world);
 }
 
@@ -293,7 +294,7 @@
 }
 
 static void
-confine_all (World *world, const char *const *nodes)
+set_allowed_nodes_on_all (World *world, const char *const *nodes)
 {
   for (guint i = 0; i < world->n_nodes; i++)
     quince_ledger_group_confine (world->nodes[i].group, nodes);
@@ -302,27 +303,27 @@
 /* Only some machines may keep records: the others leave, the leader too, and none of them is sent more. Where
  * those are fewer than a quorum, others stay rather than that what was acknowledged is lost. */
 static void
-test_confined (void **state)
+test_allowed_nodes (void **state)
 {
   static const char *const three[] = { "n1", "n3", "n5", NULL };
   static const char *const one[] = { "n3", NULL };
   World *world = world_new (9, 6, 1);
   settle (world);
-  confine_all (world, three);
+  set_allowed_nodes_on_all (world, three);
   world_run (world, 8000);
   assert_int_equal (count_members_outside (world, three), 0);
   assert_int_equal (world->view->members.members_len, 3);
-  assert_true (world_leader (world) % 2 == 1);
-  const WorldNode *leader = &world->nodes[world_leader (world)];
+  assert_true (world_find_leader (world) % 2 == 1);
+  const WorldNode *leader = &world->nodes[world_find_leader (world)];
   for (guint i = 0; i < world->n_nodes; i += 2)
     assert_false (world_is_recipient (world, leader, world->nodes[i].disk.replica));
-  assert_commits_go_on (world, 500);
-  confine_all (world, one);
+  assert_commits_continue (world, 500);
+  set_allowed_nodes_on_all (world, one);
   world_run (world, 8000);
   assert_int_equal (world->view->members.members_len, 2);
   assert_int_equal (count_members_outside (world, one), 1);
-  assert_commits_go_on (world, 500);
-  confine_all (world, NULL);
+  assert_commits_continue (world, 500);
+  set_allowed_nodes_on_all (world, NULL);
   world_run (world, 8000);
   assert_int_equal (world->view->members.members_len, 3);
   world_free (world);
@@ -382,7 +383,7 @@
 /* The joiner is lost before the store says whether it is a member: records are committed by both members,
  * which are a quorum of the view with it too, and by nothing less. */
 static void
-test_unknown_change_commits_by_each_quorum (void **state)
+test_unknown_outcome_needs_quorum_of_each_view (void **state)
 {
   gint64 now = 100 * G_USEC_PER_SEC;
   QuinceLedgerGroup *group = make_leader_of_two (now);
@@ -413,17 +414,17 @@
 {
   const struct CMUnitTest tests[] = {
     cmocka_unit_test (test_first_start),
-    cmocka_unit_test (test_one_machine_acknowledges_nothing),
+    cmocka_unit_test (test_no_commit_without_quorum),
     cmocka_unit_test (test_lost_backup_does_not_stop_commits),
     cmocka_unit_test (test_backup_cut_while_store_is_down),
-    cmocka_unit_test (test_lost_leader_is_followed),
+    cmocka_unit_test (test_failover_after_leader_loss),
     cmocka_unit_test (test_disks_lost_in_turn),
     cmocka_unit_test (test_lost_disk_while_all_others_lose_power),
-    cmocka_unit_test (test_retire_then_lost_disk),
-    cmocka_unit_test (test_frozen_leader_wakes),
+    cmocka_unit_test (test_lost_disk_after_drain),
+    cmocka_unit_test (test_frozen_leader_loses_lease),
     cmocka_unit_test (test_spare_replicas),
-    cmocka_unit_test (test_confined),
-    cmocka_unit_test (test_unknown_change_commits_by_each_quorum),
+    cmocka_unit_test (test_allowed_nodes),
+    cmocka_unit_test (test_unknown_outcome_needs_quorum_of_each_view),
     cmocka_unit_test (test_seeded_faults),
   };
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/tests/unit/test-ledger-one-way.c
+++ b/tests/unit/test-ledger-one-way.c
@@ -7,24 +7,24 @@
 #include "ledger-scene.h"
 
 /* Time in which another leader must lead, ms: the former one falls silent after 1 s without an answer. */
-#define DEAF_LEAD_MS (1000 + LEAD_MS)
+#define FAILOVER_MAX_MS (1000 + LEAD_MS)
 #define SEEDS 60
 /* Cuts of one seed, and the longest time of each, ms. */
 #define CUTS 12
-#define CUT_MAX_MS 6000
+#define CUT_INTERVAL_MAX_MS 6000
 /* Time in which a leader must lead and all members follow after the last cut, ms. */
 #define HEAL_MS 9000
 
 /* Nothing that is sent to @node arrives, but for what the metadata store answers. */
 static void
-make_deaf (World *world, guint node, gboolean deaf)
+cut_incoming_links (World *world, guint node, gboolean deaf)
 {
   for (guint i = 0; i < world->n_nodes; i++)
     world->cut[i][node] = deaf && i != node;
 }
 
 static void
-set_store_away_from_all_but (World *world, guint node, gboolean away)
+set_store_unreachable_except (World *world, guint node, gboolean away)
 {
   for (guint i = 0; i < world->n_nodes; i++)
     world->store_away[i] = away && i != node;
@@ -38,18 +38,18 @@
   for (guint32 seed = 1; seed <= SEEDS; seed++)
     {
       World *world = settled_world (7000 + seed, seed % 2 == 0 ? 3 : 6, seed % 2 == 0 ? 1 : 2);
-      guint former = (guint)world_leader (world);
-      set_store_away_from_all_but (world, former, TRUE);
-      make_deaf (world, former, TRUE);
+      guint former = (guint)world_find_leader (world);
+      set_store_unreachable_except (world, former, TRUE);
+      cut_incoming_links (world, former, TRUE);
       world_run (world, 1000);
-      guint waited = await_leader (world, former, DEAF_LEAD_MS);
+      guint waited = await_leader (world, former, FAILOVER_MAX_MS);
       slowest = MAX (slowest, waited);
-      assert_commits_go_on (world, 500);
-      make_deaf (world, former, FALSE);
-      set_store_away_from_all_but (world, former, FALSE);
+      assert_commits_continue (world, 500);
+      cut_incoming_links (world, former, FALSE);
+      set_store_unreachable_except (world, former, FALSE);
       world_run (world, HEAL_MS);
-      assert_true (world_is_whole (world));
-      assert_commits_go_on (world, 500);
+      assert_true (world_has_enough_members (world));
+      assert_commits_continue (world, 500);
       world_free (world);
     }
   print_message ("slowest: %u ms\n", slowest);
@@ -58,63 +58,63 @@
 /* Spare replicas stand on the leader's side and could replace the members that it does not hear: a change of
  * members that they have noted, and that it cannot make, would keep them from electing another leader. */
 static void
-test_deaf_to_members (void **state)
+test_leader_cut_from_members (void **state)
 {
   for (guint32 seed = 1; seed <= SEEDS; seed++)
     {
       World *world = settled_world (10000 + seed, 6, 1);
-      guint former = (guint)world_leader (world);
+      guint former = (guint)world_find_leader (world);
       for (guint i = 0; i < world->n_nodes; i++)
         {
           gboolean member = quince_ledger_view_find (world->view, world->nodes[i].disk.replica) != NULL;
           world->cut[i][former] = member && i != former;
           world->store_away[i] = member && i != former;
         }
-      await_leader (world, former, DEAF_LEAD_MS + 1000);
-      assert_commits_go_on (world, 500);
-      make_deaf (world, former, FALSE);
-      set_store_away_from_all_but (world, former, FALSE);
+      await_leader (world, former, FAILOVER_MAX_MS + 1000);
+      assert_commits_continue (world, 500);
+      cut_incoming_links (world, former, FALSE);
+      set_store_unreachable_except (world, former, FALSE);
       world_run (world, HEAL_MS);
-      assert_true (world_is_whole (world));
-      assert_commits_go_on (world, 500);
+      assert_true (world_has_enough_members (world));
+      assert_commits_continue (world, 500);
       world_free (world);
     }
 }
 
 /* It is restarted behind the cut: it asks for the lead again and again, and no promise reaches it. */
 static void
-test_deaf_leader_starts_anew (void **state)
+test_restarted_leader_without_incoming_links (void **state)
 {
   guint slowest = 0;
   for (guint32 seed = 1; seed <= SEEDS; seed++)
     {
       World *world = settled_world (8000 + seed, seed % 2 == 0 ? 3 : 6, seed % 2 == 0 ? 1 : 2);
-      guint former = (guint)world_leader (world);
-      set_store_away_from_all_but (world, former, TRUE);
-      make_deaf (world, former, TRUE);
+      guint former = (guint)world_find_leader (world);
+      set_store_unreachable_except (world, former, TRUE);
+      cut_incoming_links (world, former, TRUE);
       world_kill (world, former);
       world_start (world, former, FALSE);
-      guint waited = await_leader (world, former, DEAF_LEAD_MS);
+      guint waited = await_leader (world, former, FAILOVER_MAX_MS);
       slowest = MAX (slowest, waited);
-      assert_commits_go_on (world, 500);
-      make_deaf (world, former, FALSE);
-      set_store_away_from_all_but (world, former, FALSE);
+      assert_commits_continue (world, 500);
+      cut_incoming_links (world, former, FALSE);
+      set_store_unreachable_except (world, former, FALSE);
       world_run (world, HEAL_MS);
-      assert_true (world_is_whole (world));
+      assert_true (world_has_enough_members (world));
       world_free (world);
     }
   print_message ("slowest: %u ms\n", slowest);
 }
 
 static void
-cut_one_way (World *world)
+change_random_cut (World *world)
 {
   guint from = (guint)g_rand_int_range (world->random, 0, (gint32)world->n_nodes);
   guint to = (guint)g_rand_int_range (world->random, 0, (gint32)world->n_nodes);
   if (from != to)
     world->cut[from][to] = !world->cut[from][to];
   if (g_rand_int_range (world->random, 0, 4) == 0)
-    make_deaf (world, to, TRUE);
+    cut_incoming_links (world, to, TRUE);
   if (g_rand_int_range (world->random, 0, 4) == 0)
     world->store_away[from] = !world->store_away[from];
   if (g_rand_int_range (world->random, 0, 6) == 0 && world->nodes[to].group != NULL)
@@ -126,15 +126,15 @@
 
 /* The world judges each step; after the last cut a leader leads and all follow. */
 static void
-test_seeded_cuts (void **state)
+test_random_one_way_cuts (void **state)
 {
   for (guint32 seed = 1; seed <= SEEDS; seed++)
     {
       World *world = settled_world (9000 + seed, seed % 2 == 0 ? 3 : 6, seed % 2 == 0 ? 1 : 2);
       for (guint i = 0; i < CUTS; i++)
         {
-          cut_one_way (world);
-          world_run (world, (guint)g_rand_int_range (world->random, 10, CUT_MAX_MS));
+          change_random_cut (world);
+          world_run (world, (guint)g_rand_int_range (world->random, 10, CUT_INTERVAL_MAX_MS));
         }
       for (guint i = 0; i < world->n_nodes; i++)
         {
@@ -142,9 +142,9 @@
           world->store_away[i] = FALSE;
         }
       world_run (world, HEAL_MS);
-      if (world_leader (world) < 0 || !world_is_whole (world))
+      if (world_find_leader (world) < 0 || !world_has_enough_members (world))
         fail_msg ("seed %u: not whole %u ms after the last cut", 9000 + seed, HEAL_MS);
-      assert_commits_go_on (world, 1000);
+      assert_commits_continue (world, 1000);
       world_free (world);
     }
 }
@@ -154,9 +154,9 @@
 {
   const struct CMUnitTest tests[] = {
     cmocka_unit_test (test_deaf_leader),
-    cmocka_unit_test (test_deaf_to_members),
-    cmocka_unit_test (test_deaf_leader_starts_anew),
-    cmocka_unit_test (test_seeded_cuts),
+    cmocka_unit_test (test_leader_cut_from_members),
+    cmocka_unit_test (test_restarted_leader_without_incoming_links),
+    cmocka_unit_test (test_random_one_way_cuts),
   };
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/tests/unit/test-ledger-succession.c
+++ b/tests/unit/test-ledger-succession.c
@@ -16,7 +16,7 @@
 static guint
 lose_leader (World *world)
 {
-  guint leader = (guint)world_leader (world);
+  guint leader = (guint)world_find_leader (world);
   world_kill (world, leader);
   return leader;
 }
@@ -24,7 +24,7 @@
 static void
 assert_store_shows_leader (World *world)
 {
-  gint leader = world_leader (world);
+  gint leader = world_find_leader (world);
   assert_int_not_equal (leader, -1);
   assert_int_equal (world_node_of (world, world->view->primary), leader);
   assert_int_equal (world->view->epoch, world->nodes[leader].led_epoch);
@@ -43,7 +43,7 @@
       guint former = lose_leader (world);
       guint waited = await_leader (world, former, LEAD_MS);
       slowest = MAX (slowest, waited);
-      assert_commits_go_on (world, 500);
+      assert_commits_continue (world, 500);
       world->store_down = FALSE;
       world_run (world, 2000);
       assert_store_shows_leader (world);
@@ -75,15 +75,15 @@
 test_store_turns_members_away (void **state)
 {
   World *world = settled_world (2001, 3, 1);
-  guint former = (guint)world_leader (world);
+  guint former = (guint)world_find_leader (world);
   for (guint i = 0; i < world->n_nodes; i++)
     world->store_away[i] = i != former;
   world_kill (world, former);
   await_leader (world, former, LEAD_MS);
-  assert_commits_go_on (world, 500);
+  assert_commits_continue (world, 500);
   world_start (world, former, FALSE); /* and reads in the store that it leads */
   world_run (world, 3000);
-  assert_int_not_equal (world_leader (world), (gint)former);
+  assert_int_not_equal (world_find_leader (world), (gint)former);
   for (guint i = 0; i < world->n_nodes; i++)
     world->store_away[i] = FALSE;
   world_run (world, 3000);
@@ -98,14 +98,14 @@
   for (guint32 seed = 1; seed <= 20; seed++)
     {
       World *world = settled_world (3000 + seed, 3, 1);
-      guint former = (guint)world_leader (world);
+      guint former = (guint)world_find_leader (world);
       for (guint i = 0; i < world->n_nodes; i++)
         world->store_away[i] = i != former;
       world_cut_off (world, former, TRUE);
       await_leader (world, former, LEAD_MS);
-      assert_commits_go_on (world, 4000);
+      assert_commits_continue (world, 4000);
       world_cut_off (world, former, FALSE);
-      assert_commits_go_on (world, 3000);
+      assert_commits_continue (world, 3000);
       for (guint i = 0; i < world->n_nodes; i++)
         world->store_away[i] = FALSE;
       world_run (world, 3000);
@@ -122,13 +122,13 @@
   world->store_down = TRUE;
   for (guint round = 0; round < 8; round++)
     {
-      guint former = (guint)world_leader (world);
+      guint former = (guint)world_find_leader (world);
       world->nodes[former].frozen = TRUE;
       await_leader (world, former, LEAD_MS);
-      assert_commits_go_on (world, 500);
+      assert_commits_continue (world, 500);
       world->nodes[former].frozen = FALSE;
       world_run (world, 1500);
-      assert_commits_go_on (world, 500);
+      assert_commits_continue (world, 500);
     }
   world->store_down = FALSE;
   world_run (world, 2000);
@@ -146,7 +146,7 @@
       world->store_down = TRUE;
       guint former = lose_leader (world);
       await_leader (world, former, LEAD_MS);
-      assert_commits_go_on (world, 700);
+      assert_commits_continue (world, 700);
       for (guint i = 0; i < world->n_nodes; i++)
         world_kill (world, i);
       for (guint i = 0; i < world->n_nodes; i++)
@@ -154,7 +154,7 @@
       world_run (world, 500);
       world->store_down = FALSE;
       world_run (world, 5000);
-      assert_commits_go_on (world, 500);
+      assert_commits_continue (world, 500);
       assert_store_shows_leader (world);
       world_free (world);
     }
@@ -171,17 +171,17 @@
       world->store_down = TRUE;
       guint former = lose_leader (world);
       await_leader (world, former, LEAD_MS);
-      guint other = 3 - former - (guint)world_leader (world);
+      guint other = 3 - former - (guint)world_find_leader (world);
       world_kill (world, other);
       world_run (world, 700);
       world_start (world, other, FALSE);
       world_run (world, 1000);
-      assert_commits_go_on (world, 500);
+      assert_commits_continue (world, 500);
       world_start (world, former, FALSE);
       world_run (world, 1000);
-      world_kill (world, (guint)world_leader (world));
+      world_kill (world, (guint)world_find_leader (world));
       await_leader (world, WORLD_MAX, LEAD_MS);
-      assert_commits_go_on (world, 500);
+      assert_commits_continue (world, 500);
       world_free (world);
     }
 }
@@ -353,7 +353,7 @@
 static void
 lose_disk (World *world, guint node, gint *wiped)
 {
-  if (*wiped >= 0 && !(world_is_whole (world) && world_leader (world) >= 0))
+  if (*wiped >= 0 && !(world_has_enough_members (world) && world_find_leader (world) >= 0))
     return;
   world_wipe (world, node);
   *wiped = (gint)node;
@@ -378,10 +378,10 @@
   gint32 kind = g_rand_int_range (world->random, 0, 16);
   g_autofree char *what = g_strdup_printf ("FAULT %d on n%u n%u", kind, node, other);
   world_trace (world, what, NULL);
-  if (kind <= 1 && world_leader (world) >= 0)
-    world_kill (world, (guint)world_leader (world));
-  else if (kind == 2 && world_leader (world) >= 0)
-    world->nodes[world_leader (world)].frozen = TRUE;
+  if (kind <= 1 && world_find_leader (world) >= 0)
+    world_kill (world, (guint)world_find_leader (world));
+  else if (kind == 2 && world_find_leader (world) >= 0)
+    world->nodes[world_find_leader (world)].frozen = TRUE;
   else if (kind == 3)
     world_cut_off (world, node, TRUE);
   else if (kind == 4)
@@ -434,11 +434,11 @@
         continue;
       heal (world);
       world_run (world, HEAL_MS);
-      if (world_leader (world) < 0 || !world_is_whole (world))
+      if (world_find_leader (world) < 0 || !world_has_enough_members (world))
         fail_msg ("seed %u: not whole %u ms after the last fault", seed, HEAL_MS);
       assert_store_shows_leader (world);
     }
-  assert_commits_go_on (world, 1000);
+  assert_commits_continue (world, 1000);
   world_free (world);
 }
 
--- a/tests/unit/test-ledger-zones.c
+++ b/tests/unit/test-ledger-zones.c
@@ -9,26 +9,26 @@
 #define SEEDS 20   /* schedules that each case is played with */
 
 static guint
-zone_of_node (guint node)
+get_zone_of_node (guint node)
 {
   return node % ZONES;
 }
 
 static guint
-members_in_zone (const World *world, guint zone)
+count_members_in_zone (const World *world, guint zone)
 {
   guint count = 0;
   for (guint i = 0; i < world->n_nodes; i++)
-    count += zone_of_node (i) == zone
+    count += get_zone_of_node (i) == zone
              && quince_ledger_view_find (world->view, world->nodes[i].disk.replica) != NULL;
   return count;
 }
 
 static gboolean
-is_spread (const World *world)
+are_members_spread (const World *world)
 {
   for (guint zone = 0; zone < ZONES; zone++)
-    if (members_in_zone (world, zone) > LOSSES)
+    if (count_members_in_zone (world, zone) > LOSSES)
       return FALSE;
   return TRUE;
 }
@@ -36,7 +36,7 @@
 static gboolean
 is_settled (World *world)
 {
-  return world_is_whole (world) && world_leader (world) >= 0 && is_spread (world);
+  return world_has_enough_members (world) && world_find_leader (world) >= 0 && are_members_spread (world);
 }
 
 static void
@@ -44,24 +44,24 @@
 {
   for (guint i = 0; i < 200 && !is_settled (world); i++)
     world_run (world, 100);
-  assert_true (world_is_whole (world));
-  assert_int_not_equal (world_leader (world), -1);
-  assert_true (is_spread (world));
+  assert_true (world_has_enough_members (world));
+  assert_int_not_equal (world_find_leader (world), -1);
+  assert_true (are_members_spread (world));
 }
 
 static void
 lose_zone (World *world, guint zone)
 {
   for (guint i = 0; i < world->n_nodes; i++)
-    if (zone_of_node (i) == zone)
+    if (get_zone_of_node (i) == zone)
       world_kill (world, i);
 }
 
 static void
-bring_zone_back (World *world, guint zone)
+restart_zone (World *world, guint zone)
 {
   for (guint i = 0; i < world->n_nodes; i++)
-    if (zone_of_node (i) == zone)
+    if (get_zone_of_node (i) == zone)
       world_start (world, i, FALSE);
 }
 
@@ -74,7 +74,7 @@
       World *world = world_new_in_zones (seed, MACHINES, LOSSES, ZONES);
       settle (world);
       world_run (world, 3000);
-      assert_true (is_spread (world));
+      assert_true (are_members_spread (world));
       world_free (world);
     }
 }
@@ -82,7 +82,7 @@
 /* Whichever zone is lost, with its disks: what was committed is there, and commits go on. The world compares
  * all that is committed later with what was before. */
 static void
-test_a_zone_is_lost_with_its_disks (void **state)
+test_lost_zone_with_its_disks (void **state)
 {
   for (guint32 seed = 1; seed <= SEEDS; seed++)
     {
@@ -91,20 +91,20 @@
       guint lost = seed % ZONES;
       lose_zone (world, lost);
       for (guint i = 0; i < world->n_nodes; i++)
-        if (zone_of_node (i) == lost)
+        if (get_zone_of_node (i) == lost)
           world_wipe (world, i);
       world_run (world, 5000);
-      assert_commits_go_on (world, 2000);
-      bring_zone_back (world, lost);
+      assert_commits_continue (world, 2000);
+      restart_zone (world, lost);
       settle (world);
-      assert_commits_go_on (world, 1000);
+      assert_commits_continue (world, 1000);
       world_free (world);
     }
 }
 
 /* One zone after the other, while a machine of another one is away. */
 static void
-test_zones_are_lost_in_turn (void **state)
+test_zones_lost_in_turn (void **state)
 {
   World *world = world_new_in_zones (7, MACHINES, LOSSES, ZONES);
   settle (world);
@@ -112,8 +112,8 @@
     {
       lose_zone (world, zone);
       world_run (world, 4000);
-      assert_commits_go_on (world, 2000);
-      bring_zone_back (world, zone);
+      assert_commits_continue (world, 2000);
+      restart_zone (world, zone);
       settle (world);
       world_run (world, 5000);
     }
@@ -123,26 +123,26 @@
 /* The members of a lost zone are replaced from the others, and give their places back once it has returned.
  */
 static void
-test_a_lost_zone_is_made_up_for (void **state)
+test_members_of_lost_zone_are_replaced (void **state)
 {
   World *world = world_new_in_zones (11, MACHINES, LOSSES, ZONES);
   settle (world);
-  guint primary_zone = zone_of_node ((guint)world_leader (world));
+  guint primary_zone = get_zone_of_node ((guint)world_find_leader (world));
   guint lost = (primary_zone + 1) % ZONES;
   lose_zone (world, lost);
   world_run (world, 6000);
-  assert_int_equal (members_in_zone (world, lost), 0);
-  assert_true (world_is_whole (world));
-  bring_zone_back (world, lost);
+  assert_int_equal (count_members_in_zone (world, lost), 0);
+  assert_true (world_has_enough_members (world));
+  restart_zone (world, lost);
   settle (world);
   world_free (world);
 }
 
 static guint
-member_of_zone (World *world, guint zone)
+find_backup_in_zone (World *world, guint zone)
 {
   for (guint i = 0; i < world->n_nodes; i++)
-    if (zone_of_node (i) == zone && world_leader (world) != (gint)i
+    if (get_zone_of_node (i) == zone && world_find_leader (world) != (gint)i
         && quince_ledger_view_find (world->view, world->nodes[i].disk.replica) != NULL)
       return i;
   return G_MAXUINT;
@@ -150,19 +150,19 @@
 
 /* Disk after disk is lost in a spread group: nothing is lost with them, and commits go on. */
 static void
-test_disks_of_a_spread_group (void **state)
+test_disks_lost_in_spread_group (void **state)
 {
   World *world = world_new_in_zones (17, MACHINES, LOSSES, ZONES);
   settle (world);
   for (guint round = 0; round < 6; round++)
     {
-      guint wiped = member_of_zone (world, round % ZONES);
+      guint wiped = find_backup_in_zone (world, round % ZONES);
       if (wiped == G_MAXUINT)
         continue;
       world_wipe (world, wiped);
       world_run (world, 300);
       world_start (world, wiped, FALSE);
-      assert_commits_go_on (world, 2000);
+      assert_commits_continue (world, 2000);
       settle (world);
     }
   world_free (world);
@@ -171,32 +171,32 @@
 /* The leader dies while members are spread, and a zone just after: the next one knows no zone but its own.
  */
 static void
-test_zone_lost_under_a_new_primary (void **state)
+test_zone_lost_after_failover (void **state)
 {
   for (guint32 seed = 1; seed <= SEEDS; seed++)
     {
       World *world = world_new_in_zones (300 + seed, MACHINES, LOSSES, ZONES);
       settle (world);
-      guint leader = (guint)world_leader (world);
+      guint leader = (guint)world_find_leader (world);
       world_kill (world, leader);
       world_run (world, 100 * seed);
       world_start (world, leader, FALSE);
       settle (world);
-      lose_zone (world, (zone_of_node (leader) + 1) % ZONES);
+      lose_zone (world, (get_zone_of_node (leader) + 1) % ZONES);
       world_run (world, 5000);
-      assert_commits_go_on (world, 2000);
+      assert_commits_continue (world, 2000);
       world_free (world);
     }
 }
 
 /* Where no loss of a zone is to be borne, nothing moves for the sake of zones. */
 static void
-test_zones_without_losses_count_for_nothing (void **state)
+test_no_change_without_zones (void **state)
 {
   World *world = world_new (13, MACHINES, LOSSES);
-  for (guint i = 0; i < 100 && !(world_is_whole (world) && world_leader (world) >= 0); i++)
+  for (guint i = 0; i < 100 && !(world_has_enough_members (world) && world_find_leader (world) >= 0); i++)
     world_run (world, 100);
-  assert_true (world_is_whole (world));
+  assert_true (world_has_enough_members (world));
   guint64 revision = world->revision;
   world_run (world, 5000);
   assert_int_equal (world->revision, revision);
@@ -208,12 +208,12 @@
 {
   const struct CMUnitTest tests[] = {
     cmocka_unit_test (test_members_are_spread),
-    cmocka_unit_test (test_a_zone_is_lost_with_its_disks),
-    cmocka_unit_test (test_zones_are_lost_in_turn),
-    cmocka_unit_test (test_a_lost_zone_is_made_up_for),
-    cmocka_unit_test (test_disks_of_a_spread_group),
-    cmocka_unit_test (test_zone_lost_under_a_new_primary),
-    cmocka_unit_test (test_zones_without_losses_count_for_nothing),
+    cmocka_unit_test (test_lost_zone_with_its_disks),
+    cmocka_unit_test (test_zones_lost_in_turn),
+    cmocka_unit_test (test_members_of_lost_zone_are_replaced),
+    cmocka_unit_test (test_disks_lost_in_spread_group),
+    cmocka_unit_test (test_zone_lost_after_failover),
+    cmocka_unit_test (test_no_change_without_zones),
   };
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/tests/unit/test-send-window.c
+++ b/tests/unit/test-send-window.c
@@ -10,28 +10,28 @@
 #include "core/group/send-window.h"
 
 static void
-test_closes_and_opens (void **state)
+test_window_closes_and_opens (void **state)
 {
   g_autoptr (QuinceSendWindow) window = quince_send_window_new (1000);
   assert_true (quince_send_window_is_open (window));
-  quince_send_window_sent (window, 10, 600);
+  quince_send_window_add_message (window, 10, 600);
   assert_true (quince_send_window_is_open (window));
-  quince_send_window_sent (window, 20, 600);
+  quince_send_window_add_message (window, 20, 600);
   assert_false (quince_send_window_is_open (window));
-  quince_send_window_acknowledged (window, 9);
+  quince_send_window_acknowledge (window, 9);
   assert_false (quince_send_window_is_open (window));
-  quince_send_window_acknowledged (window, 10);
+  quince_send_window_acknowledge (window, 10);
   assert_true (quince_send_window_is_open (window));
   /* 600 bytes are outstanding: exactly 400 more close the window. */
-  quince_send_window_sent (window, 30, 399);
+  quince_send_window_add_message (window, 30, 399);
   assert_true (quince_send_window_is_open (window));
-  quince_send_window_sent (window, 40, 1);
+  quince_send_window_add_message (window, 40, 1);
   assert_false (quince_send_window_is_open (window));
   /* None are: exactly 1000 close it. */
-  quince_send_window_acknowledged (window, 500);
-  quince_send_window_sent (window, 600, 999);
+  quince_send_window_acknowledge (window, 500);
+  quince_send_window_add_message (window, 600, 999);
   assert_true (quince_send_window_is_open (window));
-  quince_send_window_sent (window, 610, 1);
+  quince_send_window_add_message (window, 610, 1);
   assert_false (quince_send_window_is_open (window));
 }
 
@@ -39,7 +39,7 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_closes_and_opens),
+    cmocka_unit_test (test_window_closes_and_opens),
   };
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
