--- a/lib/core/group/ledger-leases.c
+++ b/lib/core/group/ledger-leases.c
@@ -7,7 +7,7 @@
 /* ---- Commits ---------------------------------------------------------- */
 
 static guint64
-held_by (const QuinceLedgerGroup *group, guint64 replica)
+get_held_index (const QuinceLedgerGroup *group, guint64 replica)
 {
   if (replica == group->self.replica)
     return group->end.index;
@@ -25,16 +25,16 @@
 
 /* The greatest index up to which all but @lacking of @replicas hold the log. */
 static guint64
-get_index_held_by_all_except (const QuinceLedgerGroup *group, const GArray *replicas, guint lacking)
+get_index_held_by_all_except (const QuinceLedgerGroup *group, const GArray *replicas, guint n_excepted)
 {
-  g_autoptr (GArray) held = g_array_new (FALSE, FALSE, sizeof (guint64));
+  g_autoptr (GArray) indexes = g_array_new (FALSE, FALSE, sizeof (guint64));
   for (guint i = 0; i < replicas->len; i++)
     {
-      guint64 index = held_by (group, g_array_index (replicas, guint64, i));
-      g_array_append_val (held, index);
+      guint64 index = get_held_index (group, g_array_index (replicas, guint64, i));
+      g_array_append_val (indexes, index);
     }
-  g_array_sort (held, compare_descending);
-  return g_array_index (held, guint64, held->len - 1 - lacking);
+  g_array_sort (indexes, compare_descending);
+  return g_array_index (indexes, guint64, indexes->len - 1 - n_excepted);
 }
 
 /* The greatest index that a quorum of the view holds. */
@@ -63,15 +63,15 @@
 {
   if (group->role != QUINCE_LEDGER_LEADER)
     return group->commit_index;
-  guint64 held = get_index_held_by_quorum (group);
+  guint64 held_index = get_index_held_by_quorum (group);
   /* Any of the proposed views may come into force: a quorum of each holds what is committed.  Not all of
    * their members, or one that is lost while the store does not tell whether its view is in force would hold
    * up every record. */
   if (group->proposed_members->len > 0)
-    held = MIN (held, get_index_held_by_all_except (group, group->proposed_members,
-                                                    get_proposed_failures_max (group)));
-  if (held >= group->recovery_index)
-    group->commit_index = MAX (group->commit_index, held);
+    held_index = MIN (held_index, get_index_held_by_all_except (group, group->proposed_members,
+                                                                get_proposed_failures_max (group)));
+  if (held_index >= group->recovery_index)
+    group->commit_index = MAX (group->commit_index, held_index);
   return group->commit_index;
 }
 
@@ -79,14 +79,14 @@
 
 /* Other members of the view that answered something that was sent within the last @within_us. */
 static guint
-count_recent_acks (const QuinceLedgerGroup *group, gint64 now_us, gint64 within_us)
+count_recent_acks (const QuinceLedgerGroup *group, gint64 now_us, gint64 max_age_us)
 {
   guint count = 0;
   for (guint i = 0; i < group->view->members.members_len; i++)
     {
       const QuinceLedgerPeer *peer
           = quince_ledger_group_find_peer (group, group->view->members.members_val[i].replica);
-      count += peer != NULL && peer->acked_us > 0 && now_us - peer->acked_us <= within_us;
+      count += peer != NULL && peer->acked_us > 0 && now_us - peer->acked_us <= max_age_us;
     }
   return count;
 }
@@ -95,23 +95,23 @@
 static gboolean
 has_proposed_quorum_lease (const QuinceLedgerGroup *group, gint64 now_us)
 {
-  guint silent = 0;
+  guint n_silent = 0;
   for (guint i = 0; i < group->proposed_members->len; i++)
     {
       guint64 replica = g_array_index (group->proposed_members, guint64, i);
       const QuinceLedgerPeer *peer = quince_ledger_group_find_peer (group, replica);
-      gboolean answers
+      gboolean has_answered
           = peer != NULL && peer->acked_us > 0 && now_us - peer->acked_us <= group->limits.confirm_us;
-      silent += replica != group->self.replica && !answers;
+      n_silent += replica != group->self.replica && !has_answered;
     }
-  return silent <= get_proposed_failures_max (group);
+  return n_silent <= get_proposed_failures_max (group);
 }
 
 gboolean
 quince_ledger_group_has_quorum_lease (const QuinceLedgerGroup *group, gint64 now_us)
 {
-  guint others = MIN (group->limits.quorum, group->view->members.members_len) - 1;
-  return count_recent_acks (group, now_us, group->limits.confirm_us) >= others
+  guint others_needed = MIN (group->limits.quorum, group->view->members.members_len) - 1;
+  return count_recent_acks (group, now_us, group->limits.confirm_us) >= others_needed
          && has_proposed_quorum_lease (group, now_us);
 }
 
@@ -141,9 +141,9 @@
 gboolean
 quince_ledger_group_has_quorum_contact (const QuinceLedgerGroup *group, gint64 now_us)
 {
-  guint others = MIN (group->limits.quorum, group->view->members.members_len) - 1;
+  guint others_needed = MIN (group->limits.quorum, group->view->members.members_len) - 1;
   return now_us - group->leading_since_us < group->limits.leader_silence_us
-         || count_in_contact (group, now_us) >= others;
+         || count_in_contact (group, now_us) >= others_needed;
 }
 
 /* Members that get heartbeats elect no other leader.  A leader without contact to a quorum commits and
--- a/lib/core/group/ledger-proposals.c
+++ b/lib/core/group/ledger-proposals.c
@@ -41,9 +41,9 @@
 static QuinceLedgerView *
 make_address_change_view (const QuinceLedgerGroup *group, gint64 now_us)
 {
-  gboolean alone = group->view->primary == group->self.replica
-                   || now_us - group->leader_contact_us >= group->limits.leader_silence_us;
-  if (!alone || group->store_epoch == 0)
+  gboolean without_leader = group->view->primary == group->self.replica
+                            || now_us - group->leader_contact_us >= group->limits.leader_silence_us;
+  if (!without_leader || group->store_epoch == 0)
     return NULL;
   g_autoptr (QuinceLedgerView) view = quince_ledger_view_copy (group->view);
   view->epoch = group->store_epoch;
@@ -75,9 +75,9 @@
 is_caught_up (QuinceLedgerGroup *group, gint64 now_us, const QuinceLedgerPeer *peer)
 {
   /* Before the recovery is over, records beyond the commit index may have been committed too. */
-  guint64 needed = MAX (quince_ledger_group_get_commit_index (group), group->recovery_index);
+  guint64 needed_index = MAX (quince_ledger_group_get_commit_index (group), group->recovery_index);
   return peer->acked_us > 0 && now_us - peer->acked_us <= group->limits.confirm_us
-         && peer->last_index >= needed;
+         && peer->last_index >= needed_index;
 }
 
 /* The member whose place @peer may take: the same machine with another disk, a silent or a leaving one. */
@@ -87,7 +87,7 @@
                          const QuinceLedgerView *view,
                          const QuinceLedgerPeer *peer)
 {
-  const QuinceLedgerMember *found = NULL;
+  const QuinceLedgerMember *replaceable = NULL;
   for (guint i = 0; i < view->members.members_len; i++)
     {
       const QuinceLedgerMember *member = &view->members.members_val[i];
@@ -96,9 +96,9 @@
       if (g_str_equal (member->node, peer->node))
         return member;
       if (is_silent (group, now_us, member->replica) || quince_ledger_group_is_leaving (group, member->node))
-        found = member;
+        replaceable = member;
     }
-  return found;
+  return replaceable;
 }
 
 /* @peer has all committed records and is no member yet. */
@@ -190,10 +190,10 @@
   for (guint i = 0; i < view->members.members_len;)
     {
       const QuinceLedgerMember *member = &view->members.members_val[i];
-      gboolean goes = is_silent (group, now_us, member->replica)
-                      || (member->replica != group->self.replica
-                          && quince_ledger_group_is_leaving (group, member->node));
-      if (goes && view->members.members_len > group->limits.quorum)
+      gboolean should_remove = is_silent (group, now_us, member->replica)
+                               || (member->replica != group->self.replica
+                                   && quince_ledger_group_is_leaving (group, member->node));
+      if (should_remove && view->members.members_len > group->limits.quorum)
         {
           quince_ledger_view_remove (view, member->replica);
           changed = TRUE;
@@ -206,7 +206,7 @@
 
 /* The machine of this leader is to be emptied: proposes that another member leads. */
 static gboolean
-hand_over (const QuinceLedgerGroup *group, QuinceLedgerView *view)
+propose_handover (const QuinceLedgerGroup *group, QuinceLedgerView *view)
 {
   if (!quince_ledger_group_is_leaving (group, group->self.node)
       || view->members.members_len <= group->limits.quorum)
@@ -250,13 +250,13 @@
   gboolean changed = add_joiners (group, now_us, view);
   changed = remove_silent_and_excluded (group, now_us, view) || changed;
   changed = changed || rebalance_zones (group, now_us, view);
-  changed = changed || hand_over (group, view);
+  changed = changed || propose_handover (group, view);
   /* A proposal with unknown outcome is settled by any newer one; so is a note of a change that is not wanted
    * any more. */
   if (!changed && (group->proposed_members->len > 0 || group->wants_notes))
     return g_steal_pointer (&view);
-  gboolean sound = changed && are_members_caught_up (group, now_us, view);
-  return sound && quince_ledger_group_is_noted (group, now_us, view) ? g_steal_pointer (&view) : NULL;
+  gboolean caught_up = changed && are_members_caught_up (group, now_us, view);
+  return caught_up && quince_ledger_group_is_noted (group, now_us, view) ? g_steal_pointer (&view) : NULL;
 }
 
 /* ---- Proposals --------------------------------------------------------- */
--- a/lib/core/group/ledger-recipients.c
+++ b/lib/core/group/ledger-recipients.c
@@ -68,8 +68,8 @@
     }
   g_ptr_array_sort (spares, compare_spares);
   guint members = group->view->members.members_len;
-  guint lacking = group->limits.members_max > members ? group->limits.members_max - members : 0;
-  guint spares_max = lacking + group->limits.quorum;
+  guint vacancies = group->limits.members_max > members ? group->limits.members_max - members : 0;
+  guint spares_max = vacancies + group->limits.quorum;
   for (guint i = 0; spares->len > 0 && i < spares_max; i++)
     {
       const QuinceLedgerPeer *spare
--- a/lib/core/group/send-window.c
+++ b/lib/core/group/send-window.c
@@ -8,13 +8,13 @@
 {
   guint64 last_index;
   gsize bytes;
-} Sent;
+} InFlightMessage;
 
 struct _QuinceSendWindow
 {
   gsize max_bytes;
-  gsize bytes;
-  GQueue messages; /* Sent, owned, the oldest first */
+  gsize in_flight_bytes;
+  GQueue messages; /* InFlightMessage, owned, the oldest first */
 };
 
 QuinceSendWindow *
@@ -38,18 +38,18 @@
 void
 quince_send_window_add_message (QuinceSendWindow *window, guint64 last_index, gsize bytes)
 {
-  const Sent sent = { .last_index = last_index, .bytes = bytes };
-  g_queue_push_tail (&window->messages, g_memdup2 (&sent, sizeof sent));
-  window->bytes += bytes;
+  const InFlightMessage message = { .last_index = last_index, .bytes = bytes };
+  g_queue_push_tail (&window->messages, g_memdup2 (&message, sizeof message));
+  window->in_flight_bytes += bytes;
 }
 
 void
 quince_send_window_acknowledge (QuinceSendWindow *window, guint64 last_index)
 {
-  for (Sent *sent = g_queue_peek_head (&window->messages); sent != NULL && sent->last_index <= last_index;
-       sent = g_queue_peek_head (&window->messages))
+  for (InFlightMessage *message = g_queue_peek_head (&window->messages);
+       message != NULL && message->last_index <= last_index; message = g_queue_peek_head (&window->messages))
     {
-      window->bytes -= sent->bytes;
+      window->in_flight_bytes -= message->bytes;
       g_free (g_queue_pop_head (&window->messages));
     }
 }
@@ -57,5 +57,5 @@
 gboolean
 quince_send_window_is_open (const QuinceSendWindow *window)
 {
-  return window->bytes < window->max_bytes;
+  return window->in_flight_bytes < window->max_bytes;
 }
--- a/tests/unit/ledger-world.h
+++ b/tests/unit/ledger-world.h
@@ -28,8 +28,8 @@
       node->led_epoch = view->epoch;
       world_judge_leader (world, index, view->epoch);
       world_keep (node);
-      const WorldRecord mark = { .epoch = view->epoch };
-      g_array_append_val (node->disk.log, mark);
+      const WorldRecord epoch_record = { .epoch = view->epoch };
+      g_array_append_val (node->disk.log, epoch_record);
       world_note_end (node);
     }
 }
@@ -44,8 +44,8 @@
   for (guint i = 0; i < world->committed->len; i++)
     {
       const WorldRecord *committed = &g_array_index (world->committed, WorldRecord, i);
-      const WorldRecord *held = &g_array_index (node->disk.log, WorldRecord, i);
-      if (committed->value != held->value || committed->epoch != held->epoch)
+      const WorldRecord *record = &g_array_index (node->disk.log, WorldRecord, i);
+      if (committed->value != record->value || committed->epoch != record->epoch)
         fail_msg ("seed %u: record %u was committed with another value", world->seed, i + 1);
     }
 }
@@ -60,8 +60,8 @@
     {
       node->recovered = TRUE;
       world->leads++;
-      g_autofree char *what = g_strdup_printf ("LEADS n%u", index);
-      world_trace (world, what, NULL);
+      g_autofree char *event = g_strdup_printf ("LEADS n%u", index);
+      world_trace (world, event, NULL);
       world_check_leader_log (world, node);
     }
   if (!node->recovered)
@@ -75,8 +75,8 @@
   for (guint64 i = 0; i < MIN (commit, world->committed->len); i++)
     {
       const WorldRecord *committed = &g_array_index (world->committed, WorldRecord, i);
-      const WorldRecord *held = &g_array_index (node->disk.log, WorldRecord, i);
-      if (committed->value != held->value || committed->epoch != held->epoch)
+      const WorldRecord *record = &g_array_index (node->disk.log, WorldRecord, i);
+      if (committed->value != record->value || committed->epoch != record->epoch)
         fail_msg ("seed %u: two leaders committed different records at %" G_GUINT64_FORMAT, world->seed,
                   i + 1);
     }
@@ -166,9 +166,10 @@
   for (guint i = 0; i < world->n_nodes; i++)
     {
       guint64 replica = world->nodes[i].disk.replica;
-      gboolean asked = kind == QUINCE_LEDGER_QUERY_LEADER ? replica == view->primary
-                                                          : quince_ledger_view_find (view, replica) != NULL;
-      if (i != index && asked)
+      gboolean is_recipient = kind == QUINCE_LEDGER_QUERY_LEADER
+                                  ? replica == view->primary
+                                  : quince_ledger_view_find (view, replica) != NULL;
+      if (i != index && is_recipient)
         world_send (world, WORLD_QUERY, index, i)->query = query;
     }
 }
@@ -197,10 +198,10 @@
   for (guint i = 0; epoch != 0 && i < world->n_nodes; i++)
     if (i != index)
       {
-        WorldMessage *ask = world_send (world, WORLD_ASK, index, i);
-        ask->epoch = epoch;
-        ask->replica = node->disk.replica;
-        ask->end = world_log_end (node);
+        WorldMessage *request = world_send (world, WORLD_ASK, index, i);
+        request->epoch = epoch;
+        request->replica = node->disk.replica;
+        request->end = world_log_end (node);
       }
   world_query_leader (world, index);
   world_inform_members (world, index);
@@ -242,15 +243,15 @@
   if (accepted && message->records != NULL)
     {
       /* As the disk does it: what is the same stays, from the first difference on all is replaced. */
-      guint same = 0;
-      while (same < MIN (node->disk.log->len, message->records->len)
-             && g_array_index (node->disk.log, WorldRecord, same).epoch
-                    == g_array_index (message->records, WorldRecord, same).epoch)
-        same++;
-      g_array_set_size (node->disk.log, same);
-      if (same < message->records->len)
-        g_array_append_vals (node->disk.log, &g_array_index (message->records, WorldRecord, same),
-                             message->records->len - same);
+      guint n_same = 0;
+      while (n_same < MIN (node->disk.log->len, message->records->len)
+             && g_array_index (node->disk.log, WorldRecord, n_same).epoch
+                    == g_array_index (message->records, WorldRecord, n_same).epoch)
+        n_same++;
+      g_array_set_size (node->disk.log, n_same);
+      if (n_same < message->records->len)
+        g_array_append_vals (node->disk.log, &g_array_index (message->records, WorldRecord, n_same),
+                             message->records->len - n_same);
       world_note_end (node);
     }
   WorldMessage *ack = world_send (world, WORLD_ACK, index, message->from);
@@ -293,17 +294,18 @@
 static inline void
 world_complete_store_call (World *world, WorldMessage *message)
 {
-  gboolean fails = world_store_fails (world, message->to) && !message->late;
-  gboolean done = message->outcome == QUINCE_PROPOSAL_DONE && !fails && world->revision == message->revision;
-  if (done)
+  gboolean store_fails = world_store_fails (world, message->to) && !message->late;
+  gboolean applied
+      = message->outcome == QUINCE_PROPOSAL_DONE && !store_fails && world->revision == message->revision;
+  if (applied)
     world_apply_change (world, message->view, message->revision);
   WorldNode *node = &world->nodes[message->to];
   if (node->group == NULL || node->incarnation != message->incarnation)
     return;
   QuinceProposalOutcome outcome = message->outcome;
-  if (outcome == QUINCE_PROPOSAL_DONE && !done)
-    outcome = fails ? QUINCE_PROPOSAL_NOT_DONE : QUINCE_PROPOSAL_CONFLICT;
-  if (fails && outcome == QUINCE_PROPOSAL_NOT_DONE && g_rand_int_range (world->random, 0, 2) == 0)
+  if (outcome == QUINCE_PROPOSAL_DONE && !applied)
+    outcome = store_fails ? QUINCE_PROPOSAL_NOT_DONE : QUINCE_PROPOSAL_CONFLICT;
+  if (store_fails && outcome == QUINCE_PROPOSAL_NOT_DONE && g_rand_int_range (world->random, 0, 2) == 0)
     {
       outcome = QUINCE_PROPOSAL_UNKNOWN;
       world_change_later (world, message);
@@ -371,8 +373,8 @@
     {
       WorldMessage *message = world->messages->pdata[i];
       /* What comes for a frozen process waits for it. */
-      gboolean held = world->nodes[message->to].frozen && message->kind != WORLD_STORE_ANSWER;
-      if (message->due_us > world->now_us || held)
+      gboolean delayed = world->nodes[message->to].frozen && message->kind != WORLD_STORE_ANSWER;
+      if (message->due_us > world->now_us || delayed)
         {
           i++;
           continue;
--- a/tests/unit/test-ledger-group.c
+++ b/tests/unit/test-ledger-group.c
@@ -154,13 +154,13 @@
   world_run (world, 3500);
   assert_false (quince_ledger_group_may_answer (world->nodes[former].group, world->now_us));
   assert_false (quince_ledger_group_may_order (world->nodes[former].group, world->now_us));
-  gint now = world_find_leader (world);
-  assert_int_not_equal (now, -1);
-  assert_false (quince_ledger_group_may_order (world->nodes[now].group, world->now_us));
+  gint leader = world_find_leader (world);
+  assert_int_not_equal (leader, -1);
+  assert_false (quince_ledger_group_may_order (world->nodes[leader].group, world->now_us));
   world->nodes[former].frozen = FALSE;
   world_run (world, 4500);
-  now = world_find_leader (world);
-  assert_true (quince_ledger_group_may_order (world->nodes[now].group, world->now_us));
+  leader = world_find_leader (world);
+  assert_true (quince_ledger_group_may_order (world->nodes[leader].group, world->now_us));
   world_free (world);
 }
 
@@ -171,10 +171,10 @@
 random_fault (World *world, gint *wiped)
 {
   guint node = (guint)g_rand_int_range (world->random, 0, (gint32)world->n_nodes);
-  gint32 kind = g_rand_int_range (world->random, 0, 9);
-  g_autofree char *what = g_strdup_printf ("FAULT %d on n%u", kind, node);
-  world_trace (world, what, NULL);
-  switch (kind)
+  gint32 fault = g_rand_int_range (world->random, 0, 9);
+  g_autofree char *event = g_strdup_printf ("FAULT %d on n%u", fault, node);
+  world_trace (world, event, NULL);
+  switch (fault)
     {
     case 0:
     case 1:
@@ -368,7 +368,7 @@
   now_us += 3 * G_USEC_PER_SEC;
   guint64 epoch = quince_ledger_group_campaign (group, now_us);
   guint64 expected = 0;
-  g_autoptr (QuinceLedgerView) lead = quince_ledger_group_propose (group, now_us, &expected);
+  g_autoptr (QuinceLedgerView) takeover = quince_ledger_group_propose (group, now_us, &expected);
   quince_ledger_group_proposal_ended (group, now_us, QUINCE_PROPOSAL_DONE, 6);
   const QuinceLogEnd end = { .epoch = epoch, .index = 1 };
   quince_ledger_group_set_log_end (group, &end);
@@ -401,7 +401,7 @@
   assert_int_equal (quince_ledger_group_get_commit_index (group), 5);
   quince_ledger_group_free (group);
   group = make_leader_of_two (100 * G_USEC_PER_SEC);
-  g_autoptr (QuinceLedgerView) again = quince_ledger_group_propose (group, now, &expected);
+  g_autoptr (QuinceLedgerView) second_change = quince_ledger_group_propose (group, now, &expected);
   quince_ledger_group_proposal_ended (group, now, QUINCE_PROPOSAL_UNKNOWN, 0);
   quince_ledger_group_set_log_end (group, &end);
   quince_ledger_group_peer_acked (group, 2, 6, now);
--- a/tests/unit/test-ledger-one-way.c
+++ b/tests/unit/test-ledger-one-way.c
@@ -10,31 +10,31 @@
 #define FAILOVER_MAX_MS (1000 + LEAD_MS)
 #define SEEDS 60
 /* Cuts of one seed, and the longest time of each, ms. */
-#define CUTS 12
+#define CUTS_PER_SEED 12
 #define CUT_INTERVAL_MAX_MS 6000
 /* Time in which a leader must lead and all members follow after the last cut, ms. */
 #define HEAL_MS 9000
 
 /* Nothing that is sent to @node arrives, but for what the metadata store answers. */
 static void
-cut_incoming_links (World *world, guint node, gboolean deaf)
+cut_incoming_links (World *world, guint node, gboolean cut)
 {
   for (guint i = 0; i < world->n_nodes; i++)
-    world->cut[i][node] = deaf && i != node;
+    world->cut[i][node] = cut && i != node;
 }
 
 static void
-set_store_unreachable_except (World *world, guint node, gboolean away)
+set_store_unreachable_except (World *world, guint node, gboolean unreachable)
 {
   for (guint i = 0; i < world->n_nodes; i++)
-    world->store_away[i] = away && i != node;
+    world->store_away[i] = unreachable && i != node;
 }
 
 /* The leader stands in the region of the store, and the members in the other one: what they send is lost. */
 static void
-test_deaf_leader (void **state)
+test_leader_without_incoming_links (void **state)
 {
-  guint slowest = 0;
+  guint slowest_ms = 0;
   for (guint32 seed = 1; seed <= SEEDS; seed++)
     {
       World *world = settled_world (7000 + seed, seed % 2 == 0 ? 3 : 6, seed % 2 == 0 ? 1 : 2);
@@ -42,8 +42,8 @@
       set_store_unreachable_except (world, former, TRUE);
       cut_incoming_links (world, former, TRUE);
       world_run (world, 1000);
-      guint waited = await_leader (world, former, FAILOVER_MAX_MS);
-      slowest = MAX (slowest, waited);
+      guint waited_ms = await_leader (world, former, FAILOVER_MAX_MS);
+      slowest_ms = MAX (slowest_ms, waited_ms);
       assert_commits_continue (world, 500);
       cut_incoming_links (world, former, FALSE);
       set_store_unreachable_except (world, former, FALSE);
@@ -52,7 +52,7 @@
       assert_commits_continue (world, 500);
       world_free (world);
     }
-  print_message ("slowest: %u ms\n", slowest);
+  print_message ("slowest: %u ms\n", slowest_ms);
 }
 
 /* Spare replicas stand on the leader's side and could replace the members that it does not hear: a change of
@@ -66,9 +66,9 @@
       guint former = (guint)world_find_leader (world);
       for (guint i = 0; i < world->n_nodes; i++)
         {
-          gboolean member = quince_ledger_view_find (world->view, world->nodes[i].disk.replica) != NULL;
-          world->cut[i][former] = member && i != former;
-          world->store_away[i] = member && i != former;
+          gboolean is_member = quince_ledger_view_find (world->view, world->nodes[i].disk.replica) != NULL;
+          world->cut[i][former] = is_member && i != former;
+          world->store_away[i] = is_member && i != former;
         }
       await_leader (world, former, FAILOVER_MAX_MS + 1000);
       assert_commits_continue (world, 500);
@@ -85,7 +85,7 @@
 static void
 test_restarted_leader_without_incoming_links (void **state)
 {
-  guint slowest = 0;
+  guint slowest_ms = 0;
   for (guint32 seed = 1; seed <= SEEDS; seed++)
     {
       World *world = settled_world (8000 + seed, seed % 2 == 0 ? 3 : 6, seed % 2 == 0 ? 1 : 2);
@@ -94,8 +94,8 @@
       cut_incoming_links (world, former, TRUE);
       world_kill (world, former);
       world_start (world, former, FALSE);
-      guint waited = await_leader (world, former, FAILOVER_MAX_MS);
-      slowest = MAX (slowest, waited);
+      guint waited_ms = await_leader (world, former, FAILOVER_MAX_MS);
+      slowest_ms = MAX (slowest_ms, waited_ms);
       assert_commits_continue (world, 500);
       cut_incoming_links (world, former, FALSE);
       set_store_unreachable_except (world, former, FALSE);
@@ -103,7 +103,7 @@
       assert_true (world_has_enough_members (world));
       world_free (world);
     }
-  print_message ("slowest: %u ms\n", slowest);
+  print_message ("slowest: %u ms\n", slowest_ms);
 }
 
 static void
@@ -131,7 +131,7 @@
   for (guint32 seed = 1; seed <= SEEDS; seed++)
     {
       World *world = settled_world (9000 + seed, seed % 2 == 0 ? 3 : 6, seed % 2 == 0 ? 1 : 2);
-      for (guint i = 0; i < CUTS; i++)
+      for (guint i = 0; i < CUTS_PER_SEED; i++)
         {
           change_random_cut (world);
           world_run (world, (guint)g_rand_int_range (world->random, 10, CUT_INTERVAL_MAX_MS));
@@ -153,7 +153,7 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_deaf_leader),
+    cmocka_unit_test (test_leader_without_incoming_links),
     cmocka_unit_test (test_leader_cut_from_members),
     cmocka_unit_test (test_restarted_leader_without_incoming_links),
     cmocka_unit_test (test_random_one_way_cuts),
--- a/tests/unit/test-ledger-zones.c
+++ b/tests/unit/test-ledger-zones.c
@@ -50,7 +50,7 @@
 }
 
 static void
-lose_zone (World *world, guint zone)
+kill_zone (World *world, guint zone)
 {
   for (guint i = 0; i < world->n_nodes; i++)
     if (get_zone_of_node (i) == zone)
@@ -89,7 +89,7 @@
       World *world = world_new_in_zones (100 + seed, MACHINES, LOSSES, ZONES);
       settle (world);
       guint lost = seed % ZONES;
-      lose_zone (world, lost);
+      kill_zone (world, lost);
       for (guint i = 0; i < world->n_nodes; i++)
         if (get_zone_of_node (i) == lost)
           world_wipe (world, i);
@@ -110,7 +110,7 @@
   settle (world);
   for (guint zone = 0; zone < ZONES; zone++)
     {
-      lose_zone (world, zone);
+      kill_zone (world, zone);
       world_run (world, 4000);
       assert_commits_continue (world, 2000);
       restart_zone (world, zone);
@@ -127,9 +127,9 @@
 {
   World *world = world_new_in_zones (11, MACHINES, LOSSES, ZONES);
   settle (world);
-  guint primary_zone = get_zone_of_node ((guint)world_find_leader (world));
-  guint lost = (primary_zone + 1) % ZONES;
-  lose_zone (world, lost);
+  guint leader_zone = get_zone_of_node ((guint)world_find_leader (world));
+  guint lost = (leader_zone + 1) % ZONES;
+  kill_zone (world, lost);
   world_run (world, 6000);
   assert_int_equal (count_members_in_zone (world, lost), 0);
   assert_true (world_has_enough_members (world));
@@ -182,7 +182,7 @@
       world_run (world, 100 * seed);
       world_start (world, leader, FALSE);
       settle (world);
-      lose_zone (world, (get_zone_of_node (leader) + 1) % ZONES);
+      kill_zone (world, (get_zone_of_node (leader) + 1) % ZONES);
       world_run (world, 5000);
       assert_commits_continue (world, 2000);
       world_free (world);
