--- a/lib/core/group/ledger-leases.c
+++ b/lib/core/group/ledger-leases.c
@@ -1,11 +1,12 @@
 /*
- * ledger-leases.c: which records are committed, and for how long the leader may act on the last answers of
- * its backups.
+ * ledger-leases.c: the commit index of the leader, and its lease, which lasts while a quorum acknowledges its
+ * messages.
  */
 #include "ledger-group-private.h"
 
 /* ---- Commits ---------------------------------------------------------- */
 
+/* Returns the index of the last record that @replica is known to have on disk. */
 static guint64
 get_held_index (const QuinceLedgerGroup *group, guint64 replica)
 {
@@ -23,7 +24,7 @@
   return first > second ? -1 : first < second;
 }
 
-/* The greatest index up to which all but @lacking of @replicas hold the log. */
+/* Returns the greatest index up to which all but @n_excepted of @replicas have the log on disk. */
 static guint64
 get_index_held_by_all_except (const QuinceLedgerGroup *group, const GArray *replicas, guint n_excepted)
 {
@@ -37,7 +38,8 @@
   return g_array_index (indexes, guint64, indexes->len - 1 - n_excepted);
 }
 
-/* The greatest index that a quorum of the view holds. */
+/* Returns the index up to which a quorum of the view has the log on disk; 0 if the view has fewer members
+ * than a quorum. */
 static guint64
 get_index_held_by_quorum (const QuinceLedgerGroup *group)
 {
@@ -50,8 +52,8 @@
   return get_index_held_by_all_except (group, replicas, replicas->len - group->limits.quorum);
 }
 
-/* How many replicas of all proposed views may lack a record, or be silent, so that a quorum of each of these
- * views is left. */
+/* Returns how many replicas of all proposed views together may lack a record, or be silent, while each of
+ * these views still has a quorum. */
 static guint
 get_proposed_failures_max (const QuinceLedgerGroup *group)
 {
@@ -64,9 +66,9 @@
   if (group->role != QUINCE_LEDGER_LEADER)
     return group->commit_index;
   guint64 held_index = get_index_held_by_quorum (group);
-  /* Any of the proposed views may come into force: a quorum of each holds what is committed.  Not all of
-   * their members, or one that is lost while the store does not tell whether its view is in force would hold
-   * up every record. */
+  /* Any of the proposed views may come into force, so a committed record needs a quorum of each.  It does not
+   * need all of their members: otherwise the loss of one of them would block all commits while the outcome
+   * of a proposal is unknown. */
   if (group->proposed_members->len > 0)
     held_index = MIN (held_index, get_index_held_by_all_except (group, group->proposed_members,
                                                                 get_proposed_failures_max (group)));
@@ -77,7 +79,7 @@
 
 /* ---- Leases ----------------------------------------------------------- */
 
-/* Other members of the view that answered something that was sent within the last @within_us. */
+/* Returns how many other members of the view acknowledged a message sent at most @max_age_us ago. */
 static guint
 count_recent_acks (const QuinceLedgerGroup *group, gint64 now_us, gint64 max_age_us)
 {
@@ -91,7 +93,8 @@
   return count;
 }
 
-/* Any of the proposed views may be in force: a quorum of the members of each has answered lately. */
+/* Returns whether a quorum of each proposed view has recently acknowledged a message.  Any of these views may
+ * already be in force. */
 static gboolean
 has_proposed_quorum_lease (const QuinceLedgerGroup *group, gint64 now_us)
 {
@@ -115,8 +118,9 @@
          && has_proposed_quorum_lease (group, now_us);
 }
 
-/* An answer of the store is enough only where no record is committed, and no leader elected, without this
- * replica. */
+/* Returns whether a recent answer of the metadata store confirms this leader.  Such an answer suffices only
+ * if this replica is part of every quorum, so that no record is committed and no leader elected without it.
+ */
 static gboolean
 store_confirms_leader (const QuinceLedgerGroup *group, gint64 now_us)
 {
@@ -124,7 +128,7 @@
          && now_us - group->confirmed_us <= group->limits.confirm_us;
 }
 
-/* Other members of which a message arrived within the silence after which members replace a leader. */
+/* Returns from how many other members a message has arrived within the leader silence timeout. */
 static guint
 count_in_contact (const QuinceLedgerGroup *group, gint64 now_us)
 {
@@ -146,9 +150,9 @@
          || count_in_contact (group, now_us) >= others_needed;
 }
 
-/* Members that get heartbeats elect no other leader.  A leader without contact to a quorum commits and
- * answers nothing, so it stops its heartbeats: across a link that passes messages one way only, the members
- * would follow it for as long as that lasts. */
+/* Members elect no other leader while they receive heartbeats.  A leader without contact to a quorum can
+ * neither commit nor answer, so it sends nothing to members.  Otherwise, if only messages from the leader
+ * arrive, the members would keep following a leader that cannot serve. */
 gboolean
 quince_ledger_group_may_send (const QuinceLedgerGroup *group, gint64 now_us, guint64 replica)
 {
--- a/lib/core/group/ledger-proposals.c
+++ b/lib/core/group/ledger-proposals.c
@@ -1,16 +1,16 @@
 /*
- * ledger-proposals.c: which change of the view a replica proposes, and when.
+ * ledger-proposals.c: decides which change of the view a replica proposes to the metadata store, and when.
  */
 #include "ledger-group-private.h"
 
 #include <string.h>
 
-/* Pause after a proposal that failed, us.  Not measured: a few calls of the store, short against the 1 s of
- * silence of a member that is to be replaced. */
+/* Delay after a failed proposal, us; short compared with the silence after which a member is replaced. */
 #define PROPOSAL_RETRY_DELAY_US (300 * 1000)
 
-/* ---- At a backup, and at the first start ------------------------------- */
+/* ---- Proposals of a backup and at the first start ---------------------- */
 
+/* The first view of a new system: this replica is its leader and only member. */
 static QuinceLedgerView *
 make_initial_view (QuinceLedgerGroup *group)
 {
@@ -22,7 +22,8 @@
   return view;
 }
 
-/* The members stay: it is not known yet which of them have all committed records. */
+/* Returns a view that this replica leads, or %NULL if it is not elected.  The members stay the same, since it
+ * is not known yet which of them have all committed records. */
 static QuinceLedgerView *
 make_takeover_view (QuinceLedgerGroup *group)
 {
@@ -36,8 +37,9 @@
   return view;
 }
 
-/* Members that were all restarted at other addresses find each other by the view alone: the lead and the
- * members stay, this replica's address is corrected.  A leader that is heard does that itself. */
+/* Returns the view in the store with the new address of this replica; %NULL if the address has not changed or
+ * there is a leader, which updates addresses itself.  Members that were all restarted at new addresses can
+ * find each other only through the view. */
 static QuinceLedgerView *
 make_address_change_view (const QuinceLedgerGroup *group, gint64 now_us)
 {
@@ -59,7 +61,7 @@
   return view != NULL ? view : make_address_change_view (group, now_us);
 }
 
-/* ---- At the leader ----------------------------------------------------- */
+/* ---- Proposals of the leader ------------------------------------------- */
 
 static gboolean
 is_silent (const QuinceLedgerGroup *group, gint64 now_us, guint64 replica)
@@ -74,13 +76,14 @@
 static gboolean
 is_caught_up (QuinceLedgerGroup *group, gint64 now_us, const QuinceLedgerPeer *peer)
 {
-  /* Before the recovery is over, records beyond the commit index may have been committed too. */
+  /* Until recovery ends, an earlier leader may have committed records beyond the known commit index. */
   guint64 needed_index = MAX (quince_ledger_group_get_commit_index (group), group->recovery_index);
   return peer->acked_us > 0 && now_us - peer->acked_us <= group->limits.confirm_us
          && peer->last_index >= needed_index;
 }
 
-/* The member whose place @peer may take: the same machine with another disk, a silent or a leaving one. */
+/* Returns the member that @peer may replace, or %NULL if there is none: a member on the same machine, whose
+ * disk was replaced, or else one that is silent or must leave. */
 static const QuinceLedgerMember *
 find_replaceable_member (const QuinceLedgerGroup *group,
                          gint64 now_us,
@@ -101,7 +104,8 @@
   return replaceable;
 }
 
-/* @peer has all committed records and is no member yet. */
+/* Returns whether @peer may become a member: it is not one yet, has all committed records, and its machine
+ * may keep records. */
 static gboolean
 may_join (QuinceLedgerGroup *group, gint64 now_us, const QuinceLedgerView *view, const QuinceLedgerPeer *peer)
 {
@@ -109,7 +113,7 @@
          && !quince_ledger_group_is_leaving (group, peer->node);
 }
 
-/* A peer that may join, in a zone that may have one more member; %NULL: there is none. */
+/* Returns a peer that may join and whose zone may have one more member, or %NULL if there is none. */
 static const QuinceLedgerPeer *
 find_joiner_in_zone_with_room (QuinceLedgerGroup *group, gint64 now_us, const QuinceLedgerView *view)
 {
@@ -124,8 +128,9 @@
   return NULL;
 }
 
-/* The zone of @peer has members enough, and a replica of another zone can take the place.  A machine that
- * came back with another disk takes its own place. */
+/* Returns whether @peer must not join because its zone has the maximum number of members and a replica of
+ * another zone can join instead.  A machine that returns with a new disk is exempt: it replaces its former
+ * member. */
 static gboolean
 defers_to_other_zone (QuinceLedgerGroup *group,
                       gint64 now_us,
@@ -138,7 +143,8 @@
          && find_joiner_in_zone_with_room (group, now_us, view) != NULL;
 }
 
-/* A member of a zone that has too many gives its place to a replica elsewhere, one at a time. */
+/* Replaces one member of a zone with too many members by a replica of another zone.  Returns whether @view
+ * changed. */
 static gboolean
 rebalance_zones (QuinceLedgerGroup *group, gint64 now_us, QuinceLedgerView *view)
 {
@@ -204,7 +210,8 @@
   return changed;
 }
 
-/* The machine of this leader is to be emptied: proposes that another member leads. */
+/* If the machine of this leader must not keep records any more, removes this replica from @view and makes
+ * another member its leader.  Returns whether @view changed. */
 static gboolean
 propose_handover (const QuinceLedgerGroup *group, QuinceLedgerView *view)
 {
@@ -224,7 +231,7 @@
   return FALSE;
 }
 
-/* Each member that may lead next has all committed records. */
+/* Returns whether each member of @view has all committed records, since any of them may lead next. */
 static gboolean
 are_members_caught_up (QuinceLedgerGroup *group, gint64 now_us, const QuinceLedgerView *view)
 {
@@ -241,7 +248,7 @@
 static QuinceLedgerView *
 make_leader_proposal (QuinceLedgerGroup *group, gint64 now_us)
 {
-  /* A member has promised to follow another replica: this one needs promises of a greater epoch. */
+  /* A member has promised a greater epoch to another replica: this one must be elected again. */
   if (group->refused_with > group->view->epoch)
     return make_takeover_view (group);
   g_autoptr (QuinceLedgerView) view = quince_ledger_view_copy (group->view);
@@ -251,8 +258,8 @@
   changed = remove_silent_and_excluded (group, now_us, view) || changed;
   changed = changed || rebalance_zones (group, now_us, view);
   changed = changed || propose_handover (group, view);
-  /* A proposal with unknown outcome is settled by any newer one; so is a note of a change that is not wanted
-   * any more. */
+  /* Without a change, writes the same members under a new revision if a proposal has an unknown outcome, or
+   * if members were asked to acknowledge a change that is no longer needed.  The new revision voids both. */
   if (!changed && (group->proposed_members->len > 0 || group->wants_notes))
     return g_steal_pointer (&view);
   gboolean caught_up = changed && are_members_caught_up (group, now_us, view);
@@ -269,7 +276,7 @@
       = group->proposed_members->len > 0 ? MIN (group->proposed_members_min, members) : members;
   for (guint i = 0; i < members; i++)
     quince_replica_list_add (group->proposed_members, view->members.members_val[i].replica);
-  /* The replica that it names may lead as soon as the store has it. */
+  /* Another replica that the view names as leader may lead as soon as the store has the view. */
   group->hands_over = group->hands_over || view->primary != group->self.replica;
 }
 
--- a/lib/core/group/ledger-recipients.c
+++ b/lib/core/group/ledger-recipients.c
@@ -1,12 +1,13 @@
 /*
- * ledger-recipients.c: which of the linked replicas the leader sends its records to.
+ * ledger-recipients.c: chooses the linked replicas that the leader sends its records to.
  *
- * Every machine with a disk links to the leader; only the members of the view must have the log.  A few spare
- * replicas are kept at its end, so that the place of a lost member is taken at once; the others get
- * heartbeats alone.
+ * Every machine with a disk links to the leader, but only the members of the view need the log.  A few spare
+ * replicas receive all records too, so that one of them can replace a lost member immediately.  The others
+ * receive only heartbeats.
  */
 #include "ledger-group-private.h"
 
+/* Sorts by the length of the log, longest first, then by replica id. */
 static gint
 compare_spares (gconstpointer a, gconstpointer b)
 {
@@ -21,12 +22,12 @@
 may_be_spare (const QuinceLedgerGroup *group, gint64 now_us, const QuinceLedgerPeer *peer)
 {
   gboolean leaving = quince_ledger_group_is_leaving (group, peer->node);
-  /* One that has not answered yet may do so; one that has and does not any more is of no use. */
+  /* A replica that has never acknowledged a message is not silent: it may just have linked. */
   gboolean silent = peer->acked_us > 0 && now_us - peer->acked_us > group->limits.member_silence_us;
   return !leaving && !silent;
 }
 
-/* How many of @recipients are in the zone of @peer. */
+/* Returns how many of @recipients are in the zone of @peer; 0 if its zone is not known. */
 static guint
 count_in_zone (const QuinceLedgerGroup *group, const GArray *recipients, const QuinceLedgerPeer *peer)
 {
@@ -38,8 +39,8 @@
   return count;
 }
 
-/* The first of @spares in the zone with fewest recipients: a member of a lost zone is replaced from another
- * one. */
+/* Returns the index in @spares of the first one whose zone has the fewest recipients, so that members of a
+ * lost zone can be replaced by replicas of another zone.  Without zone awareness, returns 0. */
 static guint
 choose_spare (const QuinceLedgerGroup *group, const GArray *recipients, const GPtrArray *spares)
 {
--- a/lib/core/group/ledger-zones.c
+++ b/lib/core/group/ledger-zones.c
@@ -1,8 +1,8 @@
 /*
- * ledger-zones.c: the spread of members over zones, so that the loss of a zone leaves a quorum.
+ * ledger-zones.c: spreads the members over zones, so that a quorum survives the loss of a zone.
  *
- * With no more members in a zone than the group can lose, each acknowledged record is in two zones at
- * least.
+ * A zone has at most as many members as the group can lose, so each acknowledged record is in at least two
+ * zones.
  */
 #include "ledger-group-private.h"
 
--- a/lib/core/group/send-window.c
+++ b/lib/core/group/send-window.c
@@ -1,9 +1,9 @@
 /*
- * send-window.c: bytes on their way to a backup, by message.
+ * send-window.c: counts the bytes in flight to a backup, by message.
  */
 #include "core/group/send-window.h"
 
-/* One message that is not acknowledged yet. */
+/* A message that is not acknowledged yet. */
 typedef struct
 {
   guint64 last_index;
@@ -14,7 +14,7 @@
 {
   gsize max_bytes;
   gsize in_flight_bytes;
-  GQueue messages; /* InFlightMessage, owned, the oldest first */
+  GQueue messages; /* InFlightMessage, owned, oldest first */
 };
 
 QuinceSendWindow *
--- a/lib/core/group/send-window.h
+++ b/lib/core/group/send-window.h
@@ -1,8 +1,8 @@
 /*
- * send-window.h: bounds the bytes that a leader has sent to a backup without an acknowledgement.
+ * send-window.h: limits the bytes in flight from a leader to a backup: sent, but not acknowledged.
  *
- * Without a bound the whole log would wait in the memory of a leader for each backup that reads slowly.  Owns
- * the list of messages on their way.  Pure.
+ * Without a limit, the leader could buffer the whole log in memory for each slow backup.  Pure: no I/O and no
+ * clock.
  */
 #pragma once
 
@@ -12,14 +12,15 @@
 
 typedef struct _QuinceSendWindow QuinceSendWindow;
 
-/* @max_bytes: the window is closed while so many bytes are not acknowledged */
+/* @max_bytes: the window is closed while at least this many bytes are in flight */
 QuinceSendWindow *quince_send_window_new (gsize max_bytes);
 void quince_send_window_free (QuinceSendWindow *window);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (QuinceSendWindow, quince_send_window_free)
-/* A message with records up to @last_index was sent; @bytes: size of the records */
+/* Adds a sent message with records up to @last_index; @bytes: size of the records */
 void quince_send_window_add_message (QuinceSendWindow *window, guint64 last_index, gsize bytes);
-/* The backup has all records up to @last_index on disk. */
+/* Removes the messages whose records the backup has on disk: those up to @last_index. */
 void quince_send_window_acknowledge (QuinceSendWindow *window, guint64 last_index);
+/* Returns whether another message may be sent. */
 gboolean quince_send_window_is_open (const QuinceSendWindow *window);
 
 G_END_DECLS
--- a/tests/unit/ledger-world.h
+++ b/tests/unit/ledger-world.h
@@ -1,10 +1,9 @@
 /*
- * ledger-world.h: replicas of the batch ledger in virtual time: disks, links, a metadata store, and their
- * faults.
+ * ledger-world.h: simulates replicas of the batch ledger in virtual time, with disks, links, a metadata store
+ * and faults.
  *
- * Each replica is driven as the daemon drives it.  Each record that a leader reports as committed is
- * kept here for good and compared with the log of every later leader.  All replicas are checked
- * at each step.
+ * Calls each replica in the same way as the daemon.  Keeps each record that a leader reports as committed and
+ * compares it with the log of every later leader.  Checks all replicas at each step.
  */
 #pragma once
 
@@ -34,7 +33,7 @@
     }
 }
 
-/* Every record that was reported as committed must be in the log of each leader. */
+/* Fails unless the log of a new leader has every record that was reported as committed. */
 static inline void
 world_check_leader_log (World *world, WorldNode *node)
 {
@@ -50,6 +49,8 @@
     }
 }
 
+/* Marks a leader as recovered once it may answer, then keeps the records that it has committed and compares
+ * them with those that earlier leaders committed. */
 static inline void
 world_record_commits (World *world, guint index)
 {
@@ -82,7 +83,8 @@
     }
 }
 
-/* A link to the leader lasts until one of its ends is restarted, or the leader has a new epoch. */
+/* Links a backup to its leader, unless it is linked already.  A link lasts until either end restarts or the
+ * leader has a new epoch. */
 static inline void
 world_connect_to_leader (World *world, guint index)
 {
@@ -100,7 +102,7 @@
   world_send (world, WORLD_HELLO, index, (guint)leader)->replica = node->disk.replica;
 }
 
-/* ---- Who leads -------------------------------------------------------- */
+/* ---- Leader election -------------------------------------------------- */
 
 static inline void
 world_send_lead (World *world, guint from, guint to)
@@ -114,7 +116,7 @@
   message->lead.view = *message->view;
 }
 
-/* Informs members that are not linked, several times a second while the store is away. */
+/* Tells members that are not linked who leads, repeatedly while the leader cannot reach the store. */
 static inline void
 world_inform_members (World *world, guint index)
 {
@@ -133,7 +135,8 @@
     }
 }
 
-/* A quorum that promised makes a leader where the store is away or slow; it informs the members at once. */
+/* Makes a replica leader that a quorum has promised to follow while the store is unreachable or slow, and
+ * tells the members immediately. */
 static inline void
 world_lead_without_store (World *world, guint index)
 {
@@ -242,7 +245,7 @@
     return;
   if (accepted && message->records != NULL)
     {
-      /* As the disk does it: what is the same stays, from the first difference on all is replaced. */
+      /* As in the daemon, records are kept up to the first difference, and all later ones are replaced. */
       guint n_same = 0;
       while (n_same < MIN (node->disk.log->len, message->records->len)
              && g_array_index (node->disk.log, WorldRecord, n_same).epoch
@@ -290,7 +293,7 @@
   promise->end = world_log_end (node);
 }
 
-/* The change reaches the store now, whether its answer arrives or not. */
+/* Applies a proposed change to the store and passes the outcome to the proposer, if it has not restarted. */
 static inline void
 world_complete_store_call (World *world, WorldMessage *message)
 {
@@ -372,7 +375,7 @@
   for (guint i = 0; i < world->messages->len;)
     {
       WorldMessage *message = world->messages->pdata[i];
-      /* What comes for a frozen process waits for it. */
+      /* Messages to a frozen process wait until it resumes. */
       gboolean delayed = world->nodes[message->to].frozen && message->kind != WORLD_STORE_ANSWER;
       if (message->due_us > world->now_us || delayed)
         {
@@ -398,7 +401,7 @@
     world_step (world);
 }
 
-/* @zones: see World */
+/* @losses: machines that may be lost; @zones: zones that the nodes are assigned to in turn, 0: none */
 static inline World *
 world_new_in_zones (guint32 seed, guint n_nodes, guint losses, guint zones)
 {
@@ -453,11 +456,11 @@
   for (guint i = 0; i < world->n_nodes; i++)
     {
       world->cut[index][i] = world->cut[i][index] = cut && i != index;
-      world->nodes[i].hello_incarnation = 0; /* their links broke */
+      world->nodes[i].hello_incarnation = 0; /* all replicas must link again */
     }
 }
 
-/* The node that leads and knows all, or -1. */
+/* Returns the node whose replica leads, has recovered and may answer; or -1. */
 static inline gint
 world_find_leader (World *world)
 {
@@ -468,7 +471,8 @@
   return -1;
 }
 
-/* Every node that is up is a member of the view in the store. */
+/* Returns whether the view in the store has the maximum number of running nodes as members: 2 * losses + 1,
+ * or all nodes if the world has fewer. */
 static inline gboolean
 world_has_enough_members (World *world)
 {
--- a/tests/unit/test-ledger-group.c
+++ b/tests/unit/test-ledger-group.c
@@ -1,11 +1,12 @@
 /*
- * test-ledger-group.c: the batch ledger's group in virtual time, case by case and under seeded faults.
+ * test-ledger-group.c: replication and failover of the batch ledger in virtual time, in single scenarios and
+ * under random faults.
  */
 #include "ledger-world.h"
 
 #include <stdlib.h>
 
-/* All members are taken in; the store may answer late meanwhile. */
+/* Runs until a leader can answer and the view has enough members; fails after 10 s. */
 static void
 settle (World *world)
 {
@@ -25,7 +26,7 @@
   world_free (world);
 }
 
-/* Nothing is acknowledged on one disk alone. */
+/* One machine alone must not commit records. */
 static void
 test_no_commit_without_quorum (void **state)
 {
@@ -48,7 +49,7 @@
   world_free (world);
 }
 
-/* The store is down while a store machine is cut off: a quorum goes on. */
+/* A quorum must keep committing while the metadata store is down and one backup is cut off. */
 static void
 test_backup_cut_while_store_is_down (void **state)
 {
@@ -77,7 +78,7 @@
   world_free (world);
 }
 
-/* Disk after disk is lost, the oldest first, each after the one before is back. */
+/* Disks are lost one after another, each after the previous machine has rejoined. */
 static void
 test_disks_lost_in_turn (void **state)
 {
@@ -95,7 +96,7 @@
   world_free (world);
 }
 
-/* At the end one disk is lost while all other machines lose power. */
+/* One disk is lost while all machines lose power. */
 static void
 test_lost_disk_while_all_others_lose_power (void **state)
 {
@@ -118,7 +119,7 @@
     }
 }
 
-/* A machine is emptied; right after it another one loses its disk. */
+/* The leader's machine is drained; after that, another machine loses its disk. */
 static void
 test_lost_disk_after_drain (void **state)
 {
@@ -143,7 +144,8 @@
   world_free (world);
 }
 
-/* A frozen leader that wakes does not speak for the ledger, and gives no orders. */
+/* A frozen leader must not answer or give orders once its lease has expired.  Its successor must wait for the
+ * order pause before it gives orders. */
 static void
 test_frozen_leader_loses_lease (void **state)
 {
@@ -164,9 +166,10 @@
   world_free (world);
 }
 
-/* ---- Seeded faults ---------------------------------------------------- */
+/* ---- Random faults ---------------------------------------------------- */
 
-/* One fault at a time takes a disk; kills, cuts, freezes and outages of the store come as they like. */
+/* Injects a random fault.  A disk may be lost only after the group has recovered from the loss of the
+ * previous one; kills, partitions, freezes and store outages may overlap. */
 static void
 random_fault (World *world, gint *wiped)
 {
@@ -194,7 +197,7 @@
       world->store_down = !world->store_down;
       break;
     case 6:
-      /* Another disk may go once the machine that lost the last one holds all again. */
+      /* The previous lost disk must be replaced in the group first. */
       if (*wiped >= 0 && !(world_has_enough_members (world) && world_find_leader (world) >= 0))
         break;
       world_wipe (world, node);
@@ -259,15 +262,15 @@
   return count;
 }
 
-/* Failed first: every machine with a disk was sent every record, so that a leader's bytes grew with their
- * number. Now the members and a few spare ones are; who is lost is made up for by those. */
+/* Only the members and a few spare replicas may receive records, otherwise the leader's traffic grows with
+ * the number of machines.  A spare replica must replace each lost member. */
 static void
 test_spare_replicas (void **state)
 {
   World *world = world_new (7, 12, 1);
   settle (world);
   world_run (world, 3000);
-  assert_int_equal (count_recipients (world), 4); /* two members beside the leader, two spare ones */
+  assert_int_equal (count_recipients (world), 4); /* two members besides the leader, two spare replicas */
   for (guint round = 0; round < 6; round++)
     {
       guint lost = ((guint)world_find_leader (world) + 1 + round % 2) % world->n_nodes;
@@ -300,8 +303,9 @@
     quince_ledger_group_confine (world->nodes[i].group, nodes);
 }
 
-/* Only some machines may keep records: the others leave, the leader too, and none of them is sent more. Where
- * those are fewer than a quorum, others stay rather than that what was acknowledged is lost. */
+/* All other machines must leave the view, including the leader, and receive no more records.  If fewer
+ * machines than a quorum are allowed, some others must stay members, so that no acknowledged record is lost.
+ */
 static void
 test_allowed_nodes (void **state)
 {
@@ -344,7 +348,7 @@
     run_seed (seed + 200000 + i, 8, 1);
 }
 
-/* ---- A change of members without an answer ------------------------------ */
+/* ---- A change of members with an unknown outcome ------------------------ */
 
 static const QuinceLedgerMember change_members[] = { { .node = "n1", .address = "n1", .replica = 1 },
                                                      { .node = "n2", .address = "n2", .replica = 2 },
@@ -380,8 +384,9 @@
   return group;
 }
 
-/* The joiner is lost before the store says whether it is a member: records are committed by both members,
- * which are a quorum of the view with it too, and by nothing less. */
+/* It is unknown whether replica 3 has become a member.  Replicas 1 and 2 are a quorum of both possible views,
+ * so records are committed once both have them.  An acknowledgement of replica 3 neither replaces that of
+ * replica 2 nor is it required. */
 static void
 test_unknown_outcome_needs_quorum_of_each_view (void **state)
 {
--- a/tests/unit/test-ledger-one-way.c
+++ b/tests/unit/test-ledger-one-way.c
@@ -1,21 +1,22 @@
 /*
- * test-ledger-one-way.c: links of the batch ledger that pass messages one way alone, in virtual time.
+ * test-ledger-one-way.c: links of the batch ledger that deliver messages in one direction only, in virtual
+ * time.
  *
- * A leader that is heard and hears nobody takes nothing, since no quorum answers it.  Its heartbeats kept the
- * members from electing another leader for as long as the cut lasted: no replica led within any time.
+ * A leader that receives no messages cannot commit.  If it went on sending heartbeats, the members would
+ * elect no other leader for as long as the cut lasts.
  */
 #include "ledger-scene.h"
 
-/* Time in which another leader must lead, ms: the former one falls silent after 1 s without an answer. */
+/* Time limit for the next leader: the former one stops its heartbeats after 1 s without a quorum. */
 #define FAILOVER_MAX_MS (1000 + LEAD_MS)
 #define SEEDS 60
-/* Cuts of one seed, and the longest time of each, ms. */
+/* Number of random changes of the links per seed, and the longest time between two. */
 #define CUTS_PER_SEED 12
 #define CUT_INTERVAL_MAX_MS 6000
-/* Time in which a leader must lead and all members follow after the last cut, ms. */
+/* Time limit for a leader and a complete view after all links and the store work again. */
 #define HEAL_MS 9000
 
-/* Nothing that is sent to @node arrives, but for what the metadata store answers. */
+/* Drops all messages to @node, except answers of the metadata store, or stops dropping them. */
 static void
 cut_incoming_links (World *world, guint node, gboolean cut)
 {
@@ -30,7 +31,8 @@
     world->store_away[i] = unreachable && i != node;
 }
 
-/* The leader stands in the region of the store, and the members in the other one: what they send is lost. */
+/* The leader is in the region of the metadata store and receives nothing from the members, which cannot reach
+ * the store. */
 static void
 test_leader_without_incoming_links (void **state)
 {
@@ -52,11 +54,12 @@
       assert_commits_continue (world, 500);
       world_free (world);
     }
-  print_message ("slowest: %u ms\n", slowest_ms);
+  print_message ("slowest failover: %u ms\n", slowest_ms);
 }
 
-/* Spare replicas stand on the leader's side and could replace the members that it does not hear: a change of
- * members that they have noted, and that it cannot make, would keep them from electing another leader. */
+/* The leader still receives messages from spare replicas and could replace the members with them.  If the
+ * members acknowledged this change, but the leader could not complete it, they could not elect another
+ * leader. */
 static void
 test_leader_cut_from_members (void **state)
 {
@@ -81,7 +84,8 @@
     }
 }
 
-/* It is restarted behind the cut: it asks for the lead again and again, and no promise reaches it. */
+/* The leader restarts during the cut.  It campaigns again and again, since no promise reaches it, which must
+ * not keep the members from electing another leader. */
 static void
 test_restarted_leader_without_incoming_links (void **state)
 {
@@ -103,7 +107,7 @@
       assert_true (world_has_enough_members (world));
       world_free (world);
     }
-  print_message ("slowest: %u ms\n", slowest_ms);
+  print_message ("slowest failover: %u ms\n", slowest_ms);
 }
 
 static void
@@ -124,7 +128,7 @@
     }
 }
 
-/* The world judges each step; after the last cut a leader leads and all follow. */
+/* The world checks each step.  Once all links work again, there must be a leader and a complete view. */
 static void
 test_random_one_way_cuts (void **state)
 {
@@ -143,7 +147,7 @@
         }
       world_run (world, HEAL_MS);
       if (world_find_leader (world) < 0 || !world_has_enough_members (world))
-        fail_msg ("seed %u: not whole %u ms after the last cut", 9000 + seed, HEAL_MS);
+        fail_msg ("seed %u: no leader or an incomplete view %u ms after the last cut", 9000 + seed, HEAL_MS);
       assert_commits_continue (world, 1000);
       world_free (world);
     }
--- a/tests/unit/test-ledger-zones.c
+++ b/tests/unit/test-ledger-zones.c
@@ -1,12 +1,13 @@
 /*
- * test-ledger-zones.c: the ledger's members over zones, and the loss of a zone, in virtual time.
+ * test-ledger-zones.c: the spread of the ledger's members over zones, and the loss of a zone, in virtual
+ * time.
  */
 #include "ledger-world.h"
 
-#define MACHINES 9 /* three a zone */
-#define ZONES 3    /* the fewest over which five members can be spread two a zone at most */
-#define LOSSES 2   /* machines that may be lost: five members, quorum of three */
-#define SEEDS 20   /* schedules that each case is played with */
+#define MACHINES 9 /* three per zone */
+#define ZONES 3    /* minimum for five members with at most two per zone */
+#define LOSSES 2   /* machines that may be lost: five members, a quorum of three */
+#define SEEDS 20   /* random schedules per test case */
 
 static guint
 get_zone_of_node (guint node)
@@ -65,7 +66,7 @@
       world_start (world, i, FALSE);
 }
 
-/* Failed first (members stood anywhere): three of five in one zone for some seeds. */
+/* No zone may hold three of the five members. */
 static void
 test_members_are_spread (void **state)
 {
@@ -79,8 +80,8 @@
     }
 }
 
-/* Whichever zone is lost, with its disks: what was committed is there, and commits go on. The world compares
- * all that is committed later with what was before. */
+/* Commits must continue after the loss of any zone with its disks.  The world checks that later leaders have
+ * all records that were committed before. */
 static void
 test_lost_zone_with_its_disks (void **state)
 {
@@ -102,7 +103,7 @@
     }
 }
 
-/* One zone after the other, while a machine of another one is away. */
+/* Zones are lost one after another, each after the previous one has returned. */
 static void
 test_zones_lost_in_turn (void **state)
 {
@@ -120,8 +121,8 @@
   world_free (world);
 }
 
-/* The members of a lost zone are replaced from the others, and give their places back once it has returned.
- */
+/* Replicas of other zones must replace the members of a lost zone.  Once it returns, the members must be
+ * spread over all zones again. */
 static void
 test_members_of_lost_zone_are_replaced (void **state)
 {
@@ -138,6 +139,7 @@
   world_free (world);
 }
 
+/* Returns a node of @zone that is a member but not the leader, or %G_MAXUINT if there is none. */
 static guint
 find_backup_in_zone (World *world, guint zone)
 {
@@ -148,7 +150,7 @@
   return G_MAXUINT;
 }
 
-/* Disk after disk is lost in a spread group: nothing is lost with them, and commits go on. */
+/* Commits must continue while the disks of members in different zones are lost one after another. */
 static void
 test_disks_lost_in_spread_group (void **state)
 {
@@ -168,8 +170,8 @@
   world_free (world);
 }
 
-/* The leader dies while members are spread, and a zone just after: the next one knows no zone but its own.
- */
+/* A zone is lost after the leader has changed.  A new leader knows only its own zone at first and must learn
+ * the others from the replicas that link to it. */
 static void
 test_zone_lost_after_failover (void **state)
 {
@@ -189,7 +191,7 @@
     }
 }
 
-/* Where no loss of a zone is to be borne, nothing moves for the sake of zones. */
+/* Without zones, a settled group must not change its view any more. */
 static void
 test_no_change_without_zones (void **state)
 {
--- a/tests/unit/test-send-window.c
+++ b/tests/unit/test-send-window.c
@@ -1,5 +1,5 @@
 /*
- * test-send-window.c: bytes that a backup has not acknowledged are bounded.
+ * test-send-window.c: the limit on the bytes in flight to a backup.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -22,12 +22,12 @@
   assert_false (quince_send_window_is_open (window));
   quince_send_window_acknowledge (window, 10);
   assert_true (quince_send_window_is_open (window));
-  /* 600 bytes are outstanding: exactly 400 more close the window. */
+  /* 600 bytes are in flight: exactly 400 more close the window. */
   quince_send_window_add_message (window, 30, 399);
   assert_true (quince_send_window_is_open (window));
   quince_send_window_add_message (window, 40, 1);
   assert_false (quince_send_window_is_open (window));
-  /* None are: exactly 1000 close it. */
+  /* No bytes are in flight: exactly 1000 close the window. */
   quince_send_window_acknowledge (window, 500);
   quince_send_window_add_message (window, 600, 999);
   assert_true (quince_send_window_is_open (window));
