--- a/tests/unit/test-ledger-group.c
+++ b/tests/unit/test-ledger-group.c
@@ -171,7 +171,7 @@
 /* Injects a random fault.  A disk may be lost only after the group has recovered from the loss of the
  * previous one; kills, partitions, freezes and store outages may overlap. */
 static void
-random_fault (World *world, gint *wiped)
+random_fault (World *world, gint *last_wiped)
 {
   guint node = (guint)g_rand_int_range (world->random, 0, (gint32)world->n_nodes);
   gint32 fault = g_rand_int_range (world->random, 0, 9);
@@ -198,10 +198,10 @@
       break;
     case 6:
       /* The previous lost disk must be replaced in the group first. */
-      if (*wiped >= 0 && !(world_has_enough_members (world) && world_find_leader (world) >= 0))
+      if (*last_wiped >= 0 && !(world_has_enough_members (world) && world_find_leader (world) >= 0))
         break;
       world_wipe (world, node);
-      *wiped = (gint)node;
+      *last_wiped = (gint)node;
       break;
     default:
       for (guint i = 0; i < world->n_nodes; i++)
@@ -231,11 +231,11 @@
 run_seed (guint32 seed, guint n_nodes, guint losses)
 {
   World *world = world_new (seed, n_nodes, losses);
-  gint wiped = -1;
+  gint last_wiped = -1;
   settle (world);
   for (guint round = 0; round < 25; round++)
     {
-      random_fault (world, &wiped);
+      random_fault (world, &last_wiped);
       world_run (world, (guint)g_rand_int_range (world->random, 10, 1500));
       if (round % 8 == 7)
         {
@@ -309,23 +309,23 @@
 static void
 test_allowed_nodes (void **state)
 {
-  static const char *const three[] = { "n1", "n3", "n5", NULL };
-  static const char *const one[] = { "n3", NULL };
+  static const char *const three_nodes[] = { "n1", "n3", "n5", NULL };
+  static const char *const one_node[] = { "n3", NULL };
   World *world = world_new (9, 6, 1);
   settle (world);
-  set_allowed_nodes_on_all (world, three);
+  set_allowed_nodes_on_all (world, three_nodes);
   world_run (world, 8000);
-  assert_int_equal (count_members_outside (world, three), 0);
+  assert_int_equal (count_members_outside (world, three_nodes), 0);
   assert_int_equal (world->view->members.members_len, 3);
   assert_true (world_find_leader (world) % 2 == 1);
   const WorldNode *leader = &world->nodes[world_find_leader (world)];
   for (guint i = 0; i < world->n_nodes; i += 2)
     assert_false (world_is_recipient (world, leader, world->nodes[i].disk.replica));
   assert_commits_continue (world, 500);
-  set_allowed_nodes_on_all (world, one);
+  set_allowed_nodes_on_all (world, one_node);
   world_run (world, 8000);
   assert_int_equal (world->view->members.members_len, 2);
-  assert_int_equal (count_members_outside (world, one), 1);
+  assert_int_equal (count_members_outside (world, one_node), 1);
   assert_commits_continue (world, 500);
   set_allowed_nodes_on_all (world, NULL);
   world_run (world, 8000);
--- a/tests/unit/test-ledger-one-way.c
+++ b/tests/unit/test-ledger-one-way.c
@@ -111,7 +111,7 @@
 }
 
 static void
-change_random_cut (World *world)
+inject_random_fault (World *world)
 {
   guint from = (guint)g_rand_int_range (world->random, 0, (gint32)world->n_nodes);
   guint to = (guint)g_rand_int_range (world->random, 0, (gint32)world->n_nodes);
@@ -137,7 +137,7 @@
       World *world = settled_world (9000 + seed, seed % 2 == 0 ? 3 : 6, seed % 2 == 0 ? 1 : 2);
       for (guint i = 0; i < CUTS_PER_SEED; i++)
         {
-          change_random_cut (world);
+          inject_random_fault (world);
           world_run (world, (guint)g_rand_int_range (world->random, 10, CUT_INTERVAL_MAX_MS));
         }
       for (guint i = 0; i < world->n_nodes; i++)
