--- a/daemons/replica/ledger-election.c
+++ b/daemons/replica/ledger-election.c
@@ -97,7 +97,7 @@
                                    const QuinceLedgerAsk *ask)
 {
   const QuinceLogEnd end = { .epoch = ask->last_epoch, .index = ask->last_index };
-  if (!quince_ledger_group_promise (election->group, quince_now_us (), ask->replica, ask->epoch, &end)
+  if (!quince_ledger_group_grant_promise (election->group, quince_now_us (), ask->replica, ask->epoch, &end)
       || !quince_ledger_storage_keep (election->storage, "promise"))
     return;
   election->callbacks->role_changed (election->user_data);
@@ -111,7 +111,8 @@
   quince_log_info ("promise_got",
                    "from=%" G_GUINT64_FORMAT " epoch=%" G_GUINT64_FORMAT " index=%" G_GUINT64_FORMAT,
                    (guint64)promise->replica, (guint64)promise->epoch, end.index);
-  quince_ledger_group_promised_by (election->group, quince_now_us (), promise->replica, promise->epoch, &end);
+  quince_ledger_group_handle_promise (election->group, quince_now_us (), promise->replica, promise->epoch,
+                                      &end);
   election->callbacks->propose (election->user_data);
   quince_ledger_election_lead_without_store (election);
 }
@@ -148,7 +149,7 @@
 quince_ledger_election_lead_without_store (QuinceLedgerElection *election)
 {
   gboolean store_fails = quince_meta_store_is_failing (election->store);
-  if (!quince_ledger_group_lead_without_store (election->group, quince_now_us (), store_fails))
+  if (!quince_ledger_group_try_lead_without_store (election->group, quince_now_us (), store_fails))
     return;
   /* Its own promise is on the disk before it leads. */
   quince_ledger_storage_keep_or_abort (election->storage);
@@ -220,7 +221,7 @@
 quince_ledger_election_take_lead (QuinceLedgerElection *election, const QuinceLedgerLead *lead)
 {
   guint64 before = get_known_epoch (election);
-  quince_ledger_group_take_lead (election->group, quince_now_us (), lead);
+  quince_ledger_group_handle_lead (election->group, quince_now_us (), lead);
   if (get_known_epoch (election) != before)
     quince_log_info ("ledger_lead_told",
                      "by=%" G_GUINT64_FORMAT " epoch=%" G_GUINT64_FORMAT " primary=%" G_GUINT64_FORMAT
--- a/daemons/replica/ledger-follower.c
+++ b/daemons/replica/ledger-follower.c
@@ -112,7 +112,7 @@
 static void
 refuse (QuinceLedgerFollower *follower, const QuinceLedgerAppend *append)
 {
-  guint64 promised = quince_ledger_group_get_kept (follower->group)->promised;
+  guint64 promised = quince_ledger_group_get_persistent_state (follower->group)->promised;
   if (promised > append->epoch)
     send_ack (follower, append, promised);
 }
@@ -160,7 +160,7 @@
 {
   if (append->replica != follower->self->replica)
     return;
-  if (!quince_ledger_group_accepts (follower->group, quince_now_us (), append->epoch))
+  if (!quince_ledger_group_accept_leader (follower->group, quince_now_us (), append->epoch))
     {
       refuse (follower, append);
       return;
--- a/daemons/replica/ledger-membership.c
+++ b/daemons/replica/ledger-membership.c
@@ -120,11 +120,11 @@
 get_outcome (const GError *error)
 {
   if (error == NULL)
-    return QUINCE_PROPOSAL_DONE;
+    return QUINCE_PROPOSAL_APPLIED;
   if (g_error_matches (error, QUINCE_META_ERROR, QUINCE_META_ERROR_CONFLICT))
     return QUINCE_PROPOSAL_CONFLICT;
   if (g_error_matches (error, QUINCE_META_ERROR, QUINCE_META_ERROR_UNAVAILABLE))
-    return QUINCE_PROPOSAL_NOT_DONE;
+    return QUINCE_PROPOSAL_NOT_APPLIED;
   return QUINCE_PROPOSAL_UNKNOWN;
 }
 
@@ -150,7 +150,8 @@
     {
       quince_log_failure ("view_not_encoded", "epoch=%" G_GUINT64_FORMAT " code=%d", (guint64)view->epoch,
                           error->code);
-      quince_ledger_group_proposal_ended (membership->group, quince_now_us (), QUINCE_PROPOSAL_NOT_DONE, 0);
+      quince_ledger_group_proposal_ended (membership->group, quince_now_us (), QUINCE_PROPOSAL_NOT_APPLIED,
+                                          0);
       return;
     }
   const QuinceMetaChange change
--- a/daemons/replica/ledger-node.c
+++ b/daemons/replica/ledger-node.c
@@ -305,7 +305,7 @@
   node->zone = g_strdup (options->zone);
   node->group
       = quince_ledger_group_new (&node->self, &options->limits, quince_batch_log_get_persistent_state (log),
-                                 options->may_found, quince_now_us ());
+                                 options->may_bootstrap, quince_now_us ());
   quince_ledger_group_set_zone (node->group, node->self.replica, node->zone);
   quince_ledger_storage_set_group (node->storage, node->group);
 }
@@ -394,7 +394,7 @@
 void
 quince_ledger_node_set_leaving (QuinceLedgerNode *node, const char *const *nodes)
 {
-  quince_ledger_group_set_leaving (node->group, nodes);
+  quince_ledger_group_set_draining_nodes (node->group, nodes);
 }
 
 void
--- a/daemons/replica/ledger-node.h
+++ b/daemons/replica/ledger-node.h
@@ -47,7 +47,7 @@
  * @several_regions: the platform has several regions: a new leader sends records to members alone until it
  * has read its log and its owner has called quince_ledger_node_confine()
  * @limits: of the group
- * @may_found: the whole system starts for the first time
+ * @may_bootstrap: the whole system starts for the first time
  */
 typedef struct
 {
@@ -56,7 +56,7 @@
   const char *zone;
   const char *folder;
   gboolean several_regions;
-  gboolean may_found;
+  gboolean may_bootstrap;
   QuinceLedgerLimits limits;
 } QuinceLedgerNodeOptions;
 
@@ -79,7 +79,7 @@
 
 /* A change of the ledger's key in the metadata store; %NULL and 0 where it holds none. */
 void quince_ledger_node_take_view (QuinceLedgerNode *node, GBytes *value, guint64 revision);
-/* As quince_ledger_group_set_leaving(). */
+/* As quince_ledger_group_set_draining_nodes(). */
 void quince_ledger_node_set_leaving (QuinceLedgerNode *node, const char *const *nodes);
 /* At the leader: only the machines @nodes (nullable, %NULL-terminated) may keep records, from now on; records
  * on others that are no members are cleared.  %NULL: all may. */
--- a/daemons/replica/ledger-replication.c
+++ b/daemons/replica/ledger-replication.c
@@ -143,7 +143,7 @@
   replication->confinement_known = TRUE;
   g_strfreev (replication->confined);
   replication->confined = g_strdupv ((char **)nodes);
-  quince_ledger_group_confine (replication->group, nodes);
+  quince_ledger_group_set_allowed_nodes (replication->group, nodes);
   if (replication->epoch != 0)
     quince_ledger_replication_choose (replication);
 }
@@ -211,7 +211,7 @@
   QuinceLedgerBackup *backup = find_by_link (replication, link);
   if (backup == NULL || ack->epoch != replication->epoch || ack->replica != backup->replica)
     return FALSE;
-  quince_ledger_group_note_contact (replication->group, backup->replica, quince_now_us ());
+  quince_ledger_group_record_contact (replication->group, backup->replica, quince_now_us ());
   if (ack->promised > ack->epoch)
     {
       quince_ledger_group_peer_refused (replication->group, ack->promised);
--- a/daemons/replica/ledger-storage.c
+++ b/daemons/replica/ledger-storage.c
@@ -90,8 +90,8 @@
 quince_ledger_storage_keep (QuinceLedgerStorage *storage, const char *doing)
 {
   g_autoptr (GError) error = NULL;
-  if (quince_batch_log_save_persistent_state (storage->log, quince_ledger_group_get_kept (storage->group),
-                                              &error))
+  if (quince_batch_log_save_persistent_state (
+          storage->log, quince_ledger_group_get_persistent_state (storage->group), &error))
     return TRUE;
   quince_log_failure ("ledger_disk_failed", "doing=%s reason=\"%s\"", doing, error->message);
   return FALSE;
--- a/daemons/replica/replica-setup.c
+++ b/daemons/replica/replica-setup.c
@@ -119,14 +119,14 @@
     .zone = quince_settings_get_text (settings, "node", "zone"),
     .folder = quince_settings_get_text (settings, "ledger", "folder"),
     .several_regions = quince_topology_count_regions (quince_backends_get_topology (parts->backends)) > 1,
-    .may_found = quince_settings_get_boolean (settings, "ledger", "found"),
+    .may_bootstrap = quince_settings_get_boolean (settings, "ledger", "found"),
     .limits
     = { .quorum = losses + 1,
         .members_max = 2 * losses + 1,
         .zone_losses = (guint)quince_settings_get_integer (settings, "ledger", "zone_losses"),
-        .leader_silence_us = PRIMARY_SILENCE_US,
-        .member_silence_us = MEMBER_SILENCE_US,
-        .confirm_us = CONFIRM_US,
+        .leader_timeout_us = PRIMARY_SILENCE_US,
+        .member_timeout_us = MEMBER_SILENCE_US,
+        .lease_duration_us = CONFIRM_US,
         .order_pause_us = quince_settings_get_duration_us (settings, "orders", "pause") + ORDER_MARGIN_US },
   };
   parts->ledger
--- a/lib/batchlog/batch-log.c
+++ b/lib/batchlog/batch-log.c
@@ -59,7 +59,7 @@
   guint64 replica_id;
   guint64 last_index;
   guint64 commit_index;
-  QuinceLedgerKept persistent_state;
+  QuinceLedgerPersistentState persistent_state;
 };
 
 /* ---- Statements ------------------------------------------------------- */
@@ -224,7 +224,7 @@
   return log->commit_index;
 }
 
-const QuinceLedgerKept *
+const QuinceLedgerPersistentState *
 quince_batch_log_get_persistent_state (const QuinceBatchLog *log)
 {
   return &log->persistent_state;
@@ -242,7 +242,9 @@
 }
 
 gboolean
-quince_batch_log_save_persistent_state (QuinceBatchLog *log, const QuinceLedgerKept *state, GError **error)
+quince_batch_log_save_persistent_state (QuinceBatchLog *log,
+                                        const QuinceLedgerPersistentState *state,
+                                        GError **error)
 {
   return save_number (log, "promised", &log->persistent_state.promised, state->promised, error)
          && save_number (log, "noted", &log->persistent_state.noted, state->noted, error)
--- a/lib/batchlog/batch-log.h
+++ b/lib/batchlog/batch-log.h
@@ -35,10 +35,11 @@
 
 guint64 quince_batch_log_get_replica_id (const QuinceBatchLog *log);
 guint64 quince_batch_log_get_last_index (const QuinceBatchLog *log);
-const QuinceLedgerKept *quince_batch_log_get_persistent_state (const QuinceBatchLog *log);
+const QuinceLedgerPersistentState *quince_batch_log_get_persistent_state (const QuinceBatchLog *log);
 /* Writes the numbers that differ from the stored ones.  Once it returns, they survive a power failure. */
-gboolean
-quince_batch_log_save_persistent_state (QuinceBatchLog *log, const QuinceLedgerKept *state, GError **error);
+gboolean quince_batch_log_save_persistent_state (QuinceBatchLog *log,
+                                                 const QuinceLedgerPersistentState *state,
+                                                 GError **error);
 /* Returns the epoch of the record at @index, or 0 if there is none or it cannot be read. */
 guint64 quince_batch_log_get_epoch (QuinceBatchLog *log, guint64 index);
 /* Returns the commit index passed to the last quince_batch_log_append(). */
--- a/lib/core/group/ledger-campaign.c
+++ b/lib/core/group/ledger-campaign.c
@@ -8,15 +8,15 @@
 
 /* Backups begin to campaign this long after each other, us, in the order of the view, so that they do not
  * compete. Not measured: longer than the exchange of a request and a promise that is on the disk. */
-#define RANK_STEP_US (250 * 1000)
+#define RANK_DELAY_US (250 * 1000)
 /* How long a campaign goes on with one epoch, us; also the pause after a promise to another candidate.  Not
  * measured: longer than two steps of rank. */
-#define CAMPAIGN_US (600 * 1000)
+#define CAMPAIGN_TIMEOUT_US (600 * 1000)
 
 /* For so many promises in a row to one candidate a replica puts off its own campaign.  A candidate that asks
  * on hears no promise, as across a link that passes messages one way only; one that is only slow, or waits
  * for the store, has won by then: three campaigns are 1.8 s. */
-#define DEFERRALS_MAX 3
+#define CAMPAIGN_DEFERRALS_MAX 3
 
 static gboolean
 is_ahead (const QuinceLogEnd *end, const QuinceLogEnd *than)
@@ -27,7 +27,7 @@
 /* The place of this replica among the backups; the leader itself comes after them.  No two have the same one:
  * members that campaign at the same moments promise each other, and neither goes on. */
 static guint
-own_rank (const QuinceLedgerGroup *group)
+get_own_rank (const QuinceLedgerGroup *group)
 {
   if (group->view->primary == group->self.replica)
     return group->view->members.members_len;
@@ -45,7 +45,7 @@
 /* ---- Promises that are given ------------------------------------------ */
 
 gboolean
-quince_ledger_group_accepts (QuinceLedgerGroup *group, gint64 now_us, guint64 epoch)
+quince_ledger_group_accept_leader (QuinceLedgerGroup *group, gint64 now_us, guint64 epoch)
 {
   if (group->view == NULL || group->role == QUINCE_LEDGER_LEADER || epoch != group->view->epoch
       || epoch < group->kept.promised)
@@ -63,54 +63,54 @@
  * not followed another leader then, which might still act on its answers.  Since its start it has followed
  * only leaders that it knew. */
 static gboolean
-knows_lead (const QuinceLedgerGroup *group)
+has_current_lead (const QuinceLedgerGroup *group)
 {
   return group->promised_at_start <= group->view->epoch;
 }
 
 /* The leader that is followed may campaign at once: the lease that its backups gave is its own. */
 static gboolean
-follows_another (const QuinceLedgerGroup *group, gint64 now_us, guint64 replica)
+follows_other_leader (const QuinceLedgerGroup *group, gint64 now_us, guint64 replica)
 {
-  gboolean follows = replica == group->view->primary && knows_lead (group);
-  return !follows && now_us - group->leader_contact_us < group->limits.leader_silence_us;
+  gboolean follows = replica == group->view->primary && has_current_lead (group);
+  return !follows && now_us - group->leader_contact_us < group->limits.leader_timeout_us;
 }
 
 /* A leader that no quorum follows any more promises too: it may have been suspended while another one led,
  * and the candidate that knows all needs its promise. */
 static gboolean
-leads_on (const QuinceLedgerGroup *group, gint64 now_us)
+is_active_leader (const QuinceLedgerGroup *group, gint64 now_us)
 {
   return group->role == QUINCE_LEDGER_LEADER
-         && (now_us - group->leading_since_us < group->limits.leader_silence_us
+         && (now_us - group->leading_since_us < group->limits.leader_timeout_us
              || quince_ledger_group_has_leader_lease (group, now_us));
 }
 
 /* A candidate that lacks records of this log is refused: this replica campaigns itself soon. */
 gboolean
-quince_ledger_group_promise (QuinceLedgerGroup *group,
-                             gint64 now_us,
-                             guint64 replica,
-                             guint64 epoch,
-                             const QuinceLogEnd *end)
+quince_ledger_group_grant_promise (QuinceLedgerGroup *group,
+                                   gint64 now_us,
+                                   guint64 replica,
+                                   guint64 epoch,
+                                   const QuinceLogEnd *end)
 {
-  if (group->view == NULL || leads_on (group, now_us))
+  if (group->view == NULL || is_active_leader (group, now_us))
     return FALSE;
   if (epoch == group->kept.promised && replica == group->promised_to)
     return TRUE; /* its answer was lost */
   /* Its own next campaign must be above the epochs that others may promise meanwhile. */
   group->last_campaign = MAX (group->last_campaign, epoch);
-  if (follows_another (group, now_us, replica) || epoch <= group->kept.promised || epoch <= group->view->epoch
-      || quince_ledger_group_is_elected (group) || is_ahead (&group->end, end))
+  if (follows_other_leader (group, now_us, replica) || epoch <= group->kept.promised
+      || epoch <= group->view->epoch || quince_ledger_group_is_elected (group) || is_ahead (&group->end, end))
     return FALSE;
-  group->promises_in_a_row = replica == group->promised_to ? group->promises_in_a_row + 1 : 1;
+  group->consecutive_promises = replica == group->promised_to ? group->consecutive_promises + 1 : 1;
   group->kept.promised = epoch;
   group->promised_to = replica;
   /* From now on it commits nothing in a lower epoch. */
   group->role = QUINCE_LEDGER_BACKUP;
   quince_ledger_group_end_campaign (group);
-  if (group->promises_in_a_row <= DEFERRALS_MAX)
-    group->campaign_us = now_us + CAMPAIGN_US + (gint64)own_rank (group) * RANK_STEP_US;
+  if (group->consecutive_promises <= CAMPAIGN_DEFERRALS_MAX)
+    group->campaign_us = now_us + CAMPAIGN_TIMEOUT_US + (gint64)get_own_rank (group) * RANK_DELAY_US;
   return TRUE;
 }
 
@@ -145,11 +145,11 @@
   if (group->role == QUINCE_LEDGER_WAITING || !quince_ledger_group_has_member (group, group->self.replica))
     return -1;
   if (group->role == QUINCE_LEDGER_LEADER)
-    return group->refused_with > group->view->epoch ? 0 : -1;
+    return group->refused_epoch > group->view->epoch ? 0 : -1;
   /* It led until its restart, or was handed the lead. */
-  if (group->view->primary == group->self.replica && knows_lead (group))
+  if (group->view->primary == group->self.replica && has_current_lead (group))
     return 0;
-  return group->limits.leader_silence_us + (gint64)own_rank (group) * RANK_STEP_US;
+  return group->limits.leader_timeout_us + (gint64)get_own_rank (group) * RANK_DELAY_US;
 }
 
 guint64
@@ -158,13 +158,13 @@
   gint64 silence = get_required_silence (group);
   if (silence < 0 || (silence > 0 && now_us - group->leader_contact_us < silence))
     return 0;
-  if (group->campaign_epoch != 0 && now_us - group->campaign_us < CAMPAIGN_US)
+  if (group->campaign_epoch != 0 && now_us - group->campaign_us < CAMPAIGN_TIMEOUT_US)
     return group->campaign_epoch; /* the requests may have been lost */
   if (group->campaign_epoch == 0 && now_us < group->campaign_us)
     return 0;
   quince_ledger_group_end_campaign (group);
   /* Above all epochs that are known: a member that promised an earlier campaign promises this one too. */
-  guint64 above = MAX (MAX (group->view->epoch, group->kept.promised), group->refused_with);
+  guint64 above = MAX (MAX (group->view->epoch, group->kept.promised), group->refused_epoch);
   group->last_campaign = MAX (above, group->last_campaign) + 1;
   group->campaign_epoch = group->last_campaign;
   group->campaign_us = now_us;
@@ -172,11 +172,11 @@
 }
 
 void
-quince_ledger_group_promised_by (QuinceLedgerGroup *group,
-                                 gint64 now_us,
-                                 guint64 replica,
-                                 guint64 epoch,
-                                 const QuinceLogEnd *end)
+quince_ledger_group_handle_promise (QuinceLedgerGroup *group,
+                                    gint64 now_us,
+                                    guint64 replica,
+                                    guint64 epoch,
+                                    const QuinceLogEnd *end)
 {
   if (group->campaign_epoch == 0 || epoch != group->campaign_epoch
       || !quince_ledger_group_has_member (group, replica))
@@ -185,7 +185,7 @@
     {
       /* The other one must lead: it may have committed records that this log lacks. */
       quince_ledger_group_end_campaign (group);
-      group->campaign_us = now_us + 2 * CAMPAIGN_US;
+      group->campaign_us = now_us + 2 * CAMPAIGN_TIMEOUT_US;
       return;
     }
   quince_replica_list_add (group->campaign_promises, replica);
--- a/lib/core/group/ledger-group-private.h
+++ b/lib/core/group/ledger-group-private.h
@@ -12,20 +12,20 @@
   guint64 replica;
   char *node;
   char *address;
-  guint64 last_index; /* it has the leader's log on disk up to here */
-  gint64 acked_us;    /* when the latest message that it answered was sent; 0: none was */
-  gint64 contact_us;  /* when its latest message arrived */
-  gint64 cleared_us;  /* when it was ordered to drop all records; 0: never */
+  guint64 last_index;   /* it has the leader's log on disk up to here */
+  gint64 acked_sent_us; /* when the latest message that it answered was sent; 0: none was */
+  gint64 contact_us;    /* when its latest message arrived */
+  gint64 cleared_us;    /* when it was ordered to drop all records; 0: never */
 } QuinceLedgerPeer;
 
 struct _QuinceLedgerGroup
 {
   QuinceLedgerMember self;
   QuinceLedgerLimits limits;
-  gboolean may_found;
+  gboolean may_bootstrap;
   QuinceLedgerRole role;
   QuinceLogEnd end;
-  QuinceLedgerKept kept;
+  QuinceLedgerPersistentState kept;
   GHashTable *zones; /* replica to zone, both owned */
   char **leaving;    /* machines to be emptied */
   char **confined;   /* machines that may keep records; NULL: all */
@@ -35,27 +35,27 @@
   guint64 revision;       /* of the members; 0: none */
   guint64 store_epoch;    /* epoch that the store shows at that revision; 0: not known */
   guint64 store_primary;  /* leader that the store shows */
-  gboolean store_leader_notes; /* the leader of that epoch has changes of members noted first */
-  guint64 noting_epoch;        /* greatest epoch whose leader is known to do so */
-  gboolean view_is_read;       /* the store has answered at least once */
-  gint64 confirmed_us;         /* the view was in force at least until then */
+  gboolean store_leader_collects_acks; /* the leader of that epoch has changes of members noted first */
+  guint64 change_ack_epoch;            /* greatest epoch whose leader is known to do so */
+  gboolean view_is_read;               /* the store has answered at least once */
+  gint64 confirmed_us;                 /* the view was in force at least until then */
 
   /* Proposals of this replica. */
-  QuinceLedgerView *proposal; /* on its way */
-  gint64 proposed_us;         /* when it was made */
-  gint64 propose_after_us;    /* pause after a failed proposal */
-  guint64 proposed_epoch;     /* latest epoch that this process proposed to lead */
-  guint64 led_epoch;          /* epoch that it leads or led */
-  GArray *proposed_members;   /* replicas of all views that were proposed on this revision */
-  guint proposed_members_min; /* number of members of the smallest of those views */
-  gboolean proposal_may_come; /* one of them may yet be done */
-  gboolean hands_over;        /* one of them names another leader */
+  QuinceLedgerView *proposal;  /* on its way */
+  gint64 proposed_us;          /* when it was made */
+  gint64 next_proposal_us;     /* pause after a failed proposal */
+  guint64 proposed_epoch;      /* latest epoch that this process proposed to lead */
+  guint64 led_epoch;           /* epoch that it leads or led */
+  GArray *proposed_members;    /* replicas of all views that were proposed on this revision */
+  guint proposed_members_min;  /* number of members of the smallest of those views */
+  gboolean proposal_may_apply; /* one of them may yet be done */
+  gboolean handover_proposed;  /* one of them names another leader */
 
   /* At a backup. */
   gint64 leader_contact_us;  /* when records of the leader were last accepted, or it last changed */
   guint64 promised_at_start; /* promise on the disk when this process was started */
   guint64 promised_to;       /* replica that has the promise; 0: not known, or the leader that was followed */
-  guint promises_in_a_row;   /* to that replica, each of a greater epoch */
+  guint consecutive_promises; /* to that replica, each of a greater epoch */
 
   /* Its campaign. */
   guint64 campaign_epoch;    /* epoch that promises are asked for; 0: no campaign */
@@ -69,11 +69,11 @@
   /* At the leader. */
   GHashTable *peers; /* QuinceLedgerPeer by replica, owned */
   guint64 commit_index;
-  guint64 recovery_index; /* of the first record of its own epoch */
-  guint64 refused_with;   /* greatest epoch that a member promised to another replica */
-  gboolean wants_notes;   /* a change of members waits for them */
-  GArray *notes;          /* replicas that noted a change on this revision */
-  gint64 order_after_us;  /* it gives no orders before */
+  guint64 recovery_index;         /* of the first record of its own epoch */
+  guint64 refused_epoch;          /* greatest epoch that a member promised to another replica */
+  gboolean wants_change_acks;     /* a change of members waits for them */
+  GArray *notes;                  /* replicas that noted a change on this revision */
+  gint64 orders_blocked_until_us; /* it gives no orders before */
   gint64 leading_since_us;
 };
 
@@ -83,7 +83,7 @@
 /* (transfer none) (nullable) */
 QuinceLedgerPeer *quince_ledger_group_find_peer (const QuinceLedgerGroup *group, guint64 replica);
 /* The machine is to be emptied, or may not keep records. */
-gboolean quince_ledger_group_is_leaving (const QuinceLedgerGroup *group, const char *node);
+gboolean quince_ledger_group_is_node_excluded (const QuinceLedgerGroup *group, const char *node);
 
 /* ---- ledger-zones.c ---- */
 /* Members are to be spread over zones. */
@@ -113,12 +113,13 @@
 
 /* ---- ledger-roles.c ---- */
 /* Takes @view (transfer full) as the one in force, and the role that it gives. */
-void quince_ledger_group_adopt (QuinceLedgerGroup *group, gint64 now_us, QuinceLedgerView *view);
+void quince_ledger_group_adopt_view (QuinceLedgerGroup *group, gint64 now_us, QuinceLedgerView *view);
 /* The members are those of @revision from now on, a greater one than before. */
 void quince_ledger_group_begin_revision (QuinceLedgerGroup *group, guint64 revision);
 
 /* ---- ledger-succession.c ---- */
 /* Enough members have noted that members may change on this revision; else they are asked to note it, if a
  * quorum follows. */
-gboolean
-quince_ledger_group_is_noted (QuinceLedgerGroup *group, gint64 now_us, const QuinceLedgerView *proposed);
+gboolean quince_ledger_group_has_change_acks (QuinceLedgerGroup *group,
+                                              gint64 now_us,
+                                              const QuinceLedgerView *proposed);
--- a/lib/core/group/ledger-group.c
+++ b/lib/core/group/ledger-group.c
@@ -19,8 +19,8 @@
 QuinceLedgerGroup *
 quince_ledger_group_new (const QuinceLedgerMember *self,
                          const QuinceLedgerLimits *limits,
-                         const QuinceLedgerKept *kept,
-                         gboolean may_found,
+                         const QuinceLedgerPersistentState *kept,
+                         gboolean may_bootstrap,
                          gint64 now_us)
 {
   QuinceLedgerGroup *group = g_new0 (QuinceLedgerGroup, 1);
@@ -31,7 +31,7 @@
   group->limits = *limits;
   group->kept = *kept;
   group->promised_at_start = kept->promised;
-  group->may_found = may_found;
+  group->may_bootstrap = may_bootstrap;
   /* It may have acknowledged the leader's records a moment before its restart. */
   group->leader_contact_us = now_us;
   group->peers = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, peer_free);
@@ -64,28 +64,28 @@
 
 /* ---- Settings ---------------------------------------------------------- */
 
-const QuinceLedgerKept *
-quince_ledger_group_get_kept (const QuinceLedgerGroup *group)
+const QuinceLedgerPersistentState *
+quince_ledger_group_get_persistent_state (const QuinceLedgerGroup *group)
 {
   return &group->kept;
 }
 
 void
-quince_ledger_group_set_leaving (QuinceLedgerGroup *group, const char *const *nodes)
+quince_ledger_group_set_draining_nodes (QuinceLedgerGroup *group, const char *const *nodes)
 {
   g_strfreev (group->leaving);
   group->leaving = g_strdupv ((char **)nodes);
 }
 
 void
-quince_ledger_group_confine (QuinceLedgerGroup *group, const char *const *nodes)
+quince_ledger_group_set_allowed_nodes (QuinceLedgerGroup *group, const char *const *nodes)
 {
   g_strfreev (group->confined);
   group->confined = g_strdupv ((char **)nodes);
 }
 
 gboolean
-quince_ledger_group_is_leaving (const QuinceLedgerGroup *group, const char *node)
+quince_ledger_group_is_node_excluded (const QuinceLedgerGroup *group, const char *node)
 {
   if (group->leaving != NULL && g_strv_contains ((const char *const *)group->leaving, node))
     return TRUE;
@@ -130,11 +130,11 @@
   if (requested_us < peer->cleared_us)
     return; /* it answers for records that it has dropped since */
   peer->last_index = MAX (peer->last_index, last_index);
-  peer->acked_us = MAX (peer->acked_us, requested_us);
+  peer->acked_sent_us = MAX (peer->acked_sent_us, requested_us);
 }
 
 void
-quince_ledger_group_note_contact (QuinceLedgerGroup *group, guint64 replica, gint64 now_us)
+quince_ledger_group_record_contact (QuinceLedgerGroup *group, guint64 replica, gint64 now_us)
 {
   QuinceLedgerPeer *peer = quince_ledger_group_find_peer (group, replica);
   if (peer != NULL)
@@ -154,7 +154,7 @@
 void
 quince_ledger_group_peer_refused (QuinceLedgerGroup *group, guint64 promised)
 {
-  group->refused_with = MAX (group->refused_with, promised);
+  group->refused_epoch = MAX (group->refused_epoch, promised);
 }
 
 void
--- a/lib/core/group/ledger-group.h
+++ b/lib/core/group/ledger-group.h
@@ -27,10 +27,10 @@
  * @quorum: machines that must have a record on disk before it is acknowledged
  * @members_max: members while enough machines are there; at most 2 * @quorum - 1
  * @zone_losses: zones that may be lost at once: if any, members are spread over zones; 0: they are not
- * @leader_silence_us: a backup that has not heard its leader for this long may promise another one to follow
+ * @leader_timeout_us: a backup that has not heard its leader for this long may promise another one to follow
  *   it, or campaign
- * @member_silence_us: the leader takes a member that is silent for this long out of the view
- * @confirm_us: how long a leader may act on the last answers of a quorum; less than @leader_silence_us
+ * @member_timeout_us: the leader takes a member that is silent for this long out of the view
+ * @lease_duration_us: how long a leader may act on the last answers of a quorum; less than @leader_timeout_us
  * @order_pause_us: a new leader on another machine gives no orders for this long
  */
 typedef struct
@@ -38,9 +38,9 @@
   guint quorum;
   guint members_max;
   guint zone_losses;
-  gint64 leader_silence_us;
-  gint64 member_silence_us;
-  gint64 confirm_us;
+  gint64 leader_timeout_us;
+  gint64 member_timeout_us;
+  gint64 lease_duration_us;
   gint64 order_pause_us;
 } QuinceLedgerLimits;
 
@@ -53,10 +53,10 @@
 
 typedef enum
 {
-  QUINCE_PROPOSAL_DONE,
-  QUINCE_PROPOSAL_CONFLICT, /* the view had changed before              */
-  QUINCE_PROPOSAL_NOT_DONE, /* and will not be                          */
-  QUINCE_PROPOSAL_UNKNOWN,  /* may be done, now or later, unless the view changes first */
+  QUINCE_PROPOSAL_APPLIED,
+  QUINCE_PROPOSAL_CONFLICT,    /* the view had changed before              */
+  QUINCE_PROPOSAL_NOT_APPLIED, /* and will not be                          */
+  QUINCE_PROPOSAL_UNKNOWN,     /* may be done, now or later, unless the view changes first */
 } QuinceProposalOutcome;
 
 /* Where a log ends. A log that ends with the greater epoch goes further, then the longer one. */
@@ -72,12 +72,12 @@
  * quince_ledger_group_new:
  * @self: this replica
  * @kept: what its disk keeps
- * @may_found: this is the first start of the whole system: the first view may be written
+ * @may_bootstrap: this is the first start of the whole system: the first view may be written
  */
 QuinceLedgerGroup *quince_ledger_group_new (const QuinceLedgerMember *self,
                                             const QuinceLedgerLimits *limits,
-                                            const QuinceLedgerKept *kept,
-                                            gboolean may_found,
+                                            const QuinceLedgerPersistentState *kept,
+                                            gboolean may_bootstrap,
                                             gint64 now_us);
 void quince_ledger_group_free (QuinceLedgerGroup *group);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (QuinceLedgerGroup, quince_ledger_group_free)
@@ -101,39 +101,39 @@
                                          QuinceProposalOutcome outcome,
                                          guint64 revision);
 /* Names of machines that are to be emptied, %NULL-terminated: their replicas leave the view. */
-void quince_ledger_group_set_leaving (QuinceLedgerGroup *group, const char *const *nodes);
+void quince_ledger_group_set_draining_nodes (QuinceLedgerGroup *group, const char *const *nodes);
 /* Only the machines @nodes (nullable, %NULL-terminated) may keep records: others are treated as machines that
  * are to be emptied.  %NULL: all may. */
-void quince_ledger_group_confine (QuinceLedgerGroup *group, const char *const *nodes);
+void quince_ledger_group_set_allowed_nodes (QuinceLedgerGroup *group, const char *const *nodes);
 /* The zone of @replica, this one or another; a replica whose zone was never set is in no zone. */
 void quince_ledger_group_set_zone (QuinceLedgerGroup *group, guint64 replica, const char *zone);
 /* End of the log on this machine's disk. */
 void quince_ledger_group_set_log_end (QuinceLedgerGroup *group, const QuinceLogEnd *end);
 
 /* Must be on disk before a message or record that follows from it is sent or written. (transfer none) */
-const QuinceLedgerKept *quince_ledger_group_get_kept (const QuinceLedgerGroup *group);
+const QuinceLedgerPersistentState *quince_ledger_group_get_persistent_state (const QuinceLedgerGroup *group);
 
 /* ---- At a backup ------------------------------------------------------ */
 
 /* Whether records of the leader of @epoch may be taken; if so this counts as its contact, and @epoch is kept
  * as promised. */
-gboolean quince_ledger_group_accepts (QuinceLedgerGroup *group, gint64 now_us, guint64 epoch);
+gboolean quince_ledger_group_accept_leader (QuinceLedgerGroup *group, gint64 now_us, guint64 epoch);
 /* The member @replica, whose log ends at @end, campaigns with @epoch.  Returns: whether it is promised, or
  * was before; the answer may be sent once that is on disk */
-gboolean quince_ledger_group_promise (QuinceLedgerGroup *group,
-                                      gint64 now_us,
-                                      guint64 replica,
-                                      guint64 epoch,
-                                      const QuinceLogEnd *end);
+gboolean quince_ledger_group_grant_promise (QuinceLedgerGroup *group,
+                                            gint64 now_us,
+                                            guint64 replica,
+                                            guint64 epoch,
+                                            const QuinceLogEnd *end);
 /* Epoch to ask the other members a promise for now; 0: this replica does not campaign.  A former leader that
  * was restarted, and one that was refused, campaign at once. */
 guint64 quince_ledger_group_campaign (QuinceLedgerGroup *group, gint64 now_us);
 /* The member @replica promised @epoch; its log ends at @end. */
-void quince_ledger_group_promised_by (QuinceLedgerGroup *group,
-                                      gint64 now_us,
-                                      guint64 replica,
-                                      guint64 epoch,
-                                      const QuinceLogEnd *end);
+void quince_ledger_group_handle_promise (QuinceLedgerGroup *group,
+                                         gint64 now_us,
+                                         guint64 replica,
+                                         guint64 epoch,
+                                         const QuinceLogEnd *end);
 
 /* ---- Succession without the metadata store ---------------------------- */
 
@@ -144,7 +144,7 @@
   QUINCE_LEDGER_QUERY_LEADER,  /* the leader: whether it has changes of members noted first */
   QUINCE_LEDGER_QUERY_MEMBERS, /* all members: who leads */
   QUINCE_LEDGER_QUERY_VOTES, /* all members, after each request for a promise: whether they know of a note */
-  QUINCE_LEDGER_QUERY_NOTES, /* all members: to note a change of members */
+  QUINCE_LEDGER_QUERY_CHANGE_ACKS, /* all members: to note a change of members */
 } QuinceLedgerQueryKind;
 
 /**
@@ -158,18 +158,18 @@
                                                      gint64 now_us,
                                                      gboolean store_fails,
                                                      QuinceLedgerQuery *query);
-/* Another replica, or a front, asks who leads.  Write quince_ledger_group_get_kept() to disk before the
- * answer is sent. */
+/* Another replica, or a front, asks who leads.  Write quince_ledger_group_get_persistent_state() to disk
+ * before the answer is sent. */
 void
 quince_ledger_group_handle_query (QuinceLedgerGroup *group, gint64 now_us, const QuinceLedgerQuery *query);
 /* The answer; %FALSE: no view is known.  @lead borrows the view until the next call. */
 gboolean quince_ledger_group_get_lead (const QuinceLedgerGroup *group, QuinceLedgerLead *lead);
 /* Another replica's answer. */
-void quince_ledger_group_take_lead (QuinceLedgerGroup *group, gint64 now_us, const QuinceLedgerLead *lead);
+void quince_ledger_group_handle_lead (QuinceLedgerGroup *group, gint64 now_us, const QuinceLedgerLead *lead);
 /* Becomes leader if a quorum has promised and the store is away or too slow.  Returns: whether it leads now
  */
 gboolean
-quince_ledger_group_lead_without_store (QuinceLedgerGroup *group, gint64 now_us, gboolean store_fails);
+quince_ledger_group_try_lead_without_store (QuinceLedgerGroup *group, gint64 now_us, gboolean store_fails);
 /* This replica leads, and the store is not known to show it. */
 gboolean quince_ledger_group_is_unpublished (const QuinceLedgerGroup *group);
 
@@ -184,7 +184,7 @@
                                      guint64 last_index,
                                      gint64 requested_us);
 /* A message of it arrived, whatever it says. */
-void quince_ledger_group_note_contact (QuinceLedgerGroup *group, guint64 replica, gint64 now_us);
+void quince_ledger_group_record_contact (QuinceLedgerGroup *group, guint64 replica, gint64 now_us);
 /* Whether heartbeats and records may be sent to @replica: not to members while no quorum is in contact. */
 gboolean quince_ledger_group_may_send (const QuinceLedgerGroup *group, gint64 now_us, guint64 replica);
 /* It was ordered to drop all its records: answers to what was sent before are ignored. */
--- a/lib/core/group/ledger-kept.h
+++ b/lib/core/group/ledger-kept.h
@@ -8,7 +8,7 @@
 G_BEGIN_DECLS
 
 /**
- * QuinceLedgerKept:
+ * QuinceLedgerPersistentState:
  * @promised: the greatest epoch that this replica has promised or followed; 0: none
  * @noted: the greatest revision of the view on which members may change; 0: none
  * @ordered: the latest epoch in which this replica could give orders; 0: none
@@ -18,6 +18,6 @@
   guint64 promised;
   guint64 noted;
   guint64 ordered;
-} QuinceLedgerKept;
+} QuinceLedgerPersistentState;
 
 G_END_DECLS
--- a/lib/core/group/ledger-leases.c
+++ b/lib/core/group/ledger-leases.c
@@ -88,7 +88,7 @@
     {
       const QuinceLedgerPeer *peer
           = quince_ledger_group_find_peer (group, group->view->members.members_val[i].replica);
-      count += peer != NULL && peer->acked_us > 0 && now_us - peer->acked_us <= max_age_us;
+      count += peer != NULL && peer->acked_sent_us > 0 && now_us - peer->acked_sent_us <= max_age_us;
     }
   return count;
 }
@@ -103,8 +103,8 @@
     {
       guint64 replica = g_array_index (group->proposed_members, guint64, i);
       const QuinceLedgerPeer *peer = quince_ledger_group_find_peer (group, replica);
-      gboolean has_answered
-          = peer != NULL && peer->acked_us > 0 && now_us - peer->acked_us <= group->limits.confirm_us;
+      gboolean has_answered = peer != NULL && peer->acked_sent_us > 0
+                              && now_us - peer->acked_sent_us <= group->limits.lease_duration_us;
       n_silent += replica != group->self.replica && !has_answered;
     }
   return n_silent <= get_proposed_failures_max (group);
@@ -114,7 +114,7 @@
 quince_ledger_group_has_quorum_lease (const QuinceLedgerGroup *group, gint64 now_us)
 {
   guint others_needed = MIN (group->limits.quorum, group->view->members.members_len) - 1;
-  return count_recent_acks (group, now_us, group->limits.confirm_us) >= others_needed
+  return count_recent_acks (group, now_us, group->limits.lease_duration_us) >= others_needed
          && has_proposed_quorum_lease (group, now_us);
 }
 
@@ -125,7 +125,7 @@
 store_confirms_leader (const QuinceLedgerGroup *group, gint64 now_us)
 {
   return group->view->members.members_len <= group->limits.quorum && group->proposed_members->len == 0
-         && now_us - group->confirmed_us <= group->limits.confirm_us;
+         && now_us - group->confirmed_us <= group->limits.lease_duration_us;
 }
 
 /* Returns from how many other members a message has arrived within the leader silence timeout. */
@@ -137,7 +137,7 @@
     {
       const QuinceLedgerPeer *peer
           = quince_ledger_group_find_peer (group, group->view->members.members_val[i].replica);
-      count += peer != NULL && now_us - peer->contact_us < group->limits.leader_silence_us;
+      count += peer != NULL && now_us - peer->contact_us < group->limits.leader_timeout_us;
     }
   return count;
 }
@@ -146,7 +146,7 @@
 quince_ledger_group_has_quorum_contact (const QuinceLedgerGroup *group, gint64 now_us)
 {
   guint others_needed = MIN (group->limits.quorum, group->view->members.members_len) - 1;
-  return now_us - group->leading_since_us < group->limits.leader_silence_us
+  return now_us - group->leading_since_us < group->limits.leader_timeout_us
          || count_in_contact (group, now_us) >= others_needed;
 }
 
@@ -169,7 +169,7 @@
 gboolean
 quince_ledger_group_may_answer (QuinceLedgerGroup *group, gint64 now_us)
 {
-  if (group->role != QUINCE_LEDGER_LEADER || group->hands_over)
+  if (group->role != QUINCE_LEDGER_LEADER || group->handover_proposed)
     return FALSE;
   return quince_ledger_group_has_leader_lease (group, now_us)
          && quince_ledger_group_get_commit_index (group) >= group->recovery_index;
@@ -186,8 +186,8 @@
 gboolean
 quince_ledger_group_may_order (QuinceLedgerGroup *group, gint64 now_us)
 {
-  return group->role == QUINCE_LEDGER_LEADER && !group->hands_over
-         && quince_ledger_group_has_quorum_lease (group, now_us) && now_us >= group->order_after_us;
+  return group->role == QUINCE_LEDGER_LEADER && !group->handover_proposed
+         && quince_ledger_group_has_quorum_lease (group, now_us) && now_us >= group->orders_blocked_until_us;
 }
 
 void
--- a/lib/core/group/ledger-proposals.c
+++ b/lib/core/group/ledger-proposals.c
@@ -32,7 +32,7 @@
   QuinceLedgerView *view = quince_ledger_view_copy (group->view);
   view->epoch = group->campaign_epoch;
   view->primary = group->self.replica;
-  quince_ledger_view_move (view, group->self.replica, group->self.address);
+  quince_ledger_view_set_address (view, group->self.replica, group->self.address);
   group->proposed_epoch = view->epoch;
   return view;
 }
@@ -44,14 +44,15 @@
 make_address_change_view (const QuinceLedgerGroup *group, gint64 now_us)
 {
   gboolean without_leader = group->view->primary == group->self.replica
-                            || now_us - group->leader_contact_us >= group->limits.leader_silence_us;
+                            || now_us - group->leader_contact_us >= group->limits.leader_timeout_us;
   if (!without_leader || group->store_epoch == 0)
     return NULL;
   g_autoptr (QuinceLedgerView) view = quince_ledger_view_copy (group->view);
   view->epoch = group->store_epoch;
   view->primary = group->store_primary;
-  return quince_ledger_view_move (view, group->self.replica, group->self.address) ? g_steal_pointer (&view)
-                                                                                  : NULL;
+  return quince_ledger_view_set_address (view, group->self.replica, group->self.address)
+             ? g_steal_pointer (&view)
+             : NULL;
 }
 
 static QuinceLedgerView *
@@ -69,8 +70,8 @@
   if (replica == group->self.replica)
     return FALSE;
   const QuinceLedgerPeer *peer = quince_ledger_group_find_peer (group, replica);
-  gint64 last_answer_us = MAX (peer != NULL ? peer->acked_us : 0, group->leading_since_us);
-  return now_us - last_answer_us > group->limits.member_silence_us;
+  gint64 last_answer_us = MAX (peer != NULL ? peer->acked_sent_us : 0, group->leading_since_us);
+  return now_us - last_answer_us > group->limits.member_timeout_us;
 }
 
 static gboolean
@@ -78,7 +79,7 @@
 {
   /* Until recovery ends, an earlier leader may have committed records beyond the known commit index. */
   guint64 needed_index = MAX (quince_ledger_group_get_commit_index (group), group->recovery_index);
-  return peer->acked_us > 0 && now_us - peer->acked_us <= group->limits.confirm_us
+  return peer->acked_sent_us > 0 && now_us - peer->acked_sent_us <= group->limits.lease_duration_us
          && peer->last_index >= needed_index;
 }
 
@@ -98,7 +99,8 @@
         continue;
       if (g_str_equal (member->node, peer->node))
         return member;
-      if (is_silent (group, now_us, member->replica) || quince_ledger_group_is_leaving (group, member->node))
+      if (is_silent (group, now_us, member->replica)
+          || quince_ledger_group_is_node_excluded (group, member->node))
         replaceable = member;
     }
   return replaceable;
@@ -110,7 +112,7 @@
 may_join (QuinceLedgerGroup *group, gint64 now_us, const QuinceLedgerView *view, const QuinceLedgerPeer *peer)
 {
   return quince_ledger_view_find (view, peer->replica) == NULL && is_caught_up (group, now_us, peer)
-         && !quince_ledger_group_is_leaving (group, peer->node);
+         && !quince_ledger_group_is_node_excluded (group, peer->node);
 }
 
 /* Returns a peer that may join and whose zone may have one more member, or %NULL if there is none. */
@@ -175,7 +177,7 @@
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
       const QuinceLedgerPeer *peer = value;
-      changed = quince_ledger_view_move (view, peer->replica, peer->address) || changed;
+      changed = quince_ledger_view_set_address (view, peer->replica, peer->address) || changed;
       if (!may_join (group, now_us, view, peer) || defers_to_other_zone (group, now_us, view, peer))
         continue;
       const QuinceLedgerMember *replaced = find_replaceable_member (group, now_us, view, peer);
@@ -198,7 +200,7 @@
       const QuinceLedgerMember *member = &view->members.members_val[i];
       gboolean should_remove = is_silent (group, now_us, member->replica)
                                || (member->replica != group->self.replica
-                                   && quince_ledger_group_is_leaving (group, member->node));
+                                   && quince_ledger_group_is_node_excluded (group, member->node));
       if (should_remove && view->members.members_len > group->limits.quorum)
         {
           quince_ledger_view_remove (view, member->replica);
@@ -215,13 +217,14 @@
 static gboolean
 propose_handover (const QuinceLedgerGroup *group, QuinceLedgerView *view)
 {
-  if (!quince_ledger_group_is_leaving (group, group->self.node)
+  if (!quince_ledger_group_is_node_excluded (group, group->self.node)
       || view->members.members_len <= group->limits.quorum)
     return FALSE;
   for (guint i = 0; i < view->members.members_len; i++)
     {
       const QuinceLedgerMember *member = &view->members.members_val[i];
-      if (member->replica == group->self.replica || quince_ledger_group_is_leaving (group, member->node))
+      if (member->replica == group->self.replica
+          || quince_ledger_group_is_node_excluded (group, member->node))
         continue;
       view->primary = member->replica;
       view->epoch++;
@@ -249,7 +252,7 @@
 make_leader_proposal (QuinceLedgerGroup *group, gint64 now_us)
 {
   /* A member has promised a greater epoch to another replica: this one must be elected again. */
-  if (group->refused_with > group->view->epoch)
+  if (group->refused_epoch > group->view->epoch)
     return make_takeover_view (group);
   g_autoptr (QuinceLedgerView) view = quince_ledger_view_copy (group->view);
   if (quince_ledger_group_is_unpublished (group))
@@ -260,10 +263,11 @@
   changed = changed || propose_handover (group, view);
   /* Without a change, writes the same members under a new revision if a proposal has an unknown outcome, or
    * if members were asked to acknowledge a change that is no longer needed.  The new revision voids both. */
-  if (!changed && (group->proposed_members->len > 0 || group->wants_notes))
+  if (!changed && (group->proposed_members->len > 0 || group->wants_change_acks))
     return g_steal_pointer (&view);
   gboolean caught_up = changed && are_members_caught_up (group, now_us, view);
-  return caught_up && quince_ledger_group_is_noted (group, now_us, view) ? g_steal_pointer (&view) : NULL;
+  return caught_up && quince_ledger_group_has_change_acks (group, now_us, view) ? g_steal_pointer (&view)
+                                                                                : NULL;
 }
 
 /* ---- Proposals --------------------------------------------------------- */
@@ -277,20 +281,20 @@
   for (guint i = 0; i < members; i++)
     quince_replica_list_add (group->proposed_members, view->members.members_val[i].replica);
   /* Another replica that the view names as leader may lead as soon as the store has the view. */
-  group->hands_over = group->hands_over || view->primary != group->self.replica;
+  group->handover_proposed = group->handover_proposed || view->primary != group->self.replica;
 }
 
 QuinceLedgerView *
 quince_ledger_group_propose (QuinceLedgerGroup *group, gint64 now_us, guint64 *expected_revision)
 {
-  if (group->proposal != NULL || !group->view_is_read || now_us < group->propose_after_us)
+  if (group->proposal != NULL || !group->view_is_read || now_us < group->next_proposal_us)
     return NULL;
   QuinceLedgerView *view = NULL;
   if (group->role == QUINCE_LEDGER_LEADER)
     view = make_leader_proposal (group, now_us);
   else if (group->role == QUINCE_LEDGER_BACKUP)
     view = make_backup_proposal (group, now_us);
-  else if (group->may_found)
+  else if (group->may_bootstrap)
     view = make_initial_view (group);
   if (view == NULL)
     return NULL;
@@ -311,15 +315,15 @@
   g_autoptr (QuinceLedgerView) proposal = g_steal_pointer (&group->proposal);
   if (proposal == NULL)
     return;
-  if (outcome == QUINCE_PROPOSAL_DONE)
+  if (outcome == QUINCE_PROPOSAL_APPLIED)
     quince_ledger_group_set_view (group, now_us, group->proposed_us, proposal, revision);
   else
-    group->propose_after_us = now_us + PROPOSAL_RETRY_DELAY_US;
+    group->next_proposal_us = now_us + PROPOSAL_RETRY_DELAY_US;
   if (outcome == QUINCE_PROPOSAL_UNKNOWN)
-    group->proposal_may_come = TRUE;
-  if (outcome == QUINCE_PROPOSAL_NOT_DONE && !group->proposal_may_come)
+    group->proposal_may_apply = TRUE;
+  if (outcome == QUINCE_PROPOSAL_NOT_APPLIED && !group->proposal_may_apply)
     {
       g_array_set_size (group->proposed_members, 0);
-      group->hands_over = FALSE;
+      group->handover_proposed = FALSE;
     }
 }
--- a/lib/core/group/ledger-recipients.c
+++ b/lib/core/group/ledger-recipients.c
@@ -21,9 +21,9 @@
 static gboolean
 may_be_spare (const QuinceLedgerGroup *group, gint64 now_us, const QuinceLedgerPeer *peer)
 {
-  gboolean leaving = quince_ledger_group_is_leaving (group, peer->node);
+  gboolean leaving = quince_ledger_group_is_node_excluded (group, peer->node);
   /* A replica that has never acknowledged a message is not silent: it may just have linked. */
-  gboolean silent = peer->acked_us > 0 && now_us - peer->acked_us > group->limits.member_silence_us;
+  gboolean silent = peer->acked_sent_us > 0 && now_us - peer->acked_sent_us > group->limits.member_timeout_us;
   return !leaving && !silent;
 }
 
--- a/lib/core/group/ledger-roles.c
+++ b/lib/core/group/ledger-roles.c
@@ -6,7 +6,7 @@
 /* No other replica can have given orders since this one did: one that did had a record of a later epoch on a
  * quorum, and so in the log of each later leader. */
 static gboolean
-ordered_last (const QuinceLedgerGroup *group, const QuinceLedgerView *before)
+was_last_to_order (const QuinceLedgerGroup *group, const QuinceLedgerView *before)
 {
   return before == NULL || (group->kept.ordered != 0 && group->kept.ordered == group->end.epoch);
 }
@@ -14,23 +14,25 @@
 static void
 become_leader (QuinceLedgerGroup *group, gint64 now_us, const QuinceLedgerView *before)
 {
-  gboolean goes_on = group->role == QUINCE_LEDGER_LEADER;
+  gboolean was_leader = group->role == QUINCE_LEDGER_LEADER;
   group->role = QUINCE_LEDGER_LEADER;
   group->led_epoch = group->view->epoch;
-  group->noting_epoch = MAX (group->noting_epoch, group->view->epoch);
-  group->store_leader_notes = group->store_leader_notes || group->store_epoch == group->noting_epoch;
+  group->change_ack_epoch = MAX (group->change_ack_epoch, group->view->epoch);
+  group->store_leader_collects_acks
+      = group->store_leader_collects_acks || group->store_epoch == group->change_ack_epoch;
   /* Older records count as committed only together with one of its own epoch, as in Raft. */
   group->recovery_index = group->end.index + 1;
   group->commit_index = 0;
-  if (!goes_on)
-    group->order_after_us = ordered_last (group, before) ? now_us : now_us + group->limits.order_pause_us;
+  if (!was_leader)
+    group->orders_blocked_until_us
+        = was_last_to_order (group, before) ? now_us : now_us + group->limits.order_pause_us;
   group->leading_since_us = now_us;
-  group->refused_with = 0;
+  group->refused_epoch = 0;
   g_hash_table_remove_all (group->peers);
 }
 
 static void
-take_role (QuinceLedgerGroup *group, gint64 now_us, const QuinceLedgerView *before)
+update_role (QuinceLedgerGroup *group, gint64 now_us, const QuinceLedgerView *before)
 {
   const QuinceLedgerView *view = group->view;
   gboolean is_self = view->primary == group->self.replica;
@@ -50,13 +52,13 @@
 }
 
 void
-quince_ledger_group_adopt (QuinceLedgerGroup *group, gint64 now_us, QuinceLedgerView *view)
+quince_ledger_group_adopt_view (QuinceLedgerGroup *group, gint64 now_us, QuinceLedgerView *view)
 {
   g_autoptr (QuinceLedgerView) before = group->view;
   group->view = view;
   /* Promises were asked of the members of the former view. */
   quince_ledger_group_end_campaign (group);
-  take_role (group, now_us, before);
+  update_role (group, now_us, before);
 }
 
 /* Proposals on the former revision can no longer be done. */
@@ -66,14 +68,14 @@
   group->revision = revision;
   g_array_set_size (group->proposed_members, 0);
   g_array_set_size (group->notes, 0);
-  group->wants_notes = FALSE;
-  group->proposal_may_come = FALSE;
-  group->hands_over = FALSE;
+  group->wants_change_acks = FALSE;
+  group->proposal_may_apply = FALSE;
+  group->handover_proposed = FALSE;
 }
 
 /* The lead never returns to a lower epoch: members may have promised a higher one without the store. */
 static void
-keep_lead (QuinceLedgerView *view, const QuinceLedgerView *known)
+retain_newer_lead (QuinceLedgerView *view, const QuinceLedgerView *known)
 {
   if (known == NULL || known->epoch < view->epoch)
     return;
@@ -94,14 +96,15 @@
   gboolean news = revision > group->revision || (revision == group->revision && group->store_epoch == 0);
   if (view == NULL || !news)
     return;
-  group->store_leader_notes = view->epoch == group->noting_epoch
-                              || (group->store_leader_notes && view->epoch == group->store_epoch);
+  group->store_leader_collects_acks
+      = view->epoch == group->change_ack_epoch
+        || (group->store_leader_collects_acks && view->epoch == group->store_epoch);
   group->store_epoch = view->epoch;
   group->store_primary = view->primary;
   group->confirmed_us = requested_us;
   if (revision > group->revision)
     quince_ledger_group_begin_revision (group, revision);
   QuinceLedgerView *next = quince_ledger_view_copy (view);
-  keep_lead (next, group->view);
-  quince_ledger_group_adopt (group, now_us, next);
+  retain_newer_lead (next, group->view);
+  quince_ledger_group_adopt_view (group, now_us, next);
 }
--- a/lib/core/group/ledger-succession.c
+++ b/lib/core/group/ledger-succession.c
@@ -10,17 +10,17 @@
 
 /* How long a candidate waits for the store to take its view before it leads without it, us: 75 times the
  * duration of a call, a third of the silence after which it campaigned. */
-#define STORE_PATIENCE_US (300 * 1000)
+#define STORE_TIMEOUT_US (300 * 1000)
 /* A campaign that has not ended after this asks who leads, us: some member does not promise.  Not measured:
  * half of the time for which a campaign goes on with one epoch. */
-#define QUERY_AFTER_US (300 * 1000)
+#define QUERY_DELAY_US (300 * 1000)
 
 /* ---- Quorums ---------------------------------------------------------- */
 
 /* Members, this one counted, whose promises make a leader without the store: a quorum.  Any two such sets
  * have a member in common, and so has one with each set whose candidate may write itself into the store. */
 static guint
-votes_needed (const QuinceLedgerGroup *group)
+get_votes_needed (const QuinceLedgerGroup *group)
 {
   guint members = group->view->members.members_len;
   return MAX (group->limits.quorum, members / 2 + 1);
@@ -28,10 +28,10 @@
 
 /* Members, this one counted, that have one in common with each such set. */
 static guint
-notes_needed (const QuinceLedgerGroup *group)
+get_change_acks_needed (const QuinceLedgerGroup *group)
 {
   guint members = group->view->members.members_len;
-  guint votes = votes_needed (group);
+  guint votes = get_votes_needed (group);
   return members >= votes ? members - votes + 1 : 0;
 }
 
@@ -40,26 +40,28 @@
 /* Members that have noted a change elect no leader without the store.  Without contact to them the change
  * cannot be made, and they would be left without a leader: no notes are requested then. */
 static gboolean
-may_ask_for_notes (const QuinceLedgerGroup *group, gint64 now_us)
+may_request_change_acks (const QuinceLedgerGroup *group, gint64 now_us)
 {
-  return notes_needed (group) <= 1 || quince_ledger_group_has_quorum_lease (group, now_us);
+  return get_change_acks_needed (group) <= 1 || quince_ledger_group_has_quorum_lease (group, now_us);
 }
 
 gboolean
-quince_ledger_group_is_noted (QuinceLedgerGroup *group, gint64 now_us, const QuinceLedgerView *proposed)
+quince_ledger_group_has_change_acks (QuinceLedgerGroup *group,
+                                     gint64 now_us,
+                                     const QuinceLedgerView *proposed)
 {
-  guint needed = notes_needed (group);
-  if (needed == 0 || quince_ledger_view_same_members (group->view, proposed))
+  guint needed = get_change_acks_needed (group);
+  if (needed == 0 || quince_ledger_view_has_same_members (group->view, proposed))
     return TRUE;
-  if (!may_ask_for_notes (group, now_us))
+  if (!may_request_change_acks (group, now_us))
     return group->notes->len + 1 >= needed;
-  group->wants_notes = TRUE;
+  group->wants_change_acks = TRUE;
   group->kept.noted = MAX (group->kept.noted, group->revision);
   return group->notes->len + 1 >= needed;
 }
 
 static void
-take_note (QuinceLedgerGroup *group, const QuinceLedgerLead *lead)
+record_change_ack (QuinceLedgerGroup *group, const QuinceLedgerLead *lead)
 {
   if (group->role == QUINCE_LEDGER_LEADER && lead->noted >= group->revision
       && lead->promised == group->view->epoch && quince_ledger_group_has_member (group, lead->replica)
@@ -80,22 +82,23 @@
   *query = (QuinceLedgerQuery){ .revision = group->revision,
                                 .epoch = group->view->epoch,
                                 .replica = group->self.replica,
-                                .changing = group->role == QUINCE_LEDGER_LEADER && group->wants_notes
-                                            && may_ask_for_notes (group, now_us) };
+                                .changing = group->role == QUINCE_LEDGER_LEADER && group->wants_change_acks
+                                            && may_request_change_acks (group, now_us) };
   gboolean campaigns = group->campaign_epoch != 0;
-  if (campaigns && (store_fails || now_us - group->campaign_us >= QUERY_AFTER_US))
+  if (campaigns && (store_fails || now_us - group->campaign_us >= QUERY_DELAY_US))
     return QUINCE_LEDGER_QUERY_VOTES;
   if (query->changing)
-    return QUINCE_LEDGER_QUERY_NOTES;
+    return QUINCE_LEDGER_QUERY_CHANGE_ACKS;
   /* A leader without contact to a quorum has stopped its heartbeats: an answer lets it resume them, or names
    * the next leader. */
   if (group->role == QUINCE_LEDGER_LEADER)
-    return group->refused_with > group->view->epoch || !quince_ledger_group_has_quorum_contact (group, now_us)
+    return group->refused_epoch > group->view->epoch
+                   || !quince_ledger_group_has_quorum_contact (group, now_us)
                ? QUINCE_LEDGER_QUERY_MEMBERS
                : QUINCE_LEDGER_QUERY_NONE;
-  if (now_us - group->leader_contact_us >= group->limits.leader_silence_us)
+  if (now_us - group->leader_contact_us >= group->limits.leader_timeout_us)
     return QUINCE_LEDGER_QUERY_MEMBERS;
-  return group->noting_epoch < group->view->epoch && group->view->primary != group->self.replica
+  return group->change_ack_epoch < group->view->epoch && group->view->primary != group->self.replica
              ? QUINCE_LEDGER_QUERY_LEADER
              : QUINCE_LEDGER_QUERY_NONE;
 }
@@ -124,10 +127,10 @@
                               .promised = group->kept.promised,
                               .promised_to = group->promised_to,
                               .noted = group->kept.noted,
-                              .answered = group->noting_epoch,
+                              .answered = group->change_ack_epoch,
                               .shown_epoch = group->store_epoch,
                               .shown_primary = group->store_primary,
-                              .shown_answers = group->store_leader_notes };
+                              .shown_answers = group->store_leader_collects_acks };
   return TRUE;
 }
 
@@ -135,7 +138,7 @@
 
 /* The answer of a member that has promised: whether members may change on this revision. */
 static void
-take_vote (QuinceLedgerGroup *group, const QuinceLedgerLead *lead)
+record_vote (QuinceLedgerGroup *group, const QuinceLedgerLead *lead)
 {
   if (group->campaign_epoch == 0 || lead->promised != group->campaign_epoch
       || lead->promised_to != group->self.replica
@@ -151,14 +154,14 @@
 may_lead_without_store (const QuinceLedgerGroup *group, gint64 now_us, gboolean store_fails)
 {
   if (group->campaign_epoch == 0 || !quince_ledger_group_is_elected (group) || group->vote_refused
-      || !group->store_leader_notes || group->kept.noted >= group->revision)
+      || !group->store_leader_collects_acks || group->kept.noted >= group->revision)
     return FALSE;
-  gboolean in_time = store_fails || now_us - group->elected_us >= STORE_PATIENCE_US;
-  return in_time && group->votes->len + 1 >= votes_needed (group);
+  gboolean in_time = store_fails || now_us - group->elected_us >= STORE_TIMEOUT_US;
+  return in_time && group->votes->len + 1 >= get_votes_needed (group);
 }
 
 gboolean
-quince_ledger_group_lead_without_store (QuinceLedgerGroup *group, gint64 now_us, gboolean store_fails)
+quince_ledger_group_try_lead_without_store (QuinceLedgerGroup *group, gint64 now_us, gboolean store_fails)
 {
   if (!may_lead_without_store (group, now_us, store_fails) || !quince_ledger_group_promise_self (group))
     return FALSE;
@@ -166,7 +169,7 @@
   view->epoch = group->campaign_epoch;
   view->primary = group->self.replica;
   group->proposed_epoch = view->epoch;
-  quince_ledger_group_adopt (group, now_us, view);
+  quince_ledger_group_adopt_view (group, now_us, view);
   return TRUE;
 }
 
@@ -181,9 +184,9 @@
 
 /* The lead that the store shows at the revision that both replicas know. */
 static void
-take_shown (QuinceLedgerGroup *group, const QuinceLedgerLead *lead)
+merge_store_lead (QuinceLedgerGroup *group, const QuinceLedgerLead *lead)
 {
-  group->noting_epoch = MAX (group->noting_epoch, lead->answered);
+  group->change_ack_epoch = MAX (group->change_ack_epoch, lead->answered);
   if (lead->revision != group->revision)
     return;
   if (group->store_epoch == 0)
@@ -191,8 +194,8 @@
       group->store_epoch = lead->shown_epoch;
       group->store_primary = lead->shown_primary;
     }
-  group->store_leader_notes = group->store_leader_notes || lead->shown_answers
-                              || (group->store_epoch != 0 && lead->answered == group->store_epoch);
+  group->store_leader_collects_acks = group->store_leader_collects_acks || lead->shown_answers
+                                      || (group->store_epoch != 0 && lead->answered == group->store_epoch);
 }
 
 /* The members of the newer revision, the lead of the greater epoch. */
@@ -210,21 +213,21 @@
 /* Epochs and revisions only rise: those of a damaged message would hold for good, and this replica would take
  * no view of the store any more. */
 static gboolean
-is_sound_lead (const QuinceLedgerLead *lead)
+is_valid_lead (const QuinceLedgerLead *lead)
 {
   return lead->revision > 0 && lead->replica != 0 && lead->view.epoch > 0 && lead->view.primary != 0
          && lead->view.members.members_len > 0;
 }
 
 void
-quince_ledger_group_take_lead (QuinceLedgerGroup *group, gint64 now_us, const QuinceLedgerLead *lead)
+quince_ledger_group_handle_lead (QuinceLedgerGroup *group, gint64 now_us, const QuinceLedgerLead *lead)
 {
   group->last_campaign = MAX (group->last_campaign, lead->promised);
-  quince_ledger_group_note_contact (group, lead->replica, now_us);
-  take_shown (group, lead);
-  take_note (group, lead);
-  take_vote (group, lead);
-  if (!is_sound_lead (lead))
+  quince_ledger_group_record_contact (group, lead->replica, now_us);
+  merge_store_lead (group, lead);
+  record_change_ack (group, lead);
+  record_vote (group, lead);
+  if (!is_valid_lead (lead))
     return;
   gboolean newer = lead->revision > group->revision;
   if (!newer && (group->view == NULL || lead->view.epoch <= group->view->epoch))
@@ -235,7 +238,7 @@
       quince_ledger_group_begin_revision (group, lead->revision);
       group->store_epoch = lead->shown_epoch;
       group->store_primary = lead->shown_primary;
-      group->store_leader_notes = lead->shown_answers;
+      group->store_leader_collects_acks = lead->shown_answers;
     }
-  quince_ledger_group_adopt (group, now_us, view);
+  quince_ledger_group_adopt_view (group, now_us, view);
 }
--- a/lib/core/group/ledger-view.c
+++ b/lib/core/group/ledger-view.c
@@ -52,7 +52,7 @@
 }
 
 gboolean
-quince_ledger_view_move (QuinceLedgerView *view, guint64 replica, const char *address)
+quince_ledger_view_set_address (QuinceLedgerView *view, guint64 replica, const char *address)
 {
   for (guint i = 0; i < view->members.members_len; i++)
     {
@@ -67,7 +67,7 @@
 }
 
 gboolean
-quince_ledger_view_same_members (const QuinceLedgerView *view, const QuinceLedgerView *other)
+quince_ledger_view_has_same_members (const QuinceLedgerView *view, const QuinceLedgerView *other)
 {
   if (view->members.members_len != other->members.members_len)
     return FALSE;
--- a/lib/core/group/ledger-view.h
+++ b/lib/core/group/ledger-view.h
@@ -15,7 +15,7 @@
 /* Whether a replica of the machine @node is a member; @view: nullable */
 gboolean quince_ledger_view_has_node (const QuinceLedgerView *view, const char *node);
 /* Whether both views have the same replicas as members, in any order and at any address. */
-gboolean quince_ledger_view_same_members (const QuinceLedgerView *view, const QuinceLedgerView *other);
+gboolean quince_ledger_view_has_same_members (const QuinceLedgerView *view, const QuinceLedgerView *other);
 
 /* Appends a member; the strings are copied. */
 void quince_ledger_view_add (QuinceLedgerView *view, const char *node, const char *address, guint64 replica);
@@ -23,6 +23,6 @@
 void quince_ledger_view_remove (QuinceLedgerView *view, guint64 replica);
 /* Sets the address of the member @replica: a machine that was restarted may listen at another one.  Returns:
  * whether the view changed */
-gboolean quince_ledger_view_move (QuinceLedgerView *view, guint64 replica, const char *address);
+gboolean quince_ledger_view_set_address (QuinceLedgerView *view, guint64 replica, const char *address);
 
 G_END_DECLS
--- a/tests/unit/ledger-parts.h
+++ b/tests/unit/ledger-parts.h
@@ -13,10 +13,11 @@
 
 #include "core/group/ledger-group.h"
 
-#define WORLD_MAX 12                    /* nodes of a world */
+#define WORLD_NODES_MAX 12              /* nodes of a world */
 #define WORLD_TICK_US (10 * 1000)       /* step of virtual time */
 #define WORLD_NODE_TICK_US (150 * 1000) /* period of a replica's steps, as TICK_MS of the daemon */
-#define WORLD_INFORM_US (440 * 1000) /* pause between two informations, as QUERY_MEMBERS_US of the daemon */
+#define WORLD_INFORM_INTERVAL_US                                                                             \
+  (440 * 1000) /* pause between two informations, as QUERY_MEMBERS_US of the daemon */
 
 typedef struct
 {
@@ -28,7 +29,7 @@
 {
   guint64 replica;
   GArray *log; /* WorldRecord; index 1 is the first */
-  QuinceLedgerKept kept;
+  QuinceLedgerPersistentState kept;
 } WorldDisk;
 
 typedef enum
@@ -36,7 +37,7 @@
   WORLD_HELLO,
   WORLD_APPEND,
   WORLD_ACK,
-  WORLD_ASK,
+  WORLD_PROMISE_REQUEST,
   WORLD_PROMISE,
   WORLD_QUERY,
   WORLD_LEAD,
@@ -92,23 +93,23 @@
   guint n_nodes;
   guint losses;
   guint zones; /* that the nodes are in by turns; 0: their zones are not set */
-  WorldNode nodes[WORLD_MAX];
-  gboolean cut[WORLD_MAX][WORLD_MAX];
-  gint64 link_us[WORLD_MAX][WORLD_MAX]; /* latest arrival on that link */
-  GPtrArray *messages;                  /* WorldMessage, owned */
+  WorldNode nodes[WORLD_NODES_MAX];
+  gboolean cut[WORLD_NODES_MAX][WORLD_NODES_MAX];
+  gint64 link_us[WORLD_NODES_MAX][WORLD_NODES_MAX]; /* latest arrival on that link */
+  GPtrArray *messages;                              /* WorldMessage, owned */
   gboolean store_down;
-  gboolean store_away[WORLD_MAX]; /* the store turns that machine away */
-  QuinceLedgerView *view;         /* in the store */
+  gboolean store_unreachable[WORLD_NODES_MAX]; /* the store turns that machine away */
+  QuinceLedgerView *view;                      /* in the store */
   guint64 revision;
   GArray *committed; /* WorldRecord: records that a leader reported as committed, by index */
   guint64 next_value;
   guint64 next_replica;
   gint64 last_commit_us;
-  guint leads;   /* times that a leader knew all */
-  guint unaided; /* times that one became leader without the store */
+  guint leads;                   /* times that a leader knew all */
+  guint elections_without_store; /* times that one became leader without the store */
   gboolean founded;
   GHashTable *leaders; /* epoch to WorldLeader, owned */
-  gint orderer;        /* machine that could give orders last, -1: none */
+  gint last_orderer;   /* machine that could give orders last, -1: none */
   gint64 ordered_us;   /* and when */
 } World;
 
@@ -121,16 +122,16 @@
 } WorldLeader;
 
 static inline gboolean
-world_store_fails (const World *world, guint node)
+world_is_store_unreachable (const World *world, guint node)
 {
-  return world->store_down || world->store_away[node];
+  return world->store_down || world->store_unreachable[node];
 }
 
 static inline const QuinceLedgerMember *
 world_member (World *world, guint node)
 {
   static QuinceLedgerMember member;
-  static char names[WORLD_MAX][8];
+  static char names[WORLD_NODES_MAX][8];
   g_snprintf (names[node], sizeof names[node], "n%u", node);
   member = (QuinceLedgerMember){ .node = names[node],
                                  .address = names[node],
@@ -139,7 +140,7 @@
 }
 
 static inline gint
-world_node_of (World *world, guint64 replica)
+world_find_node (World *world, guint64 replica)
 {
   for (guint i = 0; i < world->n_nodes; i++)
     if (world->nodes[i].disk.replica == replica)
@@ -166,14 +167,14 @@
 }
 
 static inline void
-world_note_end (WorldNode *node)
+world_update_log_end (WorldNode *node)
 {
   const QuinceLogEnd end = world_log_end (node);
   quince_ledger_group_set_log_end (node->group, &end);
 }
 
 static inline void
-world_tell_zone (World *world, WorldNode *node, guint index)
+world_set_zone (World *world, WorldNode *node, guint index)
 {
   char zone[8];
   g_snprintf (zone, sizeof zone, "z%u", world->zones > 0 ? index % world->zones : 0);
@@ -182,34 +183,34 @@
 }
 
 static inline void
-world_take_hello (World *world, WorldNode *node, guint from)
+world_receive_hello (World *world, WorldNode *node, guint from)
 {
   quince_ledger_group_peer_joined (node->group, world->now_us, world_member (world, from));
-  world_tell_zone (world, node, from);
+  world_set_zone (world, node, from);
 }
 
 static inline void
-world_start (World *world, guint index, gboolean may_found)
+world_start (World *world, guint index, gboolean may_bootstrap)
 {
   WorldNode *node = &world->nodes[index];
   const QuinceLedgerLimits limits = { .quorum = world->losses + 1,
                                       .members_max = 2 * world->losses + 1,
                                       .zone_losses = world->zones > 0,
-                                      .leader_silence_us = 1000 * 1000,
-                                      .member_silence_us = 1000 * 1000,
-                                      .confirm_us = 600 * 1000,
+                                      .leader_timeout_us = 1000 * 1000,
+                                      .member_timeout_us = 1000 * 1000,
+                                      .lease_duration_us = 600 * 1000,
                                       .order_pause_us = 3200 * 1000 };
   node->incarnation++;
-  node->group = quince_ledger_group_new (world_member (world, index), &limits, &node->disk.kept, may_found,
-                                         world->now_us);
-  world_tell_zone (world, node, index);
+  node->group = quince_ledger_group_new (world_member (world, index), &limits, &node->disk.kept,
+                                         may_bootstrap, world->now_us);
+  world_set_zone (world, node, index);
   node->led_epoch = 0;
   node->recovered = FALSE;
   node->frozen = FALSE;
   node->next_tick_us = world->now_us + g_rand_int_range (world->random, 1, WORLD_NODE_TICK_US);
   node->read_view_us = 0;
   node->hello_incarnation = 0;
-  world_note_end (node);
+  world_update_log_end (node);
 }
 
 static inline void
@@ -226,7 +227,7 @@
   WorldNode *node = &world->nodes[index];
   world_kill (world, index);
   g_array_set_size (node->disk.log, 0);
-  node->disk.kept = (QuinceLedgerKept){ 0 };
+  node->disk.kept = (QuinceLedgerPersistentState){ 0 };
   node->disk.replica = ++world->next_replica;
 }
 
@@ -234,16 +235,16 @@
 
 /* The promises of a replica are on its disk before it sends a message. */
 static inline void
-world_keep (WorldNode *node)
+world_save_state (WorldNode *node)
 {
   if (node->group != NULL)
-    node->disk.kept = *quince_ledger_group_get_kept (node->group);
+    node->disk.kept = *quince_ledger_group_get_persistent_state (node->group);
 }
 
 static inline WorldMessage *
 world_send (World *world, WorldMessageKind kind, guint from, guint to)
 {
-  world_keep (&world->nodes[from]);
+  world_save_state (&world->nodes[from]);
   WorldMessage *message = g_new0 (WorldMessage, 1);
   message->kind = kind;
   message->from = from;
@@ -262,9 +263,9 @@
 }
 
 static inline void
-world_ask_view (World *world, guint index)
+world_request_view (World *world, guint index)
 {
-  if (world_store_fails (world, index))
+  if (world_is_store_unreachable (world, index))
     return;
   WorldMessage *message = world_send (world, WORLD_STORE_VIEW, index, index);
   message->incarnation = world->nodes[index].incarnation;
@@ -282,7 +283,7 @@
   if (view != NULL)
     {
       g_printerr (" epoch=%" G_GUINT64_FORMAT " primary=n%d members=", (guint64)view->epoch,
-                  world_node_of (world, view->primary));
+                  world_find_node (world, view->primary));
       for (guint i = 0; i < view->members.members_len; i++)
         g_printerr ("%s/%" G_GUINT64_FORMAT " ", view->members.members_val[i].node,
                     (guint64)view->members.members_val[i].replica);
@@ -308,12 +309,12 @@
 
 /* A call that is cut off on its way may be carried out seconds later. */
 static inline void
-world_change_later (World *world, const WorldMessage *message)
+world_apply_later (World *world, const WorldMessage *message)
 {
   WorldMessage *late = world_send (world, WORLD_STORE_ANSWER, message->to, message->to);
   late->incarnation = G_MAXUINT64;
   late->late = TRUE;
-  late->outcome = QUINCE_PROPOSAL_DONE;
+  late->outcome = QUINCE_PROPOSAL_APPLIED;
   late->view = quince_ledger_view_copy (message->view);
   late->revision = message->revision;
   late->due_us += g_rand_int_range (world->random, 0, 8000) * 1000;
@@ -325,7 +326,7 @@
 {
   guint64 expected = 0;
   WorldNode *node = &world->nodes[index];
-  if (world_store_fails (world, index))
+  if (world_is_store_unreachable (world, index))
     return;
   g_autoptr (QuinceLedgerView) view = quince_ledger_group_propose (node->group, world->now_us, &expected);
   if (view == NULL)
@@ -336,13 +337,13 @@
   message->revision = expected;
   guint luck = (guint)g_rand_int_range (world->random, 0, 10);
   message->outcome = luck == 0   ? QUINCE_PROPOSAL_UNKNOWN
-                     : luck == 1 ? QUINCE_PROPOSAL_NOT_DONE
-                                 : QUINCE_PROPOSAL_DONE;
+                     : luck == 1 ? QUINCE_PROPOSAL_NOT_APPLIED
+                                 : QUINCE_PROPOSAL_APPLIED;
   if (luck != 0)
     return;
   /* The call breaks off; the change itself may be done later. */
   message->due_us += 300 * 1000;
-  world_change_later (world, message);
+  world_apply_later (world, message);
 }
 
 /* Whether the leader sends records to @replica, and not heartbeats alone. */
@@ -360,10 +361,10 @@
 /* ---- Judges ----------------------------------------------------------- */
 
 /* Longest time for which an order that was given may be on its way to a worker. */
-#define WORLD_ORDER_US (3 * G_USEC_PER_SEC)
+#define WORLD_ORDER_MAX_US (3 * G_USEC_PER_SEC)
 
 static inline void
-world_judge_leader (World *world, guint index, guint64 epoch)
+world_check_leader (World *world, guint index, guint64 epoch)
 {
   const guint64 incarnation = world->nodes[index].incarnation;
   const WorldLeader *known = g_hash_table_lookup (world->leaders, &epoch);
@@ -379,7 +380,7 @@
 
 /* A leader that may answer has all records that were reported as committed. */
 static inline void
-world_judge_answers (World *world, guint index)
+world_check_answers (World *world, guint index)
 {
   WorldNode *node = &world->nodes[index];
   if (!quince_ledger_group_may_answer (node->group, world->now_us))
@@ -390,26 +391,26 @@
 }
 
 static inline void
-world_judge_orders (World *world, guint index)
+world_check_orders (World *world, guint index)
 {
   if (!quince_ledger_group_may_order (world->nodes[index].group, world->now_us))
     return;
-  if (world->orderer >= 0 && world->orderer != (gint)index
-      && world->now_us - world->ordered_us < WORLD_ORDER_US)
+  if (world->last_orderer >= 0 && world->last_orderer != (gint)index
+      && world->now_us - world->ordered_us < WORLD_ORDER_MAX_US)
     fail_msg ("seed %u: n%u gives orders %" G_GINT64_FORMAT " us after n%d", world->seed, index,
-              world->now_us - world->ordered_us, world->orderer);
-  world->orderer = (gint)index;
+              world->now_us - world->ordered_us, world->last_orderer);
+  world->last_orderer = (gint)index;
   world->ordered_us = world->now_us;
 }
 
 static inline void
-world_judge (World *world)
+world_check (World *world)
 {
   for (guint i = 0; i < world->n_nodes; i++)
     if (world->nodes[i].group != NULL && !world->nodes[i].frozen && world->nodes[i].recovered)
       {
-        world_judge_answers (world, i);
-        world_judge_orders (world, i);
+        world_check_answers (world, i);
+        world_check_orders (world, i);
       }
 }
 
--- a/tests/unit/ledger-scene.h
+++ b/tests/unit/ledger-scene.h
@@ -7,7 +7,7 @@
 
 /* Time in which another leader must lead, ms: 1 s of silence, the later turn of a second backup, two
  * exchanges of which one is sent again. */
-#define LEAD_MS 2500
+#define ELECTION_MAX_MS 2500
 static inline void
 settle (World *world)
 {
--- a/tests/unit/ledger-world.h
+++ b/tests/unit/ledger-world.h
@@ -25,11 +25,11 @@
   if (leader && node->led_epoch == 0)
     {
       node->led_epoch = view->epoch;
-      world_judge_leader (world, index, view->epoch);
-      world_keep (node);
+      world_check_leader (world, index, view->epoch);
+      world_save_state (node);
       const WorldRecord epoch_record = { .epoch = view->epoch };
       g_array_append_val (node->disk.log, epoch_record);
-      world_note_end (node);
+      world_update_log_end (node);
     }
 }
 
@@ -90,7 +90,7 @@
 {
   WorldNode *node = &world->nodes[index];
   const QuinceLedgerView *view = quince_ledger_group_get_view (node->group);
-  gint leader = view != NULL ? world_node_of (world, view->primary) : -1;
+  gint leader = view != NULL ? world_find_node (world, view->primary) : -1;
   if (leader < 0 || (guint)leader == index || world->cut[index][leader])
     return;
   const WorldNode *leader_node = &world->nodes[leader];
@@ -121,8 +121,8 @@
 world_inform_members (World *world, guint index)
 {
   WorldNode *node = &world->nodes[index];
-  if (node->led_epoch == 0 || !world_store_fails (world, index)
-      || world->now_us - node->reported_us < WORLD_INFORM_US)
+  if (node->led_epoch == 0 || !world_is_store_unreachable (world, index)
+      || world->now_us - node->reported_us < WORLD_INFORM_INTERVAL_US)
     return;
   node->reported_us = world->now_us;
   for (guint i = 0; i < world->n_nodes; i++)
@@ -141,9 +141,10 @@
 world_lead_without_store (World *world, guint index)
 {
   WorldNode *node = &world->nodes[index];
-  if (!quince_ledger_group_lead_without_store (node->group, world->now_us, world_store_fails (world, index)))
+  if (!quince_ledger_group_try_lead_without_store (node->group, world->now_us,
+                                                   world_is_store_unreachable (world, index)))
     return;
-  world->unaided++;
+  world->elections_without_store++;
   world_trace (world, "LEADS WITHOUT STORE", quince_ledger_group_get_view (node->group));
   world_update_role (world, index);
   for (guint i = 0; i < world->n_nodes; i++)
@@ -157,11 +158,11 @@
   static const gint64 interval_us_by_kind[] = { [QUINCE_LEDGER_QUERY_LEADER] = 1000 * 1000,
                                                 [QUINCE_LEDGER_QUERY_MEMBERS] = 440 * 1000,
                                                 [QUINCE_LEDGER_QUERY_VOTES] = 0,
-                                                [QUINCE_LEDGER_QUERY_NOTES] = 0 };
+                                                [QUINCE_LEDGER_QUERY_CHANGE_ACKS] = 0 };
   WorldNode *node = &world->nodes[index];
   QuinceLedgerQuery query;
-  QuinceLedgerQueryKind kind
-      = quince_ledger_group_get_query (node->group, world->now_us, world_store_fails (world, index), &query);
+  QuinceLedgerQueryKind kind = quince_ledger_group_get_query (
+      node->group, world->now_us, world_is_store_unreachable (world, index), &query);
   if (kind == QUINCE_LEDGER_QUERY_NONE || world->now_us - node->queried_us < interval_us_by_kind[kind])
     return;
   node->queried_us = world->now_us;
@@ -181,7 +182,7 @@
 world_receive_lead (World *world, guint index, const WorldMessage *message)
 {
   WorldNode *node = &world->nodes[index];
-  quince_ledger_group_take_lead (node->group, world->now_us, &message->lead);
+  quince_ledger_group_handle_lead (node->group, world->now_us, &message->lead);
   world_update_role (world, index);
   world_propose (world, index);
   world_lead_without_store (world, index);
@@ -195,13 +196,13 @@
   if (world->now_us - node->read_view_us > 300 * 1000)
     {
       node->read_view_us = world->now_us;
-      world_ask_view (world, index);
+      world_request_view (world, index);
     }
   guint64 epoch = quince_ledger_group_campaign (node->group, world->now_us);
   for (guint i = 0; epoch != 0 && i < world->n_nodes; i++)
     if (i != index)
       {
-        WorldMessage *request = world_send (world, WORLD_ASK, index, i);
+        WorldMessage *request = world_send (world, WORLD_PROMISE_REQUEST, index, i);
         request->epoch = epoch;
         request->replica = node->disk.replica;
         request->end = world_log_end (node);
@@ -219,7 +220,7 @@
     {
       const WorldRecord record = { .epoch = node->led_epoch, .value = ++world->next_value };
       g_array_append_val (node->disk.log, record);
-      world_note_end (node);
+      world_update_log_end (node);
     }
   for (guint i = 0; i < world->n_nodes; i++)
     if (i != index)
@@ -236,11 +237,11 @@
 {
   WorldNode *node = &world->nodes[index];
   const QuinceLedgerView *view = quince_ledger_group_get_view (node->group);
-  gint leader = view != NULL ? world_node_of (world, view->primary) : -1;
+  gint leader = view != NULL ? world_find_node (world, view->primary) : -1;
   if (message->replica != node->disk.replica || leader != (gint)message->from)
     return;
-  gboolean accepted = quince_ledger_group_accepts (node->group, world->now_us, message->epoch);
-  guint64 promised = quince_ledger_group_get_kept (node->group)->promised;
+  gboolean accepted = quince_ledger_group_accept_leader (node->group, world->now_us, message->epoch);
+  guint64 promised = quince_ledger_group_get_persistent_state (node->group)->promised;
   if (!accepted && promised <= message->epoch)
     return;
   if (accepted && message->records != NULL)
@@ -255,7 +256,7 @@
       if (n_same < message->records->len)
         g_array_append_vals (node->disk.log, &g_array_index (message->records, WorldRecord, n_same),
                              message->records->len - n_same);
-      world_note_end (node);
+      world_update_log_end (node);
     }
   WorldMessage *ack = world_send (world, WORLD_ACK, index, message->from);
   ack->replica = node->disk.replica;
@@ -271,7 +272,7 @@
   WorldNode *node = &world->nodes[index];
   if (message->epoch != node->led_epoch || node->led_epoch == 0)
     return;
-  quince_ledger_group_note_contact (node->group, message->replica, world->now_us);
+  quince_ledger_group_record_contact (node->group, message->replica, world->now_us);
   if (message->promised > message->epoch)
     quince_ledger_group_peer_refused (node->group, message->promised);
   else
@@ -283,8 +284,8 @@
 world_receive_promise_request (World *world, guint index, const WorldMessage *message)
 {
   WorldNode *node = &world->nodes[index];
-  if (!quince_ledger_group_promise (node->group, world->now_us, message->replica, message->epoch,
-                                    &message->end))
+  if (!quince_ledger_group_grant_promise (node->group, world->now_us, message->replica, message->epoch,
+                                          &message->end))
     return;
   world_update_role (world, index);
   WorldMessage *promise = world_send (world, WORLD_PROMISE, index, message->from);
@@ -297,21 +298,21 @@
 static inline void
 world_complete_store_call (World *world, WorldMessage *message)
 {
-  gboolean store_fails = world_store_fails (world, message->to) && !message->late;
+  gboolean store_fails = world_is_store_unreachable (world, message->to) && !message->late;
   gboolean applied
-      = message->outcome == QUINCE_PROPOSAL_DONE && !store_fails && world->revision == message->revision;
+      = message->outcome == QUINCE_PROPOSAL_APPLIED && !store_fails && world->revision == message->revision;
   if (applied)
     world_apply_change (world, message->view, message->revision);
   WorldNode *node = &world->nodes[message->to];
   if (node->group == NULL || node->incarnation != message->incarnation)
     return;
   QuinceProposalOutcome outcome = message->outcome;
-  if (outcome == QUINCE_PROPOSAL_DONE && !applied)
-    outcome = store_fails ? QUINCE_PROPOSAL_NOT_DONE : QUINCE_PROPOSAL_CONFLICT;
-  if (store_fails && outcome == QUINCE_PROPOSAL_NOT_DONE && g_rand_int_range (world->random, 0, 2) == 0)
+  if (outcome == QUINCE_PROPOSAL_APPLIED && !applied)
+    outcome = store_fails ? QUINCE_PROPOSAL_NOT_APPLIED : QUINCE_PROPOSAL_CONFLICT;
+  if (store_fails && outcome == QUINCE_PROPOSAL_NOT_APPLIED && g_rand_int_range (world->random, 0, 2) == 0)
     {
       outcome = QUINCE_PROPOSAL_UNKNOWN;
-      world_change_later (world, message);
+      world_apply_later (world, message);
     }
   quince_ledger_group_proposal_ended (node->group, world->now_us, outcome, world->revision);
   world_update_role (world, message->to);
@@ -338,7 +339,7 @@
       break;
     case WORLD_HELLO:
       if (node->led_epoch != 0 && world->nodes[message->from].disk.replica == message->replica)
-        world_take_hello (world, node, message->from);
+        world_receive_hello (world, node, message->from);
       break;
     case WORLD_APPEND:
       world_receive_append (world, message->to, message);
@@ -346,12 +347,12 @@
     case WORLD_ACK:
       world_receive_ack (world, message->to, message);
       break;
-    case WORLD_ASK:
+    case WORLD_PROMISE_REQUEST:
       world_receive_promise_request (world, message->to, message);
       break;
     case WORLD_PROMISE:
-      quince_ledger_group_promised_by (node->group, world->now_us, message->replica, message->epoch,
-                                       &message->end);
+      quince_ledger_group_handle_promise (node->group, world->now_us, message->replica, message->epoch,
+                                          &message->end);
       world_propose (world, message->to);
       break;
     case WORLD_QUERY:
@@ -390,7 +391,7 @@
     if (world->nodes[i].group != NULL && !world->nodes[i].frozen
         && world->nodes[i].next_tick_us <= world->now_us)
       world_node_tick (world, i);
-  world_judge (world);
+  world_check (world);
 }
 
 static inline void
@@ -415,7 +416,7 @@
   world->messages = g_ptr_array_new ();
   world->committed = g_array_new (FALSE, FALSE, sizeof (WorldRecord));
   world->leaders = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, g_free);
-  world->orderer = -1;
+  world->last_orderer = -1;
   for (guint i = 0; i < n_nodes; i++)
     {
       world->nodes[i].disk.log = g_array_new (FALSE, FALSE, sizeof (WorldRecord));
--- a/tests/unit/test-batch-log.c
+++ b/tests/unit/test-batch-log.c
@@ -141,7 +141,7 @@
   guint64 replica_id = quince_batch_log_get_replica_id (fixture->log);
   append_bytes (fixture, 1, 3, (char *)"one", 3);
   append_bytes (fixture, 2, 3, (char *)"two", 3);
-  const QuinceLedgerKept saved = { .promised = 9, .noted = 7, .ordered = 5 };
+  const QuinceLedgerPersistentState saved = { .promised = 9, .noted = 7, .ordered = 5 };
   assert_true (quince_batch_log_save_persistent_state (fixture->log, &saved, NULL));
   reopen (fixture);
   assert_true (replica_id != 0);
--- a/tests/unit/test-kept-bytes.c
+++ b/tests/unit/test-kept-bytes.c
@@ -217,7 +217,7 @@
   assert_string_equal (replica_id, expected_replica_id);
   assert_int_equal (quince_batch_log_get_last_index (log), G_N_ELEMENTS (expected_records));
   assert_int_equal (quince_batch_log_get_commit_index (log), LOG_COMMIT);
-  const QuinceLedgerKept *persistent_state = quince_batch_log_get_persistent_state (log);
+  const QuinceLedgerPersistentState *persistent_state = quince_batch_log_get_persistent_state (log);
   assert_int_equal (persistent_state->promised, LOG_PROMISED);
   assert_int_equal (persistent_state->noted, LOG_NOTED);
   assert_int_equal (persistent_state->ordered, LOG_ORDERED);
--- a/tests/unit/test-ledger-group.c
+++ b/tests/unit/test-ledger-group.c
@@ -129,7 +129,7 @@
   g_autofree char *name = g_strdup_printf ("n%u", leaving);
   const char *const nodes[] = { name, NULL };
   for (guint i = 0; i < 3; i++)
-    quince_ledger_group_set_leaving (world->nodes[i].group, nodes);
+    quince_ledger_group_set_draining_nodes (world->nodes[i].group, nodes);
   world_run (world, 3000);
   for (guint i = 0; i < world->view->members.members_len; i++)
     assert_string_not_equal (world->view->members.members_val[i].node, name);
@@ -138,7 +138,7 @@
   world_wipe (world, lost);
   world_run (world, 1000);
   world_start (world, lost, FALSE);
-  quince_ledger_group_set_leaving (world->nodes[lost].group, nodes);
+  quince_ledger_group_set_draining_nodes (world->nodes[lost].group, nodes);
   world_run (world, 4500);
   assert_commits_continue (world, 1500);
   world_free (world);
@@ -300,7 +300,7 @@
 set_allowed_nodes_on_all (World *world, const char *const *nodes)
 {
   for (guint i = 0; i < world->n_nodes; i++)
-    quince_ledger_group_confine (world->nodes[i].group, nodes);
+    quince_ledger_group_set_allowed_nodes (world->nodes[i].group, nodes);
 }
 
 /* All other machines must leave the view, including the leader, and receive no more records.  If fewer
@@ -360,11 +360,11 @@
 {
   const QuinceLedgerLimits limits = { .quorum = 2,
                                       .members_max = 3,
-                                      .leader_silence_us = G_USEC_PER_SEC,
-                                      .member_silence_us = G_USEC_PER_SEC,
-                                      .confirm_us = 600 * 1000,
+                                      .leader_timeout_us = G_USEC_PER_SEC,
+                                      .member_timeout_us = G_USEC_PER_SEC,
+                                      .lease_duration_us = 600 * 1000,
                                       .order_pause_us = 3200 * 1000 };
-  const QuinceLedgerKept kept = { 0 };
+  const QuinceLedgerPersistentState kept = { 0 };
   QuinceLedgerGroup *group = quince_ledger_group_new (&change_members[0], &limits, &kept, FALSE, 0);
   QuinceLedgerMember members[] = { change_members[0], change_members[1] };
   const QuinceLedgerView view = { .epoch = 1, .primary = 2, .members = { G_N_ELEMENTS (members), members } };
@@ -373,7 +373,7 @@
   guint64 epoch = quince_ledger_group_campaign (group, now_us);
   guint64 expected = 0;
   g_autoptr (QuinceLedgerView) takeover = quince_ledger_group_propose (group, now_us, &expected);
-  quince_ledger_group_proposal_ended (group, now_us, QUINCE_PROPOSAL_DONE, 6);
+  quince_ledger_group_proposal_ended (group, now_us, QUINCE_PROPOSAL_APPLIED, 6);
   const QuinceLogEnd end = { .epoch = epoch, .index = 1 };
   quince_ledger_group_set_log_end (group, &end);
   for (guint i = 1; i < G_N_ELEMENTS (change_members); i++)
--- a/tests/unit/test-ledger-one-way.c
+++ b/tests/unit/test-ledger-one-way.c
@@ -8,7 +8,7 @@
 #include "ledger-scene.h"
 
 /* Time limit for the next leader: the former one stops its heartbeats after 1 s without a quorum. */
-#define FAILOVER_MAX_MS (1000 + LEAD_MS)
+#define FAILOVER_MAX_MS (1000 + ELECTION_MAX_MS)
 #define SEEDS 60
 /* Number of random changes of the links per seed, and the longest time between two. */
 #define CUTS_PER_SEED 12
@@ -28,7 +28,7 @@
 set_store_unreachable_except (World *world, guint node, gboolean unreachable)
 {
   for (guint i = 0; i < world->n_nodes; i++)
-    world->store_away[i] = unreachable && i != node;
+    world->store_unreachable[i] = unreachable && i != node;
 }
 
 /* The leader is in the region of the metadata store and receives nothing from the members, which cannot reach
@@ -71,7 +71,7 @@
         {
           gboolean is_member = quince_ledger_view_find (world->view, world->nodes[i].disk.replica) != NULL;
           world->cut[i][former] = is_member && i != former;
-          world->store_away[i] = is_member && i != former;
+          world->store_unreachable[i] = is_member && i != former;
         }
       await_leader (world, former, FAILOVER_MAX_MS + 1000);
       assert_commits_continue (world, 500);
@@ -120,7 +120,7 @@
   if (g_rand_int_range (world->random, 0, 4) == 0)
     cut_incoming_links (world, to, TRUE);
   if (g_rand_int_range (world->random, 0, 4) == 0)
-    world->store_away[from] = !world->store_away[from];
+    world->store_unreachable[from] = !world->store_unreachable[from];
   if (g_rand_int_range (world->random, 0, 6) == 0 && world->nodes[to].group != NULL)
     {
       world_kill (world, to);
@@ -143,7 +143,7 @@
       for (guint i = 0; i < world->n_nodes; i++)
         {
           world_cut_off (world, i, FALSE);
-          world->store_away[i] = FALSE;
+          world->store_unreachable[i] = FALSE;
         }
       world_run (world, HEAL_MS);
       if (world_find_leader (world) < 0 || !world_has_enough_members (world))
--- a/tests/unit/test-ledger-succession.c
+++ b/tests/unit/test-ledger-succession.c
@@ -26,13 +26,13 @@
 {
   gint leader = world_find_leader (world);
   assert_int_not_equal (leader, -1);
-  assert_int_equal (world_node_of (world, world->view->primary), leader);
+  assert_int_equal (world_find_node (world, world->view->primary), leader);
   assert_int_equal (world->view->epoch, world->nodes[leader].led_epoch);
 }
 
 /* A leader is found although the store is away. */
 static void
-test_store_down (void **state)
+test_election_with_store_down (void **state)
 {
   guint slowest = 0;
   for (guint32 seed = 1; seed <= 30; seed++)
@@ -41,7 +41,7 @@
       world->store_down = TRUE;
       world_run (world, seed * 37);
       guint former = lose_leader (world);
-      guint waited = await_leader (world, former, LEAD_MS);
+      guint waited = await_leader (world, former, ELECTION_MAX_MS);
       slowest = MAX (slowest, waited);
       assert_commits_continue (world, 500);
       world->store_down = FALSE;
@@ -54,14 +54,14 @@
 
 /* As fast with the store as without it. */
 static void
-test_store_up (void **state)
+test_election_with_store_up (void **state)
 {
   guint slowest = 0;
   for (guint32 seed = 1; seed <= 30; seed++)
     {
       World *world = settled_world (1000 + seed, 3, 1);
       guint former = lose_leader (world);
-      guint waited = await_leader (world, former, LEAD_MS + 500);
+      guint waited = await_leader (world, former, ELECTION_MAX_MS + 500);
       slowest = MAX (slowest, waited);
       world_run (world, 2000);
       assert_store_shows_leader (world);
@@ -77,15 +77,15 @@
   World *world = settled_world (2001, 3, 1);
   guint former = (guint)world_find_leader (world);
   for (guint i = 0; i < world->n_nodes; i++)
-    world->store_away[i] = i != former;
+    world->store_unreachable[i] = i != former;
   world_kill (world, former);
-  await_leader (world, former, LEAD_MS);
+  await_leader (world, former, ELECTION_MAX_MS);
   assert_commits_continue (world, 500);
   world_start (world, former, FALSE); /* and reads in the store that it leads */
   world_run (world, 3000);
   assert_int_not_equal (world_find_leader (world), (gint)former);
   for (guint i = 0; i < world->n_nodes; i++)
-    world->store_away[i] = FALSE;
+    world->store_unreachable[i] = FALSE;
   world_run (world, 3000);
   assert_store_shows_leader (world);
   world_free (world);
@@ -93,21 +93,21 @@
 
 /* A leader that is cut off from the members, and still sees the store, answers with nothing old. */
 static void
-test_former_leader_sees_the_store (void **state)
+test_partitioned_leader_with_store_access (void **state)
 {
   for (guint32 seed = 1; seed <= 20; seed++)
     {
       World *world = settled_world (3000 + seed, 3, 1);
       guint former = (guint)world_find_leader (world);
       for (guint i = 0; i < world->n_nodes; i++)
-        world->store_away[i] = i != former;
+        world->store_unreachable[i] = i != former;
       world_cut_off (world, former, TRUE);
-      await_leader (world, former, LEAD_MS);
+      await_leader (world, former, ELECTION_MAX_MS);
       assert_commits_continue (world, 4000);
       world_cut_off (world, former, FALSE);
       assert_commits_continue (world, 3000);
       for (guint i = 0; i < world->n_nodes; i++)
-        world->store_away[i] = FALSE;
+        world->store_unreachable[i] = FALSE;
       world_run (world, 3000);
       assert_store_shows_leader (world);
       world_free (world);
@@ -116,7 +116,7 @@
 
 /* One leader after the other is frozen while the store is away, and wakes later. */
 static void
-test_leaders_freeze_in_turn (void **state)
+test_leaders_freeze_in_sequence (void **state)
 {
   World *world = settled_world (4001, 3, 1);
   world->store_down = TRUE;
@@ -124,7 +124,7 @@
     {
       guint former = (guint)world_find_leader (world);
       world->nodes[former].frozen = TRUE;
-      await_leader (world, former, LEAD_MS);
+      await_leader (world, former, ELECTION_MAX_MS);
       assert_commits_continue (world, 500);
       world->nodes[former].frozen = FALSE;
       world_run (world, 1500);
@@ -138,14 +138,14 @@
 
 /* Members that were all restarted while the store was away lead again when it is back. */
 static void
-test_all_start_anew (void **state)
+test_all_members_restart (void **state)
 {
   for (guint32 seed = 1; seed <= 20; seed++)
     {
       World *world = settled_world (5000 + seed, 3, 1);
       world->store_down = TRUE;
       guint former = lose_leader (world);
-      await_leader (world, former, LEAD_MS);
+      await_leader (world, former, ELECTION_MAX_MS);
       assert_commits_continue (world, 700);
       for (guint i = 0; i < world->n_nodes; i++)
         world_kill (world, i);
@@ -163,14 +163,14 @@
 /* A member that is restarted while the store is away is informed who leads, and counts for the quorum again.
  */
 static void
-test_member_starts_anew (void **state)
+test_member_restarts (void **state)
 {
   for (guint32 seed = 1; seed <= 20; seed++)
     {
       World *world = settled_world (6000 + seed, 3, 1);
       world->store_down = TRUE;
       guint former = lose_leader (world);
-      await_leader (world, former, LEAD_MS);
+      await_leader (world, former, ELECTION_MAX_MS);
       guint other = 3 - former - (guint)world_find_leader (world);
       world_kill (world, other);
       world_run (world, 700);
@@ -180,7 +180,7 @@
       world_start (world, former, FALSE);
       world_run (world, 1000);
       world_kill (world, (guint)world_find_leader (world));
-      await_leader (world, WORLD_MAX, LEAD_MS);
+      await_leader (world, WORLD_NODES_MAX, ELECTION_MAX_MS);
       assert_commits_continue (world, 500);
       world_free (world);
     }
@@ -197,12 +197,12 @@
 make_group (guint64 promised)
 {
   static QuinceLedgerMember self = { .node = "n1", .address = "n1", .replica = SELF };
-  const QuinceLedgerKept kept = { .promised = promised };
+  const QuinceLedgerPersistentState kept = { .promised = promised };
   const QuinceLedgerLimits limits = { .quorum = 2,
                                       .members_max = 3,
-                                      .leader_silence_us = G_USEC_PER_SEC,
-                                      .member_silence_us = G_USEC_PER_SEC,
-                                      .confirm_us = 600 * 1000,
+                                      .leader_timeout_us = G_USEC_PER_SEC,
+                                      .member_timeout_us = G_USEC_PER_SEC,
+                                      .lease_duration_us = 600 * 1000,
                                       .order_pause_us = 3200 * 1000 };
   return quince_ledger_group_new (&self, &limits, &kept, FALSE, START_US);
 }
@@ -224,19 +224,19 @@
 {
   const QuinceLogEnd end = { 0 };
   guint64 epoch = quince_ledger_group_campaign (group, now_us);
-  quince_ledger_group_promised_by (group, now_us, SECOND, epoch, &end);
+  quince_ledger_group_handle_promise (group, now_us, SECOND, epoch, &end);
   guint64 expected = 0;
   g_autoptr (QuinceLedgerView) view = quince_ledger_group_propose (group, now_us, &expected);
   assert_non_null (view);
   assert_int_equal (view->primary, SELF);
   assert_int_equal (view->epoch, epoch);
-  assert_int_equal (quince_ledger_group_get_kept (group)->promised, epoch);
+  assert_int_equal (quince_ledger_group_get_persistent_state (group)->promised, epoch);
   return epoch;
 }
 
 /* A view that it proposed lands after it has promised a later epoch to another: it does not lead. */
 static void
-test_late_view_after_a_promise (void **state)
+test_late_view_after_later_promise (void **state)
 {
   const QuinceLogEnd end = { 0 };
   QuinceLedgerGroup *group = make_group (0);
@@ -246,7 +246,7 @@
   quince_ledger_group_proposal_ended (group, now, QUINCE_PROPOSAL_UNKNOWN, 0);
   now += G_USEC_PER_SEC;
   quince_ledger_group_campaign (group, now); /* its promises are too old to count */
-  assert_true (quince_ledger_group_promise (group, now, SECOND, epoch + 5, &end));
+  assert_true (quince_ledger_group_grant_promise (group, now, SECOND, epoch + 5, &end));
   show_view (group, now + 1000, epoch, SELF, 6);
   assert_int_equal (quince_ledger_group_get_role (group), QUINCE_LEDGER_BACKUP);
   quince_ledger_group_free (group);
@@ -254,7 +254,7 @@
 
 /* The same view, and no later promise: it leads. */
 static void
-test_late_view_without_a_promise (void **state)
+test_late_view_without_later_promise (void **state)
 {
   QuinceLedgerGroup *group = make_group (0);
   show_view (group, START_US, 1, THIRD, 5);
@@ -269,7 +269,7 @@
 /* Of a damaged message: it names no members, no sender, or no lead. Epochs and revisions only rise,
  * so that it would be believed for good. */
 static void
-test_damaged_lead (void **state)
+test_malformed_lead_is_ignored (void **state)
 {
   static QuinceLedgerMember member = { .node = "n2", .address = "n2", .replica = SECOND };
   const QuinceLedgerLead leads[] = {
@@ -282,7 +282,7 @@
   QuinceLedgerGroup *group = make_group (0);
   show_view (group, START_US, 1, THIRD, 5);
   for (guint i = 0; i < G_N_ELEMENTS (leads); i++)
-    quince_ledger_group_take_lead (group, START_US + 1000, &leads[i]);
+    quince_ledger_group_handle_lead (group, START_US + 1000, &leads[i]);
   assert_int_equal (quince_ledger_group_get_view (group)->epoch, 1);
   assert_int_equal (quince_ledger_group_get_view (group)->members.members_len, 3);
   show_view (group, START_US + 2000, 2, THIRD, 6);
@@ -291,12 +291,12 @@
 }
 
 static QuinceLedgerGroup *
-make_primary (gint64 now_us)
+make_leader (gint64 now_us)
 {
   QuinceLedgerGroup *group = make_group (0);
   show_view (group, START_US, 1, THIRD, 5);
   guint64 epoch = propose_lead (group, now_us);
-  quince_ledger_group_proposal_ended (group, now_us, QUINCE_PROPOSAL_DONE, 6);
+  quince_ledger_group_proposal_ended (group, now_us, QUINCE_PROPOSAL_APPLIED, 6);
   const QuinceLogEnd end = { .epoch = epoch, .index = 1 };
   quince_ledger_group_set_log_end (group, &end);
   static const QuinceLedgerMember others[] = { { .node = "n2", .address = "n2", .replica = SECOND },
@@ -313,20 +313,21 @@
 /* Members note a change on the disk before it is proposed; a leader that proposed to hand over answers
  * nothing until that is settled: the one that it named is promised at once. */
 static void
-test_hand_over_is_noted_and_silent (void **state)
+test_handover_needs_change_acks (void **state)
 {
   static const char *const leaving[] = { "n1", NULL };
   gint64 now = START_US + 3 * G_USEC_PER_SEC;
   guint64 expected = 0;
-  QuinceLedgerGroup *group = make_primary (now);
-  quince_ledger_group_set_leaving (group, leaving);
+  QuinceLedgerGroup *group = make_leader (now);
+  quince_ledger_group_set_draining_nodes (group, leaving);
   assert_null (quince_ledger_group_propose (group, now, &expected));
-  assert_int_equal (quince_ledger_group_get_kept (group)->noted, 6);
+  assert_int_equal (quince_ledger_group_get_persistent_state (group)->noted, 6);
   QuinceLedgerQuery query;
-  assert_int_equal (quince_ledger_group_get_query (group, now, FALSE, &query), QUINCE_LEDGER_QUERY_NOTES);
+  assert_int_equal (quince_ledger_group_get_query (group, now, FALSE, &query),
+                    QUINCE_LEDGER_QUERY_CHANGE_ACKS);
   assert_true (query.changing);
   const QuinceLedgerLead lead = { .revision = 6, .replica = SECOND, .promised = query.epoch, .noted = 6 };
-  quince_ledger_group_take_lead (group, now, &lead);
+  quince_ledger_group_handle_lead (group, now, &lead);
   g_autoptr (QuinceLedgerView) view = quince_ledger_group_propose (group, now, &expected);
   assert_non_null (view);
   assert_int_not_equal (view->primary, SELF);
@@ -361,13 +362,13 @@
 
 /* The machine of @node is to be emptied; %G_MAXUINT: none is. */
 static void
-empty_machine (World *world, guint node)
+drain_node (World *world, guint node)
 {
   g_autofree char *name = node != G_MAXUINT ? g_strdup_printf ("n%u", node) : NULL;
   const char *const nodes[] = { name, NULL };
   for (guint i = 0; i < world->n_nodes; i++)
     if (world->nodes[i].group != NULL)
-      quince_ledger_group_set_leaving (world->nodes[i].group, nodes);
+      quince_ledger_group_set_draining_nodes (world->nodes[i].group, nodes);
 }
 
 static void
@@ -391,13 +392,13 @@
   else if (kind <= 7)
     world->store_down = !world->store_down;
   else if (kind <= 9)
-    world->store_away[node] = !world->store_away[node];
+    world->store_unreachable[node] = !world->store_unreachable[node];
   else if (kind == 10)
     lose_disk (world, node, wiped);
   else if (kind == 12)
-    empty_machine (world, node);
+    drain_node (world, node);
   else if (kind == 13)
-    empty_machine (world, G_MAXUINT);
+    drain_node (world, G_MAXUINT);
   else if (kind == 11 && world->nodes[node].group != NULL)
     {
       world_kill (world, node);
@@ -414,10 +415,10 @@
   for (guint i = 0; i < world->n_nodes; i++)
     {
       world_cut_off (world, i, FALSE);
-      world->store_away[i] = FALSE;
+      world->store_unreachable[i] = FALSE;
     }
   bring_all_back (world);
-  empty_machine (world, G_MAXUINT);
+  drain_node (world, G_MAXUINT);
 }
 
 static void
@@ -463,17 +464,17 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_store_down),
-    cmocka_unit_test (test_store_up),
+    cmocka_unit_test (test_election_with_store_down),
+    cmocka_unit_test (test_election_with_store_up),
     cmocka_unit_test (test_store_turns_members_away),
-    cmocka_unit_test (test_former_leader_sees_the_store),
-    cmocka_unit_test (test_leaders_freeze_in_turn),
-    cmocka_unit_test (test_all_start_anew),
-    cmocka_unit_test (test_member_starts_anew),
-    cmocka_unit_test (test_late_view_after_a_promise),
-    cmocka_unit_test (test_late_view_without_a_promise),
-    cmocka_unit_test (test_hand_over_is_noted_and_silent),
-    cmocka_unit_test (test_damaged_lead),
+    cmocka_unit_test (test_partitioned_leader_with_store_access),
+    cmocka_unit_test (test_leaders_freeze_in_sequence),
+    cmocka_unit_test (test_all_members_restart),
+    cmocka_unit_test (test_member_restarts),
+    cmocka_unit_test (test_late_view_after_later_promise),
+    cmocka_unit_test (test_late_view_without_later_promise),
+    cmocka_unit_test (test_handover_needs_change_acks),
+    cmocka_unit_test (test_malformed_lead_is_ignored),
     cmocka_unit_test (test_seeded_faults),
   };
   return cmocka_run_group_tests (tests, NULL, NULL);
