--- a/lib/batchlog/batch-log.h
+++ b/lib/batchlog/batch-log.h
@@ -13,7 +13,7 @@
 #pragma once
 
 #include "protocol/codec.h"
-#include "core/group/ledger-kept.h"
+#include "core/group/ledger-persistent-state.h"
 
 G_BEGIN_DECLS
 
--- a/lib/core/group/ledger-campaign.c
+++ b/lib/core/group/ledger-campaign.c
@@ -19,9 +19,9 @@
 #define CAMPAIGN_DEFERRALS_MAX 3
 
 static gboolean
-is_ahead (const QuinceLogEnd *end, const QuinceLogEnd *than)
+is_ahead (const QuinceLogEnd *end, const QuinceLogEnd *other)
 {
-  return end->epoch != than->epoch ? end->epoch > than->epoch : end->index > than->index;
+  return end->epoch != other->epoch ? end->epoch > other->epoch : end->index > other->index;
 }
 
 /* The place of this replica among the backups; the leader itself comes after them.  No two have the same one:
@@ -48,12 +48,12 @@
 quince_ledger_group_accept_leader (QuinceLedgerGroup *group, gint64 now_us, guint64 epoch)
 {
   if (group->view == NULL || group->role == QUINCE_LEDGER_LEADER || epoch != group->view->epoch
-      || epoch < group->kept.promised)
+      || epoch < group->persistent.promised)
     return FALSE;
   /* A replica that has acknowledged a record follows no older leader, also after a restart. */
-  if (group->kept.promised != epoch)
+  if (group->persistent.promised != epoch)
     group->promised_to = 0;
-  group->kept.promised = epoch;
+  group->persistent.promised = epoch;
   group->leader_contact_us = now_us;
   quince_ledger_group_end_campaign (group);
   return TRUE;
@@ -72,8 +72,8 @@
 static gboolean
 follows_other_leader (const QuinceLedgerGroup *group, gint64 now_us, guint64 replica)
 {
-  gboolean follows = replica == group->view->primary && has_current_lead (group);
-  return !follows && now_us - group->leader_contact_us < group->limits.leader_timeout_us;
+  gboolean is_own_leader = replica == group->view->primary && has_current_lead (group);
+  return !is_own_leader && now_us - group->leader_contact_us < group->limits.leader_timeout_us;
 }
 
 /* A leader that no quorum follows any more promises too: it may have been suspended while another one led,
@@ -96,15 +96,16 @@
 {
   if (group->view == NULL || is_active_leader (group, now_us))
     return FALSE;
-  if (epoch == group->kept.promised && replica == group->promised_to)
+  if (epoch == group->persistent.promised && replica == group->promised_to)
     return TRUE; /* its answer was lost */
   /* Its own next campaign must be above the epochs that others may promise meanwhile. */
   group->last_campaign = MAX (group->last_campaign, epoch);
-  if (follows_other_leader (group, now_us, replica) || epoch <= group->kept.promised
-      || epoch <= group->view->epoch || quince_ledger_group_is_elected (group) || is_ahead (&group->end, end))
+  if (follows_other_leader (group, now_us, replica) || epoch <= group->persistent.promised
+      || epoch <= group->view->epoch || quince_ledger_group_is_elected (group)
+      || is_ahead (&group->log_end, end))
     return FALSE;
   group->consecutive_promises = replica == group->promised_to ? group->consecutive_promises + 1 : 1;
-  group->kept.promised = epoch;
+  group->persistent.promised = epoch;
   group->promised_to = replica;
   /* From now on it commits nothing in a lower epoch. */
   group->role = QUINCE_LEDGER_BACKUP;
@@ -117,11 +118,11 @@
 gboolean
 quince_ledger_group_promise_self (QuinceLedgerGroup *group)
 {
-  if (group->campaign_epoch == group->kept.promised)
+  if (group->campaign_epoch == group->persistent.promised)
     return group->promised_to == group->self.replica;
-  if (group->campaign_epoch < group->kept.promised)
+  if (group->campaign_epoch < group->persistent.promised)
     return FALSE;
-  group->kept.promised = group->campaign_epoch;
+  group->persistent.promised = group->campaign_epoch;
   group->promised_to = group->self.replica;
   return TRUE;
 }
@@ -140,7 +141,7 @@
 
 /* How long the leader must have been silent before this replica campaigns, us; -1: it does not campaign. */
 static gint64
-get_required_silence (const QuinceLedgerGroup *group)
+get_required_silence_us (const QuinceLedgerGroup *group)
 {
   if (group->role == QUINCE_LEDGER_WAITING || !quince_ledger_group_has_member (group, group->self.replica))
     return -1;
@@ -155,8 +156,8 @@
 guint64
 quince_ledger_group_campaign (QuinceLedgerGroup *group, gint64 now_us)
 {
-  gint64 silence = get_required_silence (group);
-  if (silence < 0 || (silence > 0 && now_us - group->leader_contact_us < silence))
+  gint64 silence_us = get_required_silence_us (group);
+  if (silence_us < 0 || (silence_us > 0 && now_us - group->leader_contact_us < silence_us))
     return 0;
   if (group->campaign_epoch != 0 && now_us - group->campaign_us < CAMPAIGN_TIMEOUT_US)
     return group->campaign_epoch; /* the requests may have been lost */
@@ -164,8 +165,8 @@
     return 0;
   quince_ledger_group_end_campaign (group);
   /* Above all epochs that are known: a member that promised an earlier campaign promises this one too. */
-  guint64 above = MAX (MAX (group->view->epoch, group->kept.promised), group->refused_epoch);
-  group->last_campaign = MAX (above, group->last_campaign) + 1;
+  guint64 max_known_epoch = MAX (MAX (group->view->epoch, group->persistent.promised), group->refused_epoch);
+  group->last_campaign = MAX (max_known_epoch, group->last_campaign) + 1;
   group->campaign_epoch = group->last_campaign;
   group->campaign_us = now_us;
   return group->campaign_epoch;
@@ -181,7 +182,7 @@
   if (group->campaign_epoch == 0 || epoch != group->campaign_epoch
       || !quince_ledger_group_has_member (group, replica))
     return;
-  if (is_ahead (end, &group->end))
+  if (is_ahead (end, &group->log_end))
     {
       /* The other one must lead: it may have committed records that this log lacks. */
       quince_ledger_group_end_campaign (group);
@@ -199,6 +200,6 @@
   if (group->campaign_epoch == 0 || group->view == NULL)
     return FALSE;
   guint members = group->view->members.members_len;
-  guint needed = members > group->limits.quorum ? members - group->limits.quorum : 0;
-  return group->campaign_promises->len >= needed;
+  guint promises_needed = members > group->limits.quorum ? members - group->limits.quorum : 0;
+  return group->campaign_promises->len >= promises_needed;
 }
--- a/lib/core/group/ledger-group-private.h
+++ b/lib/core/group/ledger-group-private.h
@@ -24,11 +24,11 @@
   QuinceLedgerLimits limits;
   gboolean may_bootstrap;
   QuinceLedgerRole role;
-  QuinceLogEnd end;
-  QuinceLedgerPersistentState kept;
-  GHashTable *zones; /* replica to zone, both owned */
-  char **leaving;    /* machines to be emptied */
-  char **confined;   /* machines that may keep records; NULL: all */
+  QuinceLogEnd log_end;
+  QuinceLedgerPersistentState persistent;
+  GHashTable *zones;     /* replica to zone, both owned */
+  char **draining_nodes; /* machines to be emptied */
+  char **allowed_nodes;  /* machines that may keep records; NULL: all */
 
   /* The view. */
   QuinceLedgerView *view; /* members of the newest revision known, epoch and primary of the greatest epoch */
@@ -72,7 +72,7 @@
   guint64 recovery_index;         /* of the first record of its own epoch */
   guint64 refused_epoch;          /* greatest epoch that a member promised to another replica */
   gboolean wants_change_acks;     /* a change of members waits for them */
-  GArray *notes;                  /* replicas that noted a change on this revision */
+  GArray *change_acks;            /* replicas that noted a change on this revision */
   gint64 orders_blocked_until_us; /* it gives no orders before */
   gint64 leading_since_us;
 };
--- a/lib/core/group/ledger-group.c
+++ b/lib/core/group/ledger-group.c
@@ -19,7 +19,7 @@
 QuinceLedgerGroup *
 quince_ledger_group_new (const QuinceLedgerMember *self,
                          const QuinceLedgerLimits *limits,
-                         const QuinceLedgerPersistentState *kept,
+                         const QuinceLedgerPersistentState *persistent,
                          gboolean may_bootstrap,
                          gint64 now_us)
 {
@@ -29,8 +29,8 @@
   group->self.address = g_strdup (self->address);
   group->self.replica = self->replica;
   group->limits = *limits;
-  group->kept = *kept;
-  group->promised_at_start = kept->promised;
+  group->persistent = *persistent;
+  group->promised_at_start = persistent->promised;
   group->may_bootstrap = may_bootstrap;
   /* It may have acknowledged the leader's records a moment before its restart. */
   group->leader_contact_us = now_us;
@@ -38,7 +38,7 @@
   group->proposed_members = g_array_new (FALSE, FALSE, sizeof (guint64));
   group->campaign_promises = g_array_new (FALSE, FALSE, sizeof (guint64));
   group->votes = g_array_new (FALSE, FALSE, sizeof (guint64));
-  group->notes = g_array_new (FALSE, FALSE, sizeof (guint64));
+  group->change_acks = g_array_new (FALSE, FALSE, sizeof (guint64));
   return group;
 }
 
@@ -53,9 +53,9 @@
   g_array_unref (group->proposed_members);
   g_array_unref (group->campaign_promises);
   g_array_unref (group->votes);
-  g_array_unref (group->notes);
-  g_strfreev (group->leaving);
-  g_strfreev (group->confined);
+  g_array_unref (group->change_acks);
+  g_strfreev (group->draining_nodes);
+  g_strfreev (group->allowed_nodes);
   g_hash_table_unref (group->zones);
   g_free (group->self.node);
   g_free (group->self.address);
@@ -67,35 +67,35 @@
 const QuinceLedgerPersistentState *
 quince_ledger_group_get_persistent_state (const QuinceLedgerGroup *group)
 {
-  return &group->kept;
+  return &group->persistent;
 }
 
 void
 quince_ledger_group_set_draining_nodes (QuinceLedgerGroup *group, const char *const *nodes)
 {
-  g_strfreev (group->leaving);
-  group->leaving = g_strdupv ((char **)nodes);
+  g_strfreev (group->draining_nodes);
+  group->draining_nodes = g_strdupv ((char **)nodes);
 }
 
 void
 quince_ledger_group_set_allowed_nodes (QuinceLedgerGroup *group, const char *const *nodes)
 {
-  g_strfreev (group->confined);
-  group->confined = g_strdupv ((char **)nodes);
+  g_strfreev (group->allowed_nodes);
+  group->allowed_nodes = g_strdupv ((char **)nodes);
 }
 
 gboolean
 quince_ledger_group_is_node_excluded (const QuinceLedgerGroup *group, const char *node)
 {
-  if (group->leaving != NULL && g_strv_contains ((const char *const *)group->leaving, node))
+  if (group->draining_nodes != NULL && g_strv_contains ((const char *const *)group->draining_nodes, node))
     return TRUE;
-  return group->confined != NULL && !g_strv_contains ((const char *const *)group->confined, node);
+  return group->allowed_nodes != NULL && !g_strv_contains ((const char *const *)group->allowed_nodes, node);
 }
 
 void
 quince_ledger_group_set_log_end (QuinceLedgerGroup *group, const QuinceLogEnd *end)
 {
-  group->end = *end;
+  group->log_end = *end;
 }
 
 /* ---- Peers ------------------------------------------------------------ */
--- a/lib/core/group/ledger-group.h
+++ b/lib/core/group/ledger-group.h
@@ -17,7 +17,7 @@
 #pragma once
 
 #include "protocol/codec.h"
-#include "core/group/ledger-kept.h"
+#include "core/group/ledger-persistent-state.h"
 #include "core/group/ledger-view.h"
 
 G_BEGIN_DECLS
@@ -71,12 +71,12 @@
 /**
  * quince_ledger_group_new:
  * @self: this replica
- * @kept: what its disk keeps
+ * @persistent: what its disk keeps
  * @may_bootstrap: this is the first start of the whole system: the first view may be written
  */
 QuinceLedgerGroup *quince_ledger_group_new (const QuinceLedgerMember *self,
                                             const QuinceLedgerLimits *limits,
-                                            const QuinceLedgerPersistentState *kept,
+                                            const QuinceLedgerPersistentState *persistent,
                                             gboolean may_bootstrap,
                                             gint64 now_us);
 void quince_ledger_group_free (QuinceLedgerGroup *group);
--- a/lib/core/group/ledger-leases.c
+++ b/lib/core/group/ledger-leases.c
@@ -11,7 +11,7 @@
 get_held_index (const QuinceLedgerGroup *group, guint64 replica)
 {
   if (replica == group->self.replica)
-    return group->end.index;
+    return group->log_end.index;
   const QuinceLedgerPeer *peer = quince_ledger_group_find_peer (group, replica);
   return peer != NULL ? peer->last_index : 0;
 }
@@ -194,5 +194,5 @@
 quince_ledger_group_record_orders (QuinceLedgerGroup *group, gint64 now_us)
 {
   if (quince_ledger_group_may_order (group, now_us))
-    group->kept.ordered = group->view->epoch;
+    group->persistent.ordered = group->view->epoch;
 }
--- a/lib/core/group/ledger-kept.h
+++ b/lib/core/group/ledger-persistent-state.h
@@ -1,5 +1,5 @@
 /*
- * ledger-kept.h: what a replica of the batch ledger keeps on its disk beside its log.
+ * ledger-persistent-state.h: what a replica of the batch ledger keeps on its disk beside its log.
  */
 #pragma once
 
--- a/lib/core/group/ledger-roles.c
+++ b/lib/core/group/ledger-roles.c
@@ -6,13 +6,14 @@
 /* No other replica can have given orders since this one did: one that did had a record of a later epoch on a
  * quorum, and so in the log of each later leader. */
 static gboolean
-was_last_to_order (const QuinceLedgerGroup *group, const QuinceLedgerView *before)
+was_last_to_order (const QuinceLedgerGroup *group, const QuinceLedgerView *previous)
 {
-  return before == NULL || (group->kept.ordered != 0 && group->kept.ordered == group->end.epoch);
+  return previous == NULL
+         || (group->persistent.ordered != 0 && group->persistent.ordered == group->log_end.epoch);
 }
 
 static void
-become_leader (QuinceLedgerGroup *group, gint64 now_us, const QuinceLedgerView *before)
+become_leader (QuinceLedgerGroup *group, gint64 now_us, const QuinceLedgerView *previous)
 {
   gboolean was_leader = group->role == QUINCE_LEDGER_LEADER;
   group->role = QUINCE_LEDGER_LEADER;
@@ -21,44 +22,44 @@
   group->store_leader_collects_acks
       = group->store_leader_collects_acks || group->store_epoch == group->change_ack_epoch;
   /* Older records count as committed only together with one of its own epoch, as in Raft. */
-  group->recovery_index = group->end.index + 1;
+  group->recovery_index = group->log_end.index + 1;
   group->commit_index = 0;
   if (!was_leader)
     group->orders_blocked_until_us
-        = was_last_to_order (group, before) ? now_us : now_us + group->limits.order_pause_us;
+        = was_last_to_order (group, previous) ? now_us : now_us + group->limits.order_pause_us;
   group->leading_since_us = now_us;
   group->refused_epoch = 0;
   g_hash_table_remove_all (group->peers);
 }
 
 static void
-update_role (QuinceLedgerGroup *group, gint64 now_us, const QuinceLedgerView *before)
+update_role (QuinceLedgerGroup *group, gint64 now_us, const QuinceLedgerView *previous)
 {
   const QuinceLedgerView *view = group->view;
-  gboolean is_self = view->primary == group->self.replica;
-  if (is_self && group->led_epoch == view->epoch)
+  gboolean is_primary = view->primary == group->self.replica;
+  if (is_primary && group->led_epoch == view->epoch)
     return; /* it leads already */
-  if (is_self && group->proposed_epoch == view->epoch && group->kept.promised <= view->epoch)
+  if (is_primary && group->proposed_epoch == view->epoch && group->persistent.promised <= view->epoch)
     {
       /* This process took the lead itself. */
-      become_leader (group, now_us, before);
+      become_leader (group, now_us, previous);
       return;
     }
   if (group->role == QUINCE_LEDGER_LEADER)
     g_hash_table_remove_all (group->peers);
   group->role = QUINCE_LEDGER_BACKUP;
-  if (before == NULL || before->epoch != view->epoch)
+  if (previous == NULL || previous->epoch != view->epoch)
     group->leader_contact_us = now_us;
 }
 
 void
 quince_ledger_group_adopt_view (QuinceLedgerGroup *group, gint64 now_us, QuinceLedgerView *view)
 {
-  g_autoptr (QuinceLedgerView) before = group->view;
+  g_autoptr (QuinceLedgerView) previous = group->view;
   group->view = view;
   /* Promises were asked of the members of the former view. */
   quince_ledger_group_end_campaign (group);
-  update_role (group, now_us, before);
+  update_role (group, now_us, previous);
 }
 
 /* Proposals on the former revision can no longer be done. */
@@ -67,7 +68,7 @@
 {
   group->revision = revision;
   g_array_set_size (group->proposed_members, 0);
-  g_array_set_size (group->notes, 0);
+  g_array_set_size (group->change_acks, 0);
   group->wants_change_acks = FALSE;
   group->proposal_may_apply = FALSE;
   group->handover_proposed = FALSE;
@@ -93,8 +94,8 @@
   if (revision == group->revision && revision != 0)
     group->confirmed_us = MAX (group->confirmed_us, requested_us);
   group->view_is_read = group->view_is_read || revision >= group->revision;
-  gboolean news = revision > group->revision || (revision == group->revision && group->store_epoch == 0);
-  if (view == NULL || !news)
+  gboolean is_new = revision > group->revision || (revision == group->revision && group->store_epoch == 0);
+  if (view == NULL || !is_new)
     return;
   group->store_leader_collects_acks
       = view->epoch == group->change_ack_epoch
@@ -104,7 +105,7 @@
   group->confirmed_us = requested_us;
   if (revision > group->revision)
     quince_ledger_group_begin_revision (group, revision);
-  QuinceLedgerView *next = quince_ledger_view_copy (view);
-  retain_newer_lead (next, group->view);
-  quince_ledger_group_adopt_view (group, now_us, next);
+  QuinceLedgerView *adopted = quince_ledger_view_copy (view);
+  retain_newer_lead (adopted, group->view);
+  quince_ledger_group_adopt_view (group, now_us, adopted);
 }
--- a/lib/core/group/ledger-succession.c
+++ b/lib/core/group/ledger-succession.c
@@ -54,10 +54,10 @@
   if (needed == 0 || quince_ledger_view_has_same_members (group->view, proposed))
     return TRUE;
   if (!may_request_change_acks (group, now_us))
-    return group->notes->len + 1 >= needed;
+    return group->change_acks->len + 1 >= needed;
   group->wants_change_acks = TRUE;
-  group->kept.noted = MAX (group->kept.noted, group->revision);
-  return group->notes->len + 1 >= needed;
+  group->persistent.noted = MAX (group->persistent.noted, group->revision);
+  return group->change_acks->len + 1 >= needed;
 }
 
 static void
@@ -66,7 +66,7 @@
   if (group->role == QUINCE_LEDGER_LEADER && lead->noted >= group->revision
       && lead->promised == group->view->epoch && quince_ledger_group_has_member (group, lead->replica)
       && lead->replica != group->self.replica)
-    quince_replica_list_add (group->notes, lead->replica);
+    quince_replica_list_add (group->change_acks, lead->replica);
 }
 
 /* ---- Queries ---------------------------------------------------------- */
@@ -84,8 +84,8 @@
                                 .replica = group->self.replica,
                                 .changing = group->role == QUINCE_LEDGER_LEADER && group->wants_change_acks
                                             && may_request_change_acks (group, now_us) };
-  gboolean campaigns = group->campaign_epoch != 0;
-  if (campaigns && (store_fails || now_us - group->campaign_us >= QUERY_DELAY_US))
+  gboolean is_campaigning = group->campaign_epoch != 0;
+  if (is_campaigning && (store_fails || now_us - group->campaign_us >= QUERY_DELAY_US))
     return QUINCE_LEDGER_QUERY_VOTES;
   if (query->changing)
     return QUINCE_LEDGER_QUERY_CHANGE_ACKS;
@@ -108,12 +108,12 @@
 {
   if (!query->changing || group->view == NULL || group->role == QUINCE_LEDGER_LEADER
       || query->replica != group->view->primary || query->epoch != group->view->epoch
-      || query->epoch < group->kept.promised)
+      || query->epoch < group->persistent.promised)
     return;
-  if (group->kept.promised != query->epoch)
+  if (group->persistent.promised != query->epoch)
     group->promised_to = 0;
-  group->kept.promised = query->epoch;
-  group->kept.noted = MAX (group->kept.noted, query->revision);
+  group->persistent.promised = query->epoch;
+  group->persistent.noted = MAX (group->persistent.noted, query->revision);
 }
 
 gboolean
@@ -124,9 +124,9 @@
   *lead = (QuinceLedgerLead){ .revision = group->revision,
                               .view = *group->view,
                               .replica = group->self.replica,
-                              .promised = group->kept.promised,
+                              .promised = group->persistent.promised,
                               .promised_to = group->promised_to,
-                              .noted = group->kept.noted,
+                              .noted = group->persistent.noted,
                               .answered = group->change_ack_epoch,
                               .shown_epoch = group->store_epoch,
                               .shown_primary = group->store_primary,
@@ -154,10 +154,10 @@
 may_lead_without_store (const QuinceLedgerGroup *group, gint64 now_us, gboolean store_fails)
 {
   if (group->campaign_epoch == 0 || !quince_ledger_group_is_elected (group) || group->vote_refused
-      || !group->store_leader_collects_acks || group->kept.noted >= group->revision)
+      || !group->store_leader_collects_acks || group->persistent.noted >= group->revision)
     return FALSE;
-  gboolean in_time = store_fails || now_us - group->elected_us >= STORE_TIMEOUT_US;
-  return in_time && group->votes->len + 1 >= get_votes_needed (group);
+  gboolean store_timed_out = store_fails || now_us - group->elected_us >= STORE_TIMEOUT_US;
+  return store_timed_out && group->votes->len + 1 >= get_votes_needed (group);
 }
 
 gboolean
@@ -204,9 +204,9 @@
 {
   const QuinceLedgerView *known = group->view;
   QuinceLedgerView *view = quince_ledger_view_copy (lead->revision > group->revision ? &lead->view : known);
-  const QuinceLedgerView *leading = known == NULL || lead->view.epoch > known->epoch ? &lead->view : known;
-  view->epoch = leading->epoch;
-  view->primary = leading->primary;
+  const QuinceLedgerView *latest = known == NULL || lead->view.epoch > known->epoch ? &lead->view : known;
+  view->epoch = latest->epoch;
+  view->primary = latest->primary;
   return view;
 }
 
@@ -229,11 +229,11 @@
   record_vote (group, lead);
   if (!is_valid_lead (lead))
     return;
-  gboolean newer = lead->revision > group->revision;
-  if (!newer && (group->view == NULL || lead->view.epoch <= group->view->epoch))
+  gboolean has_newer_revision = lead->revision > group->revision;
+  if (!has_newer_revision && (group->view == NULL || lead->view.epoch <= group->view->epoch))
     return;
   QuinceLedgerView *view = merge_views (group, lead);
-  if (newer)
+  if (has_newer_revision)
     {
       quince_ledger_group_begin_revision (group, lead->revision);
       group->store_epoch = lead->shown_epoch;
--- a/lib/core/group/ledger-view.c
+++ b/lib/core/group/ledger-view.c
@@ -36,19 +36,19 @@
 void
 quince_ledger_view_remove (QuinceLedgerView *view, guint64 replica)
 {
-  guint kept = 0;
+  guint n_kept = 0;
   for (guint i = 0; i < view->members.members_len; i++)
     {
       QuinceLedgerMember *member = &view->members.members_val[i];
       if (member->replica != replica)
         {
-          view->members.members_val[kept++] = *member;
+          view->members.members_val[n_kept++] = *member;
           continue;
         }
       g_free (member->node);
       g_free (member->address);
     }
-  view->members.members_len = kept;
+  view->members.members_len = n_kept;
 }
 
 gboolean
--- a/tests/unit/ledger-parts.h
+++ b/tests/unit/ledger-parts.h
@@ -29,7 +29,7 @@
 {
   guint64 replica;
   GArray *log; /* WorldRecord; index 1 is the first */
-  QuinceLedgerPersistentState kept;
+  QuinceLedgerPersistentState persistent;
 } WorldDisk;
 
 typedef enum
@@ -65,7 +65,7 @@
   guint64 revision;
   QuinceLedgerQuery query;
   QuinceLedgerLead lead; /* its view is @view's, not owned */
-  gboolean late;         /* a change that reaches the store also while it does not answer */
+  gboolean delayed;      /* a change that reaches the store also while it does not answer */
 } WorldMessage;
 
 typedef struct
@@ -105,12 +105,12 @@
   guint64 next_value;
   guint64 next_replica;
   gint64 last_commit_us;
-  guint leads;                   /* times that a leader knew all */
+  guint recoveries;              /* times that a leader knew all */
   guint elections_without_store; /* times that one became leader without the store */
-  gboolean founded;
-  GHashTable *leaders; /* epoch to WorldLeader, owned */
-  gint last_orderer;   /* machine that could give orders last, -1: none */
-  gint64 ordered_us;   /* and when */
+  gboolean bootstrapped;
+  GHashTable *leaders;  /* epoch to WorldLeader, owned */
+  gint last_orderer;    /* machine that could give orders last, -1: none */
+  gint64 last_order_us; /* and when */
 } World;
 
 /* Who led an epoch: no other process ever may. */
@@ -201,7 +201,7 @@
                                       .lease_duration_us = 600 * 1000,
                                       .order_pause_us = 3200 * 1000 };
   node->incarnation++;
-  node->group = quince_ledger_group_new (world_member (world, index), &limits, &node->disk.kept,
+  node->group = quince_ledger_group_new (world_member (world, index), &limits, &node->disk.persistent,
                                          may_bootstrap, world->now_us);
   world_set_zone (world, node, index);
   node->led_epoch = 0;
@@ -227,7 +227,7 @@
   WorldNode *node = &world->nodes[index];
   world_kill (world, index);
   g_array_set_size (node->disk.log, 0);
-  node->disk.kept = (QuinceLedgerPersistentState){ 0 };
+  node->disk.persistent = (QuinceLedgerPersistentState){ 0 };
   node->disk.replica = ++world->next_replica;
 }
 
@@ -238,7 +238,7 @@
 world_save_state (WorldNode *node)
 {
   if (node->group != NULL)
-    node->disk.kept = *quince_ledger_group_get_persistent_state (node->group);
+    node->disk.persistent = *quince_ledger_group_get_persistent_state (node->group);
 }
 
 static inline WorldMessage *
@@ -275,11 +275,11 @@
 }
 
 static inline void
-world_trace (World *world, const char *what, const QuinceLedgerView *view)
+world_trace (World *world, const char *event, const QuinceLedgerView *view)
 {
   if (g_getenv ("LEDGER_TRACE") == NULL)
     return;
-  g_printerr ("%8.3f %s", (world->now_us - 100 * G_USEC_PER_SEC) / 1e6, what);
+  g_printerr ("%8.3f %s", (world->now_us - 100 * G_USEC_PER_SEC) / 1e6, event);
   if (view != NULL)
     {
       g_printerr (" epoch=%" G_GUINT64_FORMAT " primary=n%d members=", (guint64)view->epoch,
@@ -292,7 +292,7 @@
     g_printerr (" [n%u %s%s log=%u/%" G_GUINT64_FORMAT " prom=%" G_GUINT64_FORMAT "]", i,
                 world->nodes[i].group ? "up" : "down", world->nodes[i].frozen ? " frozen" : "",
                 world->nodes[i].disk.log->len, world_log_end (&world->nodes[i]).epoch,
-                (guint64)world->nodes[i].disk.kept.promised);
+                (guint64)world->nodes[i].disk.persistent.promised);
   g_printerr (" committed=%u\n", world->committed->len);
 }
 
@@ -311,13 +311,13 @@
 static inline void
 world_apply_later (World *world, const WorldMessage *message)
 {
-  WorldMessage *late = world_send (world, WORLD_STORE_ANSWER, message->to, message->to);
-  late->incarnation = G_MAXUINT64;
-  late->late = TRUE;
-  late->outcome = QUINCE_PROPOSAL_APPLIED;
-  late->view = quince_ledger_view_copy (message->view);
-  late->revision = message->revision;
-  late->due_us += g_rand_int_range (world->random, 0, 8000) * 1000;
+  WorldMessage *delayed = world_send (world, WORLD_STORE_ANSWER, message->to, message->to);
+  delayed->incarnation = G_MAXUINT64;
+  delayed->delayed = TRUE;
+  delayed->outcome = QUINCE_PROPOSAL_APPLIED;
+  delayed->view = quince_ledger_view_copy (message->view);
+  delayed->revision = message->revision;
+  delayed->due_us += g_rand_int_range (world->random, 0, 8000) * 1000;
 }
 
 /* A change on its way to the store is itself a message, so that it may come late. */
@@ -335,11 +335,11 @@
   message->incarnation = node->incarnation;
   message->view = quince_ledger_view_copy (view);
   message->revision = expected;
-  guint luck = (guint)g_rand_int_range (world->random, 0, 10);
-  message->outcome = luck == 0   ? QUINCE_PROPOSAL_UNKNOWN
-                     : luck == 1 ? QUINCE_PROPOSAL_NOT_APPLIED
-                                 : QUINCE_PROPOSAL_APPLIED;
-  if (luck != 0)
+  guint outcome_draw = (guint)g_rand_int_range (world->random, 0, 10);
+  message->outcome = outcome_draw == 0   ? QUINCE_PROPOSAL_UNKNOWN
+                     : outcome_draw == 1 ? QUINCE_PROPOSAL_NOT_APPLIED
+                                         : QUINCE_PROPOSAL_APPLIED;
+  if (outcome_draw != 0)
     return;
   /* The call breaks off; the change itself may be done later. */
   message->due_us += 300 * 1000;
@@ -374,8 +374,8 @@
   if (known != NULL)
     return;
   const WorldLeader leader = { .epoch = epoch, .node = index, .incarnation = incarnation };
-  WorldLeader *kept = g_memdup2 (&leader, sizeof leader);
-  g_hash_table_insert (world->leaders, &kept->epoch, kept);
+  WorldLeader *stored = g_memdup2 (&leader, sizeof leader);
+  g_hash_table_insert (world->leaders, &stored->epoch, stored);
 }
 
 /* A leader that may answer has all records that were reported as committed. */
@@ -396,11 +396,11 @@
   if (!quince_ledger_group_may_order (world->nodes[index].group, world->now_us))
     return;
   if (world->last_orderer >= 0 && world->last_orderer != (gint)index
-      && world->now_us - world->ordered_us < WORLD_ORDER_MAX_US)
+      && world->now_us - world->last_order_us < WORLD_ORDER_MAX_US)
     fail_msg ("seed %u: n%u gives orders %" G_GINT64_FORMAT " us after n%d", world->seed, index,
-              world->now_us - world->ordered_us, world->last_orderer);
+              world->now_us - world->last_order_us, world->last_orderer);
   world->last_orderer = (gint)index;
-  world->ordered_us = world->now_us;
+  world->last_order_us = world->now_us;
 }
 
 static inline void
--- a/tests/unit/ledger-scene.h
+++ b/tests/unit/ledger-scene.h
@@ -20,24 +20,24 @@
 }
 
 static inline World *
-settled_world (guint32 seed, guint n_nodes, guint losses)
+new_settled_world (guint32 seed, guint n_nodes, guint losses)
 {
   World *world = world_new (seed, n_nodes, losses);
   settle (world);
   return world;
 }
 
-/* Milliseconds until another machine than @former leads; fails after @within_ms. */
+/* Milliseconds until another machine than @former leads; fails after @timeout_ms. */
 static inline guint
-await_leader (World *world, guint former, guint within_ms)
+await_leader (World *world, guint former, guint timeout_ms)
 {
-  for (guint waited = 0; waited <= within_ms; waited += 10)
+  for (guint waited_ms = 0; waited_ms <= timeout_ms; waited_ms += 10)
     {
       gint leader = world_find_leader (world);
       if (leader >= 0 && leader != (gint)former)
-        return waited;
+        return waited_ms;
       world_run (world, 10);
     }
-  fail_msg ("no replica leads within %u ms", within_ms);
+  fail_msg ("no replica leads within %u ms", timeout_ms);
   return 0;
 }
--- a/tests/unit/ledger-world.h
+++ b/tests/unit/ledger-world.h
@@ -60,7 +60,7 @@
   if (!node->recovered && quince_ledger_group_may_answer (node->group, world->now_us))
     {
       node->recovered = TRUE;
-      world->leads++;
+      world->recoveries++;
       g_autofree char *event = g_strdup_printf ("LEADS n%u", index);
       world_trace (world, event, NULL);
       world_check_leader_log (world, node);
@@ -298,7 +298,7 @@
 static inline void
 world_complete_store_call (World *world, WorldMessage *message)
 {
-  gboolean store_fails = world_is_store_unreachable (world, message->to) && !message->late;
+  gboolean store_fails = world_is_store_unreachable (world, message->to) && !message->delayed;
   gboolean applied
       = message->outcome == QUINCE_PROPOSAL_APPLIED && !store_fails && world->revision == message->revision;
   if (applied)
--- a/tests/unit/test-ledger-one-way.c
+++ b/tests/unit/test-ledger-one-way.c
@@ -39,7 +39,7 @@
   guint slowest_ms = 0;
   for (guint32 seed = 1; seed <= SEEDS; seed++)
     {
-      World *world = settled_world (7000 + seed, seed % 2 == 0 ? 3 : 6, seed % 2 == 0 ? 1 : 2);
+      World *world = new_settled_world (7000 + seed, seed % 2 == 0 ? 3 : 6, seed % 2 == 0 ? 1 : 2);
       guint former = (guint)world_find_leader (world);
       set_store_unreachable_except (world, former, TRUE);
       cut_incoming_links (world, former, TRUE);
@@ -65,7 +65,7 @@
 {
   for (guint32 seed = 1; seed <= SEEDS; seed++)
     {
-      World *world = settled_world (10000 + seed, 6, 1);
+      World *world = new_settled_world (10000 + seed, 6, 1);
       guint former = (guint)world_find_leader (world);
       for (guint i = 0; i < world->n_nodes; i++)
         {
@@ -92,7 +92,7 @@
   guint slowest_ms = 0;
   for (guint32 seed = 1; seed <= SEEDS; seed++)
     {
-      World *world = settled_world (8000 + seed, seed % 2 == 0 ? 3 : 6, seed % 2 == 0 ? 1 : 2);
+      World *world = new_settled_world (8000 + seed, seed % 2 == 0 ? 3 : 6, seed % 2 == 0 ? 1 : 2);
       guint former = (guint)world_find_leader (world);
       set_store_unreachable_except (world, former, TRUE);
       cut_incoming_links (world, former, TRUE);
@@ -134,7 +134,7 @@
 {
   for (guint32 seed = 1; seed <= SEEDS; seed++)
     {
-      World *world = settled_world (9000 + seed, seed % 2 == 0 ? 3 : 6, seed % 2 == 0 ? 1 : 2);
+      World *world = new_settled_world (9000 + seed, seed % 2 == 0 ? 3 : 6, seed % 2 == 0 ? 1 : 2);
       for (guint i = 0; i < CUTS_PER_SEED; i++)
         {
           inject_random_fault (world);
--- a/tests/unit/test-ledger-succession.c
+++ b/tests/unit/test-ledger-succession.c
@@ -11,10 +11,10 @@
 #include <stdlib.h>
 
 /* Time in which a leader must lead and all members follow after the last fault, ms. */
-#define HEAL_MS 9000
+#define CONVERGENCE_MAX_MS 9000
 
 static guint
-lose_leader (World *world)
+kill_leader (World *world)
 {
   guint leader = (guint)world_find_leader (world);
   world_kill (world, leader);
@@ -34,47 +34,47 @@
 static void
 test_election_with_store_down (void **state)
 {
-  guint slowest = 0;
+  guint slowest_ms = 0;
   for (guint32 seed = 1; seed <= 30; seed++)
     {
-      World *world = settled_world (1000 + seed, seed % 2 == 0 ? 3 : 6, seed % 2 == 0 ? 1 : 2);
+      World *world = new_settled_world (1000 + seed, seed % 2 == 0 ? 3 : 6, seed % 2 == 0 ? 1 : 2);
       world->store_down = TRUE;
       world_run (world, seed * 37);
-      guint former = lose_leader (world);
-      guint waited = await_leader (world, former, ELECTION_MAX_MS);
-      slowest = MAX (slowest, waited);
+      guint former = kill_leader (world);
+      guint waited_ms = await_leader (world, former, ELECTION_MAX_MS);
+      slowest_ms = MAX (slowest_ms, waited_ms);
       assert_commits_continue (world, 500);
       world->store_down = FALSE;
       world_run (world, 2000);
       assert_store_shows_leader (world);
       world_free (world);
     }
-  print_message ("slowest: %u ms\n", slowest);
+  print_message ("slowest: %u ms\n", slowest_ms);
 }
 
 /* As fast with the store as without it. */
 static void
 test_election_with_store_up (void **state)
 {
-  guint slowest = 0;
+  guint slowest_ms = 0;
   for (guint32 seed = 1; seed <= 30; seed++)
     {
-      World *world = settled_world (1000 + seed, 3, 1);
-      guint former = lose_leader (world);
-      guint waited = await_leader (world, former, ELECTION_MAX_MS + 500);
-      slowest = MAX (slowest, waited);
+      World *world = new_settled_world (1000 + seed, 3, 1);
+      guint former = kill_leader (world);
+      guint waited_ms = await_leader (world, former, ELECTION_MAX_MS + 500);
+      slowest_ms = MAX (slowest_ms, waited_ms);
       world_run (world, 2000);
       assert_store_shows_leader (world);
       world_free (world);
     }
-  print_message ("slowest: %u ms\n", slowest);
+  print_message ("slowest: %u ms\n", slowest_ms);
 }
 
 /* The store refuses the remaining members. */
 static void
-test_store_turns_members_away (void **state)
+test_election_with_store_unreachable_for_members (void **state)
 {
-  World *world = settled_world (2001, 3, 1);
+  World *world = new_settled_world (2001, 3, 1);
   guint former = (guint)world_find_leader (world);
   for (guint i = 0; i < world->n_nodes; i++)
     world->store_unreachable[i] = i != former;
@@ -97,7 +97,7 @@
 {
   for (guint32 seed = 1; seed <= 20; seed++)
     {
-      World *world = settled_world (3000 + seed, 3, 1);
+      World *world = new_settled_world (3000 + seed, 3, 1);
       guint former = (guint)world_find_leader (world);
       for (guint i = 0; i < world->n_nodes; i++)
         world->store_unreachable[i] = i != former;
@@ -118,7 +118,7 @@
 static void
 test_leaders_freeze_in_sequence (void **state)
 {
-  World *world = settled_world (4001, 3, 1);
+  World *world = new_settled_world (4001, 3, 1);
   world->store_down = TRUE;
   for (guint round = 0; round < 8; round++)
     {
@@ -142,9 +142,9 @@
 {
   for (guint32 seed = 1; seed <= 20; seed++)
     {
-      World *world = settled_world (5000 + seed, 3, 1);
+      World *world = new_settled_world (5000 + seed, 3, 1);
       world->store_down = TRUE;
-      guint former = lose_leader (world);
+      guint former = kill_leader (world);
       await_leader (world, former, ELECTION_MAX_MS);
       assert_commits_continue (world, 700);
       for (guint i = 0; i < world->n_nodes; i++)
@@ -167,9 +167,9 @@
 {
   for (guint32 seed = 1; seed <= 20; seed++)
     {
-      World *world = settled_world (6000 + seed, 3, 1);
+      World *world = new_settled_world (6000 + seed, 3, 1);
       world->store_down = TRUE;
-      guint former = lose_leader (world);
+      guint former = kill_leader (world);
       await_leader (world, former, ELECTION_MAX_MS);
       guint other = 3 - former - (guint)world_find_leader (world);
       world_kill (world, other);
@@ -208,7 +208,7 @@
 }
 
 static void
-show_view (QuinceLedgerGroup *group, gint64 now_us, guint64 epoch, guint64 leader, guint64 revision)
+set_store_view (QuinceLedgerGroup *group, gint64 now_us, guint64 epoch, guint64 leader, guint64 revision)
 {
   static QuinceLedgerMember members[] = { { .node = "n1", .address = "n1", .replica = SELF },
                                           { .node = "n2", .address = "n2", .replica = SECOND },
@@ -240,14 +240,14 @@
 {
   const QuinceLogEnd end = { 0 };
   QuinceLedgerGroup *group = make_group (0);
-  show_view (group, START_US, 1, THIRD, 5);
+  set_store_view (group, START_US, 1, THIRD, 5);
   gint64 now = START_US + 3 * G_USEC_PER_SEC;
   guint64 epoch = propose_lead (group, now);
   quince_ledger_group_proposal_ended (group, now, QUINCE_PROPOSAL_UNKNOWN, 0);
   now += G_USEC_PER_SEC;
   quince_ledger_group_campaign (group, now); /* its promises are too old to count */
   assert_true (quince_ledger_group_grant_promise (group, now, SECOND, epoch + 5, &end));
-  show_view (group, now + 1000, epoch, SELF, 6);
+  set_store_view (group, now + 1000, epoch, SELF, 6);
   assert_int_equal (quince_ledger_group_get_role (group), QUINCE_LEDGER_BACKUP);
   quince_ledger_group_free (group);
 }
@@ -257,11 +257,11 @@
 test_late_view_without_later_promise (void **state)
 {
   QuinceLedgerGroup *group = make_group (0);
-  show_view (group, START_US, 1, THIRD, 5);
+  set_store_view (group, START_US, 1, THIRD, 5);
   gint64 now = START_US + 3 * G_USEC_PER_SEC;
   guint64 epoch = propose_lead (group, now);
   quince_ledger_group_proposal_ended (group, now, QUINCE_PROPOSAL_UNKNOWN, 0);
-  show_view (group, now + 4 * G_USEC_PER_SEC, epoch, SELF, 6);
+  set_store_view (group, now + 4 * G_USEC_PER_SEC, epoch, SELF, 6);
   assert_int_equal (quince_ledger_group_get_role (group), QUINCE_LEDGER_LEADER);
   quince_ledger_group_free (group);
 }
@@ -280,12 +280,12 @@
     { .replica = SECOND, .view = { .epoch = 9, .primary = SECOND, .members = { 1, &member } } },
   };
   QuinceLedgerGroup *group = make_group (0);
-  show_view (group, START_US, 1, THIRD, 5);
+  set_store_view (group, START_US, 1, THIRD, 5);
   for (guint i = 0; i < G_N_ELEMENTS (leads); i++)
     quince_ledger_group_handle_lead (group, START_US + 1000, &leads[i]);
   assert_int_equal (quince_ledger_group_get_view (group)->epoch, 1);
   assert_int_equal (quince_ledger_group_get_view (group)->members.members_len, 3);
-  show_view (group, START_US + 2000, 2, THIRD, 6);
+  set_store_view (group, START_US + 2000, 2, THIRD, 6);
   assert_int_equal (quince_ledger_group_get_view (group)->epoch, 2);
   quince_ledger_group_free (group);
 }
@@ -294,7 +294,7 @@
 make_leader (gint64 now_us)
 {
   QuinceLedgerGroup *group = make_group (0);
-  show_view (group, START_US, 1, THIRD, 5);
+  set_store_view (group, START_US, 1, THIRD, 5);
   guint64 epoch = propose_lead (group, now_us);
   quince_ledger_group_proposal_ended (group, now_us, QUINCE_PROPOSAL_APPLIED, 6);
   const QuinceLogEnd end = { .epoch = epoch, .index = 1 };
@@ -340,7 +340,7 @@
 /* ---- Seeded faults ---------------------------------------------------- */
 
 static void
-bring_all_back (World *world)
+restart_all_nodes (World *world)
 {
   for (guint i = 0; i < world->n_nodes; i++)
     {
@@ -352,12 +352,12 @@
 
 /* Disks are lost one at a time: another one once the machine that lost the last holds all again. */
 static void
-lose_disk (World *world, guint node, gint *wiped)
+wipe_disk (World *world, guint node, gint *last_wiped)
 {
-  if (*wiped >= 0 && !(world_has_enough_members (world) && world_find_leader (world) >= 0))
+  if (*last_wiped >= 0 && !(world_has_enough_members (world) && world_find_leader (world) >= 0))
     return;
   world_wipe (world, node);
-  *wiped = (gint)node;
+  *last_wiped = (gint)node;
 }
 
 /* The machine of @node is to be emptied; %G_MAXUINT: none is. */
@@ -372,44 +372,44 @@
 }
 
 static void
-random_fault (World *world, gint *wiped)
+random_fault (World *world, gint *last_wiped)
 {
   guint node = (guint)g_rand_int_range (world->random, 0, (gint32)world->n_nodes);
   guint other = (guint)g_rand_int_range (world->random, 0, (gint32)world->n_nodes);
-  gint32 kind = g_rand_int_range (world->random, 0, 16);
-  g_autofree char *what = g_strdup_printf ("FAULT %d on n%u n%u", kind, node, other);
-  world_trace (world, what, NULL);
-  if (kind <= 1 && world_find_leader (world) >= 0)
+  gint32 fault = g_rand_int_range (world->random, 0, 16);
+  g_autofree char *event = g_strdup_printf ("FAULT %d on n%u n%u", fault, node, other);
+  world_trace (world, event, NULL);
+  if (fault <= 1 && world_find_leader (world) >= 0)
     world_kill (world, (guint)world_find_leader (world));
-  else if (kind == 2 && world_find_leader (world) >= 0)
+  else if (fault == 2 && world_find_leader (world) >= 0)
     world->nodes[world_find_leader (world)].frozen = TRUE;
-  else if (kind == 3)
+  else if (fault == 3)
     world_cut_off (world, node, TRUE);
-  else if (kind == 4)
+  else if (fault == 4)
     world_cut_off (world, node, FALSE);
-  else if (kind == 5 && node != other)
+  else if (fault == 5 && node != other)
     world->cut[node][other] = world->cut[other][node] = TRUE;
-  else if (kind <= 7)
+  else if (fault <= 7)
     world->store_down = !world->store_down;
-  else if (kind <= 9)
+  else if (fault <= 9)
     world->store_unreachable[node] = !world->store_unreachable[node];
-  else if (kind == 10)
-    lose_disk (world, node, wiped);
-  else if (kind == 12)
+  else if (fault == 10)
+    wipe_disk (world, node, last_wiped);
+  else if (fault == 12)
     drain_node (world, node);
-  else if (kind == 13)
+  else if (fault == 13)
     drain_node (world, G_MAXUINT);
-  else if (kind == 11 && world->nodes[node].group != NULL)
+  else if (fault == 11 && world->nodes[node].group != NULL)
     {
       world_kill (world, node);
       world_start (world, node, FALSE);
     }
   else
-    bring_all_back (world);
+    restart_all_nodes (world);
 }
 
 static void
-heal (World *world)
+clear_faults (World *world)
 {
   world->store_down = FALSE;
   for (guint i = 0; i < world->n_nodes; i++)
@@ -417,26 +417,26 @@
       world_cut_off (world, i, FALSE);
       world->store_unreachable[i] = FALSE;
     }
-  bring_all_back (world);
+  restart_all_nodes (world);
   drain_node (world, G_MAXUINT);
 }
 
 static void
-run_seed (guint32 seed, guint n_nodes, guint losses, guint zones)
+run_random_faults (guint32 seed, guint n_nodes, guint losses, guint zones)
 {
   World *world = world_new_in_zones (seed, n_nodes, losses, zones);
-  gint wiped = -1;
+  gint last_wiped = -1;
   settle (world);
   for (guint round = 0; round < 40; round++)
     {
-      random_fault (world, &wiped);
+      random_fault (world, &last_wiped);
       world_run (world, (guint)g_rand_int_range (world->random, 10, 1800));
       if (round % 10 != 9)
         continue;
-      heal (world);
-      world_run (world, HEAL_MS);
+      clear_faults (world);
+      world_run (world, CONVERGENCE_MAX_MS);
       if (world_find_leader (world) < 0 || !world_has_enough_members (world))
-        fail_msg ("seed %u: not whole %u ms after the last fault", seed, HEAL_MS);
+        fail_msg ("seed %u: not whole %u ms after the last fault", seed, CONVERGENCE_MAX_MS);
       assert_store_shows_leader (world);
     }
   assert_commits_continue (world, 1000);
@@ -444,20 +444,20 @@
 }
 
 static void
-test_seeded_faults (void **state)
+test_random_faults (void **state)
 {
   const char *first = g_getenv ("SOAK_SEED");
   const char *count = g_getenv ("SOAK_STEPS");
   guint32 seed = first != NULL ? (guint32)strtoul (first, NULL, 10) : 1;
   guint32 seeds = count != NULL ? (guint32)strtoul (count, NULL, 10) : 100;
   for (guint32 i = 0; i < seeds; i++)
-    run_seed (seed + i, 3, 1, 0);
+    run_random_faults (seed + i, 3, 1, 0);
   for (guint32 i = 0; i < seeds / 2; i++)
-    run_seed (seed + 100000 + i, 5, 2, 0);
+    run_random_faults (seed + 100000 + i, 5, 2, 0);
   for (guint32 i = 0; i < seeds / 4; i++)
-    run_seed (seed + 200000 + i, 6, 1, 0);
+    run_random_faults (seed + 200000 + i, 6, 1, 0);
   for (guint32 i = 0; i < seeds / 4; i++)
-    run_seed (seed + 300000 + i, 7, 2, 3);
+    run_random_faults (seed + 300000 + i, 7, 2, 3);
 }
 
 int
@@ -466,7 +466,7 @@
   const struct CMUnitTest tests[] = {
     cmocka_unit_test (test_election_with_store_down),
     cmocka_unit_test (test_election_with_store_up),
-    cmocka_unit_test (test_store_turns_members_away),
+    cmocka_unit_test (test_election_with_store_unreachable_for_members),
     cmocka_unit_test (test_partitioned_leader_with_store_access),
     cmocka_unit_test (test_leaders_freeze_in_sequence),
     cmocka_unit_test (test_all_members_restart),
@@ -475,7 +475,7 @@
     cmocka_unit_test (test_late_view_without_later_promise),
     cmocka_unit_test (test_handover_needs_change_acks),
     cmocka_unit_test (test_malformed_lead_is_ignored),
-    cmocka_unit_test (test_seeded_faults),
+    cmocka_unit_test (test_random_faults),
   };
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
