--- a/lib/core/group/ledger-campaign.c
+++ b/lib/core/group/ledger-campaign.c
@@ -1,21 +1,20 @@
 /*
- * ledger-campaign.c: promises, given and asked for.
+ * ledger-campaign.c: promises that this replica grants, and its own campaign.
  *
- * A campaign changes nothing at the candidate: only a member that promises stops following the former leader.
- * The candidate promises itself last, once enough others have.
+ * Only a member that grants a promise stops following the former leader; starting a campaign does not change
+ * whom the candidate follows.  The candidate promises its own epoch last, after enough other members have.
  */
 #include "ledger-group-private.h"
 
-/* Backups begin to campaign this long after each other, us, in the order of the view, so that they do not
- * compete. Not measured: longer than the exchange of a request and a promise that is on the disk. */
+/* Delay between the campaign starts of successive backups, in the order of the view, so that they do not
+ * compete.  Longer than a round trip that includes a write to disk. */
 #define RANK_DELAY_US (250 * 1000)
-/* How long a campaign goes on with one epoch, us; also the pause after a promise to another candidate.  Not
- * measured: longer than two steps of rank. */
+/* How long a campaign requests promises for one epoch before it starts over with a greater one.  Also the
+ * delay of a replica's own campaign after it promises another candidate.  Longer than two rank delays. */
 #define CAMPAIGN_TIMEOUT_US (600 * 1000)
 
-/* For so many promises in a row to one candidate a replica puts off its own campaign.  A candidate that asks
- * on hears no promise, as across a link that passes messages one way only; one that is only slow, or waits
- * for the store, has won by then: three campaigns are 1.8 s. */
+/* How many successive promises to one candidate delay this replica's own campaign.  A candidate that still
+ * asks after that does not receive the promises, for example because its link works in one direction only. */
 #define CAMPAIGN_DEFERRALS_MAX 3
 
 static gboolean
@@ -24,8 +23,8 @@
   return end->epoch != other->epoch ? end->epoch > other->epoch : end->index > other->index;
 }
 
-/* The place of this replica among the backups; the leader itself comes after them.  No two have the same one:
- * members that campaign at the same moments promise each other, and neither goes on. */
+/* Returns the index of this replica among the backups of the view; the leader comes last.  Ranks are unique:
+ * members that campaign at the same time would promise each other and both end their campaigns. */
 static guint
 get_own_rank (const QuinceLedgerGroup *group)
 {
@@ -42,7 +41,7 @@
   return rank;
 }
 
-/* ---- Promises that are given ------------------------------------------ */
+/* ---- Granting promises ------------------------------------------------- */
 
 gboolean
 quince_ledger_group_accept_leader (QuinceLedgerGroup *group, gint64 now_us, guint64 epoch)
@@ -50,7 +49,7 @@
   if (group->view == NULL || group->role == QUINCE_LEDGER_LEADER || epoch != group->view->epoch
       || epoch < group->persistent.promised)
     return FALSE;
-  /* A replica that has acknowledged a record follows no older leader, also after a restart. */
+  /* After it has acknowledged a record, a replica must not follow an older leader, even after a restart. */
   if (group->persistent.promised != epoch)
     group->promised_to = 0;
   group->persistent.promised = epoch;
@@ -59,16 +58,17 @@
   return TRUE;
 }
 
-/* The promise that the disk had when this process was started is no later than the lead that it knows: it has
- * not followed another leader then, which might still act on its answers.  Since its start it has followed
- * only leaders that it knew. */
+/* Returns %TRUE if the epoch promised before the start of this process is not greater than that of the known
+ * view.  Otherwise this replica may have followed a newer leader that still relies on its acknowledgements.
+ */
 static gboolean
 has_current_lead (const QuinceLedgerGroup *group)
 {
   return group->promised_at_start <= group->view->epoch;
 }
 
-/* The leader that is followed may campaign at once: the lease that its backups gave is its own. */
+/* Returns %TRUE if this replica still follows a leader other than @replica.  The current leader is exempt:
+ * this replica's acknowledgements support no lease but its own. */
 static gboolean
 follows_other_leader (const QuinceLedgerGroup *group, gint64 now_us, guint64 replica)
 {
@@ -76,8 +76,8 @@
   return !is_own_leader && now_us - group->leader_contact_us < group->limits.leader_timeout_us;
 }
 
-/* A leader that no quorum follows any more promises too: it may have been suspended while another one led,
- * and the candidate that knows all needs its promise. */
+/* Returns %TRUE if this replica is a leader that must not grant promises.  A leader that has lost its lease
+ * grants them: it may have been suspended, and the most up-to-date candidate may need its promise. */
 static gboolean
 is_active_leader (const QuinceLedgerGroup *group, gint64 now_us)
 {
@@ -86,7 +86,7 @@
              || quince_ledger_group_has_leader_lease (group, now_us));
 }
 
-/* A candidate that lacks records of this log is refused: this replica campaigns itself soon. */
+/* Refuses a candidate that lacks records of this log; this replica soon starts its own campaign. */
 gboolean
 quince_ledger_group_grant_promise (QuinceLedgerGroup *group,
                                    gint64 now_us,
@@ -97,8 +97,8 @@
   if (group->view == NULL || is_active_leader (group, now_us))
     return FALSE;
   if (epoch == group->persistent.promised && replica == group->promised_to)
-    return TRUE; /* its answer was lost */
-  /* Its own next campaign must be above the epochs that others may promise meanwhile. */
+    return TRUE; /* repeated request, the answer may have been lost */
+  /* The next campaign of this replica must use a greater epoch than other members may have promised. */
   group->last_campaign = MAX (group->last_campaign, epoch);
   if (follows_other_leader (group, now_us, replica) || epoch <= group->persistent.promised
       || epoch <= group->view->epoch || quince_ledger_group_is_elected (group)
@@ -107,7 +107,7 @@
   group->consecutive_promises = replica == group->promised_to ? group->consecutive_promises + 1 : 1;
   group->persistent.promised = epoch;
   group->promised_to = replica;
-  /* From now on it commits nothing in a lower epoch. */
+  /* A former leader must not commit records in a lower epoch after the promise. */
   group->role = QUINCE_LEDGER_BACKUP;
   quince_ledger_group_end_campaign (group);
   if (group->consecutive_promises <= CAMPAIGN_DEFERRALS_MAX)
@@ -127,7 +127,7 @@
   return TRUE;
 }
 
-/* ---- The campaign of this replica ------------------------------------- */
+/* ---- Campaigning ------------------------------------------------------- */
 
 void
 quince_ledger_group_end_campaign (QuinceLedgerGroup *group)
@@ -139,7 +139,8 @@
   g_array_set_size (group->votes, 0);
 }
 
-/* How long the leader must have been silent before this replica campaigns, us; -1: it does not campaign. */
+/* Returns how long the leader must have been silent before this replica campaigns, or -1 if it does not
+ * campaign. */
 static gint64
 get_required_silence_us (const QuinceLedgerGroup *group)
 {
@@ -147,7 +148,7 @@
     return -1;
   if (group->role == QUINCE_LEDGER_LEADER)
     return group->refused_epoch > group->view->epoch ? 0 : -1;
-  /* It led until its restart, or was handed the lead. */
+  /* This replica was the leader before its restart, or the former leader handed over to it. */
   if (group->view->primary == group->self.replica && has_current_lead (group))
     return 0;
   return group->limits.leader_timeout_us + (gint64)get_own_rank (group) * RANK_DELAY_US;
@@ -160,11 +161,12 @@
   if (silence_us < 0 || (silence_us > 0 && now_us - group->leader_contact_us < silence_us))
     return 0;
   if (group->campaign_epoch != 0 && now_us - group->campaign_us < CAMPAIGN_TIMEOUT_US)
-    return group->campaign_epoch; /* the requests may have been lost */
+    return group->campaign_epoch; /* send the requests again, they may have been lost */
   if (group->campaign_epoch == 0 && now_us < group->campaign_us)
     return 0;
   quince_ledger_group_end_campaign (group);
-  /* Above all epochs that are known: a member that promised an earlier campaign promises this one too. */
+  /* Use an epoch above all known ones, so that members that promised an earlier campaign can promise this
+   * one. */
   guint64 max_known_epoch = MAX (MAX (group->view->epoch, group->persistent.promised), group->refused_epoch);
   group->last_campaign = MAX (max_known_epoch, group->last_campaign) + 1;
   group->campaign_epoch = group->last_campaign;
@@ -184,7 +186,7 @@
     return;
   if (is_ahead (end, &group->log_end))
     {
-      /* The other one must lead: it may have committed records that this log lacks. */
+      /* The other member must become leader: its log may have committed records that this one lacks. */
       quince_ledger_group_end_campaign (group);
       group->campaign_us = now_us + 2 * CAMPAIGN_TIMEOUT_US;
       return;
--- a/lib/core/group/ledger-group-private.h
+++ b/lib/core/group/ledger-group-private.h
@@ -1,21 +1,21 @@
 /*
- * ledger-group-private.h: the state that the files of lib/core/group act on, each for one part of it.
+ * ledger-group-private.h: the state of QuinceLedgerGroup and the functions that its source files share.
  */
 #pragma once
 
 #include "core/group/ledger-group.h"
 #include "core/group/replica-list.h"
 
-/* A replica that is linked to this leader as a backup. */
+/* A replica that is connected to this leader as a backup. */
 typedef struct
 {
   guint64 replica;
   char *node;
   char *address;
-  guint64 last_index;   /* it has the leader's log on disk up to here */
-  gint64 acked_sent_us; /* when the latest message that it answered was sent; 0: none was */
-  gint64 contact_us;    /* when its latest message arrived */
-  gint64 cleared_us;    /* when it was ordered to drop all records; 0: never */
+  guint64 last_index;   /* last index of the leader's log on the peer's disk */
+  gint64 acked_sent_us; /* send time of the latest message that it acknowledged; 0: none */
+  gint64 contact_us;    /* arrival time of its latest message */
+  gint64 cleared_us;    /* when it was last ordered to delete its log; 0: never */
 } QuinceLedgerPeer;
 
 struct _QuinceLedgerGroup
@@ -26,100 +26,104 @@
   QuinceLedgerRole role;
   QuinceLogEnd log_end;
   QuinceLedgerPersistentState persistent;
-  GHashTable *zones;     /* replica to zone, both owned */
-  char **draining_nodes; /* machines to be emptied */
-  char **allowed_nodes;  /* machines that may keep records; NULL: all */
+  GHashTable *zones;     /* replica id to zone name, both owned */
+  char **draining_nodes; /* machines being drained; NULL: none */
+  char **allowed_nodes;  /* machines that may store records; NULL: all */
 
   /* The view. */
-  QuinceLedgerView *view; /* members of the newest revision known, epoch and primary of the greatest epoch */
-  guint64 revision;       /* of the members; 0: none */
-  guint64 store_epoch;    /* epoch that the store shows at that revision; 0: not known */
-  guint64 store_primary;  /* leader that the store shows */
-  gboolean store_leader_collects_acks; /* the leader of that epoch has changes of members noted first */
-  guint64 change_ack_epoch;            /* greatest epoch whose leader is known to do so */
-  gboolean view_is_read;               /* the store has answered at least once */
-  gint64 confirmed_us;                 /* the view was in force at least until then */
+  QuinceLedgerView *view; /* members of the newest known revision, with the greatest known epoch */
+  guint64 revision;       /* revision of the members in the store; 0: none */
+  guint64 store_epoch;    /* epoch in the store at that revision; 0: unknown */
+  guint64 store_primary;  /* leader in the store at that revision */
+  gboolean store_leader_collects_acks; /* the leader of store_epoch has changes acknowledged first */
+  guint64 change_ack_epoch;            /* greatest epoch whose leader is known to do so; 0: none */
+  gboolean view_is_read;               /* the store was read at least once, at this revision or later */
+  gint64 confirmed_us;                 /* start of the latest store read that returned this revision */
 
   /* Proposals of this replica. */
-  QuinceLedgerView *proposal;  /* on its way */
-  gint64 proposed_us;          /* when it was made */
-  gint64 next_proposal_us;     /* pause after a failed proposal */
-  guint64 proposed_epoch;      /* latest epoch that this process proposed to lead */
-  guint64 led_epoch;           /* epoch that it leads or led */
-  GArray *proposed_members;    /* replicas of all views that were proposed on this revision */
-  guint proposed_members_min;  /* number of members of the smallest of those views */
-  gboolean proposal_may_apply; /* one of them may yet be done */
-  gboolean handover_proposed;  /* one of them names another leader */
+  QuinceLedgerView *proposal;  /* being written to the store; NULL: none */
+  gint64 proposed_us;          /* when the proposal was made */
+  gint64 next_proposal_us;     /* earliest time of the next proposal, after a failed one */
+  guint64 proposed_epoch;      /* latest epoch in which this process proposed itself as leader */
+  guint64 led_epoch;           /* latest epoch that this process led; 0: none */
+  GArray *proposed_members;    /* members of all views proposed on this revision */
+  guint proposed_members_min;  /* size of the smallest of those views */
+  gboolean proposal_may_apply; /* one of those views may still be applied */
+  gboolean handover_proposed;  /* one of those views names another leader */
 
-  /* At a backup. */
-  gint64 leader_contact_us;  /* when records of the leader were last accepted, or it last changed */
-  guint64 promised_at_start; /* promise on the disk when this process was started */
-  guint64 promised_to;       /* replica that has the promise; 0: not known, or the leader that was followed */
-  guint consecutive_promises; /* to that replica, each of a greater epoch */
+  /* State of a backup. */
+  gint64 leader_contact_us;   /* last accepted message of the leader, or last change of leader */
+  guint64 promised_at_start;  /* promised epoch on disk when this process started */
+  guint64 promised_to;        /* replica that was promised; 0: unknown, or the current leader */
+  guint consecutive_promises; /* successive promises to that replica, each of a greater epoch */
 
-  /* Its campaign. */
-  guint64 campaign_epoch;    /* epoch that promises are asked for; 0: no campaign */
-  guint64 last_campaign;     /* greatest epoch that any replica is known to have campaigned with */
-  gint64 campaign_us;        /* when the campaign began; without one, when the next may begin */
-  GArray *campaign_promises; /* replicas that promised it */
-  GArray *votes;             /* those of them that know of no change of members */
-  gboolean vote_refused;     /* one of them knows of a change */
-  gint64 elected_us;         /* when the promises became enough for the store; 0: they are not */
+  /* Campaign of this replica. */
+  guint64 campaign_epoch;    /* epoch for which promises are requested; 0: no campaign */
+  guint64 last_campaign;     /* greatest epoch of any campaign known to this replica */
+  gint64 campaign_us;        /* start of the campaign; without one, earliest start of the next */
+  GArray *campaign_promises; /* replicas that granted the promise */
+  GArray *votes;             /* those of them that know of no membership change */
+  gboolean vote_refused;     /* one of them knows of a membership change */
+  gint64 elected_us;         /* when enough promises for a write to the store were granted; 0: not yet */
 
-  /* At the leader. */
-  GHashTable *peers; /* QuinceLedgerPeer by replica, owned */
+  /* State of the leader. */
+  GHashTable *peers; /* replica id to QuinceLedgerPeer, owned */
   guint64 commit_index;
-  guint64 recovery_index;         /* of the first record of its own epoch */
-  guint64 refused_epoch;          /* greatest epoch that a member promised to another replica */
-  gboolean wants_change_acks;     /* a change of members waits for them */
-  GArray *change_acks;            /* replicas that noted a change on this revision */
-  gint64 orders_blocked_until_us; /* it gives no orders before */
+  guint64 recovery_index;         /* index of the first record of its own epoch */
+  guint64 refused_epoch;          /* greatest epoch for which a backup refused this leader; 0: none */
+  gboolean wants_change_acks;     /* a membership change waits for acknowledgements */
+  GArray *change_acks;            /* replicas that acknowledged a change of this revision */
+  gint64 orders_blocked_until_us; /* it gives no orders to workers before this time */
   gint64 leading_since_us;
 };
 
-/* The files below are ordered: each calls only files that are listed before it. */
+/* Each source file below calls only functions of the files listed before it. */
 
-/* ---- ledger-group.c: the state itself, peers, getters ---- */
-/* (transfer none) (nullable) */
+/* ---- ledger-group.c ---- */
+/* Returns: (transfer none) (nullable): the peer @replica, or %NULL if it is not connected */
 QuinceLedgerPeer *quince_ledger_group_find_peer (const QuinceLedgerGroup *group, guint64 replica);
-/* The machine is to be emptied, or may not keep records. */
+/* Returns %TRUE if @node is being drained or may not store records. */
 gboolean quince_ledger_group_is_node_excluded (const QuinceLedgerGroup *group, const char *node);
 
 /* ---- ledger-zones.c ---- */
-/* Members are to be spread over zones. */
+/* Returns %TRUE if members must be spread over zones. */
 gboolean quince_ledger_group_is_zone_aware (const QuinceLedgerGroup *group);
-/* Most members in one zone. */
+/* Returns: the maximum number of members in one zone */
 guint quince_ledger_group_get_members_per_zone_max (const QuinceLedgerGroup *group);
-/* Members of @view in the zone of @replica; 0 where it is not known. */
+/* Returns: the number of members of @view in the zone of @replica; 0 if that zone is unknown */
 guint quince_ledger_group_count_in_zone (const QuinceLedgerGroup *group,
                                          const QuinceLedgerView *view,
                                          guint64 replica);
 
 /* ---- ledger-leases.c ---- */
-/* Messages of enough members for a quorum have arrived lately; also while a new leader waits for the first.
- */
+/* Returns %TRUE if messages from a quorum arrived within the leader timeout.  Also %TRUE for that long after
+ * this replica became leader. */
 gboolean quince_ledger_group_has_quorum_contact (const QuinceLedgerGroup *group, gint64 now_us);
-/* No candidate can have enough promises: a quorum has followed this leader lately. */
+/* Returns %TRUE if a quorum acknowledged messages of this leader within the lease duration: no candidate can
+ * have enough promises then. */
 gboolean quince_ledger_group_has_quorum_lease (const QuinceLedgerGroup *group, gint64 now_us);
-/* No other replica can lead now. */
+/* Returns %TRUE if no other replica can be leader now. */
 gboolean quince_ledger_group_has_leader_lease (const QuinceLedgerGroup *group, gint64 now_us);
 
 /* ---- ledger-campaign.c ---- */
-/* Enough members have promised this replica's campaign for it to write itself into the store. */
+/* Returns %TRUE if enough members have promised for this replica to write itself into the store as leader. */
 gboolean quince_ledger_group_is_elected (const QuinceLedgerGroup *group);
 void quince_ledger_group_end_campaign (QuinceLedgerGroup *group);
-/* Promises its campaign's epoch to this replica itself; %FALSE: another one has a later promise. */
+/* Makes this replica promise its own campaign.  Returns %FALSE if it has promised that epoch to another
+ * replica, or a greater one. */
 gboolean quince_ledger_group_promise_self (QuinceLedgerGroup *group);
 
 /* ---- ledger-roles.c ---- */
-/* Takes @view (transfer full) as the one in force, and the role that it gives. */
+/* Makes @view (transfer full) the current view, ends the campaign and updates the role. */
 void quince_ledger_group_adopt_view (QuinceLedgerGroup *group, gint64 now_us, QuinceLedgerView *view);
-/* The members are those of @revision from now on, a greater one than before. */
+/* Sets the revision of the members to the greater @revision and resets all state of proposals and
+ * acknowledgements of the previous one. */
 void quince_ledger_group_begin_revision (QuinceLedgerGroup *group, guint64 revision);
 
 /* ---- ledger-succession.c ---- */
-/* Enough members have noted that members may change on this revision; else they are asked to note it, if a
- * quorum follows. */
+/* Returns %TRUE if @proposed may be written: it has the same members, or enough members have acknowledged a
+ * change of this revision.  Otherwise requests their acknowledgements, unless the leader has no quorum lease.
+ */
 gboolean quince_ledger_group_has_change_acks (QuinceLedgerGroup *group,
                                               gint64 now_us,
                                               const QuinceLedgerView *proposed);
--- a/lib/core/group/ledger-group.c
+++ b/lib/core/group/ledger-group.c
@@ -1,7 +1,7 @@
 /*
- * ledger-group.c: the state of a replica in the group: settings, peers, and what holds.
+ * ledger-group.c: construction, settings, peers and accessors of QuinceLedgerGroup.
  *
- * ledger-group-private.h lists the files that act on this state, in the order in which they call each other.
+ * ledger-group-private.h lists the other source files that operate on this type.
  */
 #include "ledger-group-private.h"
 
@@ -32,7 +32,7 @@
   group->persistent = *persistent;
   group->promised_at_start = persistent->promised;
   group->may_bootstrap = may_bootstrap;
-  /* It may have acknowledged the leader's records a moment before its restart. */
+  /* This replica may have acknowledged records of the leader shortly before its restart. */
   group->leader_contact_us = now_us;
   group->peers = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, peer_free);
   group->proposed_members = g_array_new (FALSE, FALSE, sizeof (guint64));
@@ -128,7 +128,7 @@
   if (peer == NULL)
     return;
   if (requested_us < peer->cleared_us)
-    return; /* it answers for records that it has dropped since */
+    return; /* acknowledges records that the peer has deleted since */
   peer->last_index = MAX (peer->last_index, last_index);
   peer->acked_sent_us = MAX (peer->acked_sent_us, requested_us);
 }
@@ -164,7 +164,7 @@
   g_hash_table_remove (group->peers, &key);
 }
 
-/* ---- What holds -------------------------------------------------------- */
+/* ---- Accessors --------------------------------------------------------- */
 
 QuinceLedgerRole
 quince_ledger_group_get_role (const QuinceLedgerGroup *group)
--- a/lib/core/group/ledger-group.h
+++ b/lib/core/group/ledger-group.h
@@ -1,18 +1,20 @@
 /*
- * ledger-group.h: who leads the batch ledger, who keeps it, and which records are committed.
+ * ledger-group.h: membership, leader election and commits of the batch ledger.
  *
- * One leader and its backups.  The members lie in the metadata store and change there under a condition only,
- * so that they have one history.  A record is committed when a quorum of the members has it on disk.  A
- * backup that does not hear the leader campaigns: each other member that does not hear the leader either
- * promises not to follow it any more, and says how far its log goes.  With as many promises as meet each
- * quorum, the candidate whose log goes furthest writes itself into the view.
+ * The group has one leader and several backups.  The metadata store holds the view: epoch, leader and
+ * members.  Every write to it is conditional on the revision, so views have a single history.  A record is
+ * committed when a quorum of the members has it on disk.
  *
- * While the metadata store is away the promises of a quorum make a leader; the store is updated when it is
- * back. Members change in the store alone, and only after as many of them as meet each quorum have noted the
- * change. docs/design/succession.md says why no epoch is led twice and no committed record is lost.
+ * A backup that loses contact with the leader starts a campaign: it asks the other members for promises.  A
+ * member that has lost contact too promises to follow no older leader and reports the end of its log.  With
+ * enough promises, the candidate whose log is most up to date writes itself into the view as leader.
  *
- * Owns copies of all that it is given.  Pure: time is an argument, in microseconds of this process's
- * monotonic clock; messages, the disk and the store are its user's.
+ * While the metadata store is unreachable, the promises of a quorum are enough to elect a leader; the store
+ * is updated later.  Members change in the store only, after enough members have acknowledged the change.
+ * docs/design/succession.md explains why an epoch has at most one leader and no committed record is lost.
+ *
+ * The group copies its arguments and does no I/O: the caller sends messages, writes to disk and accesses the
+ * store.  Times are in microseconds of this process's monotonic clock.
  */
 #pragma once
 
@@ -24,14 +26,16 @@
 
 /**
  * QuinceLedgerLimits:
- * @quorum: machines that must have a record on disk before it is acknowledged
- * @members_max: members while enough machines are there; at most 2 * @quorum - 1
- * @zone_losses: zones that may be lost at once: if any, members are spread over zones; 0: they are not
- * @leader_timeout_us: a backup that has not heard its leader for this long may promise another one to follow
- *   it, or campaign
- * @member_timeout_us: the leader takes a member that is silent for this long out of the view
- * @lease_duration_us: how long a leader may act on the last answers of a quorum; less than @leader_timeout_us
- * @order_pause_us: a new leader on another machine gives no orders for this long
+ * @quorum: number of machines that must have a record on disk before it is acknowledged
+ * @members_max: maximum number of members; at most 2 * @quorum - 1
+ * @zone_losses: number of zones that may fail at the same time; 0: members are not spread over zones
+ * @leader_timeout_us: a backup without contact to its leader for this long may campaign, or promise to follow
+ *   another replica
+ * @member_timeout_us: the leader removes a member from the view after this long without an acknowledgement
+ * @lease_duration_us: how long a leader may rely on the last acknowledgements of a quorum; less than
+ *   @leader_timeout_us
+ * @order_pause_us: how long a new leader waits before it gives orders to workers, unless it was also the last
+ *   replica to give them
  */
 typedef struct
 {
@@ -54,12 +58,13 @@
 typedef enum
 {
   QUINCE_PROPOSAL_APPLIED,
-  QUINCE_PROPOSAL_CONFLICT,    /* the view had changed before              */
-  QUINCE_PROPOSAL_NOT_APPLIED, /* and will not be                          */
-  QUINCE_PROPOSAL_UNKNOWN,     /* may be done, now or later, unless the view changes first */
+  QUINCE_PROPOSAL_CONFLICT,    /* the view in the store had already changed */
+  QUINCE_PROPOSAL_NOT_APPLIED, /* and will not be applied later */
+  QUINCE_PROPOSAL_UNKNOWN,     /* may still be applied, unless the view changes first */
 } QuinceProposalOutcome;
 
-/* Where a log ends. A log that ends with the greater epoch goes further, then the longer one. */
+/* The last record of a log.  The log with the greater epoch is more up to date; if the epochs are equal, the
+ * longer log is. */
 typedef struct
 {
   guint64 epoch;
@@ -71,8 +76,8 @@
 /**
  * quince_ledger_group_new:
  * @self: this replica
- * @persistent: what its disk keeps
- * @may_bootstrap: this is the first start of the whole system: the first view may be written
+ * @persistent: state read from its disk
+ * @may_bootstrap: whether this replica may write the first view, on the first start of the whole system
  */
 QuinceLedgerGroup *quince_ledger_group_new (const QuinceLedgerMember *self,
                                             const QuinceLedgerLimits *limits,
@@ -84,51 +89,56 @@
 
 /**
  * quince_ledger_group_set_view:
- * @requested_us: when the read began; 0: not known, the view may be an old one
- * @view: (nullable): what the metadata store holds; %NULL: no view
- * @revision: of @view in the store; 0 without one
+ * @requested_us: when the read began; 0 if unknown, since the view may then be outdated
+ * @view: (nullable): the view in the metadata store, or %NULL if there is none
+ * @revision: revision of @view in the store; 0 if there is no view
  *
- * An older revision is ignored; a newer one with a lower epoch than is known changes the members alone.
+ * Ignores an older revision.  If a newer revision has a lower epoch than the known one, only the members are
+ * updated.
  */
 void quince_ledger_group_set_view (QuinceLedgerGroup *group,
                                    gint64 now_us,
                                    gint64 requested_us,
                                    const QuinceLedgerView *view,
                                    guint64 revision);
-/* How the proposal of quince_ledger_group_propose() ended; @revision of the view where it is done. */
+/* Reports the outcome of the proposal returned by quince_ledger_group_propose().  @revision: revision of the
+ * view in the store if the outcome is %QUINCE_PROPOSAL_APPLIED. */
 void quince_ledger_group_proposal_ended (QuinceLedgerGroup *group,
                                          gint64 now_us,
                                          QuinceProposalOutcome outcome,
                                          guint64 revision);
-/* Names of machines that are to be emptied, %NULL-terminated: their replicas leave the view. */
+/* Sets the machines (%NULL-terminated) that are being drained: their replicas are removed from the view. */
 void quince_ledger_group_set_draining_nodes (QuinceLedgerGroup *group, const char *const *nodes);
-/* Only the machines @nodes (nullable, %NULL-terminated) may keep records: others are treated as machines that
- * are to be emptied.  %NULL: all may. */
+/* Sets the machines (nullable, %NULL-terminated) that may store records: all others are treated as draining.
+ * %NULL: all machines may. */
 void quince_ledger_group_set_allowed_nodes (QuinceLedgerGroup *group, const char *const *nodes);
-/* The zone of @replica, this one or another; a replica whose zone was never set is in no zone. */
+/* Sets the zone of @replica, which may be this replica.  A replica has no zone until one is set. */
 void quince_ledger_group_set_zone (QuinceLedgerGroup *group, guint64 replica, const char *zone);
-/* End of the log on this machine's disk. */
+/* Sets the end of the log on this replica's disk. */
 void quince_ledger_group_set_log_end (QuinceLedgerGroup *group, const QuinceLogEnd *end);
 
-/* Must be on disk before a message or record that follows from it is sent or written. (transfer none) */
+/* Returns: (transfer none): the state that must be on disk before any message or record that depends on it is
+ * sent or written */
 const QuinceLedgerPersistentState *quince_ledger_group_get_persistent_state (const QuinceLedgerGroup *group);
 
 /* ---- At a backup ------------------------------------------------------ */
 
-/* Whether records of the leader of @epoch may be taken; if so this counts as its contact, and @epoch is kept
- * as promised. */
+/* Returns %TRUE if records from the leader of @epoch may be accepted.  This then counts as contact with the
+ * leader, and @epoch becomes the promised epoch. */
 gboolean quince_ledger_group_accept_leader (QuinceLedgerGroup *group, gint64 now_us, guint64 epoch);
-/* The member @replica, whose log ends at @end, campaigns with @epoch.  Returns: whether it is promised, or
- * was before; the answer may be sent once that is on disk */
+/* Handles the promise request of the member @replica, which campaigns for @epoch and whose log ends at @end.
+ * Returns: whether the promise is granted, now or by an earlier call.  The answer may be sent once the
+ * persistent state is on disk. */
 gboolean quince_ledger_group_grant_promise (QuinceLedgerGroup *group,
                                             gint64 now_us,
                                             guint64 replica,
                                             guint64 epoch,
                                             const QuinceLogEnd *end);
-/* Epoch to ask the other members a promise for now; 0: this replica does not campaign.  A former leader that
- * was restarted, and one that was refused, campaign at once. */
+/* Starts or continues a campaign if one is due.  Returns: the epoch for which to request promises from the
+ * other members, or 0 if this replica does not campaign.  A restarted leader and a leader that a backup
+ * refused campaign without waiting for the leader timeout. */
 guint64 quince_ledger_group_campaign (QuinceLedgerGroup *group, gint64 now_us);
-/* The member @replica promised @epoch; its log ends at @end. */
+/* Handles the promise of the member @replica for @epoch; its log ends at @end. */
 void quince_ledger_group_handle_promise (QuinceLedgerGroup *group,
                                          gint64 now_us,
                                          guint64 replica,
@@ -137,100 +147,108 @@
 
 /* ---- Succession without the metadata store ---------------------------- */
 
-/* Which members this replica asks who leads, and why. */
+/* Which members this replica queries, and for what. */
 typedef enum
 {
   QUINCE_LEDGER_QUERY_NONE,
-  QUINCE_LEDGER_QUERY_LEADER,  /* the leader: whether it has changes of members noted first */
-  QUINCE_LEDGER_QUERY_MEMBERS, /* all members: who leads */
-  QUINCE_LEDGER_QUERY_VOTES, /* all members, after each request for a promise: whether they know of a note */
-  QUINCE_LEDGER_QUERY_CHANGE_ACKS, /* all members: to note a change of members */
+  QUINCE_LEDGER_QUERY_LEADER,  /* the leader: whether it has membership changes acknowledged */
+  QUINCE_LEDGER_QUERY_MEMBERS, /* all members: who is the leader */
+  QUINCE_LEDGER_QUERY_VOTES,   /* all members, after each promise request: whether they know of a change */
+  QUINCE_LEDGER_QUERY_CHANGE_ACKS, /* all members: to acknowledge a membership change */
 } QuinceLedgerQueryKind;
 
 /**
  * quince_ledger_group_get_query:
- * @store_fails: the metadata store is known to be out of reach
- * @query: (out): the query to send
+ * @store_fails: whether the metadata store is known to be unreachable
+ * @query: (out): the query to send; not set if no view is known
  *
- * Returns: which members to send it to
+ * Returns: which members to send @query to
  */
 QuinceLedgerQueryKind quince_ledger_group_get_query (const QuinceLedgerGroup *group,
                                                      gint64 now_us,
                                                      gboolean store_fails,
                                                      QuinceLedgerQuery *query);
-/* Another replica, or a front, asks who leads.  Write quince_ledger_group_get_persistent_state() to disk
- * before the answer is sent. */
+/* Handles a query from another replica or a front, and acknowledges the membership change if it announces
+ * one. The persistent state must be on disk before the answer is sent. */
 void
 quince_ledger_group_handle_query (QuinceLedgerGroup *group, gint64 now_us, const QuinceLedgerQuery *query);
-/* The answer; %FALSE: no view is known.  @lead borrows the view until the next call. */
+/* Sets @lead to the answer to a query.  Its view belongs to @group and is valid until the next call.  Returns
+ * %FALSE if no view is known. */
 gboolean quince_ledger_group_get_lead (const QuinceLedgerGroup *group, QuinceLedgerLead *lead);
-/* Another replica's answer. */
+/* Handles the answer of another replica to a query, or the announcement of a new leader. */
 void quince_ledger_group_handle_lead (QuinceLedgerGroup *group, gint64 now_us, const QuinceLedgerLead *lead);
-/* Becomes leader if a quorum has promised and the store is away or too slow.  Returns: whether it leads now
- */
+/* Becomes leader if a quorum has promised and the store is unreachable or too slow.  Returns: whether this
+ * replica became the leader */
 gboolean
 quince_ledger_group_try_lead_without_store (QuinceLedgerGroup *group, gint64 now_us, gboolean store_fails);
-/* This replica leads, and the store is not known to show it. */
+/* Returns %TRUE if this replica is the leader and its view is not known to be in the store. */
 gboolean quince_ledger_group_is_unpublished (const QuinceLedgerGroup *group);
 
 /* ---- At the leader ---------------------------------------------------- */
 
-/* A replica introduced itself as a backup. */
+/* Adds or replaces the peer @member, which has connected as a backup. */
 void
 quince_ledger_group_peer_joined (QuinceLedgerGroup *group, gint64 now_us, const QuinceLedgerMember *member);
-/* It has this log on disk up to @last_index; @requested_us: when the message that it answers was sent. */
+/* Records that @replica has the log up to @last_index on disk.  @requested_us: when the message that it
+ * acknowledges was sent. */
 void quince_ledger_group_peer_acked (QuinceLedgerGroup *group,
                                      guint64 replica,
                                      guint64 last_index,
                                      gint64 requested_us);
-/* A message of it arrived, whatever it says. */
+/* Records that a message of any kind arrived from @replica. */
 void quince_ledger_group_record_contact (QuinceLedgerGroup *group, guint64 replica, gint64 now_us);
-/* Whether heartbeats and records may be sent to @replica: not to members while no quorum is in contact. */
+/* Returns %TRUE if heartbeats and records may be sent to @replica.  Members get none while the leader has no
+ * contact with a quorum. */
 gboolean quince_ledger_group_may_send (const QuinceLedgerGroup *group, gint64 now_us, guint64 replica);
-/* It was ordered to drop all its records: answers to what was sent before are ignored. */
+/* Records that @replica was ordered to delete its log: acknowledgements of messages sent before @now_us are
+ * ignored from now on. */
 void quince_ledger_group_peer_cleared (QuinceLedgerGroup *group, guint64 replica, gint64 now_us);
-/* A backup refused this leader, since it has promised the greater epoch @promised. */
+/* Records that a backup refused this leader because it has promised the greater epoch @promised. */
 void quince_ledger_group_peer_refused (QuinceLedgerGroup *group, guint64 promised);
-/* Its link closed. */
+/* Removes the peer @replica, whose connection was closed. */
 void quince_ledger_group_peer_left (QuinceLedgerGroup *group, guint64 replica);
 
 /**
  * quince_ledger_group_choose_recipients:
- * @recipients: (inout) (element-type guint64): the replicas that records are to be sent to are appended
+ * @recipients: (inout) (element-type guint64): array to which the replicas that receive records are appended
  *
- * The members of the view that are linked, as many others as the view lacks, and as many spare ones as a
- * quorum has.
+ * Appends all connected members of the view.  Then appends other connected replicas: one for each member that
+ * the view lacks, and @quorum spare ones.
  */
 void
 quince_ledger_group_choose_recipients (const QuinceLedgerGroup *group, gint64 now_us, GArray *recipients);
 
 /**
  * quince_ledger_group_propose:
- * @expected_revision: (out): the condition of the write; 0: no view may be there
+ * @expected_revision: (out): revision that the store must have for the write to succeed; 0: the store must
+ * hold no view.  Set only if a view is returned.
  *
- * Not to be called while the metadata store is known to be out of reach.
+ * Must not be called while the metadata store is known to be unreachable.
  *
- * Returns: (transfer full) (nullable): a view to write; quince_ledger_group_proposal_ended() must follow
+ * Returns: (transfer full) (nullable): the view to write to the store, or %NULL if there is nothing to
+ * change. The caller reports the outcome with quince_ledger_group_proposal_ended().
  */
 QuinceLedgerView *
 quince_ledger_group_propose (QuinceLedgerGroup *group, gint64 now_us, guint64 *expected_revision);
 
-/* ---- What holds ------------------------------------------------------- */
+/* ---- State ------------------------------------------------------------ */
 
 QuinceLedgerRole quince_ledger_group_get_role (const QuinceLedgerGroup *group);
-/* The members of the newest revision that is known, and the lead of the greatest epoch: the store may show a
- * lower one. (transfer none) (nullable) */
+/* Returns: (transfer none) (nullable): the members of the newest known revision, with the greatest known
+ * epoch and its leader, or %NULL if no view is known.  The store may hold a lower epoch. */
 const QuinceLedgerView *quince_ledger_group_get_view (const QuinceLedgerGroup *group);
-/* A quorum holds every record up to this index, for good. */
+/* Returns: the index up to which a quorum has every record on disk; a backup does not update it */
 guint64 quince_ledger_group_get_commit_index (QuinceLedgerGroup *group);
-/* This leader knows all that was ever acknowledged, and no other replica can lead now. */
+/* Returns %TRUE if this replica is the leader, has every record that was ever acknowledged, and no other
+ * replica can be leader now. */
 gboolean quince_ledger_group_may_answer (QuinceLedgerGroup *group, gint64 now_us);
-/* It can also have new records committed now. */
+/* Returns %TRUE if this leader may answer and can also commit new records now. */
 gboolean quince_ledger_group_may_accept (QuinceLedgerGroup *group, gint64 now_us);
-/* No other replica can have given orders within the pause. */
+/* Returns %TRUE if this replica is the leader and may give orders to workers.  No other replica can have
+ * given any within the order pause. */
 gboolean quince_ledger_group_may_order (QuinceLedgerGroup *group, gint64 now_us);
-/* Keeps that this replica may give orders in its epoch; to be called several times a second at a leader that
- * has read its log. */
+/* Updates the persistent state with the current epoch if this replica may give orders in it.  A leader that
+ * has read its log calls this several times a second. */
 void quince_ledger_group_record_orders (QuinceLedgerGroup *group, gint64 now_us);
 gboolean quince_ledger_group_has_member (const QuinceLedgerGroup *group, guint64 replica);
 
--- a/lib/core/group/ledger-persistent-state.h
+++ b/lib/core/group/ledger-persistent-state.h
@@ -1,5 +1,5 @@
 /*
- * ledger-persistent-state.h: what a replica of the batch ledger keeps on its disk beside its log.
+ * ledger-persistent-state.h: the state that a ledger replica stores on disk in addition to its log.
  */
 #pragma once
 
@@ -9,9 +9,11 @@
 
 /**
  * QuinceLedgerPersistentState:
- * @promised: the greatest epoch that this replica has promised or followed; 0: none
- * @noted: the greatest revision of the view on which members may change; 0: none
- * @ordered: the latest epoch in which this replica could give orders; 0: none
+ * @promised: greatest epoch that this replica has promised or followed; 0: none
+ * @noted: greatest revision of the view for which this replica has acknowledged a membership change; 0: none
+ * @ordered: latest epoch in which this replica was allowed to give orders to workers; 0: none
+ *
+ * The log stores each field under the field's name.
  */
 typedef struct
 {
--- a/lib/core/group/ledger-roles.c
+++ b/lib/core/group/ledger-roles.c
@@ -1,10 +1,11 @@
 /*
- * ledger-roles.c: which view is in force at this replica, and the role that it gives.
+ * ledger-roles.c: the current view of this replica and its role in that view.
  */
 #include "ledger-group-private.h"
 
-/* No other replica can have given orders since this one did: one that did had a record of a later epoch on a
- * quorum, and so in the log of each later leader. */
+/* Returns %TRUE if no other replica can have given orders to workers since this one did, or if this replica
+ * wrote the first view.  Any replica that gave orders had a record of its epoch on a quorum, so the log of
+ * every later leader contains that record. */
 static gboolean
 was_last_to_order (const QuinceLedgerGroup *group, const QuinceLedgerView *previous)
 {
@@ -21,7 +22,7 @@
   group->change_ack_epoch = MAX (group->change_ack_epoch, group->view->epoch);
   group->store_leader_collects_acks
       = group->store_leader_collects_acks || group->store_epoch == group->change_ack_epoch;
-  /* Older records count as committed only together with one of its own epoch, as in Raft. */
+  /* As in Raft, records of older epochs are committed only together with one of the leader's own epoch. */
   group->recovery_index = group->log_end.index + 1;
   group->commit_index = 0;
   if (!was_leader)
@@ -38,10 +39,10 @@
   const QuinceLedgerView *view = group->view;
   gboolean is_primary = view->primary == group->self.replica;
   if (is_primary && group->led_epoch == view->epoch)
-    return; /* it leads already */
+    return; /* already the leader of this epoch */
   if (is_primary && group->proposed_epoch == view->epoch && group->persistent.promised <= view->epoch)
     {
-      /* This process took the lead itself. */
+      /* This process proposed the epoch itself and has promised no greater one. */
       become_leader (group, now_us, previous);
       return;
     }
@@ -57,12 +58,12 @@
 {
   g_autoptr (QuinceLedgerView) previous = group->view;
   group->view = view;
-  /* Promises were asked of the members of the former view. */
+  /* The promises were requested from the members of the former view. */
   quince_ledger_group_end_campaign (group);
   update_role (group, now_us, previous);
 }
 
-/* Proposals on the former revision can no longer be done. */
+/* Proposals based on the former revision can no longer be applied. */
 void
 quince_ledger_group_begin_revision (QuinceLedgerGroup *group, guint64 revision)
 {
@@ -74,7 +75,8 @@
   group->handover_proposed = FALSE;
 }
 
-/* The lead never returns to a lower epoch: members may have promised a higher one without the store. */
+/* Keeps the known epoch and leader if @view does not have a greater epoch: members may have elected a leader
+ * without the store. */
 static void
 retain_newer_lead (QuinceLedgerView *view, const QuinceLedgerView *known)
 {
--- a/lib/core/group/ledger-succession.c
+++ b/lib/core/group/ledger-succession.c
@@ -1,24 +1,22 @@
 /*
- * ledger-succession.c: the lead without the metadata store: queries of who leads, votes, and notes of
- * changes.
+ * ledger-succession.c: leader election without the metadata store: queries, votes and acknowledgements of
+ * membership changes.
  *
- * Members change in the store alone.  A leader that is about to change them has the change noted by as many
- * members as meet each set of votes; a candidate that learns of a note waits for the store.  So no replica
- * leads without the store over members that are replaced meanwhile.
+ * Members change in the store only.  Before a leader changes them, it has enough members acknowledge the
+ * change for every quorum of votes to include one of them.  A candidate that learns of an acknowledged change
+ * waits for the store.  So nobody is elected without the store by members that may have been replaced.
  */
 #include "ledger-group-private.h"
 
-/* How long a candidate waits for the store to take its view before it leads without it, us: 75 times the
- * duration of a call, a third of the silence after which it campaigned. */
+/* How long an elected candidate waits for its write to the store before it leads without the store. */
 #define STORE_TIMEOUT_US (300 * 1000)
-/* A campaign that has not ended after this asks who leads, us: some member does not promise.  Not measured:
- * half of the time for which a campaign goes on with one epoch. */
+/* How long a campaign runs before the candidate queries the members.  Half of the campaign timeout. */
 #define QUERY_DELAY_US (300 * 1000)
 
 /* ---- Quorums ---------------------------------------------------------- */
 
-/* Members, this one counted, whose promises make a leader without the store: a quorum.  Any two such sets
- * have a member in common, and so has one with each set whose candidate may write itself into the store. */
+/* Returns how many votes, including its own, a replica needs to become leader without the store.  Any two
+ * sets of this size overlap, and each overlaps with any set of promises that allows a write to the store. */
 static guint
 get_votes_needed (const QuinceLedgerGroup *group)
 {
@@ -26,7 +24,8 @@
   return MAX (group->limits.quorum, members / 2 + 1);
 }
 
-/* Members, this one counted, that have one in common with each such set. */
+/* Returns how many members, including the leader, must acknowledge a membership change for every set of votes
+ * to include one of them; 0 if the view has too few members for such a set. */
 static guint
 get_change_acks_needed (const QuinceLedgerGroup *group)
 {
@@ -35,10 +34,10 @@
   return members >= votes ? members - votes + 1 : 0;
 }
 
-/* ---- Notes of a change of members ------------------------------------- */
+/* ---- Acknowledgements of membership changes ----------------------------- */
 
-/* Members that have noted a change elect no leader without the store.  Without contact to them the change
- * cannot be made, and they would be left without a leader: no notes are requested then. */
+/* Members that have acknowledged a change elect no leader without the store.  A leader without a quorum lease
+ * may be unable to complete the change, and would leave them without a leader. */
 static gboolean
 may_request_change_acks (const QuinceLedgerGroup *group, gint64 now_us)
 {
@@ -89,8 +88,8 @@
     return QUINCE_LEDGER_QUERY_VOTES;
   if (query->changing)
     return QUINCE_LEDGER_QUERY_CHANGE_ACKS;
-  /* A leader without contact to a quorum has stopped its heartbeats: an answer lets it resume them, or names
-   * the next leader. */
+  /* A leader without contact to a quorum sends no heartbeats.  An answer to the query either lets it resume
+   * them or names the new leader. */
   if (group->role == QUINCE_LEDGER_LEADER)
     return group->refused_epoch > group->view->epoch
                    || !quince_ledger_group_has_quorum_contact (group, now_us)
@@ -136,7 +135,8 @@
 
 /* ---- Votes ------------------------------------------------------------ */
 
-/* The answer of a member that has promised: whether members may change on this revision. */
+/* Counts the vote of a member that has promised this campaign.  The vote is refused if the member has
+ * acknowledged a membership change of this revision, or knows a newer revision. */
 static void
 record_vote (QuinceLedgerGroup *group, const QuinceLedgerLead *lead)
 {
@@ -180,9 +180,9 @@
          && (group->store_epoch != group->view->epoch || group->store_primary != group->view->primary);
 }
 
-/* ---- The lead that others know ---------------------------------------- */
+/* ---- Answers of other replicas ----------------------------------------- */
 
-/* The lead that the store shows at the revision that both replicas know. */
+/* Takes over what the sender knows about the leader in the store, if both replicas know the same revision. */
 static void
 merge_store_lead (QuinceLedgerGroup *group, const QuinceLedgerLead *lead)
 {
@@ -198,7 +198,7 @@
                                       || (group->store_epoch != 0 && lead->answered == group->store_epoch);
 }
 
-/* The members of the newer revision, the lead of the greater epoch. */
+/* Returns a new view with the members of the newer revision and the leader of the greater epoch. */
 static QuinceLedgerView *
 merge_views (const QuinceLedgerGroup *group, const QuinceLedgerLead *lead)
 {
@@ -210,8 +210,8 @@
   return view;
 }
 
-/* Epochs and revisions only rise: those of a damaged message would hold for good, and this replica would take
- * no view of the store any more. */
+/* Rejects malformed messages.  Epochs and revisions never decrease, so an invalid value would make this
+ * replica ignore all later views in the store. */
 static gboolean
 is_valid_lead (const QuinceLedgerLead *lead)
 {
--- a/lib/core/group/ledger-view.c
+++ b/lib/core/group/ledger-view.c
@@ -1,5 +1,5 @@
 /*
- * ledger-view.c: the members of a view: found, compared and edited.
+ * ledger-view.c: functions that search, compare and edit the members of a ledger view.
  */
 #include "core/group/ledger-view.h"
 
--- a/lib/core/group/ledger-view.h
+++ b/lib/core/group/ledger-view.h
@@ -1,8 +1,8 @@
 /*
- * ledger-view.h: the members of a view of the batch ledger: found, compared and edited.
+ * ledger-view.h: functions that search, compare and edit the members of a ledger view.
  *
- * A view (epoch, primary, members) is the value that the metadata store keeps under the ledger's key.  Owns
- * nothing; relies on the codec's type alone.  Pure.
+ * A view consists of an epoch, a primary and the members.  The metadata store holds it under the ledger's
+ * key.
  */
 #pragma once
 
@@ -10,19 +10,19 @@
 
 G_BEGIN_DECLS
 
-/* The member @replica. (transfer none) (nullable); @view: nullable */
+/* Returns: (transfer none) (nullable): the member @replica, or %NULL if @view (nullable) does not have it */
 const QuinceLedgerMember *quince_ledger_view_find (const QuinceLedgerView *view, guint64 replica);
-/* Whether a replica of the machine @node is a member; @view: nullable */
+/* Returns: whether a replica on the machine @node is a member of @view (nullable) */
 gboolean quince_ledger_view_has_node (const QuinceLedgerView *view, const char *node);
-/* Whether both views have the same replicas as members, in any order and at any address. */
+/* Returns: whether both views have the same member replicas; order and addresses are ignored */
 gboolean quince_ledger_view_has_same_members (const QuinceLedgerView *view, const QuinceLedgerView *other);
 
-/* Appends a member; the strings are copied. */
+/* Appends a member.  The strings are copied. */
 void quince_ledger_view_add (QuinceLedgerView *view, const char *node, const char *address, guint64 replica);
-/* Removes the member @replica; does nothing where it is none. */
+/* Removes the member @replica.  Does nothing if it is not a member. */
 void quince_ledger_view_remove (QuinceLedgerView *view, guint64 replica);
-/* Sets the address of the member @replica: a machine that was restarted may listen at another one.  Returns:
- * whether the view changed */
+/* Sets the address of the member @replica, which may change when its machine restarts.  Returns: whether the
+ * view changed */
 gboolean quince_ledger_view_set_address (QuinceLedgerView *view, guint64 replica, const char *address);
 
 G_END_DECLS
--- a/lib/core/group/replica-list.h
+++ b/lib/core/group/replica-list.h
@@ -1,5 +1,5 @@
 /*
- * replica-list.h: a set of replica ids, as an array of guint64 that its user owns.  Pure.
+ * replica-list.h: a set of replica ids, stored in a GArray of guint64 that the caller owns.
  */
 #pragma once
 
@@ -8,7 +8,7 @@
 G_BEGIN_DECLS
 
 gboolean quince_replica_list_has (const GArray *replicas, guint64 replica);
-/* Does nothing where @replica is in the list already. */
+/* Does nothing if the list already contains @replica. */
 void quince_replica_list_add (GArray *replicas, guint64 replica);
 
 G_END_DECLS
--- a/tests/unit/ledger-parts.h
+++ b/tests/unit/ledger-parts.h
@@ -1,6 +1,6 @@
 /*
- * ledger-parts.h: the parts of the ledger's virtual world: disks, links and the metadata store, with their
- * faults.  ledger-world.h has the replicas.
+ * ledger-parts.h: simulated disks, links and metadata store of the ledger tests, with fault injection, and
+ * the checks that run at each step.  ledger-world.h simulates the replicas.
  */
 #pragma once
 
@@ -13,22 +13,22 @@
 
 #include "core/group/ledger-group.h"
 
-#define WORLD_NODES_MAX 12              /* nodes of a world */
+#define WORLD_NODES_MAX 12              /* maximum number of nodes */
 #define WORLD_TICK_US (10 * 1000)       /* step of virtual time */
-#define WORLD_NODE_TICK_US (150 * 1000) /* period of a replica's steps, as TICK_MS of the daemon */
-#define WORLD_INFORM_INTERVAL_US                                                                             \
-  (440 * 1000) /* pause between two informations, as QUERY_MEMBERS_US of the daemon */
+#define WORLD_NODE_TICK_US (150 * 1000) /* step interval of a replica, as TICK_MS of the daemon */
+/* Interval of WORLD_LEAD messages to unconnected members, as QUERY_MEMBERS_US of the daemon. */
+#define WORLD_INFORM_INTERVAL_US (440 * 1000)
 
 typedef struct
 {
   guint64 epoch;
-  guint64 value; /* 0: the mark of an epoch */
+  guint64 value; /* 0: first record of an epoch */
 } WorldRecord;
 
 typedef struct
 {
   guint64 replica;
-  GArray *log; /* WorldRecord; index 1 is the first */
+  GArray *log; /* WorldRecord; log indexes start at 1 */
   QuinceLedgerPersistentState persistent;
 } WorldDisk;
 
@@ -51,7 +51,7 @@
   gint64 due_us;
   guint from;
   guint to;
-  guint64 incarnation; /* of the receiver; 0: any */
+  guint64 incarnation; /* incarnation of the receiver; 0: any */
   guint64 replica;
   guint64 epoch;
   guint64 index;
@@ -59,13 +59,13 @@
   guint64 promised;
   gint64 sent_us;
   QuinceLogEnd end;
-  GArray *records; /* APPEND: all from index 1 on, as the sender has them; NULL: the receiver is sent none */
+  GArray *records; /* WORLD_APPEND: the sender's whole log; NULL: a heartbeat without records */
   QuinceProposalOutcome outcome;
   QuinceLedgerView *view;
   guint64 revision;
   QuinceLedgerQuery query;
-  QuinceLedgerLead lead; /* its view is @view's, not owned */
-  gboolean delayed;      /* a change that reaches the store also while it does not answer */
+  QuinceLedgerLead lead; /* its view is borrowed from the field view */
+  gboolean delayed;      /* a store write that is applied even while the store is unreachable */
 } WorldMessage;
 
 typedef struct
@@ -77,12 +77,12 @@
   gboolean recovered;
   guint64 reported_commit;
   gint64 next_tick_us;
-  guint64 hello_incarnation; /* of the leader that knows this node, and its epoch */
+  guint64 hello_incarnation; /* incarnation of the leader that this node is connected to */
   guint64 hello_epoch;
-  gint64 read_view_us;
-  gint64 queried_us;  /* when it last asked who leads */
-  gint64 reported_us; /* when it last informed members that were not linked */
-  gboolean frozen;
+  gint64 read_view_us; /* when it last requested the view from the store */
+  gint64 queried_us;   /* when it last sent a query */
+  gint64 reported_us;  /* when it last sent WORLD_LEAD to unconnected members */
+  gboolean frozen;     /* the process is suspended */
 } WorldNode;
 
 typedef struct
@@ -91,29 +91,29 @@
   GRand *random;
   gint64 now_us;
   guint n_nodes;
-  guint losses;
-  guint zones; /* that the nodes are in by turns; 0: their zones are not set */
+  guint losses; /* number of machines that may be lost without losing records */
+  guint zones;  /* number of zones, assigned round robin; 0: no zones are set */
   WorldNode nodes[WORLD_NODES_MAX];
-  gboolean cut[WORLD_NODES_MAX][WORLD_NODES_MAX];
-  gint64 link_us[WORLD_NODES_MAX][WORLD_NODES_MAX]; /* latest arrival on that link */
+  gboolean cut[WORLD_NODES_MAX][WORLD_NODES_MAX];   /* [from][to]: messages are dropped */
+  gint64 link_us[WORLD_NODES_MAX][WORLD_NODES_MAX]; /* arrival time of the latest message on that link */
   GPtrArray *messages;                              /* WorldMessage, owned */
-  gboolean store_down;
-  gboolean store_unreachable[WORLD_NODES_MAX]; /* the store turns that machine away */
-  QuinceLedgerView *view;                      /* in the store */
+  gboolean store_down;                              /* the store is unreachable from all machines */
+  gboolean store_unreachable[WORLD_NODES_MAX];      /* the store is unreachable from that machine */
+  QuinceLedgerView *view;                           /* in the store */
   guint64 revision;
-  GArray *committed; /* WorldRecord: records that a leader reported as committed, by index */
+  GArray *committed; /* WorldRecord: records that a leader reported as committed, in log order */
   guint64 next_value;
   guint64 next_replica;
   gint64 last_commit_us;
-  guint recoveries;              /* times that a leader knew all */
-  guint elections_without_store; /* times that one became leader without the store */
+  guint recoveries;              /* number of leaders that completed recovery */
+  guint elections_without_store; /* number of leaders elected without the store */
   gboolean bootstrapped;
   GHashTable *leaders;  /* epoch to WorldLeader, owned */
-  gint last_orderer;    /* machine that could give orders last, -1: none */
-  gint64 last_order_us; /* and when */
+  gint last_orderer;    /* last machine that was allowed to give orders; -1: none */
+  gint64 last_order_us; /* when last_orderer was last allowed to give orders */
 } World;
 
-/* Who led an epoch: no other process ever may. */
+/* The only process that may lead an epoch. */
 typedef struct
 {
   guint64 epoch;
@@ -233,7 +233,7 @@
 
 /* ---- Sending ---------------------------------------------------------- */
 
-/* The promises of a replica are on its disk before it sends a message. */
+/* Writes the persistent state to the disk, as a replica does before it sends a message. */
 static inline void
 world_save_state (WorldNode *node)
 {
@@ -251,10 +251,10 @@
   message->to = to;
   message->due_us = world->now_us + g_rand_int_range (world->random, 200, 4000);
   if (g_rand_int_range (world->random, 0, 50) == 0)
-    message->due_us += 300 * 1000; /* sent again by the transport */
+    message->due_us += 300 * 1000; /* retransmission */
   if (from != to)
     {
-      /* Links keep the order. */
+      /* Messages on a link arrive in order. */
       message->due_us = MAX (message->due_us, world->link_us[from][to]);
       world->link_us[from][to] = message->due_us;
     }
@@ -307,7 +307,7 @@
   world->revision++;
 }
 
-/* A call that is cut off on its way may be carried out seconds later. */
+/* Applies a store write up to 8 s after its call was aborted. */
 static inline void
 world_apply_later (World *world, const WorldMessage *message)
 {
@@ -320,7 +320,7 @@
   delayed->due_us += g_rand_int_range (world->random, 0, 8000) * 1000;
 }
 
-/* A change on its way to the store is itself a message, so that it may come late. */
+/* Sends a proposed view to the store as a message, so that it may arrive late. */
 static inline void
 world_propose (World *world, guint index)
 {
@@ -341,12 +341,12 @@
                                          : QUINCE_PROPOSAL_APPLIED;
   if (outcome_draw != 0)
     return;
-  /* The call breaks off; the change itself may be done later. */
+  /* The call is aborted, but the write may be applied later. */
   message->due_us += 300 * 1000;
   world_apply_later (world, message);
 }
 
-/* Whether the leader sends records to @replica, and not heartbeats alone. */
+/* Returns whether the leader sends records to @replica, rather than only heartbeats. */
 static inline gboolean
 world_is_recipient (const World *world, const WorldNode *leader, guint64 replica)
 {
@@ -358,9 +358,9 @@
   return FALSE;
 }
 
-/* ---- Judges ----------------------------------------------------------- */
+/* ---- Checks ----------------------------------------------------------- */
 
-/* Longest time for which an order that was given may be on its way to a worker. */
+/* Maximum time that an order is in flight to a worker. */
 #define WORLD_ORDER_MAX_US (3 * G_USEC_PER_SEC)
 
 static inline void
@@ -378,7 +378,7 @@
   g_hash_table_insert (world->leaders, &stored->epoch, stored);
 }
 
-/* A leader that may answer has all records that were reported as committed. */
+/* Fails if a leader that may answer lacks a record that was reported as committed. */
 static inline void
 world_check_answers (World *world, guint index)
 {
@@ -386,8 +386,8 @@
   if (!quince_ledger_group_may_answer (node->group, world->now_us))
     return;
   if (quince_ledger_group_get_commit_index (node->group) < world->committed->len)
-    fail_msg ("seed %u: n%u answers with %" G_GUINT64_FORMAT " records of %u", world->seed, index,
-              quince_ledger_group_get_commit_index (node->group), world->committed->len);
+    fail_msg ("seed %u: n%u may answer with %" G_GUINT64_FORMAT " of %u committed records", world->seed,
+              index, quince_ledger_group_get_commit_index (node->group), world->committed->len);
 }
 
 static inline void
--- a/tests/unit/ledger-scene.h
+++ b/tests/unit/ledger-scene.h
@@ -1,13 +1,14 @@
 /*
- * ledger-scene.h: a ledger in virtual time that has settled, and waits for its next leader.
+ * ledger-scene.h: helpers that create a settled ledger in virtual time and wait for a new leader.
  */
 #pragma once
 
 #include "ledger-world.h"
 
-/* Time in which another leader must lead, ms: 1 s of silence, the later turn of a second backup, two
- * exchanges of which one is sent again. */
+/* Maximum duration of a failover: 1 s leader timeout, the rank delay of a second backup, and two round trips,
+ * one of them with a retransmission. */
 #define ELECTION_MAX_MS 2500
+
 static inline void
 settle (World *world)
 {
@@ -15,7 +16,7 @@
     world_run (world, 100);
   assert_true (world_has_enough_members (world));
   assert_int_not_equal (world_find_leader (world), -1);
-  /* What the last change of members left to settle is settled. */
+  /* Let the last membership change complete. */
   world_run (world, 2000);
 }
 
@@ -27,7 +28,7 @@
   return world;
 }
 
-/* Milliseconds until another machine than @former leads; fails after @timeout_ms. */
+/* Returns the milliseconds until a machine other than @former is the leader.  Fails after @timeout_ms. */
 static inline guint
 await_leader (World *world, guint former, guint timeout_ms)
 {
--- a/tests/unit/test-ledger-succession.c
+++ b/tests/unit/test-ledger-succession.c
@@ -1,16 +1,16 @@
 /*
- * test-ledger-succession.c: who leads the batch ledger next while the metadata store is away, in virtual
- * time.
+ * test-ledger-succession.c: leader election of the batch ledger while the metadata store is unreachable, in
+ * virtual time.
  *
- * The world checks at each step: no epoch is led by two processes, each committed record is in each later
- * leader's log, a leader that may answer has all committed records, and no two machines give orders within 3
- * s.
+ * The simulation checks at each step that no two processes lead the same epoch, that every committed record
+ * is in the log of every later leader, that a leader that may answer has all committed records, and that no
+ * two machines give orders within 3 s.
  */
 #include "ledger-scene.h"
 
 #include <stdlib.h>
 
-/* Time in which a leader must lead and all members follow after the last fault, ms. */
+/* Maximum time until there is a leader with enough members after the last fault is cleared. */
 #define CONVERGENCE_MAX_MS 9000
 
 static guint
@@ -30,7 +30,7 @@
   assert_int_equal (world->view->epoch, world->nodes[leader].led_epoch);
 }
 
-/* A leader is found although the store is away. */
+/* A leader is elected while the store is unreachable. */
 static void
 test_election_with_store_down (void **state)
 {
@@ -52,7 +52,7 @@
   print_message ("slowest: %u ms\n", slowest_ms);
 }
 
-/* As fast with the store as without it. */
+/* An election with the store takes about as long as one without it. */
 static void
 test_election_with_store_up (void **state)
 {
@@ -70,7 +70,8 @@
   print_message ("slowest: %u ms\n", slowest_ms);
 }
 
-/* The store refuses the remaining members. */
+/* The remaining members cannot reach the store; the former leader restarts and reads from it that it still
+ * leads. */
 static void
 test_election_with_store_unreachable_for_members (void **state)
 {
@@ -81,7 +82,7 @@
   world_kill (world, former);
   await_leader (world, former, ELECTION_MAX_MS);
   assert_commits_continue (world, 500);
-  world_start (world, former, FALSE); /* and reads in the store that it leads */
+  world_start (world, former, FALSE); /* the store still names it as the leader */
   world_run (world, 3000);
   assert_int_not_equal (world_find_leader (world), (gint)former);
   for (guint i = 0; i < world->n_nodes; i++)
@@ -91,7 +92,7 @@
   world_free (world);
 }
 
-/* A leader that is cut off from the members, and still sees the store, answers with nothing old. */
+/* A leader that is partitioned from the members but reaches the store must not answer with stale records. */
 static void
 test_partitioned_leader_with_store_access (void **state)
 {
@@ -114,7 +115,7 @@
     }
 }
 
-/* One leader after the other is frozen while the store is away, and wakes later. */
+/* Successive leaders are suspended and resumed while the store is unreachable. */
 static void
 test_leaders_freeze_in_sequence (void **state)
 {
@@ -136,7 +137,7 @@
   world_free (world);
 }
 
-/* Members that were all restarted while the store was away lead again when it is back. */
+/* After all members restart while the store is unreachable, a leader is elected once the store is back. */
 static void
 test_all_members_restart (void **state)
 {
@@ -160,7 +161,7 @@
     }
 }
 
-/* A member that is restarted while the store is away is informed who leads, and counts for the quorum again.
+/* A member that restarts while the store is unreachable finds the leader and counts towards the quorum again.
  */
 static void
 test_member_restarts (void **state)
@@ -186,12 +187,12 @@
     }
 }
 
-/* ---- One replica, step by step ---------------------------------------- */
+/* ---- A single replica ------------------------------------------------- */
 
-#define SELF 1                          /* id of the replica that is tested */
-#define SECOND 2                        /* ids of the other members */
-#define THIRD 3                         /* likewise */
-#define START_US (100 * G_USEC_PER_SEC) /* when the test begins; any time does */
+#define SELF 1                          /* id of the replica under test */
+#define SECOND 2                        /* id of another member */
+#define THIRD 3                         /* id of another member */
+#define START_US (100 * G_USEC_PER_SEC) /* arbitrary start time */
 
 static QuinceLedgerGroup *
 make_group (guint64 promised)
@@ -218,7 +219,7 @@
   quince_ledger_group_set_view (group, now_us, now_us, &view, revision);
 }
 
-/* Elected by one promise, and its view is proposed. Returns: its epoch */
+/* Runs a campaign that one promise wins, and proposes the new view.  Returns its epoch. */
 static guint64
 propose_lead (QuinceLedgerGroup *group, gint64 now_us)
 {
@@ -234,7 +235,7 @@
   return epoch;
 }
 
-/* A view that it proposed lands after it has promised a later epoch to another: it does not lead. */
+/* A replica whose proposal is applied after it has promised a greater epoch to another one must not lead. */
 static void
 test_late_view_after_later_promise (void **state)
 {
@@ -245,14 +246,14 @@
   guint64 epoch = propose_lead (group, now);
   quince_ledger_group_proposal_ended (group, now, QUINCE_PROPOSAL_UNKNOWN, 0);
   now += G_USEC_PER_SEC;
-  quince_ledger_group_campaign (group, now); /* its promises are too old to count */
+  quince_ledger_group_campaign (group, now); /* a new campaign discards the earlier promises */
   assert_true (quince_ledger_group_grant_promise (group, now, SECOND, epoch + 5, &end));
   set_store_view (group, now + 1000, epoch, SELF, 6);
   assert_int_equal (quince_ledger_group_get_role (group), QUINCE_LEDGER_BACKUP);
   quince_ledger_group_free (group);
 }
 
-/* The same view, and no later promise: it leads. */
+/* A replica whose proposal is applied late leads if it has promised no greater epoch. */
 static void
 test_late_view_without_later_promise (void **state)
 {
@@ -266,8 +267,8 @@
   quince_ledger_group_free (group);
 }
 
-/* Of a damaged message: it names no members, no sender, or no lead. Epochs and revisions only rise,
- * so that it would be believed for good. */
+/* A malformed lead message without members, sender, leader, epoch or revision is ignored.  Epochs and
+ * revisions never decrease, so its values would never be replaced. */
 static void
 test_malformed_lead_is_ignored (void **state)
 {
@@ -310,8 +311,8 @@
   return group;
 }
 
-/* Members note a change on the disk before it is proposed; a leader that proposed to hand over answers
- * nothing until that is settled: the one that it named is promised at once. */
+/* A leader proposes a membership change only after members have acknowledged it.  After it has proposed a
+ * handover, it must not answer until the outcome is known, since the new leader can be elected at once. */
 static void
 test_handover_needs_change_acks (void **state)
 {
@@ -337,7 +338,7 @@
   quince_ledger_group_free (group);
 }
 
-/* ---- Seeded faults ---------------------------------------------------- */
+/* ---- Random faults ---------------------------------------------------- */
 
 static void
 restart_all_nodes (World *world)
@@ -350,7 +351,7 @@
     }
 }
 
-/* Disks are lost one at a time: another one once the machine that lost the last holds all again. */
+/* Wipes the disk of @node, unless the group has not recovered from the last wipe yet. */
 static void
 wipe_disk (World *world, guint node, gint *last_wiped)
 {
@@ -360,7 +361,7 @@
   *last_wiped = (gint)node;
 }
 
-/* The machine of @node is to be emptied; %G_MAXUINT: none is. */
+/* Drains the machine of @node; %G_MAXUINT: drains none. */
 static void
 drain_node (World *world, guint node)
 {
@@ -436,7 +437,8 @@
       clear_faults (world);
       world_run (world, CONVERGENCE_MAX_MS);
       if (world_find_leader (world) < 0 || !world_has_enough_members (world))
-        fail_msg ("seed %u: not whole %u ms after the last fault", seed, CONVERGENCE_MAX_MS);
+        fail_msg ("seed %u: no leader with enough members %u ms after the last fault", seed,
+                  CONVERGENCE_MAX_MS);
       assert_store_shows_leader (world);
     }
   assert_commits_continue (world, 1000);
