--- a/lib/core/group/ledger-group.h
+++ b/lib/core/group/ledger-group.h
@@ -6,7 +6,7 @@
  * committed when a quorum of the members has it on disk.
  *
  * A backup that loses contact with the leader starts a campaign: it asks the other members for promises.  A
- * member that has lost contact too promises to follow no older leader and reports the end of its log.  With
+ * member that has also lost contact promises to follow no older leader and reports the end of its log.  With
  * enough promises, the candidate whose log is most up to date writes itself into the view as leader.
  *
  * While the metadata store is unreachable, the promises of a quorum are enough to elect a leader; the store
@@ -89,7 +89,7 @@
 
 /**
  * quince_ledger_group_set_view:
- * @requested_us: when the read began; 0 if unknown, since the view may then be outdated
+ * @requested_us: when the read began; 0 if unknown: the view then does not confirm the leader
  * @view: (nullable): the view in the metadata store, or %NULL if there is none
  * @revision: revision of @view in the store; 0 if there is no view
  *
@@ -107,7 +107,8 @@
                                          gint64 now_us,
                                          QuinceProposalOutcome outcome,
                                          guint64 revision);
-/* Sets the machines (%NULL-terminated) that are being drained: their replicas are removed from the view. */
+/* Sets the machines (nullable, %NULL-terminated) that are being drained: their replicas are removed from the
+ * view. %NULL: none. */
 void quince_ledger_group_set_draining_nodes (QuinceLedgerGroup *group, const char *const *nodes);
 /* Sets the machines (nullable, %NULL-terminated) that may store records: all others are treated as draining.
  * %NULL: all machines may. */
@@ -169,7 +170,7 @@
                                                      gboolean store_fails,
                                                      QuinceLedgerQuery *query);
 /* Handles a query from another replica or a front, and acknowledges the membership change if it announces
- * one. The persistent state must be on disk before the answer is sent. */
+ * one.  The persistent state must be on disk before the answer is sent. */
 void
 quince_ledger_group_handle_query (QuinceLedgerGroup *group, gint64 now_us, const QuinceLedgerQuery *query);
 /* Sets @lead to the answer to a query.  Its view belongs to @group and is valid until the next call.  Returns
@@ -226,7 +227,7 @@
  * Must not be called while the metadata store is known to be unreachable.
  *
  * Returns: (transfer full) (nullable): the view to write to the store, or %NULL if there is nothing to
- * change. The caller reports the outcome with quince_ledger_group_proposal_ended().
+ * propose now. The caller reports the outcome with quince_ledger_group_proposal_ended().
  */
 QuinceLedgerView *
 quince_ledger_group_propose (QuinceLedgerGroup *group, gint64 now_us, guint64 *expected_revision);
@@ -240,7 +241,7 @@
 /* Returns: the index up to which a quorum has every record on disk; a backup does not update it */
 guint64 quince_ledger_group_get_commit_index (QuinceLedgerGroup *group);
 /* Returns %TRUE if this replica is the leader, has every record that was ever acknowledged, and no other
- * replica can be leader now. */
+ * replica can be leader now.  %FALSE while a proposed handover is undecided. */
 gboolean quince_ledger_group_may_answer (QuinceLedgerGroup *group, gint64 now_us);
 /* Returns %TRUE if this leader may answer and can also commit new records now. */
 gboolean quince_ledger_group_may_accept (QuinceLedgerGroup *group, gint64 now_us);
