--- a/daemons/front/caller-request.c
+++ b/daemons/front/caller-request.c
@@ -69,7 +69,7 @@
 {
   if (request->forward != NULL)
     {
-      note_usage (request, quince_forward_get_began_us (request->forward));
+      note_usage (request, quince_forward_get_first_run_us (request->forward));
       quince_forward_cancel (request->forward);
     }
   if (request->stream != NULL)
@@ -217,8 +217,8 @@
   quince_log_info ("request_answered",
                    "request=%s status=%u worker=%s attempts=%u worker_ms=%" G_GINT64_FORMAT
                    " age_ms=%" G_GINT64_FORMAT,
-                   id, result->head->status, result->worker, result->attempts, result->worker_us / 1000,
-                   (quince_now_us () - request->received_us) / 1000);
+                   id, result->head->status, result->worker, result->attempts,
+                   result->attempt_duration_us / 1000, (quince_now_us () - request->received_us) / 1000);
 }
 
 static void
--- a/daemons/front/quarantine-client.c
+++ b/daemons/front/quarantine-client.c
@@ -199,7 +199,7 @@
 quince_quarantine_client_linked (QuinceQuarantineClient *client, QuinceLink *leader)
 {
   g_clear_pointer (&client->link, quince_link_unref);
-  quince_send_guard_forget_requested (client->guard);
+  quince_send_guard_drop_permit_requests (client->guard);
   client->link = quince_link_ref (leader);
   client->noticed = TRUE;
   note_contact (client);
@@ -209,7 +209,7 @@
 quince_quarantine_client_unlinked (QuinceQuarantineClient *client)
 {
   g_clear_pointer (&client->link, quince_link_unref);
-  quince_send_guard_forget_requested (client->guard);
+  quince_send_guard_drop_permit_requests (client->guard);
   begin_notice (client);
 }
 
@@ -217,7 +217,7 @@
 forward_reports (QuinceQuarantineClient *client, gint64 now_us, const GArray *changed)
 {
   for (guint i = 0; i < changed->len; i++)
-    quince_send_guard_note_report (client->guard, now_us, &g_array_index (changed, QuinceRequestDigest, i));
+    quince_send_guard_handle_report (client->guard, now_us, &g_array_index (changed, QuinceRequestDigest, i));
 }
 
 gboolean
@@ -229,7 +229,7 @@
       const QuincePermitAnswer *answer = &message->QuinceMessage_u.permit_answer;
       QuinceRequestDigest digest;
       memcpy (digest.bytes, answer->digest, sizeof digest.bytes);
-      quince_send_guard_answer (client->guard, &digest, answer->given);
+      quince_send_guard_handle_permit_answer (client->guard, &digest, answer->given);
       return TRUE;
     }
   if (message->kind != QUINCE_MESSAGE_SUSPECT_NEWS)
--- a/daemons/replica/quarantine-coordinator.c
+++ b/daemons/replica/quarantine-coordinator.c
@@ -58,8 +58,8 @@
   QuinceQuarantineCoordinator *coordinator = data;
   if (!quince_suspect_reporter_is_active (coordinator->reporter))
     return FALSE;
-  quince_send_guard_answer (coordinator->guard, digest,
-                            take_permit (coordinator, digest, service, alone, coordinator));
+  quince_send_guard_handle_permit_answer (coordinator->guard, digest,
+                                          take_permit (coordinator, digest, service, alone, coordinator));
   return TRUE;
 }
 
@@ -175,7 +175,7 @@
 quince_quarantine_coordinator_stop_leading (QuinceQuarantineCoordinator *coordinator)
 {
   quince_suspect_reporter_set_links (coordinator->reporter, NULL);
-  quince_send_guard_forget_requested (coordinator->guard);
+  quince_send_guard_drop_permit_requests (coordinator->guard);
 }
 
 void
@@ -222,7 +222,7 @@
   for (guint i = 0; i < changed->len; i++)
     {
       const QuinceRequestDigest *digest = &g_array_index (changed, QuinceRequestDigest, i);
-      quince_send_guard_note_report (coordinator->guard, now_us, digest);
+      quince_send_guard_handle_report (coordinator->guard, now_us, digest);
       quince_suspect_reporter_changed (coordinator->reporter, digest);
     }
 }
--- a/daemons/replica/sample-dispatch.c
+++ b/daemons/replica/sample-dispatch.c
@@ -93,7 +93,7 @@
       const QuinceRequestIdentity *identity = quince_sample_get_identity (sample);
       quince_send_guard_log_sent (guard, quince_now_us (), identity, &sample->permit,
                                   quince_sample_get_item (sample)->id, worker->id);
-      quince_send_guard_sending (guard, quince_now_us (), identity, &sample->permit, worker->id);
+      quince_send_guard_report_send (guard, quince_now_us (), identity, &sample->permit, worker->id);
     }
   quince_sample_run (sample, set->backends, worker, priority_at_worker (set, sample, route),
                      quince_sample_outcome_run_ended, set);
@@ -147,8 +147,8 @@
   if (quince_send_guard_is_idle (guard))
     return TRUE;
   sample->backends = set->backends;
-  QuinceAdmission admission
-      = quince_send_guard_ask (guard, now_us, quince_sample_get_identity (sample), service, &sample->permit);
+  QuinceAdmission admission = quince_send_guard_admit (guard, now_us, quince_sample_get_identity (sample),
+                                                       service, &sample->permit);
   if (admission == QUINCE_ADMISSION_GRANTED || admission == QUINCE_ADMISSION_UNHEDGED
       || admission == QUINCE_ADMISSION_PERMIT)
     return TRUE;
@@ -164,7 +164,7 @@
 static void
 return_permit (QuinceSampleSet *set, QuinceSample *sample)
 {
-  quince_send_guard_over (quince_backends_get_guard (set->backends), &sample->permit);
+  quince_send_guard_return_permit (quince_backends_get_guard (set->backends), &sample->permit);
 }
 
 QuinceBackendOutcome
--- a/daemons/replica/sample-outcome.c
+++ b/daemons/replica/sample-outcome.c
@@ -78,13 +78,14 @@
                        sample->worker_id, text);
       QuinceWorker *worker
           = quince_worker_table_find (quince_backends_get_workers (set->backends), sample->worker_id);
-      quince_send_guard_lost (guard, identity, &sample->permit,
-                              quince_backends_is_evacuated (set->backends, worker) ? NULL : worker);
+      quince_send_guard_handle_connection_loss (
+          guard, identity, &sample->permit,
+          quince_backends_is_evacuated (set->backends, worker) ? NULL : worker);
     }
   else if (answered && !quince_send_guard_is_idle (guard))
-    quince_send_guard_answered (guard, quince_sample_get_identity (sample), &sample->permit);
+    quince_send_guard_handle_answer (guard, quince_sample_get_identity (sample), &sample->permit);
   else
-    quince_send_guard_over (guard, &sample->permit);
+    quince_send_guard_return_permit (guard, &sample->permit);
 }
 
 void
--- a/daemons/replica/sample.c
+++ b/daemons/replica/sample.c
@@ -93,7 +93,7 @@
   if (sample->reward != NULL)
     quince_forward_cancel (sample->reward);
   if (sample->permit.taken)
-    quince_send_guard_over (quince_backends_get_guard (sample->backends), &sample->permit);
+    quince_send_guard_return_permit (quince_backends_get_guard (sample->backends), &sample->permit);
   g_string_free (sample->text, TRUE);
   g_array_unref (sample->versions);
   g_free (sample->avoid_worker);
--- a/lib/forward/dispatch.c
+++ b/lib/forward/dispatch.c
@@ -37,7 +37,7 @@
 void
 quince_dispatch_clear (QuinceDispatch *dispatch)
 {
-  quince_dispatch_over (dispatch);
+  quince_dispatch_return_permit (dispatch);
   quince_http_headers_free (dispatch->headers);
   g_clear_pointer (&dispatch->body, g_bytes_unref);
   g_hash_table_unref (dispatch->avoid);
@@ -93,7 +93,7 @@
 
 /* The cause as logs and refusals name it. */
 static const char *
-cause_of (QuinceBackendOutcome outcome)
+get_no_worker_cause (QuinceBackendOutcome outcome)
 {
   switch (outcome)
     {
@@ -113,18 +113,18 @@
 }
 
 void
-quince_dispatch_note_no_worker (QuinceDispatch *dispatch, QuinceBackendOutcome outcome)
+quince_dispatch_record_no_worker (QuinceDispatch *dispatch, QuinceBackendOutcome outcome)
 {
   if (dispatch->cause == NULL || outcome == QUINCE_BACKEND_EVACUATED)
-    dispatch->cause = cause_of (outcome);
+    dispatch->cause = get_no_worker_cause (outcome);
 }
 
 gboolean
-quince_dispatch_waits_for_worker (QuinceDispatch *dispatch,
-                                  QuinceBackendOutcome outcome,
-                                  gboolean is_stream,
-                                  gboolean began,
-                                  gint64 now_us)
+quince_dispatch_may_wait_for_worker (QuinceDispatch *dispatch,
+                                     QuinceBackendOutcome outcome,
+                                     gboolean is_stream,
+                                     gboolean began,
+                                     gint64 now_us)
 {
   const QuinceNoWorkerInput none
       = { .outcome = outcome,
@@ -142,7 +142,7 @@
 }
 
 void
-quince_dispatch_log_retried (const QuinceDispatch *dispatch, const char *worker_id, gint64 since_us)
+quince_dispatch_log_failed_attempt (const QuinceDispatch *dispatch, const char *worker_id, gint64 since_us)
 {
   quince_log_info ("request_retried",
                    "request=%s worker=%s cause=%s attempts=%u runs=%u took_ms=%" G_GINT64_FORMAT,
@@ -166,7 +166,7 @@
 }
 
 QuinceHttpHeaders *
-quince_dispatch_begin (QuinceDispatch *dispatch, QuinceWorker *worker, gint64 now_us)
+quince_dispatch_begin_attempt (QuinceDispatch *dispatch, QuinceWorker *worker, gint64 now_us)
 {
   QuinceHttpHeaders *headers = quince_http_headers_copy (dispatch->headers);
   QuinceSendGuard *guard = quince_backends_get_guard (dispatch->backends);
@@ -175,9 +175,10 @@
       const QuinceRequestIdentity *identity = get_identity (dispatch);
       quince_send_guard_log_sent (guard, now_us, identity, &dispatch->permit, dispatch->request_id,
                                   worker->id);
-      quince_send_guard_sending (guard, now_us, identity, &dispatch->permit, worker->id);
+      quince_send_guard_report_send (guard, now_us, identity, &dispatch->permit, worker->id);
     }
-  dispatch->dialect->write_dispatch (headers, worker->id, MAX ((dispatch->deadline_us - now_us) / 1000, 1));
+  dispatch->dialect->write_attempt_headers (headers, worker->id,
+                                            MAX ((dispatch->deadline_us - now_us) / 1000, 1));
   g_hash_table_add (dispatch->avoid, g_strdup (worker->id));
   dispatch->attempts++;
   worker->running++;
@@ -185,7 +186,7 @@
 }
 
 QuinceWorker *
-quince_dispatch_find (const QuinceDispatch *dispatch, const char *worker_id)
+quince_dispatch_find_worker (const QuinceDispatch *dispatch, const char *worker_id)
 {
   return quince_worker_table_find (quince_backends_get_workers (dispatch->backends), worker_id);
 }
@@ -193,7 +194,7 @@
 void
 quince_dispatch_release_worker (QuinceDispatch *dispatch, const char *worker_id)
 {
-  QuinceWorker *worker = quince_dispatch_find (dispatch, worker_id);
+  QuinceWorker *worker = quince_dispatch_find_worker (dispatch, worker_id);
   if (worker != NULL && worker->running > 0)
     worker->running--;
 }
@@ -203,10 +204,10 @@
 static QuinceAdmission
 wait_for_admission (QuinceDispatch *dispatch, gint64 now_us)
 {
-  if (dispatch->waits_us == 0)
-    dispatch->waits_us = now_us;
-  gboolean waits_on
-      = quince_admission_may_keep_waiting (now_us - dispatch->waits_us, dispatch->target_latency_us);
+  if (dispatch->admission_wait_since_us == 0)
+    dispatch->admission_wait_since_us = now_us;
+  gboolean waits_on = quince_admission_may_keep_waiting (now_us - dispatch->admission_wait_since_us,
+                                                         dispatch->target_latency_us);
   return waits_on ? QUINCE_ADMISSION_WAIT : QUINCE_ADMISSION_NO_PERMIT;
 }
 
@@ -218,10 +219,10 @@
     return QUINCE_ADMISSION_GRANTED;
   const QuinceRequestIdentity *identity = get_identity (dispatch);
   QuinceAdmission admission
-      = quince_send_guard_ask (guard, now_us, identity, dispatch->service, &dispatch->permit);
+      = quince_send_guard_admit (guard, now_us, identity, dispatch->service, &dispatch->permit);
   if (admission == QUINCE_ADMISSION_WAIT)
     return wait_for_admission (dispatch, now_us);
-  dispatch->waits_us = 0;
+  dispatch->admission_wait_since_us = 0;
   if (admission == QUINCE_ADMISSION_HELD)
     quince_send_guard_log_held (guard, now_us, identity, dispatch->request_id);
   else if (admission == QUINCE_ADMISSION_PROTECTED)
@@ -238,7 +239,7 @@
   *wait_ms = QUINCE_ADMISSION_PROTECTED_RETRY_MS;
   if (quince_admission_protected_may_wait (began))
     return QUINCE_DISPATCH_WAIT;
-  dispatch->retry_after_ms = quince_send_guard_get_wait_ms (guard, now_us, dispatch->service);
+  dispatch->retry_after_ms = quince_send_guard_get_retry_after_ms (guard, now_us, dispatch->service);
   return QUINCE_DISPATCH_GIVE_UP;
 }
 
@@ -249,7 +250,7 @@
     {
     case QUINCE_ADMISSION_HELD:
       dispatch->cause = "request_held";
-      return QUINCE_DISPATCH_HOLD;
+      return QUINCE_DISPATCH_HELD;
     case QUINCE_ADMISSION_PROTECTED:
       return protect (dispatch, began, now_us, wait_ms);
     case QUINCE_ADMISSION_NO_PERMIT:
@@ -277,31 +278,32 @@
 }
 
 void
-quince_dispatch_answered (QuinceDispatch *dispatch)
+quince_dispatch_handle_answer (QuinceDispatch *dispatch)
 {
   QuinceSendGuard *guard = quince_backends_get_guard (dispatch->backends);
   if (guard == NULL || quince_send_guard_is_idle (guard))
     return;
-  quince_send_guard_answered (guard, get_identity (dispatch), &dispatch->permit);
+  quince_send_guard_handle_answer (guard, get_identity (dispatch), &dispatch->permit);
 }
 
 void
-quince_dispatch_lost (QuinceDispatch *dispatch, const char *worker_id)
+quince_dispatch_handle_connection_loss (QuinceDispatch *dispatch, const char *worker_id)
 {
   const QuinceRequestIdentity *identity = get_identity (dispatch);
   g_autofree char *digest = quince_request_digest_format (&identity->request);
   quince_log_info ("run_lost", "request=%s worker=%s digest=%s", dispatch->request_id, worker_id, digest);
   QuinceSendGuard *guard = quince_backends_get_guard (dispatch->backends);
-  QuinceWorker *worker = quince_dispatch_find (dispatch, worker_id);
+  QuinceWorker *worker = quince_dispatch_find_worker (dispatch, worker_id);
   if (guard != NULL)
-    quince_send_guard_lost (guard, identity, &dispatch->permit,
-                            quince_backends_is_evacuated (dispatch->backends, worker) ? NULL : worker);
+    quince_send_guard_handle_connection_loss (
+        guard, identity, &dispatch->permit,
+        quince_backends_is_evacuated (dispatch->backends, worker) ? NULL : worker);
 }
 
 void
-quince_dispatch_over (QuinceDispatch *dispatch)
+quince_dispatch_return_permit (QuinceDispatch *dispatch)
 {
   QuinceSendGuard *guard = quince_backends_get_guard (dispatch->backends);
   if (guard != NULL)
-    quince_send_guard_over (guard, &dispatch->permit);
+    quince_send_guard_return_permit (guard, &dispatch->permit);
 }
--- a/lib/forward/forward.c
+++ b/lib/forward/forward.c
@@ -55,9 +55,9 @@
 }
 
 static void
-note_worker (const Attempt *attempt, gboolean good)
+record_attempt_result (const Attempt *attempt, gboolean good)
 {
-  QuinceWorker *worker = quince_dispatch_find (&attempt->forward->dispatch, attempt->worker_id);
+  QuinceWorker *worker = quince_dispatch_find_worker (&attempt->forward->dispatch, attempt->worker_id);
   gint64 now = quince_now_us ();
   if (worker != NULL && good)
     quince_worker_record_response (worker, now - attempt->started_us);
@@ -84,7 +84,7 @@
 }
 
 gint64
-quince_forward_get_began_us (const QuinceForward *forward)
+quince_forward_get_first_run_us (const QuinceForward *forward)
 {
   return forward->began_us;
 }
@@ -118,13 +118,13 @@
 /* ---- After an attempt ------------------------------------------------- */
 
 static void
-try_later (QuinceForward *forward, gint64 wait_us)
+schedule_attempt (QuinceForward *forward, gint64 wait_us)
 {
   quince_retry_timer_set (&forward->timer, (guint)(wait_us / 1000));
 }
 
 static void
-drop_attempt (Attempt *attempt)
+remove_attempt (Attempt *attempt)
 {
   attempt->exchange = NULL;
   g_ptr_array_remove (attempt->forward->live, attempt);
@@ -132,14 +132,14 @@
 
 /* The attempt gave no answer that counts.  @ran: it may have run */
 static void
-attempt_over (Attempt *attempt, gboolean ran, const char *cause)
+attempt_failed (Attempt *attempt, gboolean ran, const char *cause)
 {
   QuinceForward *forward = attempt->forward;
   count_attempt (cause);
   forward->dispatch.cause = cause;
-  quince_dispatch_log_retried (&forward->dispatch, attempt->worker_id, attempt->started_us);
-  drop_attempt (attempt);
-  quince_dispatch_over (&forward->dispatch);
+  quince_dispatch_log_failed_attempt (&forward->dispatch, attempt->worker_id, attempt->started_us);
+  remove_attempt (attempt);
+  quince_dispatch_return_permit (&forward->dispatch);
   if (!ran)
     {
       forward->dispatch.retry.runs--;
@@ -151,7 +151,7 @@
   if (forward->live->len > 0)
     return; /* another attempt is in progress */
   if (quince_retry_may_retry (&forward->dispatch.retry, now))
-    try_later (forward, 0);
+    schedule_attempt (forward, 0);
   else
     forward_fail (forward, now >= forward->dispatch.retry.give_up_us - TIMER_ROUNDING_US);
 }
@@ -162,13 +162,13 @@
   QuinceForward *forward = attempt->forward;
   const QuinceHttpHead *head = quince_http_exchange_get_head (exchange);
   gboolean good = head->status >= 200 && head->status < 300;
-  note_worker (attempt, good);
-  quince_dispatch_answered (&forward->dispatch);
+  record_attempt_result (attempt, good);
+  quince_dispatch_handle_answer (&forward->dispatch);
   forward->failed_runs += head->status == 500;
   gboolean another = forward->live->len > 1 || quince_retry_may_run (&forward->dispatch.retry);
   if (head->status >= 500 && another)
     {
-      attempt_over (attempt, TRUE, "worker_failed");
+      attempt_failed (attempt, TRUE, "worker_failed");
       return;
     }
   count_attempt ("answered");
@@ -178,8 +178,8 @@
                                  .body = quince_http_exchange_get_body (exchange),
                                  .signature = signature,
                                  .worker = worker,
-                                 .worker_us = quince_now_us () - attempt->started_us };
-  drop_attempt (attempt);
+                                 .attempt_duration_us = quince_now_us () - attempt->started_us };
+  remove_attempt (attempt);
   forward_end (forward, result);
 }
 
@@ -192,10 +192,10 @@
     {
       gboolean ran = outcome != QUINCE_HTTP_NOT_SENT;
       gboolean silent = ran && error->code == QUINCE_HTTP1_ERROR_TIMEOUT;
-      note_worker (attempt, FALSE);
+      record_attempt_result (attempt, FALSE);
       if (ran && !silent)
-        quince_dispatch_lost (&forward->dispatch, attempt->worker_id);
-      attempt_over (attempt, ran, !ran ? "no_connection" : silent ? "worker_silent" : "connection_lost");
+        quince_dispatch_handle_connection_loss (&forward->dispatch, attempt->worker_id);
+      attempt_failed (attempt, ran, !ran ? "no_connection" : silent ? "worker_silent" : "connection_lost");
       return;
     }
   const QuinceHttpHead *head = quince_http_exchange_get_head (exchange);
@@ -206,13 +206,13 @@
   gboolean good = head->status >= 200 && head->status < 300;
   if (g_strcmp0 (request_id, forward->dispatch.request_id) != 0 && (good || request_id != NULL))
     {
-      note_worker (attempt, FALSE);
-      attempt_over (attempt, TRUE, "wrong_answer");
+      record_attempt_result (attempt, FALSE);
+      attempt_failed (attempt, TRUE, "wrong_answer");
     }
   else if (refused)
-    attempt_over (attempt, FALSE, head->status == 421 ? "other_worker" : "worker_refused");
+    attempt_failed (attempt, FALSE, head->status == 421 ? "other_worker" : "worker_refused");
   else if (good && signature == NULL)
-    attempt_over (attempt, TRUE, "unsigned_answer");
+    attempt_failed (attempt, TRUE, "unsigned_answer");
   else
     attempt_answered (attempt, exchange, signature);
 }
@@ -239,7 +239,7 @@
 send_to (QuinceForward *forward, QuinceWorker *worker, gint64 now_us)
 {
   QuinceDispatch *dispatch = &forward->dispatch;
-  g_autoptr (QuinceHttpHeaders) headers = quince_dispatch_begin (dispatch, worker, now_us);
+  g_autoptr (QuinceHttpHeaders) headers = quince_dispatch_begin_attempt (dispatch, worker, now_us);
   const QuinceHttpRequest request = { .method = dispatch->method,
                                       .target = dispatch->target,
                                       .headers = headers,
@@ -257,7 +257,7 @@
   QuinceHttpPool *pool = quince_backends_get_pool (dispatch->backends, worker);
   attempt->exchange = quince_http_pool_start (pool, &request, &exchange_callbacks, attempt);
   if (quince_hedge_is_allowed (&dispatch->retry) && quince_dispatch_may_hedge (dispatch, now_us))
-    try_later (forward, quince_hedge_delay_us (dispatch->target_latency_us, worker->service_time_us));
+    schedule_attempt (forward, quince_hedge_delay_us (dispatch->target_latency_us, worker->service_time_us));
 }
 
 /* Makes the oldest run give way once it has been silent for long. Returns: %FALSE when it is too early for
@@ -270,15 +270,15 @@
   gint64 left = oldest->started_us + patience_us - now_us;
   if (left > 0)
     {
-      try_later (forward, left + TIMER_ROUNDING_US);
+      schedule_attempt (forward, left + TIMER_ROUNDING_US);
       return FALSE;
     }
   if (quince_http_exchange_reads_first (oldest->exchange))
     {
-      try_later (forward, QUINCE_READ_FIRST_MS * 1000);
+      schedule_attempt (forward, QUINCE_READ_FIRST_MS * 1000);
       return FALSE;
     }
-  note_worker (oldest, FALSE);
+  record_attempt_result (oldest, FALSE);
   count_attempt ("abandoned");
   g_ptr_array_remove_index (forward->live, 0);
   return TRUE;
@@ -286,7 +286,7 @@
 
 /* All workers may be tried again, except those with an attempt in progress. */
 static void
-forget_tried (QuinceForward *forward)
+reset_tried_workers (QuinceForward *forward)
 {
   g_hash_table_remove_all (forward->dispatch.avoid);
   for (guint i = 0; i < forward->live->len; i++)
@@ -295,40 +295,40 @@
 
 /* No worker for a second attempt beside the one in progress. */
 static void
-no_second_choice (QuinceForward *forward, QuinceBackendOutcome outcome, gint64 now_us)
+handle_no_hedge_worker (QuinceForward *forward, QuinceBackendOutcome outcome, gint64 now_us)
 {
   switch (quince_no_worker_for_hedge (outcome))
     {
     case QUINCE_HEDGE_FALLBACK_KEEP:
       break;
     case QUINCE_HEDGE_FALLBACK_WAIT:
-      try_later (forward, QUINCE_NO_WORKER_PAUSE_US);
+      schedule_attempt (forward, QUINCE_NO_WORKER_PAUSE_US);
       break;
     case QUINCE_HEDGE_FALLBACK_ABANDON:
     default:
       if (!abandon_oldest (forward, now_us))
         break;
-      forget_tried (forward);
-      try_later (forward, 0);
+      reset_tried_workers (forward);
+      schedule_attempt (forward, 0);
       break;
     }
 }
 
 /* No worker is left: all were tried, or none is there, or all are full. */
 static void
-no_choice (QuinceForward *forward, QuinceBackendOutcome outcome, gint64 now_us)
+handle_no_worker (QuinceForward *forward, QuinceBackendOutcome outcome, gint64 now_us)
 {
   if (forward->live->len > 0)
     {
-      no_second_choice (forward, outcome, now_us);
+      handle_no_hedge_worker (forward, outcome, now_us);
       return;
     }
-  quince_dispatch_note_no_worker (&forward->dispatch, outcome);
-  gboolean waits = quince_dispatch_waits_for_worker (&forward->dispatch, outcome, FALSE, FALSE, now_us);
+  quince_dispatch_record_no_worker (&forward->dispatch, outcome);
+  gboolean waits = quince_dispatch_may_wait_for_worker (&forward->dispatch, outcome, FALSE, FALSE, now_us);
   /* Other workers may have room by now, also workers that refused. */
-  forget_tried (forward);
+  reset_tried_workers (forward);
   if (waits)
-    try_later (forward, QUINCE_NO_WORKER_PAUSE_US);
+    schedule_attempt (forward, QUINCE_NO_WORKER_PAUSE_US);
   else
     forward_fail (forward, FALSE);
 }
@@ -343,14 +343,14 @@
   const QuinceForwardResult held = { .outcome = QUINCE_FORWARD_HELD };
   switch (quince_dispatch_admit (&forward->dispatch, FALSE, now_us, &wait_ms))
     {
-    case QUINCE_DISPATCH_HOLD:
+    case QUINCE_DISPATCH_HELD:
       forward_end (forward, held);
       return FALSE;
     case QUINCE_DISPATCH_GIVE_UP:
       forward_fail (forward, FALSE);
       return FALSE;
     case QUINCE_DISPATCH_WAIT:
-      try_later (forward, (gint64)wait_ms * 1000);
+      schedule_attempt (forward, (gint64)wait_ms * 1000);
       return FALSE;
     case QUINCE_DISPATCH_SEND:
     default:
@@ -359,7 +359,7 @@
 }
 
 static void
-try_worker (gpointer data)
+start_attempt (gpointer data)
 {
   QuinceForward *forward = data;
   gint64 now = quince_now_us ();
@@ -381,8 +381,8 @@
       send_to (forward, worker, now);
       return;
     }
-  quince_dispatch_over (&forward->dispatch);
-  no_choice (forward, outcome, now);
+  quince_dispatch_return_permit (&forward->dispatch);
+  handle_no_worker (forward, outcome, now);
 }
 
 QuinceForward *
@@ -397,7 +397,7 @@
   forward->done = done;
   forward->user_data = user_data;
   forward->live = g_ptr_array_new_with_free_func (attempt_free);
-  quince_retry_timer_init (&forward->timer, try_worker, forward);
-  try_later (forward, 0);
+  quince_retry_timer_init (&forward->timer, start_attempt, forward);
+  schedule_attempt (forward, 0);
   return forward;
 }
--- a/lib/forward/forward.h
+++ b/lib/forward/forward.h
@@ -28,7 +28,7 @@
 typedef struct
 {
   /* Adds the headers of the platform for this attempt. */
-  void (*write_dispatch) (QuinceHttpHeaders *headers, const char *worker_id, gint64 time_left_ms);
+  void (*write_attempt_headers) (QuinceHttpHeaders *headers, const char *worker_id, gint64 time_left_ms);
   /* Reads an answer; texts live as long as @head. */
   void (*read_answer) (const QuinceHttpHead *head,
                        const char **request_id,
@@ -84,8 +84,8 @@
   guint attempts;
   guint failed_runs; /* answers of 500 */
   const char *worker;
-  gint64 worker_us; /* time of the last attempt */
-  gint64 began_us;  /* when the first attempt that may have run was sent, monotonic; 0: none may have */
+  gint64 attempt_duration_us; /* time of the last attempt */
+  gint64 began_us; /* when the first attempt that may have run was sent, monotonic; 0: none may have */
 } QuinceForwardResult;
 
 /* Copies what it needs of @request.  done() is called once, never before this returns. */
@@ -95,7 +95,7 @@
                                      void (*done) (const QuinceForwardResult *result, gpointer user_data),
                                      gpointer user_data);
 /* As in QuinceForwardResult, of a forward in progress. */
-gint64 quince_forward_get_began_us (const QuinceForward *forward);
+gint64 quince_forward_get_first_run_us (const QuinceForward *forward);
 /* Ends it without done(); work at a worker is cancelled. */
 void quince_forward_cancel (QuinceForward *forward);
 
--- a/lib/forward/send-guard-capacity.c
+++ b/lib/forward/send-guard-capacity.c
@@ -5,7 +5,7 @@
 
 /* A worker that ended stays listed until its entry lapses. */
 void
-quince_send_guard_note_service (QuinceSendGuard *guard, gint64 now_us, const char *service)
+quince_send_guard_count_workers (QuinceSendGuard *guard, gint64 now_us, const char *service)
 {
   g_autoptr (GPtrArray) workers = quince_worker_table_list (guard->workers, service);
   guint listed = 0;
@@ -28,7 +28,7 @@
   if (guard->workers == NULL)
     return TRUE;
   QuinceServiceCapacity capacity;
-  quince_send_guard_note_service (guard, now_us, service);
+  quince_send_guard_count_workers (guard, now_us, service);
   quince_service_capacities_get (guard->capacities, now_us, service, &capacity);
   capacity.at_risk = at_risk;
   return quince_service_capacity_survives_end (&capacity);
@@ -40,23 +40,23 @@
   if (guard->workers == NULL)
     return TRUE;
   QuinceServiceCapacity capacity;
-  quince_send_guard_note_service (guard, now_us, service);
+  quince_send_guard_count_workers (guard, now_us, service);
   quince_service_capacities_get (guard->capacities, now_us, service, &capacity);
   return quince_service_capacity_allows_hedge (&capacity);
 }
 
 guint
-quince_send_guard_get_wait_ms (const QuinceSendGuard *guard, gint64 now_us, const char *service)
+quince_send_guard_get_retry_after_ms (const QuinceSendGuard *guard, gint64 now_us, const char *service)
 {
   return (guint)(quince_service_capacities_get_wait_us (guard->capacities, now_us, service) / 1000);
 }
 
 void
-quince_send_guard_note_report (QuinceSendGuard *guard, gint64 now_us, const QuinceRequestDigest *digest)
+quince_send_guard_handle_report (QuinceSendGuard *guard, gint64 now_us, const QuinceRequestDigest *digest)
 {
   const QuinceSuspect *suspect = quince_quarantine_find (guard->quarantine, digest);
   if (suspect == NULL || suspect->service == NULL || guard->workers == NULL)
     return;
-  quince_send_guard_note_service (guard, now_us, suspect->service);
+  quince_send_guard_count_workers (guard, now_us, suspect->service);
   quince_service_capacities_record_end (guard->capacities, suspect->ended_us, suspect->service);
 }
--- a/lib/forward/send-guard-log.c
+++ b/lib/forward/send-guard-log.c
@@ -8,7 +8,7 @@
 
 /* What is known of the request or, where that says more, of its prompt. */
 static const QuinceSuspect *
-find_worst (const QuinceSendGuard *guard, const QuinceRequestIdentity *identity)
+find_worst_suspect (const QuinceSendGuard *guard, const QuinceRequestIdentity *identity)
 {
   const QuinceSuspect *request = quince_quarantine_find (guard->quarantine, &identity->request);
   const QuinceSuspect *prompt
@@ -21,7 +21,7 @@
 }
 
 static const char *
-teller_of (const QuinceSuspect *suspect)
+get_reporter (const QuinceSuspect *suspect)
 {
   return suspect->reported_by != NULL ? suspect->reported_by : "self";
 }
@@ -34,7 +34,7 @@
                             const char *request_id,
                             const char *worker_id)
 {
-  const QuinceSuspect *suspect = find_worst (guard, identity);
+  const QuinceSuspect *suspect = find_worst_suspect (guard, identity);
   if (suspect == NULL)
     return;
   g_autofree char *text = quince_request_digest_format (&suspect->digest);
@@ -46,7 +46,7 @@
                    !permit->taken  ? "none"
                    : permit->alone ? "alone"
                                    : "one",
-                   teller_of (suspect), (now_us - suspect->ended_us) / 1000);
+                   get_reporter (suspect), (now_us - suspect->ended_us) / 1000);
 }
 
 void
@@ -55,7 +55,7 @@
                             const QuinceRequestIdentity *identity,
                             const char *request_id)
 {
-  const QuinceSuspect *suspect = find_worst (guard, identity);
+  const QuinceSuspect *suspect = find_worst_suspect (guard, identity);
   if (suspect == NULL)
     return;
   g_autofree char *text = quince_request_digest_format (&suspect->digest);
@@ -63,14 +63,14 @@
                       "request=%s digest=%s scope=%s ends=%u alone=%u service=%s software=%s told_by=%s"
                       " known_ms=%" G_GINT64_FORMAT,
                       request_id, text, quince_suspect_scope_name (suspect->scope), suspect->n_workers,
-                      suspect->alone, suspect->service, suspect->software, teller_of (suspect),
+                      suspect->alone, suspect->service, suspect->software, get_reporter (suspect),
                       (now_us - suspect->ended_us) / 1000);
 }
 
 /* Names of the listed workers of @service that count as ended, separated by commas: which of them keep it
  * protected. (transfer full) */
 static char *
-name_ended_workers (const QuinceSendGuard *guard, const char *service)
+format_ended_workers (const QuinceSendGuard *guard, const char *service)
 {
   g_autoptr (GPtrArray) names = g_ptr_array_new ();
   if (guard->workers != NULL)
@@ -95,14 +95,14 @@
                                  const char *request_id,
                                  const char *service)
 {
-  const QuinceSuspect *suspect = find_worst (guard, identity);
+  const QuinceSuspect *suspect = find_worst_suspect (guard, identity);
   if (suspect == NULL)
     return;
   QuinceServiceCapacity capacity;
   quince_service_capacities_get (guard->capacities, now_us, service, &capacity);
   g_autofree char *text = quince_request_digest_format (&suspect->digest);
   quince_metric_add ("quince_quarantine_spared_total", "", 1);
-  g_autofree char *ended = name_ended_workers (guard, service);
+  g_autofree char *ended = format_ended_workers (guard, service);
   quince_log_info ("suspect_spared",
                    "request=%s digest=%s scope=%s ends=%u service=%s ready=%u of=%u ended=%s", request_id,
                    text, quince_suspect_scope_name (suspect->scope), suspect->n_workers, service,
--- a/lib/forward/send-guard-losses.c
+++ b/lib/forward/send-guard-losses.c
@@ -11,7 +11,7 @@
 
 /* Time for which a worker that was found to have ended is not checked again for further broken connections,
  * us: above the 3.6 s (three heartbeats of 1.2 s) after which its entry lapses. */
-#define ENDED_KEEP_US (5 * G_USEC_PER_SEC)
+#define ENDED_WORKER_RETENTION_US (5 * G_USEC_PER_SEC)
 
 /* A request that lost its connection to the worker that is checked. */
 typedef struct
@@ -54,7 +54,7 @@
 }
 
 static gboolean
-is_of (const QuinceRequestIdentity *lost, const QuinceRequestIdentity *identity)
+run_matches_request (const QuinceRequestIdentity *lost, const QuinceRequestIdentity *identity)
 {
   return quince_request_digest_equal (&lost->request, &identity->request)
          || (lost->has_prompt && identity->has_prompt
@@ -62,7 +62,7 @@
 }
 
 static gboolean
-is_send_of (const QuinceSuspect *send, const QuinceRequestIdentity *identity)
+send_matches_request (const QuinceSuspect *send, const QuinceRequestIdentity *identity)
 {
   return quince_request_digest_equal (&send->digest, &identity->request)
          || (identity->has_prompt && quince_request_digest_equal (&send->digest, &identity->prompt));
@@ -72,16 +72,16 @@
 concerns (const Loss *loss, const QuinceRequestIdentity *identity)
 {
   for (guint i = 0; i < loss->runs->len; i++)
-    if (is_of (&g_array_index (loss->runs, LostRun, i).identity, identity))
+    if (run_matches_request (&g_array_index (loss->runs, LostRun, i).identity, identity))
       return TRUE;
   for (guint i = 0; i < loss->sends->len; i++)
-    if (is_send_of (loss->sends->pdata[i], identity))
+    if (send_matches_request (loss->sends->pdata[i], identity))
       return TRUE;
   return FALSE;
 }
 
 gboolean
-quince_send_guard_is_checked (const QuinceSendGuard *guard, const QuinceRequestIdentity *identity)
+quince_send_guard_is_loss_check_pending (const QuinceSendGuard *guard, const QuinceRequestIdentity *identity)
 {
   GHashTableIter iter;
   gpointer value;
@@ -96,7 +96,7 @@
 }
 
 void
-quince_send_guard_over (QuinceSendGuard *guard, QuinceSendPermit *permit)
+quince_send_guard_return_permit (QuinceSendGuard *guard, QuinceSendPermit *permit)
 {
   if (permit->taken && g_hash_table_remove (guard->held, &permit->digest))
     guard->callbacks->give_back (&permit->digest, guard->user_data);
@@ -121,7 +121,7 @@
 }
 
 static void
-note_suspect (QuinceSendGuard *guard, const Loss *loss, const LostRun *run, QuinceSuspectScope scope)
+record_suspect_end (QuinceSendGuard *guard, const Loss *loss, const LostRun *run, QuinceSuspectScope scope)
 {
   QuinceSuspect seen;
   quince_send_guard_describe_end (&run->identity, &run->permit, loss->worker_id, scope, &seen);
@@ -138,20 +138,20 @@
 }
 
 static void
-note_end (QuinceSendGuard *guard, const Loss *loss, LostRun *run)
+record_run_end (QuinceSendGuard *guard, const Loss *loss, LostRun *run)
 {
-  note_suspect (guard, loss, run, QUINCE_SUSPECT_REQUEST);
+  record_suspect_end (guard, loss, run, QUINCE_SUSPECT_REQUEST);
   if (run->identity.has_prompt)
-    note_suspect (guard, loss, run, QUINCE_SUSPECT_PROMPT);
+    record_suspect_end (guard, loss, run, QUINCE_SUSPECT_PROMPT);
   quince_service_capacities_record_end (guard->capacities, quince_now_us (), loss->service);
-  quince_send_guard_over (guard, &run->permit);
+  quince_send_guard_return_permit (guard, &run->permit);
 }
 
 /* ---- Sends of a leader that is lost --------------------------------------- */
 
 /* @outcome: of the send, as the log names it */
 static void
-log_send (const QuinceSuspect *send, const char *worker_id, const char *outcome)
+log_checked_send (const QuinceSuspect *send, const char *worker_id, const char *outcome)
 {
   g_autofree char *digest = quince_request_digest_format (&send->digest);
   quince_log_info ("suspect_send_checked", "worker=%s digest=%s scope=%s outcome=%s", worker_id, digest,
@@ -159,9 +159,9 @@
 }
 
 static void
-note_send_ended (QuinceSendGuard *guard, const QuinceSuspect *send, const char *worker_id)
+record_send_end (QuinceSendGuard *guard, const QuinceSuspect *send, const char *worker_id)
 {
-  log_send (send, worker_id, "ended");
+  log_checked_send (send, worker_id, "ended");
   if (quince_quarantine_merge (guard->quarantine, quince_now_us (), send))
     guard->callbacks->ended (quince_quarantine_find (guard->quarantine, &send->digest), guard->user_data);
 }
@@ -169,13 +169,14 @@
 /* Only a worker that was found to have ended counts as ended: a living one that counted so would protect its
  * service, and no suspect would be sent that could disprove it. */
 static void
-sends_done (QuinceSendGuard *guard, const Loss *loss, QuinceWorkerSign sign)
+handle_checked_sends (QuinceSendGuard *guard, const Loss *loss, QuinceWorkerSign sign)
 {
   for (guint i = 0; i < loss->sends->len; i++)
     if (sign == QUINCE_WORKER_ENDED)
-      note_send_ended (guard, loss->sends->pdata[i], loss->worker_id);
+      record_send_end (guard, loss->sends->pdata[i], loss->worker_id);
     else
-      log_send (loss->sends->pdata[i], loss->worker_id, sign == QUINCE_WORKER_LISTENS ? "lives" : "unknown");
+      log_checked_send (loss->sends->pdata[i], loss->worker_id,
+                        sign == QUINCE_WORKER_LISTENS ? "lives" : "unknown");
   if (sign == QUINCE_WORKER_ENDED && loss->sends->len > 0)
     quince_service_capacities_record_end (guard->capacities, quince_now_us (), loss->service);
 }
@@ -183,18 +184,18 @@
 /* ---- Checks ------------------------------------------------------------------ */
 
 static gboolean
-is_old (gpointer key, gpointer value, gpointer data)
+is_expired_loss (gpointer key, gpointer value, gpointer data)
 {
   const Loss *loss = value;
   const gint64 *now_us = data;
-  return loss->check == NULL && *now_us - loss->ended_us > ENDED_KEEP_US;
+  return loss->check == NULL && *now_us - loss->ended_us > ENDED_WORKER_RETENTION_US;
 }
 
 /* If several requests that were sent alone met at this worker, at most one of them ended it: none counts as
  * sent alone, or an innocent prompt would be held.  A run may outlast the time for which others are kept
  * away. */
 static void
-count_none_alone_if_several (Loss *loss)
+clear_alone_if_several (Loss *loss)
 {
   guint sent_alone = 0;
   for (guint i = 0; i < loss->runs->len; i++)
@@ -211,25 +212,25 @@
   loss->check = NULL;
   loss->ended_us = quince_now_us ();
   guard->checks--;
-  count_none_alone_if_several (loss);
+  clear_alone_if_several (loss);
   for (guint i = 0; i < loss->runs->len; i++)
     {
       LostRun *run = &g_array_index (loss->runs, LostRun, i);
       if (sign == QUINCE_WORKER_ENDED)
-        note_end (guard, loss, run);
+        record_run_end (guard, loss, run);
       else
-        quince_send_guard_over (guard, &run->permit);
+        quince_send_guard_return_permit (guard, &run->permit);
     }
-  sends_done (guard, loss, sign);
+  handle_checked_sends (guard, loss, sign);
   if (sign != QUINCE_WORKER_ENDED)
     g_hash_table_remove (guard->losses, loss->worker_id);
 }
 
 static Loss *
-find_or_check (QuinceSendGuard *guard, const QuinceWorker *worker)
+find_or_start_check (QuinceSendGuard *guard, const QuinceWorker *worker)
 {
   gint64 now = quince_now_us ();
-  g_hash_table_foreach_remove (guard->losses, is_old, &now);
+  g_hash_table_foreach_remove (guard->losses, is_expired_loss, &now);
   Loss *loss = g_hash_table_lookup (guard->losses, worker->id);
   if (loss != NULL)
     return loss;
@@ -254,25 +255,25 @@
 }
 
 void
-quince_send_guard_lost (QuinceSendGuard *guard,
-                        const QuinceRequestIdentity *identity,
-                        QuinceSendPermit *permit,
-                        const QuinceWorker *worker)
+quince_send_guard_handle_connection_loss (QuinceSendGuard *guard,
+                                          const QuinceRequestIdentity *identity,
+                                          QuinceSendPermit *permit,
+                                          const QuinceWorker *worker)
 {
   if (is_expected_to_end (worker))
     {
-      quince_send_guard_over (guard, permit);
+      quince_send_guard_return_permit (guard, permit);
       return;
     }
   LostRun run = { .identity = *identity, .permit = *permit };
   *permit = (QuinceSendPermit){ 0 }; /* it is over when the loss is decided */
   if (guard->workers != NULL)
-    quince_send_guard_note_service (guard, quince_now_us (), worker->service);
-  Loss *loss = find_or_check (guard, worker);
+    quince_send_guard_count_workers (guard, quince_now_us (), worker->service);
+  Loss *loss = find_or_start_check (guard, worker);
   if (loss->check != NULL)
     g_array_append_val (loss->runs, run);
   else
-    note_end (guard, loss, &run);
+    record_run_end (guard, loss, &run);
 }
 
 /* (nullable): the listed worker that @send went to */
@@ -298,17 +299,17 @@
   /* One that is listed no more has ended since the send. */
   if (worker == NULL || worker->expires_us != 0)
     {
-      note_send_ended (guard, expected, worker != NULL ? worker->id : "");
+      record_send_end (guard, expected, worker != NULL ? worker->id : "");
       return;
     }
   if (worker->draining)
     {
-      log_send (expected, worker->id, "leaves");
+      log_checked_send (expected, worker->id, "leaves");
       return;
     }
-  Loss *loss = find_or_check (guard, worker);
+  Loss *loss = find_or_start_check (guard, worker);
   if (loss->check != NULL)
     g_ptr_array_add (loss->sends, quince_suspect_copy (expected));
   else
-    note_send_ended (guard, expected, worker->id);
+    record_send_end (guard, expected, worker->id);
 }
--- a/lib/forward/send-guard-private.h
+++ b/lib/forward/send-guard-private.h
@@ -14,8 +14,8 @@
 {
   /* All fields belong to the context that created it. */
   QuinceQuarantine *quarantine;
-  gint64 expire_us;           /* time of the next check for outdated suspects, monotonic */
-  GHashTable *asks;           /* Ask by its own digest, owned */
+  gint64 next_expire_us;      /* time of the next check for outdated suspects, monotonic */
+  GHashTable *asks;           /* PermitRequest by its own digest, owned */
   GHashTable *held;           /* QuinceRequestDigest, owned: of permits in use here */
   QuinceWorkerTable *workers; /* NULL: nothing is known of them */
   QuinceServiceCapacities *capacities;
@@ -28,7 +28,7 @@
 /* ---- send-guard-capacity.c ---------------------------------------------- */
 
 /* Counts the workers of @service. */
-void quince_send_guard_note_service (QuinceSendGuard *guard, gint64 now_us, const char *service);
+void quince_send_guard_count_workers (QuinceSendGuard *guard, gint64 now_us, const char *service);
 /* Whether a request of which nothing is known may run twice at once at @service. */
 gboolean quince_send_guard_allows_hedge (QuinceSendGuard *guard, gint64 now_us, const char *service);
 
@@ -37,7 +37,8 @@
 /* (transfer full): no losses yet */
 GHashTable *quince_send_guard_losses_new (void);
 /* A loss of the request, or of its prompt, is not decided yet: it may turn out to be an end. */
-gboolean quince_send_guard_is_checked (const QuinceSendGuard *guard, const QuinceRequestIdentity *identity);
+gboolean quince_send_guard_is_loss_check_pending (const QuinceSendGuard *guard,
+                                                  const QuinceRequestIdentity *identity);
 /* One end of @worker_id under a request, or under its prompt. */
 void quince_send_guard_describe_end (const QuinceRequestIdentity *identity,
                                      const QuinceSendPermit *permit,
--- a/lib/forward/send-guard.c
+++ b/lib/forward/send-guard.c
@@ -8,31 +8,31 @@
 
 /* Time after which a permit that another request has is asked for again, us: a usual run of a lookup takes
  * about 25 ms at the users' workers. */
-#define BUSY_PAUSE_US (20 * 1000)
+#define PERMIT_RETRY_DELAY_US (20 * 1000)
 /* Time after which an unanswered request for a permit is made again, us.  Not measured: far above a round
  * trip to the leader (6 ms). */
-#define ANSWER_PATIENCE_US (500 * 1000)
+#define PERMIT_ANSWER_TIMEOUT_US (500 * 1000)
 /* Time for which a permit whose request has gone may serve another one of the same digest, us: less than the
  * leader keeps it (3 s). */
-#define GIVEN_KEEP_US (1 * G_USEC_PER_SEC)
+#define UNUSED_PERMIT_TTL_US (1 * G_USEC_PER_SEC)
 /* Interval of the checks for outdated suspects, us: there may be some thousands.  Not measured. */
-#define EXPIRE_EVERY_US (1 * G_USEC_PER_SEC)
+#define EXPIRE_INTERVAL_US (1 * G_USEC_PER_SEC)
 
 typedef enum
 {
-  ASK_SENT,
-  ASK_GIVEN,
-  ASK_BUSY,
-} AskState;
+  PERMIT_REQUEST_PENDING,
+  PERMIT_REQUEST_GRANTED,
+  PERMIT_REQUEST_REFUSED,
+} PermitRequestState;
 
 /* A permit that is asked for. */
 typedef struct
 {
   QuinceRequestDigest digest;
-  AskState state;
+  PermitRequestState state;
   gint64 at_us; /* of the state */
   gboolean alone;
-} Ask;
+} PermitRequest;
 
 void
 quince_quarantine_read_limits (const QuinceSettings *settings, QuinceQuarantineLimits *limits)
@@ -94,22 +94,23 @@
 
 /* Returns: %FALSE when @ask has to be made again. */
 static gboolean
-is_current (const Ask *ask, gint64 now_us, gboolean alone)
+is_permit_request_valid (const PermitRequest *ask, gint64 now_us, gboolean alone)
 {
-  static const gint64 keep_us[]
-      = { [ASK_SENT] = ANSWER_PATIENCE_US, [ASK_GIVEN] = GIVEN_KEEP_US, [ASK_BUSY] = BUSY_PAUSE_US };
+  static const gint64 keep_us[] = { [PERMIT_REQUEST_PENDING] = PERMIT_ANSWER_TIMEOUT_US,
+                                    [PERMIT_REQUEST_GRANTED] = UNUSED_PERMIT_TTL_US,
+                                    [PERMIT_REQUEST_REFUSED] = PERMIT_RETRY_DELAY_US };
   return now_us - ask->at_us < keep_us[ask->state] && (ask->alone || !alone);
 }
 
 /* Returns: (nullable): %NULL when there is no leader to ask. */
-static const Ask *
-ask_again (QuinceSendGuard *guard,
-           gint64 now_us,
-           const QuinceRequestDigest *digest,
-           const char *service,
-           gboolean alone)
+static const PermitRequest *
+send_permit_request (QuinceSendGuard *guard,
+                     gint64 now_us,
+                     const QuinceRequestDigest *digest,
+                     const char *service,
+                     gboolean alone)
 {
-  Ask *ask = g_new0 (Ask, 1);
+  PermitRequest *ask = g_new0 (PermitRequest, 1);
   ask->digest = *digest;
   ask->at_us = now_us;
   ask->alone = alone;
@@ -121,46 +122,48 @@
 }
 
 void
-quince_send_guard_answer (QuinceSendGuard *guard, const QuinceRequestDigest *digest, gboolean given)
+quince_send_guard_handle_permit_answer (QuinceSendGuard *guard,
+                                        const QuinceRequestDigest *digest,
+                                        gboolean given)
 {
-  Ask *ask = g_hash_table_lookup (guard->asks, digest);
-  if (ask == NULL || ask->state != ASK_SENT)
+  PermitRequest *ask = g_hash_table_lookup (guard->asks, digest);
+  if (ask == NULL || ask->state != PERMIT_REQUEST_PENDING)
     {
       if (given)
         guard->callbacks->give_back (digest, guard->user_data);
       return;
     }
-  ask->state = given ? ASK_GIVEN : ASK_BUSY;
+  ask->state = given ? PERMIT_REQUEST_GRANTED : PERMIT_REQUEST_REFUSED;
   ask->at_us = quince_now_us ();
 }
 
 void
-quince_send_guard_forget_requested (QuinceSendGuard *guard)
+quince_send_guard_drop_permit_requests (QuinceSendGuard *guard)
 {
   g_hash_table_remove_all (guard->asks);
 }
 
 /* @ask: (nullable) */
 static QuincePermitState
-state_of (const Ask *ask)
+get_permit_state (const PermitRequest *ask)
 {
   if (ask == NULL)
     return QUINCE_PERMIT_NO_LEADER;
-  return ask->state == ASK_GIVEN ? QUINCE_PERMIT_GRANTED : QUINCE_PERMIT_PENDING;
+  return ask->state == PERMIT_REQUEST_GRANTED ? QUINCE_PERMIT_GRANTED : QUINCE_PERMIT_PENDING;
 }
 
 static QuinceAdmission
-ask_permit (QuinceSendGuard *guard,
-            gint64 now_us,
-            const QuinceRequestDigest *digest,
-            const char *service,
-            gboolean alone,
-            QuinceSendPermit *permit)
+acquire_permit (QuinceSendGuard *guard,
+                gint64 now_us,
+                const QuinceRequestDigest *digest,
+                const char *service,
+                gboolean alone,
+                QuinceSendPermit *permit)
 {
-  const Ask *ask = g_hash_table_lookup (guard->asks, digest);
-  if (ask == NULL || !is_current (ask, now_us, alone))
-    ask = ask_again (guard, now_us, digest, service, alone);
-  QuinceAdmission admission = quince_admission_for_permit_state (state_of (ask), alone);
+  const PermitRequest *ask = g_hash_table_lookup (guard->asks, digest);
+  if (ask == NULL || !is_permit_request_valid (ask, now_us, alone))
+    ask = send_permit_request (guard, now_us, digest, service, alone);
+  QuinceAdmission admission = quince_admission_for_permit_state (get_permit_state (ask), alone);
   if (admission != QUINCE_ADMISSION_PERMIT)
     return admission;
   *permit = (QuinceSendPermit){ .taken = TRUE, .alone = ask->alone, .digest = *digest };
@@ -170,39 +173,39 @@
 }
 
 static void
-expire_seldom (QuinceSendGuard *guard, gint64 now_us)
+expire_suspects (QuinceSendGuard *guard, gint64 now_us)
 {
-  if (now_us < guard->expire_us)
+  if (now_us < guard->next_expire_us)
     return;
-  guard->expire_us = now_us + EXPIRE_EVERY_US;
+  guard->next_expire_us = now_us + EXPIRE_INTERVAL_US;
   quince_quarantine_expire (guard->quarantine, now_us);
 }
 
 /* What is known of the request and of its prompt: the stricter one counts. */
 static QuinceSendRule
-judge (const QuinceSendGuard *guard, const QuinceRequestIdentity *identity, QuinceSendRule *of_prompt)
+judge (const QuinceSendGuard *guard, const QuinceRequestIdentity *identity, QuinceSendRule *prompt_rule)
 {
-  *of_prompt = identity->has_prompt ? quince_quarantine_get_rule (guard->quarantine, &identity->prompt)
-                                    : QUINCE_SEND_UNRESTRICTED;
-  return MAX (quince_quarantine_get_rule (guard->quarantine, &identity->request), *of_prompt);
+  *prompt_rule = identity->has_prompt ? quince_quarantine_get_rule (guard->quarantine, &identity->prompt)
+                                      : QUINCE_SEND_UNRESTRICTED;
+  return MAX (quince_quarantine_get_rule (guard->quarantine, &identity->request), *prompt_rule);
 }
 
 QuinceAdmission
-quince_send_guard_ask (QuinceSendGuard *guard,
-                       gint64 now_us,
-                       const QuinceRequestIdentity *identity,
-                       const char *service,
-                       QuinceSendPermit *permit)
+quince_send_guard_admit (QuinceSendGuard *guard,
+                         gint64 now_us,
+                         const QuinceRequestIdentity *identity,
+                         const char *service,
+                         QuinceSendPermit *permit)
 {
-  expire_seldom (guard, now_us);
-  QuinceSendRule of_prompt;
-  QuinceSendRule rule = judge (guard, identity, &of_prompt);
+  expire_suspects (guard, now_us);
+  QuinceSendRule prompt_rule;
+  QuinceSendRule rule = judge (guard, identity, &prompt_rule);
   /* One permit for all that share a suspected prompt. */
   const QuinceRequestDigest *digest
-      = of_prompt != QUINCE_SEND_UNRESTRICTED ? &identity->prompt : &identity->request;
+      = prompt_rule != QUINCE_SEND_UNRESTRICTED ? &identity->prompt : &identity->request;
   const QuinceAdmissionInput request
       = { .rule = rule,
-          .loss_check_pending = quince_send_guard_is_checked (guard, identity),
+          .loss_check_pending = quince_send_guard_is_loss_check_pending (guard, identity),
           .permit_in_use = g_hash_table_contains (guard->held, digest),
           .should_yield = quince_quarantine_should_yield (guard->quarantine, now_us, identity) };
   QuinceAdmission admission = quince_admission_for_request (&request);
@@ -210,7 +213,7 @@
     return admission;
   if (!quince_send_guard_survives_end (guard, now_us, service, 0))
     return QUINCE_ADMISSION_PROTECTED;
-  return ask_permit (guard, now_us, digest, service, rule == QUINCE_SEND_ALONE, permit);
+  return acquire_permit (guard, now_us, digest, service, rule == QUINCE_SEND_ALONE, permit);
 }
 
 gboolean
@@ -219,22 +222,22 @@
                              const QuinceRequestIdentity *identity,
                              const char *service)
 {
-  QuinceSendRule of_prompt;
+  QuinceSendRule prompt_rule;
   const QuinceAdmissionInput request
-      = { .rule = judge (guard, identity, &of_prompt),
-          .loss_check_pending = quince_send_guard_is_checked (guard, identity) };
+      = { .rule = judge (guard, identity, &prompt_rule),
+          .loss_check_pending = quince_send_guard_is_loss_check_pending (guard, identity) };
   return quince_admission_allows_hedge (&request) && quince_send_guard_allows_hedge (guard, now_us, service);
 }
 
 /* ---- Ends of sends ------------------------------------------------------- */
 
 static void
-tell_sending (QuinceSendGuard *guard,
-              gint64 now_us,
-              const QuinceRequestIdentity *identity,
-              const QuinceSendPermit *permit,
-              const char *worker_id,
-              QuinceSuspectScope scope)
+report_expected_end (QuinceSendGuard *guard,
+                     gint64 now_us,
+                     const QuinceRequestIdentity *identity,
+                     const QuinceSendPermit *permit,
+                     const char *worker_id,
+                     QuinceSuspectScope scope)
 {
   QuinceSuspect seen;
   QuinceSuspect expected;
@@ -244,21 +247,24 @@
 }
 
 void
-quince_send_guard_sending (QuinceSendGuard *guard,
-                           gint64 now_us,
-                           const QuinceRequestIdentity *identity,
-                           const QuinceSendPermit *permit,
-                           const char *worker_id)
+quince_send_guard_report_send (QuinceSendGuard *guard,
+                               gint64 now_us,
+                               const QuinceRequestIdentity *identity,
+                               const QuinceSendPermit *permit,
+                               const char *worker_id)
 {
   if (!permit->taken || guard->callbacks->sending == NULL)
     return;
-  tell_sending (guard, now_us, identity, permit, worker_id, QUINCE_SUSPECT_REQUEST);
+  report_expected_end (guard, now_us, identity, permit, worker_id, QUINCE_SUSPECT_REQUEST);
   if (identity->has_prompt)
-    tell_sending (guard, now_us, identity, permit, worker_id, QUINCE_SUSPECT_PROMPT);
+    report_expected_end (guard, now_us, identity, permit, worker_id, QUINCE_SUSPECT_PROMPT);
 }
 
 static void
-tell_cleared (QuinceSendGuard *guard, const QuinceRequestDigest *digest, QuinceSuspectScope scope, guint ends)
+report_cleared (QuinceSendGuard *guard,
+                const QuinceRequestDigest *digest,
+                QuinceSuspectScope scope,
+                guint ends)
 {
   g_autofree char *text = quince_request_digest_format (digest);
   quince_log_info ("suspect_cleared", "digest=%s scope=%s", text, quince_suspect_scope_name (scope));
@@ -273,16 +279,16 @@
 }
 
 void
-quince_send_guard_answered (QuinceSendGuard *guard,
-                            const QuinceRequestIdentity *identity,
-                            QuinceSendPermit *permit)
+quince_send_guard_handle_answer (QuinceSendGuard *guard,
+                                 const QuinceRequestIdentity *identity,
+                                 QuinceSendPermit *permit)
 {
   guint ends = count_ends (guard, &identity->request);
   if (quince_quarantine_clear (guard->quarantine, &identity->request))
-    tell_cleared (guard, &identity->request, QUINCE_SUSPECT_REQUEST, ends);
+    report_cleared (guard, &identity->request, QUINCE_SUSPECT_REQUEST, ends);
   ends = identity->has_prompt ? count_ends (guard, &identity->prompt) : 0;
   if (identity->has_prompt
       && quince_quarantine_clear_prompt (guard->quarantine, quince_now_us (), &identity->prompt))
-    tell_cleared (guard, &identity->prompt, QUINCE_SUSPECT_PROMPT, ends);
-  quince_send_guard_over (guard, permit);
+    report_cleared (guard, &identity->prompt, QUINCE_SUSPECT_PROMPT, ends);
+  quince_send_guard_return_permit (guard, permit);
 }
--- a/lib/forward/send-guard.h
+++ b/lib/forward/send-guard.h
@@ -22,8 +22,8 @@
 
 /**
  * QuinceSendGuardCallbacks:
- * @ask: a permit is wanted; quince_send_guard_answer() follows, perhaps before this returns.  Returns: %FALSE
- *   when there is no leader to ask
+ * @ask: a permit is wanted; quince_send_guard_handle_permit_answer() follows, perhaps before this returns.
+ * Returns: %FALSE when there is no leader to ask
  * @give_back: a permit is needed no more
  * @sending: (nullable): this is sent by permit; what will be known if its worker ends
  * @ended: a worker ended under this request; what is known now
@@ -67,11 +67,11 @@
 /* Nothing is suspected, and every request may be sent: no digest needs to be made. */
 gboolean quince_send_guard_is_idle (const QuinceSendGuard *guard);
 /* @permit: taken where this returns QUINCE_ADMISSION_PERMIT */
-QuinceAdmission quince_send_guard_ask (QuinceSendGuard *guard,
-                                       gint64 now_us,
-                                       const QuinceRequestIdentity *identity,
-                                       const char *service,
-                                       QuinceSendPermit *permit);
+QuinceAdmission quince_send_guard_admit (QuinceSendGuard *guard,
+                                         gint64 now_us,
+                                         const QuinceRequestIdentity *identity,
+                                         const char *service,
+                                         QuinceSendPermit *permit);
 /* Whether a second run may begin at @service beside one in progress: nothing is suspected of the request, no
  * loss of it is being checked, and the service has workers enough. */
 gboolean quince_send_guard_may_hedge (QuinceSendGuard *guard,
@@ -82,38 +82,41 @@
 gboolean
 quince_send_guard_survives_end (QuinceSendGuard *guard, gint64 now_us, const char *service, guint at_risk);
 /* When a request that was not sent since its service is protected may come back, ms. */
-guint quince_send_guard_get_wait_ms (const QuinceSendGuard *guard, gint64 now_us, const char *service);
+guint quince_send_guard_get_retry_after_ms (const QuinceSendGuard *guard, gint64 now_us, const char *service);
 /* Other processes reported ends under the suspect @digest. */
-void quince_send_guard_note_report (QuinceSendGuard *guard, gint64 now_us, const QuinceRequestDigest *digest);
+void
+quince_send_guard_handle_report (QuinceSendGuard *guard, gint64 now_us, const QuinceRequestDigest *digest);
 /* The answer to QuinceSendGuardCallbacks.ask(). */
-void quince_send_guard_answer (QuinceSendGuard *guard, const QuinceRequestDigest *digest, gboolean given);
+void quince_send_guard_handle_permit_answer (QuinceSendGuard *guard,
+                                             const QuinceRequestDigest *digest,
+                                             gboolean given);
 /* The leader is gone, and with it the permits that were asked for. */
-void quince_send_guard_forget_requested (QuinceSendGuard *guard);
+void quince_send_guard_drop_permit_requests (QuinceSendGuard *guard);
 
 /* It is sent to @worker_id now. */
-void quince_send_guard_sending (QuinceSendGuard *guard,
-                                gint64 now_us,
-                                const QuinceRequestIdentity *identity,
-                                const QuinceSendPermit *permit,
-                                const char *worker_id);
+void quince_send_guard_report_send (QuinceSendGuard *guard,
+                                    gint64 now_us,
+                                    const QuinceRequestIdentity *identity,
+                                    const QuinceSendPermit *permit,
+                                    const char *worker_id);
 
 /* How a send ended; @permit: what it was made under, over now. */
 
 /* The worker answered. */
-void quince_send_guard_answered (QuinceSendGuard *guard,
-                                 const QuinceRequestIdentity *identity,
-                                 QuinceSendPermit *permit);
+void quince_send_guard_handle_answer (QuinceSendGuard *guard,
+                                      const QuinceRequestIdentity *identity,
+                                      QuinceSendPermit *permit);
 /* The connection to @worker broke: (nullable) %NULL where it is not listed any more.  Until it is known
  * whether the worker ended, the request waits. */
-void quince_send_guard_lost (QuinceSendGuard *guard,
-                             const QuinceRequestIdentity *identity,
-                             QuinceSendPermit *permit,
-                             const QuinceWorker *worker);
+void quince_send_guard_handle_connection_loss (QuinceSendGuard *guard,
+                                               const QuinceRequestIdentity *identity,
+                                               QuinceSendPermit *permit,
+                                               const QuinceWorker *worker);
 /* A leader that is lost made the send @expected, and cannot report whether its worker ended.  Until that is
  * known the request waits; an end is counted, and reported by QuinceSendGuardCallbacks.ended(). */
 void quince_send_guard_check_send (QuinceSendGuard *guard, const QuinceSuspect *expected);
 /* Neither; nothing was learned. */
-void quince_send_guard_over (QuinceSendGuard *guard, QuinceSendPermit *permit);
+void quince_send_guard_return_permit (QuinceSendGuard *guard, QuinceSendPermit *permit);
 
 /* Logs what is known of @identity, as it is sent to a worker; nothing where it is not suspected. */
 void quince_send_guard_log_sent (const QuinceSendGuard *guard,
--- a/lib/forward/stream.c
+++ b/lib/forward/stream.c
@@ -32,7 +32,7 @@
   gint64 contact_us;
   guint64 last_event;
   gboolean has_last_event;
-  gboolean head_passed;
+  gboolean head_forwarded;
   gboolean passes; /* bytes of this attempt go to the caller */
 };
 
@@ -85,7 +85,7 @@
 static void
 stream_fail (QuinceStream *stream)
 {
-  gboolean may_have_run = stream->dispatch.retry.runs > 0 || stream->head_passed;
+  gboolean may_have_run = stream->dispatch.retry.runs > 0 || stream->head_forwarded;
   gboolean late = quince_now_us () >= stream->dispatch.retry.give_up_us;
   stream_end (stream, quince_dispatch_give_up (may_have_run, late));
 }
@@ -93,13 +93,13 @@
 /* ---- After an attempt ------------------------------------------------- */
 
 static void
-attempt_over (QuinceStream *stream, gboolean ran, const char *cause)
+attempt_failed (QuinceStream *stream, gboolean ran, const char *cause)
 {
   stream->dispatch.cause = cause;
-  quince_dispatch_over (&stream->dispatch);
+  quince_dispatch_return_permit (&stream->dispatch);
   g_autofree char *labels = g_strdup_printf ("outcome=\"%s\"", cause);
   quince_metric_add ("quince_stream_attempts_total", labels, 1);
-  quince_dispatch_log_retried (&stream->dispatch, stream->worker_id, stream->contact_us);
+  quince_dispatch_log_failed_attempt (&stream->dispatch, stream->worker_id, stream->contact_us);
   if (ran)
     stream->dispatch.retry.runs++;
   else
@@ -113,7 +113,7 @@
 static void
 eject_worker (QuinceStream *stream)
 {
-  QuinceWorker *worker = quince_dispatch_find (&stream->dispatch, stream->worker_id);
+  QuinceWorker *worker = quince_dispatch_find_worker (&stream->dispatch, stream->worker_id);
   if (worker != NULL)
     quince_worker_record_failure (worker, quince_now_us ());
 }
@@ -137,14 +137,14 @@
         quince_http_exchange_distrust (exchange);
       return;
     }
-  if (!stream->head_passed)
+  if (!stream->head_forwarded)
     stream->callbacks->head (head, stream->user_data);
-  stream->head_passed = TRUE;
+  stream->head_forwarded = TRUE;
 }
 
 /* Passes on whole events, in their order and each once. Returns: %FALSE when one is out of its turn */
 static gboolean
-pass_events (QuinceStream *stream)
+forward_events (QuinceStream *stream)
 {
   guint64 id = 0;
   g_autoptr (GString) bytes = g_string_new (NULL);
@@ -173,11 +173,11 @@
       return;
     }
   stream->dialect->events_feed (stream->events, data, length);
-  if (pass_events (stream))
+  if (forward_events (stream))
     return;
   quince_http_exchange_cancel (exchange);
   release_worker (stream);
-  attempt_over (stream, TRUE, "event_out_of_turn");
+  attempt_failed (stream, TRUE, "event_out_of_turn");
 }
 
 static void
@@ -188,23 +188,23 @@
   gboolean not_run = FALSE;
   stream->dialect->forward->read_answer (head, &request_id, &signature, &not_run);
   if (!not_run)
-    quince_dispatch_answered (&stream->dispatch);
+    quince_dispatch_handle_answer (&stream->dispatch);
   if (stream->passes && !has_rest)
     {
       stream->dispatch.cause = "whole";
       stream_end (stream, QUINCE_FORWARD_ANSWERED);
     }
   else if (not_run)
-    attempt_over (stream, FALSE, head->status == 421 ? "other_worker" : "worker_refused");
+    attempt_failed (stream, FALSE, head->status == 421 ? "other_worker" : "worker_refused");
   else
-    attempt_over (stream, TRUE, head->status >= 500 ? "worker_failed" : "wrong_answer");
+    attempt_failed (stream, TRUE, head->status >= 500 ? "worker_failed" : "wrong_answer");
 }
 
 static void
 exchange_done (QuinceHttpExchange *exchange, QuinceHttpOutcome outcome, const GError *error, gpointer data)
 {
   QuinceStream *stream = data;
-  gboolean has_rest = stream->events != NULL && stream->dialect->events_has_rest (stream->events);
+  gboolean has_rest = stream->events != NULL && stream->dialect->events_has_partial (stream->events);
   release_worker (stream);
   if (outcome == QUINCE_HTTP_ANSWERED)
     {
@@ -213,9 +213,9 @@
     }
   eject_worker (stream);
   if (outcome != QUINCE_HTTP_NOT_SENT)
-    quince_dispatch_lost (&stream->dispatch, stream->worker_id);
-  attempt_over (stream, outcome != QUINCE_HTTP_NOT_SENT,
-                outcome == QUINCE_HTTP_NOT_SENT ? "no_connection" : "connection_lost");
+    quince_dispatch_handle_connection_loss (&stream->dispatch, stream->worker_id);
+  attempt_failed (stream, outcome != QUINCE_HTTP_NOT_SENT,
+                  outcome == QUINCE_HTTP_NOT_SENT ? "no_connection" : "connection_lost");
 }
 
 static const QuinceHttpExchangeCallbacks exchange_callbacks
@@ -250,7 +250,7 @@
   release_worker (stream);
   if (!late)
     eject_worker (stream);
-  attempt_over (stream, TRUE, late ? "timeout" : "worker_silent");
+  attempt_failed (stream, TRUE, late ? "timeout" : "worker_silent");
   return G_SOURCE_REMOVE;
 }
 
@@ -258,7 +258,7 @@
 send_to (QuinceStream *stream, QuinceWorker *worker, gint64 now_us)
 {
   QuinceDispatch *dispatch = &stream->dispatch;
-  g_autoptr (QuinceHttpHeaders) headers = quince_dispatch_begin (dispatch, worker, now_us);
+  g_autoptr (QuinceHttpHeaders) headers = quince_dispatch_begin_attempt (dispatch, worker, now_us);
   if (stream->has_last_event)
     stream->dialect->write_resume (headers, stream->last_event);
   const QuinceHttpRequest request = { .method = dispatch->method,
@@ -281,9 +281,9 @@
 is_admitted (QuinceStream *stream, gint64 now_us)
 {
   guint wait_ms = 0;
-  switch (quince_dispatch_admit (&stream->dispatch, stream->head_passed, now_us, &wait_ms))
+  switch (quince_dispatch_admit (&stream->dispatch, stream->head_forwarded, now_us, &wait_ms))
     {
-    case QUINCE_DISPATCH_HOLD:
+    case QUINCE_DISPATCH_HELD:
       stream_end (stream, QUINCE_FORWARD_HELD);
       return FALSE;
     case QUINCE_DISPATCH_GIVE_UP:
@@ -299,7 +299,7 @@
 }
 
 static void
-try_worker (gpointer data)
+start_attempt (gpointer data)
 {
   QuinceStream *stream = data;
   gint64 now = quince_now_us ();
@@ -318,10 +318,10 @@
       send_to (stream, worker, now);
       return;
     }
-  quince_dispatch_over (&stream->dispatch);
-  quince_dispatch_note_no_worker (&stream->dispatch, outcome);
+  quince_dispatch_return_permit (&stream->dispatch);
+  quince_dispatch_record_no_worker (&stream->dispatch, outcome);
   gboolean waits
-      = quince_dispatch_waits_for_worker (&stream->dispatch, outcome, TRUE, stream->head_passed, now);
+      = quince_dispatch_may_wait_for_worker (&stream->dispatch, outcome, TRUE, stream->head_forwarded, now);
   g_hash_table_remove_all (stream->dispatch.avoid);
   if (waits)
     quince_retry_timer_set (&stream->timer, QUINCE_NO_WORKER_PAUSE_US / 1000);
@@ -342,7 +342,7 @@
   stream->dialect = dialect;
   stream->callbacks = callbacks;
   stream->user_data = user_data;
-  quince_retry_timer_init (&stream->timer, try_worker, stream);
+  quince_retry_timer_init (&stream->timer, start_attempt, stream);
   quince_retry_timer_set (&stream->timer, 0);
   return stream;
 }
--- a/lib/forward/stream.h
+++ b/lib/forward/stream.h
@@ -27,7 +27,7 @@
   void (*events_free) (gpointer events);
   void (*events_feed) (gpointer events, const char *data, gsize length);
   gboolean (*events_next) (gpointer events, guint64 *id, GString *bytes);
-  gboolean (*events_has_rest) (gpointer events);
+  gboolean (*events_has_partial) (gpointer events);
 } QuinceStreamDialect;
 
 /**
--- a/tests/platform/test-send-guard.c
+++ b/tests/platform/test-send-guard.c
@@ -71,7 +71,7 @@
 {
   QuinceRequestIdentity identity = identity_of (request);
   QuinceSendPermit permit = { .taken = TRUE, .alone = TRUE, .digest = identity.request };
-  quince_send_guard_lost (guard, &identity, &permit, worker);
+  quince_send_guard_handle_connection_loss (guard, &identity, &permit, worker);
 }
 
 static guint
@@ -117,7 +117,7 @@
   g_autoptr (QuinceWorker) worker = ended_worker ("w", &port);
   QuinceRequestIdentity innocent = identity_of (9);
   QuinceSendPermit none = { 0 };
-  quince_send_guard_lost (guard, &innocent, &none, worker);
+  quince_send_guard_handle_connection_loss (guard, &innocent, &none, worker);
   lose (guard, 1, worker);
   AWAIT (told.ends == 2);
   assert_int_equal (alone_of (guard, 1), 1);
