--- a/daemons/replica/quarantine-coordinator.c
+++ b/daemons/replica/quarantine-coordinator.c
@@ -46,7 +46,7 @@
 {
   gint64 now = quince_now_us ();
   guint at_risk = quince_permits_count_recent (coordinator->permits, now, service, digest);
-  if (!quince_send_guard_survives_end (coordinator->guard, now, service, at_risk))
+  if (!quince_send_guard_service_survives_end (coordinator->guard, now, service, at_risk))
     return FALSE;
   return quince_permits_take (coordinator->permits, now, digest, service, alone, holder,
                               now + PERMIT_KEEP_US);
--- a/lib/forward/dispatch.c
+++ b/lib/forward/dispatch.c
@@ -71,7 +71,7 @@
 }
 
 QuinceBackendOutcome
-quince_dispatch_choose (QuinceDispatch *dispatch, gint64 now_us, QuinceWorker **worker)
+quince_dispatch_choose_worker (QuinceDispatch *dispatch, gint64 now_us, QuinceWorker **worker)
 {
   QuincePolicyRequest request = { .service = dispatch->service,
                                   .member = "",
--- a/lib/forward/dispatch.h
+++ b/lib/forward/dispatch.h
@@ -50,7 +50,8 @@
                            gboolean repeatable);
 void quince_dispatch_clear (QuinceDispatch *dispatch);
 /* Chooses a worker for the next attempt. */
-QuinceBackendOutcome quince_dispatch_choose (QuinceDispatch *dispatch, gint64 now_us, QuinceWorker **worker);
+QuinceBackendOutcome
+quince_dispatch_choose_worker (QuinceDispatch *dispatch, gint64 now_us, QuinceWorker **worker);
 /* There was no worker to choose: notes the cause, unless that of an earlier attempt is known. */
 void quince_dispatch_record_no_worker (QuinceDispatch *dispatch, QuinceBackendOutcome outcome);
 /* What follows then, without an attempt in progress; see no-worker.h.  @began: a stream whose caller has the
--- a/lib/forward/forward.c
+++ b/lib/forward/forward.c
@@ -375,7 +375,7 @@
   if (!is_admitted (forward, now))
     return;
   QuinceWorker *worker = NULL;
-  QuinceBackendOutcome outcome = quince_dispatch_choose (&forward->dispatch, now, &worker);
+  QuinceBackendOutcome outcome = quince_dispatch_choose_worker (&forward->dispatch, now, &worker);
   if (worker != NULL)
     {
       send_to (forward, worker, now);
--- a/lib/forward/send-guard-capacity.c
+++ b/lib/forward/send-guard-capacity.c
@@ -23,7 +23,10 @@
 }
 
 gboolean
-quince_send_guard_survives_end (QuinceSendGuard *guard, gint64 now_us, const char *service, guint at_risk)
+quince_send_guard_service_survives_end (QuinceSendGuard *guard,
+                                        gint64 now_us,
+                                        const char *service,
+                                        guint at_risk)
 {
   if (guard->workers == NULL)
     return TRUE;
@@ -35,7 +38,7 @@
 }
 
 gboolean
-quince_send_guard_allows_hedge (QuinceSendGuard *guard, gint64 now_us, const char *service)
+quince_send_guard_service_allows_hedge (QuinceSendGuard *guard, gint64 now_us, const char *service)
 {
   if (guard->workers == NULL)
     return TRUE;
--- a/lib/forward/send-guard-private.h
+++ b/lib/forward/send-guard-private.h
@@ -30,7 +30,7 @@
 /* Counts the workers of @service. */
 void quince_send_guard_count_workers (QuinceSendGuard *guard, gint64 now_us, const char *service);
 /* Whether a request of which nothing is known may run twice at once at @service. */
-gboolean quince_send_guard_allows_hedge (QuinceSendGuard *guard, gint64 now_us, const char *service);
+gboolean quince_send_guard_service_allows_hedge (QuinceSendGuard *guard, gint64 now_us, const char *service);
 
 /* ---- send-guard-losses.c ------------------------------------------------ */
 
--- a/lib/forward/send-guard.c
+++ b/lib/forward/send-guard.c
@@ -211,7 +211,7 @@
   QuinceAdmission admission = quince_admission_for_request (&request);
   if (admission != QUINCE_ADMISSION_PERMIT)
     return admission;
-  if (!quince_send_guard_survives_end (guard, now_us, service, 0))
+  if (!quince_send_guard_service_survives_end (guard, now_us, service, 0))
     return QUINCE_ADMISSION_PROTECTED;
   return acquire_permit (guard, now_us, digest, service, rule == QUINCE_SEND_ALONE, permit);
 }
@@ -226,7 +226,8 @@
   const QuinceAdmissionInput request
       = { .rule = judge (guard, identity, &prompt_rule),
           .loss_check_pending = quince_send_guard_is_loss_check_pending (guard, identity) };
-  return quince_admission_allows_hedge (&request) && quince_send_guard_allows_hedge (guard, now_us, service);
+  return quince_admission_allows_hedge (&request)
+         && quince_send_guard_service_allows_hedge (guard, now_us, service);
 }
 
 /* ---- Ends of sends ------------------------------------------------------- */
--- a/lib/forward/send-guard.h
+++ b/lib/forward/send-guard.h
@@ -79,8 +79,10 @@
                                       const QuinceRequestIdentity *identity,
                                       const char *service);
 /* Whether @service survives the end of one more of its workers, beside @at_risk others. */
-gboolean
-quince_send_guard_survives_end (QuinceSendGuard *guard, gint64 now_us, const char *service, guint at_risk);
+gboolean quince_send_guard_service_survives_end (QuinceSendGuard *guard,
+                                                 gint64 now_us,
+                                                 const char *service,
+                                                 guint at_risk);
 /* When a request that was not sent since its service is protected may come back, ms. */
 guint quince_send_guard_get_retry_after_ms (const QuinceSendGuard *guard, gint64 now_us, const char *service);
 /* Other processes reported ends under the suspect @digest. */
--- a/lib/forward/stream.c
+++ b/lib/forward/stream.c
@@ -43,7 +43,7 @@
 {
   quince_timer_clear (&stream->silence);
   if (stream->events != NULL)
-    stream->dialect->events_free (stream->events);
+    stream->dialect->event_parser_free (stream->events);
   stream->events = NULL;
   stream->exchange = NULL;
   quince_dispatch_release_worker (&stream->dispatch, stream->worker_id);
@@ -148,7 +148,7 @@
 {
   guint64 id = 0;
   g_autoptr (GString) bytes = g_string_new (NULL);
-  while (stream->dialect->events_next (stream->events, &id, bytes))
+  while (stream->dialect->event_parser_next_event (stream->events, &id, bytes))
     {
       if (stream->has_last_event && id <= stream->last_event)
         return FALSE;
@@ -172,7 +172,7 @@
       stream->callbacks->data (data, length, stream->user_data);
       return;
     }
-  stream->dialect->events_feed (stream->events, data, length);
+  stream->dialect->event_parser_feed (stream->events, data, length);
   if (forward_events (stream))
     return;
   quince_http_exchange_cancel (exchange);
@@ -204,7 +204,8 @@
 exchange_done (QuinceHttpExchange *exchange, QuinceHttpOutcome outcome, const GError *error, gpointer data)
 {
   QuinceStream *stream = data;
-  gboolean has_rest = stream->events != NULL && stream->dialect->events_has_partial (stream->events);
+  gboolean has_rest
+      = stream->events != NULL && stream->dialect->event_parser_has_partial_event (stream->events);
   release_worker (stream);
   if (outcome == QUINCE_HTTP_ANSWERED)
     {
@@ -270,7 +271,7 @@
   stream->worker_id = g_strdup (worker->id);
   stream->contact_us = now_us;
   stream->passes = FALSE;
-  stream->events = stream->dispatch.retry.repeatable ? stream->dialect->events_new () : NULL;
+  stream->events = stream->dispatch.retry.repeatable ? stream->dialect->event_parser_new () : NULL;
   QuinceHttpPool *pool = quince_backends_get_pool (dispatch->backends, worker);
   stream->exchange = quince_http_pool_start (pool, &request, &exchange_callbacks, stream);
   stream->silence = quince_timer_add (1, check_time, stream);
@@ -312,7 +313,7 @@
   if (!is_admitted (stream, now))
     return;
   QuinceWorker *worker = NULL;
-  QuinceBackendOutcome outcome = quince_dispatch_choose (&stream->dispatch, now, &worker);
+  QuinceBackendOutcome outcome = quince_dispatch_choose_worker (&stream->dispatch, now, &worker);
   if (worker != NULL)
     {
       send_to (stream, worker, now);
--- a/lib/forward/stream.h
+++ b/lib/forward/stream.h
@@ -23,11 +23,11 @@
   /* Asks a worker to begin behind the event @after. */
   void (*write_resume) (QuinceHttpHeaders *headers, guint64 after);
   /* Takes bytes in and gives whole events: their id and all of their bytes. */
-  gpointer (*events_new) (void);
-  void (*events_free) (gpointer events);
-  void (*events_feed) (gpointer events, const char *data, gsize length);
-  gboolean (*events_next) (gpointer events, guint64 *id, GString *bytes);
-  gboolean (*events_has_partial) (gpointer events);
+  gpointer (*event_parser_new) (void);
+  void (*event_parser_free) (gpointer events);
+  void (*event_parser_feed) (gpointer events, const char *data, gsize length);
+  gboolean (*event_parser_next_event) (gpointer events, guint64 *id, GString *bytes);
+  gboolean (*event_parser_has_partial_event) (gpointer events);
 } QuinceStreamDialect;
 
 /**
