--- a/daemons/front/caller-request.c
+++ b/daemons/front/caller-request.c
@@ -226,7 +226,7 @@
 {
   QuinceCallerRequest *request = data;
   request->forward = NULL;
-  note_usage (request, result->began_us);
+  note_usage (request, result->first_run_us);
   switch (result->outcome)
     {
     case QUINCE_FORWARD_ANSWERED:
--- a/daemons/front/quarantine-client.c
+++ b/daemons/front/quarantine-client.c
@@ -155,8 +155,10 @@
   send_encoded (client, encoded);
 }
 
-static const QuinceSendGuardCallbacks guard_callbacks
-    = { .ask = request_permit, .give_back = return_permit, .ended = ended, .cleared = cleared };
+static const QuinceSendGuardCallbacks guard_callbacks = { .request_permit = request_permit,
+                                                          .return_permit = return_permit,
+                                                          .ended = ended,
+                                                          .cleared = cleared };
 
 /* ---- Life and messages ------------------------------------------------------ */
 
--- a/daemons/replica/quarantine-coordinator.c
+++ b/daemons/replica/quarantine-coordinator.c
@@ -99,8 +99,8 @@
     quince_suspect_reporter_cleared_for_successor (coordinator->reporter, digest, scope);
 }
 
-static const QuinceSendGuardCallbacks guard_callbacks = { .ask = request_permit,
-                                                          .give_back = return_permit,
+static const QuinceSendGuardCallbacks guard_callbacks = { .request_permit = request_permit,
+                                                          .return_permit = return_permit,
                                                           .sending = sending,
                                                           .ended = ended,
                                                           .cleared = cleared };
--- a/lib/forward/dispatch.c
+++ b/lib/forward/dispatch.c
@@ -123,22 +123,22 @@
 quince_dispatch_may_wait_for_worker (QuinceDispatch *dispatch,
                                      QuinceBackendOutcome outcome,
                                      gboolean is_stream,
-                                     gboolean began,
+                                     gboolean response_started,
                                      gint64 now_us)
 {
-  const QuinceNoWorkerInput none
+  const QuinceNoWorkerInput input
       = { .outcome = outcome,
           .is_stream = is_stream,
-          .response_started = began,
+          .response_started = response_started,
           .tried_any = g_hash_table_size (dispatch->avoid) > 0,
           .runs = dispatch->retry.runs,
           .now_us = now_us,
           .started_us = dispatch->started_us,
           .target_latency_us = dispatch->target_latency_us,
           .cold_available_us = quince_backends_get_limited_until_us (dispatch->backends) };
-  const QuinceNoWorkerDecision verdict = quince_no_worker_decide (&none);
-  dispatch->retry_after_ms = verdict.retry_after_ms;
-  return verdict.wait;
+  const QuinceNoWorkerDecision decision = quince_no_worker_decide (&input);
+  dispatch->retry_after_ms = decision.retry_after_ms;
+  return decision.wait;
 }
 
 void
@@ -151,9 +151,9 @@
 }
 
 QuinceForwardOutcome
-quince_dispatch_give_up (gboolean may_have_run, gboolean late)
+quince_dispatch_give_up (gboolean may_have_run, gboolean timed_out)
 {
-  switch (quince_retry_give_up (may_have_run, late))
+  switch (quince_retry_give_up (may_have_run, timed_out))
     {
     case QUINCE_GIVE_UP_NOT_RUN:
       return QUINCE_FORWARD_REFUSED;
@@ -206,9 +206,9 @@
 {
   if (dispatch->admission_wait_since_us == 0)
     dispatch->admission_wait_since_us = now_us;
-  gboolean waits_on = quince_admission_may_keep_waiting (now_us - dispatch->admission_wait_since_us,
+  gboolean may_wait = quince_admission_may_keep_waiting (now_us - dispatch->admission_wait_since_us,
                                                          dispatch->target_latency_us);
-  return waits_on ? QUINCE_ADMISSION_WAIT : QUINCE_ADMISSION_NO_PERMIT;
+  return may_wait ? QUINCE_ADMISSION_WAIT : QUINCE_ADMISSION_NO_PERMIT;
 }
 
 static QuinceAdmission
@@ -232,19 +232,19 @@
 
 /* Its end would leave too few workers of its service. */
 static QuinceDispatchAction
-protect (QuinceDispatch *dispatch, gboolean began, gint64 now_us, guint *wait_ms)
+handle_protected_service (QuinceDispatch *dispatch, gboolean response_started, gint64 now_us, guint *wait_ms)
 {
   QuinceSendGuard *guard = quince_backends_get_guard (dispatch->backends);
   dispatch->cause = "workers_spared";
   *wait_ms = QUINCE_ADMISSION_PROTECTED_RETRY_MS;
-  if (quince_admission_protected_may_wait (began))
+  if (quince_admission_protected_may_wait (response_started))
     return QUINCE_DISPATCH_WAIT;
   dispatch->retry_after_ms = quince_send_guard_get_retry_after_ms (guard, now_us, dispatch->service);
   return QUINCE_DISPATCH_GIVE_UP;
 }
 
 QuinceDispatchAction
-quince_dispatch_admit (QuinceDispatch *dispatch, gboolean began, gint64 now_us, guint *wait_ms)
+quince_dispatch_admit (QuinceDispatch *dispatch, gboolean response_started, gint64 now_us, guint *wait_ms)
 {
   switch (request_admission (dispatch, now_us))
     {
@@ -252,7 +252,7 @@
       dispatch->cause = "request_held";
       return QUINCE_DISPATCH_HELD;
     case QUINCE_ADMISSION_PROTECTED:
-      return protect (dispatch, began, now_us, wait_ms);
+      return handle_protected_service (dispatch, response_started, now_us, wait_ms);
     case QUINCE_ADMISSION_NO_PERMIT:
       dispatch->cause = "no_permit";
       return QUINCE_DISPATCH_GIVE_UP;
--- a/lib/forward/dispatch.h
+++ b/lib/forward/dispatch.h
@@ -59,14 +59,14 @@
 gboolean quince_dispatch_may_wait_for_worker (QuinceDispatch *dispatch,
                                               QuinceBackendOutcome outcome,
                                               gboolean is_stream,
-                                              gboolean began,
+                                              gboolean response_started,
                                               gint64 now_us);
 /* The attempt at @worker_id, begun, or with its last data, at @since_us, gave no answer that counts: logs it.
  */
 void
 quince_dispatch_log_failed_attempt (const QuinceDispatch *dispatch, const char *worker_id, gint64 since_us);
 /* How the request ends without an answer; see retry.h. */
-QuinceForwardOutcome quince_dispatch_give_up (gboolean may_have_run, gboolean late);
+QuinceForwardOutcome quince_dispatch_give_up (gboolean may_have_run, gboolean timed_out);
 /* The attempt goes to @worker: counts it there and here. (transfer full): the headers that it is sent */
 QuinceHttpHeaders *
 quince_dispatch_begin_attempt (QuinceDispatch *dispatch, QuinceWorker *worker, gint64 now_us);
@@ -91,7 +91,7 @@
  * Asks the send guard whether the next attempt may be made; see core/decisions/admission.h.
  */
 QuinceDispatchAction
-quince_dispatch_admit (QuinceDispatch *dispatch, gboolean began, gint64 now_us, guint *wait_ms);
+quince_dispatch_admit (QuinceDispatch *dispatch, gboolean response_started, gint64 now_us, guint *wait_ms);
 /* Whether another attempt may be made beside the one in progress. */
 gboolean quince_dispatch_may_hedge (QuinceDispatch *dispatch, gint64 now_us);
 /* How the attempt ended: see send-guard.h. */
--- a/lib/forward/event-table.c
+++ b/lib/forward/event-table.c
@@ -57,10 +57,10 @@
       const QuinceEventEntry *event = value;
       if (!g_str_equal (event->service, "-") && !g_str_equal (event->service, request->service))
         continue;
-      gint64 until_ms = event->start_ms - wall_ms;
-      if (until_ms <= 0 && wall_ms < event->start_ms + event->duration_ms)
+      gint64 starts_in_ms = event->start_ms - wall_ms;
+      if (starts_in_ms <= 0 && wall_ms < event->start_ms + event->duration_ms)
         request->event_active = TRUE;
-      else if (until_ms > 0 && (request->event_in_ms < 0 || until_ms < request->event_in_ms))
-        request->event_in_ms = until_ms;
+      else if (starts_in_ms > 0 && (request->event_in_ms < 0 || starts_in_ms < request->event_in_ms))
+        request->event_in_ms = starts_in_ms;
     }
 }
--- a/lib/forward/forward.c
+++ b/lib/forward/forward.c
@@ -34,9 +34,9 @@
   void (*done) (const QuinceForwardResult *, gpointer);
   gpointer user_data;
 
-  GPtrArray *live;        /* Attempt, owned: in progress, the oldest first */
+  GPtrArray *in_flight;   /* Attempt, owned: in progress, the oldest first */
   QuinceRetryTimer timer; /* next attempt, or a hedge beside the one in progress */
-  gint64 began_us;        /* when the first of them was sent; 0: there is none */
+  gint64 first_run_us;    /* when the first of them was sent; 0: there is none */
   guint failed_runs;
 };
 
@@ -55,11 +55,11 @@
 }
 
 static void
-record_attempt_result (const Attempt *attempt, gboolean good)
+record_attempt_result (const Attempt *attempt, gboolean succeeded)
 {
   QuinceWorker *worker = quince_dispatch_find_worker (&attempt->forward->dispatch, attempt->worker_id);
   gint64 now = quince_now_us ();
-  if (worker != NULL && good)
+  if (worker != NULL && succeeded)
     quince_worker_record_response (worker, now - attempt->started_us);
   else if (worker != NULL)
     quince_worker_record_failure (worker, now);
@@ -78,7 +78,7 @@
 forward_free (QuinceForward *forward)
 {
   quince_retry_timer_clear (&forward->timer);
-  g_ptr_array_unref (forward->live);
+  g_ptr_array_unref (forward->in_flight);
   quince_dispatch_clear (&forward->dispatch);
   g_free (forward);
 }
@@ -86,7 +86,7 @@
 gint64
 quince_forward_get_first_run_us (const QuinceForward *forward)
 {
-  return forward->began_us;
+  return forward->first_run_us;
 }
 
 void
@@ -101,17 +101,17 @@
   result.attempts = forward->dispatch.attempts;
   result.failed_runs = forward->failed_runs;
   result.cause = forward->dispatch.cause;
-  result.began_us = forward->began_us;
+  result.first_run_us = forward->first_run_us;
   result.retry_after_ms = forward->dispatch.retry_after_ms;
   forward->done (&result, forward->user_data);
   forward_free (forward);
 }
 
 static void
-forward_fail (QuinceForward *forward, gboolean late)
+forward_fail (QuinceForward *forward, gboolean timed_out)
 {
   QuinceForwardResult result
-      = { .outcome = quince_dispatch_give_up (forward->dispatch.retry.runs > 0, late) };
+      = { .outcome = quince_dispatch_give_up (forward->dispatch.retry.runs > 0, timed_out) };
   forward_end (forward, result);
 }
 
@@ -127,12 +127,12 @@
 remove_attempt (Attempt *attempt)
 {
   attempt->exchange = NULL;
-  g_ptr_array_remove (attempt->forward->live, attempt);
+  g_ptr_array_remove (attempt->forward->in_flight, attempt);
 }
 
 /* The attempt gave no answer that counts.  @ran: it may have run */
 static void
-attempt_failed (Attempt *attempt, gboolean ran, const char *cause)
+attempt_failed (Attempt *attempt, gboolean may_have_run, const char *cause)
 {
   QuinceForward *forward = attempt->forward;
   count_attempt (cause);
@@ -140,15 +140,15 @@
   quince_dispatch_log_failed_attempt (&forward->dispatch, attempt->worker_id, attempt->started_us);
   remove_attempt (attempt);
   quince_dispatch_return_permit (&forward->dispatch);
-  if (!ran)
+  if (!may_have_run)
     {
       forward->dispatch.retry.runs--;
       forward->dispatch.retry.refused_sends++;
       if (forward->dispatch.retry.runs == 0)
-        forward->began_us = 0;
+        forward->first_run_us = 0;
     }
   gint64 now = quince_now_us ();
-  if (forward->live->len > 0)
+  if (forward->in_flight->len > 0)
     return; /* another attempt is in progress */
   if (quince_retry_may_retry (&forward->dispatch.retry, now))
     schedule_attempt (forward, 0);
@@ -161,12 +161,12 @@
 {
   QuinceForward *forward = attempt->forward;
   const QuinceHttpHead *head = quince_http_exchange_get_head (exchange);
-  gboolean good = head->status >= 200 && head->status < 300;
-  record_attempt_result (attempt, good);
+  gboolean succeeded = head->status >= 200 && head->status < 300;
+  record_attempt_result (attempt, succeeded);
   quince_dispatch_handle_answer (&forward->dispatch);
   forward->failed_runs += head->status == 500;
-  gboolean another = forward->live->len > 1 || quince_retry_may_run (&forward->dispatch.retry);
-  if (head->status >= 500 && another)
+  gboolean has_alternative = forward->in_flight->len > 1 || quince_retry_may_run (&forward->dispatch.retry);
+  if (head->status >= 500 && has_alternative)
     {
       attempt_failed (attempt, TRUE, "worker_failed");
       return;
@@ -190,12 +190,15 @@
   QuinceForward *forward = attempt->forward;
   if (outcome != QUINCE_HTTP_ANSWERED)
     {
-      gboolean ran = outcome != QUINCE_HTTP_NOT_SENT;
-      gboolean silent = ran && error->code == QUINCE_HTTP1_ERROR_TIMEOUT;
+      gboolean may_have_run = outcome != QUINCE_HTTP_NOT_SENT;
+      gboolean timed_out = may_have_run && error->code == QUINCE_HTTP1_ERROR_TIMEOUT;
       record_attempt_result (attempt, FALSE);
-      if (ran && !silent)
+      if (may_have_run && !timed_out)
         quince_dispatch_handle_connection_loss (&forward->dispatch, attempt->worker_id);
-      attempt_failed (attempt, ran, !ran ? "no_connection" : silent ? "worker_silent" : "connection_lost");
+      attempt_failed (attempt, may_have_run,
+                      !may_have_run ? "no_connection"
+                      : timed_out   ? "worker_silent"
+                                    : "connection_lost");
       return;
     }
   const QuinceHttpHead *head = quince_http_exchange_get_head (exchange);
@@ -203,15 +206,15 @@
   const char *signature = NULL;
   gboolean refused = FALSE;
   forward->dispatch.dialect->read_answer (head, &request_id, &signature, &refused);
-  gboolean good = head->status >= 200 && head->status < 300;
-  if (g_strcmp0 (request_id, forward->dispatch.request_id) != 0 && (good || request_id != NULL))
+  gboolean succeeded = head->status >= 200 && head->status < 300;
+  if (g_strcmp0 (request_id, forward->dispatch.request_id) != 0 && (succeeded || request_id != NULL))
     {
       record_attempt_result (attempt, FALSE);
       attempt_failed (attempt, TRUE, "wrong_answer");
     }
   else if (refused)
     attempt_failed (attempt, FALSE, head->status == 421 ? "other_worker" : "worker_refused");
-  else if (good && signature == NULL)
+  else if (succeeded && signature == NULL)
     attempt_failed (attempt, TRUE, "unsigned_answer");
   else
     attempt_answered (attempt, exchange, signature);
@@ -250,10 +253,10 @@
   attempt->forward = forward;
   attempt->worker_id = g_strdup (worker->id);
   attempt->started_us = now_us;
-  g_ptr_array_add (forward->live, attempt);
+  g_ptr_array_add (forward->in_flight, attempt);
   forward->dispatch.retry.runs++;
-  if (forward->began_us == 0)
-    forward->began_us = now_us;
+  if (forward->first_run_us == 0)
+    forward->first_run_us = now_us;
   QuinceHttpPool *pool = quince_backends_get_pool (dispatch->backends, worker);
   attempt->exchange = quince_http_pool_start (pool, &request, &exchange_callbacks, attempt);
   if (quince_hedge_is_allowed (&dispatch->retry) && quince_dispatch_may_hedge (dispatch, now_us))
@@ -265,12 +268,12 @@
 static gboolean
 abandon_oldest (QuinceForward *forward, gint64 now_us)
 {
-  Attempt *oldest = forward->live->pdata[0];
-  gint64 patience_us = quince_hedge_attempt_timeout_us (forward->dispatch.target_latency_us);
-  gint64 left = oldest->started_us + patience_us - now_us;
-  if (left > 0)
+  Attempt *oldest = forward->in_flight->pdata[0];
+  gint64 timeout_us = quince_hedge_attempt_timeout_us (forward->dispatch.target_latency_us);
+  gint64 remaining_us = oldest->started_us + timeout_us - now_us;
+  if (remaining_us > 0)
     {
-      schedule_attempt (forward, left + TIMER_ROUNDING_US);
+      schedule_attempt (forward, remaining_us + TIMER_ROUNDING_US);
       return FALSE;
     }
   if (quince_http_exchange_reads_first (oldest->exchange))
@@ -280,7 +283,7 @@
     }
   record_attempt_result (oldest, FALSE);
   count_attempt ("abandoned");
-  g_ptr_array_remove_index (forward->live, 0);
+  g_ptr_array_remove_index (forward->in_flight, 0);
   return TRUE;
 }
 
@@ -289,8 +292,9 @@
 reset_tried_workers (QuinceForward *forward)
 {
   g_hash_table_remove_all (forward->dispatch.avoid);
-  for (guint i = 0; i < forward->live->len; i++)
-    g_hash_table_add (forward->dispatch.avoid, g_strdup (((Attempt *)forward->live->pdata[i])->worker_id));
+  for (guint i = 0; i < forward->in_flight->len; i++)
+    g_hash_table_add (forward->dispatch.avoid,
+                      g_strdup (((Attempt *)forward->in_flight->pdata[i])->worker_id));
 }
 
 /* No worker for a second attempt beside the one in progress. */
@@ -318,16 +322,16 @@
 static void
 handle_no_worker (QuinceForward *forward, QuinceBackendOutcome outcome, gint64 now_us)
 {
-  if (forward->live->len > 0)
+  if (forward->in_flight->len > 0)
     {
       handle_no_hedge_worker (forward, outcome, now_us);
       return;
     }
   quince_dispatch_record_no_worker (&forward->dispatch, outcome);
-  gboolean waits = quince_dispatch_may_wait_for_worker (&forward->dispatch, outcome, FALSE, FALSE, now_us);
+  gboolean may_wait = quince_dispatch_may_wait_for_worker (&forward->dispatch, outcome, FALSE, FALSE, now_us);
   /* Other workers may have room by now, also workers that refused. */
   reset_tried_workers (forward);
-  if (waits)
+  if (may_wait)
     schedule_attempt (forward, QUINCE_NO_WORKER_PAUSE_US);
   else
     forward_fail (forward, FALSE);
@@ -337,7 +341,7 @@
 static gboolean
 is_admitted (QuinceForward *forward, gint64 now_us)
 {
-  if (forward->live->len > 0)
+  if (forward->in_flight->len > 0)
     return quince_dispatch_may_hedge (&forward->dispatch, now_us);
   guint wait_ms = 0;
   const QuinceForwardResult held = { .outcome = QUINCE_FORWARD_HELD };
@@ -363,14 +367,14 @@
 {
   QuinceForward *forward = data;
   gint64 now = quince_now_us ();
-  if (forward->live->len == 0 && now >= forward->dispatch.retry.give_up_us)
+  if (forward->in_flight->len == 0 && now >= forward->dispatch.retry.give_up_us)
     {
       forward_fail (forward, TRUE);
       return;
     }
   if (now >= forward->dispatch.retry.give_up_us || !quince_retry_may_run (&forward->dispatch.retry))
     return;
-  if (forward->live->len >= QUINCE_HEDGE_IN_FLIGHT_MAX && !abandon_oldest (forward, now))
+  if (forward->in_flight->len >= QUINCE_HEDGE_IN_FLIGHT_MAX && !abandon_oldest (forward, now))
     return;
   if (!is_admitted (forward, now))
     return;
@@ -396,7 +400,7 @@
   quince_dispatch_init (&forward->dispatch, backends, dialect, request, request->repeatable);
   forward->done = done;
   forward->user_data = user_data;
-  forward->live = g_ptr_array_new_with_free_func (attempt_free);
+  forward->in_flight = g_ptr_array_new_with_free_func (attempt_free);
   quince_retry_timer_init (&forward->timer, start_attempt, forward);
   schedule_attempt (forward, 0);
   return forward;
--- a/lib/forward/forward.h
+++ b/lib/forward/forward.h
@@ -85,7 +85,7 @@
   guint failed_runs; /* answers of 500 */
   const char *worker;
   gint64 attempt_duration_us; /* time of the last attempt */
-  gint64 began_us; /* when the first attempt that may have run was sent, monotonic; 0: none may have */
+  gint64 first_run_us; /* when the first attempt that may have run was sent, monotonic; 0: none may have */
 } QuinceForwardResult;
 
 /* Copies what it needs of @request.  done() is called once, never before this returns. */
--- a/lib/forward/retry-timer.h
+++ b/lib/forward/retry-timer.h
@@ -14,11 +14,12 @@
 {
   /* All fields belong to the context of the owner. */
   QuinceTimer *timer; /* NULL: not set */
-  void (*due) (gpointer user_data);
+  void (*callback) (gpointer user_data);
   gpointer user_data;
 } QuinceRetryTimer;
 
-void quince_retry_timer_init (QuinceRetryTimer *timer, void (*due) (gpointer user_data), gpointer user_data);
+void
+quince_retry_timer_init (QuinceRetryTimer *timer, void (*callback) (gpointer user_data), gpointer user_data);
 /* Calls due() after @wait_ms, never before this returns. */
 void quince_retry_timer_set (QuinceRetryTimer *timer, guint wait_ms);
 /* due() is not called any more; to be called before the owner is freed. */
--- a/lib/forward/send-guard-log.c
+++ b/lib/forward/send-guard-log.c
@@ -37,11 +37,11 @@
   const QuinceSuspect *suspect = find_worst_suspect (guard, identity);
   if (suspect == NULL)
     return;
-  g_autofree char *text = quince_request_digest_format (&suspect->digest);
+  g_autofree char *digest = quince_request_digest_format (&suspect->digest);
   quince_log_info ("suspect_sent",
                    "request=%s worker=%s digest=%s scope=%s ends=%u alone=%u permit=%s told_by=%s"
                    " known_ms=%" G_GINT64_FORMAT,
-                   request_id, worker_id, text, quince_suspect_scope_name (suspect->scope),
+                   request_id, worker_id, digest, quince_suspect_scope_name (suspect->scope),
                    suspect->n_workers, suspect->alone,
                    !permit->taken  ? "none"
                    : permit->alone ? "alone"
@@ -58,11 +58,11 @@
   const QuinceSuspect *suspect = find_worst_suspect (guard, identity);
   if (suspect == NULL)
     return;
-  g_autofree char *text = quince_request_digest_format (&suspect->digest);
+  g_autofree char *digest = quince_request_digest_format (&suspect->digest);
   quince_log_warning ("suspect_held",
                       "request=%s digest=%s scope=%s ends=%u alone=%u service=%s software=%s told_by=%s"
                       " known_ms=%" G_GINT64_FORMAT,
-                      request_id, text, quince_suspect_scope_name (suspect->scope), suspect->n_workers,
+                      request_id, digest, quince_suspect_scope_name (suspect->scope), suspect->n_workers,
                       suspect->alone, suspect->service, suspect->software, get_reporter (suspect),
                       (now_us - suspect->ended_us) / 1000);
 }
@@ -100,28 +100,28 @@
     return;
   QuinceServiceCapacity capacity;
   quince_service_capacities_get (guard->capacities, now_us, service, &capacity);
-  g_autofree char *text = quince_request_digest_format (&suspect->digest);
+  g_autofree char *digest = quince_request_digest_format (&suspect->digest);
   quince_metric_add ("quince_quarantine_spared_total", "", 1);
   g_autofree char *ended = format_ended_workers (guard, service);
   quince_log_info ("suspect_spared",
                    "request=%s digest=%s scope=%s ends=%u service=%s ready=%u of=%u ended=%s", request_id,
-                   text, quince_suspect_scope_name (suspect->scope), suspect->n_workers, service,
+                   digest, quince_suspect_scope_name (suspect->scope), suspect->n_workers, service,
                    capacity.ready, capacity.listed_max, ended);
 }
 
 void
 quince_send_guard_set_metrics (const QuinceSendGuard *guard)
 {
-  g_autoptr (GPtrArray) all = quince_quarantine_list (guard->quarantine);
+  g_autoptr (GPtrArray) suspects = quince_quarantine_list (guard->quarantine);
   guint held = 0;
   guint prompts = 0;
-  for (guint i = 0; i < all->len; i++)
+  for (guint i = 0; i < suspects->len; i++)
     {
-      const QuinceSuspect *suspect = all->pdata[i];
+      const QuinceSuspect *suspect = suspects->pdata[i];
       held += suspect->held;
       prompts += suspect->scope == QUINCE_SUSPECT_PROMPT;
     }
-  quince_metric_set ("quince_quarantine_suspects", "", all->len);
+  quince_metric_set ("quince_quarantine_suspects", "", suspects->len);
   quince_metric_set ("quince_quarantine_held", "", held);
   quince_metric_set ("quince_quarantine_prompts", "", prompts);
   quince_metric_set ("quince_quarantine_bytes", "", (double)quince_quarantine_get_bytes (guard->quarantine));
--- a/lib/forward/send-guard-losses.c
+++ b/lib/forward/send-guard-losses.c
@@ -31,12 +31,12 @@
   GPtrArray *sends;         /* QuinceSuspect, owned: sends of a leader that is lost */
   QuinceWorkerCheck *check; /* NULL: it has ended */
   gint64 ended_us;
-} Loss;
+} WorkerLoss;
 
 static void
 loss_free (gpointer data)
 {
-  Loss *loss = data;
+  WorkerLoss *loss = data;
   if (loss->check != NULL)
     quince_worker_check_cancel (loss->check);
   g_array_unref (loss->runs);
@@ -69,7 +69,7 @@
 }
 
 static gboolean
-concerns (const Loss *loss, const QuinceRequestIdentity *identity)
+loss_affects_request (const WorkerLoss *loss, const QuinceRequestIdentity *identity)
 {
   for (guint i = 0; i < loss->runs->len; i++)
     if (run_matches_request (&g_array_index (loss->runs, LostRun, i).identity, identity))
@@ -86,10 +86,10 @@
   GHashTableIter iter;
   gpointer value;
   g_hash_table_iter_init (&iter, guard->losses);
-  while (guard->checks > 0 && g_hash_table_iter_next (&iter, NULL, &value))
+  while (guard->pending_checks > 0 && g_hash_table_iter_next (&iter, NULL, &value))
     {
-      const Loss *loss = value;
-      if (loss->check != NULL && concerns (loss, identity))
+      const WorkerLoss *loss = value;
+      if (loss->check != NULL && loss_affects_request (loss, identity))
         return TRUE;
     }
   return FALSE;
@@ -98,8 +98,8 @@
 void
 quince_send_guard_return_permit (QuinceSendGuard *guard, QuinceSendPermit *permit)
 {
-  if (permit->taken && g_hash_table_remove (guard->held, &permit->digest))
-    guard->callbacks->give_back (&permit->digest, guard->user_data);
+  if (permit->taken && g_hash_table_remove (guard->permits_in_use, &permit->digest))
+    guard->callbacks->return_permit (&permit->digest, guard->user_data);
   *permit = (QuinceSendPermit){ 0 };
 }
 
@@ -110,24 +110,28 @@
                                 const QuinceSendPermit *permit,
                                 const char *worker_id,
                                 QuinceSuspectScope scope,
-                                QuinceSuspect *seen)
+                                QuinceSuspect *observed)
 {
-  *seen = (QuinceSuspect){ .digest = scope == QUINCE_SUSPECT_PROMPT ? identity->prompt : identity->request,
-                           .scope = scope,
-                           .workers = { quince_quarantine_hash_worker (worker_id) },
-                           .n_workers = 1,
-                           .alone = permit->taken && permit->alone,
-                           .member = quince_quarantine_hash_request (&identity->request) };
+  *observed
+      = (QuinceSuspect){ .digest = scope == QUINCE_SUSPECT_PROMPT ? identity->prompt : identity->request,
+                         .scope = scope,
+                         .workers = { quince_quarantine_hash_worker (worker_id) },
+                         .n_workers = 1,
+                         .alone = permit->taken && permit->alone,
+                         .member = quince_quarantine_hash_request (&identity->request) };
 }
 
 static void
-record_suspect_end (QuinceSendGuard *guard, const Loss *loss, const LostRun *run, QuinceSuspectScope scope)
+record_suspect_end (QuinceSendGuard *guard,
+                    const WorkerLoss *loss,
+                    const LostRun *run,
+                    QuinceSuspectScope scope)
 {
-  QuinceSuspect seen;
-  quince_send_guard_describe_end (&run->identity, &run->permit, loss->worker_id, scope, &seen);
-  seen.service = loss->service;
-  seen.software = loss->software;
-  const QuinceSuspect *known = quince_quarantine_record_end (guard->quarantine, quince_now_us (), &seen);
+  QuinceSuspect observed;
+  quince_send_guard_describe_end (&run->identity, &run->permit, loss->worker_id, scope, &observed);
+  observed.service = loss->service;
+  observed.software = loss->software;
+  const QuinceSuspect *known = quince_quarantine_record_end (guard->quarantine, quince_now_us (), &observed);
   if (known == NULL)
     return;
   g_autofree char *digest = quince_request_digest_format (&known->digest);
@@ -138,7 +142,7 @@
 }
 
 static void
-record_run_end (QuinceSendGuard *guard, const Loss *loss, LostRun *run)
+record_run_end (QuinceSendGuard *guard, const WorkerLoss *loss, LostRun *run)
 {
   record_suspect_end (guard, loss, run, QUINCE_SUSPECT_REQUEST);
   if (run->identity.has_prompt)
@@ -169,15 +173,15 @@
 /* Only a worker that was found to have ended counts as ended: a living one that counted so would protect its
  * service, and no suspect would be sent that could disprove it. */
 static void
-handle_checked_sends (QuinceSendGuard *guard, const Loss *loss, QuinceWorkerSign sign)
+handle_checked_sends (QuinceSendGuard *guard, const WorkerLoss *loss, QuinceWorkerSign result)
 {
   for (guint i = 0; i < loss->sends->len; i++)
-    if (sign == QUINCE_WORKER_ENDED)
+    if (result == QUINCE_WORKER_ENDED)
       record_send_end (guard, loss->sends->pdata[i], loss->worker_id);
     else
       log_checked_send (loss->sends->pdata[i], loss->worker_id,
-                        sign == QUINCE_WORKER_LISTENS ? "lives" : "unknown");
-  if (sign == QUINCE_WORKER_ENDED && loss->sends->len > 0)
+                        result == QUINCE_WORKER_LISTENS ? "lives" : "unknown");
+  if (result == QUINCE_WORKER_ENDED && loss->sends->len > 0)
     quince_service_capacities_record_end (guard->capacities, quince_now_us (), loss->service);
 }
 
@@ -186,7 +190,7 @@
 static gboolean
 is_expired_loss (gpointer key, gpointer value, gpointer data)
 {
-  const Loss *loss = value;
+  const WorkerLoss *loss = value;
   const gint64 *now_us = data;
   return loss->check == NULL && *now_us - loss->ended_us > ENDED_WORKER_RETENTION_US;
 }
@@ -195,7 +199,7 @@
  * sent alone, or an innocent prompt would be held.  A run may outlast the time for which others are kept
  * away. */
 static void
-clear_alone_if_several (Loss *loss)
+clear_alone_if_several (WorkerLoss *loss)
 {
   guint sent_alone = 0;
   for (guint i = 0; i < loss->runs->len; i++)
@@ -205,45 +209,45 @@
 }
 
 static void
-check_done (QuinceWorkerSign sign, gpointer data)
+handle_check_result (QuinceWorkerSign result, gpointer data)
 {
-  Loss *loss = data;
+  WorkerLoss *loss = data;
   QuinceSendGuard *guard = loss->guard;
   loss->check = NULL;
   loss->ended_us = quince_now_us ();
-  guard->checks--;
+  guard->pending_checks--;
   clear_alone_if_several (loss);
   for (guint i = 0; i < loss->runs->len; i++)
     {
       LostRun *run = &g_array_index (loss->runs, LostRun, i);
-      if (sign == QUINCE_WORKER_ENDED)
+      if (result == QUINCE_WORKER_ENDED)
         record_run_end (guard, loss, run);
       else
         quince_send_guard_return_permit (guard, &run->permit);
     }
-  handle_checked_sends (guard, loss, sign);
-  if (sign != QUINCE_WORKER_ENDED)
+  handle_checked_sends (guard, loss, result);
+  if (result != QUINCE_WORKER_ENDED)
     g_hash_table_remove (guard->losses, loss->worker_id);
 }
 
-static Loss *
+static WorkerLoss *
 find_or_start_check (QuinceSendGuard *guard, const QuinceWorker *worker)
 {
   gint64 now = quince_now_us ();
   g_hash_table_foreach_remove (guard->losses, is_expired_loss, &now);
-  Loss *loss = g_hash_table_lookup (guard->losses, worker->id);
+  WorkerLoss *loss = g_hash_table_lookup (guard->losses, worker->id);
   if (loss != NULL)
     return loss;
-  loss = g_new0 (Loss, 1);
+  loss = g_new0 (WorkerLoss, 1);
   loss->guard = guard;
   loss->worker_id = g_strdup (worker->id);
   loss->service = g_strdup (worker->service);
   loss->software = g_strdup (worker->software);
   loss->runs = g_array_new (FALSE, FALSE, sizeof (LostRun));
   loss->sends = g_ptr_array_new_with_free_func ((GDestroyNotify)quince_suspect_free);
-  loss->check = quince_worker_check_start (worker->address, check_done, loss);
+  loss->check = quince_worker_check_start (worker->address, handle_check_result, loss);
   g_hash_table_insert (guard->losses, loss->worker_id, loss);
-  guard->checks++;
+  guard->pending_checks++;
   return loss;
 }
 
@@ -269,7 +273,7 @@
   *permit = (QuinceSendPermit){ 0 }; /* it is over when the loss is decided */
   if (guard->workers != NULL)
     quince_send_guard_count_workers (guard, quince_now_us (), worker->service);
-  Loss *loss = find_or_start_check (guard, worker);
+  WorkerLoss *loss = find_or_start_check (guard, worker);
   if (loss->check != NULL)
     g_array_append_val (loss->runs, run);
   else
@@ -307,7 +311,7 @@
       log_checked_send (expected, worker->id, "leaves");
       return;
     }
-  Loss *loss = find_or_start_check (guard, worker);
+  WorkerLoss *loss = find_or_start_check (guard, worker);
   if (loss->check != NULL)
     g_ptr_array_add (loss->sends, quince_suspect_copy (expected));
   else
--- a/lib/forward/send-guard-private.h
+++ b/lib/forward/send-guard-private.h
@@ -14,13 +14,13 @@
 {
   /* All fields belong to the context that created it. */
   QuinceQuarantine *quarantine;
-  gint64 next_expire_us;      /* time of the next check for outdated suspects, monotonic */
-  GHashTable *asks;           /* PermitRequest by its own digest, owned */
-  GHashTable *held;           /* QuinceRequestDigest, owned: of permits in use here */
-  QuinceWorkerTable *workers; /* NULL: nothing is known of them */
+  gint64 next_expire_us;       /* time of the next check for outdated suspects, monotonic */
+  GHashTable *permit_requests; /* PermitRequest by its own digest, owned */
+  GHashTable *permits_in_use;  /* QuinceRequestDigest, owned: of permits in use here */
+  QuinceWorkerTable *workers;  /* NULL: nothing is known of them */
   QuinceServiceCapacities *capacities;
-  GHashTable *losses; /* of send-guard-losses.c, owned */
-  guint checks;       /* losses that are not decided */
+  GHashTable *losses;   /* of send-guard-losses.c, owned */
+  guint pending_checks; /* losses that are not decided */
   const QuinceSendGuardCallbacks *callbacks;
   gpointer user_data;
 };
@@ -44,4 +44,4 @@
                                      const QuinceSendPermit *permit,
                                      const char *worker_id,
                                      QuinceSuspectScope scope,
-                                     QuinceSuspect *seen);
+                                     QuinceSuspect *observed);
--- a/lib/forward/send-guard.c
+++ b/lib/forward/send-guard.c
@@ -30,7 +30,7 @@
 {
   QuinceRequestDigest digest;
   PermitRequestState state;
-  gint64 at_us; /* of the state */
+  gint64 state_since_us; /* of the state */
   gboolean alone;
 } PermitRequest;
 
@@ -50,8 +50,10 @@
 {
   QuinceSendGuard *guard = g_new0 (QuinceSendGuard, 1);
   guard->quarantine = quince_quarantine_new (limits);
-  guard->asks = g_hash_table_new_full (quince_request_digest_hash, quince_request_digest_equal, NULL, g_free);
-  guard->held = g_hash_table_new_full (quince_request_digest_hash, quince_request_digest_equal, g_free, NULL);
+  guard->permit_requests
+      = g_hash_table_new_full (quince_request_digest_hash, quince_request_digest_equal, NULL, g_free);
+  guard->permits_in_use
+      = g_hash_table_new_full (quince_request_digest_hash, quince_request_digest_equal, g_free, NULL);
   guard->capacities = quince_service_capacities_new ();
   guard->losses = quince_send_guard_losses_new ();
   guard->callbacks = callbacks;
@@ -65,9 +67,9 @@
   if (guard == NULL)
     return;
   g_hash_table_unref (guard->losses);
-  g_hash_table_unref (guard->held);
+  g_hash_table_unref (guard->permits_in_use);
   quince_service_capacities_free (guard->capacities);
-  g_hash_table_unref (guard->asks);
+  g_hash_table_unref (guard->permit_requests);
   quince_quarantine_free (guard->quarantine);
   g_free (guard);
 }
@@ -87,19 +89,19 @@
 gboolean
 quince_send_guard_is_idle (const QuinceSendGuard *guard)
 {
-  return guard->checks == 0 && quince_quarantine_get_size (guard->quarantine) == 0;
+  return guard->pending_checks == 0 && quince_quarantine_get_size (guard->quarantine) == 0;
 }
 
 /* ---- Permits ----------------------------------------------------------- */
 
 /* Returns: %FALSE when @ask has to be made again. */
 static gboolean
-is_permit_request_valid (const PermitRequest *ask, gint64 now_us, gboolean alone)
+is_permit_request_valid (const PermitRequest *request, gint64 now_us, gboolean alone)
 {
-  static const gint64 keep_us[] = { [PERMIT_REQUEST_PENDING] = PERMIT_ANSWER_TIMEOUT_US,
-                                    [PERMIT_REQUEST_GRANTED] = UNUSED_PERMIT_TTL_US,
-                                    [PERMIT_REQUEST_REFUSED] = PERMIT_RETRY_DELAY_US };
-  return now_us - ask->at_us < keep_us[ask->state] && (ask->alone || !alone);
+  static const gint64 validity_us[] = { [PERMIT_REQUEST_PENDING] = PERMIT_ANSWER_TIMEOUT_US,
+                                        [PERMIT_REQUEST_GRANTED] = UNUSED_PERMIT_TTL_US,
+                                        [PERMIT_REQUEST_REFUSED] = PERMIT_RETRY_DELAY_US };
+  return now_us - request->state_since_us < validity_us[request->state] && (request->alone || !alone);
 }
 
 /* Returns: (nullable): %NULL when there is no leader to ask. */
@@ -110,46 +112,46 @@
                      const char *service,
                      gboolean alone)
 {
-  PermitRequest *ask = g_new0 (PermitRequest, 1);
-  ask->digest = *digest;
-  ask->at_us = now_us;
-  ask->alone = alone;
-  g_hash_table_replace (guard->asks, &ask->digest, ask);
-  if (guard->callbacks->ask (digest, service, alone, guard->user_data))
-    return g_hash_table_lookup (guard->asks, digest);
-  g_hash_table_remove (guard->asks, digest);
+  PermitRequest *request = g_new0 (PermitRequest, 1);
+  request->digest = *digest;
+  request->state_since_us = now_us;
+  request->alone = alone;
+  g_hash_table_replace (guard->permit_requests, &request->digest, request);
+  if (guard->callbacks->request_permit (digest, service, alone, guard->user_data))
+    return g_hash_table_lookup (guard->permit_requests, digest);
+  g_hash_table_remove (guard->permit_requests, digest);
   return NULL;
 }
 
 void
 quince_send_guard_handle_permit_answer (QuinceSendGuard *guard,
                                         const QuinceRequestDigest *digest,
-                                        gboolean given)
+                                        gboolean granted)
 {
-  PermitRequest *ask = g_hash_table_lookup (guard->asks, digest);
-  if (ask == NULL || ask->state != PERMIT_REQUEST_PENDING)
+  PermitRequest *request = g_hash_table_lookup (guard->permit_requests, digest);
+  if (request == NULL || request->state != PERMIT_REQUEST_PENDING)
     {
-      if (given)
-        guard->callbacks->give_back (digest, guard->user_data);
+      if (granted)
+        guard->callbacks->return_permit (digest, guard->user_data);
       return;
     }
-  ask->state = given ? PERMIT_REQUEST_GRANTED : PERMIT_REQUEST_REFUSED;
-  ask->at_us = quince_now_us ();
+  request->state = granted ? PERMIT_REQUEST_GRANTED : PERMIT_REQUEST_REFUSED;
+  request->state_since_us = quince_now_us ();
 }
 
 void
 quince_send_guard_drop_permit_requests (QuinceSendGuard *guard)
 {
-  g_hash_table_remove_all (guard->asks);
+  g_hash_table_remove_all (guard->permit_requests);
 }
 
 /* @ask: (nullable) */
 static QuincePermitState
-get_permit_state (const PermitRequest *ask)
+get_permit_state (const PermitRequest *request)
 {
-  if (ask == NULL)
+  if (request == NULL)
     return QUINCE_PERMIT_NO_LEADER;
-  return ask->state == PERMIT_REQUEST_GRANTED ? QUINCE_PERMIT_GRANTED : QUINCE_PERMIT_PENDING;
+  return request->state == PERMIT_REQUEST_GRANTED ? QUINCE_PERMIT_GRANTED : QUINCE_PERMIT_PENDING;
 }
 
 static QuinceAdmission
@@ -160,15 +162,15 @@
                 gboolean alone,
                 QuinceSendPermit *permit)
 {
-  const PermitRequest *ask = g_hash_table_lookup (guard->asks, digest);
-  if (ask == NULL || !is_permit_request_valid (ask, now_us, alone))
-    ask = send_permit_request (guard, now_us, digest, service, alone);
-  QuinceAdmission admission = quince_admission_for_permit_state (get_permit_state (ask), alone);
+  const PermitRequest *request = g_hash_table_lookup (guard->permit_requests, digest);
+  if (request == NULL || !is_permit_request_valid (request, now_us, alone))
+    request = send_permit_request (guard, now_us, digest, service, alone);
+  QuinceAdmission admission = quince_admission_for_permit_state (get_permit_state (request), alone);
   if (admission != QUINCE_ADMISSION_PERMIT)
     return admission;
-  *permit = (QuinceSendPermit){ .taken = TRUE, .alone = ask->alone, .digest = *digest };
-  g_hash_table_add (guard->held, g_memdup2 (digest, sizeof *digest));
-  g_hash_table_remove (guard->asks, digest);
+  *permit = (QuinceSendPermit){ .taken = TRUE, .alone = request->alone, .digest = *digest };
+  g_hash_table_add (guard->permits_in_use, g_memdup2 (digest, sizeof *digest));
+  g_hash_table_remove (guard->permit_requests, digest);
   return QUINCE_ADMISSION_PERMIT;
 }
 
@@ -183,7 +185,9 @@
 
 /* What is known of the request and of its prompt: the stricter one counts. */
 static QuinceSendRule
-judge (const QuinceSendGuard *guard, const QuinceRequestIdentity *identity, QuinceSendRule *prompt_rule)
+get_stricter_rule (const QuinceSendGuard *guard,
+                   const QuinceRequestIdentity *identity,
+                   QuinceSendRule *prompt_rule)
 {
   *prompt_rule = identity->has_prompt ? quince_quarantine_get_rule (guard->quarantine, &identity->prompt)
                                       : QUINCE_SEND_UNRESTRICTED;
@@ -199,14 +203,14 @@
 {
   expire_suspects (guard, now_us);
   QuinceSendRule prompt_rule;
-  QuinceSendRule rule = judge (guard, identity, &prompt_rule);
+  QuinceSendRule rule = get_stricter_rule (guard, identity, &prompt_rule);
   /* One permit for all that share a suspected prompt. */
   const QuinceRequestDigest *digest
       = prompt_rule != QUINCE_SEND_UNRESTRICTED ? &identity->prompt : &identity->request;
   const QuinceAdmissionInput request
       = { .rule = rule,
           .loss_check_pending = quince_send_guard_is_loss_check_pending (guard, identity),
-          .permit_in_use = g_hash_table_contains (guard->held, digest),
+          .permit_in_use = g_hash_table_contains (guard->permits_in_use, digest),
           .should_yield = quince_quarantine_should_yield (guard->quarantine, now_us, identity) };
   QuinceAdmission admission = quince_admission_for_request (&request);
   if (admission != QUINCE_ADMISSION_PERMIT)
@@ -224,7 +228,7 @@
 {
   QuinceSendRule prompt_rule;
   const QuinceAdmissionInput request
-      = { .rule = judge (guard, identity, &prompt_rule),
+      = { .rule = get_stricter_rule (guard, identity, &prompt_rule),
           .loss_check_pending = quince_send_guard_is_loss_check_pending (guard, identity) };
   return quince_admission_allows_hedge (&request)
          && quince_send_guard_service_allows_hedge (guard, now_us, service);
@@ -240,10 +244,10 @@
                      const char *worker_id,
                      QuinceSuspectScope scope)
 {
-  QuinceSuspect seen;
+  QuinceSuspect observed;
   QuinceSuspect expected;
-  quince_send_guard_describe_end (identity, permit, worker_id, scope, &seen);
-  quince_quarantine_expect_end (guard->quarantine, now_us, &seen, &expected);
+  quince_send_guard_describe_end (identity, permit, worker_id, scope, &observed);
+  quince_quarantine_expect_end (guard->quarantine, now_us, &observed, &expected);
   guard->callbacks->sending (&expected, guard->user_data);
 }
 
@@ -267,8 +271,8 @@
                 QuinceSuspectScope scope,
                 guint ends)
 {
-  g_autofree char *text = quince_request_digest_format (digest);
-  quince_log_info ("suspect_cleared", "digest=%s scope=%s", text, quince_suspect_scope_name (scope));
+  g_autofree char *digest_text = quince_request_digest_format (digest);
+  quince_log_info ("suspect_cleared", "digest=%s scope=%s", digest_text, quince_suspect_scope_name (scope));
   guard->callbacks->cleared (digest, scope, ends, guard->user_data);
 }
 
--- a/lib/forward/send-guard.h
+++ b/lib/forward/send-guard.h
@@ -31,11 +31,11 @@
  */
 typedef struct
 {
-  gboolean (*ask) (const QuinceRequestDigest *digest,
-                   const char *service,
-                   gboolean alone,
-                   gpointer user_data);
-  void (*give_back) (const QuinceRequestDigest *digest, gpointer user_data);
+  gboolean (*request_permit) (const QuinceRequestDigest *digest,
+                              const char *service,
+                              gboolean alone,
+                              gpointer user_data);
+  void (*return_permit) (const QuinceRequestDigest *digest, gpointer user_data);
   void (*sending) (const QuinceSuspect *expected, gpointer user_data);
   void (*ended) (const QuinceSuspect *suspect, gpointer user_data);
   void (*cleared) (const QuinceRequestDigest *digest,
@@ -91,7 +91,7 @@
 /* The answer to QuinceSendGuardCallbacks.ask(). */
 void quince_send_guard_handle_permit_answer (QuinceSendGuard *guard,
                                              const QuinceRequestDigest *digest,
-                                             gboolean given);
+                                             gboolean granted);
 /* The leader is gone, and with it the permits that were asked for. */
 void quince_send_guard_drop_permit_requests (QuinceSendGuard *guard);
 
--- a/lib/forward/stream.c
+++ b/lib/forward/stream.c
@@ -25,15 +25,15 @@
   gpointer user_data;
 
   QuinceHttpExchange *exchange;
-  gpointer events; /* of the attempt in progress, where it may be resumed */
+  gpointer event_parser; /* of the attempt in progress, where it may be resumed */
   char *worker_id;
-  QuinceRetryTimer timer; /* next attempt */
-  QuinceTimer *silence;   /* of the attempt in progress, and the end of all */
+  QuinceRetryTimer timer;     /* next attempt */
+  QuinceTimer *timeout_timer; /* of the attempt in progress, and the end of all */
   gint64 contact_us;
-  guint64 last_event;
+  guint64 last_event_id;
   gboolean has_last_event;
   gboolean head_forwarded;
-  gboolean passes; /* bytes of this attempt go to the caller */
+  gboolean forwarding; /* bytes of this attempt go to the caller */
 };
 
 /* ---- Ends ------------------------------------------------------------- */
@@ -41,10 +41,10 @@
 static void
 release_worker (QuinceStream *stream)
 {
-  quince_timer_clear (&stream->silence);
-  if (stream->events != NULL)
-    stream->dialect->event_parser_free (stream->events);
-  stream->events = NULL;
+  quince_timer_clear (&stream->timeout_timer);
+  if (stream->event_parser != NULL)
+    stream->dialect->event_parser_free (stream->event_parser);
+  stream->event_parser = NULL;
   stream->exchange = NULL;
   quince_dispatch_release_worker (&stream->dispatch, stream->worker_id);
 }
@@ -86,21 +86,21 @@
 stream_fail (QuinceStream *stream)
 {
   gboolean may_have_run = stream->dispatch.retry.runs > 0 || stream->head_forwarded;
-  gboolean late = quince_now_us () >= stream->dispatch.retry.give_up_us;
-  stream_end (stream, quince_dispatch_give_up (may_have_run, late));
+  gboolean timed_out = quince_now_us () >= stream->dispatch.retry.give_up_us;
+  stream_end (stream, quince_dispatch_give_up (may_have_run, timed_out));
 }
 
 /* ---- After an attempt ------------------------------------------------- */
 
 static void
-attempt_failed (QuinceStream *stream, gboolean ran, const char *cause)
+attempt_failed (QuinceStream *stream, gboolean may_have_run, const char *cause)
 {
   stream->dispatch.cause = cause;
   quince_dispatch_return_permit (&stream->dispatch);
   g_autofree char *labels = g_strdup_printf ("outcome=\"%s\"", cause);
   quince_metric_add ("quince_stream_attempts_total", labels, 1);
   quince_dispatch_log_failed_attempt (&stream->dispatch, stream->worker_id, stream->contact_us);
-  if (ran)
+  if (may_have_run)
     stream->dispatch.retry.runs++;
   else
     stream->dispatch.retry.refused_sends++;
@@ -129,9 +129,9 @@
   gboolean not_run = FALSE;
   stream->dialect->forward->read_answer (head, &request_id, &signature, &not_run);
   stream->contact_us = quince_now_us ();
-  stream->passes = g_strcmp0 (request_id, stream->dispatch.request_id) == 0 && !not_run
-                   && (head->status == 200 ? signature != NULL : !stream->dispatch.retry.repeatable);
-  if (!stream->passes)
+  stream->forwarding = g_strcmp0 (request_id, stream->dispatch.request_id) == 0 && !not_run
+                       && (head->status == 200 ? signature != NULL : !stream->dispatch.retry.repeatable);
+  if (!stream->forwarding)
     {
       if (request_id != NULL && !g_str_equal (request_id, stream->dispatch.request_id))
         quince_http_exchange_distrust (exchange);
@@ -148,11 +148,11 @@
 {
   guint64 id = 0;
   g_autoptr (GString) bytes = g_string_new (NULL);
-  while (stream->dialect->event_parser_next_event (stream->events, &id, bytes))
+  while (stream->dialect->event_parser_next_event (stream->event_parser, &id, bytes))
     {
-      if (stream->has_last_event && id <= stream->last_event)
+      if (stream->has_last_event && id <= stream->last_event_id)
         return FALSE;
-      stream->last_event = id;
+      stream->last_event_id = id;
       stream->has_last_event = TRUE;
       stream->callbacks->data (bytes->str, bytes->len, stream->user_data);
       g_string_truncate (bytes, 0);
@@ -165,14 +165,14 @@
 {
   QuinceStream *stream = user_data;
   stream->contact_us = quince_now_us ();
-  if (!stream->passes)
+  if (!stream->forwarding)
     return;
   if (!stream->dispatch.retry.repeatable)
     {
       stream->callbacks->data (data, length, stream->user_data);
       return;
     }
-  stream->dialect->event_parser_feed (stream->events, data, length);
+  stream->dialect->event_parser_feed (stream->event_parser, data, length);
   if (forward_events (stream))
     return;
   quince_http_exchange_cancel (exchange);
@@ -181,7 +181,7 @@
 }
 
 static void
-answered (QuinceStream *stream, const QuinceHttpHead *head, gboolean has_rest)
+handle_answer (QuinceStream *stream, const QuinceHttpHead *head, gboolean has_partial_event)
 {
   const char *request_id = NULL;
   const char *signature = NULL;
@@ -189,7 +189,7 @@
   stream->dialect->forward->read_answer (head, &request_id, &signature, &not_run);
   if (!not_run)
     quince_dispatch_handle_answer (&stream->dispatch);
-  if (stream->passes && !has_rest)
+  if (stream->forwarding && !has_partial_event)
     {
       stream->dispatch.cause = "whole";
       stream_end (stream, QUINCE_FORWARD_ANSWERED);
@@ -204,12 +204,12 @@
 exchange_done (QuinceHttpExchange *exchange, QuinceHttpOutcome outcome, const GError *error, gpointer data)
 {
   QuinceStream *stream = data;
-  gboolean has_rest
-      = stream->events != NULL && stream->dialect->event_parser_has_partial_event (stream->events);
+  gboolean has_partial_event = stream->event_parser != NULL
+                               && stream->dialect->event_parser_has_partial_event (stream->event_parser);
   release_worker (stream);
   if (outcome == QUINCE_HTTP_ANSWERED)
     {
-      answered (stream, quince_http_exchange_get_head (exchange), has_rest);
+      handle_answer (stream, quince_http_exchange_get_head (exchange), has_partial_event);
       return;
     }
   eject_worker (stream);
@@ -226,32 +226,32 @@
 
 /* Silence, and the end of the time that there is. */
 static gboolean
-check_time (gpointer data)
+check_timeouts (gpointer data)
 {
   QuinceStream *stream = data;
   gint64 now = quince_now_us ();
-  quince_timer_clear (&stream->silence);
+  quince_timer_clear (&stream->timeout_timer);
   gint64 silent_ms = (now - stream->contact_us) / 1000;
-  gboolean late = now >= stream->dispatch.retry.give_up_us;
-  if (!late && (!stream->dispatch.retry.repeatable || silent_ms < QUINCE_SILENCE_STREAM_TIMEOUT_MS))
+  gboolean timed_out = now >= stream->dispatch.retry.give_up_us;
+  if (!timed_out && (!stream->dispatch.retry.repeatable || silent_ms < QUINCE_SILENCE_STREAM_TIMEOUT_MS))
     {
       gint64 wait_ms = (stream->dispatch.retry.give_up_us - now) / 1000 + 1;
       if (stream->dispatch.retry.repeatable)
         wait_ms = MIN (wait_ms, QUINCE_SILENCE_STREAM_TIMEOUT_MS - silent_ms + 1);
-      stream->silence = quince_timer_add ((guint)wait_ms, check_time, stream);
+      stream->timeout_timer = quince_timer_add ((guint)wait_ms, check_timeouts, stream);
       return G_SOURCE_REMOVE;
     }
   /* What the worker sent while this process was stopped is passed on, late too. */
   if (quince_http_exchange_reads_first (stream->exchange))
     {
-      stream->silence = quince_timer_add (QUINCE_READ_FIRST_MS, check_time, stream);
+      stream->timeout_timer = quince_timer_add (QUINCE_READ_FIRST_MS, check_timeouts, stream);
       return G_SOURCE_REMOVE;
     }
   quince_http_exchange_cancel (stream->exchange);
   release_worker (stream);
-  if (!late)
+  if (!timed_out)
     eject_worker (stream);
-  attempt_failed (stream, TRUE, late ? "timeout" : "worker_silent");
+  attempt_failed (stream, TRUE, timed_out ? "timeout" : "worker_silent");
   return G_SOURCE_REMOVE;
 }
 
@@ -261,7 +261,7 @@
   QuinceDispatch *dispatch = &stream->dispatch;
   g_autoptr (QuinceHttpHeaders) headers = quince_dispatch_begin_attempt (dispatch, worker, now_us);
   if (stream->has_last_event)
-    stream->dialect->write_resume (headers, stream->last_event);
+    stream->dialect->write_resume (headers, stream->last_event_id);
   const QuinceHttpRequest request = { .method = dispatch->method,
                                       .target = dispatch->target,
                                       .headers = headers,
@@ -270,11 +270,11 @@
   g_free (stream->worker_id);
   stream->worker_id = g_strdup (worker->id);
   stream->contact_us = now_us;
-  stream->passes = FALSE;
-  stream->events = stream->dispatch.retry.repeatable ? stream->dialect->event_parser_new () : NULL;
+  stream->forwarding = FALSE;
+  stream->event_parser = stream->dispatch.retry.repeatable ? stream->dialect->event_parser_new () : NULL;
   QuinceHttpPool *pool = quince_backends_get_pool (dispatch->backends, worker);
   stream->exchange = quince_http_pool_start (pool, &request, &exchange_callbacks, stream);
-  stream->silence = quince_timer_add (1, check_time, stream);
+  stream->timeout_timer = quince_timer_add (1, check_timeouts, stream);
 }
 
 /* Returns: %FALSE when no attempt is to be made now. */
@@ -321,10 +321,10 @@
     }
   quince_dispatch_return_permit (&stream->dispatch);
   quince_dispatch_record_no_worker (&stream->dispatch, outcome);
-  gboolean waits
+  gboolean may_wait
       = quince_dispatch_may_wait_for_worker (&stream->dispatch, outcome, TRUE, stream->head_forwarded, now);
   g_hash_table_remove_all (stream->dispatch.avoid);
-  if (waits)
+  if (may_wait)
     quince_retry_timer_set (&stream->timer, QUINCE_NO_WORKER_PAUSE_US / 1000);
   else
     stream_fail (stream);
--- a/lib/forward/stream.h
+++ b/lib/forward/stream.h
@@ -21,13 +21,13 @@
 {
   const QuinceForwardDialect *forward;
   /* Asks a worker to begin behind the event @after. */
-  void (*write_resume) (QuinceHttpHeaders *headers, guint64 after);
+  void (*write_resume) (QuinceHttpHeaders *headers, guint64 last_event_id);
   /* Takes bytes in and gives whole events: their id and all of their bytes. */
   gpointer (*event_parser_new) (void);
-  void (*event_parser_free) (gpointer events);
-  void (*event_parser_feed) (gpointer events, const char *data, gsize length);
-  gboolean (*event_parser_next_event) (gpointer events, guint64 *id, GString *bytes);
-  gboolean (*event_parser_has_partial_event) (gpointer events);
+  void (*event_parser_free) (gpointer parser);
+  void (*event_parser_feed) (gpointer parser, const char *data, gsize length);
+  gboolean (*event_parser_next_event) (gpointer parser, guint64 *id, GString *bytes);
+  gboolean (*event_parser_has_partial_event) (gpointer parser);
 } QuinceStreamDialect;
 
 /**
--- a/tests/platform/test-send-guard.c
+++ b/tests/platform/test-send-guard.c
@@ -43,7 +43,7 @@
 }
 
 static const QuinceSendGuardCallbacks callbacks
-    = { .ask = nobody_to_ask, .give_back = give_back, .ended = ended, .cleared = cleared };
+    = { .request_permit = nobody_to_ask, .return_permit = give_back, .ended = ended, .cleared = cleared };
 
 static QuinceRequestIdentity
 identity_of (guint8 number)
