--- a/lib/forward/dispatch.c
+++ b/lib/forward/dispatch.c
@@ -1,5 +1,5 @@
 /*
- * dispatch.c: what lookups and streams share.
+ * dispatch.c: choice of a worker and admission of attempts, for lookups and streams.
  */
 #include "dispatch.h"
 
@@ -52,7 +52,7 @@
   g_free (dispatch->request_id);
 }
 
-/* Made when it is first needed: most requests never need it. */
+/* Computes the identity on first use, since most requests never need it. */
 static const QuinceRequestIdentity *
 get_identity (QuinceDispatch *dispatch)
 {
@@ -91,7 +91,7 @@
   return quince_backends_choose (dispatch->backends, now_us, &query, worker);
 }
 
-/* The cause as logs and refusals name it. */
+/* Returns the cause in logs and refusals. */
 static const char *
 get_no_worker_cause (QuinceBackendOutcome outcome)
 {
@@ -230,7 +230,7 @@
   return admission;
 }
 
-/* Its end would leave too few workers of its service. */
+/* Handles a suspect whose service has too few workers to risk the loss of another one. */
 static QuinceDispatchAction
 handle_protected_service (QuinceDispatch *dispatch, gboolean response_started, gint64 now_us, guint *wait_ms)
 {
--- a/lib/forward/dispatch.h
+++ b/lib/forward/dispatch.h
@@ -1,9 +1,9 @@
 /*
- * dispatch.h: what lookups and streams share: the request, its attempts so far, the choice of a worker for
- * the next one, and its admission by the send guard.
+ * dispatch.h: state and functions that lookups (forward.c) and streams (stream.c) share: the request, its
+ * attempts so far, the choice of a worker and the admission by the send guard.
  *
- * For: forward.c and stream.c, which own one each.  Owns: copies of the request, and the permit of the send
- * in progress. Relies on: the backends; core/decisions for each rule.
+ * A dispatch owns a copy of the request and the permit of the attempt in flight.  The rules are in
+ * core/decisions.
  */
 #pragma once
 
@@ -14,12 +14,12 @@
 
 typedef struct
 {
-  /* All fields belong to the forward or stream that it is part of. */
+  /* All fields belong to the forward or stream that contains it. */
   QuinceBackends *backends;
   const QuinceForwardDialect *dialect;
   char *service;
-  char *caller; /* NULL: not known */
-  char *tenant; /* whose regions bind; NULL: none */
+  char *caller; /* NULL: unknown */
+  char *tenant; /* tenant whose region rules apply; NULL: none */
   QuinceResidencyLookup lookup;
   char *kind;
   char *method;
@@ -27,74 +27,81 @@
   char *request_id;
   QuinceHttpHeaders *headers;
   GBytes *body;
-  QuinceRequestIdentity identity; /* made when it is first needed */
+  QuinceRequestIdentity identity; /* valid if has_identity; computed on first use */
   gboolean has_identity;
-  QuinceSendPermit permit;        /* of the send in progress */
-  gint64 admission_wait_since_us; /* since when it waits for its admission, monotonic; 0: it does not */
-  char **prompt;                  /* NULL: nothing of it is kept */
-  GHashTable *avoid;              /* ids of workers that were tried */
-  guint attempts;                 /* sends so far */
+  QuinceSendPermit permit;        /* of the attempt in flight */
+  gint64 admission_wait_since_us; /* start of the wait for admission, monotonic; 0: not waiting */
+  char **prompt;                  /* parts of the prompt, NULL-terminated; NULL: none */
+  GHashTable *avoid;              /* ids of workers that already had an attempt */
+  guint attempts;                 /* number of attempts started */
   QuinceRetryState retry;
-  const char *cause; /* why the last attempt gave no answer that counts, or there was none; NULL: none yet */
-  guint retry_after_ms; /* for a refused caller; 0: not known */
+  const char *cause; /* why the last attempt failed or could not start, for logs and refusals; NULL: none */
+  guint retry_after_ms; /* time after which a refused caller may retry; 0: unknown */
   gint64 target_latency_us;
   gint64 started_us;
   gint64 deadline_us;
 } QuinceDispatch;
 
-/* Copies what it needs of @request; the request begins now.  @repeatable: it may run more than once */
+/* Initializes @dispatch with a copy of @request.  The start time of the request is the current time.
+ * @repeatable: the request may run more than once */
 void quince_dispatch_init (QuinceDispatch *dispatch,
                            QuinceBackends *backends,
                            const QuinceForwardDialect *dialect,
                            const QuinceForwardRequest *request,
                            gboolean repeatable);
 void quince_dispatch_clear (QuinceDispatch *dispatch);
-/* Chooses a worker for the next attempt. */
+/* Chooses a worker for the next attempt.  Sets @worker to NULL unless the outcome is
+ * QUINCE_BACKEND_CHOSEN. */
 QuinceBackendOutcome
 quince_dispatch_choose_worker (QuinceDispatch *dispatch, gint64 now_us, QuinceWorker **worker);
-/* There was no worker to choose: notes the cause, unless that of an earlier attempt is known. */
+/* Records why no worker was chosen.  The cause of an earlier failed attempt is kept, unless @outcome is
+ * QUINCE_BACKEND_EVACUATED. */
 void quince_dispatch_record_no_worker (QuinceDispatch *dispatch, QuinceBackendOutcome outcome);
-/* What follows then, without an attempt in progress; see no-worker.h.  @began: a stream whose caller has the
- * head.  Notes when a cold worker may have room. */
+/* Returns whether a request without an attempt in flight waits for a worker; see no-worker.h.  Sets
+ * retry_after_ms to the time until a cold worker may have capacity.  @response_started: the caller has
+ * received the response head of a stream */
 gboolean quince_dispatch_may_wait_for_worker (QuinceDispatch *dispatch,
                                               QuinceBackendOutcome outcome,
                                               gboolean is_stream,
                                               gboolean response_started,
                                               gint64 now_us);
-/* The attempt at @worker_id, begun, or with its last data, at @since_us, gave no answer that counts: logs it.
- */
+/* Logs an attempt that failed or was refused.  @since_us: start of the attempt or, for a stream, time of its
+ * last data */
 void
 quince_dispatch_log_failed_attempt (const QuinceDispatch *dispatch, const char *worker_id, gint64 since_us);
-/* How the request ends without an answer; see retry.h. */
+/* Returns the outcome of a request that is given up without an answer; see retry.h. */
 QuinceForwardOutcome quince_dispatch_give_up (gboolean may_have_run, gboolean timed_out);
-/* The attempt goes to @worker: counts it there and here. (transfer full): the headers that it is sent */
+/* Counts an attempt at @worker, and reports it to the send guard.  Returns (transfer full): the headers of
+ * the attempt */
 QuinceHttpHeaders *
 quince_dispatch_begin_attempt (QuinceDispatch *dispatch, QuinceWorker *worker, gint64 now_us);
-/* The attempt at @worker_id is over. */
+/* Decrements the number of requests in flight at @worker_id, if the worker is still listed. */
 void quince_dispatch_release_worker (QuinceDispatch *dispatch, const char *worker_id);
-/* (nullable): @worker_id where it is still listed */
+/* Returns the worker @worker_id, or NULL if it is no longer listed. */
 QuinceWorker *quince_dispatch_find_worker (const QuinceDispatch *dispatch, const char *worker_id);
-/* What follows when the next attempt asks for its admission. */
+/* Result of the admission of an attempt. */
 typedef enum
 {
-  QUINCE_DISPATCH_SEND,    /* choose a worker and send                                      */
-  QUINCE_DISPATCH_WAIT,    /* ask again later                                               */
-  QUINCE_DISPATCH_GIVE_UP, /* refuse or fail; the cause and Retry-After are noted           */
-  QUINCE_DISPATCH_HELD,    /* it is held: it is not sent any more                           */
+  QUINCE_DISPATCH_SEND,    /* choose a worker and send the request               */
+  QUINCE_DISPATCH_WAIT,    /* ask again later                                    */
+  QUINCE_DISPATCH_GIVE_UP, /* refuse or fail; cause and retry_after_ms are set   */
+  QUINCE_DISPATCH_HELD,    /* the quarantine holds the request: do not send it   */
 } QuinceDispatchAction;
 
 /**
  * quince_dispatch_admit:
- * @began: the caller has a part of the answer
- * @wait_ms: (out): QUINCE_DISPATCH_WAIT: for how long
+ * @response_started: the caller has received a part of the answer
+ * @wait_ms: (out): pause before asking again, ms; valid for QUINCE_DISPATCH_WAIT
  *
- * Asks the send guard whether the next attempt may be made; see core/decisions/admission.h.
+ * Asks the send guard whether the next attempt may start; see core/decisions/admission.h.
  */
 QuinceDispatchAction
 quince_dispatch_admit (QuinceDispatch *dispatch, gboolean response_started, gint64 now_us, guint *wait_ms);
-/* Whether another attempt may be made beside the one in progress. */
+/* Returns whether a hedge may start while an attempt is in flight. */
 gboolean quince_dispatch_may_hedge (QuinceDispatch *dispatch, gint64 now_us);
-/* How the attempt ended: see send-guard.h. */
+/* Tells the send guard that the worker answered; returns the permit. */
 void quince_dispatch_handle_answer (QuinceDispatch *dispatch);
+/* Logs that the connection to @worker_id broke, and lets the send guard check whether the worker ended. */
 void quince_dispatch_handle_connection_loss (QuinceDispatch *dispatch, const char *worker_id);
+/* Returns the permit of the attempt, if it has one. */
 void quince_dispatch_return_permit (QuinceDispatch *dispatch);
--- a/lib/forward/event-table.c
+++ b/lib/forward/event-table.c
@@ -1,12 +1,12 @@
 /*
- * event-table.c: the operators' events, and what the policy sees of them.
+ * event-table.c: traffic events that operators announce, as the policy sees them.
  */
 #include "forward/event-table.h"
 
 struct _QuinceEventTable
 {
   /* All fields belong to the context that created it. */
-  GHashTable *by_name; /* QuinceEventEntry, both owned */
+  GHashTable *by_name; /* name to QuinceEventEntry, both owned */
 };
 
 static void
--- a/lib/forward/event-table.h
+++ b/lib/forward/event-table.h
@@ -1,8 +1,7 @@
 /*
- * event-table.h: the operators' events, and what the policy sees of them.
+ * event-table.h: traffic events that operators announce, as the policy sees them.
  *
- * For: backends.c, which owns it, and policy-entry.c, which reads events from the metadata store.  Owns: the
- * events.
+ * The backends own the table; policy-entry.c reads the events from the metadata store.
  */
 #pragma once
 
@@ -10,7 +9,8 @@
 
 G_BEGIN_DECLS
 
-/* A burst that operators expect.  Times are of the wall clock, ms; service "-": every one. */
+/* An expected burst of requests.  Times are in ms, start_ms of the wall clock.  The service "-" means all
+ * services. */
 typedef struct
 {
   gint64 start_ms;
@@ -22,11 +22,11 @@
 
 QuinceEventTable *quince_event_table_new (void);
 void quince_event_table_free (QuinceEventTable *table);
-/* Takes @entry's service over.  An event of the same name is replaced. */
+/* Adds an event, or replaces the event of the same name.  Takes ownership of @entry->service. */
 void quince_event_table_set (QuinceEventTable *table, const char *name, const QuinceEventEntry *entry);
 void quince_event_table_remove (QuinceEventTable *table, const char *name);
-/* Fills in what @request's service has of events, at the wall clock @wall_ms: whether one is active, and how
- * soon the next one begins. */
+/* Sets @request->event_active and @request->event_in_ms from the events of @request->service at the wall
+ * clock time @wall_ms. */
 void
 quince_event_table_describe (const QuinceEventTable *table, gint64 wall_ms, QuincePolicyRequest *request);
 
--- a/lib/forward/forward.c
+++ b/lib/forward/forward.c
@@ -1,9 +1,9 @@
 /*
  * forward.c: attempts of one lookup or reward call at workers.
  *
- * A request that may run again is hedged: where its worker takes unusually long it is sent to a second one
- * while the first attempt goes on; the first answer that counts is taken and the other attempt is cancelled.
- * No more workers get it than its route allows.  The rules: core/decisions/retry.h, hedge.h and no-worker.h.
+ * A repeatable request is hedged: if its worker is slow, a second attempt starts at another worker.  The
+ * first valid answer is used, and the other attempt is cancelled.  The rules are in core/decisions: retry.h,
+ * hedge.h and no-worker.h.
  */
 #include "runtime/log.h"
 #include "runtime/metrics.h"
@@ -15,10 +15,10 @@
 
 #include "dispatch.h"
 
-/* Rounding of timers, us: they count whole milliseconds.  Not measured. */
+/* Margin for the rounding of timers to whole milliseconds, us. */
 #define TIMER_ROUNDING_US 2000
 
-/* One run at one worker. */
+/* An attempt in flight. */
 typedef struct
 {
   QuinceForward *forward;
@@ -34,15 +34,15 @@
   void (*done) (const QuinceForwardResult *, gpointer);
   gpointer user_data;
 
-  GPtrArray *in_flight;   /* Attempt, owned: in progress, the oldest first */
-  QuinceRetryTimer timer; /* next attempt, or a hedge beside the one in progress */
-  gint64 first_run_us;    /* when the first of them was sent; 0: there is none */
+  GPtrArray *in_flight;   /* Attempt, owned; the oldest first */
+  QuinceRetryTimer timer; /* next attempt or hedge */
+  gint64 first_run_us;    /* start of the first attempt, monotonic; 0: no attempt may have run */
   guint failed_runs;
 };
 
 /* ---- Attempts --------------------------------------------------------- */
 
-/* Cancels it where it is in progress. */
+/* Frees the attempt, and cancels its exchange unless that is complete. */
 static void
 attempt_free (gpointer data)
 {
@@ -72,7 +72,7 @@
   quince_metric_add ("quince_forward_attempts_total", labels, 1);
 }
 
-/* ---- Ends ------------------------------------------------------------- */
+/* ---- Completion ------------------------------------------------------- */
 
 static void
 forward_free (QuinceForward *forward)
@@ -115,7 +115,7 @@
   forward_end (forward, result);
 }
 
-/* ---- After an attempt ------------------------------------------------- */
+/* ---- End of an attempt ------------------------------------------------ */
 
 static void
 schedule_attempt (QuinceForward *forward, gint64 wait_us)
@@ -130,7 +130,8 @@
   g_ptr_array_remove (attempt->forward->in_flight, attempt);
 }
 
-/* The attempt gave no answer that counts.  @ran: it may have run */
+/* Frees an attempt without a valid answer.  Then retries or fails the request, unless another attempt is in
+ * flight.  @may_have_run: the worker may have run the request */
 static void
 attempt_failed (Attempt *attempt, gboolean may_have_run, const char *cause)
 {
@@ -149,7 +150,7 @@
     }
   gint64 now = quince_now_us ();
   if (forward->in_flight->len > 0)
-    return; /* another attempt is in progress */
+    return; /* another attempt is in flight */
   if (quince_retry_may_retry (&forward->dispatch.retry, now))
     schedule_attempt (forward, 0);
   else
@@ -220,7 +221,8 @@
     attempt_answered (attempt, exchange, signature);
 }
 
-/* An answer to another request: what follows on this connection cannot be matched. */
+/* Closes the connection after this exchange if the answer belongs to another request, since later answers
+ * could be mismatched too. */
 static void
 exchange_head (QuinceHttpExchange *exchange, const QuinceHttpHead *head, gpointer data)
 {
@@ -236,7 +238,7 @@
 static const QuinceHttpExchangeCallbacks exchange_callbacks
     = { .head = exchange_head, .done = exchange_done };
 
-/* ---- An attempt ------------------------------------------------------- */
+/* ---- Start of an attempt ---------------------------------------------- */
 
 static void
 send_to (QuinceForward *forward, QuinceWorker *worker, gint64 now_us)
@@ -263,8 +265,8 @@
     schedule_attempt (forward, quince_hedge_delay_us (dispatch->target_latency_us, worker->service_time_us));
 }
 
-/* Makes the oldest run give way once it has been silent for long. Returns: %FALSE when it is too early for
- * that */
+/* Cancels the oldest attempt if it has timed out.  Otherwise, or if bytes of its answer are still unread,
+ * sets the timer for a later check.  Returns whether the attempt was cancelled. */
 static gboolean
 abandon_oldest (QuinceForward *forward, gint64 now_us)
 {
@@ -287,7 +289,7 @@
   return TRUE;
 }
 
-/* All workers may be tried again, except those with an attempt in progress. */
+/* Allows attempts at all workers again, except those with an attempt in flight. */
 static void
 reset_tried_workers (QuinceForward *forward)
 {
@@ -297,7 +299,7 @@
                       g_strdup (((Attempt *)forward->in_flight->pdata[i])->worker_id));
 }
 
-/* No worker for a second attempt beside the one in progress. */
+/* Handles a hedge for which no worker was chosen, while an attempt is in flight. */
 static void
 handle_no_hedge_worker (QuinceForward *forward, QuinceBackendOutcome outcome, gint64 now_us)
 {
@@ -318,7 +320,7 @@
     }
 }
 
-/* No worker is left: all were tried, or none is there, or all are full. */
+/* Handles an attempt or hedge for which no worker was chosen. */
 static void
 handle_no_worker (QuinceForward *forward, QuinceBackendOutcome outcome, gint64 now_us)
 {
@@ -329,7 +331,7 @@
     }
   quince_dispatch_record_no_worker (&forward->dispatch, outcome);
   gboolean may_wait = quince_dispatch_may_wait_for_worker (&forward->dispatch, outcome, FALSE, FALSE, now_us);
-  /* Other workers may have room by now, also workers that refused. */
+  /* Workers that refused the request may have capacity by now. */
   reset_tried_workers (forward);
   if (may_wait)
     schedule_attempt (forward, QUINCE_NO_WORKER_PAUSE_US);
@@ -337,7 +339,8 @@
     forward_fail (forward, FALSE);
 }
 
-/* Returns: %FALSE when no attempt is to be made now. */
+/* Returns whether the attempt may start now.  If not, a hedge is skipped, and any other request is retried
+ * later or ends. */
 static gboolean
 is_admitted (QuinceForward *forward, gint64 now_us)
 {
--- a/lib/forward/forward.h
+++ b/lib/forward/forward.h
@@ -1,11 +1,11 @@
 /*
- * forward.h: brings one request to a worker and its answer back: attempts, retries, hedges, deadlines.
+ * forward.h: forwards one request to a worker and returns the answer, with retries, hedges and deadlines.
  *
- * The outcome says whether any worker can have run the request.  An at-most-once request is sent again only
- * after a worker refused it, or when nothing was sent.
+ * Fronts use it for lookups, the leader for reward calls.  The outcome states whether a worker may have run
+ * the request.  An at-most-once request is sent again only if a worker refused it or it was not sent.
  *
- * For: lookups at fronts, reward calls at the leader.  Owns: the attempts in progress, their timers.  Relies
- * on: the backends for workers and connections; core/decisions (retry, hedge, no-worker) for the rules.
+ * A forward owns its attempts in flight and its timer.  Workers and connections come from the backends, the
+ * rules from core/decisions (retry, hedge, no-worker).
  */
 #pragma once
 
@@ -17,19 +17,20 @@
 
 typedef enum
 {
-  QUINCE_FORWARD_ANSWERED, /* a worker's whole answer, of any status               */
-  QUINCE_FORWARD_REFUSED,  /* no worker ran it, and none will                      */
-  QUINCE_FORWARD_FAILED,   /* it may have run, and there is no answer              */
-  QUINCE_FORWARD_TIMEOUT,  /* it may have run, and the time is up                  */
-  QUINCE_FORWARD_HELD,     /* it has run before and ended its workers: it is not sent any more */
+  QUINCE_FORWARD_ANSWERED, /* a worker sent a complete answer, with any status         */
+  QUINCE_FORWARD_REFUSED,  /* no worker ran it, and it is not sent again               */
+  QUINCE_FORWARD_FAILED,   /* it may have run, and there is no answer                  */
+  QUINCE_FORWARD_TIMEOUT,  /* it may have run, and the deadline has passed             */
+  QUINCE_FORWARD_HELD,     /* the quarantine holds it: workers ended while running it  */
 } QuinceForwardOutcome;
 
-/* How one platform writes requests to its workers and reads their answers. */
+/* How a platform encodes requests to its workers and decodes their answers. */
 typedef struct
 {
-  /* Adds the headers of the platform for this attempt. */
+  /* Adds the platform's headers of an attempt at @worker_id. */
   void (*write_attempt_headers) (QuinceHttpHeaders *headers, const char *worker_id, gint64 time_left_ms);
-  /* Reads an answer; texts live as long as @head. */
+  /* Reads the request id, the signature and whether the worker refused to run the request.  The strings are
+   * (nullable) and valid as long as @head. */
   void (*read_answer) (const QuinceHttpHead *head,
                        const char **request_id,
                        const char **signature,
@@ -38,17 +39,18 @@
 
 /**
  * QuinceForwardRequest:
- * @service: where to
- * @caller: (nullable): tenant that asks
- * @tenant: (nullable): whose regions bind; %NULL: @caller's
- * @headers: the caller's, without hop-by-hop headers
- * @prompt: (nullable): parts of its prompt, %NULL-terminated, where a worker that keeps them is to be
- * preferred
- * @repeatable: it may run more than once
- * @max_attempts: workers that may run it
- * @target_latency_ms: an answer within it earns its full credit
- * @deadline_us: the caller's own, monotonic
- * @give_up_us: no later than @deadline_us: the operator's bound, monotonic
+ * @service: service whose workers may run the request
+ * @caller: (nullable): tenant that sent the request
+ * @tenant: (nullable): tenant whose region rules apply; %NULL: @caller
+ * @kind: name of the route, as the policy sees it
+ * @headers: headers of the caller, without hop-by-hop headers
+ * @body: (nullable): body of the request
+ * @prompt: (nullable): parts of the prompt, %NULL-terminated; a worker that has them cached is preferred
+ * @repeatable: the request may run more than once; ignored for streams
+ * @max_attempts: maximum number of attempts that may run; 0 counts as 1
+ * @target_latency_ms: latency target of the route, ms; 0: none
+ * @deadline_us: deadline of the caller, monotonic, us
+ * @give_up_us: deadline after which no attempt starts, monotonic, us; limited to @deadline_us
  */
 typedef struct
 {
@@ -69,34 +71,35 @@
   gint64 give_up_us;
 } QuinceForwardRequest;
 
-/* Cause of a refusal: all workers that serve the request stand in zones that the operator has evacuated. */
+/* Cause of a refusal: all workers that serve the request are in evacuated zones. */
 #define QUINCE_FORWARD_CAUSE_EVACUATED "zone_evacuated"
 
-/* How it went; lives until done() returns. */
+/* Result of a forward.  Valid until done() returns. */
 typedef struct
 {
   QuinceForwardOutcome outcome;
-  const QuinceHttpHead *head; /* answered */
-  const GByteArray *body;     /* answered */
-  const char *signature;      /* answered, signed */
-  const char *cause;          /* why not, as logs and refusals name it */
-  guint retry_after_ms;       /* refused: when it may come back; 0: not known */
+  const QuinceHttpHead *head; /* if answered */
+  const GByteArray *body;     /* if answered */
+  const char *signature;      /* if answered and signed */
+  const char *cause; /* why the last attempt failed or could not start, for logs and refusals; NULL: none */
+  guint retry_after_ms; /* if refused: time after which the caller may retry; 0: unknown */
   guint attempts;
-  guint failed_runs; /* answers of 500 */
-  const char *worker;
-  gint64 attempt_duration_us; /* time of the last attempt */
-  gint64 first_run_us; /* when the first attempt that may have run was sent, monotonic; 0: none may have */
+  guint failed_runs;          /* number of answers with status 500 */
+  const char *worker;         /* if answered: id of the worker */
+  gint64 attempt_duration_us; /* if answered: time from the start of the answered attempt */
+  gint64 first_run_us;        /* start of the first attempt, monotonic; 0: no attempt may have run */
 } QuinceForwardResult;
 
-/* Copies what it needs of @request.  done() is called once, never before this returns. */
+/* Starts to forward a copy of @request.  Calls done() once, but never before this function returns; the
+ * forward is freed after that. */
 QuinceForward *quince_forward_start (QuinceBackends *backends,
                                      const QuinceForwardDialect *dialect,
                                      const QuinceForwardRequest *request,
                                      void (*done) (const QuinceForwardResult *result, gpointer user_data),
                                      gpointer user_data);
-/* As in QuinceForwardResult, of a forward in progress. */
+/* Returns QuinceForwardResult.first_run_us of a forward in progress. */
 gint64 quince_forward_get_first_run_us (const QuinceForward *forward);
-/* Ends it without done(); work at a worker is cancelled. */
+/* Cancels the attempts in flight and frees the forward, without a call of done(). */
 void quince_forward_cancel (QuinceForward *forward);
 
 G_END_DECLS
--- a/lib/forward/retry-timer.c
+++ b/lib/forward/retry-timer.c
@@ -1,5 +1,5 @@
 /*
- * retry-timer.c: calls a function once after a pause.
+ * retry-timer.c: a one-shot timer that can be restarted.
  */
 #include "forward/retry-timer.h"
 
--- a/lib/forward/retry-timer.h
+++ b/lib/forward/retry-timer.h
@@ -1,8 +1,8 @@
 /*
- * retry-timer.h: calls a function once after a pause; a new pause replaces the one before.
+ * retry-timer.h: a one-shot timer that can be restarted, for the next attempt of a lookup or stream and the
+ * next poll of a weight load.
  *
- * For: the next attempt of a lookup or stream, the next poll of a weight load.  Owns: one timer of the
- * context that sets it.
+ * It owns one timer of the thread-default context in which it is set.
  */
 #pragma once
 
@@ -20,9 +20,9 @@
 
 void
 quince_retry_timer_init (QuinceRetryTimer *timer, void (*callback) (gpointer user_data), gpointer user_data);
-/* Calls due() after @wait_ms, never before this returns. */
+/* Calls callback() after @wait_ms, but never before this function returns.  Replaces an earlier setting. */
 void quince_retry_timer_set (QuinceRetryTimer *timer, guint wait_ms);
-/* due() is not called any more; to be called before the owner is freed. */
+/* Stops the timer.  Must be called before the owner is freed. */
 void quince_retry_timer_clear (QuinceRetryTimer *timer);
 
 G_END_DECLS
--- a/lib/forward/send-guard-capacity.c
+++ b/lib/forward/send-guard-capacity.c
@@ -1,9 +1,9 @@
 /*
- * send-guard-capacity.c: whether the service of a suspected request survives one more end.
+ * send-guard-capacity.c: whether a service can lose one more worker.
  */
 #include "send-guard-private.h"
 
-/* A worker that ended stays listed until its entry lapses. */
+/* A worker that ended remains listed until its entry expires, so it is counted as listed but not as ready. */
 void
 quince_send_guard_count_workers (QuinceSendGuard *guard, gint64 now_us, const char *service)
 {
--- a/lib/forward/send-guard-log.c
+++ b/lib/forward/send-guard-log.c
@@ -6,7 +6,8 @@
 
 #include "send-guard-private.h"
 
-/* What is known of the request or, where that says more, of its prompt. */
+/* Returns the suspect of the request or of its prompt, or NULL if neither is a suspect.  If both are, a held
+ * one is preferred, then the one with more ends. */
 static const QuinceSuspect *
 find_worst_suspect (const QuinceSendGuard *guard, const QuinceRequestIdentity *identity)
 {
@@ -67,8 +68,8 @@
                       (now_us - suspect->ended_us) / 1000);
 }
 
-/* Names of the listed workers of @service that count as ended, separated by commas: which of them keep it
- * protected. (transfer full) */
+/* Returns (transfer full): the ids of the listed workers of @service that are recorded as ended, separated by
+ * commas */
 static char *
 format_ended_workers (const QuinceSendGuard *guard, const char *service)
 {
--- a/lib/forward/send-guard-losses.c
+++ b/lib/forward/send-guard-losses.c
@@ -1,7 +1,8 @@
 /*
- * send-guard-losses.c: how sends end, and which broken connections were ends of workers.
+ * send-guard-losses.c: broken connections to workers, and the checks whether the workers ended.
  *
- * A worker whose connection broke is checked; until its state is known, what was sent to it waits.
+ * When a connection breaks, its worker is checked.  Until the check is complete, the requests that ran on the
+ * worker are not admitted.
  */
 #include "runtime/clock.h"
 #include "runtime/log.h"
@@ -9,18 +10,18 @@
 #include "send-guard-private.h"
 #include "worker-check.h"
 
-/* Time for which a worker that was found to have ended is not checked again for further broken connections,
- * us: above the 3.6 s (three heartbeats of 1.2 s) after which its entry lapses. */
+/* Time for which further broken connections to an ended worker count as its end without another check, us.
+ * Longer than the 3.6 s (three heartbeats of 1.2 s) after which the worker's entry expires. */
 #define ENDED_WORKER_RETENTION_US (5 * G_USEC_PER_SEC)
 
-/* A request that lost its connection to the worker that is checked. */
+/* A request whose connection to the worker broke. */
 typedef struct
 {
   QuinceRequestIdentity identity;
   QuinceSendPermit permit;
 } LostRun;
 
-/* A worker whose connections broke. */
+/* A worker with broken connections. */
 typedef struct
 {
   QuinceSendGuard *guard;
@@ -28,8 +29,8 @@
   char *service;
   char *software;
   GArray *runs;             /* LostRun */
-  GPtrArray *sends;         /* QuinceSuspect, owned: sends of a leader that is lost */
-  QuinceWorkerCheck *check; /* NULL: it has ended */
+  GPtrArray *sends;         /* QuinceSuspect, owned: sends of a failed leader */
+  QuinceWorkerCheck *check; /* NULL: the worker has ended */
   gint64 ended_us;
 } WorkerLoss;
 
@@ -151,9 +152,9 @@
   quince_send_guard_return_permit (guard, &run->permit);
 }
 
-/* ---- Sends of a leader that is lost --------------------------------------- */
+/* ---- Sends of a failed leader --------------------------------------------- */
 
-/* @outcome: of the send, as the log names it */
+/* @outcome: value of the key "outcome" in the log */
 static void
 log_checked_send (const QuinceSuspect *send, const char *worker_id, const char *outcome)
 {
@@ -170,8 +171,8 @@
     guard->callbacks->ended (quince_quarantine_find (guard->quarantine, &send->digest), guard->user_data);
 }
 
-/* Only a worker that was found to have ended counts as ended: a living one that counted so would protect its
- * service, and no suspect would be sent that could disprove it. */
+/* Records ends only if the check found that the worker ended.  A running worker recorded as ended could keep
+ * its service protected; then no suspect would be sent and cleared by an answer. */
 static void
 handle_checked_sends (QuinceSendGuard *guard, const WorkerLoss *loss, QuinceWorkerSign result)
 {
@@ -195,9 +196,9 @@
   return loss->check == NULL && *now_us - loss->ended_us > ENDED_WORKER_RETENTION_US;
 }
 
-/* If several requests that were sent alone met at this worker, at most one of them ended it: none counts as
- * sent alone, or an innocent prompt would be held.  A run may outlast the time for which others are kept
- * away. */
+/* Counts no request as sent alone if several requests that were sent alone ran on the worker: at most one of
+ * them ended it, and harmless requests must not be held.  Such runs can overlap, since a permit excludes
+ * others only for a short time. */
 static void
 clear_alone_if_several (WorkerLoss *loss)
 {
@@ -251,7 +252,7 @@
   return loss;
 }
 
-/* The end of a worker that drains, or is not listed, is not caused by a request. */
+/* Returns whether the worker is draining or not listed: its end is not attributed to a request. */
 static gboolean
 is_expected_to_end (const QuinceWorker *worker)
 {
@@ -270,7 +271,7 @@
       return;
     }
   LostRun run = { .identity = *identity, .permit = *permit };
-  *permit = (QuinceSendPermit){ 0 }; /* it is over when the loss is decided */
+  *permit = (QuinceSendPermit){ 0 }; /* returned when the check is complete */
   if (guard->workers != NULL)
     quince_send_guard_count_workers (guard, quince_now_us (), worker->service);
   WorkerLoss *loss = find_or_start_check (guard, worker);
@@ -280,7 +281,7 @@
     record_run_end (guard, loss, &run);
 }
 
-/* (nullable): the listed worker that @send went to */
+/* Returns the listed worker that @send went to, or NULL if it is not listed. */
 static const QuinceWorker *
 find_worker_of_send (const QuinceSendGuard *guard, const QuinceSuspect *send)
 {
@@ -300,7 +301,7 @@
 quince_send_guard_check_send (QuinceSendGuard *guard, const QuinceSuspect *expected)
 {
   const QuinceWorker *worker = find_worker_of_send (guard, expected);
-  /* One that is listed no more has ended since the send. */
+  /* A worker that is no longer listed counts as ended. */
   if (worker == NULL || worker->expires_us != 0)
     {
       record_send_end (guard, expected, worker != NULL ? worker->id : "");
--- a/lib/forward/send-guard-private.h
+++ b/lib/forward/send-guard-private.h
@@ -1,9 +1,9 @@
 /*
  * send-guard-private.h: state shared by the files of the send guard.
  *
- * send-guard.c: whether a request may be sent.
- * send-guard-losses.c: how sends end, and which broken connections were ends of workers.
- * send-guard-capacity.c: whether the service of a request survives one more end.
+ * send-guard.c: admission of requests and permits.
+ * send-guard-losses.c: broken connections, and the checks whether their workers ended.
+ * send-guard-capacity.c: whether a service can lose one more worker.
  * send-guard-log.c: log lines and metrics.
  */
 #pragma once
@@ -14,32 +14,34 @@
 {
   /* All fields belong to the context that created it. */
   QuinceQuarantine *quarantine;
-  gint64 next_expire_us;       /* time of the next check for outdated suspects, monotonic */
-  GHashTable *permit_requests; /* PermitRequest by its own digest, owned */
-  GHashTable *permits_in_use;  /* QuinceRequestDigest, owned: of permits in use here */
-  QuinceWorkerTable *workers;  /* NULL: nothing is known of them */
+  gint64 next_expire_us;       /* time of the next removal of expired suspects, monotonic */
+  GHashTable *permit_requests; /* digest to PermitRequest, which contains the digest; owned */
+  GHashTable
+      *permits_in_use; /* QuinceRequestDigest, owned; permits of sends in flight or of pending checks */
+  QuinceWorkerTable *workers; /* NULL: the capacity of services is not checked */
   QuinceServiceCapacities *capacities;
-  GHashTable *losses;   /* of send-guard-losses.c, owned */
-  guint pending_checks; /* losses that are not decided */
+  GHashTable *losses;   /* worker id to WorkerLoss, see send-guard-losses.c; owned */
+  guint pending_checks; /* losses whose check is not complete */
   const QuinceSendGuardCallbacks *callbacks;
   gpointer user_data;
 };
 
 /* ---- send-guard-capacity.c ---------------------------------------------- */
 
-/* Counts the workers of @service. */
+/* Updates the worker counts of @service. */
 void quince_send_guard_count_workers (QuinceSendGuard *guard, gint64 now_us, const char *service);
-/* Whether a request of which nothing is known may run twice at once at @service. */
+/* Returns whether a request that is not a suspect may be hedged at @service. */
 gboolean quince_send_guard_service_allows_hedge (QuinceSendGuard *guard, gint64 now_us, const char *service);
 
 /* ---- send-guard-losses.c ------------------------------------------------ */
 
-/* (transfer full): no losses yet */
+/* Returns (transfer full): an empty table of losses */
 GHashTable *quince_send_guard_losses_new (void);
-/* A loss of the request, or of its prompt, is not decided yet: it may turn out to be an end. */
+/* Returns whether a worker that ran the request, or its prompt, is being checked. */
 gboolean quince_send_guard_is_loss_check_pending (const QuinceSendGuard *guard,
                                                   const QuinceRequestIdentity *identity);
-/* One end of @worker_id under a request, or under its prompt. */
+/* Fills in @observed for an end of @worker_id while it ran the request.  @scope: whether the suspect is the
+ * request or its prompt */
 void quince_send_guard_describe_end (const QuinceRequestIdentity *identity,
                                      const QuinceSendPermit *permit,
                                      const char *worker_id,
--- a/lib/forward/send-guard.c
+++ b/lib/forward/send-guard.c
@@ -1,21 +1,21 @@
 /*
- * send-guard.c: whether a request may be sent to a worker.
+ * send-guard.c: admission of requests to workers, and permits for suspects.
  */
 #include "runtime/log.h"
 #include "runtime/clock.h"
 
 #include "send-guard-private.h"
 
-/* Time after which a permit that another request has is asked for again, us: a usual run of a lookup takes
- * about 25 ms at the users' workers. */
+/* Pause before a refused permit is requested again, us: about the duration of a lookup (25 ms), after which
+ * its holder may have returned it. */
 #define PERMIT_RETRY_DELAY_US (20 * 1000)
-/* Time after which an unanswered request for a permit is made again, us.  Not measured: far above a round
- * trip to the leader (6 ms). */
+/* Time after which an unanswered permit request is sent again, us: much longer than a round trip to the
+ * leader (6 ms). */
 #define PERMIT_ANSWER_TIMEOUT_US (500 * 1000)
-/* Time for which a permit whose request has gone may serve another one of the same digest, us: less than the
- * leader keeps it (3 s). */
+/* Time for which a granted permit that is not used yet remains valid, us: less than the 3 s after which it
+ * expires at the leader. */
 #define UNUSED_PERMIT_TTL_US (1 * G_USEC_PER_SEC)
-/* Interval of the checks for outdated suspects, us: there may be some thousands.  Not measured. */
+/* Interval between removals of expired suspects, us: there may be thousands of suspects. */
 #define EXPIRE_INTERVAL_US (1 * G_USEC_PER_SEC)
 
 typedef enum
@@ -25,12 +25,12 @@
   PERMIT_REQUEST_REFUSED,
 } PermitRequestState;
 
-/* A permit that is asked for. */
+/* A request to the leader for a permit, and the permit until it is used. */
 typedef struct
 {
   QuinceRequestDigest digest;
   PermitRequestState state;
-  gint64 state_since_us; /* of the state */
+  gint64 state_since_us; /* monotonic */
   gboolean alone;
 } PermitRequest;
 
@@ -94,7 +94,7 @@
 
 /* ---- Permits ----------------------------------------------------------- */
 
-/* Returns: %FALSE when @ask has to be made again. */
+/* Returns whether the permit request is still valid; otherwise it must be sent again. */
 static gboolean
 is_permit_request_valid (const PermitRequest *request, gint64 now_us, gboolean alone)
 {
@@ -104,7 +104,8 @@
   return now_us - request->state_since_us < validity_us[request->state] && (request->alone || !alone);
 }
 
-/* Returns: (nullable): %NULL when there is no leader to ask. */
+/* Sends a permit request, which replaces an earlier one.  Returns (nullable): the request, perhaps already
+ * answered; %NULL if there is no leader */
 static const PermitRequest *
 send_permit_request (QuinceSendGuard *guard,
                      gint64 now_us,
@@ -145,7 +146,7 @@
   g_hash_table_remove_all (guard->permit_requests);
 }
 
-/* @ask: (nullable) */
+/* @request: (nullable): NULL if there is no leader */
 static QuincePermitState
 get_permit_state (const PermitRequest *request)
 {
@@ -183,7 +184,8 @@
   quince_quarantine_expire (guard->quarantine, now_us);
 }
 
-/* What is known of the request and of its prompt: the stricter one counts. */
+/* Returns the stricter of the rules for the request and for its prompt.  @prompt_rule: (out): the rule for
+ * the prompt */
 static QuinceSendRule
 get_stricter_rule (const QuinceSendGuard *guard,
                    const QuinceRequestIdentity *identity,
@@ -204,7 +206,7 @@
   expire_suspects (guard, now_us);
   QuinceSendRule prompt_rule;
   QuinceSendRule rule = get_stricter_rule (guard, identity, &prompt_rule);
-  /* One permit for all that share a suspected prompt. */
+  /* Requests that share a suspected prompt share one permit. */
   const QuinceRequestDigest *digest
       = prompt_rule != QUINCE_SEND_UNRESTRICTED ? &identity->prompt : &identity->request;
   const QuinceAdmissionInput request
@@ -234,7 +236,7 @@
          && quince_send_guard_service_allows_hedge (guard, now_us, service);
 }
 
-/* ---- Ends of sends ------------------------------------------------------- */
+/* ---- Sends and answers --------------------------------------------------- */
 
 static void
 report_expected_end (QuinceSendGuard *guard,
--- a/lib/forward/send-guard.h
+++ b/lib/forward/send-guard.h
@@ -1,12 +1,14 @@
 /*
- * send-guard.h: admits requests to workers, by the workers that ended under them.
+ * send-guard.h: admission of requests to workers, so that a request that crashes workers is not sent again
+ * and again.
  *
- * The guard of a process finds out which broken connections were ends of workers, keeps what is known of
- * suspects (quarantine.h), and asks for permits where one is needed.
+ * Each process has one guard.  When a connection to a worker breaks, the guard checks whether the worker
+ * ended.  If so, the requests that ran on it become suspects in the quarantine (quarantine.h), and the guard
+ * requests a permit from the leader before it admits one of them.  The rule is in core/decisions/admission.h.
  *
- * For: dispatch.c, the leader's samples.  Owns: the quarantine, permits that were asked for, checks of
- * workers.  Relies on: its owner for the way to the leader and to other processes; core/decisions/admission.h
- * for the rule.
+ * dispatch.c and the samples of the leader use the guard.  It owns the quarantine, the permit requests and
+ * the checks of workers.  Its owner provides callbacks that send messages to the leader and to other
+ * processes.
  */
 #pragma once
 
@@ -22,12 +24,14 @@
 
 /**
  * QuinceSendGuardCallbacks:
- * @ask: a permit is wanted; quince_send_guard_handle_permit_answer() follows, perhaps before this returns.
- * Returns: %FALSE when there is no leader to ask
- * @give_back: a permit is needed no more
- * @sending: (nullable): this is sent by permit; what will be known if its worker ends
- * @ended: a worker ended under this request; what is known now
- * @cleared: a worker answered this request, or one of this prompt, of which @ends were known
+ * @request_permit: requests a permit from the leader; quince_send_guard_handle_permit_answer() follows,
+ * possibly before the callback returns.  Returns %FALSE if there is no leader
+ * @return_permit: returns a granted permit to the leader
+ * @sending: (nullable): a request is being sent under a permit; @expected is the state of the suspect if the
+ *   worker ends
+ * @ended: a worker ended while running a request; @suspect is the updated suspect
+ * @cleared: a worker answered a suspect, or a request of a suspected prompt; @ends is the number of ends that
+ *   were recorded for it
  */
 typedef struct
 {
@@ -44,100 +48,107 @@
                    gpointer user_data);
 } QuinceSendGuardCallbacks;
 
-/* From the settings of a process, section "quarantine". */
+/* Reads @limits from the section "quarantine" of the settings. */
 void quince_quarantine_read_limits (const QuinceSettings *settings, QuinceQuarantineLimits *limits);
 QuinceSendGuard *quince_send_guard_new (const QuinceQuarantineLimits *limits,
                                         const QuinceSendGuardCallbacks *callbacks,
                                         gpointer user_data);
 void quince_send_guard_free (QuinceSendGuard *guard);
-/* (transfer none) */
+/* Returns (transfer none): the quarantine of the guard */
 QuinceQuarantine *quince_send_guard_get_quarantine (QuinceSendGuard *guard);
-/* (transfer none) (nullable): @workers must outlive the guard; without them every service survives every end.
- */
+/* Sets the workers by which the capacity of a service is checked.  @workers: (transfer none) (nullable): must
+ * outlive the guard; if %NULL, every service counts as able to lose a worker */
 void quince_send_guard_set_workers (QuinceSendGuard *guard, QuinceWorkerTable *workers);
 
-/* What a send is made under; it must be ended by one of the calls below. */
+/* The permit of one send.  It must be passed to one of quince_send_guard_handle_answer(),
+ * quince_send_guard_handle_connection_loss() and quince_send_guard_return_permit(), which reset it. */
 typedef struct
 {
-  gboolean taken; /* %FALSE: it needs none */
-  gboolean alone;
+  gboolean taken; /* FALSE: the request is sent without a permit */
+  gboolean alone; /* the permit excludes other suspects of the service, see quince_permits_take() */
   QuinceRequestDigest digest; /* of the request or of its prompt */
 } QuinceSendPermit;
 
-/* Nothing is suspected, and every request may be sent: no digest needs to be made. */
+/* Returns whether there are no suspects and no pending checks.  Then every request may be sent, and its
+ * digests need not be computed. */
 gboolean quince_send_guard_is_idle (const QuinceSendGuard *guard);
-/* @permit: taken where this returns QUINCE_ADMISSION_PERMIT */
+/* Decides whether the request may be sent to a worker of @service now; requests a permit if it needs one.
+ * @permit: (out): set if the function returns QUINCE_ADMISSION_PERMIT */
 QuinceAdmission quince_send_guard_admit (QuinceSendGuard *guard,
                                          gint64 now_us,
                                          const QuinceRequestIdentity *identity,
                                          const char *service,
                                          QuinceSendPermit *permit);
-/* Whether a second run may begin at @service beside one in progress: nothing is suspected of the request, no
- * loss of it is being checked, and the service has workers enough. */
+/* Returns whether the request may be hedged at @service: it is not a suspect, no check of a lost worker is
+ * pending for it, and the service has enough workers. */
 gboolean quince_send_guard_may_hedge (QuinceSendGuard *guard,
                                       gint64 now_us,
                                       const QuinceRequestIdentity *identity,
                                       const char *service);
-/* Whether @service survives the end of one more of its workers, beside @at_risk others. */
+/* Returns whether @service can lose one more worker besides @at_risk others; see service-capacity.h. */
 gboolean quince_send_guard_service_survives_end (QuinceSendGuard *guard,
                                                  gint64 now_us,
                                                  const char *service,
                                                  guint at_risk);
-/* When a request that was not sent since its service is protected may come back, ms. */
+/* Returns the time after which a request that got QUINCE_ADMISSION_PROTECTED may be retried, ms. */
 guint quince_send_guard_get_retry_after_ms (const QuinceSendGuard *guard, gint64 now_us, const char *service);
-/* Other processes reported ends under the suspect @digest. */
+/* Updates the capacity of the suspect's service after another process reported ends of workers that ran
+ * @digest. */
 void
 quince_send_guard_handle_report (QuinceSendGuard *guard, gint64 now_us, const QuinceRequestDigest *digest);
-/* The answer to QuinceSendGuardCallbacks.ask(). */
+/* Handles the answer to QuinceSendGuardCallbacks.request_permit().  A granted permit that is no longer
+ * requested is returned. */
 void quince_send_guard_handle_permit_answer (QuinceSendGuard *guard,
                                              const QuinceRequestDigest *digest,
                                              gboolean granted);
-/* The leader is gone, and with it the permits that were asked for. */
+/* Drops all permit requests and unused permits, since the leader has changed or is lost. */
 void quince_send_guard_drop_permit_requests (QuinceSendGuard *guard);
 
-/* It is sent to @worker_id now. */
+/* Reports a send to @worker_id by QuinceSendGuardCallbacks.sending(), if the request has a permit. */
 void quince_send_guard_report_send (QuinceSendGuard *guard,
                                     gint64 now_us,
                                     const QuinceRequestIdentity *identity,
                                     const QuinceSendPermit *permit,
                                     const char *worker_id);
 
-/* How a send ended; @permit: what it was made under, over now. */
-
-/* The worker answered. */
+/* The worker answered: the request and its prompt are cleared, and the permit is returned. */
 void quince_send_guard_handle_answer (QuinceSendGuard *guard,
                                       const QuinceRequestIdentity *identity,
                                       QuinceSendPermit *permit);
-/* The connection to @worker broke: (nullable) %NULL where it is not listed any more.  Until it is known
- * whether the worker ended, the request waits. */
+/* The connection to @worker broke: checks whether the worker ended.  The request is not admitted, and the
+ * permit is not returned, until the check is complete.  If the worker is draining or not listed, only returns
+ * the permit.  @worker: (nullable): %NULL if it is not listed or need not be checked */
 void quince_send_guard_handle_connection_loss (QuinceSendGuard *guard,
                                                const QuinceRequestIdentity *identity,
                                                QuinceSendPermit *permit,
                                                const QuinceWorker *worker);
-/* A leader that is lost made the send @expected, and cannot report whether its worker ended.  Until that is
- * known the request waits; an end is counted, and reported by QuinceSendGuardCallbacks.ended(). */
+/* Checks the worker of a send that a failed leader made, see expected-ends.h.  The request is not admitted
+ * until the check is complete.  If the worker ended or is no longer listed, @expected is merged into the
+ * quarantine and reported by QuinceSendGuardCallbacks.ended(). */
 void quince_send_guard_check_send (QuinceSendGuard *guard, const QuinceSuspect *expected);
-/* Neither; nothing was learned. */
+/* The send ended in another way, or was not made: only returns the permit. */
 void quince_send_guard_return_permit (QuinceSendGuard *guard, QuinceSendPermit *permit);
 
-/* Logs what is known of @identity, as it is sent to a worker; nothing where it is not suspected. */
+/* Logs that a suspect is sent to a worker.  Does nothing if the request is not a suspect. */
 void quince_send_guard_log_sent (const QuinceSendGuard *guard,
                                  gint64 now_us,
                                  const QuinceRequestIdentity *identity,
                                  const QuinceSendPermit *permit,
                                  const char *request_id,
                                  const char *worker_id);
-/* Logs why the request @request_id is not sent: it, or its prompt, is held. */
+/* Logs that the request @request_id is not sent, because it or its prompt is held. */
 void quince_send_guard_log_held (const QuinceSendGuard *guard,
                                  gint64 now_us,
                                  const QuinceRequestIdentity *identity,
                                  const char *request_id);
-/* Logs that it waits, or is refused, because @service would not survive one more end. */
+/* Logs and counts that the request waits or is refused, because @service has too few workers to lose another
+ * one. */
 void quince_send_guard_log_protected (const QuinceSendGuard *guard,
                                       gint64 now_us,
                                       const QuinceRequestIdentity *identity,
                                       const char *request_id,
                                       const char *service);
+/* Updates the metrics of the quarantine. */
 void quince_send_guard_set_metrics (const QuinceSendGuard *guard);
 
 G_END_DECLS
--- a/lib/forward/stream.c
+++ b/lib/forward/stream.c
@@ -1,7 +1,7 @@
 /*
- * stream.c: attempts of one stream at workers, one after the other.
+ * stream.c: attempts of one stream at workers, one at a time.
  *
- * The rules: core/decisions/retry.h, no-worker.h and silence.h.
+ * The rules are in core/decisions: retry.h, no-worker.h and silence.h.
  */
 #include "forward/stream.h"
 
@@ -25,18 +25,18 @@
   gpointer user_data;
 
   QuinceHttpExchange *exchange;
-  gpointer event_parser; /* of the attempt in progress, where it may be resumed */
+  gpointer event_parser; /* of the attempt in flight, if the stream is resumable */
   char *worker_id;
   QuinceRetryTimer timer;     /* next attempt */
-  QuinceTimer *timeout_timer; /* of the attempt in progress, and the end of all */
-  gint64 contact_us;
+  QuinceTimer *timeout_timer; /* silence of the worker, and the deadline of the request */
+  gint64 contact_us;          /* start of the attempt or last data from its worker, monotonic */
   guint64 last_event_id;
   gboolean has_last_event;
   gboolean head_forwarded;
-  gboolean forwarding; /* bytes of this attempt go to the caller */
+  gboolean forwarding; /* the answer of this attempt is forwarded to the caller */
 };
 
-/* ---- Ends ------------------------------------------------------------- */
+/* ---- Completion ------------------------------------------------------- */
 
 static void
 release_worker (QuinceStream *stream)
@@ -90,7 +90,7 @@
   stream_end (stream, quince_dispatch_give_up (may_have_run, timed_out));
 }
 
-/* ---- After an attempt ------------------------------------------------- */
+/* ---- End of an attempt ------------------------------------------------ */
 
 static void
 attempt_failed (QuinceStream *stream, gboolean may_have_run, const char *cause)
@@ -142,7 +142,7 @@
   stream->head_forwarded = TRUE;
 }
 
-/* Passes on whole events, in their order and each once. Returns: %FALSE when one is out of its turn */
+/* Forwards complete events, each once.  Returns FALSE if the worker sent an event out of order. */
 static gboolean
 forward_events (QuinceStream *stream)
 {
@@ -222,9 +222,10 @@
 static const QuinceHttpExchangeCallbacks exchange_callbacks
     = { .head = exchange_head, .body = exchange_body, .done = exchange_done };
 
-/* ---- An attempt ------------------------------------------------------- */
+/* ---- Start of an attempt ---------------------------------------------- */
 
-/* Silence, and the end of the time that there is. */
+/* Ends the attempt if its worker is silent for too long or the deadline has passed; otherwise sets the timer
+ * for the next check. */
 static gboolean
 check_timeouts (gpointer data)
 {
@@ -241,7 +242,7 @@
       stream->timeout_timer = quince_timer_add ((guint)wait_ms, check_timeouts, stream);
       return G_SOURCE_REMOVE;
     }
-  /* What the worker sent while this process was stopped is passed on, late too. */
+  /* Bytes that arrived while this process was stopped are read first, even after the timeout. */
   if (quince_http_exchange_reads_first (stream->exchange))
     {
       stream->timeout_timer = quince_timer_add (QUINCE_READ_FIRST_MS, check_timeouts, stream);
@@ -277,7 +278,7 @@
   stream->timeout_timer = quince_timer_add (1, check_timeouts, stream);
 }
 
-/* Returns: %FALSE when no attempt is to be made now. */
+/* Returns whether the attempt may start now.  If not, the stream is retried later or ends. */
 static gboolean
 is_admitted (QuinceStream *stream, gint64 now_us)
 {
--- a/lib/forward/stream.h
+++ b/lib/forward/stream.h
@@ -1,12 +1,12 @@
 /*
- * stream.h: one request whose answer is a series of events, forwarded as they come.
+ * stream.h: forwards one request whose answer is a stream of events.
  *
- * A stream that may be resumed goes on at another worker when its own breaks off, behind the last whole event
- * that was passed on; the answer keeps the head of its first worker.  Any other stream is an at-most-once
- * request: its bytes are passed on as they come, and it ends where its worker ends it.
+ * If a worker fails, a resumable stream continues at another worker after the last complete event that was
+ * forwarded; the caller keeps the response head of the first worker.  Any other stream is an at-most-once
+ * request: its bytes are forwarded as they arrive, and it ends when its worker ends it.
  *
- * For: fronts.  Owns: the attempt in progress, its timers.  Relies on: the backends; core/decisions (retry,
- * no-worker, silence) for the rules.
+ * Fronts use it.  A stream owns its attempt in flight and its timers.  Workers and connections come from the
+ * backends, the rules from core/decisions (retry, no-worker, silence).
  */
 #pragma once
 
@@ -16,13 +16,15 @@
 
 typedef struct _QuinceStream QuinceStream;
 
-/* How one platform writes requests for streams and reads their events. */
+/* How a platform encodes requests for streams and decodes their events. */
 typedef struct
 {
   const QuinceForwardDialect *forward;
-  /* Asks a worker to begin behind the event @after. */
+  /* Adds the header that asks a worker to resume after the event @last_event_id. */
   void (*write_resume) (QuinceHttpHeaders *headers, guint64 last_event_id);
-  /* Takes bytes in and gives whole events: their id and all of their bytes. */
+  /* A parser that splits the body into complete events.  event_parser_next_event() sets the id of an event
+   * and appends its bytes; it returns FALSE if no complete event is buffered.
+   * event_parser_has_partial_event() returns whether bytes of an incomplete event are left. */
   gpointer (*event_parser_new) (void);
   void (*event_parser_free) (gpointer parser);
   void (*event_parser_feed) (gpointer parser, const char *data, gsize length);
@@ -32,10 +34,11 @@
 
 /**
  * QuinceStreamCallbacks:
- * @head: the answer begins, called at most once
- * @data: bytes of its body
- * @done: last; ANSWERED: the answer is whole; REFUSED: nothing ran and there was no head; otherwise the
- * answer is not whole, or there is none where @head was not called
+ * @head: the response head; called at most once
+ * @data: a piece of the body
+ * @done: the last callback; the stream is freed after it.  QUINCE_FORWARD_ANSWERED: the answer is complete.
+ *   QUINCE_FORWARD_REFUSED: no worker ran the request and @head was not called.  Otherwise the answer is
+ *   incomplete, or missing if @head was not called.
  */
 typedef struct
 {
@@ -44,16 +47,18 @@
   void (*done) (QuinceForwardOutcome outcome, const char *cause, gpointer user_data);
 } QuinceStreamCallbacks;
 
-/* No callback comes before this returns. */
+/* Starts to forward a copy of @request.  No callback is called before this function returns.  @callbacks and
+ * @dialect must outlive the stream. */
 QuinceStream *quince_stream_start (QuinceBackends *backends,
                                    const QuinceStreamDialect *dialect,
                                    const QuinceForwardRequest *request,
                                    gboolean resumable,
                                    const QuinceStreamCallbacks *callbacks,
                                    gpointer user_data);
-/* While done() says REFUSED: when there may be room; 0: not known. */
+/* Returns the time after which a refused caller may retry, ms; 0: unknown.  Valid in done() with
+ * QUINCE_FORWARD_REFUSED. */
 guint quince_stream_get_retry_after_ms (const QuinceStream *stream);
-/* Ends it without further callbacks; work at a worker is cancelled. */
+/* Cancels the attempt in flight and frees the stream, without further callbacks. */
 void quince_stream_cancel (QuinceStream *stream);
 
 G_END_DECLS
