--- a/daemons/front/caller-request.c
+++ b/daemons/front/caller-request.c
@@ -217,7 +217,7 @@
   quince_log_info ("request_answered",
                    "request=%s status=%u worker=%s attempts=%u worker_ms=%" G_GINT64_FORMAT
                    " age_ms=%" G_GINT64_FORMAT,
-                   id, result->head->status, result->worker, result->attempts,
+                   id, result->head->status, result->worker_id, result->attempts,
                    result->attempt_duration_us / 1000, (quince_now_us () - request->received_us) / 1000);
 }
 
--- a/lib/forward/dispatch.c
+++ b/lib/forward/dispatch.c
@@ -45,7 +45,7 @@
   g_free (dispatch->service);
   g_free (dispatch->caller);
   g_free (dispatch->tenant);
-  quince_residency_lookup_clear (&dispatch->lookup);
+  quince_residency_lookup_clear (&dispatch->residency_lookup);
   g_free (dispatch->kind);
   g_free (dispatch->method);
   g_free (dispatch->target);
@@ -81,7 +81,7 @@
                                   .deadline_ms = (guint)((dispatch->deadline_us - now_us) / 1000) };
   quince_backends_describe_events (dispatch->backends, quince_wall_ms (), &request);
   QuinceResidency residency;
-  quince_residency_resolve (&dispatch->lookup, dispatch->backends,
+  quince_residency_resolve (&dispatch->residency_lookup, dispatch->backends,
                             quince_http_headers_get (dispatch->headers, "Host"), dispatch->target,
                             dispatch->tenant, &residency);
   const QuinceBackendQuery query = { .request = &request,
--- a/lib/forward/dispatch.h
+++ b/lib/forward/dispatch.h
@@ -20,7 +20,7 @@
   char *service;
   char *caller; /* NULL: unknown */
   char *tenant; /* tenant whose region rules apply; NULL: none */
-  QuinceResidencyLookup lookup;
+  QuinceResidencyLookup residency_lookup;
   char *kind;
   char *method;
   char *target;
--- a/lib/forward/forward.c
+++ b/lib/forward/forward.c
@@ -173,12 +173,12 @@
       return;
     }
   count_attempt ("answered");
-  g_autofree char *worker = g_strdup (attempt->worker_id);
+  g_autofree char *worker_id = g_strdup (attempt->worker_id);
   QuinceForwardResult result = { .outcome = QUINCE_FORWARD_ANSWERED,
                                  .head = head,
                                  .body = quince_http_exchange_get_body (exchange),
                                  .signature = signature,
-                                 .worker = worker,
+                                 .worker_id = worker_id,
                                  .attempt_duration_us = quince_now_us () - attempt->started_us };
   remove_attempt (attempt);
   forward_end (forward, result);
--- a/lib/forward/forward.h
+++ b/lib/forward/forward.h
@@ -85,7 +85,7 @@
   guint retry_after_ms; /* if refused: time after which the caller may retry; 0: unknown */
   guint attempts;
   guint failed_runs;          /* number of answers with status 500 */
-  const char *worker;         /* if answered: id of the worker */
+  const char *worker_id;      /* if answered: id of the worker */
   gint64 attempt_duration_us; /* if answered: time from the start of the answered attempt */
   gint64 first_run_us;        /* start of the first attempt, monotonic; 0: no attempt may have run */
 } QuinceForwardResult;
