--- a/lib/forward/dispatch.h
+++ b/lib/forward/dispatch.h
@@ -84,7 +84,7 @@
 {
   QUINCE_DISPATCH_SEND,    /* choose a worker and send the request               */
   QUINCE_DISPATCH_WAIT,    /* ask again later                                    */
-  QUINCE_DISPATCH_GIVE_UP, /* refuse or fail; cause and retry_after_ms are set   */
+  QUINCE_DISPATCH_GIVE_UP, /* refuse or fail                                     */
   QUINCE_DISPATCH_HELD,    /* the quarantine holds the request: do not send it   */
 } QuinceDispatchAction;
 
@@ -93,7 +93,9 @@
  * @response_started: the caller has received a part of the answer
  * @wait_ms: (out): pause before asking again, ms; valid for QUINCE_DISPATCH_WAIT
  *
- * Asks the send guard whether the next attempt may start; see core/decisions/admission.h.
+ * Asks the send guard whether the next attempt may start; see core/decisions/admission.h.  Sets the cause
+ * unless the result is QUINCE_DISPATCH_SEND or the request waits for a permit.  If a protected service
+ * refuses the request, sets retry_after_ms.
  */
 QuinceDispatchAction
 quince_dispatch_admit (QuinceDispatch *dispatch, gboolean response_started, gint64 now_us, guint *wait_ms);
--- a/lib/forward/send-guard.h
+++ b/lib/forward/send-guard.h
@@ -64,8 +64,8 @@
  * quince_send_guard_handle_connection_loss() and quince_send_guard_return_permit(), which reset it. */
 typedef struct
 {
-  gboolean taken; /* FALSE: the request is sent without a permit */
-  gboolean alone; /* the permit excludes other suspects of the service, see quince_permits_take() */
+  gboolean taken;             /* FALSE: the request is sent without a permit */
+  gboolean alone;             /* it excludes other such permits of the service, see quince_permits_take() */
   QuinceRequestDigest digest; /* of the request or of its prompt */
 } QuinceSendPermit;
 
