--- a/daemons/front/front.c
+++ b/daemons/front/front.c
@@ -192,7 +192,7 @@
 {
   Front *front = data;
   quince_meta_store_resumed (front->store);
-  quince_backends_resumed (front->context.backends);
+  quince_backends_handle_resume (front->context.backends);
   quince_ledger_caller_resumed (front->context.ledger);
   quince_observer_resumed (front->context.observer);
   quince_meta_presence_resumed (front->presence);
@@ -212,7 +212,7 @@
   quince_metric_set ("quince_front_connections", "",
                      quince_caller_listeners_count_connections (front->listeners));
   quince_metric_set ("quince_front_worker_connections_opened", "",
-                     (double)quince_backends_get_opened (context->backends));
+                     (double)quince_backends_get_n_connections_opened (context->backends));
   quince_metric_set ("quince_front_workers_known", "",
                      quince_worker_table_get_size (quince_backends_get_workers (context->backends)));
   quince_metric_set ("quince_front_fronts_known", "", quince_directory_get_size (context->directory, now));
@@ -345,7 +345,7 @@
 gpointer
 quince_front_start (const QuinceSettings *settings, GError **error)
 {
-  g_autoptr (QuinceTopology) topology = quince_topology_read (settings, error);
+  g_autoptr (QuinceTopology) topology = quince_topology_new_from_settings (settings, error);
   if (topology == NULL)
     return NULL;
   Front *front = front_new (settings, g_steal_pointer (&topology));
--- a/daemons/front/quarantine-client.c
+++ b/daemons/front/quarantine-client.c
@@ -239,8 +239,8 @@
   gint64 now = quince_now_us ();
   g_autoptr (GArray) changed = g_array_new (FALSE, FALSE, sizeof (QuinceRequestDigest));
   g_autoptr (GArray) cleared_suspects = g_array_new (FALSE, FALSE, sizeof (QuinceSuspectCleared));
-  quince_suspect_news_take (quince_send_guard_get_quarantine (client->guard), now,
-                            &message->QuinceMessage_u.suspect_news, changed, cleared_suspects);
+  quince_suspect_news_apply (quince_send_guard_get_quarantine (client->guard), now,
+                             &message->QuinceMessage_u.suspect_news, changed, cleared_suspects);
   forward_reports (client, now, changed);
   return TRUE;
 }
@@ -252,14 +252,14 @@
     return;
   gint64 now = quince_now_us ();
   g_autoptr (GArray) changed = g_array_new (FALSE, FALSE, sizeof (QuinceRequestDigest));
-  quince_suspect_list_take (quince_send_guard_get_quarantine (client->guard), now, quince_wall_ms (), front,
-                            value, changed);
+  quince_suspect_list_merge (quince_send_guard_get_quarantine (client->guard), now, quince_wall_ms (), front,
+                             value, changed);
   forward_reports (client, now, changed);
 }
 
 void
 quince_quarantine_client_take_key (QuinceQuarantineClient *client, const char *name, GBytes *value)
 {
-  quince_suspect_entry_take (quince_send_guard_get_quarantine (client->guard), quince_now_us (),
-                             quince_wall_ms (), name, value);
+  quince_suspect_entry_apply (quince_send_guard_get_quarantine (client->guard), quince_now_us (),
+                              quince_wall_ms (), name, value);
 }
--- a/daemons/front/warmup-client.c
+++ b/daemons/front/warmup-client.c
@@ -103,7 +103,7 @@
   if (message->kind != QUINCE_MESSAGE_WARMUP_GRANT)
     return FALSE;
   const QuinceWarmupGrant *grant = &message->QuinceMessage_u.warmup_grant;
-  quince_warmup_sends_answered (client->sends, grant->worker, grant->ask, grant->sends,
-                                (gint64)grant->valid_ms * 1000, (gint64)grant->again_ms * 1000);
+  quince_warmup_sends_handle_answer (client->sends, grant->worker, grant->ask, grant->sends,
+                                     (gint64)grant->valid_ms * 1000, (gint64)grant->again_ms * 1000);
   return TRUE;
 }
--- a/daemons/replica/quarantine-coordinator.c
+++ b/daemons/replica/quarantine-coordinator.c
@@ -199,7 +199,7 @@
   for (guint i = 0; i < reports->suspects.suspects_len; i++)
     {
       QuinceSuspect expected;
-      quince_suspect_read (&reports->suspects.suspects_val[i], now, &expected);
+      quince_suspect_read_report (&reports->suspects.suspects_val[i], now, &expected);
       quince_expected_ends_add (coordinator->expected, now, &expected);
     }
 }
@@ -234,7 +234,7 @@
   g_autoptr (GArray) changed = g_array_new (FALSE, FALSE, sizeof (QuinceRequestDigest));
   g_autoptr (GArray) cleared_suspects = g_array_new (FALSE, FALSE, sizeof (QuinceSuspectCleared));
   gint64 now = quince_now_us ();
-  quince_suspect_news_take (quarantine_of (coordinator), now, reports, changed, cleared_suspects);
+  quince_suspect_news_apply (quarantine_of (coordinator), now, reports, changed, cleared_suspects);
   forward_reports (coordinator, now, changed);
   for (guint i = 0; quince_suspect_reporter_is_active (coordinator->reporter) && i < cleared_suspects->len;
        i++)
@@ -297,7 +297,7 @@
     return;
   gint64 now = quince_now_us ();
   g_autoptr (GArray) changed = g_array_new (FALSE, FALSE, sizeof (QuinceRequestDigest));
-  quince_suspect_list_take (quarantine_of (coordinator), now, quince_wall_ms (), front, value, changed);
+  quince_suspect_list_merge (quarantine_of (coordinator), now, quince_wall_ms (), front, value, changed);
   forward_reports (coordinator, now, changed);
 }
 
--- a/daemons/replica/quarantine-keys.c
+++ b/daemons/replica/quarantine-keys.c
@@ -44,7 +44,7 @@
     g_hash_table_add (keys->saved, g_strdup (name));
   else
     g_hash_table_remove (keys->saved, name);
-  quince_suspect_entry_take (keys->quarantine, quince_now_us (), quince_wall_ms (), name, value);
+  quince_suspect_entry_apply (keys->quarantine, quince_now_us (), quince_wall_ms (), name, value);
 }
 
 typedef struct
--- a/daemons/replica/replica-metrics.c
+++ b/daemons/replica/replica-metrics.c
@@ -24,7 +24,7 @@
   quince_metric_set ("quince_replica_workers_known", "",
                      quince_worker_table_get_size (quince_backends_get_workers (backends)));
   quince_metric_set ("quince_replica_worker_connections_opened", "",
-                     (double)quince_backends_get_opened (backends));
+                     (double)quince_backends_get_n_connections_opened (backends));
   quince_metric_set ("quince_replica_workers_cold", "", quince_backends_count_cold (backends));
 }
 
--- a/daemons/replica/replica.c
+++ b/daemons/replica/replica.c
@@ -50,14 +50,14 @@
 {
   const QuinceReplicaParts *parts = data;
   quince_meta_store_resumed (parts->store);
-  quince_backends_resumed (parts->backends);
+  quince_backends_handle_resume (parts->backends);
   quince_observer_resumed (parts->observer);
 }
 
 gpointer
 quince_replica_start (const QuinceSettings *settings, GError **error)
 {
-  g_autoptr (QuinceTopology) topology = quince_topology_read (settings, error);
+  g_autoptr (QuinceTopology) topology = quince_topology_new_from_settings (settings, error);
   if (topology == NULL)
     return NULL;
   Replica *replica = g_new0 (Replica, 1);
--- a/daemons/replica/sample-moves.c
+++ b/daemons/replica/sample-moves.c
@@ -28,7 +28,7 @@
         continue;
       gboolean free_now = quince_sample_move_can_target (worker, now_us, view->slots)
                           && quince_backends_may_send (set->backends, worker);
-      if (!free_now || !quince_backends_allow (set->backends, worker, &residency)
+      if (!free_now || !quince_backends_is_allowed_worker (set->backends, worker, &residency)
           || g_str_equal (worker->id, sample->worker_id))
         continue;
       best = pace;
--- a/daemons/replica/warmup-coordinator.c
+++ b/daemons/replica/warmup-coordinator.c
@@ -18,7 +18,7 @@
   QuinceWarmupSends *sends;
   QuinceWorkerTable *workers;
   QuinceObserver *observer; /* not owned; NULL during the start */
-  gboolean (*may_give) (gpointer);
+  gboolean (*may_grant) (gpointer);
   gpointer user_data;
   gint64 expired_us;
 };
@@ -31,14 +31,14 @@
 }
 
 static gboolean
-may_give (gpointer data)
+may_grant (gpointer data)
 {
   const QuinceWarmupCoordinator *coordinator = data;
-  return coordinator->may_give (coordinator->user_data);
+  return coordinator->may_grant (coordinator->user_data);
 }
 
 static const QuinceWarmupSendsCallbacks sends_callbacks
-    = { .find_service = find_service, .may_give = may_give };
+    = { .find_service = find_service, .may_grant = may_grant };
 
 QuinceWarmupCoordinator *
 quince_warmup_coordinator_new (const QuinceWarmupBounds *bounds,
@@ -49,7 +49,7 @@
   QuinceWarmupCoordinator *coordinator = g_new0 (QuinceWarmupCoordinator, 1);
   coordinator->sends = quince_warmup_sends_new (bounds, &sends_callbacks, coordinator);
   coordinator->workers = workers;
-  coordinator->may_give = may_give_now;
+  coordinator->may_grant = may_give_now;
   coordinator->user_data = user_data;
   return coordinator;
 }
@@ -98,8 +98,8 @@
   /* Nothing is granted for a worker that this process doesn't know: its limit isn't known either. */
   if (worker != NULL)
     grant->sends
-        = quince_warmup_sends_give (coordinator->sends, worker->id, worker->service, ask->sends, &again_us);
-  grant->valid_ms = QUINCE_WARMUP_VALID_US / 1000;
+        = quince_warmup_sends_grant (coordinator->sends, worker->id, worker->service, ask->sends, &again_us);
+  grant->valid_ms = QUINCE_WARMUP_LEASE_VALID_US / 1000;
   grant->again_ms = (guint)MAX (again_us / 1000, AGAIN_MIN_MS);
   quince_link_send (link, &answer);
   return TRUE;
--- a/daemons/replica/warmup-coordinator.h
+++ b/daemons/replica/warmup-coordinator.h
@@ -15,11 +15,11 @@
 typedef struct _QuinceWarmupCoordinator QuinceWarmupCoordinator;
 
 /* @workers: (transfer none): must outlive the coordinator
- * @may_give: whether this process may grant now: it leads and a quorum has followed it lately; called for
+ * @may_grant: whether this process may grant now: it leads and a quorum has followed it lately; called for
  * each grant */
 QuinceWarmupCoordinator *quince_warmup_coordinator_new (const QuinceWarmupBounds *bounds,
                                                         QuinceWorkerTable *workers,
-                                                        gboolean (*may_give) (gpointer user_data),
+                                                        gboolean (*may_grant) (gpointer user_data),
                                                         gpointer user_data);
 void quince_warmup_coordinator_free (QuinceWarmupCoordinator *coordinator);
 /* @observer: (transfer none): looks up services; must outlive the last send */
--- a/lib/forward/backends-private.h
+++ b/lib/forward/backends-private.h
@@ -20,18 +20,18 @@
   const QuinceRouteTable *routes; /* not owned: the configuration in force; NULL: none is known */
   gboolean has_region_rules;      /* a route or tenant of it names regions */
   QuincePolicy *policy;
-  GBytes *policy_entry;      /* that it was compiled from; NULL: it is that of the settings */
-  gboolean listed;           /* the first listing of workers was read */
-  QuinceWarmupSends *warmup; /* not owned; NULL: no worker counts as cold */
-  gint64 limited_until_us;   /* of the last choice: when a cold worker may have room */
-  QuinceSendGuard *guard;    /* not owned; NULL: none */
-  QuinceEventTable *events;  /* owned */
+  GBytes *policy_entry;            /* that it was compiled from; NULL: it is that of the settings */
+  gboolean listed;                 /* the first listing of workers was read */
+  QuinceWarmupSends *warmup;       /* not owned; NULL: no worker counts as cold */
+  gint64 cold_worker_available_us; /* of the last choice: when a cold worker may have room */
+  QuinceSendGuard *guard;          /* not owned; NULL: none */
+  QuinceEventTable *events;        /* owned */
   QuincePromptTable *prompts;
-  guint tie;  /* turns among equals */
-  guint turn; /* where the next choice among many workers begins; see find_few() */
+  guint rotation; /* turns among equals */
+  guint turn;     /* where the next choice among many workers begins; see collect_in_turn() */
   QuinceZoneTable *zones;
-  QuinceTimer *withdrawal; /* checks for requests that do not arrive at evacuated zones; NULL: none was
-                            * evacuated lately */
+  QuinceTimer *withdrawal_timer; /* checks for requests that do not arrive at evacuated zones; NULL: none was
+                                  * evacuated lately */
   gboolean holds_sends;
   QuinceTimer *hold_timer; /* NULL: sends are not held, or without a bound */
   GQueue vanished;         /* ids, owned: of workers that are not listed, perhaps by the store's own doing */
@@ -40,7 +40,7 @@
 /* ---- backends.c --------------------------------------------------------- */
 
 /* Removes workers that vanished from the list and have not come back in time. */
-void quince_backends_forget_removed (QuinceBackends *backends, gint64 now_us);
+void quince_backends_remove_expired (QuinceBackends *backends, gint64 now_us);
 
 /* ---- policy-calls.c ----------------------------------------------------- */
 
@@ -55,10 +55,10 @@
 
 /* Takes workers of zones that are coming back out of @found (QuinceWorker), by their share of new work; the
  * list is left as it is where no worker would stay. */
-void quince_backends_limit_returning (const QuinceBackends *backends,
-                                      gint64 now_us,
-                                      guint most_running,
-                                      GPtrArray *found);
+void quince_backends_limit_returning_zones (const QuinceBackends *backends,
+                                            gint64 now_us,
+                                            guint most_running,
+                                            GPtrArray *found);
 void quince_backends_clear_evacuation (QuinceBackends *backends);
 /* ---- Cold workers: warmth.c ---------------------------------------------- */
 
@@ -74,18 +74,18 @@
 } QuinceColdChoice;
 
 /* @entry is about to be taken into the worker table. */
-void quince_warmth_note_listed (QuinceBackends *backends, QuinceWorker *entry);
+void quince_warmth_update_entry (QuinceBackends *backends, QuinceWorker *entry);
 void quince_warmth_begin_choice (QuinceBackends *backends,
                                  gint64 now_us,
                                  const QuinceBackendQuery *query,
                                  QuinceColdChoice *choice);
-gboolean quince_warmth_has_room (QuinceColdChoice *choice, QuinceWorker *worker);
+gboolean quince_warmth_can_send (QuinceColdChoice *choice, QuinceWorker *worker);
 /* Some had all but room for one more request to a cold worker. */
 gboolean quince_warmth_is_limited (const QuinceColdChoice *choice);
 /* @found: there are others.  Returns: whether there are some that only lack room */
 gboolean quince_warmth_end_choice (QuinceColdChoice *choice, gboolean found);
 /* @worker is chosen.  Returns: %FALSE: it is cold and has no room, after all */
-gboolean quince_warmth_take (QuinceBackends *backends,
-                             gint64 now_us,
-                             const QuinceBackendQuery *query,
-                             QuinceWorker *worker);
+gboolean quince_warmth_acquire_send (QuinceBackends *backends,
+                                     gint64 now_us,
+                                     const QuinceBackendQuery *query,
+                                     QuinceWorker *worker);
--- a/lib/forward/backends.c
+++ b/lib/forward/backends.c
@@ -33,7 +33,7 @@
   backends->events = quince_event_table_new ();
   g_queue_init (&backends->vanished);
   backends->prompts = quince_prompt_table_new (PROMPT_PARTS_MAX);
-  backends->tie = g_random_int ();
+  backends->rotation = g_random_int ();
   return backends;
 }
 
@@ -100,7 +100,7 @@
 }
 
 void
-quince_backends_forget_removed (QuinceBackends *backends, gint64 now_us)
+quince_backends_remove_expired (QuinceBackends *backends, gint64 now_us)
 {
   while (!g_queue_is_empty (&backends->vanished))
     {
@@ -136,7 +136,7 @@
 quince_backends_update (QuinceBackends *backends, QuinceWorker *entry)
 {
   g_autofree char *id = g_strdup (entry->id);
-  quince_warmth_note_listed (backends, entry);
+  quince_warmth_update_entry (backends, entry);
   if (!quince_worker_table_update (backends->workers, entry))
     return;
   const QuinceWorker *worker = quince_worker_table_find (backends->workers, id);
@@ -164,15 +164,15 @@
 }
 
 void
-quince_backends_resumed (QuinceBackends *backends)
+quince_backends_handle_resume (QuinceBackends *backends)
 {
   quince_worker_pools_drop_idle (backends->pools);
 }
 
 guint64
-quince_backends_get_opened (const QuinceBackends *backends)
+quince_backends_get_n_connections_opened (const QuinceBackends *backends)
 {
-  return quince_worker_pools_get_opened (backends->pools);
+  return quince_worker_pools_get_n_connections_opened (backends->pools);
 }
 
 void
--- a/lib/forward/backends.h
+++ b/lib/forward/backends.h
@@ -38,11 +38,11 @@
  * all of them. */
 void quince_backends_set_warmup (QuinceBackends *backends, QuinceWarmupSends *warmup);
 /* All workers of @zone may have turned cold of late, and their entries do not tell it yet. */
-void quince_backends_zone_returned (QuinceBackends *backends, gint64 now_us, const char *zone);
+void quince_backends_assume_zone_cold (QuinceBackends *backends, gint64 now_us, const char *zone);
 /* Workers that count as cold now. */
 guint quince_backends_count_cold (QuinceBackends *backends);
 /* All that is listed now was read: entries that come from now on are of workers that start. */
-void quince_backends_note_first_listing (QuinceBackends *backends);
+void quince_backends_finish_first_listing (QuinceBackends *backends);
 /* (transfer full): what the platform lists of a worker */
 void quince_backends_update (QuinceBackends *backends, QuinceWorker *entry);
 void quince_backends_remove (QuinceBackends *backends, const char *id);
@@ -53,9 +53,9 @@
 /* Kept connections to @worker. */
 QuinceHttpPool *quince_backends_get_pool (QuinceBackends *backends, const QuinceWorker *worker);
 /* The machine was suspended: workers may have forgotten the kept connections. */
-void quince_backends_resumed (QuinceBackends *backends);
+void quince_backends_handle_resume (QuinceBackends *backends);
 /* Connections made to workers since the start. */
-guint64 quince_backends_get_opened (const QuinceBackends *backends);
+guint64 quince_backends_get_n_connections_opened (const QuinceBackends *backends);
 
 /**
  * QuinceBackendQuery:
@@ -92,12 +92,12 @@
                                              const QuinceBackendQuery *query,
                                              QuinceWorker **worker);
 /* After QUINCE_BACKEND_COLD: when a worker may have room. */
-gint64 quince_backends_get_limited_until_us (const QuinceBackends *backends);
+gint64 quince_backends_get_cold_worker_available_us (const QuinceBackends *backends);
 
 /* ---- Evacuated zones: evacuation.c -------------------------------------- */
 
 /**
- * quince_backends_take_zone:
+ * quince_backends_set_zone_evacuated:
  * @revision: of the store, at this change by the operator
  *
  * From now on nothing is sent to the workers of @zone, or they are used again; see zone-table.h.  Requests on
@@ -105,11 +105,11 @@
  *
  * Returns: whether the zone's state changed
  */
-gboolean quince_backends_take_zone (QuinceBackends *backends,
-                                    gint64 now_us,
-                                    const char *zone,
-                                    guint64 revision,
-                                    gboolean evacuated);
+gboolean quince_backends_set_zone_evacuated (QuinceBackends *backends,
+                                             gint64 now_us,
+                                             const char *zone,
+                                             guint64 revision,
+                                             gboolean evacuated);
 const QuinceZoneTable *quince_backends_get_zones (const QuinceBackends *backends);
 /* @worker (nullable) is in an evacuated zone: sends to it are withdrawn by this process itself, so that a
  * lost one is no end of the worker. */
--- a/lib/forward/choose-worker.c
+++ b/lib/forward/choose-worker.c
@@ -32,7 +32,7 @@
   gboolean may_send = quince_backends_may_send (choice->backends, worker);
   facts->tried = facts->tried || (quince_choice_was_tried (worker, &choice->need) && may_send);
   if (!quince_choice_is_suitable (worker, choice->now_us, &choice->need)
-      || !quince_backends_allow (choice->backends, worker, choice->query->residency))
+      || !quince_backends_is_allowed_worker (choice->backends, worker, choice->query->residency))
     return FALSE;
   if (!may_send)
     {
@@ -43,25 +43,29 @@
   facts->suitable = TRUE;
   facts->full = facts->full || !has_room;
   return has_room && (!trusted || quince_choice_is_preferred (worker, choice->now_us))
-         && quince_warmth_has_room (&choice->cold, worker);
+         && quince_warmth_can_send (&choice->cold, worker);
 }
 
 /* Collects the worker that keeps the prompt, and the workers after the first of the last choice. */
 static void
-find_few (Choice *choice, const GPtrArray *all, const char *keeps_prompt, gboolean trusted, GPtrArray *found)
+collect_in_turn (Choice *choice,
+                 const GPtrArray *all,
+                 const char *keeps_prompt,
+                 gboolean trusted,
+                 GPtrArray *found)
 {
   QuinceBackends *backends = choice->backends;
-  QuinceWorker *keeper
+  QuinceWorker *affinity_worker
       = keeps_prompt != NULL ? quince_worker_table_find (backends->workers, keeps_prompt) : NULL;
-  if (keeper != NULL && g_str_equal (keeper->service, choice->query->request->service)
-      && can_take (choice, keeper, trusted))
-    g_ptr_array_add (found, keeper);
+  if (affinity_worker != NULL && g_str_equal (affinity_worker->service, choice->query->request->service)
+      && can_take (choice, affinity_worker, trusted))
+    g_ptr_array_add (found, affinity_worker);
   guint from = backends->turn % all->len;
   guint others = 0;
   for (guint i = 0; i < all->len && found->len < QUINCE_POLICY_MAX_CANDIDATES; i++)
     {
       QuinceWorker *worker = all->pdata[(from + i) % all->len];
-      if (worker == keeper || !can_take (choice, worker, trusted))
+      if (worker == affinity_worker || !can_take (choice, worker, trusted))
         continue;
       g_ptr_array_add (found, worker);
       if (others++ == 0)
@@ -70,7 +74,7 @@
 }
 
 static void
-find_all (Choice *choice, const GPtrArray *all, gboolean trusted, GPtrArray *found)
+collect_all (Choice *choice, const GPtrArray *all, gboolean trusted, GPtrArray *found)
 {
   for (guint i = 0; i < all->len; i++)
     if (can_take (choice, all->pdata[i], trusted))
@@ -99,9 +103,9 @@
   for (guint trusted = 1; found->len == 0 && !quince_warmth_is_limited (&choice.cold) && trusted < 2;
        trusted--)
     if (compares_all)
-      find_all (&choice, all, trusted == 1, found);
+      collect_all (&choice, all, trusted == 1, found);
     else
-      find_few (&choice, all, keeps_prompt, trusted == 1, found);
+      collect_in_turn (&choice, all, keeps_prompt, trusted == 1, found);
   choice.facts.limited = quince_warmth_end_choice (&choice.cold, found->len > 0);
   choice.facts.found = found->len > 0;
   return quince_choice_outcome (&choice.facts);
@@ -177,7 +181,7 @@
   *worker = NULL;
   if (backends->holds_sends)
     return QUINCE_BACKEND_ZONES_UNKNOWN;
-  quince_backends_forget_removed (backends, now_us);
+  quince_backends_remove_expired (backends, now_us);
   g_autoptr (GPtrArray) all = list_workers (backends, query);
   g_autoptr (GPtrArray) found = g_ptr_array_new ();
   const char *keeps_prompt
@@ -185,14 +189,14 @@
   QuinceBackendOutcome outcome = collect (backends, all, now_us, query, keeps_prompt, found);
   if (outcome != QUINCE_BACKEND_CHOSEN)
     return outcome;
-  quince_backends_limit_returning (backends, now_us, query->most_running, found);
-  /* Where @found was collected by turns its first is due; see find_few(). */
+  quince_backends_limit_returning_zones (backends, now_us, query->most_running, found);
+  /* Where @found was collected by turns its first is due; see collect_in_turn(). */
   gboolean in_turn = all->len > QUINCE_CHOICE_COMPARE_ALL_MAX && found->len <= QUINCE_POLICY_MAX_CANDIDATES;
-  guint first = in_turn ? 0 : backends->tie++ % found->len;
+  guint first = in_turn ? 0 : backends->rotation++ % found->len;
   QuinceWorker *best = find_best (backends, now_us, query, found, first, keeps_prompt);
   if (best == NULL)
     return QUINCE_BACKEND_FULL;
-  if (!quince_warmth_take (backends, now_us, query, best))
+  if (!quince_warmth_acquire_send (backends, now_us, query, best))
     return QUINCE_BACKEND_COLD;
   *worker = best;
   if (query->prompt != NULL)
--- a/lib/forward/dispatch.c
+++ b/lib/forward/dispatch.c
@@ -135,7 +135,7 @@
           .now_us = now_us,
           .started_us = dispatch->started_us,
           .target_latency_us = dispatch->target_latency_us,
-          .cold_available_us = quince_backends_get_limited_until_us (dispatch->backends) };
+          .cold_available_us = quince_backends_get_cold_worker_available_us (dispatch->backends) };
   const QuinceNoWorkerDecision decision = quince_no_worker_decide (&input);
   dispatch->retry_after_ms = decision.retry_after_ms;
   return decision.wait;
--- a/lib/forward/evacuation.c
+++ b/lib/forward/evacuation.c
@@ -37,7 +37,7 @@
 }
 
 static void
-withdraw (QuinceBackends *backends, gint64 before_us, QuinceHttpProgress progress)
+withdraw_requests (QuinceBackends *backends, gint64 before_us, QuinceHttpProgress progress)
 {
   g_autoptr (GPtrArray) ids = list_evacuated (backends, before_us);
   guint count = 0;
@@ -53,38 +53,38 @@
 }
 
 static gboolean
-find_stuck (gpointer data)
+withdraw_stuck_requests (gpointer data)
 {
   QuinceBackends *backends = data;
   gint64 now = quince_now_us ();
-  withdraw (backends, now - ARRIVAL_MS * 1000, QUINCE_HTTP_UNACKNOWLEDGED);
+  withdraw_requests (backends, now - ARRIVAL_MS * 1000, QUINCE_HTTP_UNACKNOWLEDGED);
   g_autoptr (GPtrArray) zones = quince_zone_table_list_evacuated (backends->zones);
   for (guint i = 0; i < zones->len; i++)
     if (now - quince_zone_table_get_evacuated_us (backends->zones, zones->pdata[i]) < CHECK_INTERVAL_US)
       return G_SOURCE_CONTINUE;
-  quince_timer_clear (&backends->withdrawal);
+  quince_timer_clear (&backends->withdrawal_timer);
   return G_SOURCE_REMOVE;
 }
 
 /* ---- Zones -------------------------------------------------------------- */
 
 gboolean
-quince_backends_take_zone (QuinceBackends *backends,
-                           gint64 now_us,
-                           const char *zone,
-                           guint64 revision,
-                           gboolean evacuated)
+quince_backends_set_zone_evacuated (QuinceBackends *backends,
+                                    gint64 now_us,
+                                    const char *zone,
+                                    guint64 revision,
+                                    gboolean evacuated)
 {
   if (!quince_zone_table_set_evacuated (backends->zones, now_us, zone, revision, evacuated))
     return FALSE;
   if (!evacuated)
     {
-      quince_backends_zone_returned (backends, now_us, zone);
+      quince_backends_assume_zone_cold (backends, now_us, zone);
       return TRUE;
     }
-  withdraw (backends, now_us, QUINCE_HTTP_UNCONNECTED);
-  if (backends->withdrawal == NULL)
-    backends->withdrawal = quince_timer_add (ARRIVAL_MS, find_stuck, backends);
+  withdraw_requests (backends, now_us, QUINCE_HTTP_UNCONNECTED);
+  if (backends->withdrawal_timer == NULL)
+    backends->withdrawal_timer = quince_timer_add (ARRIVAL_MS, withdraw_stuck_requests, backends);
   return TRUE;
 }
 
@@ -108,10 +108,10 @@
 }
 
 void
-quince_backends_limit_returning (const QuinceBackends *backends,
-                                 gint64 now_us,
-                                 guint most_running,
-                                 GPtrArray *found)
+quince_backends_limit_returning_zones (const QuinceBackends *backends,
+                                       gint64 now_us,
+                                       guint most_running,
+                                       GPtrArray *found)
 {
   if (!quince_zone_table_has_returning_zone (backends->zones, now_us))
     return;
@@ -120,7 +120,7 @@
     {
       const QuinceWorker *worker = found->pdata[i];
       double share = quince_zone_table_get_share (backends->zones, now_us, worker->zone);
-      if (quince_choice_is_returning_candidate (share, worker->running, most_running, backends->tie + i))
+      if (quince_choice_is_returning_candidate (share, worker->running, most_running, backends->rotation + i))
         g_ptr_array_add (kept, found->pdata[i]);
     }
   if (kept->len == 0)
@@ -132,7 +132,7 @@
 /* ---- While the evacuated zones are not known ------------------------------- */
 
 static gboolean
-hold_over (gpointer data)
+release_expired_hold (gpointer data)
 {
   quince_backends_release_sends (data);
   return G_SOURCE_REMOVE;
@@ -146,7 +146,7 @@
   quince_timer_clear (&backends->hold_timer);
   backends->holds_sends = TRUE;
   if (most_ms > 0)
-    backends->hold_timer = quince_timer_add (most_ms, hold_over, backends);
+    backends->hold_timer = quince_timer_add (most_ms, release_expired_hold, backends);
 }
 
 void
@@ -165,7 +165,7 @@
 void
 quince_backends_clear_evacuation (QuinceBackends *backends)
 {
-  quince_timer_clear (&backends->withdrawal);
+  quince_timer_clear (&backends->withdrawal_timer);
   quince_timer_clear (&backends->hold_timer);
   quince_zone_table_free (backends->zones);
 }
--- a/lib/forward/policy-entry.c
+++ b/lib/forward/policy-entry.c
@@ -11,7 +11,7 @@
 
 /* Lines of an entry: the number of the proposal, author, comment, and the program as the last, with its own
  * line feeds. */
-#define LINES 4
+#define ENTRY_LINES 4
 
 G_DEFINE_QUARK (quince - policy - entry - error - quark, quince_policy_entry_error)
 
@@ -28,10 +28,10 @@
 quince_policy_entry_parse (GBytes *value, GError **error)
 {
   g_autofree char *text = g_strndup (g_bytes_get_data (value, NULL), g_bytes_get_size (value));
-  g_auto (GStrv) lines = g_strsplit (text, "\n", LINES);
-  if (g_strv_length (lines) != LINES)
+  g_auto (GStrv) lines = g_strsplit (text, "\n", ENTRY_LINES);
+  if (g_strv_length (lines) != ENTRY_LINES)
     {
-      g_set_error_literal (error, QUINCE_POLICY_ENTRY_ERROR, QUINCE_POLICY_ENTRY_ERROR_FORM,
+      g_set_error_literal (error, QUINCE_POLICY_ENTRY_ERROR, QUINCE_POLICY_ENTRY_ERROR_INVALID,
                            "no policy entry");
       return NULL;
     }
@@ -73,7 +73,7 @@
       || !g_ascii_string_to_signed (words[0], 10, 0, G_MAXINT64, &entry->start_ms, NULL)
       || !g_ascii_string_to_signed (words[1], 10, 0, G_MAXINT64, &entry->duration_ms, NULL))
     {
-      g_set_error_literal (error, QUINCE_POLICY_ENTRY_ERROR, QUINCE_POLICY_ENTRY_ERROR_FORM,
+      g_set_error_literal (error, QUINCE_POLICY_ENTRY_ERROR, QUINCE_POLICY_ENTRY_ERROR_INVALID,
                            "no event entry");
       return FALSE;
     }
@@ -98,7 +98,7 @@
 }
 
 static void
-log_refusal (const char *what, guint64 revision, const GError *error)
+log_invalid_entry (const char *what, guint64 revision, const GError *error)
 {
   g_autofree char *reason = quince_log_quote (error->message);
   quince_log_warning ("entry_refused", "what=%s revision=%" G_GUINT64_FORMAT " error=%s code=%d reason=%s",
@@ -106,7 +106,7 @@
 }
 
 void
-quince_backends_take_policy (QuinceBackends *backends, GBytes *value, guint64 revision)
+quince_backends_apply_policy_entry (QuinceBackends *backends, GBytes *value, guint64 revision)
 {
   const QuincePolicy *now = quince_backends_get_policy (backends);
   if (value == NULL || (now != NULL && revision <= quince_policy_get_revision (now)))
@@ -118,7 +118,7 @@
     policy = quince_policy_compile (entry->program, strlen (entry->program), revision, &error);
   if (policy == NULL)
     {
-      log_refusal ("policy", revision, error);
+      log_invalid_entry ("policy", revision, error);
       return;
     }
   g_autofree char *author = quince_log_quote (entry->author);
@@ -136,7 +136,7 @@
 }
 
 void
-quince_backends_take_event (QuinceBackends *backends, const char *name, GBytes *value)
+quince_backends_apply_event_entry (QuinceBackends *backends, const char *name, GBytes *value)
 {
   g_autoptr (GError) error = NULL;
   QuinceEventEntry entry = { 0 };
@@ -149,7 +149,7 @@
     }
   if (!quince_event_entry_parse (value, &entry, &error))
     {
-      log_refusal ("event", 0, error);
+      log_invalid_entry ("event", 0, error);
       return;
     }
   quince_log_info ("event_known",
--- a/lib/forward/policy-entry.h
+++ b/lib/forward/policy-entry.h
@@ -18,7 +18,7 @@
 
 typedef enum
 {
-  QUINCE_POLICY_ENTRY_ERROR_FORM, /* not of the form below */
+  QUINCE_POLICY_ENTRY_ERROR_INVALID, /* not of the form below */
 } QuincePolicyEntryError;
 
 /* "PROPOSAL\nAUTHOR\nCOMMENT\nPROGRAM"; author and comment are escaped, so that each is one line. */
@@ -44,11 +44,11 @@
 gboolean quince_backends_load_policy (QuinceBackends *backends, const char *path, GError **error);
 /* Takes a policy from the metadata store; one that is not newer, or does not compile, changes nothing.
  * @value %NULL: the key is gone, which changes nothing either. */
-void quince_backends_take_policy (QuinceBackends *backends, GBytes *value, guint64 revision);
+void quince_backends_apply_policy_entry (QuinceBackends *backends, GBytes *value, guint64 revision);
 /* (nullable) (transfer none): the accepted policy that is in force, as it was taken; %NULL: that of the
  * settings is.  @revision: (out): of the policy in force */
 GBytes *quince_backends_get_policy_entry (const QuinceBackends *backends, guint64 *revision);
 /* @value %NULL: the event is deleted. */
-void quince_backends_take_event (QuinceBackends *backends, const char *name, GBytes *value);
+void quince_backends_apply_event_entry (QuinceBackends *backends, const char *name, GBytes *value);
 
 G_END_DECLS
--- a/lib/forward/residency-lookup.c
+++ b/lib/forward/residency-lookup.c
@@ -33,9 +33,9 @@
 }
 
 gboolean
-quince_backends_allow (const QuinceBackends *backends,
-                       const QuinceWorker *worker,
-                       const QuinceResidency *residency)
+quince_backends_is_allowed_worker (const QuinceBackends *backends,
+                                   const QuinceWorker *worker,
+                                   const QuinceResidency *residency)
 {
   if (quince_residency_is_unrestricted (residency))
     return TRUE;
@@ -52,17 +52,17 @@
   for (guint i = 0; i < all->len; i++)
     {
       const QuinceWorker *worker = all->pdata[i];
-      if (!worker->draining && quince_backends_allow (backends, worker, residency))
+      if (!worker->draining && quince_backends_is_allowed_worker (backends, worker, residency))
         return TRUE;
     }
   return FALSE;
 }
 
 static void
-take_over (QuinceResidencyLookup *lookup,
-           const QuinceRouteTable *table,
-           const QuinceRoute *route,
-           const char *tenant)
+copy_regions (QuinceResidencyLookup *lookup,
+              const QuinceRouteTable *table,
+              const QuinceRoute *route,
+              const char *tenant)
 {
   const QuinceTenantTable *tenants = quince_route_table_get_tenants (table);
   const QuinceTenant *found
@@ -91,7 +91,7 @@
   if (!same && table != NULL && (backends->has_region_rules || remembers))
     {
       const QuinceRoute *route = quince_route_table_find (table, host != NULL ? host : "", target);
-      take_over (lookup, table, route, tenant);
+      copy_regions (lookup, table, route, tenant);
       lookup->table = table;
       lookup->version = quince_route_table_get_version (table);
     }
--- a/lib/forward/residency-lookup.h
+++ b/lib/forward/residency-lookup.h
@@ -19,9 +19,9 @@
 gboolean quince_backends_has_region_rules (const QuinceBackends *backends);
 /* Whether @worker is where @residency (nullable) allows. A worker whose region is not known is
  * nowhere. */
-gboolean quince_backends_allow (const QuinceBackends *backends,
-                                const QuinceWorker *worker,
-                                const QuinceResidency *residency);
+gboolean quince_backends_is_allowed_worker (const QuinceBackends *backends,
+                                            const QuinceWorker *worker,
+                                            const QuinceResidency *residency);
 /* Whether any worker of @service that is not draining is where @residency allows. */
 gboolean quince_backends_has_allowed_worker (QuinceBackends *backends,
                                              const char *service,
--- a/lib/forward/send-guard-losses.c
+++ b/lib/forward/send-guard-losses.c
@@ -174,15 +174,15 @@
 /* Records ends only if the check found that the worker ended.  A running worker recorded as ended could keep
  * its service protected; then no suspect would be sent and cleared by an answer. */
 static void
-handle_checked_sends (QuinceSendGuard *guard, const WorkerLoss *loss, QuinceWorkerSign result)
+handle_checked_sends (QuinceSendGuard *guard, const WorkerLoss *loss, QuinceWorkerCheckResult result)
 {
   for (guint i = 0; i < loss->sends->len; i++)
-    if (result == QUINCE_WORKER_ENDED)
+    if (result == QUINCE_WORKER_CHECK_ENDED)
       record_send_end (guard, loss->sends->pdata[i], loss->worker_id);
     else
       log_checked_send (loss->sends->pdata[i], loss->worker_id,
-                        result == QUINCE_WORKER_LISTENS ? "lives" : "unknown");
-  if (result == QUINCE_WORKER_ENDED && loss->sends->len > 0)
+                        result == QUINCE_WORKER_CHECK_ALIVE ? "lives" : "unknown");
+  if (result == QUINCE_WORKER_CHECK_ENDED && loss->sends->len > 0)
     quince_service_capacities_record_end (guard->capacities, quince_now_us (), loss->service);
 }
 
@@ -210,7 +210,7 @@
 }
 
 static void
-handle_check_result (QuinceWorkerSign result, gpointer data)
+handle_check_result (QuinceWorkerCheckResult result, gpointer data)
 {
   WorkerLoss *loss = data;
   QuinceSendGuard *guard = loss->guard;
@@ -221,13 +221,13 @@
   for (guint i = 0; i < loss->runs->len; i++)
     {
       LostRun *run = &g_array_index (loss->runs, LostRun, i);
-      if (result == QUINCE_WORKER_ENDED)
+      if (result == QUINCE_WORKER_CHECK_ENDED)
         record_run_end (guard, loss, run);
       else
         quince_send_guard_return_permit (guard, &run->permit);
     }
   handle_checked_sends (guard, loss, result);
-  if (result != QUINCE_WORKER_ENDED)
+  if (result != QUINCE_WORKER_CHECK_ENDED)
     g_hash_table_remove (guard->losses, loss->worker_id);
 }
 
--- a/lib/forward/suspect-entry.c
+++ b/lib/forward/suspect-entry.c
@@ -8,7 +8,7 @@
 #define GROUP "request"
 
 static const char *
-known_text (const char *text)
+text_or_empty (const char *text)
 {
   return text != NULL ? text : "";
 }
@@ -18,8 +18,8 @@
 {
   g_autoptr (GKeyFile) file = g_key_file_new ();
   g_key_file_set_string (file, GROUP, "scope", quince_suspect_scope_name (suspect->scope));
-  g_key_file_set_string (file, GROUP, "service", known_text (suspect->service));
-  g_key_file_set_string (file, GROUP, "software", known_text (suspect->software));
+  g_key_file_set_string (file, GROUP, "service", text_or_empty (suspect->service));
+  g_key_file_set_string (file, GROUP, "software", text_or_empty (suspect->software));
   g_key_file_set_uint64 (file, GROUP, "release", suspect->release);
   g_key_file_set_integer (file, GROUP, "ends", (gint)suspect->n_workers);
   g_key_file_set_integer (file, GROUP, "alone", (gint)suspect->alone);
@@ -31,7 +31,7 @@
 
 /* Workers are not kept in the store: any different numbers stand for them. */
 static void
-number_workers (QuinceSuspect *suspect, guint ends)
+set_placeholder_workers (QuinceSuspect *suspect, guint ends)
 {
   suspect->n_workers = MIN (ends, QUINCE_QUARANTINE_WORKERS_MAX);
   for (guint i = 0; i < suspect->n_workers; i++)
@@ -59,7 +59,7 @@
   suspect->alone = (guint)MAX (g_key_file_get_integer (file, GROUP, "alone", NULL), 0);
   suspect->held = TRUE;
   suspect->reported_by = g_strdup ("store");
-  number_workers (suspect, (guint)MAX (g_key_file_get_integer (file, GROUP, "ends", NULL), 0));
+  set_placeholder_workers (suspect, (guint)MAX (g_key_file_get_integer (file, GROUP, "ends", NULL), 0));
   return TRUE;
 }
 
@@ -94,11 +94,11 @@
 }
 
 gboolean
-quince_suspect_entry_take (QuinceQuarantine *quarantine,
-                           gint64 now_us,
-                           gint64 wall_ms,
-                           const char *name,
-                           GBytes *value)
+quince_suspect_entry_apply (QuinceQuarantine *quarantine,
+                            gint64 now_us,
+                            gint64 wall_ms,
+                            const char *name,
+                            GBytes *value)
 {
   QuinceRequestDigest digest;
   if (!quince_request_digest_parse (name, &digest))
--- a/lib/forward/suspect-list.c
+++ b/lib/forward/suspect-list.c
@@ -9,7 +9,7 @@
 #define SEPARATOR ";"
 
 static const char *
-known_text (const char *text)
+text_or_empty (const char *text)
 {
   return text != NULL ? text : "";
 }
@@ -30,8 +30,8 @@
   g_autofree char *group = quince_request_digest_format (&suspect->digest);
   g_autofree char *workers = format_workers (suspect);
   g_key_file_set_string (file, group, "scope", quince_suspect_scope_name (suspect->scope));
-  g_key_file_set_string (file, group, "service", known_text (suspect->service));
-  g_key_file_set_string (file, group, "software", known_text (suspect->software));
+  g_key_file_set_string (file, group, "service", text_or_empty (suspect->service));
+  g_key_file_set_string (file, group, "software", text_or_empty (suspect->software));
   g_key_file_set_string (file, group, "workers", workers);
   g_key_file_set_uint64 (file, group, "release", suspect->release);
   g_key_file_set_uint64 (file, group, "alone", suspect->alone);
@@ -57,7 +57,7 @@
 /* ---- Reading ------------------------------------------------------------ */
 
 static void
-read_workers (const char *text, QuinceSuspect *suspect)
+parse_workers (const char *text, QuinceSuspect *suspect)
 {
   g_auto (GStrv) words = g_strsplit (text, SEPARATOR, QUINCE_QUARANTINE_WORKERS_MAX + 1);
   for (guint i = 0; words[i] != NULL && suspect->n_workers < QUINCE_QUARANTINE_WORKERS_MAX; i++)
@@ -70,13 +70,13 @@
 
 /* Returns: whether more is known now. */
 static gboolean
-take_one (QuinceQuarantine *quarantine,
-          gint64 now_us,
-          gint64 wall_ms,
-          const char *teller,
-          GKeyFile *file,
-          const char *group,
-          QuinceSuspect *suspect)
+merge_group (QuinceQuarantine *quarantine,
+             gint64 now_us,
+             gint64 wall_ms,
+             const char *teller,
+             GKeyFile *file,
+             const char *group,
+             QuinceSuspect *suspect)
 {
   g_autofree char *scope = g_key_file_get_string (file, group, "scope", NULL);
   g_autofree char *service = g_key_file_get_string (file, group, "service", NULL);
@@ -85,7 +85,7 @@
   gint64 ended_wall_ms = g_key_file_get_int64 (file, group, "ended_ms", NULL);
   if (workers == NULL || ended_wall_ms == 0)
     return FALSE;
-  read_workers (workers, suspect);
+  parse_workers (workers, suspect);
   suspect->scope = g_strcmp0 (scope, quince_suspect_scope_name (QUINCE_SUSPECT_PROMPT)) == 0
                        ? QUINCE_SUSPECT_PROMPT
                        : QUINCE_SUSPECT_REQUEST;
@@ -105,16 +105,16 @@
 {
   quince_log_info ("suspect_told", "digest=%s scope=%s ends=%u alone=%u held=%s told_by=%s", digest,
                    quince_suspect_scope_name (suspect->scope), suspect->n_workers, suspect->alone,
-                   suspect->held ? "true" : "false", known_text (suspect->reported_by));
+                   suspect->held ? "true" : "false", text_or_empty (suspect->reported_by));
 }
 
 void
-quince_suspect_list_take (QuinceQuarantine *quarantine,
-                          gint64 now_us,
-                          gint64 wall_ms,
-                          const char *teller,
-                          GBytes *value,
-                          GArray *changed)
+quince_suspect_list_merge (QuinceQuarantine *quarantine,
+                           gint64 now_us,
+                           gint64 wall_ms,
+                           const char *teller,
+                           GBytes *value,
+                           GArray *changed)
 {
   gsize length = 0;
   const char *data = g_bytes_get_data (value, &length);
@@ -130,7 +130,7 @@
     {
       QuinceSuspect suspect = { 0 };
       if (!quince_request_digest_parse (groups[i], &suspect.digest)
-          || !take_one (quarantine, now_us, wall_ms, teller, file, groups[i], &suspect))
+          || !merge_group (quarantine, now_us, wall_ms, teller, file, groups[i], &suspect))
         continue;
       g_array_append_val (changed, suspect.digest);
       log_report (quince_quarantine_find (quarantine, &suspect.digest), groups[i]);
--- a/lib/forward/suspect-list.h
+++ b/lib/forward/suspect-list.h
@@ -19,17 +19,17 @@
  * @now_us */
 GBytes *quince_suspect_list_format (const GPtrArray *suspects, gint64 now_us, gint64 wall_ms);
 /**
- * quince_suspect_list_take:
+ * quince_suspect_list_merge:
  * @teller: the process whose list it is
  * @changed: QuinceRequestDigest, added to: suspects of which more is known now
  *
  * Takes a list into @quarantine; what cannot be read of it is left out.
  */
-void quince_suspect_list_take (QuinceQuarantine *quarantine,
-                               gint64 now_us,
-                               gint64 wall_ms,
-                               const char *teller,
-                               GBytes *value,
-                               GArray *changed);
+void quince_suspect_list_merge (QuinceQuarantine *quarantine,
+                                gint64 now_us,
+                                gint64 wall_ms,
+                                const char *teller,
+                                GBytes *value,
+                                GArray *changed);
 
 G_END_DECLS
--- a/lib/forward/suspect-message.c
+++ b/lib/forward/suspect-message.c
@@ -8,7 +8,7 @@
 #include "runtime/log.h"
 
 static char *
-known_text (char *text)
+text_or_empty (char *text)
 {
   return text != NULL ? text : (char *)"";
 }
@@ -41,8 +41,8 @@
   report->alone = suspect->alone;
   report->held = suspect->held;
   report->age_ms = (u_quad_t)MAX (now_us - suspect->ended_us, 0) / 1000;
-  report->service = known_text (suspect->service);
-  report->software = known_text (suspect->software);
+  report->service = text_or_empty (suspect->service);
+  report->software = text_or_empty (suspect->software);
   report->reported_by = suspect->reported_by != NULL ? suspect->reported_by : (char *)own_name;
   report->prompt = suspect->scope == QUINCE_SUSPECT_PROMPT;
   report->member = suspect->member;
@@ -79,7 +79,7 @@
 }
 
 void
-quince_suspect_read (const QuinceSuspectReport *report, gint64 now_us, QuinceSuspect *suspect)
+quince_suspect_read_report (const QuinceSuspectReport *report, gint64 now_us, QuinceSuspect *suspect)
 {
   *suspect = (QuinceSuspect){ 0 };
   memcpy (suspect->digest.bytes, report->digest, sizeof suspect->digest.bytes);
@@ -116,17 +116,17 @@
 }
 
 void
-quince_suspect_news_take (QuinceQuarantine *quarantine,
-                          gint64 now_us,
-                          const QuinceSuspectReports *news,
-                          GArray *changed,
-                          GArray *cleared)
+quince_suspect_news_apply (QuinceQuarantine *quarantine,
+                           gint64 now_us,
+                           const QuinceSuspectReports *news,
+                           GArray *changed,
+                           GArray *cleared)
 {
   for (guint i = 0; i < news->suspects.suspects_len; i++)
     {
       const QuinceSuspectReport *report = &news->suspects.suspects_val[i];
       QuinceSuspect suspect;
-      quince_suspect_read (report, now_us, &suspect);
+      quince_suspect_read_report (report, now_us, &suspect);
       const QuinceSuspectCleared gone = { .digest = suspect.digest, .scope = suspect.scope };
       if (report->cleared && clear (quarantine, now_us, &suspect))
         g_array_append_val (cleared, gone);
--- a/lib/forward/suspect-message.h
+++ b/lib/forward/suspect-message.h
@@ -16,7 +16,7 @@
 /* The same for one that is sent now: what will be known if its worker ends. */
 GBytes *quince_suspect_sending_encode (const QuinceSuspect *expected, gint64 now_us, const char *own_name);
 /* @suspect: its texts are those of @report */
-void quince_suspect_read (const QuinceSuspectReport *report, gint64 now_us, QuinceSuspect *suspect);
+void quince_suspect_read_report (const QuinceSuspectReport *report, gint64 now_us, QuinceSuspect *suspect);
 /* The same for one that was cleared. */
 GBytes *quince_suspect_cleared_encode (const QuinceRequestDigest *digest, QuinceSuspectScope scope);
 
@@ -28,16 +28,16 @@
 } QuinceSuspectCleared;
 
 /**
- * quince_suspect_news_take:
+ * quince_suspect_news_apply:
  * @changed: QuinceRequestDigest, added to: suspects of which more is known now
  * @cleared: QuinceSuspectCleared, added to: suspects until now
  *
  * Takes the reports into @quarantine.
  */
-void quince_suspect_news_take (QuinceQuarantine *quarantine,
-                               gint64 now_us,
-                               const QuinceSuspectReports *news,
-                               GArray *changed,
-                               GArray *cleared);
+void quince_suspect_news_apply (QuinceQuarantine *quarantine,
+                                gint64 now_us,
+                                const QuinceSuspectReports *news,
+                                GArray *changed,
+                                GArray *cleared);
 
 G_END_DECLS
--- a/lib/forward/topology-settings.c
+++ b/lib/forward/topology-settings.c
@@ -4,7 +4,7 @@
 #include "forward/topology-settings.h"
 
 QuinceTopology *
-quince_topology_read (const QuinceSettings *settings, GError **error)
+quince_topology_new_from_settings (const QuinceSettings *settings, GError **error)
 {
   g_autoptr (QuinceTopology) topology
       = quince_topology_new (quince_settings_get_text (settings, "node", "zone"),
--- a/lib/forward/topology-settings.h
+++ b/lib/forward/topology-settings.h
@@ -12,6 +12,6 @@
 
 /* (transfer full) (nullable): from section "node", keys "zone", "region" and "zones"; %NULL with @error where
  * they contradict each other */
-QuinceTopology *quince_topology_read (const QuinceSettings *settings, GError **error);
+QuinceTopology *quince_topology_new_from_settings (const QuinceSettings *settings, GError **error);
 
 G_END_DECLS
--- a/lib/forward/warmth.c
+++ b/lib/forward/warmth.c
@@ -14,7 +14,7 @@
 
 /* An entry that first appears after the first listing is of a worker that starts. */
 static gint64
-assumed_cold_after_start_us (QuinceBackends *backends, const QuinceWorker *entry)
+get_assumed_cold_us (QuinceBackends *backends, const QuinceWorker *entry)
 {
   if (!backends->listed || entry->cold_remaining_us != QUINCE_COLD_UNKNOWN)
     return 0;
@@ -22,12 +22,12 @@
 }
 
 void
-quince_warmth_note_listed (QuinceBackends *backends, QuinceWorker *entry)
+quince_warmth_update_entry (QuinceBackends *backends, QuinceWorker *entry)
 {
   gint64 now = quince_now_us ();
   QuinceWorker *known = quince_worker_table_find (backends->workers, entry->id);
   if (known == NULL)
-    quince_worker_assume_cold (entry, now + assumed_cold_after_start_us (backends, entry));
+    quince_worker_assume_cold (entry, now + get_assumed_cold_us (backends, entry));
   gboolean was_cold = known != NULL && known->cold_remaining_us > 0;
   if (was_cold == (entry->cold_remaining_us > 0))
     return;
@@ -36,7 +36,7 @@
 }
 
 void
-quince_backends_note_first_listing (QuinceBackends *backends)
+quince_backends_finish_first_listing (QuinceBackends *backends)
 {
   backends->listed = TRUE;
 }
@@ -45,11 +45,11 @@
 assume_cold_in_zone (QuinceWorker *worker, gint64 now_us, const char *zone)
 {
   if (g_str_equal (worker->zone, zone))
-    quince_worker_assume_cold (worker, now_us + QUINCE_WARMUP_ASSUME_COLD_US);
+    quince_worker_assume_cold (worker, now_us + QUINCE_WARMUP_ASSUMED_COLD_US);
 }
 
 void
-quince_backends_zone_returned (QuinceBackends *backends, gint64 now_us, const char *zone)
+quince_backends_assume_zone_cold (QuinceBackends *backends, gint64 now_us, const char *zone)
 {
   g_autoptr (GPtrArray) all = quince_worker_table_list_all (backends->workers);
   for (guint i = 0; i < all->len; i++)
@@ -71,7 +71,7 @@
 
 /* Most requests in a second at @worker. */
 static guint
-most_of (const QuinceBackendQuery *query, gint64 now_us, const QuinceWorker *worker, guint most)
+get_max_sends (const QuinceBackendQuery *query, gint64 now_us, const QuinceWorker *worker, guint most)
 {
   return quince_choice_cold_limit (most, quince_worker_is_cold (worker, now_us), query->model != NULL,
                                    query->most_running);
@@ -85,21 +85,21 @@
 {
   *choice
       = (QuinceColdChoice){ .backends = backends, .query = query, .now_us = now_us, .free_us = G_MAXINT64 };
-  choice->most = quince_warmup_sends_get_most (backends->warmup, query->request->service);
+  choice->most = quince_warmup_sends_get_max_sends (backends->warmup, query->request->service);
   if (choice->most != G_MAXUINT)
     choice->limited = g_ptr_array_new ();
 }
 
 gboolean
-quince_warmth_has_room (QuinceColdChoice *choice, QuinceWorker *worker)
+quince_warmth_can_send (QuinceColdChoice *choice, QuinceWorker *worker)
 {
   if (choice->limited == NULL)
     return TRUE;
   QuinceWarmupSends *sends = choice->backends->warmup;
-  guint most = most_of (choice->query, choice->now_us, worker, choice->most);
-  if (quince_warmup_sends_has_room (sends, choice->now_us, worker, most))
+  guint most = get_max_sends (choice->query, choice->now_us, worker, choice->most);
+  if (quince_warmup_sends_can_send (sends, choice->now_us, worker, most))
     return TRUE;
-  gint64 free_us = quince_warmup_sends_get_free_us (sends, choice->now_us, worker, most);
+  gint64 free_us = quince_warmup_sends_get_next_send_us (sends, choice->now_us, worker, most);
   choice->free_us = MIN (choice->free_us, free_us);
   g_ptr_array_add (choice->limited, worker);
   return FALSE;
@@ -119,34 +119,34 @@
     return FALSE;
   QuinceBackends *backends = choice->backends;
   /* By turns: fronts that ask at once do not all ask for the same worker. */
-  QuinceWorker *wanted = limited->pdata[backends->tie % limited->len];
-  quince_warmup_sends_want (backends->warmup, choice->now_us, wanted);
-  backends->tie += !found;
-  backends->limited_until_us = choice->free_us;
+  QuinceWorker *wanted = limited->pdata[backends->rotation % limited->len];
+  quince_warmup_sends_request_lease (backends->warmup, choice->now_us, wanted);
+  backends->rotation += !found;
+  backends->cold_worker_available_us = choice->free_us;
   return TRUE;
 }
 
 gboolean
-quince_warmth_take (QuinceBackends *backends,
-                    gint64 now_us,
-                    const QuinceBackendQuery *query,
-                    QuinceWorker *worker)
+quince_warmth_acquire_send (QuinceBackends *backends,
+                            gint64 now_us,
+                            const QuinceBackendQuery *query,
+                            QuinceWorker *worker)
 {
   worker->send_by_us = 0;
-  guint most = quince_warmup_sends_get_most (backends->warmup, query->request->service);
+  guint most = quince_warmup_sends_get_max_sends (backends->warmup, query->request->service);
   if (most == G_MAXUINT)
     return TRUE;
-  most = most_of (query, now_us, worker, most);
-  gboolean taken = quince_warmup_sends_take (backends->warmup, now_us, worker, most);
+  most = get_max_sends (query, now_us, worker, most);
+  gboolean taken = quince_warmup_sends_acquire_send (backends->warmup, now_us, worker, most);
   if (taken && quince_worker_is_cold (worker, now_us))
-    worker->send_by_us = now_us + QUINCE_WARMUP_SEND_WITHIN_US;
+    worker->send_by_us = now_us + QUINCE_WARMUP_SEND_TIMEOUT_US;
   if (!taken)
-    backends->limited_until_us = now_us;
+    backends->cold_worker_available_us = now_us;
   return taken;
 }
 
 gint64
-quince_backends_get_limited_until_us (const QuinceBackends *backends)
+quince_backends_get_cold_worker_available_us (const QuinceBackends *backends)
 {
-  return backends->limited_until_us;
+  return backends->cold_worker_available_us;
 }
--- a/lib/forward/warmup-sends.c
+++ b/lib/forward/warmup-sends.c
@@ -9,14 +9,14 @@
 
 /* Time after which an unanswered request for a lease is made again, us: its giver is frozen or gone.  Not
  * measured: far above a round trip (26 ms at most between the users' regions). */
-#define ASK_PATIENCE_US (300 * 1000)
+#define LEASE_REQUEST_TIMEOUT_US (300 * 1000)
 /* Sends of one lease: one, since an unused lease still counts against the limit. */
-#define ASK_SENDS 1
+#define SENDS_PER_LEASE 1
 /* Time between two requests for a lease by one process, us: with a hundred fronts 2,000 a second reach the
  * leader while workers are cold (worked out). */
-#define ASK_EVERY_US (50 * 1000)
+#define LEASE_REQUEST_INTERVAL_US (50 * 1000)
 /* Time until the next request where there is no leader, us.  Not measured. */
-#define NO_LEADER_US (500 * 1000)
+#define NO_LEADER_RETRY_DELAY_US (500 * 1000)
 
 struct _QuinceWarmupSends
 {
@@ -25,9 +25,9 @@
   const QuinceWarmupSendsCallbacks *callbacks;
   gpointer user_data;
   QuinceWarmupLimiter *limiter;
-  GHashTable *leases; /* QuinceWarmupLease by id of the worker, both owned */
-  guint64 asks;       /* so far */
-  gint64 next_ask_us; /* not before */
+  GHashTable *leases;           /* QuinceWarmupLease by id of the worker, both owned */
+  guint64 asks;                 /* so far */
+  gint64 next_lease_request_us; /* not before */
 };
 
 void
@@ -64,9 +64,9 @@
 }
 
 static gboolean
-may_give (const QuinceWarmupSends *sends)
+may_grant (const QuinceWarmupSends *sends)
 {
-  return sends->callbacks->may_give != NULL && sends->callbacks->may_give (sends->user_data);
+  return sends->callbacks->may_grant != NULL && sends->callbacks->may_grant (sends->user_data);
 }
 
 static void
@@ -79,7 +79,7 @@
 /* ---- The choice of a worker --------------------------------------------- */
 
 guint
-quince_warmup_sends_get_most (QuinceWarmupSends *sends, const char *service)
+quince_warmup_sends_get_max_sends (QuinceWarmupSends *sends, const char *service)
 {
   if (sends == NULL)
     return G_MAXUINT;
@@ -105,24 +105,27 @@
 }
 
 gboolean
-quince_warmup_sends_has_room (QuinceWarmupSends *sends, gint64 now_us, const QuinceWorker *worker, guint most)
+quince_warmup_sends_can_send (QuinceWarmupSends *sends, gint64 now_us, const QuinceWorker *worker, guint most)
 {
   gboolean cold = quince_worker_is_cold (worker, now_us);
-  if (sends->callbacks->may_give != NULL)
+  if (sends->callbacks->may_grant != NULL)
     return quince_warmup_limiter_get_next_grant_us (sends->limiter, now_us, worker->id, cold, most) <= now_us
-           && (!cold || may_give (sends));
+           && (!cold || may_grant (sends));
   const QuinceWarmupLease *lease = find_lease (sends, worker->id);
   return !cold || (lease != NULL && quince_warmup_lease_can_send (lease, now_us));
 }
 
 gboolean
-quince_warmup_sends_take (QuinceWarmupSends *sends, gint64 now_us, const QuinceWorker *worker, guint most)
+quince_warmup_sends_acquire_send (QuinceWarmupSends *sends,
+                                  gint64 now_us,
+                                  const QuinceWorker *worker,
+                                  guint most)
 {
   gboolean cold = quince_worker_is_cold (worker, now_us);
-  if (sends->callbacks->may_give != NULL)
+  if (sends->callbacks->may_grant != NULL)
     {
-      gint64 until_us = now_us + (cold ? QUINCE_WARMUP_SEND_WITHIN_US : 0);
-      if ((cold && !may_give (sends))
+      gint64 until_us = now_us + (cold ? QUINCE_WARMUP_SEND_TIMEOUT_US : 0);
+      if ((cold && !may_grant (sends))
           || quince_warmup_limiter_grant (sends->limiter, now_us, worker->id, cold, most, 1, until_us) == 0)
         return FALSE;
     }
@@ -138,9 +141,9 @@
 }
 
 void
-quince_warmup_sends_want (QuinceWarmupSends *sends, gint64 now_us, const QuinceWorker *worker)
+quince_warmup_sends_request_lease (QuinceWarmupSends *sends, gint64 now_us, const QuinceWorker *worker)
 {
-  if (sends->callbacks->ask == NULL || now_us < sends->next_ask_us)
+  if (sends->callbacks->ask == NULL || now_us < sends->next_lease_request_us)
     return;
   QuinceWarmupLease *lease = find_lease (sends, worker->id);
   if (lease == NULL)
@@ -148,28 +151,28 @@
       lease = g_new0 (QuinceWarmupLease, 1);
       g_hash_table_insert (sends->leases, g_strdup (worker->id), lease);
     }
-  if (!quince_warmup_lease_may_request (lease, now_us, ASK_PATIENCE_US))
+  if (!quince_warmup_lease_may_request (lease, now_us, LEASE_REQUEST_TIMEOUT_US))
     return;
   /* The lease counts from here: the ask leaves later, if at all. */
   gint64 requested_us = quince_now_us ();
   guint64 ask = ++sends->asks;
-  if (!sends->callbacks->ask (ask, worker->id, ASK_SENDS, sends->user_data))
+  if (!sends->callbacks->ask (ask, worker->id, SENDS_PER_LEASE, sends->user_data))
     {
       lease->refused = TRUE;
-      lease->next_request_us = now_us + NO_LEADER_US;
+      lease->next_request_us = now_us + NO_LEADER_RETRY_DELAY_US;
       return;
     }
   quince_warmup_lease_start_request (lease, requested_us, ask);
-  sends->next_ask_us = now_us + ASK_EVERY_US;
+  sends->next_lease_request_us = now_us + LEASE_REQUEST_INTERVAL_US;
 }
 
 gint64
-quince_warmup_sends_get_free_us (QuinceWarmupSends *sends,
-                                 gint64 now_us,
-                                 const QuinceWorker *worker,
-                                 guint most)
+quince_warmup_sends_get_next_send_us (QuinceWarmupSends *sends,
+                                      gint64 now_us,
+                                      const QuinceWorker *worker,
+                                      guint most)
 {
-  if (sends->callbacks->may_give != NULL)
+  if (sends->callbacks->may_grant != NULL)
     return quince_warmup_limiter_get_next_grant_us (sends->limiter, now_us, worker->id,
                                                     quince_worker_is_cold (worker, now_us), most);
   const QuinceWarmupLease *lease = find_lease (sends, worker->id);
@@ -179,17 +182,17 @@
 /* ---- Who asks ------------------------------------------------------------- */
 
 void
-quince_warmup_sends_answered (QuinceWarmupSends *sends,
-                              const char *worker,
-                              guint64 ask,
-                              guint given,
-                              gint64 valid_us,
-                              gint64 again_us)
+quince_warmup_sends_handle_answer (QuinceWarmupSends *sends,
+                                   const char *worker,
+                                   guint64 ask,
+                                   guint given,
+                                   gint64 valid_us,
+                                   gint64 again_us)
 {
   QuinceWarmupLease *lease = find_lease (sends, worker);
   if (lease == NULL)
     return;
-  valid_us = MIN (valid_us, QUINCE_WARMUP_VALID_US);
+  valid_us = MIN (valid_us, QUINCE_WARMUP_LEASE_VALID_US);
   quince_warmup_lease_handle_answer (lease, quince_now_us (), ask, given, valid_us, again_us);
 }
 
@@ -213,23 +216,23 @@
 void
 quince_warmup_sends_take_over (QuinceWarmupSends *sends)
 {
-  gint64 used_until_us = quince_now_us () + QUINCE_WARMUP_VALID_US + QUINCE_WARMUP_SEND_WITHIN_US;
+  gint64 used_until_us = quince_now_us () + QUINCE_WARMUP_LEASE_VALID_US + QUINCE_WARMUP_SEND_TIMEOUT_US;
   quince_warmup_limiter_take_over (sends->limiter, used_until_us);
 }
 
 guint
-quince_warmup_sends_give (QuinceWarmupSends *sends,
-                          const char *worker,
-                          const char *service,
-                          guint wanted,
-                          gint64 *again_us)
+quince_warmup_sends_grant (QuinceWarmupSends *sends,
+                           const char *worker,
+                           const char *service,
+                           guint wanted,
+                           gint64 *again_us)
 {
   gint64 now = quince_now_us ();
-  guint most = quince_warmup_sends_get_most (sends, service);
-  gint64 until_us = now + QUINCE_WARMUP_VALID_US + QUINCE_WARMUP_SEND_WITHIN_US;
+  guint most = quince_warmup_sends_get_max_sends (sends, service);
+  gint64 until_us = now + QUINCE_WARMUP_LEASE_VALID_US + QUINCE_WARMUP_SEND_TIMEOUT_US;
   guint given = 0;
-  *again_us = NO_LEADER_US;
-  if (may_give (sends))
+  *again_us = NO_LEADER_RETRY_DELAY_US;
+  if (may_grant (sends))
     {
       given = quince_warmup_limiter_grant (sends->limiter, now, worker, TRUE, most, wanted, until_us);
       *again_us = quince_warmup_limiter_get_next_grant_us (sends->limiter, now, worker, TRUE, most) - now;
--- a/lib/forward/warmup-sends.h
+++ b/lib/forward/warmup-sends.h
@@ -29,30 +29,30 @@
 
 /* Duration of a lease from the moment at which it was asked for, us.  Not measured: several times the round
  * trip to the giver, 26 ms at most between the users' regions; longer leases that are not used waste more. */
-#define QUINCE_WARMUP_VALID_US (200 * 1000)
+#define QUINCE_WARMUP_LEASE_VALID_US (200 * 1000)
 /* Time after its choice in which a send to a cold worker must have a connection, us; else it is withdrawn.
  * Not measured: above the time of a connect at a busy worker; each send counts for 1.55 s with it: the second
  * of the limit, a lease, this time and the margin. */
-#define QUINCE_WARMUP_SEND_WITHIN_US (250 * 1000)
+#define QUINCE_WARMUP_SEND_TIMEOUT_US (250 * 1000)
 /* Longest way of a send, us.  Not measured: eight times the way between the users' regions. */
 #define QUINCE_WARMUP_MARGIN_US (100 * 1000)
 /* Time for which a worker of a returning zone counts as cold, us: the next entry that it writes says whether
  * it is, 1.2 s later at most, and a usual read follows. */
-#define QUINCE_WARMUP_ASSUME_COLD_US (2 * G_USEC_PER_SEC)
+#define QUINCE_WARMUP_ASSUMED_COLD_US (2 * G_USEC_PER_SEC)
 
 typedef struct _QuinceWarmupSends QuinceWarmupSends;
 
 /**
  * QuinceWarmupSendsCallbacks:
  * @find_service: (nullable result): what the configuration says of it
- * @may_give: whether this process grants sends now, asked each time; %NULL: it never does
- * @ask: asks for @sends to @worker; quince_warmup_sends_answered() follows.  Returns: %FALSE: there is no
- * leader to ask.  %NULL: this process does not ask
+ * @may_grant: whether this process grants sends now, asked each time; %NULL: it never does
+ * @ask: asks for @sends to @worker; quince_warmup_sends_handle_answer() follows.  Returns: %FALSE: there is
+ * no leader to ask.  %NULL: this process does not ask
  */
 typedef struct
 {
   const QuinceService *(*find_service) (const char *name, gpointer user_data);
-  gboolean (*may_give) (gpointer user_data);
+  gboolean (*may_grant) (gpointer user_data);
   gboolean (*ask) (guint64 ask, const char *worker, guint sends, gpointer user_data);
 } QuinceWarmupSendsCallbacks;
 
@@ -68,31 +68,33 @@
 
 /* Most requests in a second at one cold worker of @service; G_MAXUINT: no bound, and nothing below is needed.
  */
-guint quince_warmup_sends_get_most (QuinceWarmupSends *sends, const char *service);
+guint quince_warmup_sends_get_max_sends (QuinceWarmupSends *sends, const char *service);
 /* @most: at @worker, cold or not */
-gboolean quince_warmup_sends_has_room (QuinceWarmupSends *sends,
+gboolean quince_warmup_sends_can_send (QuinceWarmupSends *sends,
                                        gint64 now_us,
                                        const QuinceWorker *worker,
                                        guint most);
 /* A request goes to @worker, which has room.  Returns: %FALSE when it has not, after all */
-gboolean
-quince_warmup_sends_take (QuinceWarmupSends *sends, gint64 now_us, const QuinceWorker *worker, guint most);
+gboolean quince_warmup_sends_acquire_send (QuinceWarmupSends *sends,
+                                           gint64 now_us,
+                                           const QuinceWorker *worker,
+                                           guint most);
 /* @worker had no room: asks for some, where that is the way. */
-void quince_warmup_sends_want (QuinceWarmupSends *sends, gint64 now_us, const QuinceWorker *worker);
+void quince_warmup_sends_request_lease (QuinceWarmupSends *sends, gint64 now_us, const QuinceWorker *worker);
 /* When @worker may have room. */
-gint64 quince_warmup_sends_get_free_us (QuinceWarmupSends *sends,
-                                        gint64 now_us,
-                                        const QuinceWorker *worker,
-                                        guint most);
+gint64 quince_warmup_sends_get_next_send_us (QuinceWarmupSends *sends,
+                                             gint64 now_us,
+                                             const QuinceWorker *worker,
+                                             guint most);
 
 /* ---- Who asks ------------------------------------------------------------- */
 
-void quince_warmup_sends_answered (QuinceWarmupSends *sends,
-                                   const char *worker,
-                                   guint64 ask,
-                                   guint given,
-                                   gint64 valid_us,
-                                   gint64 again_us);
+void quince_warmup_sends_handle_answer (QuinceWarmupSends *sends,
+                                        const char *worker,
+                                        guint64 ask,
+                                        guint given,
+                                        gint64 valid_us,
+                                        gint64 again_us);
 /* The leader is gone, and with it what was requested; leases go on until their end. */
 void quince_warmup_sends_forget_requests (QuinceWarmupSends *sends);
 
@@ -102,12 +104,12 @@
 void quince_warmup_sends_take_over (QuinceWarmupSends *sends);
 /* Another process asks for @wanted sends to @worker, of @service.
  * @again_us: how long it is to wait until it asks again
- * Returns: how many it may make within QUINCE_WARMUP_VALID_US */
-guint quince_warmup_sends_give (QuinceWarmupSends *sends,
-                                const char *worker,
-                                const char *service,
-                                guint wanted,
-                                gint64 *again_us);
+ * Returns: how many it may make within QUINCE_WARMUP_LEASE_VALID_US */
+guint quince_warmup_sends_grant (QuinceWarmupSends *sends,
+                                 const char *worker,
+                                 const char *service,
+                                 guint wanted,
+                                 gint64 *again_us);
 
 /* Forgets what is over. */
 void quince_warmup_sends_expire (QuinceWarmupSends *sends, gint64 now_us);
--- a/lib/forward/worker-check.c
+++ b/lib/forward/worker-check.c
@@ -15,7 +15,7 @@
   /* All fields belong to the context that started it. */
   QuinceHttpConnection *connection;
   QuinceTimer *timer;
-  void (*done) (QuinceWorkerSign, gpointer);
+  void (*done) (QuinceWorkerCheckResult, gpointer);
   gpointer user_data;
 };
 
@@ -29,7 +29,7 @@
 }
 
 static void
-check_end (QuinceWorkerCheck *check, QuinceWorkerSign sign)
+finish_check (QuinceWorkerCheck *check, QuinceWorkerCheckResult sign)
 {
   check->done (sign, check->user_data);
   quince_worker_check_cancel (check);
@@ -38,19 +38,19 @@
 static void
 check_connected (QuinceHttpConnection *connection, gpointer data)
 {
-  check_end (data, QUINCE_WORKER_LISTENS);
+  finish_check (data, QUINCE_WORKER_CHECK_ALIVE);
 }
 
 static void
 check_closed (QuinceHttpConnection *connection, const GError *error, gpointer data)
 {
-  check_end (data, QUINCE_WORKER_ENDED);
+  finish_check (data, QUINCE_WORKER_CHECK_ENDED);
 }
 
 static gboolean
-check_late (gpointer data)
+check_timed_out (gpointer data)
 {
-  check_end (data, QUINCE_WORKER_SILENT);
+  finish_check (data, QUINCE_WORKER_CHECK_TIMED_OUT);
   return G_SOURCE_REMOVE;
 }
 
@@ -58,12 +58,14 @@
     = { .connected = check_connected, .closed = check_closed };
 
 QuinceWorkerCheck *
-quince_worker_check_start (const char *address, void (*done) (QuinceWorkerSign, gpointer), gpointer user_data)
+quince_worker_check_start (const char *address,
+                           void (*done) (QuinceWorkerCheckResult, gpointer),
+                           gpointer user_data)
 {
   QuinceWorkerCheck *check = g_new0 (QuinceWorkerCheck, 1);
   check->done = done;
   check->user_data = user_data;
   check->connection = quince_http_connection_connect (address, &callbacks, check);
-  check->timer = quince_timer_add (PATIENCE_MS, check_late, check);
+  check->timer = quince_timer_add (PATIENCE_MS, check_timed_out, check);
   return check;
 }
--- a/lib/forward/worker-check.h
+++ b/lib/forward/worker-check.h
@@ -14,16 +14,16 @@
 
 typedef enum
 {
-  QUINCE_WORKER_ENDED,   /* it refused the connection              */
-  QUINCE_WORKER_LISTENS, /* it took it                             */
-  QUINCE_WORKER_SILENT,  /* neither: that says nothing             */
-} QuinceWorkerSign;
+  QUINCE_WORKER_CHECK_ENDED,     /* it refused the connection              */
+  QUINCE_WORKER_CHECK_ALIVE,     /* it took it                             */
+  QUINCE_WORKER_CHECK_TIMED_OUT, /* neither: that says nothing             */
+} QuinceWorkerCheckResult;
 
 typedef struct _QuinceWorkerCheck QuinceWorkerCheck;
 
 /* Connects to @address; done() is called once, never before this returns, and releases the check after it. */
 QuinceWorkerCheck *quince_worker_check_start (const char *address,
-                                              void (*done) (QuinceWorkerSign sign, gpointer user_data),
+                                              void (*done) (QuinceWorkerCheckResult sign, gpointer user_data),
                                               gpointer user_data);
 /* Ends it without done(). */
 void quince_worker_check_cancel (QuinceWorkerCheck *check);
--- a/lib/forward/worker-pools.h
+++ b/lib/forward/worker-pools.h
@@ -25,6 +25,6 @@
 /* Closes the connections that no request uses. */
 void quince_worker_pools_drop_idle (QuinceWorkerPools *pools);
 /* Connections made since the start, by removed pools too. */
-guint64 quince_worker_pools_get_opened (const QuinceWorkerPools *pools);
+guint64 quince_worker_pools_get_n_connections_opened (const QuinceWorkerPools *pools);
 
 G_END_DECLS
--- a/lib/observer/observer.c
+++ b/lib/observer/observer.c
@@ -77,7 +77,7 @@
 workers_synced (gpointer data)
 {
   QuinceObserver *observer = data;
-  quince_backends_note_first_listing (observer->backends);
+  quince_backends_finish_first_listing (observer->backends);
   if (observer->callbacks->workers_synced != NULL)
     observer->callbacks->workers_synced (observer->user_data);
 }
@@ -89,9 +89,10 @@
 {
   QuinceObserver *observer = data;
   if (g_str_equal (item->key, QUINCE_POLICY_KEY))
-    quince_backends_take_policy (observer->backends, item->value, item->revision);
+    quince_backends_apply_policy_entry (observer->backends, item->value, item->revision);
   else if (g_str_has_prefix (item->key, QUINCE_EVENTS_PREFIX))
-    quince_backends_take_event (observer->backends, item->key + strlen (QUINCE_EVENTS_PREFIX), item->value);
+    quince_backends_apply_event_entry (observer->backends, item->key + strlen (QUINCE_EVENTS_PREFIX),
+                                       item->value);
   else if (observer->callbacks->own_key != NULL)
     observer->callbacks->own_key (item->key, item->value, item->revision, observer->user_data);
 }
@@ -108,7 +109,7 @@
   guint64 before;
   guint64 after;
   quince_backends_get_policy_entry (observer->backends, &before);
-  quince_backends_take_policy (observer->backends, value, revision);
+  quince_backends_apply_policy_entry (observer->backends, value, revision);
   quince_backends_get_policy_entry (observer->backends, &after);
   return after > before;
 }
--- a/lib/observer/operator-state.c
+++ b/lib/observer/operator-state.c
@@ -156,7 +156,8 @@
 take_evacuation (QuinceOperatorState *state, const QuinceMetaItem *item, const char *zone, gboolean fed)
 {
   gboolean evacuated = item->value != NULL;
-  if (!quince_backends_take_zone (state->backends, quince_now_us (), zone, item->revision, evacuated))
+  if (!quince_backends_set_zone_evacuated (state->backends, quince_now_us (), zone, item->revision,
+                                           evacuated))
     return;
   g_autofree char *name = quince_log_quote (zone);
   if (evacuated)
--- a/tests/platform/test-evacuation.c
+++ b/tests/platform/test-evacuation.c
@@ -75,8 +75,8 @@
 static void
 ask (World *world, const char *zone, gboolean evacuated)
 {
-  assert_true (
-      quince_backends_take_zone (world->backends, quince_now_us (), zone, ++world->revision, evacuated));
+  assert_true (quince_backends_set_zone_evacuated (world->backends, quince_now_us (), zone, ++world->revision,
+                                                   evacuated));
 }
 
 static guint
--- a/tests/platform/test-forward.c
+++ b/tests/platform/test-forward.c
@@ -372,7 +372,7 @@
       g_clear_pointer (&world.body, g_free);
       g_clear_pointer (&world.signature, g_free);
     }
-  assert_in_range (quince_backends_get_opened (world.backends), 1, WORKERS);
+  assert_in_range (quince_backends_get_n_connections_opened (world.backends), 1, WORKERS);
   end (&world);
 }
 
@@ -403,7 +403,7 @@
 {
   ColdService *cold = data;
   quince_timer_clear (&cold->timer);
-  quince_warmup_sends_answered (cold->sends, cold->worker, cold->ask, 1, GRANT_VALID_US, ASK_AGAIN_US);
+  quince_warmup_sends_handle_answer (cold->sends, cold->worker, cold->ask, 1, GRANT_VALID_US, ASK_AGAIN_US);
   return G_SOURCE_REMOVE;
 }
 
--- a/tests/platform/test-quarantine-cut.c
+++ b/tests/platform/test-quarantine-cut.c
@@ -155,7 +155,7 @@
   g_autoptr (GBytes) value = quince_suspect_list_format (all, NOW_US, WALL_MS);
   g_autoptr (GArray) changed = g_array_new (FALSE, FALSE, sizeof (QuinceRequestDigest));
   for (guint i = 0; i < 2; i++)
-    quince_suspect_list_take (second, NOW_US, WALL_MS, "front-1", value, changed);
+    quince_suspect_list_merge (second, NOW_US, WALL_MS, "front-1", value, changed);
   assert_int_equal (changed->len, 1);
   const QuinceSuspect *known = quince_quarantine_find (second, &digest);
   assert_int_equal (known->n_workers, 2);
@@ -173,7 +173,7 @@
   for (guint i = 0; i < G_N_ELEMENTS (texts); i++)
     {
       g_autoptr (GBytes) value = g_bytes_new_static (texts[i], strlen (texts[i]));
-      quince_suspect_list_take (quarantine, NOW_US, WALL_MS, "front-1", value, changed);
+      quince_suspect_list_merge (quarantine, NOW_US, WALL_MS, "front-1", value, changed);
     }
   assert_int_equal (changed->len, 0);
   assert_int_equal (quince_quarantine_get_size (quarantine), 0);
--- a/tests/platform/test-warmth.c
+++ b/tests/platform/test-warmth.c
@@ -29,7 +29,7 @@
 }
 
 static gboolean
-may_give (gpointer data)
+may_grant (gpointer data)
 {
   const World *world = data;
   return world->gives;
@@ -48,7 +48,7 @@
   return TRUE;
 }
 
-static const QuinceWarmupSendsCallbacks giver = { .find_service = find_service, .may_give = may_give };
+static const QuinceWarmupSendsCallbacks giver = { .find_service = find_service, .may_grant = may_grant };
 static const QuinceWarmupSendsCallbacks asker = { .find_service = find_service, .ask = ask };
 
 static void
@@ -134,7 +134,7 @@
   assert_true (is_cold (&world, "a"));
   assert_false (is_cold (&world, "b"));
   assert_false (is_cold (&world, "c")); /* of the first listing */
-  quince_backends_note_first_listing (world.backends);
+  quince_backends_finish_first_listing (world.backends);
   list (&world, "c", "z1", QUINCE_COLD_UNKNOWN); /* a heartbeat */
   list (&world, "d", "z1", QUINCE_COLD_UNKNOWN); /* one that starts */
   list (&world, "e", "z1", 0);                   /* one that starts and says that it is warm */
@@ -166,13 +166,13 @@
   quince_backends_mark_listing_stale (world.backends, now, now + G_USEC_PER_SEC, "a");
   list (&world, "a", "z1", 3000);
   assert_true (is_cold (&world, "a"));
-  assert_true (quince_backends_take_zone (world.backends, now, "z2", 1, TRUE));
+  assert_true (quince_backends_set_zone_evacuated (world.backends, now, "z2", 1, TRUE));
   assert_false (is_cold (&world, "b"));
-  assert_true (quince_backends_take_zone (world.backends, now, "z2", 2, FALSE));
+  assert_true (quince_backends_set_zone_evacuated (world.backends, now, "z2", 2, FALSE));
   assert_true (is_cold (&world, "b"));
   assert_false (is_cold (&world, "c"));
   const QuinceWorker *back = quince_worker_table_find (quince_backends_get_workers (world.backends), "b");
-  assert_false (quince_worker_is_cold (back, now + QUINCE_WARMUP_ASSUME_COLD_US));
+  assert_false (quince_worker_is_cold (back, now + QUINCE_WARMUP_ASSUMED_COLD_US));
   end (&world);
 }
 
@@ -192,7 +192,7 @@
       assert_true (worker->send_by_us > quince_now_us ()); /* not sent long after its choice */
     }
   assert_int_equal (choose (&world, &id), QUINCE_BACKEND_COLD);
-  gint64 free_us = quince_backends_get_limited_until_us (world.backends);
+  gint64 free_us = quince_backends_get_cold_worker_available_us (world.backends);
   assert_in_range (free_us, quince_now_us () + G_USEC_PER_SEC, quince_now_us () + 2 * G_USEC_PER_SEC);
   list (&world, "b", "z1", 0);
   assert_int_equal (choose (&world, &id), QUINCE_BACKEND_CHOSEN);
@@ -266,10 +266,10 @@
   assert_int_equal (world.asks, 1);
   assert_string_equal (world.asked_worker, "a");
   /* The answer may come while the request can wait. */
-  assert_true (quince_backends_get_limited_until_us (world.backends) <= quince_now_us ());
+  assert_true (quince_backends_get_cold_worker_available_us (world.backends) <= quince_now_us ());
   assert_int_equal (choose (&world, &id), QUINCE_BACKEND_COLD);
   assert_int_equal (world.asks, 1);
-  quince_warmup_sends_answered (world.sends, "a", world.ask, 1, QUINCE_WARMUP_VALID_US, 0);
+  quince_warmup_sends_handle_answer (world.sends, "a", world.ask, 1, QUINCE_WARMUP_LEASE_VALID_US, 0);
   assert_int_equal (choose (&world, &id), QUINCE_BACKEND_CHOSEN);
   assert_int_equal (choose (&world, &id), QUINCE_BACKEND_COLD);
   /* A warm worker needs no lease. */
@@ -290,9 +290,10 @@
   begin (&world, &asker);
   list (&world, "a", "z1", 3000);
   assert_int_equal (choose (&world, &id), QUINCE_BACKEND_COLD);
-  quince_warmup_sends_answered (world.sends, "a", world.ask, 0, QUINCE_WARMUP_VALID_US, 700 * 1000);
+  quince_warmup_sends_handle_answer (world.sends, "a", world.ask, 0, QUINCE_WARMUP_LEASE_VALID_US,
+                                     700 * 1000);
   assert_int_equal (choose (&world, &id), QUINCE_BACKEND_COLD);
-  gint64 free_us = quince_backends_get_limited_until_us (world.backends);
+  gint64 free_us = quince_backends_get_cold_worker_available_us (world.backends);
   assert_in_range (free_us - quince_now_us (), 600 * 1000, 700 * 1000);
   assert_int_equal (world.asks, 1);
   assert_int_equal (choose_at (&world, free_us + 1, &id), QUINCE_BACKEND_COLD);
@@ -311,13 +312,13 @@
   list (&world, "a", "z1", 3000);
   assert_int_equal (choose (&world, &id), QUINCE_BACKEND_COLD);
   assert_int_equal (choose (&world, &id), QUINCE_BACKEND_COLD);
-  assert_true (quince_backends_get_limited_until_us (world.backends) > quince_now_us ());
+  assert_true (quince_backends_get_cold_worker_available_us (world.backends) > quince_now_us ());
   /* A lease outlives the link to its giver, an ask does not. */
   world.reached = TRUE;
   quince_warmup_sends_forget_requests (world.sends);
   assert_int_equal (choose (&world, &id), QUINCE_BACKEND_COLD);
   quince_warmup_sends_forget_requests (world.sends);
-  quince_warmup_sends_answered (world.sends, "a", world.ask, 1, QUINCE_WARMUP_VALID_US, 0);
+  quince_warmup_sends_handle_answer (world.sends, "a", world.ask, 1, QUINCE_WARMUP_LEASE_VALID_US, 0);
   assert_int_equal (choose (&world, &id), QUINCE_BACKEND_COLD);
   end (&world);
 }
