--- a/daemons/front/warmup-client.c
+++ b/daemons/front/warmup-client.c
@@ -41,7 +41,8 @@
   return TRUE;
 }
 
-static const QuinceWarmupSendsCallbacks sends_callbacks = { .find_service = find_service, .ask = ask };
+static const QuinceWarmupSendsCallbacks sends_callbacks
+    = { .find_service = find_service, .request_lease = ask };
 
 static gboolean
 expire (gpointer data)
--- a/daemons/replica/sample-dispatch.c
+++ b/daemons/replica/sample-dispatch.c
@@ -44,7 +44,7 @@
                                .model = sample->entry->batch->model,
                                .minimum_version = sample->entry->batch->minimum_version,
                                .avoid = avoid,
-                               .most_running = view->slots,
+                               .running_max = view->slots,
                                .prompt = prompt,
                                .residency = &residency,
                                .fastest_pace_us = view->fastest_pace_us };
--- a/lib/forward/backends-private.h
+++ b/lib/forward/backends-private.h
@@ -21,20 +21,21 @@
   gboolean has_region_rules;      /* a route or tenant of it names regions */
   QuincePolicy *policy;
   GBytes *policy_entry;            /* that it was compiled from; NULL: it is that of the settings */
-  gboolean listed;                 /* the first listing of workers was read */
+  gboolean first_listing_read;     /* the first listing of workers was read */
   QuinceWarmupSends *warmup;       /* not owned; NULL: no worker counts as cold */
   gint64 cold_worker_available_us; /* of the last choice: when a cold worker may have room */
   QuinceSendGuard *guard;          /* not owned; NULL: none */
   QuinceEventTable *events;        /* owned */
   QuincePromptTable *prompts;
-  guint rotation; /* turns among equals */
-  guint turn;     /* where the next choice among many workers begins; see collect_in_turn() */
+  guint rotation;          /* turns among equals */
+  guint next_worker_index; /* where the next choice among many workers begins; see collect_in_turn() */
   QuinceZoneTable *zones;
   QuinceTimer *withdrawal_timer; /* checks for requests that do not arrive at evacuated zones; NULL: none was
                                   * evacuated lately */
   gboolean holds_sends;
   QuinceTimer *hold_timer; /* NULL: sends are not held, or without a bound */
-  GQueue vanished;         /* ids, owned: of workers that are not listed, perhaps by the store's own doing */
+  GQueue unlisted_ids;     /* ids, owned: of workers that are not listed, perhaps by the store's own
+                              doing */
 };
 
 /* ---- backends.c --------------------------------------------------------- */
@@ -57,7 +58,7 @@
  * list is left as it is where no worker would stay. */
 void quince_backends_limit_returning_zones (const QuinceBackends *backends,
                                             gint64 now_us,
-                                            guint most_running,
+                                            guint running_max,
                                             GPtrArray *found);
 void quince_backends_clear_evacuation (QuinceBackends *backends);
 /* ---- Cold workers: warmth.c ---------------------------------------------- */
@@ -68,9 +69,9 @@
   QuinceBackends *backends;
   const QuinceBackendQuery *query;
   gint64 now_us;
-  guint most;         /* requests in a second at a cold one; G_MAXUINT: no bound */
-  GPtrArray *limited; /* QuinceWorker: all that is lacking is room for cold ones; NULL: no bound */
-  gint64 free_us;     /* when the first of them may have room */
+  guint max_sends;     /* requests in a second at a cold one; G_MAXUINT: no bound */
+  GPtrArray *limited;  /* QuinceWorker: all that is lacking is room for cold ones; NULL: no bound */
+  gint64 available_us; /* when the first of them may have room */
 } QuinceColdChoice;
 
 /* @entry is about to be taken into the worker table. */
--- a/lib/forward/backends.c
+++ b/lib/forward/backends.c
@@ -31,7 +31,7 @@
   backends->workers = quince_worker_table_new (&table_callbacks, backends);
   backends->pools = quince_worker_pools_new ();
   backends->events = quince_event_table_new ();
-  g_queue_init (&backends->vanished);
+  g_queue_init (&backends->unlisted_ids);
   backends->prompts = quince_prompt_table_new (PROMPT_PARTS_MAX);
   backends->rotation = g_random_int ();
   return backends;
@@ -47,7 +47,7 @@
   quince_worker_pools_free (backends->pools);
   quince_event_table_free (backends->events);
   quince_prompt_table_free (backends->prompts);
-  g_queue_clear_full (&backends->vanished, g_free);
+  g_queue_clear_full (&backends->unlisted_ids, g_free);
   quince_policy_free (backends->policy);
   g_clear_pointer (&backends->policy_entry, g_bytes_unref);
   quince_topology_free (backends->topology);
@@ -102,16 +102,16 @@
 void
 quince_backends_remove_expired (QuinceBackends *backends, gint64 now_us)
 {
-  while (!g_queue_is_empty (&backends->vanished))
+  while (!g_queue_is_empty (&backends->unlisted_ids))
     {
-      const char *id = g_queue_peek_head (&backends->vanished);
+      const char *id = g_queue_peek_head (&backends->unlisted_ids);
       const QuinceWorker *worker = quince_worker_table_find (backends->workers, id);
-      gboolean back = worker == NULL || worker->expires_us == 0;
-      if (!back && now_us < worker->expires_us)
+      gboolean relisted_or_removed = worker == NULL || worker->expires_us == 0;
+      if (!relisted_or_removed && now_us < worker->expires_us)
         return;
-      g_autofree char *owned = g_queue_pop_head (&backends->vanished);
-      if (!back)
-        quince_backends_remove (backends, owned);
+      g_autofree char *unlisted_id = g_queue_pop_head (&backends->unlisted_ids);
+      if (!relisted_or_removed)
+        quince_backends_remove (backends, unlisted_id);
     }
 }
 
@@ -127,7 +127,7 @@
   if (worker->expires_us != 0)
     return;
   worker->expires_us = until_us;
-  g_queue_push_tail (&backends->vanished, g_strdup (id));
+  g_queue_push_tail (&backends->unlisted_ids, g_strdup (id));
   quince_log_info ("worker_doubted", "worker=%s cause=listing_vanished keep_ms=%d", id,
                    (int)((until_us - now_us) / 1000));
 }
--- a/lib/forward/backends.h
+++ b/lib/forward/backends.h
@@ -62,7 +62,7 @@
  * @request: what the policy sees of the request
  * @model: (nullable): with @minimum_version, what the worker must have
  * @avoid: (nullable): ids of workers that failed this request
- * @most_running: requests of this process at one worker; 0: no bound
+ * @running_max: requests of this process at one worker; 0: no bound
  * @prompt: (nullable): parts of the prompt, %NULL-terminated, see prompt-table.h: a worker that likely keeps
  * them is marked for the policy
  * @residency: (nullable): regions where the worker may stand; %NULL: anywhere
@@ -74,7 +74,7 @@
   const char *model;
   guint64 minimum_version;
   GHashTable *avoid;
-  guint most_running;
+  guint running_max;
   const char *const *prompt;
   const QuinceResidency *residency;
   gint64 fastest_pace_us;
@@ -117,8 +117,8 @@
 /* Whether @worker may be sent anything now. */
 gboolean quince_backends_may_send (const QuinceBackends *backends, const QuinceWorker *worker);
 /* Nothing is sent until quince_backends_release_sends(), since what the operator asks of the zones is not
- * known.  @most_ms: longest time; 0: no bound */
-void quince_backends_hold_sends (QuinceBackends *backends, guint most_ms);
+ * known.  @max_ms: longest time; 0: no bound */
+void quince_backends_hold_sends (QuinceBackends *backends, guint max_ms);
 void quince_backends_release_sends (QuinceBackends *backends);
 gboolean quince_backends_holds_sends (const QuinceBackends *backends);
 
--- a/lib/forward/choose-worker.c
+++ b/lib/forward/choose-worker.c
@@ -19,19 +19,19 @@
   QuinceBackends *backends;
   gint64 now_us;
   const QuinceBackendQuery *query;
-  QuinceWorkerRequirements need;
+  QuinceWorkerRequirements requirements;
   QuinceColdChoice cold;
   QuinceChoiceFacts facts;
 } Choice;
 
-/* Returns: whether @worker can take the request now.  @trusted: only as a first choice */
+/* Returns: whether @worker can take the request now.  @preferred_only: only as a first choice */
 static gboolean
-can_take (Choice *choice, QuinceWorker *worker, gboolean trusted)
+can_take (Choice *choice, QuinceWorker *worker, gboolean preferred_only)
 {
   QuinceChoiceFacts *facts = &choice->facts;
   gboolean may_send = quince_backends_may_send (choice->backends, worker);
-  facts->tried = facts->tried || (quince_choice_was_tried (worker, &choice->need) && may_send);
-  if (!quince_choice_is_suitable (worker, choice->now_us, &choice->need)
+  facts->tried = facts->tried || (quince_choice_was_tried (worker, &choice->requirements) && may_send);
+  if (!quince_choice_is_suitable (worker, choice->now_us, &choice->requirements)
       || !quince_backends_is_allowed_worker (choice->backends, worker, choice->query->residency))
     return FALSE;
   if (!may_send)
@@ -39,10 +39,10 @@
       facts->evacuated = TRUE;
       return FALSE;
     }
-  gboolean has_room = quince_choice_has_capacity (worker, &choice->need);
+  gboolean has_capacity = quince_choice_has_capacity (worker, &choice->requirements);
   facts->suitable = TRUE;
-  facts->full = facts->full || !has_room;
-  return has_room && (!trusted || quince_choice_is_preferred (worker, choice->now_us))
+  facts->full = facts->full || !has_capacity;
+  return has_capacity && (!preferred_only || quince_choice_is_preferred (worker, choice->now_us))
          && quince_warmth_can_send (&choice->cold, worker);
 }
 
@@ -50,34 +50,35 @@
 static void
 collect_in_turn (Choice *choice,
                  const GPtrArray *all,
-                 const char *keeps_prompt,
-                 gboolean trusted,
+                 const char *affinity_id,
+                 gboolean preferred_only,
                  GPtrArray *found)
 {
   QuinceBackends *backends = choice->backends;
   QuinceWorker *affinity_worker
-      = keeps_prompt != NULL ? quince_worker_table_find (backends->workers, keeps_prompt) : NULL;
+      = affinity_id != NULL ? quince_worker_table_find (backends->workers, affinity_id) : NULL;
   if (affinity_worker != NULL && g_str_equal (affinity_worker->service, choice->query->request->service)
-      && can_take (choice, affinity_worker, trusted))
+      && can_take (choice, affinity_worker, preferred_only))
     g_ptr_array_add (found, affinity_worker);
-  guint from = backends->turn % all->len;
+  guint start_index = backends->next_worker_index % all->len;
   guint others = 0;
   for (guint i = 0; i < all->len && found->len < QUINCE_POLICY_MAX_CANDIDATES; i++)
     {
-      QuinceWorker *worker = all->pdata[(from + i) % all->len];
-      if (worker == affinity_worker || !can_take (choice, worker, trusted))
+      QuinceWorker *worker = all->pdata[(start_index + i) % all->len];
+      if (worker == affinity_worker || !can_take (choice, worker, preferred_only))
         continue;
       g_ptr_array_add (found, worker);
       if (others++ == 0)
-        backends->turn += i + 1; /* whatever the length of the list: shorter ones do not set others back */
+        backends->next_worker_index
+            += i + 1; /* whatever the length of the list: shorter ones do not set others back */
     }
 }
 
 static void
-collect_all (Choice *choice, const GPtrArray *all, gboolean trusted, GPtrArray *found)
+collect_all (Choice *choice, const GPtrArray *all, gboolean preferred_only, GPtrArray *found)
 {
   for (guint i = 0; i < all->len; i++)
-    if (can_take (choice, all->pdata[i], trusted))
+    if (can_take (choice, all->pdata[i], preferred_only))
       g_ptr_array_add (found, all->pdata[i]);
 }
 
@@ -87,40 +88,40 @@
          const GPtrArray *all,
          gint64 now_us,
          const QuinceBackendQuery *query,
-         const char *keeps_prompt,
+         const char *affinity_id,
          GPtrArray *found)
 {
   Choice choice = { .backends = backends,
                     .now_us = now_us,
                     .query = query,
-                    .need = { .model = query->model,
-                              .minimum_version = query->minimum_version,
-                              .avoid = query->avoid,
-                              .running_max = query->most_running } };
+                    .requirements = { .model = query->model,
+                                      .minimum_version = query->minimum_version,
+                                      .avoid = query->avoid,
+                                      .running_max = query->running_max } };
   gboolean compares_all
       = quince_choice_compares_all (all->len, quince_zone_table_has_returning_zone (backends->zones, now_us));
   quince_warmth_begin_choice (backends, now_us, query, &choice.cold);
-  for (guint trusted = 1; found->len == 0 && !quince_warmth_is_limited (&choice.cold) && trusted < 2;
-       trusted--)
+  for (guint preferred_only = 1;
+       found->len == 0 && !quince_warmth_is_limited (&choice.cold) && preferred_only < 2; preferred_only--)
     if (compares_all)
-      collect_all (&choice, all, trusted == 1, found);
+      collect_all (&choice, all, preferred_only == 1, found);
     else
-      collect_in_turn (&choice, all, keeps_prompt, trusted == 1, found);
+      collect_in_turn (&choice, all, affinity_id, preferred_only == 1, found);
   choice.facts.limited = quince_warmth_end_choice (&choice.cold, found->len > 0);
   choice.facts.found = found->len > 0;
   return quince_choice_outcome (&choice.facts);
 }
 
 static void
-describe (const QuinceBackends *backends,
-          gint64 now_us,
-          const QuinceWorker *worker,
-          const QuinceBackendQuery *query,
-          const char *keeps_prompt,
-          QuincePolicyEngine *engine)
+describe_worker (const QuinceBackends *backends,
+                 gint64 now_us,
+                 const QuinceWorker *worker,
+                 const QuinceBackendQuery *query,
+                 const char *affinity_id,
+                 QuincePolicyEngine *engine)
 {
   guint capacity = MAX (worker->slots, 1);
-  gboolean preferred = keeps_prompt != NULL && g_str_equal (keeps_prompt, worker->id);
+  gboolean preferred = affinity_id != NULL && g_str_equal (affinity_id, worker->id);
   guint64 version = query->model != NULL ? quince_worker_get_version (worker, query->model) : 0;
   *engine = (QuincePolicyEngine){
     .name = worker->id,
@@ -139,23 +140,24 @@
     engine->slowness = (double)pace_us / (double)query->fastest_pace_us;
 }
 
-/* Of the candidates from @first of @found on the one that the policy scores highest; %NULL: it scores none.
+/* Of the candidates from @start_index of @found on the one that the policy scores highest; %NULL: it scores
+ * none.
  */
 static QuinceWorker *
-find_best (QuinceBackends *backends,
-           gint64 now_us,
-           const QuinceBackendQuery *query,
-           const GPtrArray *found,
-           guint first,
-           const char *keeps_prompt)
+choose_best (QuinceBackends *backends,
+             gint64 now_us,
+             const QuinceBackendQuery *query,
+             const GPtrArray *found,
+             guint start_index,
+             const char *affinity_id)
 {
   QuinceWorker *candidates[QUINCE_POLICY_MAX_CANDIDATES];
   QuincePolicyEngine engines[QUINCE_POLICY_MAX_CANDIDATES];
   double scores[QUINCE_POLICY_MAX_CANDIDATES];
-  guint n_engines
-      = quince_choice_pick_candidates (found, first, keeps_prompt, QUINCE_POLICY_MAX_CANDIDATES, candidates);
+  guint n_engines = quince_choice_pick_candidates (found, start_index, affinity_id,
+                                                   QUINCE_POLICY_MAX_CANDIDATES, candidates);
   for (guint i = 0; i < n_engines; i++)
-    describe (backends, now_us, candidates[i], query, keeps_prompt, &engines[i]);
+    describe_worker (backends, now_us, candidates[i], query, affinity_id, &engines[i]);
   quince_backends_score (backends, query->request, engines, n_engines, scores);
   gint best = quince_choice_best_score (scores, n_engines);
   return best >= 0 ? candidates[best] : NULL;
@@ -184,16 +186,16 @@
   quince_backends_remove_expired (backends, now_us);
   g_autoptr (GPtrArray) all = list_workers (backends, query);
   g_autoptr (GPtrArray) found = g_ptr_array_new ();
-  const char *keeps_prompt
+  const char *affinity_id
       = query->prompt != NULL ? quince_prompt_table_find_worker (backends->prompts, query->prompt) : NULL;
-  QuinceBackendOutcome outcome = collect (backends, all, now_us, query, keeps_prompt, found);
+  QuinceBackendOutcome outcome = collect (backends, all, now_us, query, affinity_id, found);
   if (outcome != QUINCE_BACKEND_CHOSEN)
     return outcome;
-  quince_backends_limit_returning_zones (backends, now_us, query->most_running, found);
+  quince_backends_limit_returning_zones (backends, now_us, query->running_max, found);
   /* Where @found was collected by turns its first is due; see collect_in_turn(). */
   gboolean in_turn = all->len > QUINCE_CHOICE_COMPARE_ALL_MAX && found->len <= QUINCE_POLICY_MAX_CANDIDATES;
-  guint first = in_turn ? 0 : backends->rotation++ % found->len;
-  QuinceWorker *best = find_best (backends, now_us, query, found, first, keeps_prompt);
+  guint start_index = in_turn ? 0 : backends->rotation++ % found->len;
+  QuinceWorker *best = choose_best (backends, now_us, query, found, start_index, affinity_id);
   if (best == NULL)
     return QUINCE_BACKEND_FULL;
   if (!quince_warmth_acquire_send (backends, now_us, query, best))
--- a/lib/forward/evacuation.c
+++ b/lib/forward/evacuation.c
@@ -14,9 +14,9 @@
 
 /* Time after its zone was evacuated from which a request that the worker's machine has not acknowledged is
  * stuck on a cut or slow link, ms.  Not measured: a round trip takes some ms. */
-#define ARRIVAL_MS 500
+#define ACKNOWLEDGE_TIMEOUT_MS 500
 /* Time after an evacuation in which such requests are checked for, us: three checks. */
-#define CHECK_INTERVAL_US (3 * ARRIVAL_MS * 1000)
+#define STUCK_CHECK_PERIOD_US (3 * ACKNOWLEDGE_TIMEOUT_MS * 1000)
 /* ---- Requests that have not arrived ------------------------------------- */
 
 /* (transfer container): ids, owned: of workers in evacuated zones with kept connections.  Callbacks of what
@@ -57,10 +57,10 @@
 {
   QuinceBackends *backends = data;
   gint64 now = quince_now_us ();
-  withdraw_requests (backends, now - ARRIVAL_MS * 1000, QUINCE_HTTP_UNACKNOWLEDGED);
+  withdraw_requests (backends, now - ACKNOWLEDGE_TIMEOUT_MS * 1000, QUINCE_HTTP_UNACKNOWLEDGED);
   g_autoptr (GPtrArray) zones = quince_zone_table_list_evacuated (backends->zones);
   for (guint i = 0; i < zones->len; i++)
-    if (now - quince_zone_table_get_evacuated_us (backends->zones, zones->pdata[i]) < CHECK_INTERVAL_US)
+    if (now - quince_zone_table_get_evacuated_us (backends->zones, zones->pdata[i]) < STUCK_CHECK_PERIOD_US)
       return G_SOURCE_CONTINUE;
   quince_timer_clear (&backends->withdrawal_timer);
   return G_SOURCE_REMOVE;
@@ -84,7 +84,7 @@
     }
   withdraw_requests (backends, now_us, QUINCE_HTTP_UNCONNECTED);
   if (backends->withdrawal_timer == NULL)
-    backends->withdrawal_timer = quince_timer_add (ARRIVAL_MS, withdraw_stuck_requests, backends);
+    backends->withdrawal_timer = quince_timer_add (ACKNOWLEDGE_TIMEOUT_MS, withdraw_stuck_requests, backends);
   return TRUE;
 }
 
@@ -110,23 +110,23 @@
 void
 quince_backends_limit_returning_zones (const QuinceBackends *backends,
                                        gint64 now_us,
-                                       guint most_running,
+                                       guint running_max,
                                        GPtrArray *found)
 {
   if (!quince_zone_table_has_returning_zone (backends->zones, now_us))
     return;
-  g_autoptr (GPtrArray) kept = g_ptr_array_new ();
+  g_autoptr (GPtrArray) candidates = g_ptr_array_new ();
   for (guint i = 0; i < found->len; i++)
     {
       const QuinceWorker *worker = found->pdata[i];
       double share = quince_zone_table_get_share (backends->zones, now_us, worker->zone);
-      if (quince_choice_is_returning_candidate (share, worker->running, most_running, backends->rotation + i))
-        g_ptr_array_add (kept, found->pdata[i]);
+      if (quince_choice_is_returning_candidate (share, worker->running, running_max, backends->rotation + i))
+        g_ptr_array_add (candidates, found->pdata[i]);
     }
-  if (kept->len == 0)
+  if (candidates->len == 0)
     return; /* to wait for others is worse */
   g_ptr_array_set_size (found, 0);
-  g_ptr_array_extend_and_steal (found, g_steal_pointer (&kept));
+  g_ptr_array_extend_and_steal (found, g_steal_pointer (&candidates));
 }
 
 /* ---- While the evacuated zones are not known ------------------------------- */
@@ -139,14 +139,14 @@
 }
 
 void
-quince_backends_hold_sends (QuinceBackends *backends, guint most_ms)
+quince_backends_hold_sends (QuinceBackends *backends, guint max_ms)
 {
   if (backends->holds_sends && backends->hold_timer == NULL)
     return; /* already, without a bound */
   quince_timer_clear (&backends->hold_timer);
   backends->holds_sends = TRUE;
-  if (most_ms > 0)
-    backends->hold_timer = quince_timer_add (most_ms, release_expired_hold, backends);
+  if (max_ms > 0)
+    backends->hold_timer = quince_timer_add (max_ms, release_expired_hold, backends);
 }
 
 void
--- a/lib/forward/policy-entry.c
+++ b/lib/forward/policy-entry.c
@@ -108,8 +108,8 @@
 void
 quince_backends_apply_policy_entry (QuinceBackends *backends, GBytes *value, guint64 revision)
 {
-  const QuincePolicy *now = quince_backends_get_policy (backends);
-  if (value == NULL || (now != NULL && revision <= quince_policy_get_revision (now)))
+  const QuincePolicy *current = quince_backends_get_policy (backends);
+  if (value == NULL || (current != NULL && revision <= quince_policy_get_revision (current)))
     return;
   g_autoptr (GError) error = NULL;
   g_autoptr (QuincePolicyEntry) entry = quince_policy_entry_parse (value, &error);
--- a/lib/forward/residency-lookup.c
+++ b/lib/forward/residency-lookup.c
@@ -65,10 +65,10 @@
               const char *tenant)
 {
   const QuinceTenantTable *tenants = quince_route_table_get_tenants (table);
-  const QuinceTenant *found
+  const QuinceTenant *known_tenant
       = tenants != NULL && tenant != NULL ? quince_tenant_table_find (tenants, tenant) : NULL;
   g_strfreev (lookup->tenant_regions);
-  lookup->tenant_regions = found != NULL ? g_strdupv (found->regions) : NULL;
+  lookup->tenant_regions = known_tenant != NULL ? g_strdupv (known_tenant->regions) : NULL;
   /* A route that was withdrawn binds requests under way as it did before. */
   if (route == NULL)
     return;
@@ -85,10 +85,10 @@
                           QuinceResidency *residency)
 {
   const QuinceRouteTable *table = backends->routes;
-  gboolean same = table == lookup->table
-                  && (table == NULL || quince_route_table_get_version (table) == lookup->version);
-  gboolean remembers = lookup->route_regions != NULL || lookup->tenant_regions != NULL;
-  if (!same && table != NULL && (backends->has_region_rules || remembers))
+  gboolean is_unchanged = table == lookup->table
+                          && (table == NULL || quince_route_table_get_version (table) == lookup->version);
+  gboolean has_regions = lookup->route_regions != NULL || lookup->tenant_regions != NULL;
+  if (!is_unchanged && table != NULL && (backends->has_region_rules || has_regions))
     {
       const QuinceRoute *route = quince_route_table_find (table, host != NULL ? host : "", target);
       copy_regions (lookup, table, route, tenant);
--- a/lib/forward/suspect-entry.c
+++ b/lib/forward/suspect-entry.c
@@ -72,25 +72,25 @@
 }
 
 static gboolean
-take_value (QuinceQuarantine *quarantine,
-            gint64 now_us,
-            gint64 wall_ms,
-            const QuinceRequestDigest *digest,
-            GBytes *value)
+merge_value (QuinceQuarantine *quarantine,
+             gint64 now_us,
+             gint64 wall_ms,
+             const QuinceRequestDigest *digest,
+             GBytes *value)
 {
   QuinceSuspect suspect = { .digest = *digest };
   gint64 ended_wall_ms = 0;
   g_autoptr (GError) error = NULL;
-  gboolean taken = quince_suspect_entry_parse (value, &suspect, &ended_wall_ms, &error);
-  if (taken)
+  gboolean applied = quince_suspect_entry_parse (value, &suspect, &ended_wall_ms, &error);
+  if (applied)
     {
       suspect.ended_us = now_us - MAX (wall_ms - ended_wall_ms, 0) * 1000;
-      taken = quince_quarantine_merge (quarantine, now_us, &suspect);
+      applied = quince_quarantine_merge (quarantine, now_us, &suspect);
     }
   else
     quince_log_warning ("entry_refused", "what=quarantine code=%d", error != NULL ? error->code : 0);
   quince_suspect_entry_clear (&suspect);
-  return taken;
+  return applied;
 }
 
 gboolean
@@ -107,7 +107,7 @@
       return FALSE;
     }
   if (value != NULL)
-    return take_value (quarantine, now_us, wall_ms, &digest, value);
+    return merge_value (quarantine, now_us, wall_ms, &digest, value);
   gboolean released = quince_quarantine_release (quarantine, now_us, &digest);
   if (released)
     quince_log_info ("suspect_released", "digest=%s", name);
--- a/lib/forward/suspect-list.c
+++ b/lib/forward/suspect-list.c
@@ -25,7 +25,7 @@
 }
 
 static void
-format_one (GKeyFile *file, const QuinceSuspect *suspect, gint64 ended_wall_ms)
+format_suspect (GKeyFile *file, const QuinceSuspect *suspect, gint64 ended_wall_ms)
 {
   g_autofree char *group = quince_request_digest_format (&suspect->digest);
   g_autofree char *workers = format_workers (suspect);
@@ -47,7 +47,7 @@
   for (guint i = 0; i < MIN (suspects->len, QUINCE_SUSPECT_LIST_MAX); i++)
     {
       const QuinceSuspect *suspect = suspects->pdata[i];
-      format_one (file, suspect, wall_ms - (now_us - suspect->ended_us) / 1000);
+      format_suspect (file, suspect, wall_ms - (now_us - suspect->ended_us) / 1000);
     }
   gsize length = 0;
   char *text = g_key_file_to_data (file, &length, NULL);
@@ -73,7 +73,7 @@
 merge_group (QuinceQuarantine *quarantine,
              gint64 now_us,
              gint64 wall_ms,
-             const char *teller,
+             const char *reported_by,
              GKeyFile *file,
              const char *group,
              QuinceSuspect *suspect)
@@ -91,7 +91,7 @@
                        : QUINCE_SUSPECT_REQUEST;
   suspect->service = service;
   suspect->software = software;
-  suspect->reported_by = (char *)teller;
+  suspect->reported_by = (char *)reported_by;
   suspect->release = g_key_file_get_uint64 (file, group, "release", NULL);
   suspect->alone = (guint)g_key_file_get_uint64 (file, group, "alone", NULL);
   suspect->member = g_key_file_get_uint64 (file, group, "member", NULL);
@@ -112,7 +112,7 @@
 quince_suspect_list_merge (QuinceQuarantine *quarantine,
                            gint64 now_us,
                            gint64 wall_ms,
-                           const char *teller,
+                           const char *reported_by,
                            GBytes *value,
                            GArray *changed)
 {
@@ -130,7 +130,7 @@
     {
       QuinceSuspect suspect = { 0 };
       if (!quince_request_digest_parse (groups[i], &suspect.digest)
-          || !merge_group (quarantine, now_us, wall_ms, teller, file, groups[i], &suspect))
+          || !merge_group (quarantine, now_us, wall_ms, reported_by, file, groups[i], &suspect))
         continue;
       g_array_append_val (changed, suspect.digest);
       log_report (quince_quarantine_find (quarantine, &suspect.digest), groups[i]);
--- a/lib/forward/suspect-list.h
+++ b/lib/forward/suspect-list.h
@@ -20,7 +20,7 @@
 GBytes *quince_suspect_list_format (const GPtrArray *suspects, gint64 now_us, gint64 wall_ms);
 /**
  * quince_suspect_list_merge:
- * @teller: the process whose list it is
+ * @reported_by: the process whose list it is
  * @changed: QuinceRequestDigest, added to: suspects of which more is known now
  *
  * Takes a list into @quarantine; what cannot be read of it is left out.
@@ -28,7 +28,7 @@
 void quince_suspect_list_merge (QuinceQuarantine *quarantine,
                                 gint64 now_us,
                                 gint64 wall_ms,
-                                const char *teller,
+                                const char *reported_by,
                                 GBytes *value,
                                 GArray *changed);
 
--- a/lib/forward/suspect-message.c
+++ b/lib/forward/suspect-message.c
@@ -26,13 +26,13 @@
 }
 
 static GBytes *
-encode (QuinceSuspectReport *report, guint n_reports)
+encode_news (QuinceSuspectReport *report, guint n_reports)
 {
   return encode_kind (QUINCE_MESSAGE_SUSPECT_NEWS, report, n_reports);
 }
 
 static void
-describe (const QuinceSuspect *suspect, gint64 now_us, const char *own_name, QuinceSuspectReport *report)
+fill_report (const QuinceSuspect *suspect, gint64 now_us, const char *own_name, QuinceSuspectReport *report)
 {
   memcpy (report->digest, suspect->digest.bytes, sizeof report->digest);
   report->release = suspect->release;
@@ -54,15 +54,15 @@
   g_autofree QuinceSuspectReport *report = g_new0 (QuinceSuspectReport, suspects->len + 1);
   guint n_reports = MIN (suspects->len, QUINCE_SUSPECTS_MAX);
   for (guint i = 0; i < n_reports; i++)
-    describe (suspects->pdata[i], now_us, own_name, &report[i]);
-  return encode (report, n_reports);
+    fill_report (suspects->pdata[i], now_us, own_name, &report[i]);
+  return encode_news (report, n_reports);
 }
 
 GBytes *
 quince_suspect_sending_encode (const QuinceSuspect *expected, gint64 now_us, const char *own_name)
 {
   QuinceSuspectReport report = { 0 };
-  describe (expected, now_us, own_name, &report);
+  fill_report (expected, now_us, own_name, &report);
   return encode_kind (QUINCE_MESSAGE_SUSPECT_SENDING, &report, 1);
 }
 
@@ -75,7 +75,7 @@
                                  .reported_by = "",
                                  .prompt = scope == QUINCE_SUSPECT_PROMPT };
   memcpy (report.digest, digest->bytes, sizeof report.digest);
-  return encode (&report, 1);
+  return encode_news (&report, 1);
 }
 
 void
@@ -99,7 +99,7 @@
 
 /* Returns: whether it was suspected here. */
 static gboolean
-clear (QuinceQuarantine *quarantine, gint64 now_us, const QuinceSuspect *suspect)
+clear_suspect (QuinceQuarantine *quarantine, gint64 now_us, const QuinceSuspect *suspect)
 {
   if (suspect->scope == QUINCE_SUSPECT_PROMPT)
     return quince_quarantine_clear_prompt (quarantine, now_us, &suspect->digest);
@@ -127,9 +127,9 @@
       const QuinceSuspectReport *report = &news->suspects.suspects_val[i];
       QuinceSuspect suspect;
       quince_suspect_read_report (report, now_us, &suspect);
-      const QuinceSuspectCleared gone = { .digest = suspect.digest, .scope = suspect.scope };
-      if (report->cleared && clear (quarantine, now_us, &suspect))
-        g_array_append_val (cleared, gone);
+      const QuinceSuspectCleared cleared_suspect = { .digest = suspect.digest, .scope = suspect.scope };
+      if (report->cleared && clear_suspect (quarantine, now_us, &suspect))
+        g_array_append_val (cleared, cleared_suspect);
       else if (!report->cleared && quince_quarantine_merge (quarantine, now_us, &suspect))
         {
           g_array_append_val (changed, suspect.digest);
--- a/lib/forward/warmth.c
+++ b/lib/forward/warmth.c
@@ -16,7 +16,7 @@
 static gint64
 get_assumed_cold_us (QuinceBackends *backends, const QuinceWorker *entry)
 {
-  if (!backends->listed || entry->cold_remaining_us != QUINCE_COLD_UNKNOWN)
+  if (!backends->first_listing_read || entry->cold_remaining_us != QUINCE_COLD_UNKNOWN)
     return 0;
   return quince_warmup_sends_get_cold_start_us (backends->warmup, entry->service);
 }
@@ -38,7 +38,7 @@
 void
 quince_backends_finish_first_listing (QuinceBackends *backends)
 {
-  backends->listed = TRUE;
+  backends->first_listing_read = TRUE;
 }
 
 static void
@@ -71,10 +71,10 @@
 
 /* Most requests in a second at @worker. */
 static guint
-get_max_sends (const QuinceBackendQuery *query, gint64 now_us, const QuinceWorker *worker, guint most)
+get_max_sends (const QuinceBackendQuery *query, gint64 now_us, const QuinceWorker *worker, guint max_sends)
 {
-  return quince_choice_cold_limit (most, quince_worker_is_cold (worker, now_us), query->model != NULL,
-                                   query->most_running);
+  return quince_choice_cold_limit (max_sends, quince_worker_is_cold (worker, now_us), query->model != NULL,
+                                   query->running_max);
 }
 
 void
@@ -83,10 +83,11 @@
                             const QuinceBackendQuery *query,
                             QuinceColdChoice *choice)
 {
-  *choice
-      = (QuinceColdChoice){ .backends = backends, .query = query, .now_us = now_us, .free_us = G_MAXINT64 };
-  choice->most = quince_warmup_sends_get_max_sends (backends->warmup, query->request->service);
-  if (choice->most != G_MAXUINT)
+  *choice = (QuinceColdChoice){
+    .backends = backends, .query = query, .now_us = now_us, .available_us = G_MAXINT64
+  };
+  choice->max_sends = quince_warmup_sends_get_max_sends (backends->warmup, query->request->service);
+  if (choice->max_sends != G_MAXUINT)
     choice->limited = g_ptr_array_new ();
 }
 
@@ -95,12 +96,12 @@
 {
   if (choice->limited == NULL)
     return TRUE;
-  QuinceWarmupSends *sends = choice->backends->warmup;
-  guint most = get_max_sends (choice->query, choice->now_us, worker, choice->most);
-  if (quince_warmup_sends_can_send (sends, choice->now_us, worker, most))
+  QuinceWarmupSends *warmup = choice->backends->warmup;
+  guint max_sends = get_max_sends (choice->query, choice->now_us, worker, choice->max_sends);
+  if (quince_warmup_sends_can_send (warmup, choice->now_us, worker, max_sends))
     return TRUE;
-  gint64 free_us = quince_warmup_sends_get_next_send_us (sends, choice->now_us, worker, most);
-  choice->free_us = MIN (choice->free_us, free_us);
+  gint64 available_us = quince_warmup_sends_get_next_send_us (warmup, choice->now_us, worker, max_sends);
+  choice->available_us = MIN (choice->available_us, available_us);
   g_ptr_array_add (choice->limited, worker);
   return FALSE;
 }
@@ -119,10 +120,10 @@
     return FALSE;
   QuinceBackends *backends = choice->backends;
   /* By turns: fronts that ask at once do not all ask for the same worker. */
-  QuinceWorker *wanted = limited->pdata[backends->rotation % limited->len];
-  quince_warmup_sends_request_lease (backends->warmup, choice->now_us, wanted);
+  QuinceWorker *requested_worker = limited->pdata[backends->rotation % limited->len];
+  quince_warmup_sends_request_lease (backends->warmup, choice->now_us, requested_worker);
   backends->rotation += !found;
-  backends->cold_worker_available_us = choice->free_us;
+  backends->cold_worker_available_us = choice->available_us;
   return TRUE;
 }
 
@@ -133,16 +134,16 @@
                             QuinceWorker *worker)
 {
   worker->send_by_us = 0;
-  guint most = quince_warmup_sends_get_max_sends (backends->warmup, query->request->service);
-  if (most == G_MAXUINT)
+  guint max_sends = quince_warmup_sends_get_max_sends (backends->warmup, query->request->service);
+  if (max_sends == G_MAXUINT)
     return TRUE;
-  most = get_max_sends (query, now_us, worker, most);
-  gboolean taken = quince_warmup_sends_acquire_send (backends->warmup, now_us, worker, most);
-  if (taken && quince_worker_is_cold (worker, now_us))
+  max_sends = get_max_sends (query, now_us, worker, max_sends);
+  gboolean acquired = quince_warmup_sends_acquire_send (backends->warmup, now_us, worker, max_sends);
+  if (acquired && quince_worker_is_cold (worker, now_us))
     worker->send_by_us = now_us + QUINCE_WARMUP_SEND_TIMEOUT_US;
-  if (!taken)
+  if (!acquired)
     backends->cold_worker_available_us = now_us;
-  return taken;
+  return acquired;
 }
 
 gint64
--- a/lib/forward/warmup-sends.c
+++ b/lib/forward/warmup-sends.c
@@ -26,7 +26,7 @@
   gpointer user_data;
   QuinceWarmupLimiter *limiter;
   GHashTable *leases;           /* QuinceWarmupLease by id of the worker, both owned */
-  guint64 asks;                 /* so far */
+  guint64 last_request_id;      /* so far */
   gint64 next_lease_request_us; /* not before */
 };
 
@@ -48,8 +48,8 @@
   sends->user_data = user_data;
   sends->limiter = quince_warmup_limiter_new (QUINCE_WARMUP_MARGIN_US);
   sends->leases = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
-  /* An answer to a process that ran here before must not match an ask of this one. */
-  sends->asks = (guint64)quince_now_us ();
+  /* An answer to a process that ran here before must not match a request of this one. */
+  sends->last_request_id = (guint64)quince_now_us ();
   return sends;
 }
 
@@ -70,7 +70,7 @@
 }
 
 static void
-count (const char *outcome, guint amount)
+count_sends (const char *outcome, guint amount)
 {
   g_autofree char *labels = g_strdup_printf ("outcome=\"%s\"", outcome);
   quince_metric_add ("quince_warmup_sends_total", labels, amount);
@@ -83,19 +83,19 @@
 {
   if (sends == NULL)
     return G_MAXUINT;
-  const QuinceService *configured = sends->callbacks->find_service (service, sends->user_data);
-  if (configured == NULL)
+  const QuinceService *service_config = sends->callbacks->find_service (service, sends->user_data);
+  if (service_config == NULL)
     return G_MAXUINT;
-  return quince_warmup_get_max_sends (configured->cold_max_requests_per_s, sends->bounds.overage,
+  return quince_warmup_get_max_sends (service_config->cold_max_requests_per_s, sends->bounds.overage,
                                       sends->bounds.slack);
 }
 
 gint64
 quince_warmup_sends_get_cold_start_us (QuinceWarmupSends *sends, const char *service)
 {
-  const QuinceService *configured
+  const QuinceService *service_config
       = sends != NULL ? sends->callbacks->find_service (service, sends->user_data) : NULL;
-  return configured != NULL ? (gint64)configured->cold_start_ms * 1000 : 0;
+  return service_config != NULL ? (gint64)service_config->cold_start_ms * 1000 : 0;
 }
 
 static QuinceWarmupLease *
@@ -105,11 +105,15 @@
 }
 
 gboolean
-quince_warmup_sends_can_send (QuinceWarmupSends *sends, gint64 now_us, const QuinceWorker *worker, guint most)
+quince_warmup_sends_can_send (QuinceWarmupSends *sends,
+                              gint64 now_us,
+                              const QuinceWorker *worker,
+                              guint max_sends)
 {
   gboolean cold = quince_worker_is_cold (worker, now_us);
   if (sends->callbacks->may_grant != NULL)
-    return quince_warmup_limiter_get_next_grant_us (sends->limiter, now_us, worker->id, cold, most) <= now_us
+    return quince_warmup_limiter_get_next_grant_us (sends->limiter, now_us, worker->id, cold, max_sends)
+               <= now_us
            && (!cold || may_grant (sends));
   const QuinceWarmupLease *lease = find_lease (sends, worker->id);
   return !cold || (lease != NULL && quince_warmup_lease_can_send (lease, now_us));
@@ -119,14 +123,15 @@
 quince_warmup_sends_acquire_send (QuinceWarmupSends *sends,
                                   gint64 now_us,
                                   const QuinceWorker *worker,
-                                  guint most)
+                                  guint max_sends)
 {
   gboolean cold = quince_worker_is_cold (worker, now_us);
   if (sends->callbacks->may_grant != NULL)
     {
-      gint64 until_us = now_us + (cold ? QUINCE_WARMUP_SEND_TIMEOUT_US : 0);
+      gint64 send_by_us = now_us + (cold ? QUINCE_WARMUP_SEND_TIMEOUT_US : 0);
       if ((cold && !may_grant (sends))
-          || quince_warmup_limiter_grant (sends->limiter, now_us, worker->id, cold, most, 1, until_us) == 0)
+          || quince_warmup_limiter_grant (sends->limiter, now_us, worker->id, cold, max_sends, 1, send_by_us)
+                 == 0)
         return FALSE;
     }
   else if (cold)
@@ -136,14 +141,14 @@
         return FALSE;
     }
   if (cold)
-    count ("sent", 1);
+    count_sends ("sent", 1);
   return TRUE;
 }
 
 void
 quince_warmup_sends_request_lease (QuinceWarmupSends *sends, gint64 now_us, const QuinceWorker *worker)
 {
-  if (sends->callbacks->ask == NULL || now_us < sends->next_lease_request_us)
+  if (sends->callbacks->request_lease == NULL || now_us < sends->next_lease_request_us)
     return;
   QuinceWarmupLease *lease = find_lease (sends, worker->id);
   if (lease == NULL)
@@ -153,16 +158,16 @@
     }
   if (!quince_warmup_lease_may_request (lease, now_us, LEASE_REQUEST_TIMEOUT_US))
     return;
-  /* The lease counts from here: the ask leaves later, if at all. */
+  /* The lease counts from here: the request leaves later, if at all. */
   gint64 requested_us = quince_now_us ();
-  guint64 ask = ++sends->asks;
-  if (!sends->callbacks->ask (ask, worker->id, SENDS_PER_LEASE, sends->user_data))
+  guint64 request_id = ++sends->last_request_id;
+  if (!sends->callbacks->request_lease (request_id, worker->id, SENDS_PER_LEASE, sends->user_data))
     {
       lease->refused = TRUE;
       lease->next_request_us = now_us + NO_LEADER_RETRY_DELAY_US;
       return;
     }
-  quince_warmup_lease_start_request (lease, requested_us, ask);
+  quince_warmup_lease_start_request (lease, requested_us, request_id);
   sends->next_lease_request_us = now_us + LEASE_REQUEST_INTERVAL_US;
 }
 
@@ -170,11 +175,11 @@
 quince_warmup_sends_get_next_send_us (QuinceWarmupSends *sends,
                                       gint64 now_us,
                                       const QuinceWorker *worker,
-                                      guint most)
+                                      guint max_sends)
 {
   if (sends->callbacks->may_grant != NULL)
     return quince_warmup_limiter_get_next_grant_us (sends->limiter, now_us, worker->id,
-                                                    quince_worker_is_cold (worker, now_us), most);
+                                                    quince_worker_is_cold (worker, now_us), max_sends);
   const QuinceWarmupLease *lease = find_lease (sends, worker->id);
   return lease != NULL && lease->refused ? MAX (lease->next_request_us, now_us) : now_us;
 }
@@ -184,16 +189,16 @@
 void
 quince_warmup_sends_handle_answer (QuinceWarmupSends *sends,
                                    const char *worker,
-                                   guint64 ask,
-                                   guint given,
+                                   guint64 request_id,
+                                   guint granted,
                                    gint64 valid_us,
-                                   gint64 again_us)
+                                   gint64 retry_after_us)
 {
   QuinceWarmupLease *lease = find_lease (sends, worker);
   if (lease == NULL)
     return;
   valid_us = MIN (valid_us, QUINCE_WARMUP_LEASE_VALID_US);
-  quince_warmup_lease_handle_answer (lease, quince_now_us (), ask, given, valid_us, again_us);
+  quince_warmup_lease_handle_answer (lease, quince_now_us (), request_id, granted, valid_us, retry_after_us);
 }
 
 void
@@ -224,21 +229,23 @@
 quince_warmup_sends_grant (QuinceWarmupSends *sends,
                            const char *worker,
                            const char *service,
-                           guint wanted,
-                           gint64 *again_us)
+                           guint wanted_sends,
+                           gint64 *retry_after_us)
 {
   gint64 now = quince_now_us ();
-  guint most = quince_warmup_sends_get_max_sends (sends, service);
-  gint64 until_us = now + QUINCE_WARMUP_LEASE_VALID_US + QUINCE_WARMUP_SEND_TIMEOUT_US;
-  guint given = 0;
-  *again_us = NO_LEADER_RETRY_DELAY_US;
+  guint max_sends = quince_warmup_sends_get_max_sends (sends, service);
+  gint64 send_by_us = now + QUINCE_WARMUP_LEASE_VALID_US + QUINCE_WARMUP_SEND_TIMEOUT_US;
+  guint granted = 0;
+  *retry_after_us = NO_LEADER_RETRY_DELAY_US;
   if (may_grant (sends))
     {
-      given = quince_warmup_limiter_grant (sends->limiter, now, worker, TRUE, most, wanted, until_us);
-      *again_us = quince_warmup_limiter_get_next_grant_us (sends->limiter, now, worker, TRUE, most) - now;
+      granted = quince_warmup_limiter_grant (sends->limiter, now, worker, TRUE, max_sends, wanted_sends,
+                                             send_by_us);
+      *retry_after_us
+          = quince_warmup_limiter_get_next_grant_us (sends->limiter, now, worker, TRUE, max_sends) - now;
     }
-  count (given > 0 ? "given" : "refused", given > 0 ? given : wanted);
-  return given;
+  count_sends (granted > 0 ? "given" : "refused", granted > 0 ? granted : wanted_sends);
+  return granted;
 }
 
 void
@@ -251,8 +258,8 @@
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
       const QuinceWarmupLease *lease = value;
-      gint64 used_us = MAX (MAX (lease->requested_us, lease->expires_us), lease->next_request_us);
-      if (now_us - used_us > 10 * QUINCE_WARMUP_WINDOW_US)
+      gint64 last_used_us = MAX (MAX (lease->requested_us, lease->expires_us), lease->next_request_us);
+      if (now_us - last_used_us > 10 * QUINCE_WARMUP_WINDOW_US)
         g_hash_table_iter_remove (&iter);
     }
 }
--- a/lib/forward/warmup-sends.h
+++ b/lib/forward/warmup-sends.h
@@ -28,7 +28,8 @@
 void quince_warmup_read_bounds (const QuinceSettings *settings, QuinceWarmupBounds *bounds);
 
 /* Duration of a lease from the moment at which it was asked for, us.  Not measured: several times the round
- * trip to the giver, 26 ms at most between the users' regions; longer leases that are not used waste more. */
+ * trip to the giver, 26 ms at most between the users' regions; longer leases that are not used waste
+ * more. */
 #define QUINCE_WARMUP_LEASE_VALID_US (200 * 1000)
 /* Time after its choice in which a send to a cold worker must have a connection, us; else it is withdrawn.
  * Not measured: above the time of a connect at a busy worker; each send counts for 1.55 s with it: the second
@@ -46,14 +47,14 @@
  * QuinceWarmupSendsCallbacks:
  * @find_service: (nullable result): what the configuration says of it
  * @may_grant: whether this process grants sends now, asked each time; %NULL: it never does
- * @ask: asks for @sends to @worker; quince_warmup_sends_handle_answer() follows.  Returns: %FALSE: there is
- * no leader to ask.  %NULL: this process does not ask
+ * @request_lease: asks for @sends to @worker; quince_warmup_sends_handle_answer() follows.  Returns: %FALSE:
+ * there is no leader to ask.  %NULL: this process does not ask
  */
 typedef struct
 {
   const QuinceService *(*find_service) (const char *name, gpointer user_data);
   gboolean (*may_grant) (gpointer user_data);
-  gboolean (*ask) (guint64 ask, const char *worker, guint sends, gpointer user_data);
+  gboolean (*request_lease) (guint64 request_id, const char *worker, guint sends, gpointer user_data);
 } QuinceWarmupSendsCallbacks;
 
 QuinceWarmupSends *quince_warmup_sends_new (const QuinceWarmupBounds *bounds,
@@ -69,32 +70,32 @@
 /* Most requests in a second at one cold worker of @service; G_MAXUINT: no bound, and nothing below is needed.
  */
 guint quince_warmup_sends_get_max_sends (QuinceWarmupSends *sends, const char *service);
-/* @most: at @worker, cold or not */
+/* @max_sends: at @worker, cold or not */
 gboolean quince_warmup_sends_can_send (QuinceWarmupSends *sends,
                                        gint64 now_us,
                                        const QuinceWorker *worker,
-                                       guint most);
+                                       guint max_sends);
 /* A request goes to @worker, which has room.  Returns: %FALSE when it has not, after all */
 gboolean quince_warmup_sends_acquire_send (QuinceWarmupSends *sends,
                                            gint64 now_us,
                                            const QuinceWorker *worker,
-                                           guint most);
+                                           guint max_sends);
 /* @worker had no room: asks for some, where that is the way. */
 void quince_warmup_sends_request_lease (QuinceWarmupSends *sends, gint64 now_us, const QuinceWorker *worker);
 /* When @worker may have room. */
 gint64 quince_warmup_sends_get_next_send_us (QuinceWarmupSends *sends,
                                              gint64 now_us,
                                              const QuinceWorker *worker,
-                                             guint most);
+                                             guint max_sends);
 
 /* ---- Who asks ------------------------------------------------------------- */
 
 void quince_warmup_sends_handle_answer (QuinceWarmupSends *sends,
                                         const char *worker,
-                                        guint64 ask,
-                                        guint given,
+                                        guint64 request_id,
+                                        guint granted,
                                         gint64 valid_us,
-                                        gint64 again_us);
+                                        gint64 retry_after_us);
 /* The leader is gone, and with it what was requested; leases go on until their end. */
 void quince_warmup_sends_forget_requests (QuinceWarmupSends *sends);
 
@@ -102,14 +103,14 @@
 
 /* This process gives from now on, after another one may have. */
 void quince_warmup_sends_take_over (QuinceWarmupSends *sends);
-/* Another process asks for @wanted sends to @worker, of @service.
- * @again_us: how long it is to wait until it asks again
+/* Another process asks for @wanted_sends sends to @worker, of @service.
+ * @retry_after_us: how long it is to wait until it asks again
  * Returns: how many it may make within QUINCE_WARMUP_LEASE_VALID_US */
 guint quince_warmup_sends_grant (QuinceWarmupSends *sends,
                                  const char *worker,
                                  const char *service,
-                                 guint wanted,
-                                 gint64 *again_us);
+                                 guint wanted_sends,
+                                 gint64 *retry_after_us);
 
 /* Forgets what is over. */
 void quince_warmup_sends_expire (QuinceWarmupSends *sends, gint64 now_us);
--- a/lib/forward/worker-check.c
+++ b/lib/forward/worker-check.c
@@ -8,7 +8,7 @@
 
 /* Time for an answer of the worker's port, ms: a dead port refuses within a round trip, 6 ms at most between
  * the users' zones; requests wait meanwhile. */
-#define PATIENCE_MS 150
+#define CONNECT_TIMEOUT_MS 150
 
 struct _QuinceWorkerCheck
 {
@@ -29,9 +29,9 @@
 }
 
 static void
-finish_check (QuinceWorkerCheck *check, QuinceWorkerCheckResult sign)
+finish_check (QuinceWorkerCheck *check, QuinceWorkerCheckResult result)
 {
-  check->done (sign, check->user_data);
+  check->done (result, check->user_data);
   quince_worker_check_cancel (check);
 }
 
@@ -54,7 +54,7 @@
   return G_SOURCE_REMOVE;
 }
 
-static const QuinceHttpConnectionCallbacks callbacks
+static const QuinceHttpConnectionCallbacks connection_callbacks
     = { .connected = check_connected, .closed = check_closed };
 
 QuinceWorkerCheck *
@@ -65,7 +65,7 @@
   QuinceWorkerCheck *check = g_new0 (QuinceWorkerCheck, 1);
   check->done = done;
   check->user_data = user_data;
-  check->connection = quince_http_connection_connect (address, &callbacks, check);
-  check->timer = quince_timer_add (PATIENCE_MS, check_timed_out, check);
+  check->connection = quince_http_connection_connect (address, &connection_callbacks, check);
+  check->timer = quince_timer_add (CONNECT_TIMEOUT_MS, check_timed_out, check);
   return check;
 }
--- a/lib/forward/worker-check.h
+++ b/lib/forward/worker-check.h
@@ -23,7 +23,8 @@
 
 /* Connects to @address; done() is called once, never before this returns, and releases the check after it. */
 QuinceWorkerCheck *quince_worker_check_start (const char *address,
-                                              void (*done) (QuinceWorkerCheckResult sign, gpointer user_data),
+                                              void (*done) (QuinceWorkerCheckResult result,
+                                                            gpointer user_data),
                                               gpointer user_data);
 /* Ends it without done(). */
 void quince_worker_check_cancel (QuinceWorkerCheck *check);
--- a/tests/platform/test-evacuation.c
+++ b/tests/platform/test-evacuation.c
@@ -386,10 +386,10 @@
 /* ---- The return --------------------------------------------------------- */
 
 static const char *
-choose (World *world, gint64 now_us, guint most_running)
+choose (World *world, gint64 now_us, guint running_max)
 {
   const QuincePolicyRequest request = { .service = "svc", .member = "", .kind = "kind" };
-  const QuinceBackendQuery query = { .request = &request, .most_running = most_running };
+  const QuinceBackendQuery query = { .request = &request, .running_max = running_max };
   QuinceWorker *worker = NULL;
   if (quince_backends_choose (world->backends, now_us, &query, &worker) != QUINCE_BACKEND_CHOSEN)
     return "none";
--- a/tests/platform/test-forward.c
+++ b/tests/platform/test-forward.c
@@ -420,7 +420,7 @@
 }
 
 static const QuinceWarmupSendsCallbacks cold_callbacks
-    = { .find_service = find_cold_service, .ask = ask_for_sends };
+    = { .find_service = find_cold_service, .request_lease = ask_for_sends };
 
 /* Failed first: refused at once (503), and the sends that were granted a moment later went unused. */
 static void
--- a/tests/platform/test-size.c
+++ b/tests/platform/test-size.c
@@ -173,7 +173,7 @@
   const QuincePolicyRequest request
       = { .service = "s", .member = "m", .kind = "rollout", .rollout = TRUE, .attempt = 1 };
   const QuinceBackendQuery query
-      = { .request = &request, .model = "m", .minimum_version = minimum_version, .most_running = 6 };
+      = { .request = &request, .model = "m", .minimum_version = minimum_version, .running_max = 6 };
   QuinceWorker *worker = NULL;
   quince_backends_choose (backends, quince_now_us (), &query, &worker);
   return worker;
--- a/tests/platform/test-warmth.c
+++ b/tests/platform/test-warmth.c
@@ -49,7 +49,7 @@
 }
 
 static const QuinceWarmupSendsCallbacks giver = { .find_service = find_service, .may_grant = may_grant };
-static const QuinceWarmupSendsCallbacks asker = { .find_service = find_service, .ask = ask };
+static const QuinceWarmupSendsCallbacks asker = { .find_service = find_service, .request_lease = ask };
 
 static void
 begin (World *world, const QuinceWarmupSendsCallbacks *callbacks)
@@ -109,7 +109,7 @@
   const QuincePolicyRequest request
       = { .service = "svc", .member = "m", .kind = "rollout", .rollout = TRUE, .attempt = 1 };
   const QuinceBackendQuery query
-      = { .request = &request, .model = "m", .minimum_version = 1, .most_running = places };
+      = { .request = &request, .model = "m", .minimum_version = 1, .running_max = places };
   QuinceWorker *worker = NULL;
   return quince_backends_choose (world->backends, quince_now_us (), &query, &worker);
 }
