--- a/lib/forward/backends-private.h
+++ b/lib/forward/backends-private.h
@@ -1,5 +1,5 @@
 /*
- * backends-private.h: state of the backends, shared by the files that they consist of; see backends.c.
+ * backends-private.h: state of the backends, shared by the source files listed in backends.c.
  */
 #pragma once
 
@@ -17,35 +17,34 @@
   QuinceTopology *topology;
   QuinceWorkerTable *workers;
   QuinceWorkerPools *pools;       /* owned */
-  const QuinceRouteTable *routes; /* not owned: the configuration in force; NULL: none is known */
-  gboolean has_region_rules;      /* a route or tenant of it names regions */
+  const QuinceRouteTable *routes; /* not owned: the active configuration; NULL: not received yet */
+  gboolean has_region_rules;      /* a route or tenant of @routes restricts regions */
   QuincePolicy *policy;
-  GBytes *policy_entry;            /* that it was compiled from; NULL: it is that of the settings */
+  GBytes *policy_entry;            /* source of @policy; NULL: not from the metadata store */
   gboolean first_listing_read;     /* the first listing of workers was read */
-  QuinceWarmupSends *warmup;       /* not owned; NULL: no worker counts as cold */
-  gint64 cold_worker_available_us; /* of the last choice: when a cold worker may have room */
+  QuinceWarmupSends *warmup;       /* not owned; NULL: no warmup limit */
+  gint64 cold_worker_available_us; /* set by the last choice that a warmup limit affected */
   QuinceSendGuard *guard;          /* not owned; NULL: none */
   QuinceEventTable *events;        /* owned */
   QuincePromptTable *prompts;
-  guint rotation;          /* turns among equals */
-  guint next_worker_index; /* where the next choice among many workers begins; see collect_in_turn() */
+  guint rotation;          /* rotates workers with equal scores */
+  guint next_worker_index; /* start of the next choice; see collect_in_turn() */
   QuinceZoneTable *zones;
-  QuinceTimer *withdrawal_timer; /* checks for requests that do not arrive at evacuated zones; NULL: none was
-                                  * evacuated lately */
+  QuinceTimer *withdrawal_timer; /* withdraws requests stuck on the way to evacuated zones; NULL: stopped */
   gboolean holds_sends;
-  QuinceTimer *hold_timer; /* NULL: sends are not held, or without a bound */
-  GQueue unlisted_ids;     /* ids, owned: of workers that are not listed, perhaps by the store's own
-                              doing */
+  QuinceTimer *hold_timer; /* ends a hold; NULL: sends are not held, or without a limit */
+  GQueue unlisted_ids;     /* ids, owned: workers whose entries disappeared, oldest first */
 };
 
 /* ---- backends.c --------------------------------------------------------- */
 
-/* Removes workers that vanished from the list and have not come back in time. */
+/* Removes the workers whose entries disappeared and that were not listed again before they expired. */
 void quince_backends_remove_expired (QuinceBackends *backends, gint64 now_us);
 
 /* ---- policy-calls.c ----------------------------------------------------- */
 
-/* Fills in a score for each of @engines, by the policy in force. */
+/* Sets @scores[i] to the score of @engines[i] by the active policy; by the built-in rule if there is no
+ * policy or it fails. */
 void quince_backends_score (QuinceBackends *backends,
                             const QuincePolicyRequest *request,
                             const QuincePolicyEngine *engines,
@@ -54,38 +53,44 @@
 
 /* ---- evacuation.c ------------------------------------------------------- */
 
-/* Takes workers of zones that are coming back out of @found (QuinceWorker), by their share of new work; the
- * list is left as it is where no worker would stay. */
+/* Removes workers of returning zones from @found (element-type QuinceWorker) according to the zone's share of
+ * new requests.  Leaves @found unchanged if no worker would remain. */
 void quince_backends_limit_returning_zones (const QuinceBackends *backends,
                                             gint64 now_us,
                                             guint running_max,
                                             GPtrArray *found);
+/* Stops the timers and frees the zone table. */
 void quince_backends_clear_evacuation (QuinceBackends *backends);
-/* ---- Cold workers: warmth.c ---------------------------------------------- */
 
-/* One choice among workers of which some may be cold. */
+/* ---- warmth.c ----------------------------------------------------------- */
+
+/* State of the warmup limits during one choice of a worker. */
 typedef struct
 {
   QuinceBackends *backends;
   const QuinceBackendQuery *query;
   gint64 now_us;
-  guint max_sends;     /* requests in a second at a cold one; G_MAXUINT: no bound */
-  GPtrArray *limited;  /* QuinceWorker: all that is lacking is room for cold ones; NULL: no bound */
-  gint64 available_us; /* when the first of them may have room */
+  guint max_sends;     /* requests per second at a cold worker; G_MAXUINT: no limit */
+  GPtrArray *limited;  /* QuinceWorker: excluded only by the warmup limit; NULL: no limit */
+  gint64 available_us; /* earliest time at which one of @limited may have capacity */
 } QuinceColdChoice;
 
-/* @entry is about to be taken into the worker table. */
+/* Sets the assumed cold time of @entry if the worker has just started, and logs whether it turns cold or
+ * warm.  To be called before @entry updates the worker table. */
 void quince_warmth_update_entry (QuinceBackends *backends, QuinceWorker *entry);
 void quince_warmth_begin_choice (QuinceBackends *backends,
                                  gint64 now_us,
                                  const QuinceBackendQuery *query,
                                  QuinceColdChoice *choice);
+/* Returns whether the warmup limit allows a send to @worker; otherwise adds it to @choice->limited. */
 gboolean quince_warmth_can_send (QuinceColdChoice *choice, QuinceWorker *worker);
-/* Some had all but room for one more request to a cold worker. */
+/* Returns whether the warmup limit excluded any worker so far. */
 gboolean quince_warmth_is_limited (const QuinceColdChoice *choice);
-/* @found: there are others.  Returns: whether there are some that only lack room */
+/* Requests a lease for one of the excluded workers, if there are any.  @found: the choice has other
+ * candidates.  Returns: whether the warmup limit excluded any worker */
 gboolean quince_warmth_end_choice (QuinceColdChoice *choice, gboolean found);
-/* @worker is chosen.  Returns: %FALSE: it is cold and has no room, after all */
+/* Counts a send to the chosen @worker and sets its deadline if the worker is cold.  Returns: %FALSE if the
+ * warmup limit does not allow the send any more */
 gboolean quince_warmth_acquire_send (QuinceBackends *backends,
                                      gint64 now_us,
                                      const QuinceBackendQuery *query,
--- a/lib/forward/backends.c
+++ b/lib/forward/backends.c
@@ -1,16 +1,15 @@
 /*
- * backends.c: the workers that this process may send to, as the platform lists them, and what belongs to
- * them.
+ * backends.c: the workers that this process may send to, as the platform lists them.
  *
- * Its parts: worker-pools.c (connections), choose-worker.c (the choice of one), policy-calls.c and
- * event-table.c (what the policy decides and sees), warmth.c (cold workers), evacuation.c (zones),
- * residency-lookup.c (regions).
+ * Other files implement parts of it: worker-pools.c (connections), choose-worker.c (choice of a worker),
+ * policy-calls.c and policy-entry.c (policy), event-table.c (events), warmth.c (cold workers), evacuation.c
+ * (evacuated zones), residency-lookup.c (regions).
  */
 #include "backends-private.h"
 
 #include "runtime/log.h"
 
-/* Parts of prompts of which the last worker is remembered: bounds memory.  Not measured. */
+/* Prompt parts whose last worker is recorded; limits memory. */
 #define PROMPT_PARTS_MAX 8192
 
 static void
--- a/lib/forward/backends.h
+++ b/lib/forward/backends.h
@@ -1,9 +1,9 @@
 /*
  * backends.h: the workers that this process may send to, and the choice of one for an attempt.
  *
- * For: lookups and streams (dispatch.c), samples and orders of weights (daemons/replica).  Owns: the worker
- * table, kept connections, the policy in force, events, evacuated zones.  Relies on: the observer, which
- * feeds it what the metadata store lists; the send guard and the warmup sends, which the process sets.
+ * Used for lookups and streams (dispatch.c), and for samples and weight loads (daemons/replica).  Owns the
+ * worker table, the connection pools, the active policy, the events and the table of evacuated zones.  The
+ * observer updates them from the metadata store.
  */
 #pragma once
 
@@ -22,51 +22,54 @@
 
 typedef struct _QuinceBackends QuinceBackends;
 
-/* (transfer full): @topology: where this process and the workers stand */
+/* @topology: (transfer full): zones and regions of this process and of the workers */
 QuinceBackends *quince_backends_new (QuinceTopology *topology);
 const QuinceTopology *quince_backends_get_topology (const QuinceBackends *backends);
 void quince_backends_free (QuinceBackends *backends);
-/* (transfer full) (nullable): @policy */
+/* @policy: (transfer full) (nullable): replaces the active policy; %NULL: the built-in decisions apply */
 void quince_backends_set_policy (QuinceBackends *backends, QuincePolicy *policy);
 QuincePolicy *quince_backends_get_policy (QuinceBackends *backends);
 QuinceWorkerTable *quince_backends_get_workers (QuinceBackends *backends);
-/* (transfer none) (nullable): @guard is asked before each send and must outlive all of them; without one
- * every request is sent. */
+/* @guard: (transfer none) (nullable): decides before each send whether it is allowed, and must outlive all
+ * sends; %NULL: every send is allowed */
 void quince_backends_set_guard (QuinceBackends *backends, QuinceSendGuard *guard);
 QuinceSendGuard *quince_backends_get_guard (QuinceBackends *backends);
-/* (transfer none) (nullable): @warmup is asked before each send to a worker that may be cold and must outlive
- * all of them. */
+/* @warmup: (transfer none) (nullable): limits sends to workers that may be cold, and must outlive all sends;
+ * %NULL: no limit */
 void quince_backends_set_warmup (QuinceBackends *backends, QuinceWarmupSends *warmup);
-/* All workers of @zone may have turned cold of late, and their entries do not tell it yet. */
+/* Makes all workers of @zone count as cold for QUINCE_WARMUP_ASSUMED_COLD_US: they may have turned cold, and
+ * their entries may not show it yet. */
 void quince_backends_assume_zone_cold (QuinceBackends *backends, gint64 now_us, const char *zone);
-/* Workers that count as cold now. */
+/* Returns the number of workers that count as cold now. */
 guint quince_backends_count_cold (QuinceBackends *backends);
-/* All that is listed now was read: entries that come from now on are of workers that start. */
+/* Marks the first listing of the workers as read.  A worker whose entry appears later has just started. */
 void quince_backends_finish_first_listing (QuinceBackends *backends);
-/* (transfer full): what the platform lists of a worker */
+/* Adds a worker, or updates it.  @entry: (transfer full): the worker as the platform lists it */
 void quince_backends_update (QuinceBackends *backends, QuinceWorker *entry);
 void quince_backends_remove (QuinceBackends *backends, const char *id);
-/* @id vanished from the list while the store was in trouble: the worker may serve on.  Where no other is left
- * it gets requests until @until_us; then it is as removed, unless it is listed again. */
+/* Handles an entry that disappeared during an outage of the store, when the worker may still be running.
+ * Until @until_us the worker gets requests that no listed worker can take; then it is removed, unless it was
+ * listed again.  A draining worker is removed immediately. */
 void
 quince_backends_mark_listing_stale (QuinceBackends *backends, gint64 now_us, gint64 until_us, const char *id);
-/* Kept connections to @worker. */
+/* Returns: (transfer none): the connection pool of @worker, created on first use */
 QuinceHttpPool *quince_backends_get_pool (QuinceBackends *backends, const QuinceWorker *worker);
-/* The machine was suspended: workers may have forgotten the kept connections. */
+/* Closes idle connections after the machine was suspended, since workers may have dropped them meanwhile. */
 void quince_backends_handle_resume (QuinceBackends *backends);
-/* Connections made to workers since the start. */
+/* Returns the number of connections opened to workers since the start of the process. */
 guint64 quince_backends_get_n_connections_opened (const QuinceBackends *backends);
 
 /**
  * QuinceBackendQuery:
- * @request: what the policy sees of the request
- * @model: (nullable): with @minimum_version, what the worker must have
- * @avoid: (nullable): ids of workers that failed this request
- * @running_max: requests of this process at one worker; 0: no bound
- * @prompt: (nullable): parts of the prompt, %NULL-terminated, see prompt-table.h: a worker that likely keeps
- * them is marked for the policy
- * @residency: (nullable): regions where the worker may stand; %NULL: anywhere
- * @fastest_pace_us: of the service's workers, see worker-table.h; 0: the policy sees no worker's pace
+ * @request: attributes of the request that the policy sees
+ * @model: (nullable): model that the worker must have loaded, at @minimum_version or later; %NULL: any
+ * @avoid: (nullable): ids of workers that already had an attempt of the request
+ * @running_max: maximum requests of this process in flight at one worker; 0: no limit
+ * @prompt: (nullable): parts of the prompt, %NULL-terminated, see prompt-table.h; the policy sees which
+ * worker likely has them cached
+ * @residency: (nullable): regions in which the worker may be; %NULL: all
+ * @fastest_pace_us: shortest time between two events among the workers of the service, us, see
+ *   worker-table.h; 0: the policy does not see how slow a worker is
  */
 typedef struct
 {
@@ -80,30 +83,36 @@
   gint64 fastest_pace_us;
 } QuinceBackendQuery;
 
-/* Fills in what @request's service has of events, at the wall clock @wall_ms. */
+/* Sets the event fields of @request for its service.  @wall_ms: wall-clock time, ms */
 void quince_backends_describe_events (QuinceBackends *backends, gint64 wall_ms, QuincePolicyRequest *request);
-/* Whether @request is taken, by the policy in force. */
+/* Decides by the active policy whether to admit @request; by the built-in rule if there is no policy or it
+ * fails. */
 void quince_backends_admit (QuinceBackends *backends,
                             const QuincePolicyRequest *request,
                             QuincePolicyAdmission *admission);
 
+/* Chooses a worker for an attempt.  @worker: (out) (transfer none) (nullable): the chosen worker, or %NULL
+ * unless this returns QUINCE_BACKEND_CHOSEN */
 QuinceBackendOutcome quince_backends_choose (QuinceBackends *backends,
                                              gint64 now_us,
                                              const QuinceBackendQuery *query,
                                              QuinceWorker **worker);
-/* After QUINCE_BACKEND_COLD: when a worker may have room. */
+/* Returns the time at which a cold worker may have capacity, monotonic, us.  Valid after a choice that
+ * returned QUINCE_BACKEND_COLD. */
 gint64 quince_backends_get_cold_worker_available_us (const QuinceBackends *backends);
 
 /* ---- Evacuated zones: evacuation.c -------------------------------------- */
 
 /**
  * quince_backends_set_zone_evacuated:
- * @revision: of the store, at this change by the operator
+ * @revision: revision of the metadata store at this change; a change that is older than the last one of @zone
+ *   is ignored
+ * @evacuated: %TRUE: the zone is evacuated; %FALSE: it is taken back
  *
- * From now on nothing is sent to the workers of @zone, or they are used again; see zone-table.h.  Requests on
- * their way there that have not arrived are given up, within a second; runs go on.
+ * Starts or ends the evacuation of @zone; see zone-table.h.  Its workers get no requests while it is
+ * evacuated.  Requests that have not reached them are withdrawn within a second; running ones complete.
  *
- * Returns: whether the zone's state changed
+ * Returns: %TRUE if the state of the zone changed
  */
 gboolean quince_backends_set_zone_evacuated (QuinceBackends *backends,
                                              gint64 now_us,
@@ -111,13 +120,13 @@
                                              guint64 revision,
                                              gboolean evacuated);
 const QuinceZoneTable *quince_backends_get_zones (const QuinceBackends *backends);
-/* @worker (nullable) is in an evacuated zone: sends to it are withdrawn by this process itself, so that a
- * lost one is no end of the worker. */
+/* Returns whether @worker (nullable) is in an evacuated zone.  This process withdraws requests to such a
+ * worker, so a lost request does not mean that the worker ended. */
 gboolean quince_backends_is_evacuated (const QuinceBackends *backends, const QuinceWorker *worker);
-/* Whether @worker may be sent anything now. */
+/* Returns whether requests may be sent to @worker: sends are not held, and its zone is not evacuated. */
 gboolean quince_backends_may_send (const QuinceBackends *backends, const QuinceWorker *worker);
-/* Nothing is sent until quince_backends_release_sends(), since what the operator asks of the zones is not
- * known.  @max_ms: longest time; 0: no bound */
+/* Holds all sends until quince_backends_release_sends() or for @max_ms, since it is not known which zones are
+ * evacuated.  0: no time limit; a hold without a limit is not shortened by a later call */
 void quince_backends_hold_sends (QuinceBackends *backends, guint max_ms);
 void quince_backends_release_sends (QuinceBackends *backends);
 gboolean quince_backends_holds_sends (const QuinceBackends *backends);
--- a/lib/forward/choose-worker.c
+++ b/lib/forward/choose-worker.c
@@ -1,19 +1,18 @@
 /*
- * choose-worker.c: the choice of a worker for an attempt: the workers that can take it are collected, the
- * policy scores some of them, and the best one is taken.
+ * choose-worker.c: chooses a worker for an attempt of a lookup, stream or sample: collects the workers that
+ * can take it, lets the policy score some of them, and chooses the one with the highest score.
  *
- * For: lookups, streams and samples alike.  Owns nothing; its turns are kept in the backends.  Relies on:
- * core/decisions/worker-choice.h for the rules, warmth.c for cold workers, evacuation.c for zones.
+ * The rules are in core/decisions/worker-choice.h.
  */
 #include "backends-private.h"
 
 #include "core/decisions/worker-choice.h"
 #include "forward/residency-lookup.h"
 
-/* Failures in a row that the policy sees at most.  Not measured: scores need no more. */
+/* Maximum number of consecutive failures that the policy sees. */
 #define FAILURES_SHOWN_MAX 10
 
-/* What a choice has found out about the workers so far. */
+/* State of one choice. */
 typedef struct
 {
   QuinceBackends *backends;
@@ -24,7 +23,8 @@
   QuinceChoiceFacts facts;
 } Choice;
 
-/* Returns: whether @worker can take the request now.  @preferred_only: only as a first choice */
+/* Returns whether @worker can take the request now, and updates the facts of the choice.  @preferred_only:
+ * accept only preferred workers, see quince_choice_is_preferred() */
 static gboolean
 can_take (Choice *choice, QuinceWorker *worker, gboolean preferred_only)
 {
@@ -46,7 +46,8 @@
          && quince_warmth_can_send (&choice->cold, worker);
 }
 
-/* Collects the worker that keeps the prompt, and the workers after the first of the last choice. */
+/* Collects the worker that likely has the prompt cached, and further workers in round-robin order, up to
+ * QUINCE_POLICY_MAX_CANDIDATES. */
 static void
 collect_in_turn (Choice *choice,
                  const GPtrArray *all,
@@ -69,8 +70,8 @@
         continue;
       g_ptr_array_add (found, worker);
       if (others++ == 0)
-        backends->next_worker_index
-            += i + 1; /* whatever the length of the list: shorter ones do not set others back */
+        /* Not reduced modulo the length, so that choices from shorter lists do not reset it. */
+        backends->next_worker_index += i + 1;
     }
 }
 
@@ -82,7 +83,8 @@
       g_ptr_array_add (found, all->pdata[i]);
 }
 
-/* Finds suitable workers with room: first choices, or where there are none the others. */
+/* Collects suitable workers with capacity: preferred ones, or the others if there is no preferred one and the
+ * warmup limit excluded none. */
 static QuinceBackendOutcome
 collect (QuinceBackends *backends,
          const GPtrArray *all,
@@ -140,9 +142,8 @@
     engine->slowness = (double)pace_us / (double)query->fastest_pace_us;
 }
 
-/* Of the candidates from @start_index of @found on the one that the policy scores highest; %NULL: it scores
- * none.
- */
+/* Lets the policy score candidates from @found, see quince_choice_pick_candidates().  Returns: (nullable):
+ * the candidate with the highest score, or %NULL if no score is finite */
 static QuinceWorker *
 choose_best (QuinceBackends *backends,
              gint64 now_us,
@@ -163,7 +164,7 @@
   return best >= 0 ? candidates[best] : NULL;
 }
 
-/* (transfer container): workers of the service that have the weights which the request needs. */
+/* Returns: (transfer container): workers of the service that have the weights that the request needs */
 static GPtrArray *
 list_workers (QuinceBackends *backends, const QuinceBackendQuery *query)
 {
@@ -192,7 +193,7 @@
   if (outcome != QUINCE_BACKEND_CHOSEN)
     return outcome;
   quince_backends_limit_returning_zones (backends, now_us, query->running_max, found);
-  /* Where @found was collected by turns its first is due; see collect_in_turn(). */
+  /* collect_in_turn() has already rotated @found. */
   gboolean in_turn = all->len > QUINCE_CHOICE_COMPARE_ALL_MAX && found->len <= QUINCE_POLICY_MAX_CANDIDATES;
   guint start_index = in_turn ? 0 : backends->rotation++ % found->len;
   QuinceWorker *best = choose_best (backends, now_us, query, found, start_index, affinity_id);
--- a/lib/forward/evacuation.c
+++ b/lib/forward/evacuation.c
@@ -1,9 +1,8 @@
 /*
- * evacuation.c: what follows from zones that the operator has evacuated, or has taken back.
+ * evacuation.c: evacuated zones: stops sends to them, and limits the share of returning zones.
  *
- * Runs end where they are: to move them costs their prompts and texts a second time when capacity has just
- * gone, and a request that may not be repeated would be lost.  What has not arrived yet is given up, since it
- * would arrive late.
+ * Running requests complete in an evacuated zone: repeating them elsewhere would cost capacity while it is
+ * scarce, and some must not be repeated.  Requests that have not reached their worker are withdrawn.
  */
 #include "core/decisions/worker-choice.h"
 #include "runtime/log.h"
@@ -12,15 +11,17 @@
 
 #include "backends-private.h"
 
-/* Time after its zone was evacuated from which a request that the worker's machine has not acknowledged is
- * stuck on a cut or slow link, ms.  Not measured: a round trip takes some ms. */
+/* A request that its worker has not acknowledged this long after the evacuation is stuck on a broken or slow
+ * link; a round trip takes some ms. */
 #define ACKNOWLEDGE_TIMEOUT_MS 500
-/* Time after an evacuation in which such requests are checked for, us: three checks. */
+/* How long after an evacuation stuck requests are checked for: three checks. */
 #define STUCK_CHECK_PERIOD_US (3 * ACKNOWLEDGE_TIMEOUT_MS * 1000)
+
 /* ---- Requests that have not arrived ------------------------------------- */
 
-/* (transfer container): ids, owned: of workers in evacuated zones with kept connections.  Callbacks of what
- * is given up may change the tables. */
+/* Returns: (transfer full): copies of the ids of the workers that have a connection pool and whose zone was
+ * evacuated at @before_us or earlier.  Copies, since the callbacks of withdrawn requests may change the
+ * tables. */
 static GPtrArray *
 list_evacuated (const QuinceBackends *backends, gint64 before_us)
 {
@@ -124,12 +125,12 @@
         g_ptr_array_add (candidates, found->pdata[i]);
     }
   if (candidates->len == 0)
-    return; /* to wait for others is worse */
+    return; /* better than no worker at all */
   g_ptr_array_set_size (found, 0);
   g_ptr_array_extend_and_steal (found, g_steal_pointer (&candidates));
 }
 
-/* ---- While the evacuated zones are not known ------------------------------- */
+/* ---- Hold of all sends ------------------------------------------------------ */
 
 static gboolean
 release_expired_hold (gpointer data)
@@ -142,7 +143,7 @@
 quince_backends_hold_sends (QuinceBackends *backends, guint max_ms)
 {
   if (backends->holds_sends && backends->hold_timer == NULL)
-    return; /* already, without a bound */
+    return; /* already held without a time limit */
   quince_timer_clear (&backends->hold_timer);
   backends->holds_sends = TRUE;
   if (max_ms > 0)
--- a/lib/forward/policy-calls.c
+++ b/lib/forward/policy-calls.c
@@ -1,6 +1,6 @@
 /*
- * policy-calls.c: calls of the policy program in force, and the built-in decisions where there is none or it
- * fails.
+ * policy-calls.c: calls the active policy program, and falls back to the built-in decisions if there is none
+ * or it fails.
  */
 #include "backends-private.h"
 
--- a/lib/forward/policy-entry.c
+++ b/lib/forward/policy-entry.c
@@ -1,5 +1,5 @@
 /*
- * policy-entry.c: policy programs and events as operators keep them in the metadata store.
+ * policy-entry.c: entries of the metadata store that hold policy programs and events.
  */
 #include "forward/policy-entry.h"
 
@@ -9,8 +9,7 @@
 
 #include "backends-private.h"
 
-/* Lines of an entry: the number of the proposal, author, comment, and the program as the last, with its own
- * line feeds. */
+/* Proposal, author, comment and program; only the program contains line feeds. */
 #define ENTRY_LINES 4
 
 G_DEFINE_QUARK (quince - policy - entry - error - quark, quince_policy_entry_error)
@@ -32,7 +31,7 @@
   if (g_strv_length (lines) != ENTRY_LINES)
     {
       g_set_error_literal (error, QUINCE_POLICY_ENTRY_ERROR, QUINCE_POLICY_ENTRY_ERROR_INVALID,
-                           "no policy entry");
+                           "policy entry has fewer than 4 lines");
       return NULL;
     }
   QuincePolicyEntry *entry = g_new0 (QuincePolicyEntry, 1);
@@ -74,14 +73,14 @@
       || !g_ascii_string_to_signed (words[1], 10, 0, G_MAXINT64, &entry->duration_ms, NULL))
     {
       g_set_error_literal (error, QUINCE_POLICY_ENTRY_ERROR, QUINCE_POLICY_ENTRY_ERROR_INVALID,
-                           "no event entry");
+                           "event entry is not of the form START_MS DURATION_MS SERVICE");
       return FALSE;
     }
   entry->service = g_strdup (words[2]);
   return TRUE;
 }
 
-/* ---- Into force ------------------------------------------------------- */
+/* ---- Active policy and events ------------------------------------------- */
 
 gboolean
 quince_backends_load_policy (QuinceBackends *backends, const char *path, GError **error)
--- a/lib/forward/residency-lookup.c
+++ b/lib/forward/residency-lookup.c
@@ -1,5 +1,5 @@
 /*
- * residency-lookup.c: regions of requests and of workers.
+ * residency-lookup.c: the regions in which a request may be served, and the regions of workers.
  */
 #include "forward/residency-lookup.h"
 
@@ -69,7 +69,7 @@
       = tenants != NULL && tenant != NULL ? quince_tenant_table_find (tenants, tenant) : NULL;
   g_strfreev (lookup->tenant_regions);
   lookup->tenant_regions = known_tenant != NULL ? g_strdupv (known_tenant->regions) : NULL;
-  /* A route that was withdrawn binds requests under way as it did before. */
+  /* The regions of a deleted route still apply to its requests in flight. */
   if (route == NULL)
     return;
   g_strfreev (lookup->route_regions);
--- a/lib/forward/residency-lookup.h
+++ b/lib/forward/residency-lookup.h
@@ -1,10 +1,7 @@
 /*
- * residency-lookup.h: the regions in which a request may be served, by the configuration in force.
+ * residency-lookup.h: looks up the regions in which a request may be served, in the active configuration.
  *
- * A request looks them up before each send, so that a change of the configuration binds the next send.
- *
- * For: dispatch.c, the leader's samples.  Owns: copies of the regions, in each lookup.  Relies on: the route
- * table of the backends.
+ * A request looks them up before each send, so that a changed configuration applies to its next send.
  */
 #pragma once
 
@@ -12,26 +9,28 @@
 
 G_BEGIN_DECLS
 
-/* (transfer none) (nullable): the configuration in force; must be replaced here before it is freed */
+/* @routes: (transfer none) (nullable): the active configuration; to be replaced by another call before it is
+ * freed */
 void quince_backends_set_routes (QuinceBackends *backends, const QuinceRouteTable *routes);
-/* Whether any route or tenant of the configuration in force names regions; if none does, requests may be
- * served anywhere. */
+/* Returns whether any route or tenant of the active configuration restricts regions; if not, new requests may
+ * be served anywhere. */
 gboolean quince_backends_has_region_rules (const QuinceBackends *backends);
-/* Whether @worker is where @residency (nullable) allows. A worker whose region is not known is
- * nowhere. */
+/* Returns whether @worker is in a region that @residency (nullable) allows.  A worker in an unknown region is
+ * allowed only if @residency is unrestricted. */
 gboolean quince_backends_is_allowed_worker (const QuinceBackends *backends,
                                             const QuinceWorker *worker,
                                             const QuinceResidency *residency);
-/* Whether any worker of @service that is not draining is where @residency allows. */
+/* Returns whether @service has a worker that is not draining and is allowed by @residency (nullable). */
 gboolean quince_backends_has_allowed_worker (QuinceBackends *backends,
                                              const char *service,
                                              const QuinceResidency *residency);
 
 /**
- * QuinceResidencyLookup: regions of one request, by the last look-up
- * @table: the configuration that they were read from; only compared
- * @route_regions: (nullable): owned; regions of its route, also once it is withdrawn
- * @tenant_regions: (nullable): owned; regions of its tenant
+ * QuinceResidencyLookup: regions of one request at its last lookup; starts zeroed
+ * @table: configuration that they were read from, for comparison only; never dereferenced
+ * @version: version of @table
+ * @route_regions: (nullable): owned; regions that its route allows, kept if the route is deleted
+ * @tenant_regions: (nullable): owned; regions that its tenant allows
  */
 typedef struct
 {
@@ -41,9 +40,10 @@
   char **tenant_regions;
 } QuinceResidencyLookup;
 
-/* Looks the regions up in the configuration in force, where it changed since the last time.
- * @tenant: (nullable): %NULL, "": nobody's
- * @residency: (out): points into @lookup */
+/* Looks up the regions of a request if the configuration changed since the last lookup.
+ * @host: (nullable): %NULL equals ""
+ * @tenant: (nullable): %NULL or "": no tenant
+ * @residency: (out): borrows from @lookup, valid until it changes or is cleared */
 void quince_residency_resolve (QuinceResidencyLookup *lookup,
                                const QuinceBackends *backends,
                                const char *host,
--- a/lib/forward/suspect-entry.c
+++ b/lib/forward/suspect-entry.c
@@ -1,5 +1,5 @@
 /*
- * suspect-entry.c: held requests as keys of the metadata store.
+ * suspect-entry.c: entries of the metadata store that hold held suspects.
  */
 #include "forward/suspect-entry.h"
 
@@ -29,7 +29,7 @@
   return g_bytes_new_take (text, length);
 }
 
-/* Workers are not kept in the store: any different numbers stand for them. */
+/* Sets distinct placeholders as worker hashes, since the entry contains only the number of ends. */
 static void
 set_placeholder_workers (QuinceSuspect *suspect, guint ends)
 {
--- a/lib/forward/suspect-entry.h
+++ b/lib/forward/suspect-entry.h
@@ -1,7 +1,8 @@
 /*
- * suspect-entry.h: held requests (quarantine.h) as keys of the metadata store.
+ * suspect-entry.h: entries of the metadata store that hold held suspects (quarantine.h).
  *
- * For: operators, and processes that are not reached by the leader.  Owns nothing.
+ * Operators delete an entry to release its suspect.  Processes that are not connected to the leader learn
+ * from the entries what is held.
  */
 #pragma once
 
@@ -9,18 +10,25 @@
 
 G_BEGIN_DECLS
 
+/* Returns: (transfer full): the entry.  @ended_wall_ms: wall-clock time of the last end, ms */
 GBytes *quince_suspect_entry_format (const QuinceSuspect *suspect, gint64 ended_wall_ms);
-/* The texts of @suspect are the caller's then: quince_suspect_entry_clear().  Returns: %FALSE when @value is
- * none */
+/* Sets the fields of @suspect from an entry, except its digest and @ended_us.  @suspect: (inout): zeroed
+ * apart from its digest; the caller frees its strings with quince_suspect_entry_clear().  @ended_wall_ms:
+ * (out): wall-clock time of the last end, ms.  Returns: %FALSE if @value is malformed; @error is not set if
+ * "ended_ms" is 0 */
 gboolean
 quince_suspect_entry_parse (GBytes *value, QuinceSuspect *suspect, gint64 *ended_wall_ms, GError **error);
+/* Frees the strings that quince_suspect_entry_parse() set. */
 void quince_suspect_entry_clear (QuinceSuspect *suspect);
 /**
  * quince_suspect_entry_apply:
- * @name: last part of the key: the digest
- * @value: (nullable): %NULL: the key is gone, and the request is released
+ * @wall_ms: wall-clock time at @now_us, ms
+ * @name: last component of the key: the digest of the suspect
+ * @value: (nullable): the entry; %NULL: it was deleted, which releases the suspect
  *
- * Takes a key into @quarantine.  Returns: whether anything changed
+ * Merges an entry into @quarantine.  A malformed one is logged and ignored.
+ *
+ * Returns: whether @quarantine changed
  */
 gboolean quince_suspect_entry_apply (QuinceQuarantine *quarantine,
                                      gint64 now_us,
--- a/lib/forward/suspect-list.c
+++ b/lib/forward/suspect-list.c
@@ -1,11 +1,12 @@
 /*
- * suspect-list.c: suspected requests as one key of the metadata store, a group for each digest.
+ * suspect-list.c: a list of suspects as one entry of the metadata store: a key file with a group for each
+ * digest.
  */
 #include "forward/suspect-list.h"
 
 #include "runtime/log.h"
 
-/* Hashes of workers, a separator between two. */
+/* Separates the worker hashes of a suspect. */
 #define SEPARATOR ";"
 
 static const char *
@@ -54,7 +55,7 @@
   return g_bytes_new_take (text, length);
 }
 
-/* ---- Reading ------------------------------------------------------------ */
+/* ---- Parsing ------------------------------------------------------------ */
 
 static void
 parse_workers (const char *text, QuinceSuspect *suspect)
@@ -68,7 +69,7 @@
     }
 }
 
-/* Returns: whether more is known now. */
+/* Parses one group into @suspect and merges it.  Returns: whether @quarantine changed */
 static gboolean
 merge_group (QuinceQuarantine *quarantine,
              gint64 now_us,
--- a/lib/forward/suspect-list.h
+++ b/lib/forward/suspect-list.h
@@ -1,8 +1,8 @@
 /*
- * suspect-list.h: the suspects (quarantine.h) that a process met while it reached no leader, as one key of
- * the metadata store.
+ * suspect-list.h: the suspects (quarantine.h) that a process recorded while it reached no leader, as one
+ * entry of the metadata store.
  *
- * For: processes that reach the store but not that process.  Owns nothing.
+ * Other processes that reach the store merge the list.
  */
 #pragma once
 
@@ -10,20 +10,19 @@
 
 G_BEGIN_DECLS
 
-/* Suspects of one list, the latest ones.  Not measured: requests that end workers are a few at a time, and
- * each takes about 300 bytes in a key that all processes read. */
+/* Maximum number of suspects in a list.  Each takes about 300 bytes in an entry that all processes read. */
 #define QUINCE_SUSPECT_LIST_MAX 16
 
-/* @suspects: QuinceSuspect, not more than QUINCE_SUSPECT_LIST_MAX of them count; @wall_ms: the time of day
- * at
- * @now_us */
+/* Formats the first QUINCE_SUSPECT_LIST_MAX of @suspects (element-type QuinceSuspect).  @wall_ms: wall-clock
+ * time that corresponds to @now_us, ms.  Returns: (transfer full): the list */
 GBytes *quince_suspect_list_format (const GPtrArray *suspects, gint64 now_us, gint64 wall_ms);
 /**
  * quince_suspect_list_merge:
- * @reported_by: the process whose list it is
- * @changed: QuinceRequestDigest, added to: suspects of which more is known now
+ * @wall_ms: wall-clock time at @now_us, ms
+ * @reported_by: name of the process that wrote the list
+ * @changed: (element-type QuinceRequestDigest): digests of the suspects that the merge changed are appended
  *
- * Takes a list into @quarantine; what cannot be read of it is left out.
+ * Merges a list into @quarantine.  Skips malformed suspects, and logs a list that cannot be parsed.
  */
 void quince_suspect_list_merge (QuinceQuarantine *quarantine,
                                 gint64 now_us,
--- a/lib/forward/suspect-message.c
+++ b/lib/forward/suspect-message.c
@@ -1,5 +1,5 @@
 /*
- * suspect-message.c: what is known of suspected requests, as messages between processes.
+ * suspect-message.c: messages between processes that report suspects.
  */
 #include "forward/suspect-message.h"
 
@@ -97,7 +97,7 @@
   suspect->member = report->member;
 }
 
-/* Returns: whether it was suspected here. */
+/* Returns whether it was a suspect in @quarantine. */
 static gboolean
 clear_suspect (QuinceQuarantine *quarantine, gint64 now_us, const QuinceSuspect *suspect)
 {
--- a/lib/forward/suspect-message.h
+++ b/lib/forward/suspect-message.h
@@ -1,7 +1,5 @@
 /*
- * suspect-message.h: what is known of suspects (quarantine.h) as messages between processes.
- *
- * For: fronts and replicas.  Owns nothing.
+ * suspect-message.h: messages between fronts and replicas that report suspects (quarantine.h).
  */
 #pragma once
 
@@ -11,16 +9,19 @@
 
 G_BEGIN_DECLS
 
-/* (transfer full) (nullable): an encoded message; @suspects: QuinceSuspect */
+/* Encodes reports of the first QUINCE_SUSPECTS_MAX of @suspects (element-type QuinceSuspect).  @own_name:
+ * name of this process.  Returns: (transfer full) (nullable): the message, or %NULL if it cannot be encoded
+ */
 GBytes *quince_suspect_news_encode (const GPtrArray *suspects, gint64 now_us, const char *own_name);
-/* The same for one that is sent now: what will be known if its worker ends. */
+/* Encodes the report of a suspect that is being sent.  @expected: its state if the worker ends, see
+ * quince_quarantine_expect_end().  Returns: (transfer full) (nullable): the message */
 GBytes *quince_suspect_sending_encode (const QuinceSuspect *expected, gint64 now_us, const char *own_name);
-/* @suspect: its texts are those of @report */
+/* Converts a report to a suspect.  @suspect: (out): borrows its strings from @report */
 void quince_suspect_read_report (const QuinceSuspectReport *report, gint64 now_us, QuinceSuspect *suspect);
-/* The same for one that was cleared. */
+/* Encodes that a suspect was cleared.  Returns: (transfer full) (nullable): the message */
 GBytes *quince_suspect_cleared_encode (const QuinceRequestDigest *digest, QuinceSuspectScope scope);
 
-/* A request or prompt that is innocent. */
+/* A suspect that was cleared, since a worker answered it. */
 typedef struct
 {
   QuinceRequestDigest digest;
@@ -29,10 +30,11 @@
 
 /**
  * quince_suspect_news_apply:
- * @changed: QuinceRequestDigest, added to: suspects of which more is known now
- * @cleared: QuinceSuspectCleared, added to: suspects until now
+ * @changed: (element-type QuinceRequestDigest): digests of the suspects that the reports changed are appended
+ * @cleared: (element-type QuinceSuspectCleared): suspects that the reports removed from @quarantine are
+ *   appended
  *
- * Takes the reports into @quarantine.
+ * Merges received reports into @quarantine.
  */
 void quince_suspect_news_apply (QuinceQuarantine *quarantine,
                                 gint64 now_us,
--- a/lib/forward/topology-settings.c
+++ b/lib/forward/topology-settings.c
@@ -1,5 +1,5 @@
 /*
- * topology-settings.c: where this process and the workers are, from the settings of the process.
+ * topology-settings.c: reads the zones and regions of this process and the workers from its settings.
  */
 #include "forward/topology-settings.h"
 
--- a/lib/forward/topology-settings.h
+++ b/lib/forward/topology-settings.h
@@ -1,7 +1,5 @@
 /*
- * topology-settings.h: where this process and the workers are, from the settings of the process.
- *
- * For: the main program of each daemon.  Owns nothing.
+ * topology-settings.h: reads the zones and regions of this process and the workers from its settings.
  */
 #pragma once
 
@@ -10,8 +8,9 @@
 
 G_BEGIN_DECLS
 
-/* (transfer full) (nullable): from section "node", keys "zone", "region" and "zones"; %NULL with @error where
- * they contradict each other */
+/* Reads the keys "zone", "region" and "zones" of section "node".  Returns: (transfer full) (nullable): the
+ * topology, or %NULL with @error if "zones" is malformed, or if "region" is set and differs from the region
+ * that "zones" gives for "zone" */
 QuinceTopology *quince_topology_new_from_settings (const QuinceSettings *settings, GError **error);
 
 G_END_DECLS
--- a/lib/forward/warmth.c
+++ b/lib/forward/warmth.c
@@ -1,8 +1,8 @@
 /*
- * warmth.c: cold workers in the choice of one.
+ * warmth.c: limits the requests to cold workers when a worker is chosen.
  *
- * A cold worker is a candidate like any other as long as its limit has room; without room it is left out, and
- * where that leaves none the request is refused until there may be some.
+ * A cold worker is a candidate while its warmup limit allows another send.  If only such limits prevent a
+ * choice, the outcome is QUINCE_BACKEND_COLD.
  */
 #include "backends-private.h"
 
@@ -10,9 +10,10 @@
 #include "runtime/log.h"
 #include "runtime/clock.h"
 
-/* ---- What is known ------------------------------------------------------- */
+/* ---- Cold state of workers ----------------------------------------------- */
 
-/* An entry that first appears after the first listing is of a worker that starts. */
+/* Returns how long a new worker is assumed to be cold, us: the cold start time of its service if it appears
+ * after the first listing and its entry does not state whether it is cold; otherwise 0. */
 static gint64
 get_assumed_cold_us (QuinceBackends *backends, const QuinceWorker *entry)
 {
@@ -67,9 +68,9 @@
   return cold;
 }
 
-/* ---- The choice ---------------------------------------------------------- */
+/* ---- Choice of a worker --------------------------------------------------- */
 
-/* Most requests in a second at @worker. */
+/* Returns the maximum number of requests per second to @worker; @max_sends is the limit for cold workers. */
 static guint
 get_max_sends (const QuinceBackendQuery *query, gint64 now_us, const QuinceWorker *worker, guint max_sends)
 {
@@ -119,7 +120,7 @@
   if (limited == NULL || limited->len == 0)
     return FALSE;
   QuinceBackends *backends = choice->backends;
-  /* By turns: fronts that ask at once do not all ask for the same worker. */
+  /* Rotates, so that concurrent requests of several fronts go to different workers. */
   QuinceWorker *requested_worker = limited->pdata[backends->rotation % limited->len];
   quince_warmup_sends_request_lease (backends->warmup, choice->now_us, requested_worker);
   backends->rotation += !found;
--- a/lib/forward/warmup-sends.c
+++ b/lib/forward/warmup-sends.c
@@ -1,5 +1,5 @@
 /*
- * warmup-sends.c: sends of this process to workers that may be cold.
+ * warmup-sends.c: limits the sends of this process to workers that may be cold.
  */
 #include "forward/warmup-sends.h"
 
@@ -7,15 +7,14 @@
 #include "runtime/metrics.h"
 #include "runtime/clock.h"
 
-/* Time after which an unanswered request for a lease is made again, us: its giver is frozen or gone.  Not
- * measured: far above a round trip (26 ms at most between the users' regions). */
+/* Time after which an unanswered request is considered lost: far above a round trip between regions (26 ms).
+ */
 #define LEASE_REQUEST_TIMEOUT_US (300 * 1000)
-/* Sends of one lease: one, since an unused lease still counts against the limit. */
+/* One, since unused sends of a lease count against the limit. */
 #define SENDS_PER_LEASE 1
-/* Time between two requests for a lease by one process, us: with a hundred fronts 2,000 a second reach the
- * leader while workers are cold (worked out). */
+/* Minimum time between two lease requests of this process; limits the load of the leader. */
 #define LEASE_REQUEST_INTERVAL_US (50 * 1000)
-/* Time until the next request where there is no leader, us.  Not measured. */
+/* Delay before the next lease request if there is no leader. */
 #define NO_LEADER_RETRY_DELAY_US (500 * 1000)
 
 struct _QuinceWarmupSends
@@ -26,8 +25,8 @@
   gpointer user_data;
   QuinceWarmupLimiter *limiter;
   GHashTable *leases;           /* QuinceWarmupLease by id of the worker, both owned */
-  guint64 last_request_id;      /* so far */
-  gint64 next_lease_request_us; /* not before */
+  guint64 last_request_id;      /* id of the last lease request */
+  gint64 next_lease_request_us; /* earliest time of the next request */
 };
 
 void
@@ -48,7 +47,7 @@
   sends->user_data = user_data;
   sends->limiter = quince_warmup_limiter_new (QUINCE_WARMUP_MARGIN_US);
   sends->leases = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
-  /* An answer to a process that ran here before must not match a request of this one. */
+  /* Starts at the clock, so that a late answer to an earlier process does not match a request of this one. */
   sends->last_request_id = (guint64)quince_now_us ();
   return sends;
 }
@@ -76,7 +75,7 @@
   quince_metric_add ("quince_warmup_sends_total", labels, amount);
 }
 
-/* ---- The choice of a worker --------------------------------------------- */
+/* ---- Choice of a worker ------------------------------------------------- */
 
 guint
 quince_warmup_sends_get_max_sends (QuinceWarmupSends *sends, const char *service)
@@ -158,7 +157,7 @@
     }
   if (!quince_warmup_lease_may_request (lease, now_us, LEASE_REQUEST_TIMEOUT_US))
     return;
-  /* The lease counts from here: the request leaves later, if at all. */
+  /* The validity of the lease starts before the request is sent. */
   gint64 requested_us = quince_now_us ();
   guint64 request_id = ++sends->last_request_id;
   if (!sends->callbacks->request_lease (request_id, worker->id, SENDS_PER_LEASE, sends->user_data))
@@ -184,7 +183,7 @@
   return lease != NULL && lease->refused ? MAX (lease->next_request_us, now_us) : now_us;
 }
 
-/* ---- Who asks ------------------------------------------------------------- */
+/* ---- Lease requests ------------------------------------------------------- */
 
 void
 quince_warmup_sends_handle_answer (QuinceWarmupSends *sends,
@@ -216,7 +215,7 @@
     }
 }
 
-/* ---- Who gives ------------------------------------------------------------ */
+/* ---- Grants of the leader ------------------------------------------------- */
 
 void
 quince_warmup_sends_take_over (QuinceWarmupSends *sends)
--- a/lib/forward/worker-check.c
+++ b/lib/forward/worker-check.c
@@ -1,13 +1,13 @@
 /*
- * worker-check.c: whether a worker whose connection broke has ended.
+ * worker-check.c: checks whether a worker has ended after a connection to it broke.
  */
 #include "worker-check.h"
 
 #include "http1/http1.h"
 #include "runtime/timer.h"
 
-/* Time for an answer of the worker's port, ms: a dead port refuses within a round trip, 6 ms at most between
- * the users' zones; requests wait meanwhile. */
+/* Far above a round trip between zones (at most 6 ms), within which a closed port refuses; requests wait for
+ * the result. */
 #define CONNECT_TIMEOUT_MS 150
 
 struct _QuinceWorkerCheck
--- a/lib/forward/worker-check.h
+++ b/lib/forward/worker-check.h
@@ -1,10 +1,8 @@
 /*
- * worker-check.h: whether a worker whose connection broke has ended.
+ * worker-check.h: checks whether a worker has ended after a connection to it broke.
  *
- * A worker that ended refuses new connections at once.  One that is alive, and reset a connection or broke
- * off an answer, accepts them.  One that is cut off or frozen does neither.
- *
- * For: send-guard.c.  Owns: one connection and one timer for each check.
+ * The check opens a new connection.  The port of a worker that ended refuses it; a running worker accepts it,
+ * even if it reset the old connection.  A worker that is partitioned or frozen does not respond.
  */
 #pragma once
 
@@ -14,19 +12,20 @@
 
 typedef enum
 {
-  QUINCE_WORKER_CHECK_ENDED,     /* it refused the connection              */
-  QUINCE_WORKER_CHECK_ALIVE,     /* it took it                             */
-  QUINCE_WORKER_CHECK_TIMED_OUT, /* neither: that says nothing             */
+  QUINCE_WORKER_CHECK_ENDED,     /* the connection was refused or failed in another way */
+  QUINCE_WORKER_CHECK_ALIVE,     /* the connection was accepted */
+  QUINCE_WORKER_CHECK_TIMED_OUT, /* no response: the worker may have ended or not */
 } QuinceWorkerCheckResult;
 
 typedef struct _QuinceWorkerCheck QuinceWorkerCheck;
 
-/* Connects to @address; done() is called once, never before this returns, and releases the check after it. */
+/* Starts a check of the worker at @address.  @done is called once, after this function has returned; the
+ * check is freed when @done returns.  Returns: (transfer none): the check */
 QuinceWorkerCheck *quince_worker_check_start (const char *address,
                                               void (*done) (QuinceWorkerCheckResult result,
                                                             gpointer user_data),
                                               gpointer user_data);
-/* Ends it without done(). */
+/* Cancels and frees the check; its @done is not called. */
 void quince_worker_check_cancel (QuinceWorkerCheck *check);
 
 G_END_DECLS
--- a/lib/forward/worker-pools.c
+++ b/lib/forward/worker-pools.c
@@ -1,5 +1,5 @@
 /*
- * worker-pools.c: kept connections to workers, one pool for each.
+ * worker-pools.c: connection pools, one for each worker.
  */
 #include "forward/worker-pools.h"
 
@@ -7,7 +7,7 @@
 {
   /* All fields belong to the context that created it. */
   GHashTable *by_worker;        /* QuinceHttpPool by worker id, both owned */
-  guint64 removed_pools_opened; /* by pools that were removed */
+  guint64 removed_pools_opened; /* connections opened by pools that were removed */
 };
 
 QuinceWorkerPools *
--- a/lib/forward/worker-pools.h
+++ b/lib/forward/worker-pools.h
@@ -1,7 +1,5 @@
 /*
- * worker-pools.h: kept connections to workers, one pool for each.
- *
- * For: backends.c, which owns them, and evacuation.c.  Owns: the pools (sockets).  Relies on: lib/http1.
+ * worker-pools.h: connection pools, one for each worker.
  */
 #pragma once
 
@@ -14,17 +12,18 @@
 
 QuinceWorkerPools *quince_worker_pools_new (void);
 void quince_worker_pools_free (QuinceWorkerPools *pools);
-/* Made when it is first asked for. */
+/* Returns: (transfer none): the pool of @worker, created on first use */
 QuinceHttpPool *quince_worker_pools_get (QuinceWorkerPools *pools, const QuinceWorker *worker);
-/* (nullable): the pool of @worker_id, where there is one */
+/* Returns: (transfer none) (nullable): the pool of @worker_id, or %NULL if it has none */
 QuinceHttpPool *quince_worker_pools_find (const QuinceWorkerPools *pools, const char *worker_id);
-/* (transfer full): copies of the ids of all workers that have a pool */
+/* Returns: (transfer full) (element-type utf8): copies of the ids of all workers that have a pool */
 GPtrArray *quince_worker_pools_list (const QuinceWorkerPools *pools);
-/* The worker is gone: closes its connections. */
+/* Removes the pool of a worker that is gone, if there is one, and closes its idle connections; requests in
+ * flight complete. */
 void quince_worker_pools_remove (QuinceWorkerPools *pools, const char *worker_id);
-/* Closes the connections that no request uses. */
+/* Closes all idle connections. */
 void quince_worker_pools_drop_idle (QuinceWorkerPools *pools);
-/* Connections made since the start, by removed pools too. */
+/* Returns the number of connections opened since the start, including those of removed pools. */
 guint64 quince_worker_pools_get_n_connections_opened (const QuinceWorkerPools *pools);
 
 G_END_DECLS
