--- a/lib/forward/choose-worker.c
+++ b/lib/forward/choose-worker.c
@@ -62,14 +62,14 @@
       && can_take (choice, affinity_worker, preferred_only))
     g_ptr_array_add (found, affinity_worker);
   guint start_index = backends->next_worker_index % all->len;
-  guint others = 0;
+  guint n_others = 0;
   for (guint i = 0; i < all->len && found->len < QUINCE_POLICY_MAX_CANDIDATES; i++)
     {
       QuinceWorker *worker = all->pdata[(start_index + i) % all->len];
       if (worker == affinity_worker || !can_take (choice, worker, preferred_only))
         continue;
       g_ptr_array_add (found, worker);
-      if (others++ == 0)
+      if (n_others++ == 0)
         /* Not reduced modulo the length, so that choices from shorter lists do not reset it. */
         backends->next_worker_index += i + 1;
     }
@@ -194,8 +194,9 @@
     return outcome;
   quince_backends_limit_returning_zones (backends, now_us, query->running_max, found);
   /* collect_in_turn() has already rotated @found. */
-  gboolean in_turn = all->len > QUINCE_CHOICE_COMPARE_ALL_MAX && found->len <= QUINCE_POLICY_MAX_CANDIDATES;
-  guint start_index = in_turn ? 0 : backends->rotation++ % found->len;
+  gboolean is_rotated
+      = all->len > QUINCE_CHOICE_COMPARE_ALL_MAX && found->len <= QUINCE_POLICY_MAX_CANDIDATES;
+  guint start_index = is_rotated ? 0 : backends->rotation++ % found->len;
   QuinceWorker *best = choose_best (backends, now_us, query, found, start_index, affinity_id);
   if (best == NULL)
     return QUINCE_BACKEND_FULL;
--- a/lib/forward/evacuation.c
+++ b/lib/forward/evacuation.c
@@ -23,7 +23,7 @@
  * evacuated at @before_us or earlier.  Copies, since the callbacks of withdrawn requests may change the
  * tables. */
 static GPtrArray *
-list_evacuated (const QuinceBackends *backends, gint64 before_us)
+list_evacuated_worker_ids (const QuinceBackends *backends, gint64 before_us)
 {
   GPtrArray *ids = quince_worker_pools_list (backends->pools);
   for (guint i = ids->len; i > 0; i--)
@@ -40,7 +40,7 @@
 static void
 withdraw_requests (QuinceBackends *backends, gint64 before_us, QuinceHttpProgress progress)
 {
-  g_autoptr (GPtrArray) ids = list_evacuated (backends, before_us);
+  g_autoptr (GPtrArray) ids = list_evacuated_worker_ids (backends, before_us);
   guint count = 0;
   for (guint i = 0; i < ids->len; i++)
     {
--- a/lib/forward/policy-entry.c
+++ b/lib/forward/policy-entry.c
@@ -97,11 +97,11 @@
 }
 
 static void
-log_invalid_entry (const char *what, guint64 revision, const GError *error)
+log_invalid_entry (const char *entry_kind, guint64 revision, const GError *error)
 {
   g_autofree char *reason = quince_log_quote (error->message);
   quince_log_warning ("entry_refused", "what=%s revision=%" G_GUINT64_FORMAT " error=%s code=%d reason=%s",
-                      what, revision, g_quark_to_string (error->domain), error->code, reason);
+                      entry_kind, revision, g_quark_to_string (error->domain), error->code, reason);
 }
 
 void
--- a/lib/forward/residency-lookup.c
+++ b/lib/forward/residency-lookup.c
@@ -6,7 +6,7 @@
 #include "backends-private.h"
 
 static gboolean
-names_regions (const QuinceRouteTable *routes)
+restricts_regions (const QuinceRouteTable *routes)
 {
   for (guint i = 0; i < quince_route_table_get_n_routes (routes); i++)
     if (quince_route_table_get_route (routes, i)->regions != NULL)
@@ -23,7 +23,7 @@
 quince_backends_set_routes (QuinceBackends *backends, const QuinceRouteTable *routes)
 {
   backends->routes = routes;
-  backends->has_region_rules = routes != NULL && names_regions (routes);
+  backends->has_region_rules = routes != NULL && restricts_regions (routes);
 }
 
 gboolean
--- a/lib/forward/suspect-entry.c
+++ b/lib/forward/suspect-entry.c
@@ -5,7 +5,7 @@
 
 #include "runtime/log.h"
 
-#define GROUP "request"
+#define KEY_FILE_GROUP "request"
 
 static const char *
 text_or_empty (const char *text)
@@ -17,13 +17,13 @@
 quince_suspect_entry_format (const QuinceSuspect *suspect, gint64 ended_wall_ms)
 {
   g_autoptr (GKeyFile) file = g_key_file_new ();
-  g_key_file_set_string (file, GROUP, "scope", quince_suspect_scope_name (suspect->scope));
-  g_key_file_set_string (file, GROUP, "service", text_or_empty (suspect->service));
-  g_key_file_set_string (file, GROUP, "software", text_or_empty (suspect->software));
-  g_key_file_set_uint64 (file, GROUP, "release", suspect->release);
-  g_key_file_set_integer (file, GROUP, "ends", (gint)suspect->n_workers);
-  g_key_file_set_integer (file, GROUP, "alone", (gint)suspect->alone);
-  g_key_file_set_int64 (file, GROUP, "ended_ms", ended_wall_ms);
+  g_key_file_set_string (file, KEY_FILE_GROUP, "scope", quince_suspect_scope_name (suspect->scope));
+  g_key_file_set_string (file, KEY_FILE_GROUP, "service", text_or_empty (suspect->service));
+  g_key_file_set_string (file, KEY_FILE_GROUP, "software", text_or_empty (suspect->software));
+  g_key_file_set_uint64 (file, KEY_FILE_GROUP, "release", suspect->release);
+  g_key_file_set_integer (file, KEY_FILE_GROUP, "ends", (gint)suspect->n_workers);
+  g_key_file_set_integer (file, KEY_FILE_GROUP, "alone", (gint)suspect->alone);
+  g_key_file_set_int64 (file, KEY_FILE_GROUP, "ended_ms", ended_wall_ms);
   gsize length = 0;
   char *text = g_key_file_to_data (file, &length, NULL);
   return g_bytes_new_take (text, length);
@@ -46,20 +46,21 @@
   g_autoptr (GKeyFile) file = g_key_file_new ();
   if (!g_key_file_load_from_data (file, data, length, G_KEY_FILE_NONE, error))
     return FALSE;
-  *ended_wall_ms = g_key_file_get_int64 (file, GROUP, "ended_ms", error);
+  *ended_wall_ms = g_key_file_get_int64 (file, KEY_FILE_GROUP, "ended_ms", error);
   if (*ended_wall_ms == 0)
     return FALSE;
-  g_autofree char *scope = g_key_file_get_string (file, GROUP, "scope", NULL);
+  g_autofree char *scope = g_key_file_get_string (file, KEY_FILE_GROUP, "scope", NULL);
   suspect->scope = g_strcmp0 (scope, quince_suspect_scope_name (QUINCE_SUSPECT_PROMPT)) == 0
                        ? QUINCE_SUSPECT_PROMPT
                        : QUINCE_SUSPECT_REQUEST;
-  suspect->service = g_key_file_get_string (file, GROUP, "service", NULL);
-  suspect->software = g_key_file_get_string (file, GROUP, "software", NULL);
-  suspect->release = g_key_file_get_uint64 (file, GROUP, "release", NULL);
-  suspect->alone = (guint)MAX (g_key_file_get_integer (file, GROUP, "alone", NULL), 0);
+  suspect->service = g_key_file_get_string (file, KEY_FILE_GROUP, "service", NULL);
+  suspect->software = g_key_file_get_string (file, KEY_FILE_GROUP, "software", NULL);
+  suspect->release = g_key_file_get_uint64 (file, KEY_FILE_GROUP, "release", NULL);
+  suspect->alone = (guint)MAX (g_key_file_get_integer (file, KEY_FILE_GROUP, "alone", NULL), 0);
   suspect->held = TRUE;
   suspect->reported_by = g_strdup ("store");
-  set_placeholder_workers (suspect, (guint)MAX (g_key_file_get_integer (file, GROUP, "ends", NULL), 0));
+  set_placeholder_workers (suspect,
+                           (guint)MAX (g_key_file_get_integer (file, KEY_FILE_GROUP, "ends", NULL), 0));
   return TRUE;
 }
 
--- a/lib/forward/suspect-list.c
+++ b/lib/forward/suspect-list.c
@@ -7,7 +7,7 @@
 #include "runtime/log.h"
 
 /* Separates the worker hashes of a suspect. */
-#define SEPARATOR ";"
+#define WORKER_SEPARATOR ";"
 
 static const char *
 text_or_empty (const char *text)
@@ -20,7 +20,7 @@
 {
   g_autoptr (GString) text = g_string_new (NULL);
   for (guint i = 0; i < suspect->n_workers; i++)
-    g_string_append_printf (text, "%s%016" G_GINT64_MODIFIER "x", i > 0 ? SEPARATOR : "",
+    g_string_append_printf (text, "%s%016" G_GINT64_MODIFIER "x", i > 0 ? WORKER_SEPARATOR : "",
                             suspect->workers[i]);
   return g_string_free (g_steal_pointer (&text), FALSE);
 }
@@ -60,11 +60,11 @@
 static void
 parse_workers (const char *text, QuinceSuspect *suspect)
 {
-  g_auto (GStrv) words = g_strsplit (text, SEPARATOR, QUINCE_QUARANTINE_WORKERS_MAX + 1);
-  for (guint i = 0; words[i] != NULL && suspect->n_workers < QUINCE_QUARANTINE_WORKERS_MAX; i++)
+  g_auto (GStrv) hashes = g_strsplit (text, WORKER_SEPARATOR, QUINCE_QUARANTINE_WORKERS_MAX + 1);
+  for (guint i = 0; hashes[i] != NULL && suspect->n_workers < QUINCE_QUARANTINE_WORKERS_MAX; i++)
     {
       guint64 worker = 0;
-      if (g_ascii_string_to_unsigned (words[i], 16, 0, G_MAXUINT64, &worker, NULL))
+      if (g_ascii_string_to_unsigned (hashes[i], 16, 0, G_MAXUINT64, &worker, NULL))
         suspect->workers[suspect->n_workers++] = worker;
     }
 }
--- a/lib/forward/suspect-message.c
+++ b/lib/forward/suspect-message.c
@@ -14,9 +14,9 @@
 }
 
 static GBytes *
-encode_kind (QuinceMessageKind kind, QuinceSuspectReport *report, guint n_reports)
+encode_reports (QuinceMessageKind kind, QuinceSuspectReport *reports, guint n_reports)
 {
-  const QuinceSuspectReports news = { .suspects = { .suspects_val = report, .suspects_len = n_reports } };
+  const QuinceSuspectReports news = { .suspects = { .suspects_val = reports, .suspects_len = n_reports } };
   QuinceMessage message = { .kind = kind };
   if (kind == QUINCE_MESSAGE_SUSPECT_SENDING)
     message.QuinceMessage_u.suspect_sending = news;
@@ -26,9 +26,9 @@
 }
 
 static GBytes *
-encode_news (QuinceSuspectReport *report, guint n_reports)
+encode_news (QuinceSuspectReport *reports, guint n_reports)
 {
-  return encode_kind (QUINCE_MESSAGE_SUSPECT_NEWS, report, n_reports);
+  return encode_reports (QUINCE_MESSAGE_SUSPECT_NEWS, reports, n_reports);
 }
 
 static void
@@ -51,11 +51,11 @@
 GBytes *
 quince_suspect_news_encode (const GPtrArray *suspects, gint64 now_us, const char *own_name)
 {
-  g_autofree QuinceSuspectReport *report = g_new0 (QuinceSuspectReport, suspects->len + 1);
+  g_autofree QuinceSuspectReport *reports = g_new0 (QuinceSuspectReport, suspects->len + 1);
   guint n_reports = MIN (suspects->len, QUINCE_SUSPECTS_MAX);
   for (guint i = 0; i < n_reports; i++)
-    fill_report (suspects->pdata[i], now_us, own_name, &report[i]);
-  return encode_news (report, n_reports);
+    fill_report (suspects->pdata[i], now_us, own_name, &reports[i]);
+  return encode_news (reports, n_reports);
 }
 
 GBytes *
@@ -63,7 +63,7 @@
 {
   QuinceSuspectReport report = { 0 };
   fill_report (expected, now_us, own_name, &report);
-  return encode_kind (QUINCE_MESSAGE_SUSPECT_SENDING, &report, 1);
+  return encode_reports (QUINCE_MESSAGE_SUSPECT_SENDING, &report, 1);
 }
 
 GBytes *
@@ -118,13 +118,13 @@
 void
 quince_suspect_news_apply (QuinceQuarantine *quarantine,
                            gint64 now_us,
-                           const QuinceSuspectReports *news,
+                           const QuinceSuspectReports *reports,
                            GArray *changed,
                            GArray *cleared)
 {
-  for (guint i = 0; i < news->suspects.suspects_len; i++)
+  for (guint i = 0; i < reports->suspects.suspects_len; i++)
     {
-      const QuinceSuspectReport *report = &news->suspects.suspects_val[i];
+      const QuinceSuspectReport *report = &reports->suspects.suspects_val[i];
       QuinceSuspect suspect;
       quince_suspect_read_report (report, now_us, &suspect);
       const QuinceSuspectCleared cleared_suspect = { .digest = suspect.digest, .scope = suspect.scope };
--- a/lib/forward/suspect-message.h
+++ b/lib/forward/suspect-message.h
@@ -38,7 +38,7 @@
  */
 void quince_suspect_news_apply (QuinceQuarantine *quarantine,
                                 gint64 now_us,
-                                const QuinceSuspectReports *news,
+                                const QuinceSuspectReports *reports,
                                 GArray *changed,
                                 GArray *cleared);
 
--- a/lib/forward/worker-pools.c
+++ b/lib/forward/worker-pools.c
@@ -6,8 +6,8 @@
 struct _QuinceWorkerPools
 {
   /* All fields belong to the context that created it. */
-  GHashTable *by_worker;        /* QuinceHttpPool by worker id, both owned */
-  guint64 removed_pools_opened; /* connections opened by pools that were removed */
+  GHashTable *by_worker;       /* QuinceHttpPool by worker id, both owned */
+  guint64 n_opened_by_removed; /* connections opened by pools that were removed */
 };
 
 QuinceWorkerPools *
@@ -62,7 +62,7 @@
   const QuinceHttpPool *pool = quince_worker_pools_find (pools, worker_id);
   if (pool == NULL)
     return;
-  pools->removed_pools_opened += quince_http_pool_get_opened (pool);
+  pools->n_opened_by_removed += quince_http_pool_get_opened (pool);
   g_hash_table_remove (pools->by_worker, worker_id);
 }
 
@@ -79,7 +79,7 @@
 guint64
 quince_worker_pools_get_n_connections_opened (const QuinceWorkerPools *pools)
 {
-  guint64 opened = pools->removed_pools_opened;
+  guint64 opened = pools->n_opened_by_removed;
   GHashTableIter iter;
   gpointer pool;
   g_hash_table_iter_init (&iter, pools->by_worker);
