--- a/daemons/replica/batch-service.c
+++ b/daemons/replica/batch-service.c
@@ -67,8 +67,8 @@
 {
   QuinceBatchService *service = data;
   service->unlisted += entry->batch->items.items_len;
-  quince_step_demand_note_batch (service->placement, entry->batch,
-                                 open_samples (service, entry->batch->model));
+  quince_step_demand_record_batch (service->placement, entry->batch,
+                                   open_samples (service, entry->batch->model));
   quince_batch_calls_submitted (service->calls, entry->batch->id);
   quince_residency_coordinator_settle (service->residency, entry->batch->id);
   quince_log_notice ("batch_taken",
@@ -97,8 +97,8 @@
                      entry->results->len, entry->batch->items.items_len, replayed (service));
   if (service->runner == NULL)
     return;
-  quince_step_demand_note_end (service->placement, entry->batch,
-                               quince_sample_runner_route_of_batch (service->runner, entry->batch));
+  quince_step_demand_record_end (service->placement, entry->batch,
+                                 quince_sample_runner_get_batch_route (service->runner, entry->batch));
   quince_sample_runner_remove (service->runner, entry);
 }
 
@@ -231,7 +231,7 @@
     return;
   guint64 successor = quince_ledger_node_get_successor (service->ledger);
   g_autoptr (GArray) items = g_array_new (FALSE, FALSE, sizeof (QuinceProgressItem));
-  quince_sample_runner_collect (service->runner, successor != service->informed_successor, items);
+  quince_sample_runner_collect_progress (service->runner, successor != service->informed_successor, items);
   service->informed_successor = successor;
   if (items->len == 0)
     return;
@@ -239,14 +239,14 @@
   message.QuinceMessage_u.progress.items.items_val = (QuinceProgressItem *)items->data;
   message.QuinceMessage_u.progress.items.items_len = items->len;
   send_allowed (service, items);
-  quince_progress_file_keep (service->progress_file, &message.QuinceMessage_u.progress);
+  quince_progress_file_append (service->progress_file, &message.QuinceMessage_u.progress);
 }
 
 void
 quince_batch_service_take_progress (QuinceBatchService *service, const QuinceSampleProgress *progress)
 {
   if (service->runner != NULL)
-    quince_sample_runner_take_progress (service->runner, progress);
+    quince_sample_runner_apply_progress (service->runner, progress);
 }
 
 void
@@ -259,14 +259,14 @@
 double
 quince_batch_service_count_needed (QuinceBatchService *service, const char *of_service)
 {
-  return service->runner != NULL ? quince_sample_runner_count_needed (service->runner, of_service) : 0;
+  return service->runner != NULL ? quince_sample_runner_get_slots_needed (service->runner, of_service) : 0;
 }
 
 void
 quince_batch_service_pump (QuinceBatchService *service)
 {
   if (service->runner != NULL)
-    quince_sample_runner_pump (service->runner);
+    quince_sample_runner_check_samples (service->runner);
 }
 
 void
@@ -276,9 +276,9 @@
   quince_metric_set ("quince_replica_batches", "",
                      service->table != NULL ? quince_batch_table_get_size (service->table) : 0);
   quince_metric_set ("quince_replica_samples_waiting", "",
-                     leads ? quince_sample_runner_get_waiting (service->runner) : 0);
+                     leads ? quince_sample_runner_get_n_waiting (service->runner) : 0);
   quince_metric_set ("quince_replica_samples_running", "",
-                     leads ? quince_sample_runner_get_running (service->runner) : 0);
+                     leads ? quince_sample_runner_get_n_running (service->runner) : 0);
 }
 
 /* ---- Forgetting ------------------------------------------------------- */
@@ -329,7 +329,7 @@
         quince_sample_runner_add (service->runner, entry);
     }
   g_autoptr (GArray) known = g_array_new (FALSE, FALSE, sizeof (QuinceProgressItem));
-  quince_progress_store_list (service->progress, quince_now_us (), known);
+  quince_progress_store_list_recent (service->progress, quince_now_us (), known);
   if (known->len == 0 && service->unlisted > 0)
     quince_sample_runner_await_progress (service->runner);
   service->forget_timer = quince_timer_add (FORGET_INTERVAL_MS, forget_old, service);
--- a/daemons/replica/progress-file.c
+++ b/daemons/replica/progress-file.c
@@ -92,7 +92,7 @@
       QuinceMessage *message = read_frame (text + at, length - at, &header);
       if (message == NULL)
         break;
-      quince_progress_store_take (store, now_us, &message->QuinceMessage_u.progress);
+      quince_progress_store_apply (store, now_us, &message->QuinceMessage_u.progress);
       quince_message_free (message);
       last = header.sequence;
     }
@@ -100,7 +100,7 @@
 }
 
 static guint64
-first_sequence (const char *text, gsize length)
+get_first_sequence (const char *text, gsize length)
 {
   FrameHeader header = { 0 };
   if (length >= sizeof header)
@@ -127,7 +127,8 @@
   for (guint i = 0; i < FILES; i++)
     if (!g_file_get_contents (paths[i], &texts[i], &lengths[i], NULL))
       lengths[i] = 0; /* it is made below; one that cannot be read holds nothing of use */
-  guint older = first_sequence (texts[0], lengths[0]) <= first_sequence (texts[1], lengths[1]) ? 0 : 1;
+  guint older
+      = get_first_sequence (texts[0], lengths[0]) <= get_first_sequence (texts[1], lengths[1]) ? 0 : 1;
   for (guint i = 0; i < FILES; i++)
     {
       guint which = (older + i) % FILES;
@@ -159,7 +160,7 @@
 }
 
 static gboolean
-empty_current (QuinceProgressFile *file, GError **error)
+truncate_current_file (QuinceProgressFile *file, GError **error)
 {
   int descriptor = file->descriptors[file->current];
   file->written = 0;
@@ -185,7 +186,7 @@
   if (file->written > 0 && file->written + length > FILE_MAX_BYTES)
     {
       file->current = (file->current + 1) % FILES;
-      if (!empty_current (file, error))
+      if (!truncate_current_file (file, error))
         return FALSE;
     }
   const FrameHeader header = { ++file->sequence, quince_hash64 (data, length, HASH_SEED), length };
@@ -198,7 +199,7 @@
 }
 
 void
-quince_progress_file_keep (QuinceProgressFile *file, const QuinceSampleProgress *progress)
+quince_progress_file_append (QuinceProgressFile *file, const QuinceSampleProgress *progress)
 {
   g_autoptr (GError) error = NULL;
   gboolean kept = append_frame (file, progress, &error);
@@ -246,7 +247,7 @@
           return NULL;
         }
     }
-  if (!empty_current (file, error) || !sync_folder (folder, error))
+  if (!truncate_current_file (file, error) || !sync_folder (folder, error))
     return NULL;
   return g_steal_pointer (&file);
 }
--- a/daemons/replica/progress-file.h
+++ b/daemons/replica/progress-file.h
@@ -25,4 +25,4 @@
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (QuinceProgressFile, quince_progress_file_close)
 /* Returns once @progress is safe on the disk, or could not be written: the first of several failures in a row
  * is logged. */
-void quince_progress_file_keep (QuinceProgressFile *file, const QuinceSampleProgress *progress);
+void quince_progress_file_append (QuinceProgressFile *file, const QuinceSampleProgress *progress);
--- a/daemons/replica/progress.c
+++ b/daemons/replica/progress.c
@@ -7,13 +7,13 @@
 
 /* Progress that was not reported for this long is forgotten, us: the sample is done or abandoned.  Not
  * measured. */
-#define FORGET_US (40 * G_USEC_PER_SEC)
+#define PROGRESS_TTL_US (40 * G_USEC_PER_SEC)
 /* Samples of which progress is kept; more are ignored.  Not measured: the samples of one large step, so that
  * a damaged message cannot take unbounded memory. */
 #define ENTRIES_MAX 8192
 /* Age of progress that is passed on, us: a leader reports each text that grows five times a second, and the
  * next one leads a second or two after its end. */
-#define FRESH_US (5 * G_USEC_PER_SEC)
+#define RECENT_MAX_AGE_US (5 * G_USEC_PER_SEC)
 /* Texts that are passed on together, bytes: partial texts of 400 samples of 8 kB, two thirds as much when
  * packed. */
 #define LISTED_MAX_BYTES (4 * 1024 * 1024)
@@ -82,7 +82,7 @@
   gpointer value;
   g_hash_table_iter_init (&iter, store->entries);
   while (g_hash_table_iter_next (&iter, NULL, &value))
-    if (now_us - ((Entry *)value)->reported_us > FORGET_US)
+    if (now_us - ((Entry *)value)->reported_us > PROGRESS_TTL_US)
       g_hash_table_iter_remove (&iter);
 }
 
@@ -126,7 +126,7 @@
 }
 
 void
-quince_progress_store_take (QuinceProgressStore *store, gint64 now_us, const QuinceSampleProgress *progress)
+quince_progress_store_apply (QuinceProgressStore *store, gint64 now_us, const QuinceSampleProgress *progress)
 {
   forget_old (store, now_us);
   for (guint i = 0; i < progress->items.items_len; i++)
@@ -135,7 +135,7 @@
 
 /* The last reported first. */
 static gint
-compare_turns (gconstpointer a, gconstpointer b)
+compare_newest_first (gconstpointer a, gconstpointer b)
 {
   const Entry *first = *(const Entry *const *)a;
   const Entry *second = *(const Entry *const *)b;
@@ -143,7 +143,7 @@
 }
 
 static void
-add_item (GArray *items, const Entry *entry)
+append_progress_item (GArray *items, const Entry *entry)
 {
   QuinceProgressItem item = {
     .batch = entry->batch, .item = entry->item, .last_event = entry->last_event, .failures = entry->failures
@@ -156,22 +156,22 @@
 }
 
 void
-quince_progress_store_list (QuinceProgressStore *store, gint64 now_us, GArray *items)
+quince_progress_store_list_recent (QuinceProgressStore *store, gint64 now_us, GArray *items)
 {
   g_autoptr (GPtrArray) fresh = g_ptr_array_new ();
   GHashTableIter iter;
   gpointer value;
   g_hash_table_iter_init (&iter, store->entries);
   while (g_hash_table_iter_next (&iter, NULL, &value))
-    if (now_us - ((const Entry *)value)->reported_us <= FRESH_US)
+    if (now_us - ((const Entry *)value)->reported_us <= RECENT_MAX_AGE_US)
       g_ptr_array_add (fresh, value);
-  g_ptr_array_sort (fresh, compare_turns);
+  g_ptr_array_sort (fresh, compare_newest_first);
   gsize bytes = 0;
   for (guint i = 0; i < fresh->len && bytes < LISTED_MAX_BYTES; i++)
     {
       const Entry *entry = fresh->pdata[i];
       bytes += entry->text->len;
-      add_item (items, entry);
+      append_progress_item (items, entry);
     }
 }
 
--- a/daemons/replica/progress.h
+++ b/daemons/replica/progress.h
@@ -16,7 +16,7 @@
 void quince_progress_store_free (QuinceProgressStore *store);
 /* At a backup: a report of the leader. */
 void
-quince_progress_store_take (QuinceProgressStore *store, gint64 now_us, const QuinceSampleProgress *progress);
+quince_progress_store_apply (QuinceProgressStore *store, gint64 now_us, const QuinceSampleProgress *progress);
 /* At a new leader: how often workers failed the sample; 0: not known. */
 guint quince_progress_store_get_failures (QuinceProgressStore *store, const char *batch, guint item);
 /**
@@ -37,5 +37,5 @@
  * last reported first, about 4 MiB of texts at most.  The items borrow from the store and are valid until it
  * changes.
  */
-void quince_progress_store_list (QuinceProgressStore *store, gint64 now_us, GArray *items);
+void quince_progress_store_list_recent (QuinceProgressStore *store, gint64 now_us, GArray *items);
 void quince_progress_store_clear (QuinceProgressStore *store);
--- a/daemons/replica/replica-ledger-events.c
+++ b/daemons/replica/replica-ledger-events.c
@@ -34,7 +34,7 @@
 pass_progress_on (const QuinceReplicaParts *parts, QuinceLink *leader)
 {
   g_autoptr (GArray) items = g_array_new (FALSE, FALSE, sizeof (QuinceProgressItem));
-  quince_progress_store_list (parts->progress, quince_now_us (), items);
+  quince_progress_store_list_recent (parts->progress, quince_now_us (), items);
   if (items->len == 0 || quince_backends_has_region_rules (parts->backends))
     return;
   QuinceMessage message = { .kind = QUINCE_MESSAGE_PROGRESS };
@@ -122,8 +122,8 @@
       quince_batch_service_take_progress (parts->batches, progress);
       return;
     }
-  quince_progress_store_take (parts->progress, quince_now_us (), progress);
-  quince_progress_file_keep (parts->progress_file, progress);
+  quince_progress_store_apply (parts->progress, quince_now_us (), progress);
+  quince_progress_file_append (parts->progress_file, progress);
 }
 
 /* At the leader from a reserve reader, elsewhere from the leader. */
--- a/daemons/replica/sample-demand.c
+++ b/daemons/replica/sample-demand.c
@@ -8,19 +8,19 @@
 
 /* From its start to its expected end; where no pace is measured, as long as it has run. */
 static gint64
-lasts_us (QuinceSampleSet *set, const QuinceSample *sample, gint64 now_us)
+estimate_run_duration_us (QuinceSampleSet *set, const QuinceSample *sample, gint64 now_us)
 {
   const QuinceWorker *worker
       = quince_worker_table_find (quince_backends_get_workers (set->backends), sample->worker_id);
   if (worker == NULL)
     return 0;
-  double events = quince_sample_set_remaining_events (set, sample);
+  double events = quince_sample_set_estimate_remaining_events (set, sample);
   return now_us - sample->started_us + (gint64)(events * (double)quince_worker_get_pace_us (worker, now_us));
 }
 
 /* A sample that is held, or pauses, waits for no worker. */
 static gboolean
-could_begin (const QuinceSample *sample, gint64 now_us)
+may_start_now (const QuinceSample *sample, gint64 now_us)
 {
   return sample->state == QUINCE_SAMPLE_WAITING && now_us >= sample->not_before_us;
 }
@@ -35,15 +35,15 @@
       const QuinceBatchJob *batch = sample->entry->batch;
       if (sample->state == QUINCE_SAMPLE_WAITING || sample->state == QUINCE_SAMPLE_RUNNING)
         quince_load_plan_record_sample (plan, batch->model, batch->minimum_version,
-                                        could_begin (sample, now));
+                                        may_start_now (sample, now));
       if (sample->state == QUINCE_SAMPLE_RUNNING)
-        quince_load_plan_record_run (plan, sample->worker_id, lasts_us (set, sample, now));
+        quince_load_plan_record_run (plan, sample->worker_id, estimate_run_duration_us (set, sample, now));
     }
 }
 
 /* Time between two events at workers of @service, on average; 0: none is measured. */
 static gint64
-mean_pace_us (QuinceSampleSet *set, const char *service, gint64 now_us)
+get_mean_pace_us (QuinceSampleSet *set, const char *service, gint64 now_us)
 {
   QuinceWorkerTable *table = quince_backends_get_workers (set->backends);
   g_autoptr (GPtrArray) workers = quince_worker_table_list (table, service);
@@ -59,20 +59,20 @@
 }
 
 double
-quince_sample_demand_count_slots (QuinceSampleSet *set, const char *service)
+quince_sample_demand_get_slots_needed (QuinceSampleSet *set, const char *service)
 {
   gint64 now = quince_now_us ();
-  gint64 pace = mean_pace_us (set, service, now);
+  gint64 pace = get_mean_pace_us (set, service, now);
   double slots = 0;
   for (guint i = 0; i < set->samples->len; i++)
     {
       const QuinceSample *sample = set->samples->pdata[i];
       const QuinceBatchJob *batch = sample->entry->batch;
       gboolean open = sample->state == QUINCE_SAMPLE_WAITING || sample->state == QUINCE_SAMPLE_RUNNING;
-      const QuinceRoute *route = open ? quince_sample_set_route_of_batch (set, batch) : NULL;
+      const QuinceRoute *route = open ? quince_sample_set_get_batch_route (set, batch) : NULL;
       if (route == NULL || g_strcmp0 (quince_sample_set_pick_service (route, sample), service) != 0)
         continue;
-      double events = quince_sample_set_remaining_events (set, sample);
+      double events = quince_sample_set_estimate_remaining_events (set, sample);
       slots += quince_scale_slots_needed ((gint64)(events * (double)pace), now - sample->submitted_us,
                                           (gint64)route->deadline_ms * 1000);
     }
--- a/daemons/replica/sample-demand.h
+++ b/daemons/replica/sample-demand.h
@@ -12,4 +12,4 @@
 /* Fills in the samples that wait and run. */
 void quince_sample_demand_fill_load_plan (QuinceSampleSet *set, QuinceLoadPlan *plan);
 /* Slots at workers of @service that its open samples need to end in time; see scale-plan.h. */
-double quince_sample_demand_count_slots (QuinceSampleSet *set, const char *service);
+double quince_sample_demand_get_slots_needed (QuinceSampleSet *set, const char *service);
--- a/daemons/replica/sample-dispatch.c
+++ b/daemons/replica/sample-dispatch.c
@@ -13,7 +13,7 @@
 #define WORKER_PRIORITY_MAX 9
 /* The end of a worker says nothing of two suspects that ran on it. */
 static void
-avoid_suspects (const QuinceSampleSet *set, const QuinceSample *sample, GHashTable *avoid)
+avoid_workers_with_suspects (const QuinceSampleSet *set, const QuinceSample *sample, GHashTable *avoid)
 {
   for (guint i = 0; sample->permit.alone && i < set->samples->len; i++)
     {
@@ -33,7 +33,7 @@
   g_autoptr (GHashTable) avoid = g_hash_table_new (g_str_hash, g_str_equal);
   if (sample->avoid_worker != NULL)
     g_hash_table_add (avoid, sample->avoid_worker);
-  avoid_suspects (set, sample, avoid);
+  avoid_workers_with_suspects (set, sample, avoid);
   /* The samples of a group share their prompt. */
   g_autofree char *group
       = g_strconcat (sample->entry->batch->id, " ", quince_sample_get_item (sample)->group, NULL);
@@ -49,8 +49,8 @@
                                .residency = &residency,
                                .fastest_pace_us = view->fastest_pace_us };
   QuinceBackendOutcome outcome = quince_backends_choose (set->backends, quince_now_us (), &query, worker);
-  gboolean none_else = outcome == QUINCE_BACKEND_NONE || outcome == QUINCE_BACKEND_EVACUATED;
-  if (none_else && g_hash_table_size (avoid) > 0)
+  gboolean no_other_worker = outcome == QUINCE_BACKEND_NONE || outcome == QUINCE_BACKEND_EVACUATED;
+  if (no_other_worker && g_hash_table_size (avoid) > 0)
     {
       query.avoid = NULL;
       outcome = quince_backends_choose (set->backends, quince_now_us (), &query, worker);
@@ -61,7 +61,7 @@
 /* At the worker, 0 first.  A tenant's priority goes before that of the route; one that was withdrawn since
  * has none. */
 static gint
-priority_at_worker (QuinceSampleSet *set, const QuinceSample *sample, const QuinceRoute *route)
+get_worker_priority (QuinceSampleSet *set, const QuinceSample *sample, const QuinceRoute *route)
 {
   QuinceRouteTable *routes = quince_observer_get_routes (set->observer);
   const QuinceTenantTable *tenants = quince_route_table_get_tenants (routes);
@@ -80,7 +80,7 @@
   sample->single_version = route->single_version;
   set->running++;
   if (sample->runs == 0)
-    quince_step_reports_started (set->reports, sample->entry, quince_now_us ());
+    quince_step_reports_record_start (set->reports, sample->entry, quince_now_us ());
   quince_log_info ("sample_dispatched",
                    "sample=%s batch=%s worker=%s worker_running=%u version=%" G_GUINT64_FORMAT
                    " from_event=%" G_GUINT64_FORMAT " runs=%u age_ms=%" G_GINT64_FORMAT,
@@ -95,19 +95,20 @@
                                   quince_sample_get_item (sample)->id, worker->id);
       quince_send_guard_report_send (guard, quince_now_us (), identity, &sample->permit, worker->id);
     }
-  quince_sample_run (sample, set->backends, worker, priority_at_worker (set, sample, route),
-                     quince_sample_outcome_run_ended, set);
+  quince_sample_start_run (sample, set->backends, worker, get_worker_priority (set, sample, route),
+                           quince_sample_outcome_run_ended, set);
 }
 
 static void
-describe_request (QuinceSampleSet *set,
-                  const QuinceSample *sample,
-                  gint64 now_us,
-                  const QuinceSampleServiceView *view,
-                  QuincePolicyRequest *request)
+fill_policy_request (QuinceSampleSet *set,
+                     const QuinceSample *sample,
+                     gint64 now_us,
+                     const QuinceSampleServiceView *view,
+                     QuincePolicyRequest *request)
 {
   const QuinceBatchJob *batch = sample->entry->batch;
-  double remaining_us = quince_sample_set_remaining_events (set, sample) * (double)view->fastest_pace_us;
+  double remaining_us
+      = quince_sample_set_estimate_remaining_events (set, sample) * (double)view->fastest_pace_us;
   *request = (QuincePolicyRequest){
     .service = view->service,
     .member = batch->model,
@@ -156,7 +157,7 @@
   if (admission == QUINCE_ADMISSION_HELD || admission == QUINCE_ADMISSION_PROTECTED)
     log_admission (guard, sample, admission, service, now_us);
   else
-    set->events->wants_dispatch (QUINCE_ADMISSION_RETRY_MS, set->owner);
+    set->events->request_dispatch (QUINCE_ADMISSION_RETRY_MS, set->owner);
   return FALSE;
 }
 
@@ -170,13 +171,13 @@
 QuinceBackendOutcome
 quince_sample_dispatch (QuinceSampleSet *set, QuinceSample *sample, gint64 now_us)
 {
-  const QuinceRoute *route = quince_sample_set_route_of_batch (set, sample->entry->batch);
+  const QuinceRoute *route = quince_sample_set_get_batch_route (set, sample->entry->batch);
   if (route == NULL)
     return QUINCE_BACKEND_NONE;
   QuinceSampleServiceView view;
-  quince_sample_set_view_service (set, route, sample, now_us, &view);
+  quince_sample_set_get_service_view (set, route, sample, now_us, &view);
   QuincePolicyRequest request;
-  describe_request (set, sample, now_us, &view, &request);
+  fill_policy_request (set, sample, now_us, &view, &request);
   QuincePolicyAdmission admission;
   quince_backends_admit (set->backends, &request, &admission);
   QuinceWorker *worker = NULL;
--- a/daemons/replica/sample-moves.c
+++ b/daemons/replica/sample-moves.c
@@ -9,10 +9,10 @@
 
 /* The least pace among workers that could take @sample now; 0: there is none. */
 static gint64
-best_pace_elsewhere (QuinceSampleSet *set,
-                     const QuinceSample *sample,
-                     const QuinceSampleServiceView *view,
-                     gint64 now_us)
+get_best_target_pace_us (QuinceSampleSet *set,
+                         const QuinceSample *sample,
+                         const QuinceSampleServiceView *view,
+                         gint64 now_us)
 {
   QuinceResidency residency;
   quince_sample_set_get_residency (set, sample->entry, &residency);
@@ -42,7 +42,7 @@
   const QuinceSampleMoveInput move = { .single_version = sample->single_version,
                                        .moves = sample->moves,
                                        .run_us = now_us - sample->started_us,
-                                       .measured = sample->event_us > 0 };
+                                       .measured = sample->last_event_us > 0 };
   return sample->state == QUINCE_SAMPLE_RUNNING && quince_sample_move_is_allowed (&move);
 }
 
@@ -50,28 +50,28 @@
 static gboolean
 is_slow (const QuinceWorker *worker, const QuinceSampleServiceView *view, gint64 now_us)
 {
-  double remaining_most = G_MAXINT;
+  double remaining_max = G_MAXINT;
   return !worker->loading
-         && quince_sample_move_is_worthwhile (remaining_most, quince_worker_get_pace_us (worker, now_us),
+         && quince_sample_move_is_worthwhile (remaining_max, quince_worker_get_pace_us (worker, now_us),
                                               view->fastest_pace_us);
 }
 
 static gboolean
-move_pays (QuinceSampleSet *set, const QuinceSample *sample, gint64 now_us)
+is_move_worthwhile (QuinceSampleSet *set, const QuinceSample *sample, gint64 now_us)
 {
-  const QuinceRoute *route = quince_sample_set_route_of_batch (set, sample->entry->batch);
+  const QuinceRoute *route = quince_sample_set_get_batch_route (set, sample->entry->batch);
   const QuinceWorker *worker
       = quince_worker_table_find (quince_backends_get_workers (set->backends), sample->worker_id);
   if (route == NULL || worker == NULL)
     return FALSE;
   QuinceSampleServiceView view;
-  quince_sample_set_view_service (set, route, sample, now_us, &view);
+  quince_sample_set_get_service_view (set, route, sample, now_us, &view);
   gboolean pays = FALSE;
   if (is_slow (worker, &view, now_us))
     {
-      gint64 there = best_pace_elsewhere (set, sample, &view, now_us);
+      gint64 there = get_best_target_pace_us (set, sample, &view, now_us);
       pays = there > 0
-             && quince_sample_move_is_worthwhile (quince_sample_set_remaining_events (set, sample),
+             && quince_sample_move_is_worthwhile (quince_sample_set_estimate_remaining_events (set, sample),
                                                   quince_worker_get_pace_us (worker, now_us), there);
     }
   quince_sample_service_view_clear (&view);
@@ -87,11 +87,11 @@
   for (guint i = 0; i < set->samples->len && moves < QUINCE_SAMPLE_MOVES_PER_CHECK_MAX; i++)
     {
       QuinceSample *sample = set->samples->pdata[i];
-      if (!may_move (sample, now_us) || !move_pays (set, sample, now_us))
+      if (!may_move (sample, now_us) || !is_move_worthwhile (set, sample, now_us))
         continue;
       moves++;
       sample->moves++;
-      quince_sample_cut (sample, QUINCE_RUN_MOVED, "moved");
+      quince_sample_stop_run (sample, QUINCE_RUN_MOVED, "moved");
       quince_sample_dispatch (set, sample, now_us);
     }
 }
--- a/daemons/replica/sample-outcome.c
+++ b/daemons/replica/sample-outcome.c
@@ -11,14 +11,14 @@
 #include "sample-reward.h"
 
 static void
-text_whole (QuinceSampleSet *set, QuinceSample *sample)
+handle_complete_text (QuinceSampleSet *set, QuinceSample *sample)
 {
-  quince_length_model_record (quince_sample_set_get_lengths (set, sample->entry->batch->model),
+  quince_length_model_record (quince_sample_set_get_length_model (set, sample->entry->batch->model),
                               sample->estimated_tokens, sample->last_event);
-  quince_step_reports_text_whole (set->reports, sample->entry, quince_now_us ());
+  quince_step_reports_record_complete_text (set->reports, sample->entry, quince_now_us ());
   if (sample->single_version && sample->versions->len > 1)
     {
-      quince_sample_restart (sample);
+      quince_sample_discard_text (sample);
       sample->state = QUINCE_SAMPLE_WAITING;
       return;
     }
@@ -33,7 +33,7 @@
 /* ---- Runs ------------------------------------------------------------- */
 
 static void
-wait_again (QuinceSample *sample, gint64 pause_us)
+return_to_queue (QuinceSample *sample, gint64 pause_us)
 {
   sample->state = QUINCE_SAMPLE_WAITING;
   sample->not_before_us = quince_now_us () + pause_us;
@@ -42,9 +42,9 @@
 }
 
 static QuinceSampleNext
-next_after_run (QuinceSampleSet *set, QuinceSample *sample, QuinceRunEnd end)
+decide_next_step (QuinceSampleSet *set, QuinceSample *sample, QuinceRunEnd end)
 {
-  const QuinceRoute *route = quince_sample_set_route_of_batch (set, sample->entry->batch);
+  const QuinceRoute *route = quince_sample_set_get_batch_route (set, sample->entry->batch);
   sample->failures += end == QUINCE_RUN_FAILED;
   sample->unprocessable_answers += end == QUINCE_RUN_UNPROCESSABLE;
   const QuinceSampleRunResult ended = { .end = end,
@@ -65,7 +65,7 @@
 
 /* What the end of a run says of its sample: see send-guard.h. */
 static void
-tell_guard (QuinceSampleSet *set, QuinceSample *sample, QuinceRunEnd end)
+report_end_to_guard (QuinceSampleSet *set, QuinceSample *sample, QuinceRunEnd end)
 {
   QuinceSendGuard *guard = quince_backends_get_guard (set->backends);
   gboolean answered
@@ -99,21 +99,21 @@
     quince_log_info ("sample_run_ended", "sample=%s worker=%s cause=%s events=%" G_GUINT64_FORMAT " runs=%u",
                      quince_sample_get_item (sample)->id, sample->worker_id, cause, sample->last_event,
                      sample->runs);
-  tell_guard (set, sample, end);
-  const QuinceSampleNext next = next_after_run (set, sample, end);
+  report_end_to_guard (set, sample, end);
+  const QuinceSampleNext next = decide_next_step (set, sample, end);
   if (next.eject_worker)
     eject_worker (set, sample);
   switch (next.action)
     {
     case QUINCE_SAMPLE_NEXT_REWARD:
-      text_whole (set, sample);
+      handle_complete_text (set, sample);
       break;
     case QUINCE_SAMPLE_NEXT_RUN:
-      wait_again (sample, next.pause_us);
+      return_to_queue (sample, next.pause_us);
       break;
     case QUINCE_SAMPLE_NEXT_ABANDON:
       quince_sample_result_abandon (set, sample, cause);
       break;
     }
-  set->events->wants_dispatch (0, set->owner);
+  set->events->request_dispatch (0, set->owner);
 }
--- a/daemons/replica/sample-outcome.h
+++ b/daemons/replica/sample-outcome.h
@@ -8,6 +8,6 @@
 
 #include "sample-set.h"
 
-/* The callback of quince_sample_run(); @set: QuinceSampleSet.  May release @sample. */
+/* The callback of quince_sample_start_run(); @set: QuinceSampleSet.  May release @sample. */
 void
 quince_sample_outcome_run_ended (QuinceSample *sample, QuinceRunEnd end, const char *cause, gpointer set);
--- a/daemons/replica/sample-replication.c
+++ b/daemons/replica/sample-replication.c
@@ -45,7 +45,7 @@
 
 /* Returns: whether @sample goes on from there */
 static gboolean
-go_on_from (QuinceSample *sample, const QuinceProgressItem *item)
+resume_from (QuinceSample *sample, const QuinceProgressItem *item)
 {
   sample->failures = MAX (sample->failures, item->failures);
   if (sample->state != QUINCE_SAMPLE_WAITING || item->from_event != 0
@@ -65,14 +65,14 @@
 }
 
 guint
-quince_sample_replication_take (QuinceSampleSet *set, const QuinceSampleProgress *progress)
+quince_sample_replication_apply (QuinceSampleSet *set, const QuinceSampleProgress *progress)
 {
   guint taken = 0;
   for (guint i = 0; i < progress->items.items_len; i++)
     {
       const QuinceProgressItem *item = &progress->items.items_val[i];
       QuinceSample *sample = find_sample (set, item);
-      taken += sample != NULL && go_on_from (sample, item);
+      taken += sample != NULL && resume_from (sample, item);
     }
   quince_log_info ("progress_taken", "told=%u taken=%u", progress->items.items_len, taken);
   return taken;
--- a/daemons/replica/sample-replication.h
+++ b/daemons/replica/sample-replication.h
@@ -13,4 +13,4 @@
 /* Takes what another replica knows of samples: samples that have not begun go on from there.  Returns: how
  * many
  */
-guint quince_sample_replication_take (QuinceSampleSet *set, const QuinceSampleProgress *progress);
+guint quince_sample_replication_apply (QuinceSampleSet *set, const QuinceSampleProgress *progress);
--- a/daemons/replica/sample-reward.c
+++ b/daemons/replica/sample-reward.c
@@ -8,7 +8,7 @@
 #include "sample-result.h"
 
 static guint
-reward_attempts (QuinceSampleSet *set, const QuinceRewardCall *call)
+get_reward_max_attempts (QuinceSampleSet *set, const QuinceRewardCall *call)
 {
   const QuinceRoute *route = quince_sample_set_find_route (set, call->host, call->path);
   return route != NULL ? route->max_attempts : 1;
@@ -30,7 +30,7 @@
       return;
     }
   const QuinceSampleNext next
-      = quince_sample_next_after_reward (sample->reward_failures, reward_attempts (set, call));
+      = quince_sample_next_after_reward (sample->reward_failures, get_reward_max_attempts (set, call));
   if (next.action == QUINCE_SAMPLE_NEXT_ABANDON)
     quince_sample_result_abandon (set, sample, "reward_failed");
   else
--- a/daemons/replica/sample-runner.c
+++ b/daemons/replica/sample-runner.c
@@ -36,10 +36,10 @@
   QuinceProgressStore *progress; /* not owned */
   const QuinceSampleRunnerCallbacks *callbacks;
   gpointer user_data;
-  QuinceMoveCheckState move_watch;
+  QuinceMoveCheckState move_check_state;
   QuinceTimer *timer;
-  QuinceTimer *soon;     /* a check that was asked for; NULL: none */
-  gint64 begin_after_us; /* a new leader: nothing begins before, unless progress arrives */
+  QuinceTimer *soon;          /* a check that was asked for; NULL: none */
+  gint64 start_runs_after_us; /* a new leader: nothing begins before, unless progress arrives */
 };
 
 /* ---- The pump --------------------------------------------------------- */
@@ -48,7 +48,7 @@
  * restricted.
  */
 static const char *
-room_key (const QuinceSampleRunner *runner, const QuinceSample *sample)
+get_capacity_key (const QuinceSampleRunner *runner, const QuinceSample *sample)
 {
   QuinceResidency residency;
   quince_sample_set_get_residency (&runner->set, sample->entry, &residency);
@@ -64,22 +64,22 @@
 
 /* No worker has room: other samples of the model need not be tried in this round. */
 static gboolean
-blocks_model (QuinceBackendOutcome outcome)
+is_without_capacity (QuinceBackendOutcome outcome)
 {
   return outcome == QUINCE_BACKEND_FULL || outcome == QUINCE_BACKEND_COLD
          || outcome == QUINCE_BACKEND_ZONES_UNKNOWN;
 }
 
 void
-quince_sample_runner_pump (QuinceSampleRunner *runner)
+quince_sample_runner_check_samples (QuinceSampleRunner *runner)
 {
   if (!runner->callbacks->may_run (runner->user_data))
     return;
   gint64 now = quince_now_us ();
-  if (now < runner->begin_after_us)
+  if (now < runner->start_runs_after_us)
     return;
   /* Moves come first: a sample that leaves a slow worker frees a slot there for one that waits. */
-  quince_sample_moves_check (&runner->set, &runner->move_watch, now);
+  quince_sample_moves_check (&runner->set, &runner->move_check_state, now);
   g_autoptr (GHashTable) full
       = g_hash_table_new (g_str_hash, g_str_equal); /* models and batches without room */
   runner->set.waiting = 0;
@@ -98,11 +98,11 @@
       if (sample->state != QUINCE_SAMPLE_WAITING)
         continue;
       runner->set.waiting++;
-      const char *key = room_key (runner, sample);
+      const char *key = get_capacity_key (runner, sample);
       if (now < sample->not_before_us || g_hash_table_contains (full, key))
         continue;
       QuinceBackendOutcome outcome = quince_sample_dispatch (&runner->set, sample, now);
-      if (blocks_model (outcome) && sample->avoid_worker == NULL)
+      if (is_without_capacity (outcome) && sample->avoid_worker == NULL)
         g_hash_table_add (full, (char *)key);
     }
 }
@@ -112,12 +112,12 @@
 {
   QuinceSampleRunner *runner = data;
   quince_timer_clear (&runner->soon);
-  quince_sample_runner_pump (runner);
+  quince_sample_runner_check_samples (runner);
   return G_SOURCE_REMOVE;
 }
 
 static void
-pump_after (QuinceSampleRunner *runner, guint wait_ms)
+schedule_check (QuinceSampleRunner *runner, guint wait_ms)
 {
   if (runner->soon == NULL)
     runner->soon = quince_timer_add (wait_ms, pump_now, runner);
@@ -128,7 +128,7 @@
 {
   QuinceSampleRunner *runner = data;
   if (runner->set.samples->len > 0)
-    quince_sample_runner_pump (runner);
+    quince_sample_runner_check_samples (runner);
   return G_SOURCE_CONTINUE;
 }
 
@@ -143,12 +143,13 @@
 }
 
 static void
-dispatch_wanted (guint wait_ms, gpointer data)
+handle_dispatch_request (guint wait_ms, gpointer data)
 {
-  pump_after (data, wait_ms);
+  schedule_check (data, wait_ms);
 }
 
-static const QuinceSampleSetEvents set_events = { .done = sample_done, .wants_dispatch = dispatch_wanted };
+static const QuinceSampleSetCallbacks set_callbacks
+    = { .done = sample_done, .request_dispatch = handle_dispatch_request };
 
 /* ---- Public ----------------------------------------------------------- */
 
@@ -160,7 +161,7 @@
                           gpointer user_data)
 {
   QuinceSampleRunner *runner = g_new0 (QuinceSampleRunner, 1);
-  quince_sample_set_init (&runner->set, backends, observer, &set_events, runner);
+  quince_sample_set_init (&runner->set, backends, observer, &set_callbacks, runner);
   runner->progress = progress;
   runner->callbacks = callbacks;
   runner->user_data = user_data;
@@ -193,7 +194,7 @@
 void
 quince_sample_runner_add (QuinceSampleRunner *runner, QuinceBatchEntry *entry)
 {
-  const QuinceRoute *route = quince_sample_set_route_of_batch (&runner->set, entry->batch);
+  const QuinceRoute *route = quince_sample_set_get_batch_route (&runner->set, entry->batch);
   gint64 age_us = MAX (quince_wall_ms () - (gint64)entry->batch->submitted_ms, 0) * 1000;
   gint64 submitted_us = quince_now_us () - age_us;
   guint first = runner->set.samples->len;
@@ -218,7 +219,7 @@
   if (runner->set.samples->len > first)
     qsort (runner->set.samples->pdata + first, runner->set.samples->len - first, sizeof (gpointer),
            compare_lengths);
-  pump_after (runner, 0);
+  schedule_check (runner, 0);
 }
 
 void
@@ -233,19 +234,19 @@
       g_ptr_array_remove_index (runner->set.samples, i - 1);
     }
   quince_step_reports_end (runner->set.reports, entry, quince_now_us ());
-  pump_after (runner, 0);
+  schedule_check (runner, 0);
 }
 
 const QuinceRoute *
-quince_sample_runner_route_of_batch (const QuinceSampleRunner *runner, const QuinceBatchJob *batch)
+quince_sample_runner_get_batch_route (const QuinceSampleRunner *runner, const QuinceBatchJob *batch)
 {
-  return quince_sample_set_route_of_batch (&runner->set, batch);
+  return quince_sample_set_get_batch_route (&runner->set, batch);
 }
 
 /* ---- Progress ----------------------------------------------------------- */
 
 void
-quince_sample_runner_collect (QuinceSampleRunner *runner, gboolean all, GArray *items)
+quince_sample_runner_collect_progress (QuinceSampleRunner *runner, gboolean all, GArray *items)
 {
   quince_sample_replication_collect (&runner->set, all, items);
 }
@@ -253,15 +254,15 @@
 void
 quince_sample_runner_await_progress (QuinceSampleRunner *runner)
 {
-  runner->begin_after_us = quince_now_us () + PROGRESS_WAIT_MS * 1000;
+  runner->start_runs_after_us = quince_now_us () + PROGRESS_WAIT_MS * 1000;
 }
 
 void
-quince_sample_runner_take_progress (QuinceSampleRunner *runner, const QuinceSampleProgress *progress)
+quince_sample_runner_apply_progress (QuinceSampleRunner *runner, const QuinceSampleProgress *progress)
 {
-  if (quince_sample_replication_take (&runner->set, progress) > 0)
-    runner->begin_after_us = 0;
-  pump_after (runner, 0);
+  if (quince_sample_replication_apply (&runner->set, progress) > 0)
+    runner->start_runs_after_us = 0;
+  schedule_check (runner, 0);
 }
 
 /* ---- Demand ------------------------------------------------------------- */
@@ -273,19 +274,19 @@
 }
 
 double
-quince_sample_runner_count_needed (QuinceSampleRunner *runner, const char *service)
+quince_sample_runner_get_slots_needed (QuinceSampleRunner *runner, const char *service)
 {
-  return quince_sample_demand_count_slots (&runner->set, service);
+  return quince_sample_demand_get_slots_needed (&runner->set, service);
 }
 
 guint
-quince_sample_runner_get_waiting (const QuinceSampleRunner *runner)
+quince_sample_runner_get_n_waiting (const QuinceSampleRunner *runner)
 {
   return runner->set.waiting;
 }
 
 guint
-quince_sample_runner_get_running (const QuinceSampleRunner *runner)
+quince_sample_runner_get_n_running (const QuinceSampleRunner *runner)
 {
   return runner->set.running;
 }
--- a/daemons/replica/sample-runner.h
+++ b/daemons/replica/sample-runner.h
@@ -35,21 +35,21 @@
 void quince_sample_runner_add (QuinceSampleRunner *runner, QuinceBatchEntry *entry);
 /* What has been made since the last call, to be sent to the successor; @all: everything again. Lives until
  * samples change. */
-void quince_sample_runner_collect (QuinceSampleRunner *runner, gboolean all, GArray *items);
+void quince_sample_runner_collect_progress (QuinceSampleRunner *runner, gboolean all, GArray *items);
 /* A new leader has waiting samples of which another replica may know more: nothing begins for a moment. */
 void quince_sample_runner_await_progress (QuinceSampleRunner *runner);
 /* Progress that another replica knows: samples that have not begun go on from there. */
-void quince_sample_runner_take_progress (QuinceSampleRunner *runner, const QuinceSampleProgress *progress);
+void quince_sample_runner_apply_progress (QuinceSampleRunner *runner, const QuinceSampleProgress *progress);
 /* The batch is ended or forgotten: its samples are cancelled. */
 void quince_sample_runner_remove (QuinceSampleRunner *runner, const QuinceBatchEntry *entry);
 /* Something has changed (workers, versions, time): begin what can begin. */
-void quince_sample_runner_pump (QuinceSampleRunner *runner);
+void quince_sample_runner_check_samples (QuinceSampleRunner *runner);
 /* (nullable): the route of @batch; %NULL: no configuration has one */
-const QuinceRoute *quince_sample_runner_route_of_batch (const QuinceSampleRunner *runner,
-                                                        const QuinceBatchJob *batch);
+const QuinceRoute *quince_sample_runner_get_batch_route (const QuinceSampleRunner *runner,
+                                                         const QuinceBatchJob *batch);
 /* Fills in the samples that wait and run. */
 void quince_sample_runner_fill_load_plan (QuinceSampleRunner *runner, QuinceLoadPlan *plan);
 /* Places at workers of @service that its open samples take to end in time; see scale-plan.h. */
-double quince_sample_runner_count_needed (QuinceSampleRunner *runner, const char *service);
-guint quince_sample_runner_get_waiting (const QuinceSampleRunner *runner);
-guint quince_sample_runner_get_running (const QuinceSampleRunner *runner);
+double quince_sample_runner_get_slots_needed (QuinceSampleRunner *runner, const char *service);
+guint quince_sample_runner_get_n_waiting (const QuinceSampleRunner *runner);
+guint quince_sample_runner_get_n_running (const QuinceSampleRunner *runner);
--- a/daemons/replica/sample-set.c
+++ b/daemons/replica/sample-set.c
@@ -7,10 +7,10 @@
 #include "runtime/clock.h"
 
 /* Requests at one worker where the configuration names no slots.  Not measured. */
-#define SLOTS_UNTOLD 8
+#define SLOTS_DEFAULT 8
 /* Time for which the pace of a service's fastest worker is kept, us: a leader asks for it for each sample.
  * Not measured: two or three events of a worker. */
-#define FASTEST_KEEP_US (100 * 1000)
+#define FASTEST_PACE_TTL_US (100 * 1000)
 /* The pace of a service's fastest worker, as it was found a moment ago. */
 typedef struct
 {
@@ -22,7 +22,7 @@
 quince_sample_set_init (QuinceSampleSet *set,
                         QuinceBackends *backends,
                         QuinceObserver *observer,
-                        const QuinceSampleSetEvents *events,
+                        const QuinceSampleSetCallbacks *events,
                         gpointer owner)
 {
   *set = (QuinceSampleSet){
@@ -57,7 +57,7 @@
 }
 
 const QuinceRoute *
-quince_sample_set_route_of_batch (const QuinceSampleSet *set, const QuinceBatchJob *batch)
+quince_sample_set_get_batch_route (const QuinceSampleSet *set, const QuinceBatchJob *batch)
 {
   return quince_sample_set_find_route (set, batch->host, batch->path);
 }
@@ -70,7 +70,7 @@
   *residency = (QuinceResidency){ NULL, NULL };
   if (!quince_backends_has_region_rules (set->backends))
     return;
-  const QuinceRoute *route = quince_sample_set_route_of_batch (set, entry->batch);
+  const QuinceRoute *route = quince_sample_set_get_batch_route (set, entry->batch);
   if (route == NULL)
     return; /* nothing of it is sent then */
   const QuinceTenantTable *tenants
@@ -80,7 +80,7 @@
 }
 
 QuinceLengthModel *
-quince_sample_set_get_lengths (QuinceSampleSet *set, const char *model)
+quince_sample_set_get_length_model (QuinceSampleSet *set, const char *model)
 {
   QuinceLengthModel *lengths = g_hash_table_lookup (set->lengths, model);
   if (lengths == NULL)
@@ -92,10 +92,10 @@
 }
 
 double
-quince_sample_set_remaining_events (QuinceSampleSet *set, const QuinceSample *sample)
+quince_sample_set_estimate_remaining_events (QuinceSampleSet *set, const QuinceSample *sample)
 {
   return quince_length_model_estimate_remaining (
-      quince_sample_set_get_lengths (set, sample->entry->batch->model), sample->estimated_tokens,
+      quince_sample_set_get_length_model (set, sample->entry->batch->model), sample->estimated_tokens,
       sample->last_event);
 }
 
@@ -106,7 +106,7 @@
 fastest_pace_us (QuinceSampleSet *set, const char *service, const GPtrArray *workers, gint64 now_us)
 {
   ServicePace *pace = g_hash_table_lookup (set->paces, service);
-  if (pace != NULL && now_us - pace->found_us < FASTEST_KEEP_US)
+  if (pace != NULL && now_us - pace->found_us < FASTEST_PACE_TTL_US)
     return pace->fastest_us;
   if (pace == NULL)
     {
@@ -127,16 +127,16 @@
 }
 
 void
-quince_sample_set_view_service (QuinceSampleSet *set,
-                                const QuinceRoute *route,
-                                const QuinceSample *sample,
-                                gint64 now_us,
-                                QuinceSampleServiceView *view)
+quince_sample_set_get_service_view (QuinceSampleSet *set,
+                                    const QuinceRoute *route,
+                                    const QuinceSample *sample,
+                                    gint64 now_us,
+                                    QuinceSampleServiceView *view)
 {
   QuinceRouteTable *routes = quince_observer_get_routes (set->observer);
   view->service = quince_sample_set_pick_service (route, sample);
   const QuinceService *service = quince_route_table_find_service (routes, view->service);
-  view->slots = service != NULL && service->slots > 0 ? service->slots : SLOTS_UNTOLD;
+  view->slots = service != NULL && service->slots > 0 ? service->slots : SLOTS_DEFAULT;
   view->workers = quince_worker_table_list (quince_backends_get_workers (set->backends), view->service);
   view->fastest_pace_us = fastest_pace_us (set, view->service, view->workers, now_us);
 }
--- a/daemons/replica/sample-set.h
+++ b/daemons/replica/sample-set.h
@@ -17,15 +17,15 @@
 #include "step-report.h"
 
 /**
- * QuinceSampleSetEvents:
+ * QuinceSampleSetCallbacks:
  * @done: @sample is done or abandoned, with @result, which lives until this returns; @sample may be released
- * @wants_dispatch: samples may be dispatched after @wait_ms, or sooner
+ * @request_dispatch: samples may be dispatched after @wait_ms, or sooner
  */
 typedef struct
 {
   void (*done) (QuinceSample *sample, const QuinceBatchResult *result, gpointer owner);
-  void (*wants_dispatch) (guint wait_ms, gpointer owner);
-} QuinceSampleSetEvents;
+  void (*request_dispatch) (guint wait_ms, gpointer owner);
+} QuinceSampleSetCallbacks;
 
 typedef struct
 {
@@ -38,29 +38,30 @@
   GHashTable *paces;          /* the last known fastest pace by service, owned */
   guint running;
   guint waiting; /* at the last check of all samples */
-  const QuinceSampleSetEvents *events;
+  const QuinceSampleSetCallbacks *events;
   gpointer owner;
 } QuinceSampleSet;
 
 void quince_sample_set_init (QuinceSampleSet *set,
                              QuinceBackends *backends,
                              QuinceObserver *observer,
-                             const QuinceSampleSetEvents *events,
+                             const QuinceSampleSetCallbacks *events,
                              gpointer owner);
 /* Cancels all that runs. */
 void quince_sample_set_clear (QuinceSampleSet *set);
 /* The route of a batch or of a reward call; %NULL: no configuration has one. */
 const QuinceRoute *
 quince_sample_set_find_route (const QuinceSampleSet *set, const char *host, const char *path);
-const QuinceRoute *quince_sample_set_route_of_batch (const QuinceSampleSet *set, const QuinceBatchJob *batch);
+const QuinceRoute *quince_sample_set_get_batch_route (const QuinceSampleSet *set,
+                                                      const QuinceBatchJob *batch);
 /* The regions that the route and the tenant of @entry allow now. */
 void quince_sample_set_get_residency (const QuinceSampleSet *set,
                                       const QuinceBatchEntry *entry,
                                       QuinceResidency *residency);
 /* What is known of the lengths of @model's texts. */
-QuinceLengthModel *quince_sample_set_get_lengths (QuinceSampleSet *set, const char *model);
+QuinceLengthModel *quince_sample_set_get_length_model (QuinceSampleSet *set, const char *model);
 /* Events of @sample that are still to come, by the length model. */
-double quince_sample_set_remaining_events (QuinceSampleSet *set, const QuinceSample *sample);
+double quince_sample_set_estimate_remaining_events (QuinceSampleSet *set, const QuinceSample *sample);
 /* The service of @route whose workers run @sample. */
 const char *quince_sample_set_pick_service (const QuinceRoute *route, const QuinceSample *sample);
 
@@ -73,9 +74,9 @@
   guint slots;            /* runs at once of one worker */
 } QuinceSampleServiceView;
 
-void quince_sample_set_view_service (QuinceSampleSet *set,
-                                     const QuinceRoute *route,
-                                     const QuinceSample *sample,
-                                     gint64 now_us,
-                                     QuinceSampleServiceView *view);
+void quince_sample_set_get_service_view (QuinceSampleSet *set,
+                                         const QuinceRoute *route,
+                                         const QuinceSample *sample,
+                                         gint64 now_us,
+                                         QuinceSampleServiceView *view);
 void quince_sample_service_view_clear (QuinceSampleServiceView *view);
--- a/daemons/replica/sample.c
+++ b/daemons/replica/sample.c
@@ -13,9 +13,9 @@
 
 /* Interval of the checks for silence, ms: the longest silence changes with the worker's pace.  Not measured.
  */
-#define SILENCE_CHECK_MS 300
+#define SILENCE_CHECK_INTERVAL_MS 300
 /* Time that a worker is given for a sample without a give-up time, ms.  Not measured. */
-#define TIME_MAX_MS 60000
+#define RUN_TIME_MAX_MS 60000
 
 QuinceSample *
 quince_sample_new (QuinceBatchEntry *entry, guint item)
@@ -102,7 +102,7 @@
 }
 
 void
-quince_sample_restart (QuinceSample *sample)
+quince_sample_discard_text (QuinceSample *sample)
 {
   g_string_truncate (sample->text, 0);
   g_array_set_size (sample->versions, 0);
@@ -114,7 +114,7 @@
 /* ---- Events ----------------------------------------------------------- */
 
 static void
-note_version (QuinceSample *sample)
+record_run_version (QuinceSample *sample)
 {
   for (guint i = 0; i < sample->versions->len; i++)
     if (g_array_index (sample->versions, guint64, i) == sample->run_version)
@@ -123,7 +123,7 @@
 }
 
 void
-quince_sample_cut (QuinceSample *sample, QuinceRunEnd end, const char *cause)
+quince_sample_stop_run (QuinceSample *sample, QuinceRunEnd end, const char *cause)
 {
   if (sample->exchange != NULL)
     {
@@ -135,18 +135,18 @@
 
 /* @events have come together.  A pause in which the worker loaded weights says nothing of its pace. */
 static void
-note_pace (QuinceSample *sample, guint64 events)
+record_worker_pace (QuinceSample *sample, guint64 events)
 {
   QuinceWorker *worker = worker_of (sample);
   gint64 now = quince_now_us ();
-  if (worker != NULL && !worker->loading && sample->event_us > 0)
-    quince_worker_record_event (worker, now, (now - sample->event_us) / (gint64)events);
-  sample->event_us = worker != NULL && worker->loading ? 0 : now;
+  if (worker != NULL && !worker->loading && sample->last_event_us > 0)
+    quince_worker_record_event (worker, now, (now - sample->last_event_us) / (gint64)events);
+  sample->last_event_us = worker != NULL && worker->loading ? 0 : now;
 }
 
 /* Returns: why the run cannot go on, or NULL; @end: how it ends then. */
 static const char *
-take_event (QuinceSample *sample, const QuincePlatformEvent *event, QuinceRunEnd *end)
+apply_stream_event (QuinceSample *sample, const QuincePlatformEvent *event, QuinceRunEnd *end)
 {
   *end = QUINCE_RUN_BROKEN;
   if (event->id != sample->last_event + 1)
@@ -162,12 +162,12 @@
     g_string_append_c (sample->text, '\n');
   g_string_append_len (sample->text, event->data->str, (gssize)event->data->len);
   sample->last_event = event->id;
-  note_version (sample);
+  record_run_version (sample);
   return NULL;
 }
 
 static const char *
-take_events (QuinceSample *sample, QuinceRunEnd *end)
+apply_stream_events (QuinceSample *sample, QuinceRunEnd *end)
 {
   QuincePlatformEvent event = { 0 };
   g_autoptr (GError) error = NULL;
@@ -175,11 +175,11 @@
   guint64 before = sample->last_event;
   while (cause == NULL && quince_platform_events_next (sample->events, &event, &error))
     {
-      cause = take_event (sample, &event, end);
+      cause = apply_stream_event (sample, &event, end);
       quince_platform_event_clear (&event);
     }
   if (sample->last_event > before)
-    note_pace (sample, sample->last_event - before);
+    record_worker_pace (sample, sample->last_event - before);
   if (error == NULL)
     return cause;
   *end = QUINCE_RUN_BROKEN;
@@ -195,9 +195,9 @@
     return;
   quince_platform_events_feed (sample->events, data, length);
   QuinceRunEnd end = QUINCE_RUN_BROKEN;
-  const char *cause = take_events (sample, &end);
+  const char *cause = apply_stream_events (sample, &end);
   if (cause != NULL)
-    quince_sample_cut (sample, end, cause);
+    quince_sample_stop_run (sample, end, cause);
 }
 
 /* ---- The answer ------------------------------------------------------- */
@@ -213,7 +213,7 @@
     {
       quince_http_exchange_distrust (exchange);
       if (head->status == 200)
-        quince_sample_cut (sample, QUINCE_RUN_BROKEN, "wrong_answer");
+        quince_sample_stop_run (sample, QUINCE_RUN_BROKEN, "wrong_answer");
       return;
     }
   if (head->status != 200)
@@ -221,7 +221,7 @@
   sample->run_version = facts.version;
   if (facts.version != 0 && facts.version < sample->entry->batch->minimum_version)
     {
-      quince_sample_cut (sample, QUINCE_RUN_REFUSED, "version_too_old");
+      quince_sample_stop_run (sample, QUINCE_RUN_REFUSED, "version_too_old");
       return;
     }
   sample->accepted = TRUE;
@@ -265,10 +265,10 @@
     = { .head = exchange_head, .body = exchange_body, .done = exchange_done };
 
 static guint
-silence_most_ms (const QuinceSample *sample)
+get_silence_timeout_ms (const QuinceSample *sample)
 {
   const QuinceWorker *worker = worker_of (sample);
-  gboolean measured = worker != NULL && !worker->loading && sample->event_us > 0;
+  gboolean measured = worker != NULL && !worker->loading && sample->last_event_us > 0;
   return quince_silence_sample_timeout_ms (measured ? worker->pace_us : 0);
 }
 
@@ -277,16 +277,16 @@
 {
   QuinceSample *sample = data;
   gint64 silent_ms = (quince_now_us () - sample->contact_us) / 1000;
-  guint most_ms = silence_most_ms (sample);
+  guint most_ms = get_silence_timeout_ms (sample);
   quince_timer_clear (&sample->silence_timer);
   /* A leader that was stopped reads what has come meanwhile before it takes the worker for silent. */
   if (silent_ms >= most_ms && quince_http_exchange_reads_first (sample->exchange))
     sample->silence_timer = quince_timer_add (QUINCE_READ_FIRST_MS, check_silence, sample);
   else if (silent_ms >= most_ms)
-    quince_sample_cut (sample, QUINCE_RUN_BROKEN, "worker_silent");
+    quince_sample_stop_run (sample, QUINCE_RUN_BROKEN, "worker_silent");
   else
-    sample->silence_timer
-        = quince_timer_add (MIN ((guint)(most_ms - silent_ms) + 1, SILENCE_CHECK_MS), check_silence, sample);
+    sample->silence_timer = quince_timer_add (
+        MIN ((guint)(most_ms - silent_ms) + 1, SILENCE_CHECK_INTERVAL_MS), check_silence, sample);
   return G_SOURCE_REMOVE;
 }
 
@@ -301,9 +301,9 @@
   for (guint i = 0; i < item->headers.headers_len; i++)
     quince_http_headers_add (headers, item->headers.headers_val[i].name, item->headers.headers_val[i].value);
   quince_platform_write_request_id (headers, item->id);
-  gint64 left_ms = TIME_MAX_MS;
+  gint64 left_ms = RUN_TIME_MAX_MS;
   if (sample->give_up_us > 0)
-    left_ms = CLAMP ((sample->give_up_us - quince_now_us ()) / 1000, 1, TIME_MAX_MS);
+    left_ms = CLAMP ((sample->give_up_us - quince_now_us ()) / 1000, 1, RUN_TIME_MAX_MS);
   const QuincePlatformDispatch dispatch
       = { .worker_id = worker->id,
           .time_left_ms = left_ms,
@@ -315,12 +315,12 @@
 }
 
 void
-quince_sample_run (QuinceSample *sample,
-                   QuinceBackends *backends,
-                   QuinceWorker *worker,
-                   gint priority,
-                   void (*run_ended) (QuinceSample *, QuinceRunEnd, const char *cause, gpointer),
-                   gpointer user_data)
+quince_sample_start_run (QuinceSample *sample,
+                         QuinceBackends *backends,
+                         QuinceWorker *worker,
+                         gint priority,
+                         void (*run_ended) (QuinceSample *, QuinceRunEnd, const char *cause, gpointer),
+                         gpointer user_data)
 {
   const QuinceBatchItem *item = quince_sample_get_item (sample);
   g_autoptr (QuinceHttpHeaders) headers = make_headers (sample, worker, priority);
@@ -338,10 +338,10 @@
   sample->runs++;
   sample->started_us = quince_now_us ();
   sample->contact_us = sample->started_us;
-  sample->event_us = 0;
+  sample->last_event_us = 0;
   sample->events = quince_platform_events_new ();
   worker->running++;
   sample->exchange = quince_http_pool_start (quince_backends_get_pool (backends, worker), &request,
                                              &exchange_callbacks, sample);
-  sample->silence_timer = quince_timer_add (SILENCE_CHECK_MS, check_silence, sample);
+  sample->silence_timer = quince_timer_add (SILENCE_CHECK_INTERVAL_MS, check_silence, sample);
 }
--- a/daemons/replica/sample.h
+++ b/daemons/replica/sample.h
@@ -63,8 +63,8 @@
   QuinceTimer *silence_timer;
   gint64 contact_us;
   gint64 started_us;
-  gint64 event_us;   /* when the last event came; 0: none since weights were loaded */
-  gboolean accepted; /* the head of a good answer has come */
+  gint64 last_event_us; /* when the last event came; 0: none since weights were loaded */
+  gboolean accepted;    /* the head of a good answer has come */
   void (*run_ended) (QuinceSample *sample, QuinceRunEnd end, const char *cause, gpointer user_data);
   gpointer user_data;
 
@@ -78,13 +78,13 @@
 /* Made when it is first asked for.  Samples of a group share their prompt. */
 const QuinceRequestIdentity *quince_sample_get_identity (QuinceSample *sample);
 /* Begins a run on @worker; run_ended() is called once, never before this returns. */
-void quince_sample_run (QuinceSample *sample,
-                        QuinceBackends *backends,
-                        QuinceWorker *worker,
-                        gint priority,
-                        void (*run_ended) (QuinceSample *, QuinceRunEnd, const char *cause, gpointer),
-                        gpointer user_data);
+void quince_sample_start_run (QuinceSample *sample,
+                              QuinceBackends *backends,
+                              QuinceWorker *worker,
+                              gint priority,
+                              void (*run_ended) (QuinceSample *, QuinceRunEnd, const char *cause, gpointer),
+                              gpointer user_data);
 /* Ends the run in progress for @cause; run_ended() is called. */
-void quince_sample_cut (QuinceSample *sample, QuinceRunEnd end, const char *cause);
+void quince_sample_stop_run (QuinceSample *sample, QuinceRunEnd end, const char *cause);
 /* Drops the text made so far. */
-void quince_sample_restart (QuinceSample *sample);
+void quince_sample_discard_text (QuinceSample *sample);
--- a/daemons/replica/step-demand.c
+++ b/daemons/replica/step-demand.c
@@ -11,7 +11,7 @@
 /* Tokens that @batch is expected to generate; reading its prompts takes a few percent of the time and isn't
  * counted.  Samples without an estimate count with all tokens that they may generate. */
 static double
-work_of (const QuinceBatchJob *batch)
+get_expected_tokens (const QuinceBatchJob *batch)
 {
   double tokens = 0;
   for (guint i = 0; i < batch->items.items_len; i++)
@@ -25,18 +25,18 @@
 }
 
 void
-quince_step_demand_note_batch (QuinceModelPlacement *placement,
-                               const QuinceBatchJob *batch,
-                               guint open_samples)
+quince_step_demand_record_batch (QuinceModelPlacement *placement,
+                                 const QuinceBatchJob *batch,
+                                 guint open_samples)
 {
-  quince_model_placement_add_demand (placement, quince_now_us (), batch->model, work_of (batch),
+  quince_model_placement_add_demand (placement, quince_now_us (), batch->model, get_expected_tokens (batch),
                                      open_samples);
 }
 
 void
-quince_step_demand_note_end (QuinceModelPlacement *placement,
-                             const QuinceBatchJob *batch,
-                             const QuinceRoute *route)
+quince_step_demand_record_end (QuinceModelPlacement *placement,
+                               const QuinceBatchJob *batch,
+                               const QuinceRoute *route)
 {
   if (route == NULL || route->deadline_ms == 0)
     return;
--- a/daemons/replica/step-demand.h
+++ b/daemons/replica/step-demand.h
@@ -10,11 +10,11 @@
 #include "core/routing/route-table.h"
 
 /* A step was submitted.  @open_samples: samples of its model without a result, with those of this step */
-void quince_step_demand_note_batch (QuinceModelPlacement *placement,
-                                    const QuinceBatchJob *batch,
-                                    guint open_samples);
+void quince_step_demand_record_batch (QuinceModelPlacement *placement,
+                                      const QuinceBatchJob *batch,
+                                      guint open_samples);
 /* Its trainer ended it.  @route: (nullable): %NULL: the route no longer exists, so the deadline isn't known
  * and nothing is noted */
-void quince_step_demand_note_end (QuinceModelPlacement *placement,
-                                  const QuinceBatchJob *batch,
-                                  const QuinceRoute *route);
+void quince_step_demand_record_end (QuinceModelPlacement *placement,
+                                    const QuinceBatchJob *batch,
+                                    const QuinceRoute *route);
--- a/daemons/replica/step-report.c
+++ b/daemons/replica/step-report.c
@@ -15,13 +15,13 @@
 typedef struct
 {
   gint64 submitted_us;
-  gint64 first_start_us; /* 0: no sample has started */
-  gint64 last_start_us;  /* 0: as above */
-  GArray *texts;         /* gint64: when each text was complete, in that order */
-  gint64 last_listed_us; /* 0: no result is listed */
-  char *last_item;       /* owned; NULL: no result is listed */
-  char *last_worker;     /* owned; NULL: as above */
-  guint64 last_events;
+  gint64 first_start_us;    /* 0: no sample has started */
+  gint64 last_start_us;     /* 0: as above */
+  GArray *texts;            /* gint64: when each text was complete, in that order */
+  gint64 last_listed_us;    /* 0: no result is listed */
+  char *last_result_item;   /* owned; NULL: no result is listed */
+  char *last_result_worker; /* owned; NULL: as above */
+  guint64 last_result_events;
 } Report;
 
 struct _QuinceStepReports
@@ -34,8 +34,8 @@
 {
   Report *report = data;
   g_array_unref (report->texts);
-  g_free (report->last_item);
-  g_free (report->last_worker);
+  g_free (report->last_result_item);
+  g_free (report->last_result_worker);
   g_free (report);
 }
 
@@ -64,7 +64,7 @@
 }
 
 void
-quince_step_reports_started (QuinceStepReports *reports, const QuinceBatchEntry *entry, gint64 now_us)
+quince_step_reports_record_start (QuinceStepReports *reports, const QuinceBatchEntry *entry, gint64 now_us)
 {
   Report *report = g_hash_table_lookup (reports->reports, entry);
   if (report == NULL)
@@ -75,7 +75,9 @@
 }
 
 void
-quince_step_reports_text_whole (QuinceStepReports *reports, const QuinceBatchEntry *entry, gint64 now_us)
+quince_step_reports_record_complete_text (QuinceStepReports *reports,
+                                          const QuinceBatchEntry *entry,
+                                          gint64 now_us)
 {
   Report *report = g_hash_table_lookup (reports->reports, entry);
   if (report != NULL)
@@ -83,27 +85,27 @@
 }
 
 void
-quince_step_reports_listed (QuinceStepReports *reports,
-                            const QuinceBatchEntry *entry,
-                            gint64 now_us,
-                            const char *item,
-                            const char *worker,
-                            guint64 events)
+quince_step_reports_record_result (QuinceStepReports *reports,
+                                   const QuinceBatchEntry *entry,
+                                   gint64 now_us,
+                                   const char *item,
+                                   const char *worker,
+                                   guint64 events)
 {
   Report *report = g_hash_table_lookup (reports->reports, entry);
   if (report == NULL)
     return;
   report->last_listed_us = now_us;
-  report->last_events = events;
-  g_free (report->last_item);
-  report->last_item = g_strdup (item);
-  g_free (report->last_worker);
-  report->last_worker = g_strdup (worker != NULL ? worker : "");
+  report->last_result_events = events;
+  g_free (report->last_result_item);
+  report->last_result_item = g_strdup (item);
+  g_free (report->last_result_worker);
+  report->last_result_worker = g_strdup (worker != NULL ? worker : "");
 }
 
 /* When @percent of the @n_items texts were complete, ms after the submission; -1: fewer are. */
 static gint64
-texts_ms (const Report *report, guint n_items, guint percent)
+get_texts_complete_ms (const Report *report, guint n_items, guint percent)
 {
   guint needed = MAX ((n_items * percent + 99) / 100, 1);
   if (report->texts->len < needed)
@@ -133,14 +135,14 @@
   if (report == NULL)
     return;
   guint n_items = entry->batch->items.items_len;
-  gint64 half_ms = texts_ms (report, n_items, 50);
-  gint64 most_ms = texts_ms (report, n_items, 90);
+  gint64 half_ms = get_texts_complete_ms (report, n_items, 50);
+  gint64 most_ms = get_texts_complete_ms (report, n_items, 90);
   g_autofree char *details = g_strdup_printf (
       STEP_FORMAT, entry->batch->id, entry->batch->model, (guint64)entry->batch->step,
       age_ms (report, now_us), entry->results->len, n_items, age_ms (report, report->first_start_us),
       age_ms (report, report->last_start_us), half_ms, most_ms, age_ms (report, report->last_listed_us),
-      report->last_item != NULL ? report->last_item : "",
-      report->last_worker != NULL ? report->last_worker : "", report->last_events);
+      report->last_result_item != NULL ? report->last_result_item : "",
+      report->last_result_worker != NULL ? report->last_result_worker : "", report->last_result_events);
   quince_log_notice ("step_ended", "%s", details);
   observe ("started", age_ms (report, report->last_start_us));
   observe ("half", half_ms);
--- a/daemons/replica/step-report.h
+++ b/daemons/replica/step-report.h
@@ -18,17 +18,19 @@
 void
 quince_step_reports_begin (QuinceStepReports *reports, const QuinceBatchEntry *entry, gint64 submitted_us);
 /* A sample of @entry starts its first run. */
-void quince_step_reports_started (QuinceStepReports *reports, const QuinceBatchEntry *entry, gint64 now_us);
-/* A sample of @entry has its complete text. */
 void
-quince_step_reports_text_whole (QuinceStepReports *reports, const QuinceBatchEntry *entry, gint64 now_us);
+quince_step_reports_record_start (QuinceStepReports *reports, const QuinceBatchEntry *entry, gint64 now_us);
+/* A sample of @entry has its complete text. */
+void quince_step_reports_record_complete_text (QuinceStepReports *reports,
+                                               const QuinceBatchEntry *entry,
+                                               gint64 now_us);
 /* A result of @entry is appended to the ledger.  @item: id of its sample; @worker: (nullable): the one that
  * generated the last part of its text; @events: of the text */
-void quince_step_reports_listed (QuinceStepReports *reports,
-                                 const QuinceBatchEntry *entry,
-                                 gint64 now_us,
-                                 const char *item,
-                                 const char *worker,
-                                 guint64 events);
+void quince_step_reports_record_result (QuinceStepReports *reports,
+                                        const QuinceBatchEntry *entry,
+                                        gint64 now_us,
+                                        const char *item,
+                                        const char *worker,
+                                        guint64 events);
 /* The batch ended or is given up: writes the line and the metrics, and releases the report. */
 void quince_step_reports_end (QuinceStepReports *reports, const QuinceBatchEntry *entry, gint64 now_us);
