--- a/daemons/replica/progress-file.c
+++ b/daemons/replica/progress-file.c
@@ -31,7 +31,7 @@
   PROGRESS_FILE_ERROR_ENCODE, /* the progress does not encode */
 } ProgressFileError;
 
-#define FILES 2 /* one is full while the other one is written */
+#define N_FILES 2 /* one is full while the other one is written */
 /* Size of one file, bytes: the busiest trainers make about half a megabyte of text a second, and a sample
  * runs for ten seconds. */
 #define FILE_MAX_BYTES (8 * 1024 * 1024)
@@ -47,17 +47,17 @@
 
 struct _QuinceProgressFile
 {
-  int descriptors[FILES];
+  int descriptors[N_FILES];
   guint current;
   gsize written; /* bytes in the current file */
   guint64 sequence;
-  gboolean failing; /* the last frame could not be written */
+  gboolean last_write_failed; /* the last frame could not be written */
 };
 
 static gboolean
-fail (const char *doing, GError **error)
+set_system_error (const char *operation, GError **error)
 {
-  g_set_error (error, PROGRESS_FILE_ERROR, PROGRESS_FILE_ERROR_DISK, "%s: %s", doing, g_strerror (errno));
+  g_set_error (error, PROGRESS_FILE_ERROR, PROGRESS_FILE_ERROR_DISK, "%s: %s", operation, g_strerror (errno));
   return FALSE;
 }
 
@@ -83,13 +83,13 @@
 
 /* Takes the frames of @text into @store. Returns: the last sequence number, 0: there is no frame */
 static guint64
-take_frames (const char *text, gsize length, QuinceProgressStore *store, gint64 now_us)
+apply_frames (const char *data, gsize length, QuinceProgressStore *store, gint64 now_us)
 {
   guint64 last = 0;
   FrameHeader header;
-  for (gsize at = 0; at < length; at += sizeof header + header.length)
+  for (gsize offset = 0; offset < length; offset += sizeof header + header.length)
     {
-      QuinceMessage *message = read_frame (text + at, length - at, &header);
+      QuinceMessage *message = read_frame (data + offset, length - offset, &header);
       if (message == NULL)
         break;
       quince_progress_store_apply (store, now_us, &message->QuinceMessage_u.progress);
@@ -100,17 +100,17 @@
 }
 
 static guint64
-get_first_sequence (const char *text, gsize length)
+get_first_sequence (const char *data, gsize length)
 {
   FrameHeader header = { 0 };
   if (length >= sizeof header)
-    memcpy (&header, text, sizeof header);
+    memcpy (&header, data, sizeof header);
   return header.sequence;
 }
 
 /* How long ago @path was last written, us, by the wall clock; bounded, since that may be stepped. */
 static gint64
-age_us (const char *path)
+get_file_age_us (const char *path)
 {
   GStatBuf status;
   if (g_stat (path, &status) != 0)
@@ -122,22 +122,23 @@
 static void
 read_files (QuinceProgressFile *file, char **paths, QuinceProgressStore *store, gint64 now_us)
 {
-  char *texts[FILES] = { NULL };
-  gsize lengths[FILES] = { 0 };
-  for (guint i = 0; i < FILES; i++)
-    if (!g_file_get_contents (paths[i], &texts[i], &lengths[i], NULL))
+  char *contents[N_FILES] = { NULL };
+  gsize lengths[N_FILES] = { 0 };
+  for (guint i = 0; i < N_FILES; i++)
+    if (!g_file_get_contents (paths[i], &contents[i], &lengths[i], NULL))
       lengths[i] = 0; /* it is made below; one that cannot be read holds nothing of use */
   guint older
-      = get_first_sequence (texts[0], lengths[0]) <= get_first_sequence (texts[1], lengths[1]) ? 0 : 1;
-  for (guint i = 0; i < FILES; i++)
+      = get_first_sequence (contents[0], lengths[0]) <= get_first_sequence (contents[1], lengths[1]) ? 0 : 1;
+  for (guint i = 0; i < N_FILES; i++)
     {
-      guint which = (older + i) % FILES;
-      gint64 reported_us = now_us - age_us (paths[which]);
-      file->sequence = MAX (file->sequence, take_frames (texts[which], lengths[which], store, reported_us));
+      guint file_index = (older + i) % N_FILES;
+      gint64 reported_us = now_us - get_file_age_us (paths[file_index]);
+      file->sequence = MAX (file->sequence,
+                            apply_frames (contents[file_index], lengths[file_index], store, reported_us));
     }
   file->current = older; /* emptied first: the newer one stays until this one is full */
-  for (guint i = 0; i < FILES; i++)
-    g_free (texts[i]);
+  for (guint i = 0; i < N_FILES; i++)
+    g_free (contents[i]);
 }
 
 /* ---- Writing ------------------------------------------------------------ */
@@ -145,16 +146,16 @@
 static gboolean
 write_all (int descriptor, const void *data, gsize length)
 {
-  const char *at = data;
+  const char *position = data;
   while (length > 0)
     {
-      gssize done = write (descriptor, at, length);
-      if (done < 0 && errno == EINTR)
+      gssize n_written = write (descriptor, position, length);
+      if (n_written < 0 && errno == EINTR)
         continue;
-      if (done < 0)
+      if (n_written < 0)
         return FALSE;
-      at += done;
-      length -= (gsize)done;
+      position += n_written;
+      length -= (gsize)n_written;
     }
   return TRUE;
 }
@@ -165,7 +166,7 @@
   int descriptor = file->descriptors[file->current];
   file->written = 0;
   if (ftruncate (descriptor, 0) != 0 || lseek (descriptor, 0, SEEK_SET) != 0)
-    return fail ("empty", error);
+    return set_system_error ("empty", error);
   return TRUE;
 }
 
@@ -185,7 +186,7 @@
   const void *data = g_bytes_get_data (encoded, &length);
   if (file->written > 0 && file->written + length > FILE_MAX_BYTES)
     {
-      file->current = (file->current + 1) % FILES;
+      file->current = (file->current + 1) % N_FILES;
       if (!truncate_current_file (file, error))
         return FALSE;
     }
@@ -193,7 +194,7 @@
   int descriptor = file->descriptors[file->current];
   if (!write_all (descriptor, &header, sizeof header) || !write_all (descriptor, data, length)
       || fdatasync (descriptor) != 0)
-    return fail ("write", error);
+    return set_system_error ("write", error);
   file->written += sizeof header + length;
   return TRUE;
 }
@@ -202,13 +203,13 @@
 quince_progress_file_append (QuinceProgressFile *file, const QuinceSampleProgress *progress)
 {
   g_autoptr (GError) error = NULL;
-  gboolean kept = append_frame (file, progress, &error);
-  if (!kept && !file->failing)
+  gboolean is_written = append_frame (file, progress, &error);
+  if (!is_written && !file->last_write_failed)
     {
       g_autofree char *reason = quince_log_quote (error->message);
       quince_log_failure ("progress_disk_failed", "code=%d reason=%s", error->code, reason);
     }
-  file->failing = !kept;
+  file->last_write_failed = !is_written;
 }
 
 /* ---- Opening ------------------------------------------------------------ */
@@ -218,32 +219,32 @@
 {
   int descriptor = open (folder, O_RDONLY | O_DIRECTORY | O_CLOEXEC);
   if (descriptor < 0)
-    return fail (folder, error);
-  gboolean done = fsync (descriptor) == 0;
-  if (!done)
-    fail (folder, error);
+    return set_system_error (folder, error);
+  gboolean synced = fsync (descriptor) == 0;
+  if (!synced)
+    set_system_error (folder, error);
   close (descriptor);
-  return done;
+  return synced;
 }
 
 QuinceProgressFile *
 quince_progress_file_open (const char *folder, QuinceProgressStore *store, gint64 now_us, GError **error)
 {
   g_autoptr (QuinceProgressFile) file = g_new0 (QuinceProgressFile, 1);
-  g_auto (GStrv) paths = g_new0 (char *, FILES + 1);
-  for (guint i = 0; i < FILES; i++)
+  g_auto (GStrv) paths = g_new0 (char *, N_FILES + 1);
+  for (guint i = 0; i < N_FILES; i++)
     {
       g_autofree char *name = g_strdup_printf ("progress-%u", i);
       paths[i] = g_build_filename (folder, name, NULL);
       file->descriptors[i] = -1;
     }
   read_files (file, paths, store, now_us);
-  for (guint i = 0; i < FILES; i++)
+  for (guint i = 0; i < N_FILES; i++)
     {
       file->descriptors[i] = open (paths[i], O_WRONLY | O_CREAT | O_CLOEXEC, 0600);
       if (file->descriptors[i] < 0)
         {
-          fail (paths[i], error);
+          set_system_error (paths[i], error);
           return NULL;
         }
     }
@@ -257,7 +258,7 @@
 {
   if (file == NULL)
     return;
-  for (guint i = 0; i < FILES; i++)
+  for (guint i = 0; i < N_FILES; i++)
     if (file->descriptors[i] >= 0)
       close (file->descriptors[i]);
   g_free (file);
--- a/daemons/replica/progress.c
+++ b/daemons/replica/progress.c
@@ -27,19 +27,19 @@
   guint64 last_event;
   guint failures;
   gint64 reported_us;
-  guint64 turn; /* the greater, the later it was reported */
-} Entry;
+  guint64 report_number; /* the greater, the later it was reported */
+} ProgressEntry;
 
 struct _QuinceProgressStore
 {
   GHashTable *entries; /* Entry by "batch item", owned */
-  guint64 turns;
+  guint64 last_report_number;
 };
 
 static void
 entry_free (gpointer data)
 {
-  Entry *entry = data;
+  ProgressEntry *entry = data;
   g_free (entry->batch);
   g_string_free (entry->text, TRUE);
   g_array_unref (entry->versions);
@@ -76,24 +76,24 @@
 }
 
 static void
-forget_old (QuinceProgressStore *store, gint64 now_us)
+remove_expired_entries (QuinceProgressStore *store, gint64 now_us)
 {
   GHashTableIter iter;
   gpointer value;
   g_hash_table_iter_init (&iter, store->entries);
   while (g_hash_table_iter_next (&iter, NULL, &value))
-    if (now_us - ((Entry *)value)->reported_us > PROGRESS_TTL_US)
+    if (now_us - ((ProgressEntry *)value)->reported_us > PROGRESS_TTL_US)
       g_hash_table_iter_remove (&iter);
 }
 
-static Entry *
-entry_for (QuinceProgressStore *store, const QuinceProgressItem *item)
+static ProgressEntry *
+find_or_create_entry (QuinceProgressStore *store, const QuinceProgressItem *item)
 {
   g_autofree char *key = entry_key (item->batch, item->item);
-  Entry *entry = g_hash_table_lookup (store->entries, key);
+  ProgressEntry *entry = g_hash_table_lookup (store->entries, key);
   if (entry != NULL || g_hash_table_size (store->entries) >= ENTRIES_MAX)
     return entry;
-  entry = g_new0 (Entry, 1);
+  entry = g_new0 (ProgressEntry, 1);
   entry->batch = g_strdup (item->batch);
   entry->item = item->item;
   entry->text = g_string_new (NULL);
@@ -103,14 +103,14 @@
 }
 
 static void
-take_item (QuinceProgressStore *store, gint64 now_us, const QuinceProgressItem *item)
+apply_progress_item (QuinceProgressStore *store, gint64 now_us, const QuinceProgressItem *item)
 {
-  Entry *entry = entry_for (store, item);
+  ProgressEntry *entry = find_or_create_entry (store, item);
   if (entry == NULL)
     return;
   entry->failures = MAX (entry->failures, item->failures);
   entry->reported_us = now_us;
-  entry->turn = ++store->turns;
+  entry->report_number = ++store->last_report_number;
   if (item->from_event == 0)
     g_string_truncate (entry->text, 0);
   else if (item->from_event != entry->last_event)
@@ -128,22 +128,22 @@
 void
 quince_progress_store_apply (QuinceProgressStore *store, gint64 now_us, const QuinceSampleProgress *progress)
 {
-  forget_old (store, now_us);
+  remove_expired_entries (store, now_us);
   for (guint i = 0; i < progress->items.items_len; i++)
-    take_item (store, now_us, &progress->items.items_val[i]);
+    apply_progress_item (store, now_us, &progress->items.items_val[i]);
 }
 
 /* The last reported first. */
 static gint
 compare_newest_first (gconstpointer a, gconstpointer b)
 {
-  const Entry *first = *(const Entry *const *)a;
-  const Entry *second = *(const Entry *const *)b;
-  return (first->turn < second->turn) - (first->turn > second->turn);
+  const ProgressEntry *first = *(const ProgressEntry *const *)a;
+  const ProgressEntry *second = *(const ProgressEntry *const *)b;
+  return (first->report_number < second->report_number) - (first->report_number > second->report_number);
 }
 
 static void
-append_progress_item (GArray *items, const Entry *entry)
+append_progress_item (GArray *items, const ProgressEntry *entry)
 {
   QuinceProgressItem item = {
     .batch = entry->batch, .item = entry->item, .last_event = entry->last_event, .failures = entry->failures
@@ -158,18 +158,18 @@
 void
 quince_progress_store_list_recent (QuinceProgressStore *store, gint64 now_us, GArray *items)
 {
-  g_autoptr (GPtrArray) fresh = g_ptr_array_new ();
+  g_autoptr (GPtrArray) recent = g_ptr_array_new ();
   GHashTableIter iter;
   gpointer value;
   g_hash_table_iter_init (&iter, store->entries);
   while (g_hash_table_iter_next (&iter, NULL, &value))
-    if (now_us - ((const Entry *)value)->reported_us <= RECENT_MAX_AGE_US)
-      g_ptr_array_add (fresh, value);
-  g_ptr_array_sort (fresh, compare_newest_first);
+    if (now_us - ((const ProgressEntry *)value)->reported_us <= RECENT_MAX_AGE_US)
+      g_ptr_array_add (recent, value);
+  g_ptr_array_sort (recent, compare_newest_first);
   gsize bytes = 0;
-  for (guint i = 0; i < fresh->len && bytes < LISTED_MAX_BYTES; i++)
+  for (guint i = 0; i < recent->len && bytes < LISTED_MAX_BYTES; i++)
     {
-      const Entry *entry = fresh->pdata[i];
+      const ProgressEntry *entry = recent->pdata[i];
       bytes += entry->text->len;
       append_progress_item (items, entry);
     }
@@ -179,7 +179,7 @@
 quince_progress_store_get_failures (QuinceProgressStore *store, const char *batch, guint item)
 {
   g_autofree char *key = entry_key (batch, item);
-  const Entry *entry = g_hash_table_lookup (store->entries, key);
+  const ProgressEntry *entry = g_hash_table_lookup (store->entries, key);
   return entry != NULL ? entry->failures : 0;
 }
 
@@ -192,7 +192,7 @@
                            guint64 *last_event)
 {
   g_autofree char *key = entry_key (batch, item);
-  const Entry *entry = g_hash_table_lookup (store->entries, key);
+  const ProgressEntry *entry = g_hash_table_lookup (store->entries, key);
   if (entry == NULL || entry->last_event == 0)
     return FALSE;
   g_string_append_len (text, entry->text->str, (gssize)entry->text->len);
--- a/daemons/replica/sample-demand.c
+++ b/daemons/replica/sample-demand.c
@@ -22,7 +22,7 @@
 static gboolean
 may_start_now (const QuinceSample *sample, gint64 now_us)
 {
-  return sample->state == QUINCE_SAMPLE_WAITING && now_us >= sample->not_before_us;
+  return sample->state == QUINCE_SAMPLE_WAITING && now_us >= sample->next_attempt_us;
 }
 
 void
@@ -47,33 +47,33 @@
 {
   QuinceWorkerTable *table = quince_backends_get_workers (set->backends);
   g_autoptr (GPtrArray) workers = quince_worker_table_list (table, service);
-  gint64 sum = 0;
-  guint measured = 0;
+  gint64 sum_us = 0;
+  guint n_measured = 0;
   for (guint i = 0; i < workers->len; i++)
     {
-      gint64 pace = quince_worker_get_pace_us (workers->pdata[i], now_us);
-      sum += pace;
-      measured += pace > 0;
+      gint64 pace_us = quince_worker_get_pace_us (workers->pdata[i], now_us);
+      sum_us += pace_us;
+      n_measured += pace_us > 0;
     }
-  return measured > 0 ? sum / measured : 0;
+  return n_measured > 0 ? sum_us / n_measured : 0;
 }
 
 double
 quince_sample_demand_get_slots_needed (QuinceSampleSet *set, const char *service)
 {
   gint64 now = quince_now_us ();
-  gint64 pace = get_mean_pace_us (set, service, now);
+  gint64 pace_us = get_mean_pace_us (set, service, now);
   double slots = 0;
   for (guint i = 0; i < set->samples->len; i++)
     {
       const QuinceSample *sample = set->samples->pdata[i];
       const QuinceBatchJob *batch = sample->entry->batch;
-      gboolean open = sample->state == QUINCE_SAMPLE_WAITING || sample->state == QUINCE_SAMPLE_RUNNING;
-      const QuinceRoute *route = open ? quince_sample_set_get_batch_route (set, batch) : NULL;
+      gboolean is_open = sample->state == QUINCE_SAMPLE_WAITING || sample->state == QUINCE_SAMPLE_RUNNING;
+      const QuinceRoute *route = is_open ? quince_sample_set_get_batch_route (set, batch) : NULL;
       if (route == NULL || g_strcmp0 (quince_sample_set_pick_service (route, sample), service) != 0)
         continue;
       double events = quince_sample_set_estimate_remaining_events (set, sample);
-      slots += quince_scale_slots_needed ((gint64)(events * (double)pace), now - sample->submitted_us,
+      slots += quince_scale_slots_needed ((gint64)(events * (double)pace_us), now - sample->submitted_us,
                                           (gint64)route->deadline_ms * 1000);
     }
   return slots;
--- a/daemons/replica/sample-dispatch.c
+++ b/daemons/replica/sample-dispatch.c
@@ -133,11 +133,11 @@
                gint64 now_us)
 {
   const char *id = quince_sample_get_item (sample)->id;
-  if (admission != sample->logged && admission == QUINCE_ADMISSION_HELD)
+  if (admission != sample->logged_admission && admission == QUINCE_ADMISSION_HELD)
     quince_send_guard_log_held (guard, now_us, quince_sample_get_identity (sample), id);
-  else if (admission != sample->logged && admission == QUINCE_ADMISSION_PROTECTED)
+  else if (admission != sample->logged_admission && admission == QUINCE_ADMISSION_PROTECTED)
     quince_send_guard_log_protected (guard, now_us, quince_sample_get_identity (sample), id, service);
-  sample->logged = admission;
+  sample->logged_admission = admission;
 }
 
 /* Returns: %FALSE when the sample is not to be sent now. */
@@ -153,11 +153,11 @@
   if (admission == QUINCE_ADMISSION_GRANTED || admission == QUINCE_ADMISSION_UNHEDGED
       || admission == QUINCE_ADMISSION_PERMIT)
     return TRUE;
-  sample->not_before_us = now_us + quince_sample_admission_pause_us (admission);
+  sample->next_attempt_us = now_us + quince_sample_admission_pause_us (admission);
   if (admission == QUINCE_ADMISSION_HELD || admission == QUINCE_ADMISSION_PROTECTED)
     log_admission (guard, sample, admission, service, now_us);
   else
-    set->events->request_dispatch (QUINCE_ADMISSION_RETRY_MS, set->owner);
+    set->callbacks->request_dispatch (QUINCE_ADMISSION_RETRY_MS, set->owner);
   return FALSE;
 }
 
@@ -183,7 +183,7 @@
   QuinceWorker *worker = NULL;
   QuinceBackendOutcome outcome = QUINCE_BACKEND_NONE;
   if (admission.refuse)
-    sample->not_before_us = now_us + quince_sample_policy_pause_us (admission.retry_after_ms);
+    sample->next_attempt_us = now_us + quince_sample_policy_pause_us (admission.retry_after_ms);
   else if (is_admitted (set, sample, view.service, now_us))
     outcome = choose_worker (set, sample, &view, &request, &worker);
   if (worker != NULL)
--- a/daemons/replica/sample-moves.c
+++ b/daemons/replica/sample-moves.c
@@ -17,23 +17,23 @@
   QuinceResidency residency;
   quince_sample_set_get_residency (set, sample->entry, &residency);
   const QuinceBatchJob *batch = sample->entry->batch;
-  gint64 best = 0;
+  gint64 best_us = 0;
   g_autoptr (GPtrArray) workers = quince_worker_table_list_with_version (
       quince_backends_get_workers (set->backends), view->service, batch->model, batch->minimum_version);
   for (guint i = 0; i < workers->len; i++)
     {
       const QuinceWorker *worker = workers->pdata[i];
-      gint64 pace = quince_worker_get_pace_us (worker, now_us);
-      if (pace == 0 || (best > 0 && pace >= best))
+      gint64 pace_us = quince_worker_get_pace_us (worker, now_us);
+      if (pace_us == 0 || (best_us > 0 && pace_us >= best_us))
         continue;
-      gboolean free_now = quince_sample_move_can_target (worker, now_us, view->slots)
-                          && quince_backends_may_send (set->backends, worker);
-      if (!free_now || !quince_backends_is_allowed_worker (set->backends, worker, &residency)
+      gboolean can_take_sample = quince_sample_move_can_target (worker, now_us, view->slots)
+                                 && quince_backends_may_send (set->backends, worker);
+      if (!can_take_sample || !quince_backends_is_allowed_worker (set->backends, worker, &residency)
           || g_str_equal (worker->id, sample->worker_id))
         continue;
-      best = pace;
+      best_us = pace_us;
     }
-  return best;
+  return best_us;
 }
 
 static gboolean
@@ -66,23 +66,24 @@
     return FALSE;
   QuinceSampleServiceView view;
   quince_sample_set_get_service_view (set, route, sample, now_us, &view);
-  gboolean pays = FALSE;
+  gboolean is_worthwhile = FALSE;
   if (is_slow (worker, &view, now_us))
     {
-      gint64 there = get_best_target_pace_us (set, sample, &view, now_us);
-      pays = there > 0
-             && quince_sample_move_is_worthwhile (quince_sample_set_estimate_remaining_events (set, sample),
-                                                  quince_worker_get_pace_us (worker, now_us), there);
+      gint64 target_pace_us = get_best_target_pace_us (set, sample, &view, now_us);
+      is_worthwhile
+          = target_pace_us > 0
+            && quince_sample_move_is_worthwhile (quince_sample_set_estimate_remaining_events (set, sample),
+                                                 quince_worker_get_pace_us (worker, now_us), target_pace_us);
     }
   quince_sample_service_view_clear (&view);
-  return pays;
+  return is_worthwhile;
 }
 
 void
-quince_sample_moves_check (QuinceSampleSet *set, QuinceMoveCheckState *watch, gint64 now_us)
+quince_sample_moves_check (QuinceSampleSet *set, QuinceMoveCheckState *check_state, gint64 now_us)
 {
   guint moves = 0;
-  if (!quince_sample_move_check_is_due (watch, now_us))
+  if (!quince_sample_move_check_is_due (check_state, now_us))
     return;
   for (guint i = 0; i < set->samples->len && moves < QUINCE_SAMPLE_MOVES_PER_CHECK_MAX; i++)
     {
--- a/daemons/replica/sample-moves.h
+++ b/daemons/replica/sample-moves.h
@@ -11,4 +11,4 @@
 #include "sample-set.h"
 
 /* Cuts the runs that a move pays for, a few at a time, and dispatches them anew. */
-void quince_sample_moves_check (QuinceSampleSet *set, QuinceMoveCheckState *watch, gint64 now_us);
+void quince_sample_moves_check (QuinceSampleSet *set, QuinceMoveCheckState *check_state, gint64 now_us);
--- a/daemons/replica/sample-outcome.c
+++ b/daemons/replica/sample-outcome.c
@@ -23,7 +23,7 @@
       return;
     }
   sample->state = QUINCE_SAMPLE_SCORING;
-  sample->not_before_us = 0;
+  sample->next_attempt_us = 0;
   if (quince_sample_get_item (sample)->reward.reward_len > 0)
     quince_sample_reward_begin (set, sample);
   else
@@ -36,7 +36,7 @@
 return_to_queue (QuinceSample *sample, gint64 pause_us)
 {
   sample->state = QUINCE_SAMPLE_WAITING;
-  sample->not_before_us = quince_now_us () + pause_us;
+  sample->next_attempt_us = quince_now_us () + pause_us;
   g_free (sample->avoid_worker);
   sample->avoid_worker = g_strdup (sample->worker_id);
 }
@@ -47,11 +47,11 @@
   const QuinceRoute *route = quince_sample_set_get_batch_route (set, sample->entry->batch);
   sample->failures += end == QUINCE_RUN_FAILED;
   sample->unprocessable_answers += end == QUINCE_RUN_UNPROCESSABLE;
-  const QuinceSampleRunResult ended = { .end = end,
-                                        .failures = sample->failures,
-                                        .unprocessable_answers = sample->unprocessable_answers,
-                                        .max_attempts = route != NULL ? route->max_attempts : 0 };
-  return quince_sample_next_after_run (&ended);
+  const QuinceSampleRunResult run_result = { .end = end,
+                                             .failures = sample->failures,
+                                             .unprocessable_answers = sample->unprocessable_answers,
+                                             .max_attempts = route != NULL ? route->max_attempts : 0 };
+  return quince_sample_next_after_run (&run_result);
 }
 
 static void
@@ -115,5 +115,5 @@
       quince_sample_result_abandon (set, sample, cause);
       break;
     }
-  set->events->request_dispatch (0, set->owner);
+  set->callbacks->request_dispatch (0, set->owner);
 }
--- a/daemons/replica/sample-replication.c
+++ b/daemons/replica/sample-replication.c
@@ -67,13 +67,13 @@
 guint
 quince_sample_replication_apply (QuinceSampleSet *set, const QuinceSampleProgress *progress)
 {
-  guint taken = 0;
+  guint n_resumed = 0;
   for (guint i = 0; i < progress->items.items_len; i++)
     {
       const QuinceProgressItem *item = &progress->items.items_val[i];
       QuinceSample *sample = find_sample (set, item);
-      taken += sample != NULL && resume_from (sample, item);
+      n_resumed += sample != NULL && resume_from (sample, item);
     }
-  quince_log_info ("progress_taken", "told=%u taken=%u", progress->items.items_len, taken);
-  return taken;
+  quince_log_info ("progress_taken", "told=%u taken=%u", progress->items.items_len, n_resumed);
+  return n_resumed;
 }
--- a/daemons/replica/sample-result.c
+++ b/daemons/replica/sample-result.c
@@ -8,11 +8,11 @@
 #include "runtime/metrics.h"
 
 static void
-hand_over (QuinceSampleSet *set,
-           QuinceSample *sample,
-           gboolean abandoned,
-           const char *score,
-           const char *cause)
+deliver_result (QuinceSampleSet *set,
+                QuinceSample *sample,
+                gboolean abandoned,
+                const char *score,
+                const char *cause)
 {
   const QuinceBatchItem *item = quince_sample_get_item (sample);
   QuinceBatchResult result = { .batch = sample->entry->batch->id,
@@ -38,7 +38,7 @@
   quince_step_reports_record_result (set->reports, sample->entry, quince_now_us (), item->id,
                                      sample->worker_id, sample->last_event);
   sample->state = QUINCE_SAMPLE_DONE;
-  set->events->done (sample, &result, set->owner);
+  set->callbacks->done (sample, &result, set->owner);
 }
 
 void
@@ -47,11 +47,11 @@
                                const char *score,
                                const char *cause)
 {
-  hand_over (set, sample, FALSE, score, cause);
+  deliver_result (set, sample, FALSE, score, cause);
 }
 
 void
 quince_sample_result_abandon (QuinceSampleSet *set, QuinceSample *sample, const char *cause)
 {
-  hand_over (set, sample, TRUE, NULL, cause);
+  deliver_result (set, sample, TRUE, NULL, cause);
 }
--- a/daemons/replica/sample-reward.c
+++ b/daemons/replica/sample-reward.c
@@ -22,9 +22,9 @@
   sample->reward = NULL;
   sample->reward_failures += result->failed_runs;
   const QuinceRewardCall *call = quince_sample_get_item (sample)->reward.reward_val;
-  gboolean good = result->outcome == QUINCE_FORWARD_ANSWERED && result->head->status >= 200
-                  && result->head->status < 300 && result->signature != NULL;
-  if (good)
+  gboolean is_scored = result->outcome == QUINCE_FORWARD_ANSWERED && result->head->status >= 200
+                       && result->head->status < 300 && result->signature != NULL;
+  if (is_scored)
     {
       quince_sample_result_complete (set, sample, result->signature, "scored");
       return;
@@ -34,7 +34,7 @@
   if (next.action == QUINCE_SAMPLE_NEXT_ABANDON)
     quince_sample_result_abandon (set, sample, "reward_failed");
   else
-    sample->not_before_us = quince_now_us () + next.pause_us; /* the pump begins it again */
+    sample->next_attempt_us = quince_now_us () + next.pause_us; /* the pump begins it again */
 }
 
 void
@@ -45,14 +45,14 @@
   gint64 now = quince_now_us ();
   if (route == NULL)
     {
-      sample->not_before_us = now + quince_sample_reward_pause_us ();
+      sample->next_attempt_us = now + quince_sample_reward_pause_us ();
       return;
     }
   g_autoptr (QuinceHttpHeaders) headers = quince_http_headers_new ();
   quince_http_headers_add (headers, "Host", call->host);
   quince_platform_write_request_id (headers, call->id);
   g_autoptr (GBytes) body = g_bytes_new_static (call->body.body_val, call->body.body_len);
-  gint64 time_us = (gint64)quince_sample_reward_timeout_ms (route->timeout_ms) * 1000;
+  gint64 timeout_us = (gint64)quince_sample_reward_timeout_ms (route->timeout_ms) * 1000;
   const QuinceForwardRequest request = { .service = quince_route_pick_service (route, g_random_double ()),
                                          .tenant = sample->entry->tenant,
                                          .kind = route->name,
@@ -64,8 +64,8 @@
                                          .repeatable = TRUE,
                                          .max_attempts = route->max_attempts,
                                          .target_latency_ms = route->target_latency_ms,
-                                         .deadline_us = now + time_us,
-                                         .give_up_us = now + time_us };
+                                         .deadline_us = now + timeout_us,
+                                         .give_up_us = now + timeout_us };
   sample->reward
       = quince_forward_start (set->backends, &quince_platform_forward_dialect, &request, reward_done, sample);
 }
--- a/daemons/replica/sample-runner.c
+++ b/daemons/replica/sample-runner.c
@@ -23,7 +23,7 @@
 
 /* Interval of the checks of all samples, ms, beside those that events ask for.  Not measured: two or three
  * events of a worker. */
-#define PUMP_EVERY_MS 100
+#define SAMPLE_CHECK_INTERVAL_MS 100
 /* Time for which a new leader waits for the progress that other replicas know, ms.  Members that follow it
  * link to it within some ms, and a few hundred half texts arrive within some tens; a sample that begins anew
  * loses up to its whole text, seconds. */
@@ -37,9 +37,9 @@
   const QuinceSampleRunnerCallbacks *callbacks;
   gpointer user_data;
   QuinceMoveCheckState move_check_state;
-  QuinceTimer *timer;
-  QuinceTimer *soon;          /* a check that was asked for; NULL: none */
-  gint64 start_runs_after_us; /* a new leader: nothing begins before, unless progress arrives */
+  QuinceTimer *check_timer;
+  QuinceTimer *requested_check; /* a check that was asked for; NULL: none */
+  gint64 start_runs_after_us;   /* a new leader: nothing begins before, unless progress arrives */
 };
 
 /* ---- The pump --------------------------------------------------------- */
@@ -57,7 +57,7 @@
 }
 
 static gboolean
-is_over (const QuinceSample *sample, gint64 now_us)
+has_expired (const QuinceSample *sample, gint64 now_us)
 {
   return sample->state == QUINCE_SAMPLE_WAITING && quince_sample_has_expired (sample->give_up_us, now_us);
 }
@@ -80,38 +80,38 @@
     return;
   /* Moves come first: a sample that leaves a slow worker frees a slot there for one that waits. */
   quince_sample_moves_check (&runner->set, &runner->move_check_state, now);
-  g_autoptr (GHashTable) full
+  g_autoptr (GHashTable) full_keys
       = g_hash_table_new (g_str_hash, g_str_equal); /* models and batches without room */
   runner->set.waiting = 0;
   /* Handing a sample over takes it out of the array. */
   for (guint i = 0; i < runner->set.samples->len;)
     {
       QuinceSample *sample = runner->set.samples->pdata[i];
-      if (is_over (sample, now))
+      if (has_expired (sample, now))
         {
           quince_sample_result_abandon (&runner->set, sample, "time_is_up");
           continue;
         }
       i++;
-      if (sample->state == QUINCE_SAMPLE_SCORING && sample->reward == NULL && now >= sample->not_before_us)
+      if (sample->state == QUINCE_SAMPLE_SCORING && sample->reward == NULL && now >= sample->next_attempt_us)
         quince_sample_reward_begin (&runner->set, sample);
       if (sample->state != QUINCE_SAMPLE_WAITING)
         continue;
       runner->set.waiting++;
-      const char *key = get_capacity_key (runner, sample);
-      if (now < sample->not_before_us || g_hash_table_contains (full, key))
+      const char *capacity_key = get_capacity_key (runner, sample);
+      if (now < sample->next_attempt_us || g_hash_table_contains (full_keys, capacity_key))
         continue;
       QuinceBackendOutcome outcome = quince_sample_dispatch (&runner->set, sample, now);
       if (is_without_capacity (outcome) && sample->avoid_worker == NULL)
-        g_hash_table_add (full, (char *)key);
+        g_hash_table_add (full_keys, (char *)capacity_key);
     }
 }
 
 static gboolean
-pump_now (gpointer data)
+run_requested_check (gpointer data)
 {
   QuinceSampleRunner *runner = data;
-  quince_timer_clear (&runner->soon);
+  quince_timer_clear (&runner->requested_check);
   quince_sample_runner_check_samples (runner);
   return G_SOURCE_REMOVE;
 }
@@ -119,12 +119,12 @@
 static void
 schedule_check (QuinceSampleRunner *runner, guint wait_ms)
 {
-  if (runner->soon == NULL)
-    runner->soon = quince_timer_add (wait_ms, pump_now, runner);
+  if (runner->requested_check == NULL)
+    runner->requested_check = quince_timer_add (wait_ms, run_requested_check, runner);
 }
 
 static gboolean
-timer_over (gpointer data)
+handle_check_timer (gpointer data)
 {
   QuinceSampleRunner *runner = data;
   if (runner->set.samples->len > 0)
@@ -165,7 +165,7 @@
   runner->progress = progress;
   runner->callbacks = callbacks;
   runner->user_data = user_data;
-  runner->timer = quince_timer_add (PUMP_EVERY_MS, timer_over, runner);
+  runner->check_timer = quince_timer_add (SAMPLE_CHECK_INTERVAL_MS, handle_check_timer, runner);
   return runner;
 }
 
@@ -174,8 +174,8 @@
 {
   if (runner == NULL)
     return;
-  quince_timer_clear (&runner->timer);
-  quince_timer_clear (&runner->soon);
+  quince_timer_clear (&runner->check_timer);
+  quince_timer_clear (&runner->requested_check);
   quince_sample_set_clear (&runner->set);
   g_free (runner);
 }
--- a/daemons/replica/sample-set.c
+++ b/daemons/replica/sample-set.c
@@ -14,15 +14,15 @@
 /* The pace of a service's fastest worker, as it was found a moment ago. */
 typedef struct
 {
-  gint64 found_us;
-  gint64 fastest_us;
+  gint64 measured_us;
+  gint64 pace_us;
 } ServicePace;
 
 void
 quince_sample_set_init (QuinceSampleSet *set,
                         QuinceBackends *backends,
                         QuinceObserver *observer,
-                        const QuinceSampleSetCallbacks *events,
+                        const QuinceSampleSetCallbacks *callbacks,
                         gpointer owner)
 {
   *set = (QuinceSampleSet){
@@ -30,10 +30,10 @@
     .observer = observer,
     .reports = quince_step_reports_new (),
     .samples = g_ptr_array_new_with_free_func ((GDestroyNotify)quince_sample_free),
-    .lengths
+    .length_models
     = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, (GDestroyNotify)quince_length_model_free),
     .paces = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free),
-    .events = events,
+    .callbacks = callbacks,
     .owner = owner,
   };
 }
@@ -43,7 +43,7 @@
 {
   g_ptr_array_unref (set->samples);
   quince_step_reports_free (set->reports);
-  g_hash_table_unref (set->lengths);
+  g_hash_table_unref (set->length_models);
   g_hash_table_unref (set->paces);
 }
 
@@ -82,13 +82,13 @@
 QuinceLengthModel *
 quince_sample_set_get_length_model (QuinceSampleSet *set, const char *model)
 {
-  QuinceLengthModel *lengths = g_hash_table_lookup (set->lengths, model);
-  if (lengths == NULL)
+  QuinceLengthModel *length_model = g_hash_table_lookup (set->length_models, model);
+  if (length_model == NULL)
     {
-      lengths = quince_length_model_new ();
-      g_hash_table_insert (set->lengths, g_strdup (model), lengths);
+      length_model = quince_length_model_new ();
+      g_hash_table_insert (set->length_models, g_strdup (model), length_model);
     }
-  return lengths;
+  return length_model;
 }
 
 double
@@ -103,19 +103,19 @@
 
 /* 0: no worker's pace is measured. */
 static gint64
-fastest_pace_us (QuinceSampleSet *set, const char *service, const GPtrArray *workers, gint64 now_us)
+get_fastest_pace_us (QuinceSampleSet *set, const char *service, const GPtrArray *workers, gint64 now_us)
 {
   ServicePace *pace = g_hash_table_lookup (set->paces, service);
-  if (pace != NULL && now_us - pace->found_us < FASTEST_PACE_TTL_US)
-    return pace->fastest_us;
+  if (pace != NULL && now_us - pace->measured_us < FASTEST_PACE_TTL_US)
+    return pace->pace_us;
   if (pace == NULL)
     {
       pace = g_new0 (ServicePace, 1);
       g_hash_table_insert (set->paces, g_strdup (service), pace);
     }
-  pace->found_us = now_us;
-  pace->fastest_us = quince_workers_get_fastest_pace_us (workers, now_us);
-  return pace->fastest_us;
+  pace->measured_us = now_us;
+  pace->pace_us = quince_workers_get_fastest_pace_us (workers, now_us);
+  return pace->pace_us;
 }
 
 const char *
@@ -138,7 +138,7 @@
   const QuinceService *service = quince_route_table_find_service (routes, view->service);
   view->slots = service != NULL && service->slots > 0 ? service->slots : SLOTS_DEFAULT;
   view->workers = quince_worker_table_list (quince_backends_get_workers (set->backends), view->service);
-  view->fastest_pace_us = fastest_pace_us (set, view->service, view->workers, now_us);
+  view->fastest_pace_us = get_fastest_pace_us (set, view->service, view->workers, now_us);
 }
 
 void
--- a/daemons/replica/sample-set.h
+++ b/daemons/replica/sample-set.h
@@ -34,18 +34,18 @@
   QuinceObserver *observer;   /* not owned */
   QuinceStepReports *reports; /* owned */
   GPtrArray *samples;         /* QuinceSample, owned, in order of their start */
-  GHashTable *lengths;        /* QuinceLengthModel by model, owned */
+  GHashTable *length_models;  /* QuinceLengthModel by model, owned */
   GHashTable *paces;          /* the last known fastest pace by service, owned */
   guint running;
   guint waiting; /* at the last check of all samples */
-  const QuinceSampleSetCallbacks *events;
+  const QuinceSampleSetCallbacks *callbacks;
   gpointer owner;
 } QuinceSampleSet;
 
 void quince_sample_set_init (QuinceSampleSet *set,
                              QuinceBackends *backends,
                              QuinceObserver *observer,
-                             const QuinceSampleSetCallbacks *events,
+                             const QuinceSampleSetCallbacks *callbacks,
                              gpointer owner);
 /* Cancels all that runs. */
 void quince_sample_set_clear (QuinceSampleSet *set);
--- a/daemons/replica/sample.c
+++ b/daemons/replica/sample.c
@@ -65,7 +65,7 @@
 }
 
 static QuinceWorker *
-worker_of (const QuinceSample *sample)
+find_run_worker (const QuinceSample *sample)
 {
   return quince_worker_table_find (quince_backends_get_workers (sample->backends), sample->worker_id);
 }
@@ -77,7 +77,7 @@
   quince_timer_clear (&sample->silence_timer);
   g_clear_pointer (&sample->events, quince_platform_events_free);
   sample->exchange = NULL;
-  QuinceWorker *worker = worker_of (sample);
+  QuinceWorker *worker = find_run_worker (sample);
   if (worker != NULL && worker->running > 0)
     worker->running--;
 }
@@ -137,7 +137,7 @@
 static void
 record_worker_pace (QuinceSample *sample, guint64 events)
 {
-  QuinceWorker *worker = worker_of (sample);
+  QuinceWorker *worker = find_run_worker (sample);
   gint64 now = quince_now_us ();
   if (worker != NULL && !worker->loading && sample->last_event_us > 0)
     quince_worker_record_event (worker, now, (now - sample->last_event_us) / (gint64)events);
@@ -190,7 +190,7 @@
 exchange_body (QuinceHttpExchange *exchange, const char *data, gsize length, gpointer user_data)
 {
   QuinceSample *sample = user_data;
-  sample->contact_us = quince_now_us ();
+  sample->last_received_us = quince_now_us ();
   if (!sample->accepted)
     return;
   quince_platform_events_feed (sample->events, data, length);
@@ -208,7 +208,7 @@
   QuinceSample *sample = user_data;
   QuincePlatformAnswerFacts facts;
   quince_platform_read_answer (head, &facts);
-  sample->contact_us = quince_now_us ();
+  sample->last_received_us = quince_now_us ();
   if (g_strcmp0 (facts.request_id, quince_sample_get_item (sample)->id) != 0)
     {
       quince_http_exchange_distrust (exchange);
@@ -228,11 +228,11 @@
 }
 
 static void
-answered (QuinceSample *sample, const QuinceHttpHead *head, gboolean has_rest)
+handle_answer (QuinceSample *sample, const QuinceHttpHead *head, gboolean has_partial_event)
 {
   QuincePlatformAnswerFacts facts;
   quince_platform_read_answer (head, &facts);
-  if (sample->accepted && !has_rest && sample->last_event > 0)
+  if (sample->accepted && !has_partial_event && sample->last_event > 0)
     sample->run_ended (sample, QUINCE_RUN_COMPLETE, "whole", sample->user_data);
   else if (facts.not_run)
     sample->run_ended (sample, QUINCE_RUN_REFUSED, "worker_refused", sample->user_data);
@@ -251,10 +251,10 @@
                gpointer user_data)
 {
   QuinceSample *sample = user_data;
-  gboolean has_rest = quince_platform_events_has_rest (sample->events);
+  gboolean has_partial_event = quince_platform_events_has_rest (sample->events);
   release_worker (sample);
   if (outcome == QUINCE_HTTP_ANSWERED)
-    answered (sample, quince_http_exchange_get_head (exchange), has_rest);
+    handle_answer (sample, quince_http_exchange_get_head (exchange), has_partial_event);
   else if (outcome == QUINCE_HTTP_NOT_SENT)
     sample->run_ended (sample, QUINCE_RUN_NO_CONNECTION, "no_connection", sample->user_data);
   else
@@ -267,7 +267,7 @@
 static guint
 get_silence_timeout_ms (const QuinceSample *sample)
 {
-  const QuinceWorker *worker = worker_of (sample);
+  const QuinceWorker *worker = find_run_worker (sample);
   gboolean measured = worker != NULL && !worker->loading && sample->last_event_us > 0;
   return quince_silence_sample_timeout_ms (measured ? worker->pace_us : 0);
 }
@@ -276,17 +276,17 @@
 check_silence (gpointer data)
 {
   QuinceSample *sample = data;
-  gint64 silent_ms = (quince_now_us () - sample->contact_us) / 1000;
-  guint most_ms = get_silence_timeout_ms (sample);
+  gint64 silent_ms = (quince_now_us () - sample->last_received_us) / 1000;
+  guint timeout_ms = get_silence_timeout_ms (sample);
   quince_timer_clear (&sample->silence_timer);
   /* A leader that was stopped reads what has come meanwhile before it takes the worker for silent. */
-  if (silent_ms >= most_ms && quince_http_exchange_reads_first (sample->exchange))
+  if (silent_ms >= timeout_ms && quince_http_exchange_reads_first (sample->exchange))
     sample->silence_timer = quince_timer_add (QUINCE_READ_FIRST_MS, check_silence, sample);
-  else if (silent_ms >= most_ms)
+  else if (silent_ms >= timeout_ms)
     quince_sample_stop_run (sample, QUINCE_RUN_BROKEN, "worker_silent");
   else
     sample->silence_timer = quince_timer_add (
-        MIN ((guint)(most_ms - silent_ms) + 1, SILENCE_CHECK_INTERVAL_MS), check_silence, sample);
+        MIN ((guint)(timeout_ms - silent_ms) + 1, SILENCE_CHECK_INTERVAL_MS), check_silence, sample);
   return G_SOURCE_REMOVE;
 }
 
@@ -301,12 +301,12 @@
   for (guint i = 0; i < item->headers.headers_len; i++)
     quince_http_headers_add (headers, item->headers.headers_val[i].name, item->headers.headers_val[i].value);
   quince_platform_write_request_id (headers, item->id);
-  gint64 left_ms = RUN_TIME_MAX_MS;
+  gint64 time_left_ms = RUN_TIME_MAX_MS;
   if (sample->give_up_us > 0)
-    left_ms = CLAMP ((sample->give_up_us - quince_now_us ()) / 1000, 1, RUN_TIME_MAX_MS);
+    time_left_ms = CLAMP ((sample->give_up_us - quince_now_us ()) / 1000, 1, RUN_TIME_MAX_MS);
   const QuincePlatformDispatch dispatch
       = { .worker_id = worker->id,
-          .time_left_ms = left_ms,
+          .time_left_ms = time_left_ms,
           .resume_after = sample->last_event > 0 ? (gint64)sample->last_event : -1,
           .priority = priority,
           .tenant = sample->entry->tenant };
@@ -337,7 +337,7 @@
   sample->accepted = FALSE;
   sample->runs++;
   sample->started_us = quince_now_us ();
-  sample->contact_us = sample->started_us;
+  sample->last_received_us = sample->started_us;
   sample->last_event_us = 0;
   sample->events = quince_platform_events_new ();
   worker->running++;
--- a/daemons/replica/sample.h
+++ b/daemons/replica/sample.h
@@ -43,17 +43,17 @@
   guint unprocessable_answers; /* answers of workers that it can never be done */
   guint reward_failures;
   guint runs;
-  char *avoid_worker;   /* the last one that failed it; NULL: none */
-  gint64 not_before_us; /* pause after a failure */
-  gint64 give_up_us;    /* monotonic; 0: never */
-  gint64 submitted_us;  /* monotonic */
+  char *avoid_worker;     /* the last one that failed it; NULL: none */
+  gint64 next_attempt_us; /* pause after a failure */
+  gint64 give_up_us;      /* monotonic; 0: never */
+  gint64 submitted_us;    /* monotonic */
   gboolean single_version;
   guint estimated_tokens;         /* by its caller; 0: none */
   guint moves;                    /* runs that were cut to go on elsewhere */
   QuinceRequestIdentity identity; /* see quince_sample_get_identity() */
   gboolean has_identity;
-  QuinceSendPermit permit; /* of the run in progress */
-  QuinceAdmission logged;  /* that it is held or protected; else QUINCE_ADMISSION_GRANTED */
+  QuinceSendPermit permit;          /* of the run in progress */
+  QuinceAdmission logged_admission; /* that it is held or protected; else QUINCE_ADMISSION_GRANTED */
 
   /* The run in progress. */
   char *worker_id;
@@ -61,7 +61,7 @@
   QuinceHttpExchange *exchange;
   QuincePlatformEvents *events;
   QuinceTimer *silence_timer;
-  gint64 contact_us;
+  gint64 last_received_us;
   gint64 started_us;
   gint64 last_event_us; /* when the last event came; 0: none since weights were loaded */
   gboolean accepted;    /* the head of a good answer has come */
--- a/daemons/replica/step-demand.c
+++ b/daemons/replica/step-demand.c
@@ -40,9 +40,9 @@
 {
   if (route == NULL || route->deadline_ms == 0)
     return;
-  gint64 took_ms = quince_wall_ms () - (gint64)batch->submitted_ms;
+  gint64 duration_ms = quince_wall_ms () - (gint64)batch->submitted_ms;
   g_autofree char *labels = g_strdup_printf ("model=\"%s\"", batch->model);
-  quince_metric_set ("quince_replica_step_lateness", labels, (double)took_ms / route->deadline_ms);
-  quince_model_placement_record_step (placement, batch->model, took_ms * 1000,
+  quince_metric_set ("quince_replica_step_lateness", labels, (double)duration_ms / route->deadline_ms);
+  quince_model_placement_record_step (placement, batch->model, duration_ms * 1000,
                                       (gint64)route->deadline_ms * 1000);
 }
--- a/daemons/replica/step-report.c
+++ b/daemons/replica/step-report.c
@@ -17,8 +17,8 @@
   gint64 submitted_us;
   gint64 first_start_us;    /* 0: no sample has started */
   gint64 last_start_us;     /* 0: as above */
-  GArray *texts;            /* gint64: when each text was complete, in that order */
-  gint64 last_listed_us;    /* 0: no result is listed */
+  GArray *text_times;       /* gint64: when each text was complete, in that order */
+  gint64 last_result_us;    /* 0: no result is listed */
   char *last_result_item;   /* owned; NULL: no result is listed */
   char *last_result_worker; /* owned; NULL: as above */
   guint64 last_result_events;
@@ -33,7 +33,7 @@
 report_free (gpointer data)
 {
   Report *report = data;
-  g_array_unref (report->texts);
+  g_array_unref (report->text_times);
   g_free (report->last_result_item);
   g_free (report->last_result_worker);
   g_free (report);
@@ -59,7 +59,7 @@
 {
   Report *report = g_new0 (Report, 1);
   report->submitted_us = submitted_us;
-  report->texts = g_array_new (FALSE, FALSE, sizeof (gint64));
+  report->text_times = g_array_new (FALSE, FALSE, sizeof (gint64));
   g_hash_table_replace (reports->reports, (gpointer)entry, report);
 }
 
@@ -81,7 +81,7 @@
 {
   Report *report = g_hash_table_lookup (reports->reports, entry);
   if (report != NULL)
-    g_array_append_val (report->texts, now_us);
+    g_array_append_val (report->text_times, now_us);
 }
 
 void
@@ -95,7 +95,7 @@
   Report *report = g_hash_table_lookup (reports->reports, entry);
   if (report == NULL)
     return;
-  report->last_listed_us = now_us;
+  report->last_result_us = now_us;
   report->last_result_events = events;
   g_free (report->last_result_item);
   report->last_result_item = g_strdup (item);
@@ -108,20 +108,20 @@
 get_texts_complete_ms (const Report *report, guint n_items, guint percent)
 {
   guint needed = MAX ((n_items * percent + 99) / 100, 1);
-  if (report->texts->len < needed)
+  if (report->text_times->len < needed)
     return -1;
-  return (g_array_index (report->texts, gint64, needed - 1) - report->submitted_us) / 1000;
+  return (g_array_index (report->text_times, gint64, needed - 1) - report->submitted_us) / 1000;
 }
 
 /* @when_us as ms after the submission; -1 where it is 0: it has not happened. */
 static gint64
-age_ms (const Report *report, gint64 when_us)
+get_age_ms (const Report *report, gint64 when_us)
 {
   return when_us > 0 ? (when_us - report->submitted_us) / 1000 : -1;
 }
 
 static void
-observe (const char *phase, gint64 ms)
+observe_phase (const char *phase, gint64 ms)
 {
   g_autofree char *labels = g_strdup_printf ("phase=\"%s\"", phase);
   if (ms >= 0)
@@ -135,19 +135,19 @@
   if (report == NULL)
     return;
   guint n_items = entry->batch->items.items_len;
-  gint64 half_ms = get_texts_complete_ms (report, n_items, 50);
-  gint64 most_ms = get_texts_complete_ms (report, n_items, 90);
+  gint64 p50_ms = get_texts_complete_ms (report, n_items, 50);
+  gint64 p90_ms = get_texts_complete_ms (report, n_items, 90);
   g_autofree char *details = g_strdup_printf (
       STEP_FORMAT, entry->batch->id, entry->batch->model, (guint64)entry->batch->step,
-      age_ms (report, now_us), entry->results->len, n_items, age_ms (report, report->first_start_us),
-      age_ms (report, report->last_start_us), half_ms, most_ms, age_ms (report, report->last_listed_us),
+      get_age_ms (report, now_us), entry->results->len, n_items, get_age_ms (report, report->first_start_us),
+      get_age_ms (report, report->last_start_us), p50_ms, p90_ms, get_age_ms (report, report->last_result_us),
       report->last_result_item != NULL ? report->last_result_item : "",
       report->last_result_worker != NULL ? report->last_result_worker : "", report->last_result_events);
   quince_log_notice ("step_ended", "%s", details);
-  observe ("started", age_ms (report, report->last_start_us));
-  observe ("half", half_ms);
-  observe ("most", most_ms);
-  observe ("listed", age_ms (report, report->last_listed_us));
-  observe ("ended", age_ms (report, now_us));
+  observe_phase ("started", get_age_ms (report, report->last_start_us));
+  observe_phase ("half", p50_ms);
+  observe_phase ("most", p90_ms);
+  observe_phase ("listed", get_age_ms (report, report->last_result_us));
+  observe_phase ("ended", get_age_ms (report, now_us));
   g_hash_table_remove (reports->reports, entry);
 }
