--- a/daemons/replica/progress-file.c
+++ b/daemons/replica/progress-file.c
@@ -1,9 +1,10 @@
 /*
  * progress-file.c: progress of samples on this machine's disk.
  *
- * Two files take turns.  Each has frames: a header and an encoded message of kind PROGRESS.  When the one
- * that is written is full, the other one is emptied and written next, so the newer half at least is always
- * there.  A torn frame ends its file: later bytes cannot be trusted.
+ * Two files are written alternately.  Each consists of frames: a header and an encoded message of kind
+ * PROGRESS.  When the current file is full, the other one is emptied and becomes the current file, so the
+ * progress of the last full file is always available.  Reading a file stops at the first incomplete or
+ * corrupt frame.
  */
 #include "progress-file.h"
 
@@ -18,31 +19,31 @@
 #include "runtime/log.h"
 #include "protocol/hash.h"
 
-/* Greatest age that is assumed for progress on the disk, ms: the wall clock may be stepped.  Not measured:
- * far above the 5 s after which progress is not passed on any more. */
+/* Maximum age that is assumed for stored progress, ms, in case the wall clock was stepped.  Stored
+ * progress older than 5 s is not listed. */
 #define AGE_MAX_MS (20 * 1000)
 
 #define PROGRESS_FILE_ERROR (g_quark_from_static_string ("quince-progress-file-error"))
 
-/* Codes as they are logged with the event progress_disk_failed. */
+/* Error codes; logged as code= of the event progress_disk_failed. */
 typedef enum
 {
-  PROGRESS_FILE_ERROR_DISK,   /* the system refused; the message says what */
-  PROGRESS_FILE_ERROR_ENCODE, /* the progress does not encode */
+  PROGRESS_FILE_ERROR_DISK,   /* a system call failed */
+  PROGRESS_FILE_ERROR_ENCODE, /* the progress cannot be encoded */
 } ProgressFileError;
 
-#define N_FILES 2 /* one is full while the other one is written */
-/* Size of one file, bytes: the busiest trainers make about half a megabyte of text a second, and a sample
- * runs for ten seconds. */
+#define N_FILES 2
+/* Size of one file, bytes.  Large enough for the text of all samples that run at once: about 0.5 MB/s for
+ * 10 s. */
 #define FILE_MAX_BYTES (8 * 1024 * 1024)
-#define HASH_SEED 0x70726f67 /* no unit: any fixed number does */
+#define HASH_SEED 0x70726f67 /* arbitrary, but part of the file format */
 
-/* As written to the disk, in this machine's byte order: no other machine reads it. */
+/* On-disk header of a frame, in native byte order: only this machine reads it. */
 typedef struct
 {
-  guint64 sequence; /* rises with each frame over both files */
-  guint64 hash;     /* of the message */
-  guint64 length;   /* of the message, bytes */
+  guint64 sequence; /* rises with each frame, across both files */
+  guint64 hash;     /* of the encoded message */
+  guint64 length;   /* of the encoded message, bytes */
 } FrameHeader;
 
 struct _QuinceProgressFile
@@ -51,7 +52,7 @@
   guint current;
   gsize written; /* bytes in the current file */
   guint64 sequence;
-  gboolean last_write_failed; /* the last frame could not be written */
+  gboolean last_write_failed;
 };
 
 static gboolean
@@ -63,7 +64,8 @@
 
 /* ---- Reading ------------------------------------------------------------ */
 
-/* Returns: (transfer full): the message of the whole frame at @data, or NULL. */
+/* Returns: (transfer full) (nullable): the message of the frame at @data, or NULL if the frame is incomplete
+ * or corrupt */
 static QuinceMessage *
 read_frame (const char *data, gsize available, FrameHeader *header)
 {
@@ -81,7 +83,7 @@
   return NULL;
 }
 
-/* Takes the frames of @text into @store. Returns: the last sequence number, 0: there is no frame */
+/* Applies the frames in @data to @store.  Returns the last sequence number, or 0 if no frame is valid. */
 static guint64
 apply_frames (const char *data, gsize length, QuinceProgressStore *store, gint64 now_us)
 {
@@ -108,7 +110,8 @@
   return header.sequence;
 }
 
-/* How long ago @path was last written, us, by the wall clock; bounded, since that may be stepped. */
+/* Returns the time since @path was last written, us, by the wall clock; at most AGE_MAX_MS, and 0 if the file
+ * does not exist. */
 static gint64
 get_file_age_us (const char *path)
 {
@@ -126,7 +129,7 @@
   gsize lengths[N_FILES] = { 0 };
   for (guint i = 0; i < N_FILES; i++)
     if (!g_file_get_contents (paths[i], &contents[i], &lengths[i], NULL))
-      lengths[i] = 0; /* it is made below; one that cannot be read holds nothing of use */
+      lengths[i] = 0; /* counts as empty; a missing file is created on opening */
   guint older
       = get_first_sequence (contents[0], lengths[0]) <= get_first_sequence (contents[1], lengths[1]) ? 0 : 1;
   for (guint i = 0; i < N_FILES; i++)
@@ -136,7 +139,7 @@
       file->sequence = MAX (file->sequence,
                             apply_frames (contents[file_index], lengths[file_index], store, reported_us));
     }
-  file->current = older; /* emptied first: the newer one stays until this one is full */
+  file->current = older; /* the newer file is kept until this one is full */
   for (guint i = 0; i < N_FILES; i++)
     g_free (contents[i]);
 }
@@ -166,7 +169,7 @@
   int descriptor = file->descriptors[file->current];
   file->written = 0;
   if (ftruncate (descriptor, 0) != 0 || lseek (descriptor, 0, SEEK_SET) != 0)
-    return set_system_error ("empty", error);
+    return set_system_error ("cannot empty a progress file", error);
   return TRUE;
 }
 
@@ -179,7 +182,7 @@
   if (encoded == NULL)
     {
       g_set_error_literal (error, PROGRESS_FILE_ERROR, PROGRESS_FILE_ERROR_ENCODE,
-                           "progress does not encode");
+                           "cannot encode the progress");
       return FALSE;
     }
   gsize length;
@@ -194,7 +197,7 @@
   int descriptor = file->descriptors[file->current];
   if (!write_all (descriptor, &header, sizeof header) || !write_all (descriptor, data, length)
       || fdatasync (descriptor) != 0)
-    return set_system_error ("write", error);
+    return set_system_error ("cannot write to a progress file", error);
   file->written += sizeof header + length;
   return TRUE;
 }
--- a/daemons/replica/progress-file.h
+++ b/daemons/replica/progress-file.h
@@ -1,9 +1,9 @@
 /*
- * progress-file.h: progress of samples on this machine's disk, so that partial texts survive a loss of power
- * of all machines at once.
+ * progress-file.h: progress of samples on this machine's disk, so that partial texts survive a power failure
+ * of all machines.
  *
- * Soft state: a write that fails is logged and costs tokens only; the oldest progress is overwritten.  Owns
- * two open files.  All calls belong to the main context; a write blocks until the disk has it.
+ * It is soft state: a failed write is logged, and the oldest progress is overwritten.  A progress file owns
+ * two open files.  All functions are called on the main context; writes block until the data is on the disk.
  */
 #pragma once
 
@@ -13,16 +13,20 @@
 
 /**
  * quince_progress_file_open:
- * @folder: existing
- * @store: (inout): is given the progress that earlier runs of this process have written
- * @error: the system refused; the message says why
+ * @folder: an existing folder
+ * @store: (inout): receives the progress that an earlier process wrote to @folder
+ * @now_us: monotonic, us
+ * @error: a system call failed; the message names the operation or the path, and the cause
  *
- * Returns: (transfer full) (nullable): %NULL with @error
+ * Loads the stored progress and empties the older of the two files.  Files that cannot be read count as
+ * empty.
+ *
+ * Returns: (transfer full) (nullable): the progress file, or %NULL with @error set
  */
 QuinceProgressFile *
 quince_progress_file_open (const char *folder, QuinceProgressStore *store, gint64 now_us, GError **error);
 void quince_progress_file_close (QuinceProgressFile *file);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (QuinceProgressFile, quince_progress_file_close)
-/* Returns once @progress is safe on the disk, or could not be written: the first of several failures in a row
- * is logged. */
+/* Appends @progress and waits until it is on the disk.  If that fails, @progress is not stored; only the
+ * first of consecutive failures is logged. */
 void quince_progress_file_append (QuinceProgressFile *file, const QuinceSampleProgress *progress);
--- a/daemons/replica/progress.c
+++ b/daemons/replica/progress.c
@@ -1,21 +1,18 @@
 /*
- * progress.c: progress of samples, in memory.
+ * progress.c: in-memory progress of samples.
  */
 #include "progress.h"
 
 #include <string.h>
 
-/* Progress that was not reported for this long is forgotten, us: the sample is done or abandoned.  Not
- * measured. */
+/* Age after which an entry is removed, us: its sample is done or abandoned by then. */
 #define PROGRESS_TTL_US (40 * G_USEC_PER_SEC)
-/* Samples of which progress is kept; more are ignored.  Not measured: the samples of one large step, so that
- * a damaged message cannot take unbounded memory. */
+/* Maximum number of samples; further ones are ignored, so that a malformed message cannot exhaust memory. */
 #define ENTRIES_MAX 8192
-/* Age of progress that is passed on, us: a leader reports each text that grows five times a second, and the
- * next one leads a second or two after its end. */
+/* Maximum age of listed progress, us.  A leader reports each growing text five times a second, and a new
+ * leader takes over within one or two seconds. */
 #define RECENT_MAX_AGE_US (5 * G_USEC_PER_SEC)
-/* Texts that are passed on together, bytes: partial texts of 400 samples of 8 kB, two thirds as much when
- * packed. */
+/* Size of the listed texts after which the list ends, bytes. */
 #define LISTED_MAX_BYTES (4 * 1024 * 1024)
 
 typedef struct
@@ -27,7 +24,7 @@
   guint64 last_event;
   guint failures;
   gint64 reported_us;
-  guint64 report_number; /* the greater, the later it was reported */
+  guint64 report_number; /* rises with each report of any sample */
 } ProgressEntry;
 
 struct _QuinceProgressStore
@@ -114,7 +111,7 @@
   if (item->from_event == 0)
     g_string_truncate (entry->text, 0);
   else if (item->from_event != entry->last_event)
-    return; /* a piece is missing: the text that is here stays correct */
+    return; /* an earlier report was lost: the stored text stays valid, but cannot be extended */
   g_string_append_len (entry->text, item->text.text_val, item->text.text_len);
   entry->last_event = item->last_event;
   g_array_set_size (entry->versions, 0);
@@ -133,7 +130,6 @@
     apply_progress_item (store, now_us, &progress->items.items_val[i]);
 }
 
-/* The last reported first. */
 static gint
 compare_newest_first (gconstpointer a, gconstpointer b)
 {
--- a/daemons/replica/sample-demand.c
+++ b/daemons/replica/sample-demand.c
@@ -1,12 +1,13 @@
 /*
- * sample-demand.c: what the open samples need of workers.
+ * sample-demand.c: demand of unfinished samples for workers.
  */
 #include "sample-demand.h"
 
 #include "core/scaling/scale-plan.h"
 #include "runtime/clock.h"
 
-/* From its start to its expected end; where no pace is measured, as long as it has run. */
+/* Returns the expected total duration of the run of @sample, us; if no pace is measured, its duration so far;
+ * 0 if its worker is no longer listed. */
 static gint64
 estimate_run_duration_us (QuinceSampleSet *set, const QuinceSample *sample, gint64 now_us)
 {
@@ -18,7 +19,7 @@
   return now_us - sample->started_us + (gint64)(events * (double)quince_worker_get_pace_us (worker, now_us));
 }
 
-/* A sample that is held, or pauses, waits for no worker. */
+/* Returns whether @sample could start now if a worker had capacity: it waits, and its pause is over. */
 static gboolean
 may_start_now (const QuinceSample *sample, gint64 now_us)
 {
@@ -41,7 +42,7 @@
     }
 }
 
-/* Time between two events at workers of @service, on average; 0: none is measured. */
+/* Returns the mean time between two events at the workers of @service, us; 0 if no pace is measured. */
 static gint64
 get_mean_pace_us (QuinceSampleSet *set, const char *service, gint64 now_us)
 {
--- a/daemons/replica/sample-demand.h
+++ b/daemons/replica/sample-demand.h
@@ -1,7 +1,7 @@
 /*
- * sample-demand.h: what the open samples need of workers: for orders of weights, and for scaling.
+ * sample-demand.h: demand of unfinished samples for workers, used by weight loads and by scaling.
  *
- * For: sample-runner.c.  Owns nothing.  Relies on: the length model and the workers' paces.
+ * Computed from the length model and the paces of the workers; has no state of its own.
  */
 #pragma once
 
@@ -9,7 +9,8 @@
 
 #include "sample-set.h"
 
-/* Fills in the samples that wait and run. */
+/* Records the waiting and running samples in @plan. */
 void quince_sample_demand_fill_load_plan (QuinceSampleSet *set, QuinceLoadPlan *plan);
-/* Slots at workers of @service that its open samples need to end in time; see scale-plan.h. */
+/* Returns how many slots at workers of @service its waiting and running samples need to end before their
+ * deadlines; see quince_scale_slots_needed(). */
 double quince_sample_demand_get_slots_needed (QuinceSampleSet *set, const char *service);
--- a/daemons/replica/sample-dispatch.c
+++ b/daemons/replica/sample-dispatch.c
@@ -1,5 +1,5 @@
 /*
- * sample-dispatch.c: begins a run of a waiting sample at a worker.
+ * sample-dispatch.c: starts runs of waiting samples at workers.
  */
 #include "sample-dispatch.h"
 
@@ -9,9 +9,11 @@
 
 #include "sample-outcome.h"
 
-/* Last priority at a worker; 0 goes first.  The platform's bound. */
+/* Lowest priority that the platform's workers accept; 0 is the highest. */
 #define WORKER_PRIORITY_MAX 9
-/* The end of a worker says nothing of two suspects that ran on it. */
+
+/* Excludes workers that run a suspect: if a worker ended with two suspects on it, the cause would be
+ * unknown. */
 static void
 avoid_workers_with_suspects (const QuinceSampleSet *set, const QuinceSample *sample, GHashTable *avoid)
 {
@@ -34,7 +36,7 @@
   if (sample->avoid_worker != NULL)
     g_hash_table_add (avoid, sample->avoid_worker);
   avoid_workers_with_suspects (set, sample, avoid);
-  /* The samples of a group share their prompt. */
+  /* The samples of a group share a prompt, so a worker that ran one of them has it cached. */
   g_autofree char *group
       = g_strconcat (sample->entry->batch->id, " ", quince_sample_get_item (sample)->group, NULL);
   const char *const prompt[] = { group, NULL };
@@ -58,8 +60,8 @@
   return outcome;
 }
 
-/* At the worker, 0 first.  A tenant's priority goes before that of the route; one that was withdrawn since
- * has none. */
+/* Returns the priority of @sample at a worker; 0 is the highest.  The priority of the tenant overrides that
+ * of the route; a tenant that is no longer configured has none. */
 static gint
 get_worker_priority (QuinceSampleSet *set, const QuinceSample *sample, const QuinceRoute *route)
 {
@@ -124,7 +126,7 @@
   quince_backends_describe_events (set->backends, quince_wall_ms (), request);
 }
 
-/* Logs once that @sample is not sent. */
+/* Logs that @sample is held or protected, unless it was logged before. */
 static void
 log_admission (QuinceSendGuard *guard,
                QuinceSample *sample,
@@ -140,7 +142,7 @@
   sample->logged_admission = admission;
 }
 
-/* Returns: %FALSE when the sample is not to be sent now. */
+/* Returns whether the send guard admits @sample now; if it does not, postpones the next attempt. */
 static gboolean
 is_admitted (QuinceSampleSet *set, QuinceSample *sample, const char *service, gint64 now_us)
 {
@@ -161,7 +163,7 @@
   return FALSE;
 }
 
-/* The permit is not used after all. */
+/* Returns the permit of @sample, since no worker was chosen. */
 static void
 return_permit (QuinceSampleSet *set, QuinceSample *sample)
 {
--- a/daemons/replica/sample-dispatch.h
+++ b/daemons/replica/sample-dispatch.h
@@ -1,13 +1,14 @@
 /*
- * sample-dispatch.h: begins a run of a waiting sample at a worker.
+ * sample-dispatch.h: starts runs of waiting samples at workers.
  *
- * For: sample-runner.c and sample-moves.c.  Owns nothing.  Relies on: the policy in force, which admits a
- * sample and scores the workers for it; the send guard; lib/forward for the choice.
+ * A sample must be admitted by the policy and by the send guard; lib/forward then chooses a worker by the
+ * scores of the policy.
  */
 #pragma once
 
 #include "sample-set.h"
 
-/* Begins a run where a worker has room; else sets when the sample may be tried again.  Returns:
- * QUINCE_BACKEND_CHOSEN: it runs; QUINCE_BACKEND_NONE also where the policy or the guard doesn't admit it */
+/* Starts a run of @sample if it is admitted and a worker has capacity.  If the policy or the send guard
+ * refuses it, postpones its next attempt.  @now_us: monotonic, us.  Returns QUINCE_BACKEND_CHOSEN if the run
+ * started; QUINCE_BACKEND_NONE also if the sample is not admitted or its route is not configured. */
 QuinceBackendOutcome quince_sample_dispatch (QuinceSampleSet *set, QuinceSample *sample, gint64 now_us);
--- a/daemons/replica/sample-moves.c
+++ b/daemons/replica/sample-moves.c
@@ -1,5 +1,5 @@
 /*
- * sample-moves.c: moves running samples to workers that end them sooner.
+ * sample-moves.c: moves running samples to faster workers.
  */
 #include "sample-moves.h"
 
@@ -7,7 +7,8 @@
 
 #include "sample-dispatch.h"
 
-/* The least pace among workers that could take @sample now; 0: there is none. */
+/* Returns the time between two events of the fastest other worker that can take @sample now, us; 0 if there
+ * is no such worker. */
 static gint64
 get_best_target_pace_us (QuinceSampleSet *set,
                          const QuinceSample *sample,
@@ -46,7 +47,8 @@
   return sample->state == QUINCE_SAMPLE_RUNNING && quince_sample_move_is_allowed (&move);
 }
 
-/* Its worker is slower than the fastest by so much that a move may pay at all. */
+/* Returns whether @worker is so much slower than the fastest one that a move of a very long text to that one
+ * would be worthwhile. */
 static gboolean
 is_slow (const QuinceWorker *worker, const QuinceSampleServiceView *view, gint64 now_us)
 {
--- a/daemons/replica/sample-moves.h
+++ b/daemons/replica/sample-moves.h
@@ -1,8 +1,5 @@
 /*
- * sample-moves.h: moves running samples to workers that end them sooner.
- *
- * For: sample-runner.c, before it dispatches waiting samples: a sample that leaves a slow worker frees a slot
- * there.  Owns nothing.  Relies on: core/decisions/sample-move.h for the rules.
+ * sample-moves.h: moves running samples to faster workers, by the rules of core/decisions/sample-move.h.
  */
 #pragma once
 
@@ -10,5 +7,6 @@
 
 #include "sample-set.h"
 
-/* Cuts the runs that a move pays for, a few at a time, and dispatches them anew. */
+/* If a check is due, stops runs whose move is worthwhile, at most QUINCE_SAMPLE_MOVES_PER_CHECK_MAX, and
+ * dispatches their samples again.  @now_us: monotonic, us */
 void quince_sample_moves_check (QuinceSampleSet *set, QuinceMoveCheckState *check_state, gint64 now_us);
--- a/daemons/replica/sample-outcome.c
+++ b/daemons/replica/sample-outcome.c
@@ -1,5 +1,5 @@
 /*
- * sample-outcome.c: what follows a run of a sample.
+ * sample-outcome.c: handles the end of a run of a sample.
  */
 #include "sample-outcome.h"
 
@@ -63,7 +63,7 @@
     quince_worker_record_failure (worker, quince_now_us ());
 }
 
-/* What the end of a run says of its sample: see send-guard.h. */
+/* Reports the end of the run to the send guard: a lost connection, an answer, or neither. */
 static void
 report_end_to_guard (QuinceSampleSet *set, QuinceSample *sample, QuinceRunEnd end)
 {
--- a/daemons/replica/sample-outcome.h
+++ b/daemons/replica/sample-outcome.h
@@ -1,13 +1,13 @@
 /*
- * sample-outcome.h: what follows a run of a sample: another run, its reward call, or its result.
+ * sample-outcome.h: handles the end of a run of a sample: another run, the reward call, or the result.
  *
- * For: sample-dispatch.c, as the callback of a run.  Owns nothing.  Relies on: core/decisions/sample-next.h
- * for the rule, the send guard for what a broken connection says of the sample.
+ * The next step is decided by core/decisions/sample-next.h.  The send guard is informed of each end, since a
+ * sample may be the reason why its workers end.
  */
 #pragma once
 
 #include "sample-set.h"
 
-/* The callback of quince_sample_start_run(); @set: QuinceSampleSet.  May release @sample. */
+/* Callback of quince_sample_start_run().  @set: the QuinceSampleSet of @sample.  May free @sample. */
 void
 quince_sample_outcome_run_ended (QuinceSample *sample, QuinceRunEnd end, const char *cause, gpointer set);
--- a/daemons/replica/sample-replication.c
+++ b/daemons/replica/sample-replication.c
@@ -1,5 +1,5 @@
 /*
- * sample-replication.c: the progress of samples, as a leader sends it to its successor and takes it over.
+ * sample-replication.c: collects the progress of samples for the successor, and applies received progress.
  */
 #include "sample-replication.h"
 
@@ -43,7 +43,7 @@
   return NULL;
 }
 
-/* Returns: whether @sample goes on from there */
+/* Replaces the text of a waiting sample by a longer one of another replica.  Returns whether it did. */
 static gboolean
 resume_from (QuinceSample *sample, const QuinceProgressItem *item)
 {
@@ -60,7 +60,7 @@
       g_array_append_val (sample->versions, version);
     }
   sample->last_event = item->last_event;
-  sample->replicated_event = sample->replicated_bytes = 0; /* the next successor is sent all of it */
+  sample->replicated_event = sample->replicated_bytes = 0; /* the next report contains the whole text */
   return TRUE;
 }
 
--- a/daemons/replica/sample-replication.h
+++ b/daemons/replica/sample-replication.h
@@ -1,16 +1,14 @@
 /*
- * sample-replication.h: the progress of samples, as a leader sends it to its successor and takes it over.
- *
- * For: sample-runner.c.  Owns: in each sample, how much of it was sent.
+ * sample-replication.h: collects the progress of samples for the successor, and applies received progress.
  */
 #pragma once
 
 #include "sample-set.h"
 
-/* Appends what has been made since the last call to @items (QuinceProgressItem); @all: everything again.
- * Lives until samples change. */
+/* Appends the progress since the last call to @items (element-type QuinceProgressItem), or all progress if
+ * @all is set.  The items borrow from the samples and are valid until these change. */
 void quince_sample_replication_collect (QuinceSampleSet *set, gboolean all, GArray *items);
-/* Takes what another replica knows of samples: samples that have not begun go on from there.  Returns: how
- * many
- */
+/* Applies progress that another replica sent: a waiting sample with fewer events resumes from the received
+ * text, and failure counts are raised to the received ones.  Returns the number of samples that resume from
+ * received text. */
 guint quince_sample_replication_apply (QuinceSampleSet *set, const QuinceSampleProgress *progress);
--- a/daemons/replica/sample-result.c
+++ b/daemons/replica/sample-result.c
@@ -1,5 +1,5 @@
 /*
- * sample-result.c: the end of a sample.
+ * sample-result.c: completes or abandons samples.
  */
 #include "sample-result.h"
 
--- a/daemons/replica/sample-result.h
+++ b/daemons/replica/sample-result.h
@@ -1,17 +1,15 @@
 /*
- * sample-result.h: the end of a sample: its result goes to the owner of the set.
- *
- * For: sample-outcome.c, sample-reward.c, sample-runner.c.  Owns nothing.
+ * sample-result.h: completes or abandons samples, and delivers their results to the owner of the set.
  */
 #pragma once
 
 #include "sample-set.h"
 
-/* The sample is done.  @score: (nullable): the signed score of its reward call; @cause: one word for the log.
- * Releases @sample. */
+/* Completes @sample and frees it.  @score: (nullable): the signed score of its reward call; @cause: one word,
+ * for the log and metrics */
 void quince_sample_result_complete (QuinceSampleSet *set,
                                     QuinceSample *sample,
                                     const char *score,
                                     const char *cause);
-/* The sample is abandoned for @cause.  Releases @sample. */
+/* Abandons @sample and frees it.  @cause: one word, for the log and metrics */
 void quince_sample_result_abandon (QuinceSampleSet *set, QuinceSample *sample, const char *cause);
--- a/daemons/replica/sample-reward.c
+++ b/daemons/replica/sample-reward.c
@@ -1,5 +1,5 @@
 /*
- * sample-reward.c: the reward call of a sample whose text is whole.
+ * sample-reward.c: reward calls of samples with complete texts.
  */
 #include "sample-reward.h"
 
@@ -34,7 +34,7 @@
   if (next.action == QUINCE_SAMPLE_NEXT_ABANDON)
     quince_sample_result_abandon (set, sample, "reward_failed");
   else
-    sample->next_attempt_us = quince_now_us () + next.pause_us; /* the pump begins it again */
+    sample->next_attempt_us = quince_now_us () + next.pause_us; /* the next check of all samples retries it */
 }
 
 void
--- a/daemons/replica/sample-reward.h
+++ b/daemons/replica/sample-reward.h
@@ -1,12 +1,11 @@
 /*
- * sample-reward.h: the reward call of a sample whose text is whole.
+ * sample-reward.h: reward calls of samples with complete texts.
  *
- * For: sample-outcome.c, and sample-runner.c where a call is made again.  Owns: the call, kept in the sample.
- * Relies on: lib/forward for the call, core/decisions/sample-next.h for what follows it.
+ * The call is stored in the sample.  core/decisions/sample-next.h decides whether a failed call is retried.
  */
 #pragma once
 
 #include "sample-set.h"
 
-/* Makes the reward call, or sets when it is due again where its route is not configured. */
+/* Starts the reward call of @sample.  If its route is not configured, postpones the call. */
 void quince_sample_reward_begin (QuinceSampleSet *set, QuinceSample *sample);
--- a/daemons/replica/sample-runner.c
+++ b/daemons/replica/sample-runner.c
@@ -1,9 +1,8 @@
 /*
- * sample-runner.c: the owner of the open batches' samples: when each is checked, and what goes to the
- * replica.
+ * sample-runner.c: schedules the samples of open batches and passes their results to the replica.
  *
- * Samples begin in the order of their batches, since the next step waits for the oldest one; within a batch
- * those begin first that take longest, since a trainer waits for whole groups.
+ * Samples start in the order of their batches, since the next step of a trainer waits for the oldest batch.
+ * Within a batch the longest samples start first, since a trainer waits for complete groups.
  */
 #include "sample-runner.h"
 
@@ -21,12 +20,10 @@
 #include "sample-result.h"
 #include "sample-reward.h"
 
-/* Interval of the checks of all samples, ms, beside those that events ask for.  Not measured: two or three
- * events of a worker. */
+/* Interval of the periodic checks of all samples, ms; other checks are requested by events. */
 #define SAMPLE_CHECK_INTERVAL_MS 100
-/* Time for which a new leader waits for the progress that other replicas know, ms.  Members that follow it
- * link to it within some ms, and a few hundred half texts arrive within some tens; a sample that begins anew
- * loses up to its whole text, seconds. */
+/* Time that a new leader waits for progress from other replicas before it starts runs, ms.  Replicas connect
+ * and send it within tens of ms; without it, samples restart from the beginning. */
 #define PROGRESS_WAIT_MS 200
 
 struct _QuinceSampleRunner
@@ -38,15 +35,14 @@
   gpointer user_data;
   QuinceMoveCheckState move_check_state;
   QuinceTimer *check_timer;
-  QuinceTimer *requested_check; /* a check that was asked for; NULL: none */
-  gint64 start_runs_after_us;   /* a new leader: nothing begins before, unless progress arrives */
+  QuinceTimer *requested_check; /* NULL: none is requested */
+  gint64 start_runs_after_us;   /* at a new leader; 0 once progress has arrived */
 };
 
-/* ---- The pump --------------------------------------------------------- */
+/* ---- Checks ----------------------------------------------------------- */
 
-/* Key of the samples that find the same workers full: the model, or the batch where its regions are
- * restricted.
- */
+/* Returns a key that is equal for samples that compete for the same workers: the model, or the batch if its
+ * regions are restricted. */
 static const char *
 get_capacity_key (const QuinceSampleRunner *runner, const QuinceSample *sample)
 {
@@ -62,7 +58,7 @@
   return sample->state == QUINCE_SAMPLE_WAITING && quince_sample_has_expired (sample->give_up_us, now_us);
 }
 
-/* No worker has room: other samples of the model need not be tried in this round. */
+/* Returns whether no worker has capacity, so that this check skips other samples with the same key. */
 static gboolean
 is_without_capacity (QuinceBackendOutcome outcome)
 {
@@ -78,12 +74,12 @@
   gint64 now = quince_now_us ();
   if (now < runner->start_runs_after_us)
     return;
-  /* Moves come first: a sample that leaves a slow worker frees a slot there for one that waits. */
+  /* Moves come first: each frees a slot that a waiting sample can use. */
   quince_sample_moves_check (&runner->set, &runner->move_check_state, now);
   g_autoptr (GHashTable) full_keys
-      = g_hash_table_new (g_str_hash, g_str_equal); /* models and batches without room */
+      = g_hash_table_new (g_str_hash, g_str_equal); /* capacity keys without a free worker */
   runner->set.waiting = 0;
-  /* Handing a sample over takes it out of the array. */
+  /* Abandoning a sample removes it from the array. */
   for (guint i = 0; i < runner->set.samples->len;)
     {
       QuinceSample *sample = runner->set.samples->pdata[i];
@@ -132,14 +128,14 @@
   return G_SOURCE_CONTINUE;
 }
 
-/* ---- Events of the samples ---------------------------------------------- */
+/* ---- Callbacks of the sample set ---------------------------------------- */
 
 static void
 sample_done (QuinceSample *sample, const QuinceBatchResult *result, gpointer data)
 {
   QuinceSampleRunner *runner = data;
   runner->callbacks->result (result, runner->user_data);
-  g_ptr_array_remove (runner->set.samples, sample); /* keeps the order */
+  g_ptr_array_remove (runner->set.samples, sample); /* preserves the order */
 }
 
 static void
@@ -180,7 +176,7 @@
   g_free (runner);
 }
 
-/* Longest first; equals in the order of their batch. */
+/* Longest estimate first, then by position in the batch. */
 static gint
 compare_lengths (gconstpointer a, gconstpointer b)
 {
@@ -215,7 +211,7 @@
         sample->give_up_us = submitted_us + (gint64)route->queue_ttl_ms * 1000;
       g_ptr_array_add (runner->set.samples, sample);
     }
-  /* An array that never held anything has no memory to sort. */
+  /* pdata of an array that was never filled is NULL, which qsort() must not receive. */
   if (runner->set.samples->len > first)
     qsort (runner->set.samples->pdata + first, runner->set.samples->len - first, sizeof (gpointer),
            compare_lengths);
--- a/daemons/replica/sample-runner.h
+++ b/daemons/replica/sample-runner.h
@@ -1,5 +1,5 @@
 /*
- * sample-runner.h: runs the samples of open batches on workers, scores them and hands over their results.
+ * sample-runner.h: runs the samples of open batches on workers, scores them and delivers their results.
  */
 #pragma once
 
@@ -14,8 +14,8 @@
 
 /**
  * QuinceSampleRunnerCallbacks:
- * @result: (transfer none): a sample is done or given up; the runner does not speak of it again
- * @may_run: whether requests may be sent to workers now
+ * @result: called once for each sample that is completed or abandoned; @result is valid during the call
+ * @may_run: returns whether requests may be sent to workers now
  */
 typedef struct
 {
@@ -23,33 +23,38 @@
   gboolean (*may_run) (gpointer user_data);
 } QuinceSampleRunnerCallbacks;
 
-/* @progress: texts as a former leader sent them; not owned */
+/* @progress: progress that an earlier leader reported; not owned */
 QuinceSampleRunner *quince_sample_runner_new (QuinceBackends *backends,
                                               QuinceObserver *observer,
                                               QuinceProgressStore *progress,
                                               const QuinceSampleRunnerCallbacks *callbacks,
                                               gpointer user_data);
-/* Cancels all that runs. */
+/* Cancels all runs and reward calls. */
 void quince_sample_runner_free (QuinceSampleRunner *runner);
-/* All samples of @entry that are not listed are run; @entry lives until forget(). */
+/* Adds the samples of @entry that have no result yet.  @entry must stay valid until
+ * quince_sample_runner_remove(). */
 void quince_sample_runner_add (QuinceSampleRunner *runner, QuinceBatchEntry *entry);
-/* What has been made since the last call, to be sent to the successor; @all: everything again. Lives until
- * samples change. */
+/* Appends the progress since the last call to @items (element-type QuinceProgressItem), or all progress if
+ * @all is set.  The items borrow from the samples and are valid until these change. */
 void quince_sample_runner_collect_progress (QuinceSampleRunner *runner, gboolean all, GArray *items);
-/* A new leader has waiting samples of which another replica may know more: nothing begins for a moment. */
+/* Starts no run for 200 ms, unless progress arrives.  Called at a new leader, when other replicas may have
+ * more progress. */
 void quince_sample_runner_await_progress (QuinceSampleRunner *runner);
-/* Progress that another replica knows: samples that have not begun go on from there. */
+/* Applies progress that another replica sent; see quince_sample_replication_apply(). */
 void quince_sample_runner_apply_progress (QuinceSampleRunner *runner, const QuinceSampleProgress *progress);
-/* The batch is ended or forgotten: its samples are cancelled. */
+/* Cancels and removes the samples of @entry, whose batch has ended or was removed from the ledger. */
 void quince_sample_runner_remove (QuinceSampleRunner *runner, const QuinceBatchEntry *entry);
-/* Something has changed (workers, versions, time): begin what can begin. */
+/* Checks all samples: moves runs, abandons expired samples, retries reward calls and starts runs.  Called
+ * when workers or weight versions change. */
 void quince_sample_runner_check_samples (QuinceSampleRunner *runner);
-/* (nullable): the route of @batch; %NULL: no configuration has one */
+/* Returns: (transfer none) (nullable): the route of @batch, or %NULL if none is configured */
 const QuinceRoute *quince_sample_runner_get_batch_route (const QuinceSampleRunner *runner,
                                                          const QuinceBatchJob *batch);
-/* Fills in the samples that wait and run. */
+/* Records the waiting and running samples in @plan. */
 void quince_sample_runner_fill_load_plan (QuinceSampleRunner *runner, QuinceLoadPlan *plan);
-/* Places at workers of @service that its open samples take to end in time; see scale-plan.h. */
+/* Returns how many slots at workers of @service its waiting and running samples need to end before their
+ * deadlines. */
 double quince_sample_runner_get_slots_needed (QuinceSampleRunner *runner, const char *service);
+/* Returns the number of samples that waited for a worker at the last check. */
 guint quince_sample_runner_get_n_waiting (const QuinceSampleRunner *runner);
 guint quince_sample_runner_get_n_running (const QuinceSampleRunner *runner);
--- a/daemons/replica/sample-set.c
+++ b/daemons/replica/sample-set.c
@@ -1,21 +1,21 @@
 /*
- * sample-set.c: the samples of open batches, and look-ups for them.
+ * sample-set.c: the samples of open batches, and lookups of routes, regions, lengths and paces.
  */
 #include "sample-set.h"
 
 #include "forward/residency-lookup.h"
 #include "runtime/clock.h"
 
-/* Requests at one worker where the configuration names no slots.  Not measured. */
+/* Slots of a worker if its service has none configured. */
 #define SLOTS_DEFAULT 8
-/* Time for which the pace of a service's fastest worker is kept, us: a leader asks for it for each sample.
- * Not measured: two or three events of a worker. */
+/* Time for which the fastest pace of a service is cached, us, since each dispatch reads it. */
 #define FASTEST_PACE_TTL_US (100 * 1000)
-/* The pace of a service's fastest worker, as it was found a moment ago. */
+
+/* Cached pace of the fastest worker of a service. */
 typedef struct
 {
   gint64 measured_us;
-  gint64 pace_us;
+  gint64 pace_us; /* 0: no pace is measured */
 } ServicePace;
 
 void
@@ -72,7 +72,7 @@
     return;
   const QuinceRoute *route = quince_sample_set_get_batch_route (set, entry->batch);
   if (route == NULL)
-    return; /* nothing of it is sent then */
+    return; /* without a route, no sample of the batch is sent */
   const QuinceTenantTable *tenants
       = quince_route_table_get_tenants (quince_observer_get_routes (set->observer));
   const QuinceTenant *tenant = tenants != NULL ? quince_tenant_table_find (tenants, entry->tenant) : NULL;
@@ -101,7 +101,8 @@
 
 /* ---- Services ----------------------------------------------------------- */
 
-/* 0: no worker's pace is measured. */
+/* Returns the time between two events of the fastest worker, us, cached for FASTEST_PACE_TTL_US; 0 if no pace
+ * is measured. */
 static gint64
 get_fastest_pace_us (QuinceSampleSet *set, const char *service, const GPtrArray *workers, gint64 now_us)
 {
@@ -121,7 +122,7 @@
 const char *
 quince_sample_set_pick_service (const QuinceRoute *route, const QuinceSample *sample)
 {
-  /* The samples of a group stay in one part of the route's traffic. */
+  /* All samples of a group use the same service of a route with several weighted services. */
   const QuinceBatchItem *item = quince_sample_get_item (sample);
   return quince_route_pick_service (route, (g_str_hash (item->group) % 1000) / 1000.0);
 }
--- a/daemons/replica/sample-set.h
+++ b/daemons/replica/sample-set.h
@@ -1,12 +1,9 @@
 /*
- * sample-set.h: the samples of open batches, and what the parts of the sample runner look up for them:
- * routes, regions, lengths and paces.
+ * sample-set.h: the samples of open batches, and lookups of routes, regions, lengths and paces for them.
  *
- * For: sample-runner.c, which owns the set, and the parts between which a sample's states are divided:
- * sample-dispatch.c (waiting), sample.c and sample-moves.c (running), sample-outcome.c (its run has ended),
- * sample-reward.c (its text is scored), sample-result.c (done).  Each calls the next ones alone; what
- * concerns the owner goes there as an event.  Owns: the samples, a length model for each model, the last
- * known pace of each service.  Relies on: the observer for the configuration, the backends for the workers.
+ * sample-runner.c owns the set.  Each state of a sample is handled by its own files: sample-dispatch.c
+ * (waiting), sample.c and sample-moves.c (running), sample-outcome.c (end of a run), sample-reward.c
+ * (scoring), sample-result.c (done).  They notify the owner of the set by callbacks.
  */
 #pragma once
 
@@ -18,8 +15,8 @@
 
 /**
  * QuinceSampleSetCallbacks:
- * @done: @sample is done or abandoned, with @result, which lives until this returns; @sample may be released
- * @request_dispatch: samples may be dispatched after @wait_ms, or sooner
+ * @done: a sample is completed or abandoned; @result is valid during the call, and @sample may be freed
+ * @request_dispatch: requests a check of all samples in @wait_ms, ms, or earlier
  */
 typedef struct
 {
@@ -33,11 +30,11 @@
   QuinceBackends *backends;   /* not owned */
   QuinceObserver *observer;   /* not owned */
   QuinceStepReports *reports; /* owned */
-  GPtrArray *samples;         /* QuinceSample, owned, in order of their start */
+  GPtrArray *samples;         /* QuinceSample, owned, in dispatch order */
   GHashTable *length_models;  /* QuinceLengthModel by model, owned */
-  GHashTable *paces;          /* the last known fastest pace by service, owned */
-  guint running;
-  guint waiting; /* at the last check of all samples */
+  GHashTable *paces;          /* cached fastest pace by service, owned */
+  guint running;              /* number of running samples */
+  guint waiting;              /* number of waiting samples at the last check */
   const QuinceSampleSetCallbacks *callbacks;
   gpointer owner;
 } QuinceSampleSet;
@@ -47,31 +44,31 @@
                              QuinceObserver *observer,
                              const QuinceSampleSetCallbacks *callbacks,
                              gpointer owner);
-/* Cancels all that runs. */
+/* Cancels all runs and reward calls. */
 void quince_sample_set_clear (QuinceSampleSet *set);
-/* The route of a batch or of a reward call; %NULL: no configuration has one. */
+/* Returns: (transfer none) (nullable): the route of a batch or reward call, or %NULL if none is configured */
 const QuinceRoute *
 quince_sample_set_find_route (const QuinceSampleSet *set, const char *host, const char *path);
 const QuinceRoute *quince_sample_set_get_batch_route (const QuinceSampleSet *set,
                                                       const QuinceBatchJob *batch);
-/* The regions that the route and the tenant of @entry allow now. */
+/* Sets @residency to the regions that the route and the tenant of @entry allow now. */
 void quince_sample_set_get_residency (const QuinceSampleSet *set,
                                       const QuinceBatchEntry *entry,
                                       QuinceResidency *residency);
-/* What is known of the lengths of @model's texts. */
+/* Returns: (transfer none): the length model of the texts of @model, created on first use */
 QuinceLengthModel *quince_sample_set_get_length_model (QuinceSampleSet *set, const char *model);
-/* Events of @sample that are still to come, by the length model. */
+/* Returns the expected number of remaining events of @sample. */
 double quince_sample_set_estimate_remaining_events (QuinceSampleSet *set, const QuinceSample *sample);
-/* The service of @route whose workers run @sample. */
+/* Returns the service of @route whose workers run @sample. */
 const char *quince_sample_set_pick_service (const QuinceRoute *route, const QuinceSample *sample);
 
-/* One sample's service, as it is now; quince_sample_service_view_clear(). */
+/* Current state of the service of one sample.  Cleared by quince_sample_service_view_clear(). */
 typedef struct
 {
   const char *service;
   GPtrArray *workers;     /* owned reference: QuinceWorker */
-  gint64 fastest_pace_us; /* between two events; 0: none is measured */
-  guint slots;            /* runs at once of one worker */
+  gint64 fastest_pace_us; /* time between two events at the fastest worker; 0: not measured */
+  guint slots;            /* maximum concurrent runs of one worker */
 } QuinceSampleServiceView;
 
 void quince_sample_set_get_service_view (QuinceSampleSet *set,
--- a/daemons/replica/sample.c
+++ b/daemons/replica/sample.c
@@ -1,8 +1,8 @@
 /*
- * sample.c: one run of a sample on a worker: its stream, event by event.
+ * sample.c: one run of a sample on a worker, which streams the text as events.
  *
- * Only whole events count.  An event out of order ends the run: the text is resumed at another worker from
- * the last whole event.
+ * Only complete events are stored.  An event out of order ends the run; the next run resumes after the last
+ * complete event.
  */
 #include "sample.h"
 
@@ -11,10 +11,9 @@
 #include "runtime/clock.h"
 #include "runtime/timer.h"
 
-/* Interval of the checks for silence, ms: the longest silence changes with the worker's pace.  Not measured.
- */
+/* Maximum interval of the checks for silence, ms, since the timeout changes with the worker's pace. */
 #define SILENCE_CHECK_INTERVAL_MS 300
-/* Time that a worker is given for a sample without a give-up time, ms.  Not measured. */
+/* Maximum time left that is sent to a worker, ms; also sent if the sample has no deadline. */
 #define RUN_TIME_MAX_MS 60000
 
 QuinceSample *
@@ -34,8 +33,8 @@
   return &sample->entry->batch->items.items_val[sample->item];
 }
 
-/* By the parts of the prompt, which stay the same when a group is sent again; where its caller names none by
- * the group. */
+/* Uses the parts of the prompt, which are equal when a caller submits a group again; if the item has none,
+ * uses the batch and the group.  Returns whether @digest is set. */
 static gboolean
 make_prompt_digest (const QuinceSample *sample, QuinceRequestDigest *digest)
 {
@@ -70,7 +69,7 @@
   return quince_worker_table_find (quince_backends_get_workers (sample->backends), sample->worker_id);
 }
 
-/* The run is over: its worker has a place free. */
+/* Clears the state of the ended run and frees its slot at the worker. */
 static void
 release_worker (QuinceSample *sample)
 {
@@ -133,7 +132,8 @@
   sample->run_ended (sample, end, cause, sample->user_data);
 }
 
-/* @events have come together.  A pause in which the worker loaded weights says nothing of its pace. */
+/* Records the mean time of @events that arrived together.  Skips intervals in which the worker loaded
+ * weights, since these are not typical of its pace. */
 static void
 record_worker_pace (QuinceSample *sample, guint64 events)
 {
@@ -144,7 +144,7 @@
   sample->last_event_us = worker != NULL && worker->loading ? 0 : now;
 }
 
-/* Returns: why the run cannot go on, or NULL; @end: how it ends then. */
+/* Appends @event to the text.  Returns NULL, or the cause why the run must end; @end: how it ends. */
 static const char *
 apply_stream_event (QuinceSample *sample, const QuincePlatformEvent *event, QuinceRunEnd *end)
 {
@@ -279,7 +279,8 @@
   gint64 silent_ms = (quince_now_us () - sample->last_received_us) / 1000;
   guint timeout_ms = get_silence_timeout_ms (sample);
   quince_timer_clear (&sample->silence_timer);
-  /* A leader that was stopped reads what has come meanwhile before it takes the worker for silent. */
+  /* After a suspension of this process, reads the received bytes before it decides that the worker is silent.
+   */
   if (silent_ms >= timeout_ms && quince_http_exchange_reads_first (sample->exchange))
     sample->silence_timer = quince_timer_add (QUINCE_READ_FIRST_MS, check_silence, sample);
   else if (silent_ms >= timeout_ms)
--- a/daemons/replica/sample.h
+++ b/daemons/replica/sample.h
@@ -1,8 +1,7 @@
 /*
- * sample.h: one sample: its text so far, the run that makes it, and its reward call.
+ * sample.h: one sample: its text so far, its current run, and its reward call.
  *
- * For: the parts of the sample runner; see sample-set.h.  Owns: the text, the exchange with the worker, the
- * reward call. Relies on: the backends for connections, core/decisions/silence.h.
+ * A sample owns its text, the exchange with the worker and the reward call.
  */
 #pragma once
 
@@ -18,10 +17,10 @@
 
 typedef enum
 {
-  QUINCE_SAMPLE_WAITING, /* for a worker                                  */
-  QUINCE_SAMPLE_RUNNING, /* a worker makes its text                       */
-  QUINCE_SAMPLE_SCORING, /* its text is whole; the reward call is made    */
-  QUINCE_SAMPLE_DONE,    /* handed over                                   */
+  QUINCE_SAMPLE_WAITING, /* waits for a worker */
+  QUINCE_SAMPLE_RUNNING, /* a worker generates its text */
+  QUINCE_SAMPLE_SCORING, /* its text is complete; waits for the reward call */
+  QUINCE_SAMPLE_DONE,    /* its result is delivered */
 } QuinceSampleState;
 
 typedef struct _QuinceSample QuinceSample;
@@ -30,61 +29,63 @@
 {
   /* All fields belong to the main context. */
   QuinceBatchEntry *entry; /* not owned */
-  guint item;
+  guint item;              /* index in the batch */
   QuinceSampleState state;
-  GString *text;            /* data of the events so far, joined by line feeds */
-  guint64 last_event;       /* id of the last whole event; 0: none */
-  GArray *versions;         /* guint64: that made an event of the text */
-  guint64 replicated_event; /* backups know the text up to here */
-  gsize replicated_bytes;
+  GString *text;            /* data of the received events, joined by line feeds */
+  guint64 last_event;       /* id of the last complete event; 0: none */
+  GArray *versions;         /* guint64: weight versions that generated events of the text */
+  guint64 replicated_event; /* last event that was collected for the successor */
+  gsize replicated_bytes;   /* length of the text up to replicated_event */
   guint replicated_failures;
-  guint64 run_version;         /* of the run in progress */
-  guint failures;              /* answers of workers that failed */
-  guint unprocessable_answers; /* answers of workers that it can never be done */
-  guint reward_failures;
+  guint64 run_version;         /* weight version of the current run */
+  guint failures;              /* answers with status 500 */
+  guint unprocessable_answers; /* answers with status 422 */
+  guint reward_failures;       /* failed attempts of the reward call */
   guint runs;
-  char *avoid_worker;     /* the last one that failed it; NULL: none */
-  gint64 next_attempt_us; /* pause after a failure */
-  gint64 give_up_us;      /* monotonic; 0: never */
-  gint64 submitted_us;    /* monotonic */
-  gboolean single_version;
-  guint estimated_tokens;         /* by its caller; 0: none */
-  guint moves;                    /* runs that were cut to go on elsewhere */
+  char *avoid_worker;             /* worker of the last run; NULL: none */
+  gint64 next_attempt_us;         /* no run or reward call before, monotonic; 0: no pause */
+  gint64 give_up_us;              /* deadline, monotonic; 0: none */
+  gint64 submitted_us;            /* monotonic */
+  gboolean single_version;        /* the whole text must come from one weight version */
+  guint estimated_tokens;         /* by the caller; 0: no estimate */
+  guint moves;                    /* runs stopped to resume at a faster worker */
   QuinceRequestIdentity identity; /* see quince_sample_get_identity() */
   gboolean has_identity;
-  QuinceSendPermit permit;          /* of the run in progress */
-  QuinceAdmission logged_admission; /* that it is held or protected; else QUINCE_ADMISSION_GRANTED */
+  QuinceSendPermit permit;          /* permit of the current run */
+  QuinceAdmission logged_admission; /* last refusal that was logged; QUINCE_ADMISSION_GRANTED: none */
 
-  /* The run in progress. */
+  /* The current run. */
   char *worker_id;
   QuinceBackends *backends;
   QuinceHttpExchange *exchange;
   QuincePlatformEvents *events;
   QuinceTimer *silence_timer;
-  gint64 last_received_us;
+  gint64 last_received_us; /* when bytes of the response last arrived */
   gint64 started_us;
-  gint64 last_event_us; /* when the last event came; 0: none since weights were loaded */
-  gboolean accepted;    /* the head of a good answer has come */
+  gint64 last_event_us; /* time of the last event; 0: none since the worker loaded weights */
+  gboolean accepted;    /* a valid response head with status 200 has arrived */
   void (*run_ended) (QuinceSample *sample, QuinceRunEnd end, const char *cause, gpointer user_data);
   gpointer user_data;
 
-  QuinceForward *reward;
+  QuinceForward *reward; /* the reward call; NULL: none */
 };
 
 QuinceSample *quince_sample_new (QuinceBatchEntry *entry, guint item);
-/* Cancels what runs. */
+/* Cancels the current run and the reward call.  run_ended() is not called. */
 void quince_sample_free (QuinceSample *sample);
 const QuinceBatchItem *quince_sample_get_item (const QuinceSample *sample);
-/* Made when it is first asked for.  Samples of a group share their prompt. */
+/* Returns: (transfer none): digests of the request and its prompt, computed on first use.  Samples of a group
+ * share the digest of the prompt. */
 const QuinceRequestIdentity *quince_sample_get_identity (QuinceSample *sample);
-/* Begins a run on @worker; run_ended() is called once, never before this returns. */
+/* Starts a run on @worker.  run_ended() is called once, never before this returns, unless the sample is freed
+ * first.  @priority: at the worker; 0 is the highest */
 void quince_sample_start_run (QuinceSample *sample,
                               QuinceBackends *backends,
                               QuinceWorker *worker,
                               gint priority,
                               void (*run_ended) (QuinceSample *, QuinceRunEnd, const char *cause, gpointer),
                               gpointer user_data);
-/* Ends the run in progress for @cause; run_ended() is called. */
+/* Stops the current run and calls run_ended() with @end and @cause before it returns. */
 void quince_sample_stop_run (QuinceSample *sample, QuinceRunEnd end, const char *cause);
-/* Drops the text made so far. */
+/* Discards the text, so that the next run starts from the beginning. */
 void quince_sample_discard_text (QuinceSample *sample);
--- a/daemons/replica/step-demand.c
+++ b/daemons/replica/step-demand.c
@@ -1,5 +1,5 @@
 /*
- * step-demand.c: the demand of trainers' steps for workers of their models.
+ * step-demand.c: demand of training steps for workers of their models.
  */
 #include "step-demand.h"
 
@@ -8,8 +8,8 @@
 
 #include "platform.h"
 
-/* Tokens that @batch is expected to generate; reading its prompts takes a few percent of the time and isn't
- * counted.  Samples without an estimate count with all tokens that they may generate. */
+/* Returns the number of tokens that @batch is expected to generate.  A sample without an estimate counts with
+ * its maximum.  Prompts are not counted: reading them takes only a few percent of the time. */
 static double
 get_expected_tokens (const QuinceBatchJob *batch)
 {
--- a/daemons/replica/step-demand.h
+++ b/daemons/replica/step-demand.h
@@ -1,7 +1,5 @@
 /*
- * step-demand.h: the demand of trainers' steps for workers of their models, noted in the model placement.
- *
- * Owns no state; the placement belongs to the caller.
+ * step-demand.h: records the demand of training steps for workers of their models in the model placement.
  */
 #pragma once
 
@@ -9,12 +7,13 @@
 #include "core/weights/model-placement.h"
 #include "core/routing/route-table.h"
 
-/* A step was submitted.  @open_samples: samples of its model without a result, with those of this step */
+/* Records that @batch was submitted.  @open_samples: samples of its model without a result, including
+ * those of @batch */
 void quince_step_demand_record_batch (QuinceModelPlacement *placement,
                                       const QuinceBatchJob *batch,
                                       guint open_samples);
-/* Its trainer ended it.  @route: (nullable): %NULL: the route no longer exists, so the deadline isn't known
- * and nothing is noted */
+/* Records how long the step of @batch took, compared with the deadline of its route.  @route: (nullable): if
+ * it is %NULL or has no deadline, nothing is recorded */
 void quince_step_demand_record_end (QuinceModelPlacement *placement,
                                     const QuinceBatchJob *batch,
                                     const QuinceRoute *route);
--- a/daemons/replica/step-report.c
+++ b/daemons/replica/step-report.c
@@ -1,5 +1,5 @@
 /*
- * step-report.c: how long each part of a trainer's step took.
+ * step-report.c: duration of each phase of a training step.
  */
 #include "step-report.h"
 
@@ -16,11 +16,11 @@
 {
   gint64 submitted_us;
   gint64 first_start_us;    /* 0: no sample has started */
-  gint64 last_start_us;     /* 0: as above */
-  GArray *text_times;       /* gint64: when each text was complete, in that order */
-  gint64 last_result_us;    /* 0: no result is listed */
-  char *last_result_item;   /* owned; NULL: no result is listed */
-  char *last_result_worker; /* owned; NULL: as above */
+  gint64 last_start_us;     /* 0: no sample has started */
+  GArray *text_times;       /* gint64: completion times of texts, ascending */
+  gint64 last_result_us;    /* 0: no result */
+  char *last_result_item;   /* sample id, owned; NULL: no result */
+  char *last_result_worker; /* worker id, owned; NULL: no result */
   guint64 last_result_events;
 } Report;
 
@@ -103,7 +103,8 @@
   report->last_result_worker = g_strdup (worker != NULL ? worker : "");
 }
 
-/* When @percent of the @n_items texts were complete, ms after the submission; -1: fewer are. */
+/* Returns when @percent of the @n_items texts were complete, ms after the submission; -1 if fewer are
+ * complete. */
 static gint64
 get_texts_complete_ms (const Report *report, guint n_items, guint percent)
 {
@@ -113,7 +114,7 @@
   return (g_array_index (report->text_times, gint64, needed - 1) - report->submitted_us) / 1000;
 }
 
-/* @when_us as ms after the submission; -1 where it is 0: it has not happened. */
+/* Returns @when_us as ms after the submission, or -1 if @when_us is 0. */
 static gint64
 get_age_ms (const Report *report, gint64 when_us)
 {
