--- a/daemons/replica/sample-runner.c
+++ b/daemons/replica/sample-runner.c
@@ -193,7 +193,7 @@
   const QuinceRoute *route = quince_sample_set_get_batch_route (&runner->set, entry->batch);
   gint64 age_us = MAX (quince_wall_ms () - (gint64)entry->batch->submitted_ms, 0) * 1000;
   gint64 submitted_us = quince_now_us () - age_us;
-  guint first = runner->set.samples->len;
+  guint first_added = runner->set.samples->len;
   quince_step_reports_begin (runner->set.reports, entry, submitted_us);
   for (guint i = 0; i < entry->batch->items.items_len; i++)
     {
@@ -212,9 +212,9 @@
       g_ptr_array_add (runner->set.samples, sample);
     }
   /* pdata of an array that was never filled is NULL, which qsort() must not receive. */
-  if (runner->set.samples->len > first)
-    qsort (runner->set.samples->pdata + first, runner->set.samples->len - first, sizeof (gpointer),
-           compare_lengths);
+  if (runner->set.samples->len > first_added)
+    qsort (runner->set.samples->pdata + first_added, runner->set.samples->len - first_added,
+           sizeof (gpointer), compare_lengths);
   schedule_check (runner, 0);
 }
 
--- a/daemons/replica/sample.c
+++ b/daemons/replica/sample.c
@@ -172,14 +172,14 @@
   QuincePlatformEvent event = { 0 };
   g_autoptr (GError) error = NULL;
   const char *cause = NULL;
-  guint64 before = sample->last_event;
+  guint64 previous_event = sample->last_event;
   while (cause == NULL && quince_platform_events_next (sample->events, &event, &error))
     {
       cause = apply_stream_event (sample, &event, end);
       quince_platform_event_clear (&event);
     }
-  if (sample->last_event > before)
-    record_worker_pace (sample, sample->last_event - before);
+  if (sample->last_event > previous_event)
+    record_worker_pace (sample, sample->last_event - previous_event);
   if (error == NULL)
     return cause;
   *end = QUINCE_RUN_BROKEN;
