--- a/daemons/replica/progress-file.c
+++ b/daemons/replica/progress-file.c
@@ -21,7 +21,7 @@
 
 /* Maximum age that is assumed for stored progress, ms, in case the wall clock was stepped.  Stored
  * progress older than 5 s is not listed. */
-#define AGE_MAX_MS (20 * 1000)
+#define STORED_AGE_MAX_MS (20 * 1000)
 
 #define PROGRESS_FILE_ERROR (g_quark_from_static_string ("quince-progress-file-error"))
 
@@ -110,8 +110,8 @@
   return header.sequence;
 }
 
-/* Returns the time since @path was last written, us, by the wall clock; at most AGE_MAX_MS, and 0 if the file
- * does not exist. */
+/* Returns the time since @path was last written, us, by the wall clock; at most STORED_AGE_MAX_MS, and 0 if
+ * the file does not exist. */
 static gint64
 get_file_age_us (const char *path)
 {
@@ -119,7 +119,7 @@
   if (g_stat (path, &status) != 0)
     return 0;
   gint64 written_ms = (gint64)status.st_mtim.tv_sec * 1000 + status.st_mtim.tv_nsec / 1000000;
-  return CLAMP (quince_wall_ms () - written_ms, 0, AGE_MAX_MS) * 1000;
+  return CLAMP (quince_wall_ms () - written_ms, 0, STORED_AGE_MAX_MS) * 1000;
 }
 
 static void
--- a/daemons/replica/progress.c
+++ b/daemons/replica/progress.c
@@ -13,7 +13,7 @@
  * leader takes over within one or two seconds. */
 #define RECENT_MAX_AGE_US (5 * G_USEC_PER_SEC)
 /* Size of the listed texts after which the list ends, bytes. */
-#define LISTED_MAX_BYTES (4 * 1024 * 1024)
+#define LISTED_TEXTS_MAX_BYTES (4 * 1024 * 1024)
 
 typedef struct
 {
@@ -163,7 +163,7 @@
       g_ptr_array_add (recent, value);
   g_ptr_array_sort (recent, compare_newest_first);
   gsize bytes = 0;
-  for (guint i = 0; i < recent->len && bytes < LISTED_MAX_BYTES; i++)
+  for (guint i = 0; i < recent->len && bytes < LISTED_TEXTS_MAX_BYTES; i++)
     {
       const ProgressEntry *entry = recent->pdata[i];
       bytes += entry->text->len;
--- a/daemons/replica/sample-dispatch.c
+++ b/daemons/replica/sample-dispatch.c
@@ -76,7 +76,10 @@
 }
 
 static void
-begin_run (QuinceSampleSet *set, QuinceSample *sample, const QuinceRoute *route, QuinceWorker *worker)
+start_run_at_worker (QuinceSampleSet *set,
+                     QuinceSample *sample,
+                     const QuinceRoute *route,
+                     QuinceWorker *worker)
 {
   const QuinceBatchJob *batch = sample->entry->batch;
   sample->single_version = route->single_version;
@@ -98,7 +101,7 @@
       quince_send_guard_report_send (guard, quince_now_us (), identity, &sample->permit, worker->id);
     }
   quince_sample_start_run (sample, set->backends, worker, get_worker_priority (set, sample, route),
-                           quince_sample_outcome_run_ended, set);
+                           quince_sample_outcome_handle_run_end, set);
 }
 
 static void
@@ -189,7 +192,7 @@
   else if (is_admitted (set, sample, view.service, now_us))
     outcome = choose_worker (set, sample, &view, &request, &worker);
   if (worker != NULL)
-    begin_run (set, sample, route, worker);
+    start_run_at_worker (set, sample, route, worker);
   else
     return_permit (set, sample);
   quince_sample_service_view_clear (&view);
--- a/daemons/replica/sample-outcome.c
+++ b/daemons/replica/sample-outcome.c
@@ -25,7 +25,7 @@
   sample->state = QUINCE_SAMPLE_SCORING;
   sample->next_attempt_us = 0;
   if (quince_sample_get_item (sample)->reward.reward_len > 0)
-    quince_sample_reward_begin (set, sample);
+    quince_sample_reward_start (set, sample);
   else
     quince_sample_result_complete (set, sample, NULL, "whole");
 }
@@ -89,7 +89,10 @@
 }
 
 void
-quince_sample_outcome_run_ended (QuinceSample *sample, QuinceRunEnd end, const char *cause, gpointer data)
+quince_sample_outcome_handle_run_end (QuinceSample *sample,
+                                      QuinceRunEnd end,
+                                      const char *cause,
+                                      gpointer data)
 {
   QuinceSampleSet *set = data;
   set->running--;
--- a/daemons/replica/sample-outcome.h
+++ b/daemons/replica/sample-outcome.h
@@ -9,5 +9,7 @@
 #include "sample-set.h"
 
 /* Callback of quince_sample_start_run().  @set: the QuinceSampleSet of @sample.  May free @sample. */
-void
-quince_sample_outcome_run_ended (QuinceSample *sample, QuinceRunEnd end, const char *cause, gpointer set);
+void quince_sample_outcome_handle_run_end (QuinceSample *sample,
+                                           QuinceRunEnd end,
+                                           const char *cause,
+                                           gpointer set);
--- a/daemons/replica/sample-reward.c
+++ b/daemons/replica/sample-reward.c
@@ -15,7 +15,7 @@
 }
 
 static void
-reward_done (const QuinceForwardResult *result, gpointer data)
+handle_reward_result (const QuinceForwardResult *result, gpointer data)
 {
   QuinceSample *sample = data;
   QuinceSampleSet *set = sample->user_data;
@@ -38,7 +38,7 @@
 }
 
 void
-quince_sample_reward_begin (QuinceSampleSet *set, QuinceSample *sample)
+quince_sample_reward_start (QuinceSampleSet *set, QuinceSample *sample)
 {
   const QuinceRewardCall *call = quince_sample_get_item (sample)->reward.reward_val;
   const QuinceRoute *route = quince_sample_set_find_route (set, call->host, call->path);
@@ -66,6 +66,6 @@
                                          .target_latency_ms = route->target_latency_ms,
                                          .deadline_us = now + timeout_us,
                                          .give_up_us = now + timeout_us };
-  sample->reward
-      = quince_forward_start (set->backends, &quince_platform_forward_dialect, &request, reward_done, sample);
+  sample->reward = quince_forward_start (set->backends, &quince_platform_forward_dialect, &request,
+                                         handle_reward_result, sample);
 }
--- a/daemons/replica/sample-reward.h
+++ b/daemons/replica/sample-reward.h
@@ -8,4 +8,4 @@
 #include "sample-set.h"
 
 /* Starts the reward call of @sample.  If its route is not configured, postpones the call. */
-void quince_sample_reward_begin (QuinceSampleSet *set, QuinceSample *sample);
+void quince_sample_reward_start (QuinceSampleSet *set, QuinceSample *sample);
--- a/daemons/replica/sample-runner.c
+++ b/daemons/replica/sample-runner.c
@@ -90,7 +90,7 @@
         }
       i++;
       if (sample->state == QUINCE_SAMPLE_SCORING && sample->reward == NULL && now >= sample->next_attempt_us)
-        quince_sample_reward_begin (&runner->set, sample);
+        quince_sample_reward_start (&runner->set, sample);
       if (sample->state != QUINCE_SAMPLE_WAITING)
         continue;
       runner->set.waiting++;
