--- a/daemons/replica/batch-calls.c
+++ b/daemons/replica/batch-calls.c
@@ -13,10 +13,10 @@
 
 /* Samples without a result, over all batches; submissions beyond it are refused.  Not measured: more than two
  * steps of 8,192 samples for each of 11 trainers, and bounds the leader's memory. */
-#define SAMPLES_MAX 200000
+#define OPEN_SAMPLES_MAX 200000
 /* Unpacked texts of results, bytes: those of the last few steps of three trainers (144 texts of 8 kB each), a
  * thirtieth of the memory of the smallest leaders (270 MB). */
-#define RESULTS_UNPACKED_BYTES (8 * 1024 * 1024)
+#define RESULT_CACHE_MAX_BYTES (8 * 1024 * 1024)
 
 /* A call that waits for a commit or for a result. */
 typedef struct
@@ -28,7 +28,7 @@
   guint64 index;      /* of the record that it waits for; 0: for a result */
   guint64 position;   /* first result that it wants */
   QuinceTimer *timer; /* when it is answered without a result; NULL: it waits for a commit */
-} Waiter;
+} WaitingCall;
 
 struct _QuinceBatchCalls
 {
@@ -36,25 +36,26 @@
   QuinceLedgerNode *ledger;
   QuinceResidencyCoordinator *residency;
   QuinceBatchTable *table; /* NULL: not leading */
-  GHashTable *submitting;  /* batch id to guint64, both owned: index of its record, not committed yet */
-  GPtrArray *waiters;      /* Waiter, owned */
+  GHashTable
+      *pending_submissions; /* batch id to guint64, both owned: index of its record, not committed yet */
+  GPtrArray *waiters;       /* WaitingCall, owned */
   QuinceResultCache *results;
 };
 
 static void
-waiter_free (gpointer data)
+waiting_call_free (gpointer data)
 {
-  Waiter *waiter = data;
+  WaitingCall *waiter = data;
   quince_timer_clear (&waiter->timer);
   quince_link_unref (waiter->link);
   g_free (waiter->batch);
   g_free (waiter);
 }
 
-static Waiter *
-add_waiter (QuinceBatchCalls *calls, QuinceLink *link, guint64 id, const char *batch)
+static WaitingCall *
+add_waiting_call (QuinceBatchCalls *calls, QuinceLink *link, guint64 id, const char *batch)
 {
-  Waiter *waiter = g_new0 (Waiter, 1);
+  WaitingCall *waiter = g_new0 (WaitingCall, 1);
   waiter->calls = calls;
   waiter->link = quince_link_ref (link);
   waiter->id = id;
@@ -66,9 +67,9 @@
 /* ---- Calls that wait -------------------------------------------------- */
 
 static gboolean
-waited_enough (gpointer data)
+handle_wait_timeout (gpointer data)
 {
-  Waiter *waiter = data;
+  WaitingCall *waiter = data;
   QuinceBatchCalls *calls = waiter->calls;
   QuinceBatchEntry *entry = quince_batch_table_find (calls->table, waiter->batch);
   quince_timer_clear (&waiter->timer);
@@ -90,15 +91,15 @@
 {
   guint wait_ms = quince_platform_read_wait (headers);
   gboolean nothing = parsed->position >= entry->results->len;
-  gboolean more_may_come = !entry->ended && entry->results->len < entry->batch->items.items_len;
-  if (!nothing || !more_may_come || wait_ms == 0)
+  gboolean more_results_expected = !entry->ended && entry->results->len < entry->batch->items.items_len;
+  if (!nothing || !more_results_expected || wait_ms == 0)
     {
       quince_batch_answer_results (calls->results, link, call->id, entry, parsed->position);
       return;
     }
-  Waiter *waiter = add_waiter (calls, link, call->id, parsed->id);
+  WaitingCall *waiter = add_waiting_call (calls, link, call->id, parsed->id);
   waiter->position = parsed->position;
-  waiter->timer = quince_timer_add (wait_ms, waited_enough, waiter);
+  waiter->timer = quince_timer_add (wait_ms, handle_wait_timeout, waiter);
 }
 
 /* ---- Changes ---------------------------------------------------------- */
@@ -106,13 +107,16 @@
 /* A batch without a tenant belongs to every caller: it was submitted by a public route, or the configuration
  * names no tenants. */
 static gboolean
-belongs_to (const QuinceBatchEntry *entry, const char *tenant)
+is_visible_to_tenant (const QuinceBatchEntry *entry, const char *tenant)
 {
   return *entry->tenant == '\0' || g_str_equal (entry->tenant, tenant);
 }
 
 static void
-answer_end (QuinceBatchCalls *calls, QuinceLink *link, const QuinceServiceCall *call, QuinceBatchEntry *entry)
+handle_end_call (QuinceBatchCalls *calls,
+                 QuinceLink *link,
+                 const QuinceServiceCall *call,
+                 QuinceBatchEntry *entry)
 {
   if (entry->ended)
     {
@@ -122,7 +126,7 @@
   QuinceBatchRecord record = { .kind = QUINCE_BATCH_RECORD_END };
   record.QuinceBatchRecord_u.ended = entry->batch->id;
   guint64 index = quince_ledger_node_append (calls->ledger, &record);
-  add_waiter (calls, link, call->id, entry->batch->id)->index = index;
+  add_waiting_call (calls, link, call->id, entry->batch->id)->index = index;
 }
 
 /* Appends a submission.  A batch without a tenant is written in the form that builds without tenants read.
@@ -143,11 +147,11 @@
 }
 
 static void
-take_batch (QuinceBatchCalls *calls,
-            QuinceLink *link,
-            const QuinceServiceCall *call,
-            const QuinceHttpHeaders *headers,
-            const char *id)
+submit_batch (QuinceBatchCalls *calls,
+              QuinceLink *link,
+              const QuinceServiceCall *call,
+              const QuinceHttpHeaders *headers,
+              const char *id)
 {
   g_autoptr (GError) error = NULL;
   g_autoptr (QuinceBatchJob) batch
@@ -174,16 +178,16 @@
       quince_batch_answer_status (link, call->id, 503);
       return;
     }
-  g_hash_table_insert (calls->submitting, g_strdup (id), g_memdup2 (&index, sizeof index));
-  add_waiter (calls, link, call->id, id)->index = index;
+  g_hash_table_insert (calls->pending_submissions, g_strdup (id), g_memdup2 (&index, sizeof index));
+  add_waiting_call (calls, link, call->id, id)->index = index;
 }
 
 /* The front has checked too, but the ledger's members may have changed since. */
 static gboolean
-residency_allows (QuinceBatchCalls *calls,
-                  const QuinceServiceCall *call,
-                  const QuinceHttpHeaders *headers,
-                  const char *id)
+admit_by_residency (QuinceBatchCalls *calls,
+                    const QuinceServiceCall *call,
+                    const QuinceHttpHeaders *headers,
+                    const char *id)
 {
   g_autoptr (GPtrArray) entries = quince_batch_table_list (calls->table);
   const char *host = quince_http_headers_get (headers, "Host");
@@ -195,38 +199,38 @@
 }
 
 static void
-answer_submit (QuinceBatchCalls *calls,
-               guint unlisted,
-               QuinceLink *link,
-               const QuinceServiceCall *call,
-               const QuinceHttpHeaders *headers)
+handle_submission (QuinceBatchCalls *calls,
+                   guint unlisted,
+                   QuinceLink *link,
+                   const QuinceServiceCall *call,
+                   const QuinceHttpHeaders *headers)
 {
   QuincePlatformRequestFacts facts;
   quince_platform_read_request (headers, &facts);
   const char *id = facts.request_id;
-  const guint64 *pending = id != NULL ? g_hash_table_lookup (calls->submitting, id) : NULL;
+  const guint64 *pending = id != NULL ? g_hash_table_lookup (calls->pending_submissions, id) : NULL;
   const QuinceBatchEntry *known = id != NULL ? quince_batch_table_find (calls->table, id) : NULL;
-  if (id == NULL || (known != NULL && !belongs_to (known, quince_platform_read_tenant (headers))))
+  if (id == NULL || (known != NULL && !is_visible_to_tenant (known, quince_platform_read_tenant (headers))))
     quince_batch_answer_status (link, call->id, 400);
   else if (known != NULL)
     quince_batch_answer_status (link, call->id, 202);
   else if (pending != NULL)
-    add_waiter (calls, link, call->id, id)->index = *pending;
+    add_waiting_call (calls, link, call->id, id)->index = *pending;
   else if (!quince_ledger_node_may_accept (calls->ledger))
     quince_batch_answer_status (link, call->id, 503);
-  else if (unlisted > SAMPLES_MAX)
+  else if (unlisted > OPEN_SAMPLES_MAX)
     quince_batch_answer_status (link, call->id, 429);
-  else if (!residency_allows (calls, call, headers, id))
+  else if (!admit_by_residency (calls, call, headers, id))
     quince_batch_answer_status (link, call->id, 503);
   else
-    take_batch (calls, link, call, headers, id);
+    submit_batch (calls, link, call, headers, id);
 }
 
 /* ---- Calls ------------------------------------------------------------ */
 
 /* 404 for a batch of another tenant, as if it did not exist; 401 for a caller without a key. */
 static guint
-status_of_unknown (const QuinceBatchEntry *entry, const char *tenant, gboolean pending)
+get_unavailable_status (const QuinceBatchEntry *entry, const char *tenant, gboolean pending)
 {
   if (entry != NULL)
     return *tenant == '\0' ? 401 : 404;
@@ -234,40 +238,40 @@
 }
 
 static void
-answer_about_batch (QuinceBatchCalls *calls,
-                    QuinceLink *link,
-                    const QuinceServiceCall *call,
-                    const QuinceHttpHeaders *headers,
-                    const QuinceCall *parsed)
+handle_batch_call (QuinceBatchCalls *calls,
+                   QuinceLink *link,
+                   const QuinceServiceCall *call,
+                   const QuinceHttpHeaders *headers,
+                   const QuinceCall *parsed)
 {
   QuinceBatchEntry *entry = parsed->id != NULL ? quince_batch_table_find (calls->table, parsed->id) : NULL;
-  gboolean pending = parsed->id != NULL && g_hash_table_contains (calls->submitting, parsed->id);
+  gboolean pending = parsed->id != NULL && g_hash_table_contains (calls->pending_submissions, parsed->id);
   const char *tenant = quince_platform_read_tenant (headers);
-  if (entry == NULL || !belongs_to (entry, tenant))
-    quince_batch_answer_status (link, call->id, status_of_unknown (entry, tenant, pending));
+  if (entry == NULL || !is_visible_to_tenant (entry, tenant))
+    quince_batch_answer_status (link, call->id, get_unavailable_status (entry, tenant, pending));
   else if (parsed->kind == QUINCE_CALL_RESULTS)
     answer_results (calls, link, call, headers, parsed, entry);
   else if (parsed->kind == QUINCE_CALL_ITEM)
     quince_batch_answer_item (link, call, parsed, entry);
   else if (parsed->kind == QUINCE_CALL_END)
-    answer_end (calls, link, call, entry);
+    handle_end_call (calls, link, call, entry);
   else
     quince_batch_answer_status (link, call->id, 404);
 }
 
 void
-quince_batch_calls_take (QuinceBatchCalls *calls,
-                         guint unlisted,
-                         QuinceLink *link,
-                         const QuinceServiceCall *call)
+quince_batch_calls_handle_call (QuinceBatchCalls *calls,
+                                guint unlisted,
+                                QuinceLink *link,
+                                const QuinceServiceCall *call)
 {
   g_autoptr (QuinceHttpHeaders) headers = quince_batch_call_copy_headers (call);
   QuinceCall parsed;
   quince_platform_read_call (call->method, call->target, &parsed);
   if (parsed.kind == QUINCE_CALL_REQUEST)
-    answer_submit (calls, unlisted, link, call, headers);
+    handle_submission (calls, unlisted, link, call, headers);
   else
-    answer_about_batch (calls, link, call, headers, &parsed);
+    handle_batch_call (calls, link, call, headers, &parsed);
   quince_platform_call_clear (&parsed);
 }
 
@@ -277,22 +281,22 @@
 quince_batch_calls_link_closed (QuinceBatchCalls *calls, QuinceLink *link)
 {
   for (guint i = calls->waiters->len; i > 0; i--)
-    if (((Waiter *)calls->waiters->pdata[i - 1])->link == link)
+    if (((WaitingCall *)calls->waiters->pdata[i - 1])->link == link)
       g_ptr_array_remove_index_fast (calls->waiters, i - 1);
 }
 
 void
-quince_batch_calls_submitted (QuinceBatchCalls *calls, const char *id)
+quince_batch_calls_submission_committed (QuinceBatchCalls *calls, const char *id)
 {
-  g_hash_table_remove (calls->submitting, id);
+  g_hash_table_remove (calls->pending_submissions, id);
 }
 
 void
-quince_batch_calls_committed (QuinceBatchCalls *calls, guint64 index, guint status)
+quince_batch_calls_record_committed (QuinceBatchCalls *calls, guint64 index, guint status)
 {
   for (guint i = calls->waiters->len; i > 0; i--)
     {
-      Waiter *waiter = calls->waiters->pdata[i - 1];
+      WaitingCall *waiter = calls->waiters->pdata[i - 1];
       if (waiter->index != index)
         continue;
       quince_batch_answer_status (waiter->link, waiter->id, status);
@@ -301,11 +305,11 @@
 }
 
 void
-quince_batch_calls_listed (QuinceBatchCalls *calls, const QuinceBatchEntry *entry)
+quince_batch_calls_result_added (QuinceBatchCalls *calls, const QuinceBatchEntry *entry)
 {
   for (guint i = calls->waiters->len; i > 0; i--)
     {
-      Waiter *waiter = calls->waiters->pdata[i - 1];
+      WaitingCall *waiter = calls->waiters->pdata[i - 1];
       if (waiter->index != 0 || waiter->position >= entry->results->len
           || !g_str_equal (waiter->batch, entry->batch->id))
         continue;
@@ -315,20 +319,20 @@
 }
 
 void
-quince_batch_calls_end_all (QuinceBatchCalls *calls)
+quince_batch_calls_stop_leading (QuinceBatchCalls *calls)
 {
   for (guint i = 0; i < calls->waiters->len; i++)
     {
-      const Waiter *waiter = calls->waiters->pdata[i];
+      const WaitingCall *waiter = calls->waiters->pdata[i];
       /* A record that is in the log may still be committed by the next leader. */
       quince_batch_answer_status (waiter->link, waiter->id, waiter->index != 0 ? 504 : 503);
     }
   g_ptr_array_set_size (calls->waiters, 0);
-  g_hash_table_remove_all (calls->submitting);
+  g_hash_table_remove_all (calls->pending_submissions);
   calls->table = NULL;
   /* It may not lead again for long: the memory is given back. */
   quince_result_cache_free (calls->results);
-  calls->results = quince_result_cache_new (RESULTS_UNPACKED_BYTES);
+  calls->results = quince_result_cache_new (RESULT_CACHE_MAX_BYTES);
 }
 
 /* ---- Life ---------------------------------------------------------------- */
@@ -337,9 +341,9 @@
 quince_batch_calls_new (void)
 {
   QuinceBatchCalls *calls = g_new0 (QuinceBatchCalls, 1);
-  calls->submitting = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
-  calls->waiters = g_ptr_array_new_with_free_func (waiter_free);
-  calls->results = quince_result_cache_new (RESULTS_UNPACKED_BYTES);
+  calls->pending_submissions = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
+  calls->waiters = g_ptr_array_new_with_free_func (waiting_call_free);
+  calls->results = quince_result_cache_new (RESULT_CACHE_MAX_BYTES);
   return calls;
 }
 
@@ -347,7 +351,7 @@
 quince_batch_calls_free (QuinceBatchCalls *calls)
 {
   g_ptr_array_unref (calls->waiters);
-  g_hash_table_unref (calls->submitting);
+  g_hash_table_unref (calls->pending_submissions);
   quince_result_cache_free (calls->results);
   g_free (calls);
 }
--- a/daemons/replica/batch-calls.h
+++ b/daemons/replica/batch-calls.h
@@ -24,21 +24,21 @@
 void quince_batch_calls_set_ledger (QuinceBatchCalls *calls,
                                     QuinceLedgerNode *ledger,
                                     QuinceResidencyCoordinator *residency);
-/* The table that calls are answered from; not owned; valid until quince_batch_calls_end_all(). */
+/* The table that calls are answered from; not owned; valid until quince_batch_calls_stop_leading(). */
 void quince_batch_calls_set_table (QuinceBatchCalls *calls, QuinceBatchTable *table);
 /* Answers @call now or later; to be called while this replica leads and may answer.
  * @unlisted: samples without a result, over all batches */
-void quince_batch_calls_take (QuinceBatchCalls *calls,
-                              guint unlisted,
-                              QuinceLink *link,
-                              const QuinceServiceCall *call);
+void quince_batch_calls_handle_call (QuinceBatchCalls *calls,
+                                     guint unlisted,
+                                     QuinceLink *link,
+                                     const QuinceServiceCall *call);
 /* Its calls wait no longer. */
 void quince_batch_calls_link_closed (QuinceBatchCalls *calls, QuinceLink *link);
 /* The submission of the batch @id is in the table. */
-void quince_batch_calls_submitted (QuinceBatchCalls *calls, const char *id);
+void quince_batch_calls_submission_committed (QuinceBatchCalls *calls, const char *id);
 /* The record at @index is committed: calls that wait for it get the HTTP status @status. */
-void quince_batch_calls_committed (QuinceBatchCalls *calls, guint64 index, guint status);
+void quince_batch_calls_record_committed (QuinceBatchCalls *calls, guint64 index, guint status);
 /* @entry has another result: calls that wait for it get it. */
-void quince_batch_calls_listed (QuinceBatchCalls *calls, const QuinceBatchEntry *entry);
+void quince_batch_calls_result_added (QuinceBatchCalls *calls, const QuinceBatchEntry *entry);
 /* This replica stopped leading: answers all waiting calls and forgets the table and the unpacked results. */
-void quince_batch_calls_end_all (QuinceBatchCalls *calls);
+void quince_batch_calls_stop_leading (QuinceBatchCalls *calls);
--- a/daemons/replica/batch-service.c
+++ b/daemons/replica/batch-service.c
@@ -69,7 +69,7 @@
   service->unlisted += entry->batch->items.items_len;
   quince_step_demand_record_batch (service->placement, entry->batch,
                                    open_samples (service, entry->batch->model));
-  quince_batch_calls_submitted (service->calls, entry->batch->id);
+  quince_batch_calls_submission_committed (service->calls, entry->batch->id);
   quince_residency_coordinator_settle (service->residency, entry->batch->id);
   quince_log_notice ("batch_taken",
                      "batch=%s model=%s step=%" G_GUINT64_FORMAT
@@ -82,11 +82,11 @@
 }
 
 static void
-batch_listed (QuinceBatchEntry *entry, gpointer data)
+handle_result_added (QuinceBatchEntry *entry, gpointer data)
 {
   QuinceBatchService *service = data;
   service->unlisted--;
-  quince_batch_calls_listed (service->calls, entry);
+  quince_batch_calls_result_added (service->calls, entry);
 }
 
 static void
@@ -113,7 +113,7 @@
 }
 
 static const QuinceBatchTableCallbacks batch_table_callbacks = { .submitted = batch_submitted,
-                                                                 .listed = batch_listed,
+                                                                 .listed = handle_result_added,
                                                                  .ended = batch_ended,
                                                                  .forgotten = batch_forgotten };
 
@@ -127,7 +127,7 @@
 }
 
 void
-quince_batch_service_committed (QuinceBatchService *service, guint64 index, QuinceBatchRecord *record)
+quince_batch_service_apply_record (QuinceBatchService *service, guint64 index, QuinceBatchRecord *record)
 {
   ensure_table (service);
   gboolean submits
@@ -135,19 +135,21 @@
   guint status = submits ? 202 : 200;
   quince_batch_table_apply (service->table, index, record);
   if (index != 0)
-    quince_batch_calls_committed (service->calls, index, status);
+    quince_batch_calls_record_committed (service->calls, index, status);
 }
 
 /* ---- Calls of fronts ----------------------------------------------------- */
 
 void
-quince_batch_service_call (QuinceBatchService *service, QuinceLink *link, const QuinceServiceCall *call)
+quince_batch_service_handle_call (QuinceBatchService *service,
+                                  QuinceLink *link,
+                                  const QuinceServiceCall *call)
 {
   /* While a new leader reads its log the table is incomplete. */
   if (service->runner == NULL || !quince_ledger_node_may_answer (service->ledger))
     quince_batch_answer_status (link, call->id, 503);
   else
-    quince_batch_calls_take (service->calls, service->unlisted, link, call);
+    quince_batch_calls_handle_call (service->calls, service->unlisted, link, call);
 }
 
 void
@@ -196,7 +198,7 @@
 /* Returns: (transfer full): of @items, those of batches whose regions allow the machine @node (nullable);
  * their texts are not copied */
 static GArray *
-select_allowed (QuinceBatchService *service, const GArray *items, const char *node)
+select_allowed_progress (QuinceBatchService *service, const GArray *items, const char *node)
 {
   GArray *allowed = g_array_new (FALSE, FALSE, sizeof (QuinceProgressItem));
   for (guint i = 0; node != NULL && i < items->len; i++)
@@ -212,10 +214,10 @@
 }
 
 static void
-send_allowed (QuinceBatchService *service, const GArray *items)
+send_allowed_progress (QuinceBatchService *service, const GArray *items)
 {
   g_autoptr (GArray) allowed
-      = select_allowed (service, items, quince_ledger_node_get_successor_name (service->ledger));
+      = select_allowed_progress (service, items, quince_ledger_node_get_successor_name (service->ledger));
   if (allowed->len == 0)
     return;
   QuinceMessage message = { .kind = QUINCE_MESSAGE_PROGRESS };
@@ -238,12 +240,12 @@
   QuinceMessage message = { .kind = QUINCE_MESSAGE_PROGRESS };
   message.QuinceMessage_u.progress.items.items_val = (QuinceProgressItem *)items->data;
   message.QuinceMessage_u.progress.items.items_len = items->len;
-  send_allowed (service, items);
+  send_allowed_progress (service, items);
   quince_progress_file_append (service->progress_file, &message.QuinceMessage_u.progress);
 }
 
 void
-quince_batch_service_take_progress (QuinceBatchService *service, const QuinceSampleProgress *progress)
+quince_batch_service_apply_progress (QuinceBatchService *service, const QuinceSampleProgress *progress)
 {
   if (service->runner != NULL)
     quince_sample_runner_apply_progress (service->runner, progress);
@@ -257,13 +259,13 @@
 }
 
 double
-quince_batch_service_count_needed (QuinceBatchService *service, const char *of_service)
+quince_batch_service_get_slots_needed (QuinceBatchService *service, const char *of_service)
 {
   return service->runner != NULL ? quince_sample_runner_get_slots_needed (service->runner, of_service) : 0;
 }
 
 void
-quince_batch_service_pump (QuinceBatchService *service)
+quince_batch_service_check_samples (QuinceBatchService *service)
 {
   if (service->runner != NULL)
     quince_sample_runner_check_samples (service->runner);
@@ -316,7 +318,7 @@
 /* ---- Leadership ------------------------------------------------------- */
 
 void
-quince_batch_service_lead (QuinceBatchService *service)
+quince_batch_service_start_leading (QuinceBatchService *service)
 {
   ensure_table (service);
   service->runner = quince_sample_runner_new (service->backends, service->observer, service->progress,
@@ -340,7 +342,7 @@
 {
   quince_timer_clear (&service->forget_timer);
   g_clear_pointer (&service->runner, quince_sample_runner_free);
-  quince_batch_calls_end_all (service->calls);
+  quince_batch_calls_stop_leading (service->calls);
   quince_residency_coordinator_settle (service->residency, NULL);
   g_clear_pointer (&service->table, quince_batch_table_free);
   service->unlisted = 0;
--- a/daemons/replica/batch-service.h
+++ b/daemons/replica/batch-service.h
@@ -44,19 +44,22 @@
 
 /* ---- Events of the ledger ------------------------------------------------ */
 
-void quince_batch_service_lead (QuinceBatchService *service);
+void quince_batch_service_start_leading (QuinceBatchService *service);
 void quince_batch_service_stop_leading (QuinceBatchService *service);
 /* A record is committed, at the leader, in the order of the log.  @index: in the log; @record: (transfer
  * full) */
-void quince_batch_service_committed (QuinceBatchService *service, guint64 index, QuinceBatchRecord *record);
+void
+quince_batch_service_apply_record (QuinceBatchService *service, guint64 index, QuinceBatchRecord *record);
 /* A front's call; it is answered on @link, now or later. */
-void quince_batch_service_call (QuinceBatchService *service, QuinceLink *link, const QuinceServiceCall *call);
+void quince_batch_service_handle_call (QuinceBatchService *service,
+                                       QuinceLink *link,
+                                       const QuinceServiceCall *call);
 void quince_batch_service_link_closed (QuinceBatchService *service, QuinceLink *link);
 
 /* ---- Progress of samples -------------------------------------------------- */
 
 /* At the leader: a replica that follows it passes on what the former leader sent. */
-void quince_batch_service_take_progress (QuinceBatchService *service, const QuinceSampleProgress *progress);
+void quince_batch_service_apply_progress (QuinceBatchService *service, const QuinceSampleProgress *progress);
 /* At the leader, a few times a second: writes what samples have so far to the progress file and sends it to
  * the successor. */
 void quince_batch_service_send_progress (QuinceBatchService *service);
@@ -70,8 +73,8 @@
 void quince_batch_service_fill_load_plan (QuinceBatchService *service, QuinceLoadPlan *plan);
 /* Returns: slots at workers of @of_service that its open samples need to end in time; 0 where this replica
  * does not lead */
-double quince_batch_service_count_needed (QuinceBatchService *service, const char *of_service);
+double quince_batch_service_get_slots_needed (QuinceBatchService *service, const char *of_service);
 /* Workers or weight versions have changed: starts samples that can run now. */
-void quince_batch_service_pump (QuinceBatchService *service);
+void quince_batch_service_check_samples (QuinceBatchService *service);
 /* Sets the gauges of batches and samples. */
 void quince_batch_service_set_metrics (QuinceBatchService *service);
--- a/daemons/replica/heartbeats.c
+++ b/daemons/replica/heartbeats.c
@@ -24,7 +24,7 @@
 
 /* Logs each front that falls silent, and each that answers again. */
 static void
-log_changes (QuinceHeartbeats *heartbeats, gint64 now_us, const GPtrArray *silent)
+log_silent_changes (QuinceHeartbeats *heartbeats, gint64 now_us, const GPtrArray *silent)
 {
   g_autoptr (GHashTable) next = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   for (guint i = 0; i < silent->len; i++)
@@ -44,7 +44,7 @@
 }
 
 static void
-send_all (const QuinceHeartbeats *heartbeats, gboolean certain, const GPtrArray *silent)
+send_to_all_links (const QuinceHeartbeats *heartbeats, gboolean certain, const GPtrArray *silent)
 {
   QuinceMessage message = { .kind = QUINCE_MESSAGE_HEARTBEAT };
   QuinceHeartbeat *wire = &message.QuinceMessage_u.heartbeat;
@@ -68,8 +68,8 @@
   quince_failure_detector_remove_stale (heartbeats->fronts, now);
   gboolean certain = quince_failure_detector_get_silent (heartbeats->fronts, now, silent);
   if (certain)
-    log_changes (heartbeats, now, silent);
-  send_all (heartbeats, certain, silent);
+    log_silent_changes (heartbeats, now, silent);
+  send_to_all_links (heartbeats, certain, silent);
   return G_SOURCE_CONTINUE;
 }
 
@@ -100,7 +100,7 @@
 }
 
 void
-quince_heartbeats_lead (QuinceHeartbeats *heartbeats, GHashTable *links)
+quince_heartbeats_start_leading (QuinceHeartbeats *heartbeats, GHashTable *links)
 {
   heartbeats->links = links;
   quince_failure_detector_restart (heartbeats->fronts, quince_now_us ());
@@ -116,7 +116,7 @@
 }
 
 void
-quince_heartbeats_take_ack (QuinceHeartbeats *heartbeats, const QuinceHeartbeatAck *ack)
+quince_heartbeats_record_ack (QuinceHeartbeats *heartbeats, const QuinceHeartbeatAck *ack)
 {
   quince_failure_detector_record_heartbeat (heartbeats->fronts, quince_now_us (), ack->node);
 }
--- a/daemons/replica/heartbeats.h
+++ b/daemons/replica/heartbeats.h
@@ -21,7 +21,7 @@
 void quince_heartbeats_set_listed (QuinceHeartbeats *heartbeats, const char *name, gboolean listed);
 /* This replica leads: heartbeats are sent to @links, a borrowed set of QuinceLink, until
  * quince_heartbeats_stop_leading(). */
-void quince_heartbeats_lead (QuinceHeartbeats *heartbeats, GHashTable *links);
+void quince_heartbeats_start_leading (QuinceHeartbeats *heartbeats, GHashTable *links);
 void quince_heartbeats_stop_leading (QuinceHeartbeats *heartbeats);
 /* A front answered a heartbeat. */
-void quince_heartbeats_take_ack (QuinceHeartbeats *heartbeats, const QuinceHeartbeatAck *ack);
+void quince_heartbeats_record_ack (QuinceHeartbeats *heartbeats, const QuinceHeartbeatAck *ack);
--- a/daemons/replica/main.c
+++ b/daemons/replica/main.c
@@ -16,13 +16,13 @@
 /* Buffers of at least this size are returned to the kernel when they are freed, bytes; by default glibc
  * raises the bound to the size of the last one freed, which leaves holes in the heap.  Measured on a day of
  * light load: the leader's peak falls from 15.1 to 12.5 MB, at the same processor time (one run each). */
-#define LARGE_BUFFER_BYTES (64 * 1024)
+#define LARGE_BUFFER_MIN_BYTES (64 * 1024)
 
 int
 main (int argc, char **argv)
 {
-  mallopt (M_MMAP_THRESHOLD, LARGE_BUFFER_BYTES);
-  mallopt (M_TRIM_THRESHOLD, LARGE_BUFFER_BYTES);
+  mallopt (M_MMAP_THRESHOLD, LARGE_BUFFER_MIN_BYTES);
+  mallopt (M_TRIM_THRESHOLD, LARGE_BUFFER_MIN_BYTES);
   const QuinceProgram program = {
     .name = "quinceroute-replica",
     .doc = "Keeps the batch ledger; its leader runs samples and orders weights.",
--- a/daemons/replica/replica-leadership.c
+++ b/daemons/replica/replica-leadership.c
@@ -17,7 +17,7 @@
 };
 
 static void
-subscribe_free (gpointer data)
+subscription_free (gpointer data)
 {
   QuinceFeedSubscribe *subscribe = data;
   g_free (subscribe->revisions.revisions_val);
@@ -25,7 +25,7 @@
 }
 
 static QuinceFeedSubscribe *
-subscribe_copy (const QuinceFeedSubscribe *subscribe)
+subscription_copy (const QuinceFeedSubscribe *subscribe)
 {
   QuinceFeedSubscribe *copy = g_new0 (QuinceFeedSubscribe, 1);
   gsize length = subscribe->revisions.revisions_len;
@@ -40,7 +40,7 @@
   QuinceReplicaLeadership *leadership = g_new0 (QuinceReplicaLeadership, 1);
   leadership->parts = parts;
   leadership->subscribers
-      = g_hash_table_new_full (NULL, NULL, (GDestroyNotify)quince_link_unref, subscribe_free);
+      = g_hash_table_new_full (NULL, NULL, (GDestroyNotify)quince_link_unref, subscription_free);
   return leadership;
 }
 
@@ -69,33 +69,33 @@
 }
 
 static void
-weights_loaded (gpointer data)
+handle_weights_loaded (gpointer data)
 {
   const QuinceReplicaLeadership *leadership = data;
-  quince_batch_service_pump (leadership->parts->batches);
+  quince_batch_service_check_samples (leadership->parts->batches);
 }
 
 static void
-describe_samples (QuinceLoadPlan *plan, gpointer data)
+fill_load_plan (QuinceLoadPlan *plan, gpointer data)
 {
   const QuinceReplicaLeadership *leadership = data;
   quince_batch_service_fill_load_plan (leadership->parts->batches, plan);
 }
 
 static void
-start_orders (QuinceReplicaLeadership *leadership)
+start_weight_orders (QuinceReplicaLeadership *leadership)
 {
   const QuinceReplicaParts *parts = leadership->parts;
   const QuinceWeightOrdersOptions options = { .holder = parts->name,
                                               .placement = parts->placement,
                                               .may_order = may_order,
-                                              .loaded = weights_loaded,
-                                              .describe = describe_samples };
+                                              .loaded = handle_weights_loaded,
+                                              .describe = fill_load_plan };
   leadership->orders = quince_weight_orders_start (parts->backends, parts->observer, &options, leadership);
 }
 
 void
-quince_replica_leadership_pump_orders (QuinceReplicaLeadership *leadership)
+quince_replica_leadership_check_orders (QuinceReplicaLeadership *leadership)
 {
   if (leadership->orders != NULL)
     quince_weight_orders_pump (leadership->orders);
@@ -104,7 +104,7 @@
 /* ---- The store feed ------------------------------------------------------ */
 
 static void
-feed_subscribers (QuinceReplicaLeadership *leadership)
+add_subscribers_to_feed (QuinceReplicaLeadership *leadership)
 {
   GHashTableIter iter;
   gpointer link;
@@ -119,7 +119,7 @@
                                      QuinceLink *link,
                                      const QuinceFeedSubscribe *subscribe)
 {
-  g_hash_table_replace (leadership->subscribers, quince_link_ref (link), subscribe_copy (subscribe));
+  g_hash_table_replace (leadership->subscribers, quince_link_ref (link), subscription_copy (subscribe));
   if (leadership->feed != NULL)
     quince_store_feed_add (leadership->feed, link, subscribe);
   quince_quarantine_coordinator_add_link (leadership->parts->quarantine, link);
@@ -142,9 +142,9 @@
 }
 
 void
-quince_replica_leadership_take_report (QuinceReplicaLeadership *leadership,
-                                       QuinceLink *link,
-                                       const QuinceFeedUpdate *update)
+quince_replica_leadership_apply_report (QuinceReplicaLeadership *leadership,
+                                        QuinceLink *link,
+                                        const QuinceFeedUpdate *update)
 {
   quince_store_feed_apply_report (leadership->feed, link, update);
 }
@@ -166,22 +166,22 @@
   const QuinceReplicaParts *parts = leadership->parts;
   /* First, since nothing may be sent to machines whose regions don't allow what is in the ledger. */
   quince_replica_leadership_step_residency (leadership);
-  quince_batch_service_lead (parts->batches);
+  quince_batch_service_start_leading (parts->batches);
   if (parts->usage != NULL)
     quince_usage_collector_lead (parts->usage);
   if (parts->scaler != NULL)
     quince_worker_scaler_lead (parts->scaler);
   /* The samples that the batch service began have taken their texts from it. */
   quince_progress_store_clear (parts->progress);
-  start_orders (leadership);
+  start_weight_orders (leadership);
   /* From now on it feeds all others. */
   quince_observer_set_reserve_reader (parts->observer, TRUE);
   quince_observer_feed_ended (parts->observer);
   leadership->feed = quince_store_feed_new (parts->observer);
-  quince_heartbeats_lead (parts->heartbeats, leadership->subscribers);
+  quince_heartbeats_start_leading (parts->heartbeats, leadership->subscribers);
   quince_quarantine_coordinator_lead (parts->quarantine, leadership->subscribers);
   quince_warmup_coordinator_lead (parts->warmup);
-  feed_subscribers (leadership);
+  add_subscribers_to_feed (leadership);
 }
 
 void
--- a/daemons/replica/replica-leadership.h
+++ b/daemons/replica/replica-leadership.h
@@ -31,11 +31,11 @@
                                         const char *prefix,
                                         const QuinceMetaPage *page);
 /* While it is active: what a reserve reader read from the metadata store. */
-void quince_replica_leadership_take_report (QuinceReplicaLeadership *leadership,
-                                            QuinceLink *link,
-                                            const QuinceFeedUpdate *update);
+void quince_replica_leadership_apply_report (QuinceReplicaLeadership *leadership,
+                                             QuinceLink *link,
+                                             const QuinceFeedUpdate *update);
 /* Workers or named versions have changed: gives the weight orders that are due. */
-void quince_replica_leadership_pump_orders (QuinceReplicaLeadership *leadership);
+void quince_replica_leadership_check_orders (QuinceReplicaLeadership *leadership);
 /* Compares the batches in the ledger with the regions of its machines; to be called several times a second,
  * whether this replica leads or not. */
 void quince_replica_leadership_step_residency (QuinceReplicaLeadership *leadership);
--- a/daemons/replica/replica-ledger-events.c
+++ b/daemons/replica/replica-ledger-events.c
@@ -31,7 +31,7 @@
  * or where this log lacked a record.  Which machines may have which texts only a leader knows, so nothing is
  * sent where the configuration names regions. */
 static void
-pass_progress_on (const QuinceReplicaParts *parts, QuinceLink *leader)
+forward_progress_to_leader (const QuinceReplicaParts *parts, QuinceLink *leader)
 {
   g_autoptr (GArray) items = g_array_new (FALSE, FALSE, sizeof (QuinceProgressItem));
   quince_progress_store_list_recent (parts->progress, quince_now_us (), items);
@@ -51,7 +51,7 @@
 followed (QuinceLink *leader, gpointer data)
 {
   const QuinceReplicaParts *parts = data;
-  pass_progress_on (parts, leader);
+  forward_progress_to_leader (parts, leader);
   quince_store_feed_subscribe (parts->observer, leader);
 }
 
@@ -69,7 +69,7 @@
 {
   const QuinceReplicaParts *parts = data;
   if (!quince_usage_collector_is_record (record))
-    quince_batch_service_committed (parts->batches, index, record);
+    quince_batch_service_apply_record (parts->batches, index, record);
   else if (parts->usage != NULL)
     quince_usage_collector_committed (parts->usage, index, record);
   else
@@ -80,7 +80,7 @@
 service_call (QuinceLink *link, const QuinceServiceCall *call, gpointer data)
 {
   const QuinceReplicaParts *parts = data;
-  quince_batch_service_call (parts->batches, link, call);
+  quince_batch_service_handle_call (parts->batches, link, call);
 }
 
 static void
@@ -98,7 +98,7 @@
 
 /* Where the platform asks for no reports of usage the fronts need not keep what they sent. */
 static void
-take_usage (const QuinceReplicaParts *parts, QuinceLink *link, const QuinceUsageReport *report)
+handle_usage_report (const QuinceReplicaParts *parts, QuinceLink *link, const QuinceUsageReport *report)
 {
   if (parts->usage != NULL)
     {
@@ -119,7 +119,7 @@
 {
   if (quince_replica_leadership_is_active (parts->leadership))
     {
-      quince_batch_service_take_progress (parts->batches, progress);
+      quince_batch_service_apply_progress (parts->batches, progress);
       return;
     }
   quince_progress_store_apply (parts->progress, quince_now_us (), progress);
@@ -128,10 +128,10 @@
 
 /* At the leader from a reserve reader, elsewhere from the leader. */
 static void
-take_feed_update (const QuinceReplicaParts *parts, QuinceLink *link, const QuinceFeedUpdate *update)
+handle_feed_update (const QuinceReplicaParts *parts, QuinceLink *link, const QuinceFeedUpdate *update)
 {
   if (quince_replica_leadership_is_active (parts->leadership))
-    quince_replica_leadership_take_report (parts->leadership, link, update);
+    quince_replica_leadership_apply_report (parts->leadership, link, update);
   else
     quince_store_feed_apply (parts->observer, update);
 }
@@ -145,7 +145,9 @@
 
 /* The leader asks for the policy in force here, others for the feed. */
 static void
-take_subscribe (const QuinceReplicaParts *parts, QuinceLink *link, const QuinceFeedSubscribe *subscribe)
+handle_feed_subscribe (const QuinceReplicaParts *parts,
+                       QuinceLink *link,
+                       const QuinceFeedSubscribe *subscribe)
 {
   if (link == quince_ledger_node_get_leader (parts->ledger))
     quince_store_feed_answer (parts->observer, link, subscribe);
@@ -160,20 +162,20 @@
   switch (message->kind)
     {
     case QUINCE_MESSAGE_FEED_SUBSCRIBE:
-      take_subscribe (parts, link, &message->QuinceMessage_u.feed_subscribe);
+      handle_feed_subscribe (parts, link, &message->QuinceMessage_u.feed_subscribe);
       break;
     case QUINCE_MESSAGE_FEED_UPDATE:
-      take_feed_update (parts, link, &message->QuinceMessage_u.feed_update);
+      handle_feed_update (parts, link, &message->QuinceMessage_u.feed_update);
       break;
     case QUINCE_MESSAGE_HEARTBEAT:
       take_heartbeat (parts);
       break;
     case QUINCE_MESSAGE_HEARTBEAT_ACK:
       quince_link_take_probe_answer (link);
-      quince_heartbeats_take_ack (parts->heartbeats, &message->QuinceMessage_u.heartbeat_ack);
+      quince_heartbeats_record_ack (parts->heartbeats, &message->QuinceMessage_u.heartbeat_ack);
       break;
     case QUINCE_MESSAGE_USAGE_REPORT:
-      take_usage (parts, link, &message->QuinceMessage_u.usage_report);
+      handle_usage_report (parts, link, &message->QuinceMessage_u.usage_report);
       break;
     case QUINCE_MESSAGE_PROGRESS:
       take_progress (parts, &message->QuinceMessage_u.progress);
--- a/daemons/replica/replica-setup.c
+++ b/daemons/replica/replica-setup.c
@@ -14,14 +14,14 @@
 
 /* A leader acts on the last answers of a quorum for this long, us.  Shorter than the silence after which
  * members follow another leader, so that two never act at once (docs/DESIGN.md, "Lease"). */
-#define CONFIRM_US (600 * 1000)
+#define LEADER_LEASE_US (600 * 1000)
 /* A backup without a message of the leader for this long may follow another one, us: four heartbeats. */
-#define PRIMARY_SILENCE_US (1000 * 1000)
+#define LEADER_TIMEOUT_US (1000 * 1000)
 /* The leader takes a member out of the view after this silence, us; as long as members wait for a leader. */
-#define MEMBER_SILENCE_US (1000 * 1000)
+#define MEMBER_TIMEOUT_US (1000 * 1000)
 /* Added to orders.pause, us: a former leader has stopped giving orders when another one can be promised its
  * place; its last orders may still be on their way.  Not measured: above any round trip between machines. */
-#define ORDER_MARGIN_US (200 * 1000)
+#define ORDER_PAUSE_MARGIN_US (200 * 1000)
 
 /* ---- Parts without files and listening sockets --------------------------- */
 
@@ -76,7 +76,7 @@
 }
 
 static guint
-read_losses (const QuinceSettings *settings)
+read_tolerated_losses (const QuinceSettings *settings)
 {
   return (guint)quince_settings_get_integer (settings, "ledger", "losses");
 }
@@ -95,8 +95,8 @@
   create_quarantine (parts, settings);
   create_warmup (parts, settings);
   create_observer (parts, settings);
-  parts->residency = quince_residency_coordinator_new (parts->name, read_losses (settings) + 1, parts->store,
-                                                       parts->backends, parts->observer);
+  parts->residency = quince_residency_coordinator_new (parts->name, read_tolerated_losses (settings) + 1,
+                                                       parts->store, parts->backends, parts->observer);
   create_batches (parts, settings);
 }
 
@@ -112,7 +112,7 @@
 static gboolean
 open_ledger (QuinceReplicaParts *parts, const QuinceSettings *settings, GError **error)
 {
-  guint losses = read_losses (settings);
+  guint losses = read_tolerated_losses (settings);
   const QuinceLedgerNodeOptions options = {
     .node = parts->name,
     .listen = quince_settings_get_text (settings, "listen", "link"),
@@ -120,14 +120,14 @@
     .folder = quince_settings_get_text (settings, "ledger", "folder"),
     .several_regions = quince_topology_count_regions (quince_backends_get_topology (parts->backends)) > 1,
     .may_bootstrap = quince_settings_get_boolean (settings, "ledger", "found"),
-    .limits
-    = { .quorum = losses + 1,
-        .members_max = 2 * losses + 1,
-        .zone_losses = (guint)quince_settings_get_integer (settings, "ledger", "zone_losses"),
-        .leader_timeout_us = PRIMARY_SILENCE_US,
-        .member_timeout_us = MEMBER_SILENCE_US,
-        .lease_duration_us = CONFIRM_US,
-        .order_pause_us = quince_settings_get_duration_us (settings, "orders", "pause") + ORDER_MARGIN_US },
+    .limits = { .quorum = losses + 1,
+                .members_max = 2 * losses + 1,
+                .zone_losses = (guint)quince_settings_get_integer (settings, "ledger", "zone_losses"),
+                .leader_timeout_us = LEADER_TIMEOUT_US,
+                .member_timeout_us = MEMBER_TIMEOUT_US,
+                .lease_duration_us = LEADER_LEASE_US,
+                .order_pause_us
+                = quince_settings_get_duration_us (settings, "orders", "pause") + ORDER_PAUSE_MARGIN_US },
   };
   parts->ledger
       = quince_ledger_node_new (&options, parts->store, &quince_replica_ledger_callbacks, parts, error);
@@ -143,7 +143,7 @@
 count_needed_slots (const char *service, gpointer data)
 {
   const QuinceReplicaParts *parts = data;
-  return quince_batch_service_count_needed (parts->batches, service);
+  return quince_batch_service_get_slots_needed (parts->batches, service);
 }
 
 static void
--- a/daemons/replica/replica-store-events.c
+++ b/daemons/replica/replica-store-events.c
@@ -37,11 +37,11 @@
 version_named (const char *model, guint64 version, gpointer data)
 {
   const QuinceReplicaParts *parts = data;
-  quince_replica_leadership_pump_orders (parts->leadership);
+  quince_replica_leadership_check_orders (parts->leadership);
 }
 
 static void
-leaving_changed (const char *const *nodes, gpointer data)
+handle_draining_changed (const char *const *nodes, gpointer data)
 {
   const QuinceReplicaParts *parts = data;
   quince_retirement_set_nodes (parts->retirement, nodes);
@@ -50,12 +50,12 @@
 
 /* Workers were taken away or came back: placement, weight loads and samples follow. */
 static void
-zones_changed (gpointer data)
+handle_zones_changed (gpointer data)
 {
   const QuinceReplicaParts *parts = data;
-  quince_replica_leadership_pump_orders (parts->leadership);
+  quince_replica_leadership_check_orders (parts->leadership);
   if (parts->batches != NULL)
-    quince_batch_service_pump (parts->batches);
+    quince_batch_service_check_samples (parts->batches);
 }
 
 static void
@@ -71,6 +71,6 @@
 
 const QuinceObserverCallbacks quince_replica_store_callbacks = { .own_key = own_key,
                                                                  .version = version_named,
-                                                                 .leaving = leaving_changed,
-                                                                 .zones = zones_changed,
+                                                                 .leaving = handle_draining_changed,
+                                                                 .zones = handle_zones_changed,
                                                                  .read = store_read };
--- a/daemons/replica/replica.c
+++ b/daemons/replica/replica.c
@@ -13,7 +13,7 @@
 #include "replica-store-events.h"
 
 /* From the signal to the end of the process, ms: messages that wait in sockets are sent.  Not measured. */
-#define STOP_MS 50
+#define STOP_DELAY_MS 50
 /* Interval between two steps of the parts, ms.  Progress of samples is sent as often: a new leader repeats at
  * most so much of their texts.  Not measured: several times a second, as the parts ask for. */
 #define STEP_MS 200
@@ -80,7 +80,7 @@
 }
 
 static gboolean
-stop_now (gpointer data)
+quit_process (gpointer data)
 {
   quince_program_quit (QUINCE_EXIT_OK);
   return G_SOURCE_REMOVE;
@@ -91,13 +91,13 @@
 {
   Replica *replica = self;
   quince_timer_clear (&replica->timer);
-  replica->timer = quince_timer_add (STOP_MS, stop_now, replica);
+  replica->timer = quince_timer_add (STOP_DELAY_MS, quit_process, replica);
 }
 
 /* Also after a start that failed, when some parts are missing.  The order matters: a part goes before those
  * that it uses, and the workers' connections go last. */
 static void
-release_parts (QuinceReplicaParts *parts)
+free_parts (QuinceReplicaParts *parts)
 {
   quince_text_server_free (parts->metrics);
   quince_replica_leadership_release (parts->leadership);
@@ -126,6 +126,6 @@
   Replica *replica = self;
   quince_suspension_watch_free (replica->suspension);
   quince_timer_clear (&replica->timer);
-  release_parts (&replica->parts);
+  free_parts (&replica->parts);
   g_free (replica);
 }
--- a/daemons/replica/retirement.c
+++ b/daemons/replica/retirement.c
@@ -58,7 +58,7 @@
 }
 
 static void
-report_ended (const QuinceMetaPage *page, guint64 number, const GError *error, gpointer data)
+handle_write_result (const QuinceMetaPage *page, guint64 number, const GError *error, gpointer data)
 {
   Report *ended = data;
   if (error != NULL)
@@ -81,7 +81,7 @@
   const QuinceMetaChange change = { .key = key, .expected_revision = -1, .value = value };
   quince_log_info ("machine_emptied", "node=%s state=%s", node,
                    state == RETIREMENT_DONE ? "done" : "running");
-  quince_meta_store_change (retirement->store, &change, 1, report_ended, pending);
+  quince_meta_store_change (retirement->store, &change, 1, handle_write_result, pending);
 }
 
 void
