--- a/daemons/replica/batch-answers.c
+++ b/daemons/replica/batch-answers.c
@@ -91,16 +91,16 @@
       quince_batch_answer_status (link, id, 503);
       return;
     }
-  g_autoptr (GArray) listed = g_array_new (FALSE, FALSE, sizeof (QuincePlatformResult));
+  g_autoptr (GArray) rows = g_array_new (FALSE, FALSE, sizeof (QuincePlatformResult));
   for (guint i = 0; i < results->len; i++)
     {
       const QuinceBatchResult *result = results->pdata[i];
       QuincePlatformResult row = { entry->batch->items.items_val[result->item].id, result };
-      g_array_append_val (listed, row);
+      g_array_append_val (rows, row);
     }
   g_autoptr (GBytes) body
-      = quince_platform_format_results (entry->batch->items.items_len, position + listed->len,
-                                        (const QuincePlatformResult *)listed->data, listed->len);
+      = quince_platform_format_results (entry->batch->items.items_len, position + rows->len,
+                                        (const QuincePlatformResult *)rows->data, rows->len);
   reply (link, id, 200, "application/json", body, 0);
 }
 
--- a/daemons/replica/batch-calls.c
+++ b/daemons/replica/batch-calls.c
@@ -23,11 +23,11 @@
 {
   QuinceBatchCalls *calls;
   QuinceLink *link; /* owned */
-  guint64 id;       /* of the call */
+  guint64 call_id;  /* of the call */
   char *batch;
-  guint64 index;      /* of the record that it waits for; 0: for a result */
-  guint64 position;   /* first result that it wants */
-  QuinceTimer *timer; /* when it is answered without a result; NULL: it waits for a commit */
+  guint64 record_index; /* of the record that it waits for; 0: for a result */
+  guint64 position;     /* first result that it wants */
+  QuinceTimer *timer;   /* when it is answered without a result; NULL: it waits for a commit */
 } WaitingCall;
 
 struct _QuinceBatchCalls
@@ -38,30 +38,30 @@
   QuinceBatchTable *table; /* NULL: not leading */
   GHashTable
       *pending_submissions; /* batch id to guint64, both owned: index of its record, not committed yet */
-  GPtrArray *waiters;       /* WaitingCall, owned */
-  QuinceResultCache *results;
+  GPtrArray *waiting_calls; /* WaitingCall, owned */
+  QuinceResultCache *result_cache;
 };
 
 static void
 waiting_call_free (gpointer data)
 {
-  WaitingCall *waiter = data;
-  quince_timer_clear (&waiter->timer);
-  quince_link_unref (waiter->link);
-  g_free (waiter->batch);
-  g_free (waiter);
+  WaitingCall *waiting_call = data;
+  quince_timer_clear (&waiting_call->timer);
+  quince_link_unref (waiting_call->link);
+  g_free (waiting_call->batch);
+  g_free (waiting_call);
 }
 
 static WaitingCall *
 add_waiting_call (QuinceBatchCalls *calls, QuinceLink *link, guint64 id, const char *batch)
 {
-  WaitingCall *waiter = g_new0 (WaitingCall, 1);
-  waiter->calls = calls;
-  waiter->link = quince_link_ref (link);
-  waiter->id = id;
-  waiter->batch = g_strdup (batch);
-  g_ptr_array_add (calls->waiters, waiter);
-  return waiter;
+  WaitingCall *waiting_call = g_new0 (WaitingCall, 1);
+  waiting_call->calls = calls;
+  waiting_call->link = quince_link_ref (link);
+  waiting_call->call_id = id;
+  waiting_call->batch = g_strdup (batch);
+  g_ptr_array_add (calls->waiting_calls, waiting_call);
+  return waiting_call;
 }
 
 /* ---- Calls that wait -------------------------------------------------- */
@@ -69,15 +69,16 @@
 static gboolean
 handle_wait_timeout (gpointer data)
 {
-  WaitingCall *waiter = data;
-  QuinceBatchCalls *calls = waiter->calls;
-  QuinceBatchEntry *entry = quince_batch_table_find (calls->table, waiter->batch);
-  quince_timer_clear (&waiter->timer);
+  WaitingCall *waiting_call = data;
+  QuinceBatchCalls *calls = waiting_call->calls;
+  QuinceBatchEntry *entry = quince_batch_table_find (calls->table, waiting_call->batch);
+  quince_timer_clear (&waiting_call->timer);
   if (entry != NULL && quince_ledger_node_may_answer (calls->ledger))
-    quince_batch_answer_results (calls->results, waiter->link, waiter->id, entry, waiter->position);
+    quince_batch_answer_results (calls->result_cache, waiting_call->link, waiting_call->call_id, entry,
+                                 waiting_call->position);
   else
-    quince_batch_answer_status (waiter->link, waiter->id, 503);
-  g_ptr_array_remove_fast (calls->waiters, waiter);
+    quince_batch_answer_status (waiting_call->link, waiting_call->call_id, 503);
+  g_ptr_array_remove_fast (calls->waiting_calls, waiting_call);
   return G_SOURCE_REMOVE;
 }
 
@@ -90,16 +91,16 @@
                 QuinceBatchEntry *entry)
 {
   guint wait_ms = quince_platform_read_wait (headers);
-  gboolean nothing = parsed->position >= entry->results->len;
+  gboolean no_new_results = parsed->position >= entry->results->len;
   gboolean more_results_expected = !entry->ended && entry->results->len < entry->batch->items.items_len;
-  if (!nothing || !more_results_expected || wait_ms == 0)
+  if (!no_new_results || !more_results_expected || wait_ms == 0)
     {
-      quince_batch_answer_results (calls->results, link, call->id, entry, parsed->position);
+      quince_batch_answer_results (calls->result_cache, link, call->id, entry, parsed->position);
       return;
     }
-  WaitingCall *waiter = add_waiting_call (calls, link, call->id, parsed->id);
-  waiter->position = parsed->position;
-  waiter->timer = quince_timer_add (wait_ms, handle_wait_timeout, waiter);
+  WaitingCall *waiting_call = add_waiting_call (calls, link, call->id, parsed->id);
+  waiting_call->position = parsed->position;
+  waiting_call->timer = quince_timer_add (wait_ms, handle_wait_timeout, waiting_call);
 }
 
 /* ---- Changes ---------------------------------------------------------- */
@@ -126,7 +127,7 @@
   QuinceBatchRecord record = { .kind = QUINCE_BATCH_RECORD_END };
   record.QuinceBatchRecord_u.ended = entry->batch->id;
   guint64 index = quince_ledger_node_append (calls->ledger, &record);
-  add_waiting_call (calls, link, call->id, entry->batch->id)->index = index;
+  add_waiting_call (calls, link, call->id, entry->batch->id)->record_index = index;
 }
 
 /* Appends a submission.  A batch without a tenant is written in the form that builds without tenants read.
@@ -179,7 +180,7 @@
       return;
     }
   g_hash_table_insert (calls->pending_submissions, g_strdup (id), g_memdup2 (&index, sizeof index));
-  add_waiting_call (calls, link, call->id, id)->index = index;
+  add_waiting_call (calls, link, call->id, id)->record_index = index;
 }
 
 /* The front has checked too, but the ledger's members may have changed since. */
@@ -191,16 +192,17 @@
 {
   g_autoptr (GPtrArray) entries = quince_batch_table_list (calls->table);
   const char *host = quince_http_headers_get (headers, "Host");
-  gboolean may = quince_residency_coordinator_admit (calls->residency, entries, id, host != NULL ? host : "",
-                                                     call->target, quince_platform_read_tenant (headers));
-  if (!may)
+  gboolean admitted
+      = quince_residency_coordinator_admit (calls->residency, entries, id, host != NULL ? host : "",
+                                            call->target, quince_platform_read_tenant (headers));
+  if (!admitted)
     quince_log_warning ("batch_refused", "batch=- status=503 reason=residency");
-  return may;
+  return admitted;
 }
 
 static void
 handle_submission (QuinceBatchCalls *calls,
-                   guint unlisted,
+                   guint samples_without_result,
                    QuinceLink *link,
                    const QuinceServiceCall *call,
                    const QuinceHttpHeaders *headers)
@@ -215,10 +217,10 @@
   else if (known != NULL)
     quince_batch_answer_status (link, call->id, 202);
   else if (pending != NULL)
-    add_waiting_call (calls, link, call->id, id)->index = *pending;
+    add_waiting_call (calls, link, call->id, id)->record_index = *pending;
   else if (!quince_ledger_node_may_accept (calls->ledger))
     quince_batch_answer_status (link, call->id, 503);
-  else if (unlisted > OPEN_SAMPLES_MAX)
+  else if (samples_without_result > OPEN_SAMPLES_MAX)
     quince_batch_answer_status (link, call->id, 429);
   else if (!admit_by_residency (calls, call, headers, id))
     quince_batch_answer_status (link, call->id, 503);
@@ -261,7 +263,7 @@
 
 void
 quince_batch_calls_handle_call (QuinceBatchCalls *calls,
-                                guint unlisted,
+                                guint samples_without_result,
                                 QuinceLink *link,
                                 const QuinceServiceCall *call)
 {
@@ -269,7 +271,7 @@
   QuinceCall parsed;
   quince_platform_read_call (call->method, call->target, &parsed);
   if (parsed.kind == QUINCE_CALL_REQUEST)
-    handle_submission (calls, unlisted, link, call, headers);
+    handle_submission (calls, samples_without_result, link, call, headers);
   else
     handle_batch_call (calls, link, call, headers, &parsed);
   quince_platform_call_clear (&parsed);
@@ -280,9 +282,9 @@
 void
 quince_batch_calls_link_closed (QuinceBatchCalls *calls, QuinceLink *link)
 {
-  for (guint i = calls->waiters->len; i > 0; i--)
-    if (((WaitingCall *)calls->waiters->pdata[i - 1])->link == link)
-      g_ptr_array_remove_index_fast (calls->waiters, i - 1);
+  for (guint i = calls->waiting_calls->len; i > 0; i--)
+    if (((WaitingCall *)calls->waiting_calls->pdata[i - 1])->link == link)
+      g_ptr_array_remove_index_fast (calls->waiting_calls, i - 1);
 }
 
 void
@@ -294,45 +296,47 @@
 void
 quince_batch_calls_record_committed (QuinceBatchCalls *calls, guint64 index, guint status)
 {
-  for (guint i = calls->waiters->len; i > 0; i--)
+  for (guint i = calls->waiting_calls->len; i > 0; i--)
     {
-      WaitingCall *waiter = calls->waiters->pdata[i - 1];
-      if (waiter->index != index)
+      WaitingCall *waiting_call = calls->waiting_calls->pdata[i - 1];
+      if (waiting_call->record_index != index)
         continue;
-      quince_batch_answer_status (waiter->link, waiter->id, status);
-      g_ptr_array_remove_index_fast (calls->waiters, i - 1);
+      quince_batch_answer_status (waiting_call->link, waiting_call->call_id, status);
+      g_ptr_array_remove_index_fast (calls->waiting_calls, i - 1);
     }
 }
 
 void
 quince_batch_calls_result_added (QuinceBatchCalls *calls, const QuinceBatchEntry *entry)
 {
-  for (guint i = calls->waiters->len; i > 0; i--)
+  for (guint i = calls->waiting_calls->len; i > 0; i--)
     {
-      WaitingCall *waiter = calls->waiters->pdata[i - 1];
-      if (waiter->index != 0 || waiter->position >= entry->results->len
-          || !g_str_equal (waiter->batch, entry->batch->id))
+      WaitingCall *waiting_call = calls->waiting_calls->pdata[i - 1];
+      if (waiting_call->record_index != 0 || waiting_call->position >= entry->results->len
+          || !g_str_equal (waiting_call->batch, entry->batch->id))
         continue;
-      quince_batch_answer_results (calls->results, waiter->link, waiter->id, entry, waiter->position);
-      g_ptr_array_remove_index_fast (calls->waiters, i - 1);
+      quince_batch_answer_results (calls->result_cache, waiting_call->link, waiting_call->call_id, entry,
+                                   waiting_call->position);
+      g_ptr_array_remove_index_fast (calls->waiting_calls, i - 1);
     }
 }
 
 void
 quince_batch_calls_stop_leading (QuinceBatchCalls *calls)
 {
-  for (guint i = 0; i < calls->waiters->len; i++)
+  for (guint i = 0; i < calls->waiting_calls->len; i++)
     {
-      const WaitingCall *waiter = calls->waiters->pdata[i];
+      const WaitingCall *waiting_call = calls->waiting_calls->pdata[i];
       /* A record that is in the log may still be committed by the next leader. */
-      quince_batch_answer_status (waiter->link, waiter->id, waiter->index != 0 ? 504 : 503);
+      quince_batch_answer_status (waiting_call->link, waiting_call->call_id,
+                                  waiting_call->record_index != 0 ? 504 : 503);
     }
-  g_ptr_array_set_size (calls->waiters, 0);
+  g_ptr_array_set_size (calls->waiting_calls, 0);
   g_hash_table_remove_all (calls->pending_submissions);
   calls->table = NULL;
   /* It may not lead again for long: the memory is given back. */
-  quince_result_cache_free (calls->results);
-  calls->results = quince_result_cache_new (RESULT_CACHE_MAX_BYTES);
+  quince_result_cache_free (calls->result_cache);
+  calls->result_cache = quince_result_cache_new (RESULT_CACHE_MAX_BYTES);
 }
 
 /* ---- Life ---------------------------------------------------------------- */
@@ -342,17 +346,17 @@
 {
   QuinceBatchCalls *calls = g_new0 (QuinceBatchCalls, 1);
   calls->pending_submissions = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
-  calls->waiters = g_ptr_array_new_with_free_func (waiting_call_free);
-  calls->results = quince_result_cache_new (RESULT_CACHE_MAX_BYTES);
+  calls->waiting_calls = g_ptr_array_new_with_free_func (waiting_call_free);
+  calls->result_cache = quince_result_cache_new (RESULT_CACHE_MAX_BYTES);
   return calls;
 }
 
 void
 quince_batch_calls_free (QuinceBatchCalls *calls)
 {
-  g_ptr_array_unref (calls->waiters);
+  g_ptr_array_unref (calls->waiting_calls);
   g_hash_table_unref (calls->pending_submissions);
-  quince_result_cache_free (calls->results);
+  quince_result_cache_free (calls->result_cache);
   g_free (calls);
 }
 
--- a/daemons/replica/batch-calls.h
+++ b/daemons/replica/batch-calls.h
@@ -29,7 +29,7 @@
 /* Answers @call now or later; to be called while this replica leads and may answer.
  * @unlisted: samples without a result, over all batches */
 void quince_batch_calls_handle_call (QuinceBatchCalls *calls,
-                                     guint unlisted,
+                                     guint samples_without_result,
                                      QuinceLink *link,
                                      const QuinceServiceCall *call);
 /* Its calls wait no longer. */
--- a/daemons/replica/batch-service.c
+++ b/daemons/replica/batch-service.c
@@ -33,16 +33,16 @@
   QuinceSampleRunner *runner; /* NULL: not leading */
   QuinceTimer *forget_timer;
   /* Values: */
-  guint64 informed_successor; /* the backup that was sent all progress; 0: none */
-  guint unlisted;             /* samples without a result, over all batches */
-  gint64 keep_us;
+  guint64 synced_successor;     /* the backup that was sent all progress; 0: none */
+  guint samples_without_result; /* samples without a result, over all batches */
+  gint64 retention_us;
 };
 
 /* ---- Events of the table ------------------------------------------------- */
 
 /* Samples of @model without a result, in batches that are not ended. */
 static guint
-open_samples (QuinceBatchService *service, const char *model)
+count_open_samples (QuinceBatchService *service, const char *model)
 {
   g_autoptr (GPtrArray) entries = quince_batch_table_list (service->table);
   guint count = 0;
@@ -57,7 +57,7 @@
 
 /* For logs: "true" while records are read from the disk, before this replica leads. */
 static const char *
-replayed (const QuinceBatchService *service)
+format_replayed (const QuinceBatchService *service)
 {
   return service->runner == NULL ? "true" : "false";
 }
@@ -66,9 +66,9 @@
 batch_submitted (QuinceBatchEntry *entry, gpointer data)
 {
   QuinceBatchService *service = data;
-  service->unlisted += entry->batch->items.items_len;
+  service->samples_without_result += entry->batch->items.items_len;
   quince_step_demand_record_batch (service->placement, entry->batch,
-                                   open_samples (service, entry->batch->model));
+                                   count_open_samples (service, entry->batch->model));
   quince_batch_calls_submission_committed (service->calls, entry->batch->id);
   quince_residency_coordinator_settle (service->residency, entry->batch->id);
   quince_log_notice ("batch_taken",
@@ -76,7 +76,7 @@
                      " items=%u minimum_version=%" G_GUINT64_FORMAT " wanted_groups=%u replayed=%s",
                      entry->batch->id, entry->batch->model, (guint64)entry->batch->step,
                      entry->batch->items.items_len, (guint64)entry->batch->minimum_version,
-                     entry->batch->wanted_groups, replayed (service));
+                     entry->batch->wanted_groups, format_replayed (service));
   if (service->runner != NULL)
     quince_sample_runner_add (service->runner, entry);
 }
@@ -85,7 +85,7 @@
 handle_result_added (QuinceBatchEntry *entry, gpointer data)
 {
   QuinceBatchService *service = data;
-  service->unlisted--;
+  service->samples_without_result--;
   quince_batch_calls_result_added (service->calls, entry);
 }
 
@@ -94,7 +94,7 @@
 {
   QuinceBatchService *service = data;
   quince_log_notice ("batch_ended", "batch=%s listed=%u of=%u replayed=%s", entry->batch->id,
-                     entry->results->len, entry->batch->items.items_len, replayed (service));
+                     entry->results->len, entry->batch->items.items_len, format_replayed (service));
   if (service->runner == NULL)
     return;
   quince_step_demand_record_end (service->placement, entry->batch,
@@ -106,7 +106,7 @@
 batch_forgotten (QuinceBatchEntry *entry, gpointer data)
 {
   QuinceBatchService *service = data;
-  service->unlisted -= entry->batch->items.items_len - entry->results->len;
+  service->samples_without_result -= entry->batch->items.items_len - entry->results->len;
   quince_log_info ("batch_forgotten", "batch=%s", entry->batch->id);
   if (service->runner != NULL)
     quince_sample_runner_remove (service->runner, entry);
@@ -130,9 +130,9 @@
 quince_batch_service_apply_record (QuinceBatchService *service, guint64 index, QuinceBatchRecord *record)
 {
   ensure_table (service);
-  gboolean submits
+  gboolean is_submission
       = record->kind == QUINCE_BATCH_RECORD_SUBMIT || record->kind == QUINCE_BATCH_RECORD_SUBMIT_OF_TENANT;
-  guint status = submits ? 202 : 200;
+  guint status = is_submission ? 202 : 200;
   quince_batch_table_apply (service->table, index, record);
   if (index != 0)
     quince_batch_calls_record_committed (service->calls, index, status);
@@ -149,7 +149,7 @@
   if (service->runner == NULL || !quince_ledger_node_may_answer (service->ledger))
     quince_batch_answer_status (link, call->id, 503);
   else
-    quince_batch_calls_handle_call (service->calls, service->unlisted, link, call);
+    quince_batch_calls_handle_call (service->calls, service->samples_without_result, link, call);
 }
 
 void
@@ -161,7 +161,7 @@
 /* ---- Samples ---------------------------------------------------------- */
 
 static void
-sample_result (const QuinceBatchResult *result, gpointer data)
+append_result (const QuinceBatchResult *result, gpointer data)
 {
   QuinceBatchService *service = data;
   g_autoptr (GBytes) body = quince_batch_result_pack (result);
@@ -187,7 +187,7 @@
   return quince_ledger_node_may_answer (service->ledger);
 }
 
-static const QuinceSampleRunnerCallbacks runner_callbacks = { .result = sample_result, .may_run = may_run };
+static const QuinceSampleRunnerCallbacks runner_callbacks = { .result = append_result, .may_run = may_run };
 
 GPtrArray *
 quince_batch_service_list (QuinceBatchService *service)
@@ -233,8 +233,8 @@
     return;
   guint64 successor = quince_ledger_node_get_successor (service->ledger);
   g_autoptr (GArray) items = g_array_new (FALSE, FALSE, sizeof (QuinceProgressItem));
-  quince_sample_runner_collect_progress (service->runner, successor != service->informed_successor, items);
-  service->informed_successor = successor;
+  quince_sample_runner_collect_progress (service->runner, successor != service->synced_successor, items);
+  service->synced_successor = successor;
   if (items->len == 0)
     return;
   QuinceMessage message = { .kind = QUINCE_MESSAGE_PROGRESS };
@@ -259,9 +259,9 @@
 }
 
 double
-quince_batch_service_get_slots_needed (QuinceBatchService *service, const char *of_service)
+quince_batch_service_get_slots_needed (QuinceBatchService *service, const char *service_name)
 {
-  return service->runner != NULL ? quince_sample_runner_get_slots_needed (service->runner, of_service) : 0;
+  return service->runner != NULL ? quince_sample_runner_get_slots_needed (service->runner, service_name) : 0;
 }
 
 void
@@ -274,19 +274,19 @@
 void
 quince_batch_service_set_metrics (QuinceBatchService *service)
 {
-  gboolean leads = service->runner != NULL;
+  gboolean is_leading = service->runner != NULL;
   quince_metric_set ("quince_replica_batches", "",
                      service->table != NULL ? quince_batch_table_get_size (service->table) : 0);
   quince_metric_set ("quince_replica_samples_waiting", "",
-                     leads ? quince_sample_runner_get_n_waiting (service->runner) : 0);
+                     is_leading ? quince_sample_runner_get_n_waiting (service->runner) : 0);
   quince_metric_set ("quince_replica_samples_running", "",
-                     leads ? quince_sample_runner_get_n_running (service->runner) : 0);
+                     is_leading ? quince_sample_runner_get_n_running (service->runner) : 0);
 }
 
 /* ---- Forgetting ------------------------------------------------------- */
 
 static void
-forget (QuinceBatchService *service, const QuinceBatchEntry *entry)
+append_forget_record (QuinceBatchService *service, const QuinceBatchEntry *entry)
 {
   QuinceBatchRecord record = { .kind = QUINCE_BATCH_RECORD_FORGET };
   QuinceBatchForget *wire = &record.QuinceBatchRecord_u.forget;
@@ -297,7 +297,7 @@
 }
 
 static gboolean
-forget_old (gpointer data)
+forget_old_batches (gpointer data)
 {
   QuinceBatchService *service = data;
   if (service->table == NULL || !quince_ledger_node_may_accept (service->ledger))
@@ -309,8 +309,8 @@
       const QuinceBatchEntry *entry = entries->pdata[i];
       gboolean closed = entry->ended || entry->results->len == entry->batch->items.items_len;
       gint64 age_us = (now_ms - (gint64)entry->batch->submitted_ms) * 1000;
-      if (closed && age_us > service->keep_us)
-        forget (service, entry);
+      if (closed && age_us > service->retention_us)
+        append_forget_record (service, entry);
     }
   return G_SOURCE_CONTINUE;
 }
@@ -332,9 +332,9 @@
     }
   g_autoptr (GArray) known = g_array_new (FALSE, FALSE, sizeof (QuinceProgressItem));
   quince_progress_store_list_recent (service->progress, quince_now_us (), known);
-  if (known->len == 0 && service->unlisted > 0)
+  if (known->len == 0 && service->samples_without_result > 0)
     quince_sample_runner_await_progress (service->runner);
-  service->forget_timer = quince_timer_add (FORGET_INTERVAL_MS, forget_old, service);
+  service->forget_timer = quince_timer_add (FORGET_INTERVAL_MS, forget_old_batches, service);
 }
 
 void
@@ -345,7 +345,7 @@
   quince_batch_calls_stop_leading (service->calls);
   quince_residency_coordinator_settle (service->residency, NULL);
   g_clear_pointer (&service->table, quince_batch_table_free);
-  service->unlisted = 0;
+  service->samples_without_result = 0;
 }
 
 QuinceBatchService *
@@ -353,14 +353,14 @@
                           QuinceObserver *observer,
                           QuinceModelPlacement *placement,
                           QuinceProgressStore *progress,
-                          gint64 keep_us)
+                          gint64 retention_us)
 {
   QuinceBatchService *service = g_new0 (QuinceBatchService, 1);
   service->backends = backends;
   service->observer = observer;
   service->placement = placement;
   service->progress = progress;
-  service->keep_us = keep_us;
+  service->retention_us = retention_us;
   service->calls = quince_batch_calls_new ();
   return service;
 }
--- a/daemons/replica/batch-service.h
+++ b/daemons/replica/batch-service.h
@@ -34,7 +34,7 @@
                                               QuinceObserver *observer,
                                               QuinceModelPlacement *placement,
                                               QuinceProgressStore *progress,
-                                              gint64 keep_us);
+                                              gint64 retention_us);
 void quince_batch_service_free (QuinceBatchService *service);
 /* Set once, before any other call; none is owned. */
 void quince_batch_service_set_ledger (QuinceBatchService *service,
@@ -73,7 +73,7 @@
 void quince_batch_service_fill_load_plan (QuinceBatchService *service, QuinceLoadPlan *plan);
 /* Returns: slots at workers of @of_service that its open samples need to end in time; 0 where this replica
  * does not lead */
-double quince_batch_service_get_slots_needed (QuinceBatchService *service, const char *of_service);
+double quince_batch_service_get_slots_needed (QuinceBatchService *service, const char *service_name);
 /* Workers or weight versions have changed: starts samples that can run now. */
 void quince_batch_service_check_samples (QuinceBatchService *service);
 /* Sets the gauges of batches and samples. */
--- a/daemons/replica/heartbeats.c
+++ b/daemons/replica/heartbeats.c
@@ -9,14 +9,14 @@
 #include "runtime/timer.h"
 
 /* Period of the heartbeats, ms.  Not measured: a silent front is out of the directory within a second. */
-#define HEARTBEAT_MS 250
+#define HEARTBEAT_INTERVAL_MS 250
 /* A front that answers nothing for this long is silent, us: two heartbeats, and the way there and back. */
-#define SILENCE_US (650 * 1000)
+#define FRONT_TIMEOUT_US (650 * 1000)
 
 struct _QuinceHeartbeats
 {
   /* All fields belong to the main context. */
-  QuinceFailureDetector *fronts;
+  QuinceFailureDetector *detector;
   GHashTable *links;  /* borrowed set of QuinceLink; NULL: this replica does not lead */
   GHashTable *silent; /* names, owned: fronts that were silent at the last heartbeat */
   QuinceTimer *timer;
@@ -26,10 +26,10 @@
 static void
 log_silent_changes (QuinceHeartbeats *heartbeats, gint64 now_us, const GPtrArray *silent)
 {
-  g_autoptr (GHashTable) next = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
+  g_autoptr (GHashTable) silent_now = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   for (guint i = 0; i < silent->len; i++)
     {
-      g_hash_table_add (next, g_strdup (silent->pdata[i]));
+      g_hash_table_add (silent_now, g_strdup (silent->pdata[i]));
       if (!g_hash_table_contains (heartbeats->silent, silent->pdata[i]))
         quince_log_warning ("front_silent", "front=%s", (const char *)silent->pdata[i]);
     }
@@ -37,10 +37,10 @@
   gpointer name;
   g_hash_table_iter_init (&iter, heartbeats->silent);
   while (g_hash_table_iter_next (&iter, &name, NULL))
-    if (quince_failure_detector_is_alive (heartbeats->fronts, now_us, name))
+    if (quince_failure_detector_is_alive (heartbeats->detector, now_us, name))
       quince_log_info ("front_heard", "front=%s", (const char *)name);
   g_hash_table_unref (heartbeats->silent);
-  heartbeats->silent = g_steal_pointer (&next);
+  heartbeats->silent = g_steal_pointer (&silent_now);
 }
 
 static void
@@ -64,11 +64,11 @@
 {
   QuinceHeartbeats *heartbeats = data;
   g_autoptr (GPtrArray) silent = g_ptr_array_new ();
-  gint64 now = quince_now_us ();
-  quince_failure_detector_remove_stale (heartbeats->fronts, now);
-  gboolean certain = quince_failure_detector_get_silent (heartbeats->fronts, now, silent);
+  gint64 now_us = quince_now_us ();
+  quince_failure_detector_remove_stale (heartbeats->detector, now_us);
+  gboolean certain = quince_failure_detector_get_silent (heartbeats->detector, now_us, silent);
   if (certain)
-    log_silent_changes (heartbeats, now, silent);
+    log_silent_changes (heartbeats, now_us, silent);
   send_to_all_links (heartbeats, certain, silent);
   return G_SOURCE_CONTINUE;
 }
@@ -77,7 +77,7 @@
 quince_heartbeats_new (void)
 {
   QuinceHeartbeats *heartbeats = g_new0 (QuinceHeartbeats, 1);
-  heartbeats->fronts = quince_failure_detector_new (SILENCE_US);
+  heartbeats->detector = quince_failure_detector_new (FRONT_TIMEOUT_US);
   heartbeats->silent = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   return heartbeats;
 }
@@ -88,7 +88,7 @@
   if (heartbeats == NULL)
     return;
   quince_timer_clear (&heartbeats->timer);
-  quince_failure_detector_free (heartbeats->fronts);
+  quince_failure_detector_free (heartbeats->detector);
   g_hash_table_unref (heartbeats->silent);
   g_free (heartbeats);
 }
@@ -96,16 +96,16 @@
 void
 quince_heartbeats_set_listed (QuinceHeartbeats *heartbeats, const char *name, gboolean listed)
 {
-  quince_failure_detector_set_listed (heartbeats->fronts, quince_now_us (), name, listed);
+  quince_failure_detector_set_listed (heartbeats->detector, quince_now_us (), name, listed);
 }
 
 void
 quince_heartbeats_start_leading (QuinceHeartbeats *heartbeats, GHashTable *links)
 {
   heartbeats->links = links;
-  quince_failure_detector_restart (heartbeats->fronts, quince_now_us ());
+  quince_failure_detector_restart (heartbeats->detector, quince_now_us ());
   g_hash_table_remove_all (heartbeats->silent);
-  heartbeats->timer = quince_timer_add (HEARTBEAT_MS, send_heartbeat, heartbeats);
+  heartbeats->timer = quince_timer_add (HEARTBEAT_INTERVAL_MS, send_heartbeat, heartbeats);
 }
 
 void
@@ -118,5 +118,5 @@
 void
 quince_heartbeats_record_ack (QuinceHeartbeats *heartbeats, const QuinceHeartbeatAck *ack)
 {
-  quince_failure_detector_record_heartbeat (heartbeats->fronts, quince_now_us (), ack->node);
+  quince_failure_detector_record_heartbeat (heartbeats->detector, quince_now_us (), ack->node);
 }
--- a/daemons/replica/replica-leadership.c
+++ b/daemons/replica/replica-leadership.c
@@ -61,10 +61,10 @@
 /* ---- Weight orders ------------------------------------------------------ */
 
 static gboolean
-may_order (guint64 *fence, gpointer data)
+may_issue_orders (guint64 *fencing_token, gpointer data)
 {
   const QuinceReplicaLeadership *leadership = data;
-  *fence = quince_ledger_node_get_epoch (leadership->parts->ledger);
+  *fencing_token = quince_ledger_node_get_epoch (leadership->parts->ledger);
   return quince_ledger_node_may_order (leadership->parts->ledger);
 }
 
@@ -88,7 +88,7 @@
   const QuinceReplicaParts *parts = leadership->parts;
   const QuinceWeightOrdersOptions options = { .holder = parts->name,
                                               .placement = parts->placement,
-                                              .may_order = may_order,
+                                              .may_order = may_issue_orders,
                                               .loaded = handle_weights_loaded,
                                               .describe = fill_load_plan };
   leadership->orders = quince_weight_orders_start (parts->backends, parts->observer, &options, leadership);
--- a/daemons/replica/replica-ledger-events.c
+++ b/daemons/replica/replica-ledger-events.c
@@ -14,14 +14,14 @@
 /* ---- The lead ------------------------------------------------------------ */
 
 static void
-leads (gpointer data)
+handle_gained_lead (gpointer data)
 {
   const QuinceReplicaParts *parts = data;
   quince_replica_leadership_begin (parts->leadership);
 }
 
 static void
-stopped_leading (gpointer data)
+handle_lost_lead (gpointer data)
 {
   const QuinceReplicaParts *parts = data;
   quince_replica_leadership_end (parts->leadership);
@@ -48,7 +48,7 @@
 }
 
 static void
-followed (QuinceLink *leader, gpointer data)
+handle_leader_connected (QuinceLink *leader, gpointer data)
 {
   const QuinceReplicaParts *parts = data;
   forward_progress_to_leader (parts, leader);
@@ -56,7 +56,7 @@
 }
 
 static void
-unfollowed (gpointer data)
+handle_leader_disconnected (gpointer data)
 {
   const QuinceReplicaParts *parts = data;
   quince_observer_feeder_lost (parts->observer);
@@ -65,7 +65,7 @@
 /* ---- Records and calls --------------------------------------------------- */
 
 static void
-committed (guint64 index, QuinceBatchRecord *record, gpointer data)
+handle_commit (guint64 index, QuinceBatchRecord *record, gpointer data)
 {
   const QuinceReplicaParts *parts = data;
   if (!quince_usage_collector_is_record (record))
@@ -77,14 +77,14 @@
 }
 
 static void
-service_call (QuinceLink *link, const QuinceServiceCall *call, gpointer data)
+handle_service_call (QuinceLink *link, const QuinceServiceCall *call, gpointer data)
 {
   const QuinceReplicaParts *parts = data;
   quince_batch_service_handle_call (parts->batches, link, call);
 }
 
 static void
-link_closed (QuinceLink *link, gpointer data)
+handle_link_closed (QuinceLink *link, gpointer data)
 {
   const QuinceReplicaParts *parts = data;
   quince_batch_service_link_closed (parts->batches, link);
@@ -115,7 +115,7 @@
 
 /* At the leader from a replica that follows it, elsewhere from the leader. */
 static void
-take_progress (const QuinceReplicaParts *parts, const QuinceSampleProgress *progress)
+handle_progress (const QuinceReplicaParts *parts, const QuinceSampleProgress *progress)
 {
   if (quince_replica_leadership_is_active (parts->leadership))
     {
@@ -137,7 +137,7 @@
 }
 
 static void
-take_heartbeat (const QuinceReplicaParts *parts)
+handle_heartbeat (const QuinceReplicaParts *parts)
 {
   if (!quince_replica_leadership_is_active (parts->leadership))
     quince_observer_feeder_alive (parts->observer);
@@ -156,7 +156,7 @@
 }
 
 static void
-other_message (QuinceLink *link, const QuinceMessage *message, gpointer data)
+handle_message (QuinceLink *link, const QuinceMessage *message, gpointer data)
 {
   const QuinceReplicaParts *parts = data;
   switch (message->kind)
@@ -168,7 +168,7 @@
       handle_feed_update (parts, link, &message->QuinceMessage_u.feed_update);
       break;
     case QUINCE_MESSAGE_HEARTBEAT:
-      take_heartbeat (parts);
+      handle_heartbeat (parts);
       break;
     case QUINCE_MESSAGE_HEARTBEAT_ACK:
       quince_link_take_probe_answer (link);
@@ -178,7 +178,7 @@
       handle_usage_report (parts, link, &message->QuinceMessage_u.usage_report);
       break;
     case QUINCE_MESSAGE_PROGRESS:
-      take_progress (parts, &message->QuinceMessage_u.progress);
+      handle_progress (parts, &message->QuinceMessage_u.progress);
       break;
     default:
       if (!quince_warmup_coordinator_take (parts->warmup, link, message))
@@ -187,11 +187,12 @@
     }
 }
 
-const QuinceLedgerNodeCallbacks quince_replica_ledger_callbacks = { .leads = leads,
-                                                                    .stopped_leading = stopped_leading,
-                                                                    .committed = committed,
-                                                                    .service_call = service_call,
-                                                                    .link_closed = link_closed,
-                                                                    .followed = followed,
-                                                                    .other_message = other_message,
-                                                                    .unfollowed = unfollowed };
+const QuinceLedgerNodeCallbacks quince_replica_ledger_callbacks
+    = { .leads = handle_gained_lead,
+        .stopped_leading = handle_lost_lead,
+        .committed = handle_commit,
+        .service_call = handle_service_call,
+        .link_closed = handle_link_closed,
+        .followed = handle_leader_connected,
+        .other_message = handle_message,
+        .unfollowed = handle_leader_disconnected };
--- a/daemons/replica/replica-setup.c
+++ b/daemons/replica/replica-setup.c
@@ -68,11 +68,11 @@
 static void
 create_batches (QuinceReplicaParts *parts, const QuinceSettings *settings)
 {
-  gint64 keep_us = quince_settings_get_duration_us (settings, "ledger", "keep");
+  gint64 retention_us = quince_settings_get_duration_us (settings, "ledger", "keep");
   parts->placement = quince_model_placement_new ();
   parts->progress = quince_progress_store_new ();
   parts->batches = quince_batch_service_new (parts->backends, parts->observer, parts->placement,
-                                             parts->progress, keep_us);
+                                             parts->progress, retention_us);
 }
 
 static guint
@@ -112,7 +112,7 @@
 static gboolean
 open_ledger (QuinceReplicaParts *parts, const QuinceSettings *settings, GError **error)
 {
-  guint losses = read_tolerated_losses (settings);
+  guint tolerated_losses = read_tolerated_losses (settings);
   const QuinceLedgerNodeOptions options = {
     .node = parts->name,
     .listen = quince_settings_get_text (settings, "listen", "link"),
@@ -120,8 +120,8 @@
     .folder = quince_settings_get_text (settings, "ledger", "folder"),
     .several_regions = quince_topology_count_regions (quince_backends_get_topology (parts->backends)) > 1,
     .may_bootstrap = quince_settings_get_boolean (settings, "ledger", "found"),
-    .limits = { .quorum = losses + 1,
-                .members_max = 2 * losses + 1,
+    .limits = { .quorum = tolerated_losses + 1,
+                .members_max = 2 * tolerated_losses + 1,
                 .zone_losses = (guint)quince_settings_get_integer (settings, "ledger", "zone_losses"),
                 .leader_timeout_us = LEADER_TIMEOUT_US,
                 .member_timeout_us = MEMBER_TIMEOUT_US,
@@ -140,7 +140,7 @@
 /* ---- Calls of the platform that one machine makes for all ------------------ */
 
 static double
-count_needed_slots (const char *service, gpointer data)
+get_slots_needed (const char *service, gpointer data)
 {
   const QuinceReplicaParts *parts = data;
   return quince_batch_service_get_slots_needed (parts->batches, service);
@@ -154,7 +154,7 @@
                                               .ledger = parts->ledger,
                                               .backends = parts->backends,
                                               .observer = parts->observer,
-                                              .count_needed = count_needed_slots };
+                                              .count_needed = get_slots_needed };
   parts->scaler = quince_worker_scaler_new (&options, parts);
 }
 
--- a/daemons/replica/replica-store-events.c
+++ b/daemons/replica/replica-store-events.c
@@ -16,7 +16,7 @@
 }
 
 static void
-own_key (const char *key, GBytes *value, guint64 revision, gpointer data)
+handle_own_key (const char *key, GBytes *value, guint64 revision, gpointer data)
 {
   const QuinceReplicaParts *parts = data;
   if (g_str_equal (key, QUINCE_LEDGER_KEY) && parts->ledger != NULL)
@@ -34,7 +34,7 @@
 }
 
 static void
-version_named (const char *model, guint64 version, gpointer data)
+handle_version (const char *model, guint64 version, gpointer data)
 {
   const QuinceReplicaParts *parts = data;
   quince_replica_leadership_check_orders (parts->leadership);
@@ -59,7 +59,7 @@
 }
 
 static void
-store_read (const char *prefix, const QuinceMetaPage *page, gpointer data)
+handle_store_read (const char *prefix, const QuinceMetaPage *page, gpointer data)
 {
   const QuinceReplicaParts *parts = data;
   QuinceLink *leader = parts->ledger != NULL ? quince_ledger_node_get_leader (parts->ledger) : NULL;
@@ -69,8 +69,8 @@
     quince_store_feed_report (parts->observer, leader, prefix, page);
 }
 
-const QuinceObserverCallbacks quince_replica_store_callbacks = { .own_key = own_key,
-                                                                 .version = version_named,
+const QuinceObserverCallbacks quince_replica_store_callbacks = { .own_key = handle_own_key,
+                                                                 .version = handle_version,
                                                                  .leaving = handle_draining_changed,
                                                                  .zones = handle_zones_changed,
-                                                                 .read = store_read };
+                                                                 .read = handle_store_read };
--- a/daemons/replica/replica.c
+++ b/daemons/replica/replica.c
@@ -16,7 +16,7 @@
 #define STOP_DELAY_MS 50
 /* Interval between two steps of the parts, ms.  Progress of samples is sent as often: a new leader repeats at
  * most so much of their texts.  Not measured: several times a second, as the parts ask for. */
-#define STEP_MS 200
+#define STEP_INTERVAL_MS 200
 
 typedef struct
 {
@@ -46,7 +46,7 @@
 /* The process was suspended: what it knows may be outdated, and connections may have been closed by
  * the other side without a sign of it here. */
 static void
-resumed (gint64 away_us, gpointer data)
+handle_resume (gint64 suspended_us, gpointer data)
 {
   const QuinceReplicaParts *parts = data;
   quince_meta_store_resumed (parts->store);
@@ -67,8 +67,8 @@
       quince_replica_free (replica);
       return NULL;
     }
-  replica->timer = quince_timer_add (STEP_MS, step, &replica->parts);
-  replica->suspension = quince_suspension_watch_new (resumed, &replica->parts);
+  replica->timer = quince_timer_add (STEP_INTERVAL_MS, step, &replica->parts);
+  replica->suspension = quince_suspension_watch_new (handle_resume, &replica->parts);
   return replica;
 }
 
