--- a/daemons/replica/batch-answers.c
+++ b/daemons/replica/batch-answers.c
@@ -9,7 +9,7 @@
 
 #include "platform.h"
 
-/* Most text of results in one answer, bytes; the platform allows 1 MB with the JSON around it. */
+/* Result text in one answer.  The platform limits the whole JSON body to 1 MB. */
 #define RESULTS_MAX_BYTES (700 * 1024)
 
 /* ---- Answers ---------------------------------------------------------- */
@@ -42,8 +42,9 @@
   reply (link, id, status, "", NULL, may_retry ? quince_retry_after_ms (&refused) : 0);
 }
 
-/* Decodes the results from @position on into @results, until they have @max_bytes of text; at least one.
- * Returns: %FALSE with @error where one can't be decoded */
+/* Decodes results from @position on and appends them to @results until their text reaches @max_bytes. Decodes
+ * at least one if there is one.
+ * Returns: %FALSE with @error if a result can't be decoded */
 static gboolean
 decode_results (QuinceResultCache *cache,
                 const QuinceBatchEntry *entry,
@@ -73,7 +74,7 @@
                              guint64 position)
 {
   quince_result_cache_trim (cache);
-  g_autoptr (GPtrArray) results = g_ptr_array_new (); /* the cache's */
+  g_autoptr (GPtrArray) results = g_ptr_array_new (); /* owned by the cache */
   g_autoptr (GError) error = NULL;
   gsize max_bytes = RESULTS_MAX_BYTES;
   if (entry->results->len > position)
@@ -81,7 +82,7 @@
                                               quince_link_get_backlog (link), RESULTS_MAX_BYTES);
   if (max_bytes == 0)
     {
-      /* Not 503, which would make the front search for another leader. */
+      /* On 503 the front would search for another leader. */
       quince_batch_answer_status (link, id, 429);
       return;
     }
--- a/daemons/replica/batch-answers.h
+++ b/daemons/replica/batch-answers.h
@@ -1,8 +1,8 @@
 /*
- * batch-answers.h: formats and sends the answers to fronts' calls about batches, and reads such a call's
- * headers.
+ * batch-answers.h: formats and sends the answers to fronts' calls about batches, and reads the headers of
+ * such a call.
  *
- * Owns no state.
+ * The module is stateless.
  */
 #pragma once
 
@@ -13,18 +13,19 @@
 
 #include "platform.h"
 
-/* ---- Answers; @id: of the call ------------------------------------------ */
+/* ---- Answers; @id is the id of the call --------------------------------- */
 
-/* An answer without a body; 503 and 429 carry a Retry-After. */
+/* Sends an answer without a body.  503 and 429 carry a Retry-After. */
 void quince_batch_answer_status (QuinceLink *link, guint64 id, guint status);
-/* The results from @position on, as many as fit into one answer and as the link's allowance permits; 429
- * where it permits none.  @cache: unpacks them, and keeps them for the next call */
+/* Sends the results from @position on, as many as fit into one answer and into the link's allowance.  Sends
+ * 429 if the allowance is used up, and 503 if a result can't be decoded.
+ * @cache: unpacks the results and keeps them for later calls */
 void quince_batch_answer_results (QuinceResultCache *cache,
                                   QuinceLink *link,
                                   guint64 id,
                                   const QuinceBatchEntry *entry,
                                   guint64 position);
-/* The body of the item that @parsed names. */
+/* Sends the body of the item that @parsed names, or 404 if @entry has no such item. */
 void quince_batch_answer_item (QuinceLink *link,
                                const QuinceServiceCall *call,
                                const QuinceCall *parsed,
@@ -32,5 +33,5 @@
 
 /* ---- Calls --------------------------------------------------------------- */
 
-/* Returns: (transfer full): the headers of the caller's HTTP request */
+/* Returns: (transfer full): a copy of the headers of the caller's HTTP request */
 QuinceHttpHeaders *quince_batch_call_copy_headers (const QuinceServiceCall *call);
--- a/daemons/replica/batch-calls.c
+++ b/daemons/replica/batch-calls.c
@@ -11,11 +11,10 @@
 #include "batch-answers.h"
 #include "platform.h"
 
-/* Samples without a result, over all batches; submissions beyond it are refused.  Not measured: more than two
- * steps of 8,192 samples for each of 11 trainers, and bounds the leader's memory. */
+/* New batches are refused while more samples than this have no result, which bounds the leader's memory. Room
+ * for two steps of 8,192 samples for each of 11 trainers. */
 #define OPEN_SAMPLES_MAX 200000
-/* Unpacked texts of results, bytes: those of the last few steps of three trainers (144 texts of 8 kB each), a
- * thirtieth of the memory of the smallest leaders (270 MB). */
+/* Limit of the cache of unpacked results. */
 #define RESULT_CACHE_MAX_BYTES (8 * 1024 * 1024)
 
 /* A call that waits for a commit or for a result. */
@@ -23,11 +22,11 @@
 {
   QuinceBatchCalls *calls;
   QuinceLink *link; /* owned */
-  guint64 call_id;  /* of the call */
+  guint64 call_id;
   char *batch;
-  guint64 record_index; /* of the record that it waits for; 0: for a result */
-  guint64 position;     /* first result that it wants */
-  QuinceTimer *timer;   /* when it is answered without a result; NULL: it waits for a commit */
+  guint64 record_index; /* record whose commit it waits for; 0: it waits for a result */
+  guint64 position;     /* of the first result to return */
+  QuinceTimer *timer;   /* timeout of the wait for a result; NULL: it waits for a commit */
 } WaitingCall;
 
 struct _QuinceBatchCalls
@@ -35,10 +34,9 @@
   /* All fields belong to the main context. */
   QuinceLedgerNode *ledger;
   QuinceResidencyCoordinator *residency;
-  QuinceBatchTable *table; /* NULL: not leading */
-  GHashTable
-      *pending_submissions; /* batch id to guint64, both owned: index of its record, not committed yet */
-  GPtrArray *waiting_calls; /* WaitingCall, owned */
+  QuinceBatchTable *table;         /* NULL: not leading */
+  GHashTable *pending_submissions; /* batch id to guint64, both owned: index of the uncommitted record */
+  GPtrArray *waiting_calls;        /* WaitingCall, owned */
   QuinceResultCache *result_cache;
 };
 
@@ -64,7 +62,7 @@
   return waiting_call;
 }
 
-/* ---- Calls that wait -------------------------------------------------- */
+/* ---- Waiting calls ------------------------------------------------------ */
 
 static gboolean
 handle_wait_timeout (gpointer data)
@@ -105,8 +103,8 @@
 
 /* ---- Changes ---------------------------------------------------------- */
 
-/* A batch without a tenant belongs to every caller: it was submitted by a public route, or the configuration
- * names no tenants. */
+/* A batch without a tenant is visible to every caller: it was submitted on a public route, or the
+ * configuration has no tenants. */
 static gboolean
 is_visible_to_tenant (const QuinceBatchEntry *entry, const char *tenant)
 {
@@ -130,8 +128,9 @@
   add_waiting_call (calls, link, call->id, entry->batch->id)->record_index = index;
 }
 
-/* Appends a submission.  A batch without a tenant is written in the form that builds without tenants read.
- * Returns: the index of its record; 0: it was not appended */
+/* Appends a submission to the ledger.  A batch without a tenant is written in the older record format, which
+ * versions without tenant support can read.
+ * Returns: the index of the record, or 0 if it was not appended */
 static guint64
 append_submission (QuinceBatchCalls *calls, const QuinceBatchJob *batch, const char *tenant)
 {
@@ -183,7 +182,7 @@
   add_waiting_call (calls, link, call->id, id)->record_index = index;
 }
 
-/* The front has checked too, but the ledger's members may have changed since. */
+/* Repeats the front's residency check, since the ledger's members may have changed since then. */
 static gboolean
 admit_by_residency (QuinceBatchCalls *calls,
                     const QuinceServiceCall *call,
@@ -230,7 +229,8 @@
 
 /* ---- Calls ------------------------------------------------------------ */
 
-/* 404 for a batch of another tenant, as if it did not exist; 401 for a caller without a key. */
+/* Returns the status for a batch that is unknown or not visible to the caller: 401 without a key, 404 for a
+ * batch of another tenant, as if it did not exist, and 503 while its submission is not committed. */
 static guint
 get_unavailable_status (const QuinceBatchEntry *entry, const char *tenant, gboolean pending)
 {
@@ -277,7 +277,7 @@
   quince_platform_call_clear (&parsed);
 }
 
-/* ---- Calls that end ------------------------------------------------------ */
+/* ---- Completion of waiting calls ----------------------------------------- */
 
 void
 quince_batch_calls_link_closed (QuinceBatchCalls *calls, QuinceLink *link)
@@ -327,19 +327,19 @@
   for (guint i = 0; i < calls->waiting_calls->len; i++)
     {
       const WaitingCall *waiting_call = calls->waiting_calls->pdata[i];
-      /* A record that is in the log may still be committed by the next leader. */
+      /* The next leader may still commit a record that is in the log. */
       quince_batch_answer_status (waiting_call->link, waiting_call->call_id,
                                   waiting_call->record_index != 0 ? 504 : 503);
     }
   g_ptr_array_set_size (calls->waiting_calls, 0);
   g_hash_table_remove_all (calls->pending_submissions);
   calls->table = NULL;
-  /* It may not lead again for long: the memory is given back. */
+  /* Frees the memory, since this replica may not lead again for a long time. */
   quince_result_cache_free (calls->result_cache);
   calls->result_cache = quince_result_cache_new (RESULT_CACHE_MAX_BYTES);
 }
 
-/* ---- Life ---------------------------------------------------------------- */
+/* ---- Lifecycle ----------------------------------------------------------- */
 
 QuinceBatchCalls *
 quince_batch_calls_new (void)
--- a/daemons/replica/batch-service.c
+++ b/daemons/replica/batch-service.c
@@ -1,5 +1,5 @@
 /*
- * batch-service.c: the batches in the ledger, their samples, and when they are forgotten.
+ * batch-service.c: the batches in the ledger, their samples, and the deletion of old batches.
  */
 #include "batch-service.h"
 
@@ -13,13 +13,12 @@
 #include "batch-calls.h"
 #include "step-demand.h"
 
-/* Interval between two searches for batches to forget, ms.  Not measured: small against the time for which
- * closed batches are kept (ledger.keep, 120 s). */
+/* Interval of the check for batches past their retention (ledger.keep). */
 #define FORGET_INTERVAL_MS 5000
 
 struct _QuinceBatchService
 {
-  /* All fields belong to the main context.  Not owned: */
+  /* All fields belong to the main context.  These are borrowed: */
   QuinceLedgerNode *ledger;
   QuinceBackends *backends;
   QuinceObserver *observer;
@@ -27,20 +26,19 @@
   QuinceProgressStore *progress;
   QuinceProgressFile *progress_file;
   QuinceResidencyCoordinator *residency;
-  /* Owned: */
-  QuinceBatchTable *table; /* NULL: no record was read since this replica last led */
+  /* These are owned: */
+  QuinceBatchTable *table; /* NULL at a backup; created when a new leader reads its log */
   QuinceBatchCalls *calls;
   QuinceSampleRunner *runner; /* NULL: not leading */
   QuinceTimer *forget_timer;
-  /* Values: */
-  guint64 synced_successor;     /* the backup that was sent all progress; 0: none */
-  guint samples_without_result; /* samples without a result, over all batches */
+  guint64 synced_successor;     /* successor number that all progress was sent to; 0: none */
+  guint samples_without_result; /* over all batches, ended ones included */
   gint64 retention_us;
 };
 
 /* ---- Events of the table ------------------------------------------------- */
 
-/* Samples of @model without a result, in batches that are not ended. */
+/* Returns the number of samples of @model without a result, in batches that are not ended. */
 static guint
 count_open_samples (QuinceBatchService *service, const char *model)
 {
@@ -55,7 +53,7 @@
   return count;
 }
 
-/* For logs: "true" while records are read from the disk, before this replica leads. */
+/* Returns the value of the log key "replayed": "true" while a new leader reads its log from disk. */
 static const char *
 format_replayed (const QuinceBatchService *service)
 {
@@ -145,7 +143,7 @@
                                   QuinceLink *link,
                                   const QuinceServiceCall *call)
 {
-  /* While a new leader reads its log the table is incomplete. */
+  /* The table is incomplete while a new leader reads its log. */
   if (service->runner == NULL || !quince_ledger_node_may_answer (service->ledger))
     quince_batch_answer_status (link, call->id, 503);
   else
@@ -195,8 +193,8 @@
   return service->table != NULL ? quince_batch_table_list (service->table) : g_ptr_array_new ();
 }
 
-/* Returns: (transfer full): of @items, those of batches whose regions allow the machine @node (nullable);
- * their texts are not copied */
+/* Returns: (transfer full): the items whose batches may be sent to the machine @node under their residency
+ * rules; none if @node is %NULL.  The texts are borrowed from @items. */
 static GArray *
 select_allowed_progress (QuinceBatchService *service, const GArray *items, const char *node)
 {
@@ -283,7 +281,7 @@
                      is_leading ? quince_sample_runner_get_n_running (service->runner) : 0);
 }
 
-/* ---- Forgetting ------------------------------------------------------- */
+/* ---- Retention -------------------------------------------------------- */
 
 static void
 append_forget_record (QuinceBatchService *service, const QuinceBatchEntry *entry)
--- a/daemons/replica/batch-service.h
+++ b/daemons/replica/batch-service.h
@@ -1,9 +1,9 @@
 /*
- * batch-service.h: the batches in the ledger: their records become a table, their samples run at the leader.
+ * batch-service.h: the leader's table of the batches in the ledger, and the runs of their samples.
  *
- * Owns the table of batches, the sample runner (at the leader), the calls of fronts that wait (batch-calls.h)
- * and the timer by which old batches are forgotten.  Relies on the ledger node, which calls it with committed
- * records and changes of the lead, and to which it appends.
+ * Committed records of the ledger are applied to the table.  The service appends results and the deletion of
+ * old batches to the ledger.  It owns the table, the sample runner, the fronts' waiting calls (batch-calls.h)
+ * and the retention timer.
  */
 #pragma once
 
@@ -22,13 +22,14 @@
 
 /**
  * quince_batch_service_new:
- * @backends, @observer: (transfer none): of this process
- * @placement: (transfer none): notes the demand for each model
+ * @backends: (transfer none): workers and the connections to them
+ * @observer: (transfer none): configuration and workers as read from the metadata store
+ * @placement: (transfer none): records the demand for each model
  * @progress: (transfer none): texts of samples that a former leader sent to this replica
- * @keep_us: a batch that is ended, or whose samples all have a result, is forgotten this long after its
- *   submission, by the wall clock
+ * @retention_us: time from the submission of a batch to its deletion, by the wall clock.  Only ended batches
+ * and those with all results are deleted
  *
- * All must outlive the service.
+ * The objects must outlive the service.
  */
 QuinceBatchService *quince_batch_service_new (QuinceBackends *backends,
                                               QuinceObserver *observer,
@@ -36,7 +37,7 @@
                                               QuinceProgressStore *progress,
                                               gint64 retention_us);
 void quince_batch_service_free (QuinceBatchService *service);
-/* Set once, before any other call; none is owned. */
+/* Call once, before any other function.  All arguments: (transfer none): must outlive the service */
 void quince_batch_service_set_ledger (QuinceBatchService *service,
                                       QuinceLedgerNode *ledger,
                                       QuinceProgressFile *progress_file,
@@ -44,13 +45,17 @@
 
 /* ---- Events of the ledger ------------------------------------------------ */
 
+/* This replica leads and has read its log: starts the samples of all open batches. */
 void quince_batch_service_start_leading (QuinceBatchService *service);
+/* This replica no longer leads, or lost leadership while it read its log: stops all samples, answers the
+ * waiting calls and drops the table. */
 void quince_batch_service_stop_leading (QuinceBatchService *service);
-/* A record is committed, at the leader, in the order of the log.  @index: in the log; @record: (transfer
- * full) */
+/* Applies a committed record at the leader, in the order of the log, and answers the calls that wait for it.
+ * @index: of the record in the log; 0: no call can wait for it
+ * @record: (transfer full) */
 void
 quince_batch_service_apply_record (QuinceBatchService *service, guint64 index, QuinceBatchRecord *record);
-/* A front's call; it is answered on @link, now or later. */
+/* Answers a front's call on @link, immediately or later. */
 void quince_batch_service_handle_call (QuinceBatchService *service,
                                        QuinceLink *link,
                                        const QuinceServiceCall *call);
@@ -58,23 +63,23 @@
 
 /* ---- Progress of samples -------------------------------------------------- */
 
-/* At the leader: a replica that follows it passes on what the former leader sent. */
+/* Applies progress that a backup received from the former leader.  Does nothing unless this replica leads. */
 void quince_batch_service_apply_progress (QuinceBatchService *service, const QuinceSampleProgress *progress);
-/* At the leader, a few times a second: writes what samples have so far to the progress file and sends it to
- * the successor. */
+/* Writes the progress of samples since the last call to the progress file, and sends it to the successor as
+ * far as residency rules allow.  Call several times a second.  Does nothing unless this replica leads. */
 void quince_batch_service_send_progress (QuinceBatchService *service);
 
 /* ---- Samples -------------------------------------------------------------- */
 
-/* Returns: (transfer container) (element-type QuinceBatchEntry): batches in the ledger; at a new leader those
- * read so far, elsewhere none */
+/* Returns: (transfer container) (element-type QuinceBatchEntry): the batches in the ledger; those read so far
+ * while a new leader reads its log; none at a backup */
 GPtrArray *quince_batch_service_list (QuinceBatchService *service);
-/* Adds the samples that wait and run to @plan; nothing where this replica does not lead. */
+/* Adds waiting and running samples to @plan; none unless this replica leads. */
 void quince_batch_service_fill_load_plan (QuinceBatchService *service, QuinceLoadPlan *plan);
-/* Returns: slots at workers of @of_service that its open samples need to end in time; 0 where this replica
- * does not lead */
+/* Returns: the number of worker slots that the open samples of @service_name need to meet their deadlines; 0
+ * unless this replica leads */
 double quince_batch_service_get_slots_needed (QuinceBatchService *service, const char *service_name);
-/* Workers or weight versions have changed: starts samples that can run now. */
+/* Starts the samples that can run.  Call after a change of workers or weight versions. */
 void quince_batch_service_check_samples (QuinceBatchService *service);
 /* Sets the gauges of batches and samples. */
 void quince_batch_service_set_metrics (QuinceBatchService *service);
--- a/daemons/replica/heartbeats.c
+++ b/daemons/replica/heartbeats.c
@@ -1,5 +1,5 @@
 /*
- * heartbeats.c: heartbeats of the leader to fronts, and its log of silent fronts.
+ * heartbeats.c: sends the leader's heartbeats to fronts, and logs fronts that stop answering.
  */
 #include "heartbeats.h"
 
@@ -8,21 +8,21 @@
 #include "runtime/clock.h"
 #include "runtime/timer.h"
 
-/* Period of the heartbeats, ms.  Not measured: a silent front is out of the directory within a second. */
+/* Short enough that a failed front leaves the directory within a second. */
 #define HEARTBEAT_INTERVAL_MS 250
-/* A front that answers nothing for this long is silent, us: two heartbeats, and the way there and back. */
+/* A front without an answer for this long is silent: two heartbeat intervals and a round trip. */
 #define FRONT_TIMEOUT_US (650 * 1000)
 
 struct _QuinceHeartbeats
 {
   /* All fields belong to the main context. */
   QuinceFailureDetector *detector;
-  GHashTable *links;  /* borrowed set of QuinceLink; NULL: this replica does not lead */
-  GHashTable *silent; /* names, owned: fronts that were silent at the last heartbeat */
+  GHashTable *links;  /* borrowed set of QuinceLink; NULL: not leading */
+  GHashTable *silent; /* owned names of the fronts that were silent at the last reliable check */
   QuinceTimer *timer;
 };
 
-/* Logs each front that falls silent, and each that answers again. */
+/* Logs each front that becomes silent and each that answers again. */
 static void
 log_silent_changes (QuinceHeartbeats *heartbeats, gint64 now_us, const GPtrArray *silent)
 {
--- a/daemons/replica/heartbeats.h
+++ b/daemons/replica/heartbeats.h
@@ -1,11 +1,10 @@
 /*
- * heartbeats.h: the leader's heartbeats to fronts, which name the fronts that answer none.
+ * heartbeats.h: the leader's heartbeats to fronts, which list the silent fronts.
  *
- * A front that is dead, frozen or cut off leaves the directory's answers within a second, also while the
- * metadata store is down and its lease cannot expire.
+ * The directory omits a front that is dead, frozen or partitioned within a second, even while the metadata
+ * store is down and the front's lease cannot expire.
  *
- * Owns a timer and the failure detector of fronts.  Relies on its owner for the links.  All calls belong to
- * the main context.
+ * The module owns a timer and the failure detector of fronts.  Call all functions in the main context.
  */
 #pragma once
 
@@ -17,11 +16,11 @@
 
 QuinceHeartbeats *quince_heartbeats_new (void);
 void quince_heartbeats_free (QuinceHeartbeats *heartbeats);
-/* The metadata store lists the front @name, or does not any more. */
+/* Records whether the metadata store lists the front @name. */
 void quince_heartbeats_set_listed (QuinceHeartbeats *heartbeats, const char *name, gboolean listed);
-/* This replica leads: heartbeats are sent to @links, a borrowed set of QuinceLink, until
- * quince_heartbeats_stop_leading(). */
+/* Starts sending heartbeats.  @links: (transfer none): set of QuinceLink, valid until
+ * quince_heartbeats_stop_leading() */
 void quince_heartbeats_start_leading (QuinceHeartbeats *heartbeats, GHashTable *links);
 void quince_heartbeats_stop_leading (QuinceHeartbeats *heartbeats);
-/* A front answered a heartbeat. */
+/* Records that a front answered a heartbeat. */
 void quince_heartbeats_record_ack (QuinceHeartbeats *heartbeats, const QuinceHeartbeatAck *ack);
--- a/daemons/replica/main.c
+++ b/daemons/replica/main.c
@@ -1,8 +1,8 @@
 /*
  * main.c: the daemon quinceroute-replica.
  *
- * A replica keeps a copy of the batch ledger on its disk.  The leader of the replicas answers calls about
- * batches, runs their samples on workers and orders new weights.
+ * A replica stores a copy of the batch ledger on disk.  The leader of the replicas answers calls about
+ * batches, runs their samples on workers and orders workers to load new weights.
  */
 #include <malloc.h>
 
@@ -13,9 +13,8 @@
 #include "replica-settings.h"
 #include "replica.h"
 
-/* Buffers of at least this size are returned to the kernel when they are freed, bytes; by default glibc
- * raises the bound to the size of the last one freed, which leaves holes in the heap.  Measured on a day of
- * light load: the leader's peak falls from 15.1 to 12.5 MB, at the same processor time (one run each). */
+/* Freed buffers of at least this size are returned to the kernel.  A fixed threshold prevents glibc from
+ * raising it to the size of each freed buffer, which fragments the heap. */
 #define LARGE_BUFFER_MIN_BYTES (64 * 1024)
 
 int
@@ -25,7 +24,7 @@
   mallopt (M_TRIM_THRESHOLD, LARGE_BUFFER_MIN_BYTES);
   const QuinceProgram program = {
     .name = "quinceroute-replica",
-    .doc = "Keeps the batch ledger; its leader runs samples and orders weights.",
+    .doc = "Stores the batch ledger; the leader runs samples and orders workers to load weights.",
     .specs = quince_replica_setting_specs,
     .n_specs = quince_replica_n_setting_specs,
     .name_section = "node",
--- a/daemons/replica/replica-leadership.c
+++ b/daemons/replica/replica-leadership.c
@@ -1,5 +1,5 @@
 /*
- * replica-leadership.c: what a replica does while it leads the ledger.
+ * replica-leadership.c: starts and stops the leader's tasks, and owns its weight orders and store feed.
  */
 #include "replica-leadership.h"
 
@@ -149,7 +149,7 @@
   quince_store_feed_apply_report (leadership->feed, link, update);
 }
 
-/* ---- Begin and end ------------------------------------------------------- */
+/* ---- Start and stop ------------------------------------------------------ */
 
 void
 quince_replica_leadership_step_residency (QuinceReplicaLeadership *leadership)
@@ -164,17 +164,17 @@
 quince_replica_leadership_begin (QuinceReplicaLeadership *leadership)
 {
   const QuinceReplicaParts *parts = leadership->parts;
-  /* First, since nothing may be sent to machines whose regions don't allow what is in the ledger. */
+  /* Must run first: texts must not be sent to machines in regions that the batches don't allow. */
   quince_replica_leadership_step_residency (leadership);
   quince_batch_service_start_leading (parts->batches);
   if (parts->usage != NULL)
     quince_usage_collector_lead (parts->usage);
   if (parts->scaler != NULL)
     quince_worker_scaler_lead (parts->scaler);
-  /* The samples that the batch service began have taken their texts from it. */
+  /* No longer needed: the batch service has resumed its samples from the progress store. */
   quince_progress_store_clear (parts->progress);
   start_weight_orders (leadership);
-  /* From now on it feeds all others. */
+  /* This replica feeds all other processes from here on. */
   quince_observer_set_reserve_reader (parts->observer, TRUE);
   quince_observer_feed_ended (parts->observer);
   leadership->feed = quince_store_feed_new (parts->observer);
--- a/daemons/replica/replica-leadership.h
+++ b/daemons/replica/replica-leadership.h
@@ -1,9 +1,8 @@
 /*
- * replica-leadership.h: what a replica does while it leads the ledger.
+ * replica-leadership.h: starts and stops the leader's tasks in a fixed order.
  *
- * Owns the weight orders and the store feed of the leader, and the set of links whose processes subscribed to
- * the feed; the set is kept while another replica leads too, since this one may lead a moment later.  Relies
- * on the other parts, which begin and end their part of the lead in a fixed order.
+ * The module owns the leader's weight orders and store feed, and the set of links that subscribed to the
+ * feed.  Backups keep the set too, so that the feed works as soon as they lead.
  */
 #pragma once
 
@@ -12,30 +11,32 @@
 /* @parts: (transfer none): must outlive the leadership */
 QuinceReplicaLeadership *quince_replica_leadership_new (const QuinceReplicaParts *parts);
 void quince_replica_leadership_free (QuinceReplicaLeadership *leadership);
-/* This replica leads from now on, and its batches are read from the log. */
+/* Starts the leader's tasks.  Call when this replica leads and has read its log. */
 void quince_replica_leadership_begin (QuinceReplicaLeadership *leadership);
-/* It leads no more, or lost the lead before begin() was called. */
+/* Stops the leader's tasks.  Call when this replica no longer leads, also if it lost leadership before
+ * quince_replica_leadership_begin(). */
 void quince_replica_leadership_end (QuinceReplicaLeadership *leadership);
-/* Ends the weight orders and the feed alone: the process ends. */
+/* Stops only the weight orders and the feed.  Call when the process ends. */
 void quince_replica_leadership_release (QuinceReplicaLeadership *leadership);
-/* Between begin() and end(). */
+/* Returns %TRUE between quince_replica_leadership_begin() and quince_replica_leadership_end(). */
 gboolean quince_replica_leadership_is_active (const QuinceReplicaLeadership *leadership);
 
-/* The process at the other end of @link subscribes to the store feed from the revisions in @subscribe on. */
+/* Subscribes the peer of @link to the store feed, from the revisions in @subscribe on. */
 void quince_replica_leadership_subscribe (QuinceReplicaLeadership *leadership,
                                           QuinceLink *link,
                                           const QuinceFeedSubscribe *subscribe);
+/* Ends the subscription of @link. */
 void quince_replica_leadership_link_closed (QuinceReplicaLeadership *leadership, QuinceLink *link);
-/* While it is active: what this process read from the metadata store goes to the subscribers. */
+/* Sends a page that this process read from the metadata store to the subscribers.  Call only while active. */
 void quince_replica_leadership_publish (QuinceReplicaLeadership *leadership,
                                         const char *prefix,
                                         const QuinceMetaPage *page);
-/* While it is active: what a reserve reader read from the metadata store. */
+/* Applies a page that a reserve reader read from the metadata store.  Call only while active. */
 void quince_replica_leadership_apply_report (QuinceReplicaLeadership *leadership,
                                              QuinceLink *link,
                                              const QuinceFeedUpdate *update);
-/* Workers or named versions have changed: gives the weight orders that are due. */
+/* Issues the weight orders that are due.  Call after a change of workers or weight versions. */
 void quince_replica_leadership_check_orders (QuinceReplicaLeadership *leadership);
-/* Compares the batches in the ledger with the regions of its machines; to be called several times a second,
- * whether this replica leads or not. */
+/* Checks the residency rules of the batches in the ledger against the regions of its machines.  Call several
+ * times a second, also at a backup. */
 void quince_replica_leadership_step_residency (QuinceReplicaLeadership *leadership);
--- a/daemons/replica/replica-ledger-events.c
+++ b/daemons/replica/replica-ledger-events.c
@@ -1,5 +1,5 @@
 /*
- * replica-ledger-events.c: events of the ledger node, passed to the other parts of the replica.
+ * replica-ledger-events.c: dispatches events of the ledger node to the other parts of the replica.
  */
 #include "replica-ledger-events.h"
 
@@ -11,7 +11,7 @@
 #include "replica-leadership.h"
 #include "replica-parts.h"
 
-/* ---- The lead ------------------------------------------------------------ */
+/* ---- Leadership ---------------------------------------------------------- */
 
 static void
 handle_gained_lead (gpointer data)
@@ -27,9 +27,9 @@
   quince_replica_leadership_end (parts->leadership);
 }
 
-/* The former leader sent its progress to this replica, and another one leads now: after the loss of a zone,
- * or where this log lacked a record.  Which machines may have which texts only a leader knows, so nothing is
- * sent where the configuration names regions. */
+/* Forwards the former leader's progress if another replica became leader, for example because this log lacked
+ * a record.  Nothing is sent if the configuration has region rules, since only a leader knows which machines
+ * may receive which texts. */
 static void
 forward_progress_to_leader (const QuinceReplicaParts *parts, QuinceLink *leader)
 {
@@ -94,9 +94,9 @@
   quince_replica_leadership_link_closed (parts->leadership, link);
 }
 
-/* ---- Messages of other processes ------------------------------------------ */
+/* ---- Messages from other processes ---------------------------------------- */
 
-/* Where the platform asks for no reports of usage the fronts need not keep what they sent. */
+/* If the platform wants no usage reports, acknowledges the events, so that the front can drop them. */
 static void
 handle_usage_report (const QuinceReplicaParts *parts, QuinceLink *link, const QuinceUsageReport *report)
 {
@@ -113,7 +113,7 @@
   quince_link_send (link, &message);
 }
 
-/* At the leader from a replica that follows it, elsewhere from the leader. */
+/* A leader receives progress from its backups, a backup from the leader. */
 static void
 handle_progress (const QuinceReplicaParts *parts, const QuinceSampleProgress *progress)
 {
@@ -126,7 +126,7 @@
   quince_progress_file_append (parts->progress_file, progress);
 }
 
-/* At the leader from a reserve reader, elsewhere from the leader. */
+/* A leader receives updates from reserve readers, a backup from the leader. */
 static void
 handle_feed_update (const QuinceReplicaParts *parts, QuinceLink *link, const QuinceFeedUpdate *update)
 {
@@ -143,7 +143,7 @@
     quince_observer_feeder_alive (parts->observer);
 }
 
-/* The leader asks for the policy in force here, others for the feed. */
+/* From the leader this is a query for the active policy, from other processes a subscription to the feed. */
 static void
 handle_feed_subscribe (const QuinceReplicaParts *parts,
                        QuinceLink *link,
--- a/daemons/replica/replica-ledger-events.h
+++ b/daemons/replica/replica-ledger-events.h
@@ -1,12 +1,12 @@
 /*
- * replica-ledger-events.h: events of the ledger node, passed to the other parts of the replica: changes of
- * the lead, committed records, calls of fronts and messages that aren't the ledger's.
+ * replica-ledger-events.h: dispatches events of the ledger node to the other parts of the replica: leader
+ * changes, committed records, calls of fronts and messages that are not the ledger's.
  *
- * Owns no state; relies on all parts.
+ * The module is stateless.
  */
 #pragma once
 
 #include "ledger-node.h"
 
-/* user_data: QuinceReplicaParts */
+/* The callbacks' user_data is a QuinceReplicaParts. */
 extern const QuinceLedgerNodeCallbacks quince_replica_ledger_callbacks;
--- a/daemons/replica/replica-metrics.c
+++ b/daemons/replica/replica-metrics.c
@@ -1,5 +1,5 @@
 /*
- * replica-metrics.c: the metrics of a replica that are read from its parts when they are asked for.
+ * replica-metrics.c: sets the metrics that a replica computes for each scrape.
  */
 #include "replica-metrics.h"
 
--- a/daemons/replica/replica-metrics.h
+++ b/daemons/replica/replica-metrics.h
@@ -1,12 +1,12 @@
 /*
- * replica-metrics.h: the metrics of a replica that are read from its parts when they are asked for.
+ * replica-metrics.h: sets the metrics that a replica computes for each scrape.
  *
- * Owns no state; the parts own the text server.
+ * The text server is owned by QuinceReplicaParts.
  */
 #pragma once
 
 #include "replica-parts.h"
 
-/* Serves /metrics at @address, ip:port; nothing where it is empty.
- * Returns: %FALSE with @error where it can't be listened on */
+/* Serves /metrics at @address, an ip:port; does nothing if it is empty.
+ * Returns: %FALSE with @error if it can't listen on @address */
 gboolean quince_replica_metrics_open (QuinceReplicaParts *parts, const char *address, GError **error);
--- a/daemons/replica/replica-parts.h
+++ b/daemons/replica/replica-parts.h
@@ -1,9 +1,9 @@
 /*
- * replica-parts.h: the parts of a replica, for the files that join them.
+ * replica-parts.h: the parts of a replica, for the files that connect them.
  *
- * replica-setup.c creates them from the settings, replica-ledger-events.c and replica-store-events.c pass
- * events from one part to the others, replica-leadership.c keeps what lasts as long as this replica leads,
- * and replica.c owns them all: it starts, steps and releases them.
+ * replica-setup.c creates the parts from the settings.  replica-ledger-events.c and replica-store-events.c
+ * dispatch events between them.  replica-leadership.c starts and stops the leader's tasks.  replica.c owns
+ * the parts and frees them.
  */
 #pragma once
 
@@ -32,19 +32,21 @@
  * @name: of this machine
  * @store: client of the metadata store
  * @backends: workers and the connections to them
- * @observer: configuration, workers and own keys, as read from the store or sent by the leader
- * @ledger: this replica's log and its part in the group
- * @placement: which workers are kept at which model
- * @progress: texts of samples that the leader sent, for the case that this replica leads next
- * @progress_file: the same on disk
+ * @observer: configuration, workers and the product's own keys, read from the store or sent by the leader
+ * @ledger: this replica's log and its membership of the ledger group
+ * @placement: assignment of workers to models
+ * @progress: texts of running samples that the leader sent, to resume from after a failover
+ * @progress_file: progress of samples on disk
  * @batches: the batches in the ledger
  * @leadership: weight orders and the store feed, while this replica leads
  * @heartbeats: to fronts, at the leader
- * @quarantine, @warmup, @residency: the leader's parts that grant for all processes
- * @usage: %NULL where the platform asks for no reports of usage
- * @scaler: %NULL where no workers are ordered
- * @retirement: machines that the operator wants to be emptied
- * @metrics: %NULL where no address is set
+ * @quarantine: quarantine of requests; the leader's grants the permits
+ * @warmup: warm-up of cold workers; the leader's grants the sends
+ * @residency: residency rules; the leader's admits batches
+ * @usage: (nullable): %NULL if the platform wants no usage reports
+ * @scaler: (nullable): %NULL if this deployment orders no workers
+ * @retirement: machines that the operator drains
+ * @metrics: (nullable): %NULL if no address is set
  *
  * All fields belong to the main context and are owned by replica.c.
  */
--- a/daemons/replica/replica-settings.c
+++ b/daemons/replica/replica-settings.c
@@ -1,18 +1,15 @@
 /*
  * replica-settings.c: the table of settings of quinceroute-replica.
  *
- * Owns no state.  Read by replica-setup.c and by the modules that daemons/daemon-settings.h names.
+ * The settings are read by replica-setup.c and by the modules that daemons/daemon-settings.h names.
  */
 #include "replica-settings.h"
 
 #include "../daemon-settings.h"
 
-/* Where the fallbacks come from:
- * - store.workers_pace 600 ms: not measured; the leader reads the list of workers for all processes, often
- *   enough for an operator's bound of 2 s (docs/DESIGN.md, "Who reads the store").
- * - ledger.losses, zone_losses and keep, orders.pause, [duties]: not measured; deploy/replica.ini fills in
- * the deployment's own figures.
- * - stop.grace: a replica stops at once and does not read it; the deploy file names it. */
+/* store.workers_pace is 600 ms by default, since the leader reads the list of workers for all processes
+ * (docs/DESIGN.md, "Who reads the store").  stop.grace is accepted but unused: a replica stops immediately.
+ */
 
 /* clang-format off */
 const QuinceSettingSpec quince_replica_setting_specs[] = {
--- a/daemons/replica/replica-setup.c
+++ b/daemons/replica/replica-setup.c
@@ -12,21 +12,21 @@
 #include "replica-metrics.h"
 #include "replica-store-events.h"
 
-/* A leader acts on the last answers of a quorum for this long, us.  Shorter than the silence after which
- * members follow another leader, so that two never act at once (docs/DESIGN.md, "Lease"). */
+/* A leader may act for this long after a quorum last acknowledged it.  Shorter than LEADER_TIMEOUT_US, so
+ * that two leaders never act at the same time (docs/DESIGN.md, "Lease"). */
 #define LEADER_LEASE_US (600 * 1000)
-/* A backup without a message of the leader for this long may follow another one, us: four heartbeats. */
+/* A backup that receives no message from the leader for this long may follow another one. */
 #define LEADER_TIMEOUT_US (1000 * 1000)
-/* The leader takes a member out of the view after this silence, us; as long as members wait for a leader. */
+/* The leader removes a member from the view if it receives no message from it for this long. */
 #define MEMBER_TIMEOUT_US (1000 * 1000)
-/* Added to orders.pause, us: a former leader has stopped giving orders when another one can be promised its
- * place; its last orders may still be on their way.  Not measured: above any round trip between machines. */
+/* Added to orders.pause, because the last orders of the former leader may still be in flight.  Longer than
+ * any round trip between machines. */
 #define ORDER_PAUSE_MARGIN_US (200 * 1000)
 
 /* ---- Parts without files and listening sockets --------------------------- */
 
-/* Whether this replica may grant sends to cold workers: it leads, and no other one can, since a quorum has
- * followed it lately. */
+/* Returns %TRUE if this replica may grant sends to cold workers: it leads, and its lease rules out another
+ * leader. */
 static gboolean
 may_grant_sends (gpointer data)
 {
@@ -137,7 +137,7 @@
   return parts->progress_file != NULL;
 }
 
-/* ---- Calls of the platform that one machine makes for all ------------------ */
+/* ---- Calls to the platform, made by the leader only ------------------------ */
 
 static double
 get_slots_needed (const char *service, gpointer data)
--- a/daemons/replica/replica-setup.h
+++ b/daemons/replica/replica-setup.h
@@ -1,7 +1,7 @@
 /*
  * replica-setup.h: creates the parts of a replica from its settings and connects them.
  *
- * Owns no state: the parts belong to the caller.
+ * The module is stateless; the caller owns the parts.
  */
 #pragma once
 
@@ -9,12 +9,20 @@
 
 #include "replica-parts.h"
 
-/* Creates the parts that open no file and no listening socket.  @parts: zeroed; @topology: (transfer full) */
+/* Creates the parts that need neither files nor listening sockets.
+ * @parts: zero-initialized
+ * @topology: (transfer full) */
 void quince_replica_setup_create (QuinceReplicaParts *parts,
                                   const QuinceSettings *settings,
                                   QuinceTopology *topology);
-/* Then loads the policy, opens the ledger's folder and link address and the metrics' address, and creates the
- * parts that need the ledger.
- * Returns: %FALSE with @error where one can't be opened; @parts is incomplete then */
+/**
+ * quince_replica_setup_open:
+ * @parts: from quince_replica_setup_create()
+ *
+ * Loads the policy, opens the ledger's folder and the addresses of links and metrics, and creates the parts
+ * that need the ledger.
+ *
+ * Returns: %FALSE with @error if one of these fails; @parts is then incomplete
+ */
 gboolean
 quince_replica_setup_open (QuinceReplicaParts *parts, const QuinceSettings *settings, GError **error);
--- a/daemons/replica/replica-store-events.c
+++ b/daemons/replica/replica-store-events.c
@@ -1,5 +1,5 @@
 /*
- * replica-store-events.c: events of the observer, passed to the other parts of the replica.
+ * replica-store-events.c: dispatches events of the observer to the other parts of the replica.
  */
 #include "replica-store-events.h"
 
@@ -48,7 +48,7 @@
   quince_residency_coordinator_set_leaving (parts->residency, nodes);
 }
 
-/* Workers were taken away or came back: placement, weight loads and samples follow. */
+/* Workers of evacuated zones were removed or came back, so weight loads and samples are checked again. */
 static void
 handle_zones_changed (gpointer data)
 {
--- a/daemons/replica/replica-store-events.h
+++ b/daemons/replica/replica-store-events.h
@@ -1,17 +1,18 @@
 /*
- * replica-store-events.h: events of the observer, passed to the other parts of the replica: own keys, named
- * versions, machines to be emptied, evacuated zones, and what this process read itself.
+ * replica-store-events.h: dispatches events of the observer to the other parts of the replica: changes of the
+ * product's own keys, new weight versions, draining machines, evacuated zones, and pages that this
+ * process read from the metadata store.
  *
- * Owns no state; relies on all parts.
+ * The module is stateless.
  */
 #pragma once
 
 #include "replica-parts.h"
 
-/* user_data: QuinceReplicaParts */
+/* The callbacks' user_data is a QuinceReplicaParts. */
 extern const QuinceObserverCallbacks quince_replica_store_callbacks;
 
-/* Whether this replica reads the metadata store before others do, where the leader's reads lag, and reports
- * to the leader: the members of the view do, since they are few, linked to the leader and on several
- * machines. More reports would keep a busy leader busy. */
+/* Returns %TRUE if this replica is a member of the ledger view.  Members are reserve readers: if the leader's
+ * reads of the metadata store are late, they read it before other processes and report to the leader.  They
+ * are few, so that their reports don't overload it. */
 gboolean quince_replica_is_reserve_reader (const QuinceReplicaParts *parts);
--- a/daemons/replica/replica.c
+++ b/daemons/replica/replica.c
@@ -1,5 +1,5 @@
 /*
- * replica.c: owns the parts of a replica: starts, steps and releases them.
+ * replica.c: creates, steps and frees the parts of a replica.
  */
 #include "replica.h"
 
@@ -12,17 +12,16 @@
 #include "replica-setup.h"
 #include "replica-store-events.h"
 
-/* From the signal to the end of the process, ms: messages that wait in sockets are sent.  Not measured. */
+/* Delay between the stop signal and the exit, in which queued messages are sent. */
 #define STOP_DELAY_MS 50
-/* Interval between two steps of the parts, ms.  Progress of samples is sent as often: a new leader repeats at
- * most so much of their texts.  Not measured: several times a second, as the parts ask for. */
+/* Interval of step().  It also bounds how much progress of samples a new leader must repeat. */
 #define STEP_INTERVAL_MS 200
 
 typedef struct
 {
   /* All fields belong to the main context. */
   QuinceReplicaParts parts;
-  QuinceTimer *timer; /* of the steps; after stop() until the process ends */
+  QuinceTimer *timer; /* calls step(); after quince_replica_stop() it calls quit_process() */
   QuinceSuspensionWatch *suspension;
 } Replica;
 
@@ -43,8 +42,7 @@
   return G_SOURCE_CONTINUE;
 }
 
-/* The process was suspended: what it knows may be outdated, and connections may have been closed by
- * the other side without a sign of it here. */
+/* After a suspension cached data may be stale, and peers may have closed connections unnoticed. */
 static void
 handle_resume (gint64 suspended_us, gpointer data)
 {
@@ -94,8 +92,7 @@
   replica->timer = quince_timer_add (STOP_DELAY_MS, quit_process, replica);
 }
 
-/* Also after a start that failed, when some parts are missing.  The order matters: a part goes before those
- * that it uses, and the workers' connections go last. */
+/* Handles %NULL parts after a failed start.  Frees each part before the parts that it uses. */
 static void
 free_parts (QuinceReplicaParts *parts)
 {
--- a/daemons/replica/retirement.c
+++ b/daemons/replica/retirement.c
@@ -1,5 +1,5 @@
 /*
- * retirement.c: machines to be emptied, and the status of each for the operator.
+ * retirement.c: draining machines, and the status of each for the operator.
  */
 #include "retirement.h"
 
@@ -9,8 +9,8 @@
 
 typedef enum
 {
-  RETIREMENT_RUNNING = 1, /* the machine keeps records               */
-  RETIREMENT_DONE,        /* it keeps none, and may be taken away    */
+  RETIREMENT_RUNNING = 1, /* the machine is a member of the ledger */
+  RETIREMENT_DONE,        /* it is no member, and may be removed */
 } RetirementState;
 
 struct _QuinceRetirement
@@ -18,11 +18,11 @@
   /* All fields belong to the main context. */
   QuinceMetaStore *store;
   QuinceLedgerNode *ledger;
-  char **draining_nodes;      /* to be emptied; NULL: none */
-  GHashTable *written_status; /* node name, owned, to RetirementState: last written to the store */
+  char **draining_nodes;      /* NULL: none */
+  GHashTable *written_status; /* owned node name to RetirementState that was last written to the store */
 };
 
-/* One write to the store. */
+/* A status write to the metadata store that is in flight. */
 typedef struct
 {
   QuinceRetirement *retirement;
@@ -63,7 +63,7 @@
   StatusWrite *status_write = data;
   if (error != NULL)
     g_hash_table_remove (status_write->retirement->written_status,
-                         status_write->node); /* the next step writes it again */
+                         status_write->node); /* the next step retries */
   g_free (status_write->node);
   g_free (status_write);
 }
--- a/daemons/replica/retirement.h
+++ b/daemons/replica/retirement.h
@@ -1,8 +1,8 @@
 /*
- * retirement.h: machines whose replica the operator wants to be emptied, and the status of each.
+ * retirement.h: machines that the operator drains, and the status of each.
  *
- * The ledger's leader takes their replicas out of the view.  Owns the list of machines.  Relies on the ledger
- * for the members and on the metadata store for the status.  All calls belong to the main context.
+ * The ledger's leader removes their replicas from the view and writes the status into the metadata store. The
+ * module owns the list of machines.  Call all functions in the main context.
  */
 #pragma once
 
@@ -12,11 +12,11 @@
 
 typedef struct _QuinceRetirement QuinceRetirement;
 
-/* @store and @ledger must outlive it. */
+/* @store, @ledger: (transfer none): must outlive the retirement */
 QuinceRetirement *quince_retirement_new (QuinceMetaStore *store, QuinceLedgerNode *ledger);
 void quince_retirement_free (QuinceRetirement *retirement);
-/* The machines @nodes, %NULL-terminated, are to be emptied; all others may stay. */
+/* Sets the draining machines.  @nodes: (transfer none): names, %NULL-terminated; copied */
 void quince_retirement_set_nodes (QuinceRetirement *retirement, const char *const *nodes);
-/* At the leader: writes each status that has changed into the metadata store; to be called several times a
- * second. */
+/* Writes each changed status into the metadata store.  Call several times a second.  Does nothing unless this
+ * replica leads. */
 void quince_retirement_step (QuinceRetirement *retirement);
