--- a/daemons/replica/batch-calls.c
+++ b/daemons/replica/batch-calls.c
@@ -13,7 +13,7 @@
 
 /* New batches are refused while more samples than this have no result, which bounds the leader's memory. Room
  * for two steps of 8,192 samples for each of 11 trainers. */
-#define OPEN_SAMPLES_MAX 200000
+#define SAMPLES_WITHOUT_RESULT_MAX 200000
 /* Limit of the cache of unpacked results. */
 #define RESULT_CACHE_MAX_BYTES (8 * 1024 * 1024)
 
@@ -81,12 +81,12 @@
 }
 
 static void
-answer_results (QuinceBatchCalls *calls,
-                QuinceLink *link,
-                const QuinceServiceCall *call,
-                const QuinceHttpHeaders *headers,
-                const QuinceCall *parsed,
-                QuinceBatchEntry *entry)
+handle_results_call (QuinceBatchCalls *calls,
+                     QuinceLink *link,
+                     const QuinceServiceCall *call,
+                     const QuinceHttpHeaders *headers,
+                     const QuinceCall *parsed,
+                     QuinceBatchEntry *entry)
 {
   guint wait_ms = quince_platform_read_wait (headers);
   gboolean no_new_results = parsed->position >= entry->results->len;
@@ -219,7 +219,7 @@
     add_waiting_call (calls, link, call->id, id)->record_index = *pending;
   else if (!quince_ledger_node_may_accept (calls->ledger))
     quince_batch_answer_status (link, call->id, 503);
-  else if (samples_without_result > OPEN_SAMPLES_MAX)
+  else if (samples_without_result > SAMPLES_WITHOUT_RESULT_MAX)
     quince_batch_answer_status (link, call->id, 429);
   else if (!admit_by_residency (calls, call, headers, id))
     quince_batch_answer_status (link, call->id, 503);
@@ -252,7 +252,7 @@
   if (entry == NULL || !is_visible_to_tenant (entry, tenant))
     quince_batch_answer_status (link, call->id, get_unavailable_status (entry, tenant, pending));
   else if (parsed->kind == QUINCE_CALL_RESULTS)
-    answer_results (calls, link, call, headers, parsed, entry);
+    handle_results_call (calls, link, call, headers, parsed, entry);
   else if (parsed->kind == QUINCE_CALL_ITEM)
     quince_batch_answer_item (link, call, parsed, entry);
   else if (parsed->kind == QUINCE_CALL_END)
--- a/daemons/replica/batch-service.c
+++ b/daemons/replica/batch-service.c
@@ -328,9 +328,9 @@
       if (!entry->ended)
         quince_sample_runner_add (service->runner, entry);
     }
-  g_autoptr (GArray) known = g_array_new (FALSE, FALSE, sizeof (QuinceProgressItem));
-  quince_progress_store_list_recent (service->progress, quince_now_us (), known);
-  if (known->len == 0 && service->samples_without_result > 0)
+  g_autoptr (GArray) known_progress = g_array_new (FALSE, FALSE, sizeof (QuinceProgressItem));
+  quince_progress_store_list_recent (service->progress, quince_now_us (), known_progress);
+  if (known_progress->len == 0 && service->samples_without_result > 0)
     quince_sample_runner_await_progress (service->runner);
   service->forget_timer = quince_timer_add (FORGET_INTERVAL_MS, forget_old_batches, service);
 }
