--- a/daemons/replica/batch-calls.c
+++ b/daemons/replica/batch-calls.c
@@ -25,7 +25,7 @@
   guint64 call_id;
   char *batch;
   guint64 record_index; /* record whose commit it waits for; 0: it waits for a result */
-  guint64 position;     /* of the first result to return */
+  guint64 position;     /* of the first result to return, from 0 */
   QuinceTimer *timer;   /* timeout of the wait for a result; NULL: it waits for a commit */
 } WaitingCall;
 
@@ -229,8 +229,9 @@
 
 /* ---- Calls ------------------------------------------------------------ */
 
-/* Returns the status for a batch that is unknown or not visible to the caller: 401 without a key, 404 for a
- * batch of another tenant, as if it did not exist, and 503 while its submission is not committed. */
+/* Returns the status for a batch that is unknown or not visible to the caller: 503 while its submission is
+ * uncommitted, 401 if it exists and the caller has no key, and otherwise 404, which hides the batches of
+ * other tenants. */
 static guint
 get_unavailable_status (const QuinceBatchEntry *entry, const char *tenant, gboolean pending)
 {
--- a/daemons/replica/batch-service.h
+++ b/daemons/replica/batch-service.h
@@ -59,6 +59,7 @@
 void quince_batch_service_handle_call (QuinceBatchService *service,
                                        QuinceLink *link,
                                        const QuinceServiceCall *call);
+/* Drops the waiting calls of @link. */
 void quince_batch_service_link_closed (QuinceBatchService *service, QuinceLink *link);
 
 /* ---- Progress of samples -------------------------------------------------- */
--- a/daemons/replica/replica-parts.h
+++ b/daemons/replica/replica-parts.h
@@ -40,9 +40,9 @@
  * @batches: the batches in the ledger
  * @leadership: weight orders and the store feed, while this replica leads
  * @heartbeats: to fronts, at the leader
- * @quarantine: quarantine of requests; the leader's grants the permits
- * @warmup: warm-up of cold workers; the leader's grants the sends
- * @residency: residency rules; the leader's admits batches
+ * @quarantine: quarantine of suspect requests; grants permits at the leader
+ * @warmup: warm-up of cold workers; grants sends at the leader
+ * @residency: residency rules of batches; admits batches at the leader
  * @usage: (nullable): %NULL if the platform wants no usage reports
  * @scaler: (nullable): %NULL if this deployment orders no workers
  * @retirement: machines that the operator drains
