--- a/daemons/replica/batch-service.c
+++ b/daemons/replica/batch-service.c
@@ -221,7 +221,7 @@
   QuinceMessage message = { .kind = QUINCE_MESSAGE_PROGRESS };
   message.QuinceMessage_u.progress.items.items_val = (QuinceProgressItem *)allowed->data;
   message.QuinceMessage_u.progress.items.items_len = allowed->len;
-  quince_ledger_node_tell_successor (service->ledger, &message);
+  quince_ledger_node_send_to_successor (service->ledger, &message);
 }
 
 void
@@ -229,7 +229,7 @@
 {
   if (service->runner == NULL)
     return;
-  guint64 successor = quince_ledger_node_get_successor (service->ledger);
+  guint64 successor = quince_ledger_node_get_successor_serial (service->ledger);
   g_autoptr (GArray) items = g_array_new (FALSE, FALSE, sizeof (QuinceProgressItem));
   quince_sample_runner_collect_progress (service->runner, successor != service->synced_successor, items);
   service->synced_successor = successor;
--- a/daemons/replica/ledger-backup.c
+++ b/daemons/replica/ledger-backup.c
@@ -14,7 +14,7 @@
 /* On their way to one backup, bytes: two chunks keep a link busy while the first is acknowledged.  The leader
  * holds no more than this for a backup that reads slowly, and one that catches up takes no more of the
  * leader's turns than it can follow. */
-#define WINDOW_BYTES (2 * CHUNK_BYTES)
+#define SEND_WINDOW_BYTES (2 * CHUNK_BYTES)
 
 /* The records of one message. */
 typedef struct
@@ -26,7 +26,7 @@
 /* Where the backup's log and @log part: the first index to send.  @reset: (out): nothing that it has is of
  * use */
 static guint64
-first_to_send (QuinceBatchLog *log, const QuinceLedgerHello *hello, gboolean *reset)
+find_first_index_to_send (QuinceBatchLog *log, const QuinceLedgerHello *hello, gboolean *reset)
 {
   *reset = FALSE;
   if (hello->last_index == 0)
@@ -52,8 +52,8 @@
   backup->replica = hello->member.replica;
   backup->has_records = hello->last_index > 0;
   backup->serial = serial;
-  backup->window = quince_send_window_new (WINDOW_BYTES);
-  backup->next_index = first_to_send (log, hello, &backup->reset);
+  backup->window = quince_send_window_new (SEND_WINDOW_BYTES);
+  backup->next_index = find_first_index_to_send (log, hello, &backup->reset);
   return backup;
 }
 
@@ -89,7 +89,7 @@
 /* Reads the records from the backup's next one on; a failure is logged, and what was read before it is sent.
  */
 static void
-read_chunk (const QuinceLedgerBackup *backup, QuinceBatchLog *log, Chunk *chunk)
+collect_chunk (const QuinceLedgerBackup *backup, QuinceBatchLog *log, Chunk *chunk)
 {
   g_autoptr (GError) error = NULL;
   if (!quince_batch_log_foreach (log, backup->next_index, collect_entry, chunk, &error))
@@ -98,7 +98,7 @@
 
 /* The chunk is sent: the backup lacks what follows it. */
 static void
-pass_chunk (QuinceLedgerBackup *backup, const Chunk *chunk)
+mark_chunk_sent (QuinceLedgerBackup *backup, const Chunk *chunk)
 {
   if (chunk->entries->len == 0)
     return;
@@ -115,20 +115,20 @@
                            gboolean heartbeat)
 {
   guint64 last_index = quince_batch_log_get_last_index (log);
-  gboolean has_news = backup->receives && (backup->next_index <= last_index || backup->reset)
-                      && quince_send_window_is_open (backup->window);
-  if (!has_news && !heartbeat)
+  gboolean has_records_to_send = backup->receives && (backup->next_index <= last_index || backup->reset)
+                                 && quince_send_window_is_open (backup->window);
+  if (!has_records_to_send && !heartbeat)
     return;
   Chunk chunk = { .entries = g_array_new (FALSE, FALSE, sizeof (QuinceLogEntry)) };
   g_array_set_clear_func (chunk.entries, clear_entry);
-  if (has_news)
-    read_chunk (backup, log, &chunk);
-  pass_chunk (backup, &chunk);
+  if (has_records_to_send)
+    collect_chunk (backup, log, &chunk);
+  mark_chunk_sent (backup, &chunk);
   QuinceMessage message = { .kind = QUINCE_MESSAGE_LEDGER_APPEND };
   QuinceLedgerAppend *append = &message.QuinceMessage_u.ledger_append;
   append->epoch = epoch;
   append->replica = backup->replica;
-  append->reset = has_news && backup->reset;
+  append->reset = has_records_to_send && backup->reset;
   append->end_index = last_index;
   append->commit_index = commit_index;
   append->sent_us = (guint64)quince_now_us ();
@@ -136,13 +136,13 @@
   append->entries.entries_len = chunk.entries->len;
   append->held_index = backup->next_index - 1;
   quince_link_send (backup->link, &message);
-  if (has_news)
+  if (has_records_to_send)
     backup->reset = FALSE;
   g_array_unref (chunk.entries);
 }
 
 void
-quince_ledger_backup_clear (QuinceLedgerBackup *backup, guint64 epoch, gint64 now_us)
+quince_ledger_backup_clear_records (QuinceLedgerBackup *backup, guint64 epoch, gint64 now_us)
 {
   QuinceMessage message = { .kind = QUINCE_MESSAGE_LEDGER_APPEND };
   QuinceLedgerAppend *append = &message.QuinceMessage_u.ledger_append;
@@ -156,5 +156,5 @@
   backup->has_records = FALSE;
   backup->next_index = 1;
   quince_send_window_free (backup->window);
-  backup->window = quince_send_window_new (WINDOW_BYTES);
+  backup->window = quince_send_window_new (SEND_WINDOW_BYTES);
 }
--- a/daemons/replica/ledger-backup.h
+++ b/daemons/replica/ledger-backup.h
@@ -58,4 +58,4 @@
                                 guint64 commit_index,
                                 gboolean heartbeat);
 /* Orders a backup that may hold no records to drop all that it has. @now_us: sent along, and echoed */
-void quince_ledger_backup_clear (QuinceLedgerBackup *backup, guint64 epoch, gint64 now_us);
+void quince_ledger_backup_clear_records (QuinceLedgerBackup *backup, guint64 epoch, gint64 now_us);
--- a/daemons/replica/ledger-election.c
+++ b/daemons/replica/ledger-election.c
@@ -12,7 +12,7 @@
 #define QUERY_MEMBERS_US (440 * 1000)
 /* Pause between two queries to the leader itself, us: one of an earlier build that does not know the message
  * closes the link.  Not measured. */
-#define QUERY_LEADER_US (1000 * 1000)
+#define QUERY_LEADER_INTERVAL_US (1000 * 1000)
 
 struct _QuinceLedgerElection
 {
@@ -25,8 +25,8 @@
   const QuinceLedgerElectionCallbacks *callbacks; /* borrowed */
   gpointer user_data;
 
-  gint64 queried_us;  /* when members were last asked who leads */
-  gint64 informed_us; /* when members that are no backups were last informed who leads */
+  gint64 queried_us;           /* when members were last asked who leads */
+  gint64 last_announcement_us; /* when members that are no backups were last informed who leads */
 };
 
 QuinceLedgerElection *
@@ -64,7 +64,7 @@
   if (epoch == 0)
     return;
   const QuinceLedgerView *view = quince_ledger_group_get_view (election->group);
-  const QuinceLogEnd end = quince_ledger_storage_get_end (election->storage);
+  const QuinceLogEnd end = quince_ledger_storage_get_log_end (election->storage);
   QuinceMessage message = { .kind = QUINCE_MESSAGE_LEDGER_ASK };
   QuinceLedgerAsk *ask = &message.QuinceMessage_u.ledger_ask;
   ask->epoch = epoch;
@@ -79,7 +79,7 @@
 static void
 send_promise (QuinceLedgerElection *election, QuinceLink *link, const QuinceLedgerAsk *ask)
 {
-  const QuinceLogEnd end = quince_ledger_storage_get_end (election->storage);
+  const QuinceLogEnd end = quince_ledger_storage_get_log_end (election->storage);
   QuinceMessage message = { .kind = QUINCE_MESSAGE_LEDGER_PROMISE };
   QuinceLedgerPromise *promise = &message.QuinceMessage_u.ledger_promise;
   promise->epoch = ask->epoch;
@@ -92,20 +92,20 @@
 }
 
 void
-quince_ledger_election_handle_ask (QuinceLedgerElection *election,
-                                   QuinceLink *link,
-                                   const QuinceLedgerAsk *ask)
+quince_ledger_election_handle_promise_request (QuinceLedgerElection *election,
+                                               QuinceLink *link,
+                                               const QuinceLedgerAsk *ask)
 {
   const QuinceLogEnd end = { .epoch = ask->last_epoch, .index = ask->last_index };
   if (!quince_ledger_group_grant_promise (election->group, quince_now_us (), ask->replica, ask->epoch, &end)
-      || !quince_ledger_storage_keep (election->storage, "promise"))
+      || !quince_ledger_storage_save_state (election->storage, "promise"))
     return;
   election->callbacks->role_changed (election->user_data);
   send_promise (election, link, ask);
 }
 
 void
-quince_ledger_election_take_promise (QuinceLedgerElection *election, const QuinceLedgerPromise *promise)
+quince_ledger_election_handle_promise (QuinceLedgerElection *election, const QuinceLedgerPromise *promise)
 {
   const QuinceLogEnd end = { .epoch = promise->last_epoch, .index = promise->last_index };
   quince_log_info ("promise_got",
@@ -114,14 +114,14 @@
   quince_ledger_group_handle_promise (election->group, quince_now_us (), promise->replica, promise->epoch,
                                       &end);
   election->callbacks->propose (election->user_data);
-  quince_ledger_election_lead_without_store (election);
+  quince_ledger_election_try_lead_without_store (election);
 }
 
 /* ---- The lead that others are informed of -------------------------------- */
 
 /* Informs the members that are no backups of this leader. */
 static void
-inform_members (QuinceLedgerElection *election)
+announce_lead (QuinceLedgerElection *election)
 {
   QuinceMessage message = { .kind = QUINCE_MESSAGE_LEDGER_LEAD };
   const QuinceLedgerView *view = quince_ledger_group_get_view (election->group);
@@ -137,38 +137,39 @@
 
 /* A member that was restarted while the store is away knows no view, and no member that it could ask. */
 static void
-inform_lost_members (QuinceLedgerElection *election, gint64 now_us)
+announce_lead_while_store_fails (QuinceLedgerElection *election, gint64 now_us)
 {
-  if (!quince_meta_store_is_failing (election->store) || now_us - election->informed_us < QUERY_MEMBERS_US)
+  if (!quince_meta_store_is_failing (election->store)
+      || now_us - election->last_announcement_us < QUERY_MEMBERS_US)
     return;
-  election->informed_us = now_us;
-  inform_members (election);
+  election->last_announcement_us = now_us;
+  announce_lead (election);
 }
 
 void
-quince_ledger_election_lead_without_store (QuinceLedgerElection *election)
+quince_ledger_election_try_lead_without_store (QuinceLedgerElection *election)
 {
   gboolean store_fails = quince_meta_store_is_failing (election->store);
   if (!quince_ledger_group_try_lead_without_store (election->group, quince_now_us (), store_fails))
     return;
   /* Its own promise is on the disk before it leads. */
-  quince_ledger_storage_keep_or_abort (election->storage);
+  quince_ledger_storage_save_state_or_abort (election->storage);
   const QuinceLedgerView *view = quince_ledger_group_get_view (election->group);
   quince_log_notice ("ledger_led_without_store", "epoch=%" G_GUINT64_FORMAT " members=%u store=%s",
                      (guint64)view->epoch, view->members.members_len, store_fails ? "away" : "slow");
   quince_metric_add ("quince_replica_led_without_store_total", "", 1);
   election->callbacks->role_changed (election->user_data);
-  inform_members (election);
+  announce_lead (election);
 }
 
 /* ---- Queries ------------------------------------------------------------ */
 
 /* Least time between two queries, us; 0: none. */
 static gint64
-get_pause (QuinceLedgerQueryKind kind)
+get_query_interval_us (QuinceLedgerQueryKind kind)
 {
   if (kind == QUINCE_LEDGER_QUERY_LEADER)
-    return QUERY_LEADER_US;
+    return QUERY_LEADER_INTERVAL_US;
   return kind == QUINCE_LEDGER_QUERY_MEMBERS ? QUERY_MEMBERS_US : 0;
 }
 
@@ -182,8 +183,8 @@
                                        &message.QuinceMessage_u.ledger_query);
   quince_ledger_member_links_close_idle (election->links);
   if (leads)
-    inform_lost_members (election, now);
-  if (kind == QUINCE_LEDGER_QUERY_NONE || now - election->queried_us < get_pause (kind))
+    announce_lead_while_store_fails (election, now);
+  if (kind == QUINCE_LEDGER_QUERY_NONE || now - election->queried_us < get_query_interval_us (kind))
     return;
   election->queried_us = now;
   const QuinceLedgerView *view = quince_ledger_group_get_view (election->group);
@@ -202,7 +203,7 @@
                                      const QuinceLedgerQuery *query)
 {
   quince_ledger_group_handle_query (election->group, quince_now_us (), query);
-  if (!quince_ledger_storage_keep (election->storage, "note"))
+  if (!quince_ledger_storage_save_state (election->storage, "note"))
     return;
   QuinceMessage message = { .kind = QUINCE_MESSAGE_LEDGER_LEAD };
   if (quince_ledger_group_get_lead (election->group, &message.QuinceMessage_u.ledger_lead))
@@ -211,18 +212,18 @@
 
 /* Greatest epoch that is known to be led; 0: none. */
 static guint64
-get_known_epoch (const QuinceLedgerElection *election)
+get_current_epoch (const QuinceLedgerElection *election)
 {
   const QuinceLedgerView *view = quince_ledger_group_get_view (election->group);
   return view != NULL ? view->epoch : 0;
 }
 
 void
-quince_ledger_election_take_lead (QuinceLedgerElection *election, const QuinceLedgerLead *lead)
+quince_ledger_election_handle_lead (QuinceLedgerElection *election, const QuinceLedgerLead *lead)
 {
-  guint64 before = get_known_epoch (election);
+  guint64 before = get_current_epoch (election);
   quince_ledger_group_handle_lead (election->group, quince_now_us (), lead);
-  if (get_known_epoch (election) != before)
+  if (get_current_epoch (election) != before)
     quince_log_info ("ledger_lead_told",
                      "by=%" G_GUINT64_FORMAT " epoch=%" G_GUINT64_FORMAT " primary=%" G_GUINT64_FORMAT
                      " on_revision=%" G_GUINT64_FORMAT,
@@ -230,5 +231,5 @@
                      (guint64)lead->revision);
   election->callbacks->role_changed (election->user_data);
   election->callbacks->propose (election->user_data);
-  quince_ledger_election_lead_without_store (election);
+  quince_ledger_election_try_lead_without_store (election);
 }
--- a/daemons/replica/ledger-election.h
+++ b/daemons/replica/ledger-election.h
@@ -45,17 +45,18 @@
 void quince_ledger_election_query (QuinceLedgerElection *election, gboolean leads);
 /* Leads if a quorum has promised and the metadata store is away or too slow; to be called several times a
  * second. */
-void quince_ledger_election_lead_without_store (QuinceLedgerElection *election);
+void quince_ledger_election_try_lead_without_store (QuinceLedgerElection *election);
 
 /* A member asks for a promise; answered on @link where it is given, once it is on the disk. */
-void quince_ledger_election_handle_ask (QuinceLedgerElection *election,
-                                        QuinceLink *link,
-                                        const QuinceLedgerAsk *ask);
+void quince_ledger_election_handle_promise_request (QuinceLedgerElection *election,
+                                                    QuinceLink *link,
+                                                    const QuinceLedgerAsk *ask);
 /* Another replica, or a front, asks who leads; answered on @link where a view is known. */
 void quince_ledger_election_handle_query (QuinceLedgerElection *election,
                                           QuinceLink *link,
                                           const QuinceLedgerQuery *query);
 /* A member's promise to follow this replica. */
-void quince_ledger_election_take_promise (QuinceLedgerElection *election, const QuinceLedgerPromise *promise);
+void quince_ledger_election_handle_promise (QuinceLedgerElection *election,
+                                            const QuinceLedgerPromise *promise);
 /* A member's answer to a query, or the news of a new leader. */
-void quince_ledger_election_take_lead (QuinceLedgerElection *election, const QuinceLedgerLead *lead);
+void quince_ledger_election_handle_lead (QuinceLedgerElection *election, const QuinceLedgerLead *lead);
--- a/daemons/replica/ledger-follower.c
+++ b/daemons/replica/ledger-follower.c
@@ -8,10 +8,10 @@
 
 /* A link to the leader that is not up after this is tried anew, us.  Not measured: longer than the 1 s of
  * silence after which a leader that does not answer is replaced. */
-#define CONNECT_US (1200 * 1000)
+#define CONNECT_TIMEOUT_US (1200 * 1000)
 /* Pause between two attempts to link to the leader, us.  Not measured: short against the 1 s of silence after
  * which this replica campaigns. */
-#define RECONNECT_US (150 * 1000)
+#define RECONNECT_INTERVAL_US (150 * 1000)
 
 struct _QuinceLedgerFollower
 {
@@ -24,10 +24,10 @@
   const QuinceLedgerFollowerCallbacks *callbacks; /* borrowed */
   gpointer user_data;
 
-  QuinceLink *link; /* owned; up or not; NULL: none */
-  char *address;    /* owned: of the leader; NULL: none */
-  gboolean lost;    /* its loss was logged */
-  gint64 tried_us;  /* when the link was last begun */
+  QuinceLink *link;               /* owned; up or not; NULL: none */
+  char *address;                  /* owned: of the leader; NULL: none */
+  gboolean lost;                  /* its loss was logged */
+  gint64 last_connect_attempt_us; /* when the link was last begun */
 };
 
 QuinceLedgerFollower *
@@ -68,7 +68,7 @@
 }
 
 QuinceLink *
-quince_ledger_follower_get_leader (const QuinceLedgerFollower *follower)
+quince_ledger_follower_get_leader_link (const QuinceLedgerFollower *follower)
 {
   gboolean connected = follower->link != NULL && quince_link_is_connected (follower->link);
   return connected ? follower->link : NULL;
@@ -82,7 +82,7 @@
 
 /* The link is down: it is begun anew by a later step. */
 static void
-note_lost (QuinceLedgerFollower *follower)
+handle_link_loss (QuinceLedgerFollower *follower)
 {
   if (!follower->lost)
     quince_log_warning ("dependency_lost", "what=ledger_primary address=%s", follower->address);
@@ -119,13 +119,13 @@
 
 /* Writes what the message changes in the log; %FALSE, logged: the disk refused. */
 static gboolean
-write_append (QuinceLedgerFollower *follower, const QuinceLedgerAppend *append)
+apply_append (QuinceLedgerFollower *follower, const QuinceLedgerAppend *append)
 {
   /* Records of earlier epochs beyond the end of the leader's log were never committed. */
   guint64 last_index = quince_batch_log_get_last_index (follower->log);
-  gboolean has_stale = last_index > append->end_index
-                       && quince_batch_log_get_epoch (follower->log, last_index) < append->epoch;
-  if (append->entries.entries_len == 0 && !append->reset && !has_stale)
+  gboolean has_stale_records = last_index > append->end_index
+                               && quince_batch_log_get_epoch (follower->log, last_index) < append->epoch;
+  if (append->entries.entries_len == 0 && !append->reset && !has_stale_records)
     return TRUE;
   g_autoptr (GError) error = NULL;
   if (quince_ledger_storage_append (follower->storage, append->entries.entries_val,
@@ -149,14 +149,14 @@
 
 /* Drops the link: the leader learns where this log ends when the follower introduces itself again. */
 static void
-rejoin (QuinceLedgerFollower *follower)
+close_for_rejoin (QuinceLedgerFollower *follower)
 {
   quince_link_close (follower->link);
-  note_lost (follower);
+  handle_link_loss (follower);
 }
 
 static void
-take_append (QuinceLedgerFollower *follower, const QuinceLedgerAppend *append)
+handle_append (QuinceLedgerFollower *follower, const QuinceLedgerAppend *append)
 {
   if (append->replica != follower->self->replica)
     return;
@@ -168,12 +168,12 @@
   /* An acknowledgement of records that are not here would commit them by a copy that does not exist. */
   if (has_gap (follower, append))
     {
-      rejoin (follower);
+      close_for_rejoin (follower);
       return;
     }
   /* The promise first: a replica that has acknowledged a record follows no older epoch, also after a restart.
    */
-  if (quince_ledger_storage_keep (follower->storage, "follow") && write_append (follower, append))
+  if (quince_ledger_storage_save_state (follower->storage, "follow") && apply_append (follower, append))
     send_ack (follower, append, 0);
 }
 
@@ -184,7 +184,7 @@
 {
   QuinceLedgerFollower *follower = data;
   if (message->kind == QUINCE_MESSAGE_LEDGER_APPEND && link == follower->link)
-    take_append (follower, &message->QuinceMessage_u.ledger_append);
+    handle_append (follower, &message->QuinceMessage_u.ledger_append);
   else if (link == follower->link)
     follower->callbacks->message (link, message, follower->user_data);
   quince_message_free (message);
@@ -194,7 +194,7 @@
 link_connected (QuinceLink *link, gpointer data)
 {
   QuinceLedgerFollower *follower = data;
-  const QuinceLogEnd end = quince_ledger_storage_get_end (follower->storage);
+  const QuinceLogEnd end = quince_ledger_storage_get_log_end (follower->storage);
   QuinceMessage message = { .kind = QUINCE_MESSAGE_LEDGER_HELLO };
   QuinceLedgerHello *hello = &message.QuinceMessage_u.ledger_hello;
   hello->member = *follower->self;
@@ -212,7 +212,7 @@
 static void
 link_closed (QuinceLink *link, const GError *error, gpointer data)
 {
-  note_lost (data);
+  handle_link_loss (data);
 }
 
 static const QuinceLinkCallbacks link_callbacks
@@ -229,7 +229,7 @@
 }
 
 void
-quince_ledger_follower_step (QuinceLedgerFollower *follower)
+quince_ledger_follower_update_link (QuinceLedgerFollower *follower)
 {
   const QuinceLedgerMember *leader = find_leader (follower);
   if (leader == NULL || g_strcmp0 (leader->address, follower->address) != 0)
@@ -238,13 +238,13 @@
     return;
   gint64 now = quince_now_us ();
   gboolean stuck = follower->link != NULL && !quince_link_is_connected (follower->link)
-                   && now - follower->tried_us > CONNECT_US;
+                   && now - follower->last_connect_attempt_us > CONNECT_TIMEOUT_US;
   if (stuck)
     quince_ledger_follower_stop (follower);
-  if (follower->link != NULL || now - follower->tried_us < RECONNECT_US)
+  if (follower->link != NULL || now - follower->last_connect_attempt_us < RECONNECT_INTERVAL_US)
     return;
   g_free (follower->address);
   follower->address = g_strdup (leader->address);
-  follower->tried_us = now;
+  follower->last_connect_attempt_us = now;
   follower->link = quince_link_connect (leader->address, &link_callbacks, follower);
 }
--- a/daemons/replica/ledger-follower.h
+++ b/daemons/replica/ledger-follower.h
@@ -41,10 +41,10 @@
 
 /* Links to the leader of the view where this replica is a backup, else closes the link; to be called several
  * times a second, and when the role or the view changes. */
-void quince_ledger_follower_step (QuinceLedgerFollower *follower);
+void quince_ledger_follower_update_link (QuinceLedgerFollower *follower);
 /* Closes the link. */
 void quince_ledger_follower_stop (QuinceLedgerFollower *follower);
 /* The leader has sent what was not read yet: it is not silent, however long ago its last message was read. */
 gboolean quince_ledger_follower_has_input (const QuinceLedgerFollower *follower);
 /* The link to the leader, while it is up. (transfer none) (nullable) */
-QuinceLink *quince_ledger_follower_get_leader (const QuinceLedgerFollower *follower);
+QuinceLink *quince_ledger_follower_get_leader_link (const QuinceLedgerFollower *follower);
--- a/daemons/replica/ledger-member-links.c
+++ b/daemons/replica/ledger-member-links.c
@@ -7,9 +7,9 @@
 
 /* Links on which nothing was sent for so long are closed, us: above 440 ms, the longest time between two
  * queries of one campaign. */
-#define IDLE_US (500 * 1000)
+#define IDLE_TIMEOUT_US (500 * 1000)
 /* A link that is not up after this is tried anew, us.  Not measured: as a backup's link to the leader. */
-#define CONNECT_US (1200 * 1000)
+#define CONNECT_TIMEOUT_US (1200 * 1000)
 
 struct _QuinceLedgerMemberLinks
 {
@@ -18,14 +18,14 @@
   const QuinceLedgerMemberLinksCallbacks *callbacks; /* borrowed */
   gpointer user_data;
 
-  GHashTable *links;       /* QuinceLink by replica, both owned */
-  GHashTable *addresses;   /* replica to address, both owned: where it is not the view's */
-  gint64 used_us;          /* when something was last sent */
-  gint64 connect_check_us; /* when links that do not connect were last closed */
+  GHashTable *links;            /* QuinceLink by replica, both owned */
+  GHashTable *addresses;        /* replica to address, both owned: where it is not the view's */
+  gint64 used_us;               /* when something was last sent */
+  gint64 last_connect_check_us; /* when links that do not connect were last closed */
 };
 
 static void
-close_all (QuinceLedgerMemberLinks *links)
+close_all_links (QuinceLedgerMemberLinks *links)
 {
   GHashTableIter iter;
   gpointer link;
@@ -55,7 +55,7 @@
 {
   if (links == NULL)
     return;
-  close_all (links);
+  close_all_links (links);
   g_hash_table_unref (links->links);
   g_hash_table_unref (links->addresses);
   g_free (links);
@@ -75,7 +75,7 @@
 }
 
 static gboolean
-is_link (gpointer key, gpointer value, gpointer link)
+is_same_link (gpointer key, gpointer value, gpointer link)
 {
   return value == link;
 }
@@ -84,7 +84,7 @@
 link_closed (QuinceLink *link, const GError *error, gpointer data)
 {
   QuinceLedgerMemberLinks *links = data;
-  g_hash_table_foreach_remove (links->links, is_link, link);
+  g_hash_table_foreach_remove (links->links, is_same_link, link);
 }
 
 static const QuinceLinkCallbacks link_callbacks = { .message = link_message, .closed = link_closed };
@@ -102,16 +102,16 @@
 quince_ledger_member_links_close_idle (QuinceLedgerMemberLinks *links)
 {
   gint64 now = quince_now_us ();
-  if (now - links->used_us > IDLE_US)
-    close_all (links);
-  if (now - links->connect_check_us < CONNECT_US)
+  if (now - links->used_us > IDLE_TIMEOUT_US)
+    close_all_links (links);
+  if (now - links->last_connect_check_us < CONNECT_TIMEOUT_US)
     return;
-  links->connect_check_us = now;
+  links->last_connect_check_us = now;
   g_hash_table_foreach_remove (links->links, close_unconnected, NULL);
 }
 
 static QuinceLink *
-link_to (QuinceLedgerMemberLinks *links, const QuinceLedgerMember *member)
+get_or_open_link (QuinceLedgerMemberLinks *links, const QuinceLedgerMember *member)
 {
   gint64 key = (gint64)member->replica;
   QuinceLink *link = g_hash_table_lookup (links->links, &key);
@@ -129,7 +129,7 @@
                                  const QuinceMessage *message)
 {
   links->used_us = quince_now_us ();
-  quince_link_send (link_to (links, member), message);
+  quince_link_send (get_or_open_link (links, member), message);
 }
 
 /* ---- Addresses ---------------------------------------------------------- */
@@ -159,7 +159,7 @@
 }
 
 void
-quince_ledger_member_links_forget_addresses (QuinceLedgerMemberLinks *links)
+quince_ledger_member_links_clear_addresses (QuinceLedgerMemberLinks *links)
 {
   g_hash_table_remove_all (links->addresses);
 }
--- a/daemons/replica/ledger-member-links.h
+++ b/daemons/replica/ledger-member-links.h
@@ -37,7 +37,7 @@
 gboolean quince_ledger_member_links_set_address (QuinceLedgerMemberLinks *links,
                                                  const QuinceLedgerMember *member);
 /* A newer view was read: its addresses hold from now on. */
-void quince_ledger_member_links_forget_addresses (QuinceLedgerMemberLinks *links);
+void quince_ledger_member_links_clear_addresses (QuinceLedgerMemberLinks *links);
 /* Closes links that were not used lately, and those that do not connect; to be called several times a second.
  */
 void quince_ledger_member_links_close_idle (QuinceLedgerMemberLinks *links);
--- a/daemons/replica/ledger-membership.c
+++ b/daemons/replica/ledger-membership.c
@@ -9,7 +9,7 @@
 
 /* Least time between two reads of the view that were not asked for by a change, us.  Not measured: two reads
  * a confirmation interval of a leader (QuinceLedgerLimits). */
-#define READ_EVERY_US (300 * 1000)
+#define VIEW_READ_INTERVAL_US (300 * 1000)
 
 struct _QuinceLedgerMembership
 {
@@ -69,14 +69,14 @@
 }
 
 void
-quince_ledger_membership_take_view (QuinceLedgerMembership *membership, GBytes *value, guint64 revision)
+quince_ledger_membership_set_view (QuinceLedgerMembership *membership, GBytes *value, guint64 revision)
 {
   /* A watch may be late: it does not show what the store holds now. */
   take_view (membership, value, revision, 0);
 }
 
 static void
-view_answered (const QuinceMetaPage *page, guint64 number, const GError *error, gpointer data)
+handle_view_reply (const QuinceMetaPage *page, guint64 number, const GError *error, gpointer data)
 {
   QuinceLedgerMembership *membership = data;
   membership->reading = FALSE;
@@ -90,28 +90,28 @@
 }
 
 void
-quince_ledger_membership_read (QuinceLedgerMembership *membership)
+quince_ledger_membership_read_view (QuinceLedgerMembership *membership)
 {
   if (membership->reading)
     return;
   membership->reading = TRUE;
   membership->read_us = quince_now_us ();
-  quince_meta_store_get (membership->store, QUINCE_LEDGER_KEY, view_answered, membership);
+  quince_meta_store_get (membership->store, QUINCE_LEDGER_KEY, handle_view_reply, membership);
 }
 
 void
-quince_ledger_membership_refresh (QuinceLedgerMembership *membership, gint64 now_us)
+quince_ledger_membership_refresh_view (QuinceLedgerMembership *membership, gint64 now_us)
 {
-  if (now_us - membership->read_us > READ_EVERY_US)
-    quince_ledger_membership_read (membership);
+  if (now_us - membership->read_us > VIEW_READ_INTERVAL_US)
+    quince_ledger_membership_read_view (membership);
 }
 
 void
-quince_ledger_membership_read_first (QuinceLedgerMembership *membership, gint64 now_us)
+quince_ledger_membership_read_initial_view (QuinceLedgerMembership *membership, gint64 now_us)
 {
   /* No watch shows a replica that there is no view yet, and that it may found the ledger. */
   if (!membership->answered && !quince_meta_store_is_failing (membership->store))
-    quince_ledger_membership_refresh (membership, now_us);
+    quince_ledger_membership_refresh_view (membership, now_us);
 }
 
 /* ---- Changes ------------------------------------------------------------ */
@@ -129,7 +129,7 @@
 }
 
 static void
-proposal_answered (const QuinceMetaPage *page, guint64 number, const GError *error, gpointer data)
+handle_proposal_reply (const QuinceMetaPage *page, guint64 number, const GError *error, gpointer data)
 {
   QuinceLedgerMembership *membership = data;
   QuinceProposalOutcome outcome = get_outcome (error);
@@ -137,7 +137,7 @@
   quince_log_info ("view_proposal_ended", "outcome=%s", names[outcome]);
   quince_ledger_group_proposal_ended (membership->group, quince_now_us (), outcome, number);
   if (outcome == QUINCE_PROPOSAL_CONFLICT || outcome == QUINCE_PROPOSAL_UNKNOWN)
-    quince_ledger_membership_read (membership);
+    quince_ledger_membership_read_view (membership);
   membership->callbacks->changed (FALSE, membership->user_data);
 }
 
@@ -156,7 +156,7 @@
     }
   const QuinceMetaChange change
       = { .key = QUINCE_LEDGER_KEY, .expected_revision = (gint64)expected_revision, .value = value };
-  quince_meta_store_change (membership->store, &change, 1, proposal_answered, membership);
+  quince_meta_store_change (membership->store, &change, 1, handle_proposal_reply, membership);
 }
 
 void
@@ -168,7 +168,7 @@
   g_autoptr (QuinceLedgerView) view
       = quince_ledger_group_propose (membership->group, quince_now_us (), &expected);
   /* Promises and notes that the step made are on the disk before the change is sent. */
-  quince_ledger_storage_keep_or_abort (membership->storage);
+  quince_ledger_storage_save_state_or_abort (membership->storage);
   if (view == NULL)
     return;
   quince_log_info ("view_proposed",
--- a/daemons/replica/ledger-membership.h
+++ b/daemons/replica/ledger-membership.h
@@ -31,14 +31,14 @@
                                                       gpointer user_data);
 void quince_ledger_membership_free (QuinceLedgerMembership *membership);
 
-/* As quince_ledger_node_take_view(). */
-void quince_ledger_membership_take_view (QuinceLedgerMembership *membership, GBytes *value, guint64 revision);
+/* As quince_ledger_node_set_view(). */
+void quince_ledger_membership_set_view (QuinceLedgerMembership *membership, GBytes *value, guint64 revision);
 /* Reads the view, unless it is being read. */
-void quince_ledger_membership_read (QuinceLedgerMembership *membership);
+void quince_ledger_membership_read_view (QuinceLedgerMembership *membership);
 /* Reads the view until the store has answered once, also that there is none; to be called several times a
  * second. */
-void quince_ledger_membership_read_first (QuinceLedgerMembership *membership, gint64 now_us);
+void quince_ledger_membership_read_initial_view (QuinceLedgerMembership *membership, gint64 now_us);
 /* Reads the view where it was not read lately. */
-void quince_ledger_membership_refresh (QuinceLedgerMembership *membership, gint64 now_us);
+void quince_ledger_membership_refresh_view (QuinceLedgerMembership *membership, gint64 now_us);
 /* Proposes a change of the view where there is one to propose and the store is not known to be away. */
 void quince_ledger_membership_propose (QuinceLedgerMembership *membership);
--- a/daemons/replica/ledger-node.c
+++ b/daemons/replica/ledger-node.c
@@ -40,18 +40,18 @@
   QuinceLedgerRecords *records;
 
   QuinceLinkServer *server;
-  GHashTable *incoming; /* QuinceLink, owned: of fronts, backups and members */
+  GHashTable *incoming_links; /* QuinceLink, owned: of fronts, backups and members */
   QuinceTimer *tick;
 };
 
 /* ---- The role ----------------------------------------------------------- */
 
 static void
-begin_leading (QuinceLedgerNode *node, guint64 epoch)
+start_leading (QuinceLedgerNode *node, guint64 epoch)
 {
   quince_ledger_follower_stop (node->follower);
-  quince_ledger_replication_begin (node->replication, epoch);
-  quince_ledger_records_begin (node->records, epoch);
+  quince_ledger_replication_start_leading (node->replication, epoch);
+  quince_ledger_records_start_leading (node->records, epoch);
   quince_log_info ("ledger_role", "role=primary epoch=%" G_GUINT64_FORMAT " last_index=%" G_GUINT64_FORMAT,
                    epoch, quince_ledger_node_get_last_index (node));
 }
@@ -61,9 +61,9 @@
 {
   quince_log_warning ("ledger_role", "role=backup epoch_led=%" G_GUINT64_FORMAT,
                       quince_ledger_records_get_epoch (node->records));
-  gboolean had_read = quince_ledger_records_end (node->records);
-  quince_ledger_replication_end (node->replication, had_read);
-  if (had_read)
+  gboolean reading_started = quince_ledger_records_stop_leading (node->records);
+  quince_ledger_replication_stop_leading (node->replication, reading_started);
+  if (reading_started)
     node->callbacks->stopped_leading (node->user_data);
 }
 
@@ -77,11 +77,11 @@
   if (epoch != 0 && (!leads || view->epoch != epoch))
     stop_leading (node);
   if (leads && quince_ledger_records_get_epoch (node->records) == 0)
-    begin_leading (node, view->epoch);
+    start_leading (node, view->epoch);
   /* A replica that has left the view gets no record that is written from now on. */
   if (quince_ledger_records_get_epoch (node->records) != 0)
-    quince_ledger_replication_choose (node->replication);
-  quince_ledger_follower_step (node->follower);
+    quince_ledger_replication_choose_recipients (node->replication);
+  quince_ledger_follower_update_link (node->follower);
   quince_ledger_records_advance (node->records);
 }
 
@@ -94,7 +94,7 @@
 }
 
 static void
-election_propose (gpointer data)
+propose_view_change (gpointer data)
 {
   QuinceLedgerNode *node = data;
   quince_ledger_membership_propose (node->membership);
@@ -104,35 +104,36 @@
 election_is_backup (guint64 replica, gpointer data)
 {
   const QuinceLedgerNode *node = data;
-  return quince_ledger_replication_is_linked (node->replication, replica);
+  return quince_ledger_replication_has_backup (node->replication, replica);
 }
 
-static const QuinceLedgerElectionCallbacks election_callbacks
-    = { .role_changed = election_role_changed, .propose = election_propose, .is_backup = election_is_backup };
+static const QuinceLedgerElectionCallbacks election_callbacks = { .role_changed = election_role_changed,
+                                                                  .propose = propose_view_change,
+                                                                  .is_backup = election_is_backup };
 
 static void
-member_promised (const QuinceLedgerPromise *promise, gpointer data)
+handle_member_promise (const QuinceLedgerPromise *promise, gpointer data)
 {
   QuinceLedgerNode *node = data;
-  quince_ledger_election_take_promise (node->election, promise);
+  quince_ledger_election_handle_promise (node->election, promise);
 }
 
 static void
-member_lead (const QuinceLedgerLead *lead, gpointer data)
+handle_member_lead (const QuinceLedgerLead *lead, gpointer data)
 {
   QuinceLedgerNode *node = data;
-  quince_ledger_election_take_lead (node->election, lead);
+  quince_ledger_election_handle_lead (node->election, lead);
 }
 
 static const QuinceLedgerMemberLinksCallbacks member_callbacks
-    = { .promised = member_promised, .lead = member_lead };
+    = { .promised = handle_member_promise, .lead = handle_member_lead };
 
 static void
 view_changed (gboolean newer, gpointer data)
 {
   QuinceLedgerNode *node = data;
   if (newer)
-    quince_ledger_member_links_forget_addresses (node->member_links);
+    quince_ledger_member_links_clear_addresses (node->member_links);
   apply_role (node);
   /* A former leader that was restarted asks its members at once. */
   if (newer)
@@ -142,28 +143,29 @@
 static const QuinceLedgerMembershipCallbacks membership_callbacks = { .changed = view_changed };
 
 static void
-leader_followed (QuinceLink *link, gpointer data)
+handle_leader_connected (QuinceLink *link, gpointer data)
 {
   QuinceLedgerNode *node = data;
   node->callbacks->followed (link, node->user_data);
 }
 
 static void
-leader_message (QuinceLink *link, const QuinceMessage *message, gpointer data)
+handle_leader_message (QuinceLink *link, const QuinceMessage *message, gpointer data)
 {
   QuinceLedgerNode *node = data;
   node->callbacks->other_message (link, message, node->user_data);
 }
 
 static void
-leader_unfollowed (gpointer data)
+handle_leader_disconnected (gpointer data)
 {
   QuinceLedgerNode *node = data;
   node->callbacks->unfollowed (node->user_data);
 }
 
-static const QuinceLedgerFollowerCallbacks follower_callbacks
-    = { .followed = leader_followed, .message = leader_message, .unfollowed = leader_unfollowed };
+static const QuinceLedgerFollowerCallbacks follower_callbacks = { .followed = handle_leader_connected,
+                                                                  .message = handle_leader_message,
+                                                                  .unfollowed = handle_leader_disconnected };
 
 static void
 record_committed (guint64 index, QuinceBatchRecord *record, gpointer data)
@@ -197,7 +199,7 @@
 {
   if (quince_ledger_records_get_epoch (node->records) != 0)
     {
-      quince_ledger_replication_join (node->replication, link, hello);
+      quince_ledger_replication_add_backup (node->replication, link, hello);
       return;
     }
   /* A former leader that was restarted needs the promises of the members that come back to it. */
@@ -217,17 +219,19 @@
       handle_hello (node, link, &message->QuinceMessage_u.ledger_hello);
       break;
     case QUINCE_MESSAGE_LEDGER_ACK:
-      if (quince_ledger_replication_take_ack (node->replication, link, &message->QuinceMessage_u.ledger_ack))
+      if (quince_ledger_replication_handle_ack (node->replication, link,
+                                                &message->QuinceMessage_u.ledger_ack))
         quince_ledger_records_advance (node->records);
       break;
     case QUINCE_MESSAGE_LEDGER_ASK:
-      quince_ledger_election_handle_ask (node->election, link, &message->QuinceMessage_u.ledger_ask);
+      quince_ledger_election_handle_promise_request (node->election, link,
+                                                     &message->QuinceMessage_u.ledger_ask);
       break;
     case QUINCE_MESSAGE_LEDGER_QUERY:
       quince_ledger_election_handle_query (node->election, link, &message->QuinceMessage_u.ledger_query);
       break;
     case QUINCE_MESSAGE_LEDGER_LEAD:
-      quince_ledger_election_take_lead (node->election, &message->QuinceMessage_u.ledger_lead);
+      quince_ledger_election_handle_lead (node->election, &message->QuinceMessage_u.ledger_lead);
       break;
     case QUINCE_MESSAGE_SERVICE_CALL:
       node->callbacks->service_call (link, &message->QuinceMessage_u.service_call, node->user_data);
@@ -243,9 +247,9 @@
 link_closed (QuinceLink *link, const GError *error, gpointer data)
 {
   QuinceLedgerNode *node = data;
-  quince_ledger_replication_drop (node->replication, link);
+  quince_ledger_replication_remove_backup (node->replication, link);
   node->callbacks->link_closed (link, node->user_data);
-  g_hash_table_remove (node->incoming, link);
+  g_hash_table_remove (node->incoming_links, link);
 }
 
 static const QuinceLinkCallbacks link_callbacks = { .message = link_message, .closed = link_closed };
@@ -254,7 +258,7 @@
 link_accepted (QuinceLink *link, gpointer data)
 {
   QuinceLedgerNode *node = data;
-  g_hash_table_add (node->incoming, link);
+  g_hash_table_add (node->incoming_links, link);
 }
 
 /* ---- Time ---------------------------------------------------------------- */
@@ -265,13 +269,13 @@
   quince_ledger_replication_send (node->replication, TRUE);
   /* Its backups do not answer, or this process was suspended: the view may have changed meanwhile. */
   if (!quince_ledger_group_may_accept (node->group, now_us))
-    quince_ledger_membership_refresh (node->membership, now_us);
+    quince_ledger_membership_refresh_view (node->membership, now_us);
   quince_ledger_records_advance (node->records);
   if (!quince_ledger_node_is_leading (node))
     return;
   /* The disk keeps that this leader may give orders in its epoch. */
   quince_ledger_group_record_orders (node->group, now_us);
-  quince_ledger_storage_keep (node->storage, "note_orders");
+  quince_ledger_storage_save_state (node->storage, "note_orders");
 }
 
 static gboolean
@@ -279,14 +283,14 @@
 {
   QuinceLedgerNode *node = data;
   gint64 now = quince_now_us ();
-  quince_ledger_membership_read_first (node->membership, now);
+  quince_ledger_membership_read_initial_view (node->membership, now);
   /* A member that was stopped would campaign against a leader that is well, and win in a view of two. */
   if (!quince_ledger_follower_has_input (node->follower))
     quince_ledger_election_campaign (node->election);
   quince_ledger_membership_propose (node->membership);
   quince_ledger_election_query (node->election, quince_ledger_records_get_epoch (node->records) != 0);
-  quince_ledger_election_lead_without_store (node->election);
-  quince_ledger_follower_step (node->follower);
+  quince_ledger_election_try_lead_without_store (node->election);
+  quince_ledger_follower_update_link (node->follower);
   quince_ledger_storage_compact (node->storage, now);
   if (quince_ledger_records_get_epoch (node->records) != 0)
     step_as_leader (node, now);
@@ -347,13 +351,13 @@
   node->callbacks = callbacks;
   node->user_data = user_data;
   node->storage = g_steal_pointer (&storage);
-  node->incoming = g_hash_table_new_full (NULL, NULL, (GDestroyNotify)quince_link_unref, NULL);
+  node->incoming_links = g_hash_table_new_full (NULL, NULL, (GDestroyNotify)quince_link_unref, NULL);
   create_group (node, options);
   create_parts (node, options, store);
   quince_log_info ("disk_opened", "replica=%" G_GUINT64_FORMAT " empty=%s last_index=%" G_GUINT64_FORMAT,
                    (guint64)node->self.replica, was_empty ? "true" : "false",
                    quince_ledger_node_get_last_index (node));
-  quince_ledger_membership_read (node->membership);
+  quince_ledger_membership_read_view (node->membership);
   node->tick = quince_timer_add (TICK_MS, tick, node);
   return node;
 }
@@ -372,10 +376,10 @@
   quince_ledger_membership_free (node->membership);
   GHashTableIter iter;
   gpointer link;
-  g_hash_table_iter_init (&iter, node->incoming);
+  g_hash_table_iter_init (&iter, node->incoming_links);
   while (g_hash_table_iter_next (&iter, &link, NULL))
     quince_link_close (link);
-  g_hash_table_unref (node->incoming);
+  g_hash_table_unref (node->incoming_links);
   quince_link_server_free (node->server);
   quince_ledger_group_free (node->group);
   quince_ledger_storage_close (node->storage);
@@ -386,21 +390,21 @@
 }
 
 void
-quince_ledger_node_take_view (QuinceLedgerNode *node, GBytes *value, guint64 revision)
+quince_ledger_node_set_view (QuinceLedgerNode *node, GBytes *value, guint64 revision)
 {
-  quince_ledger_membership_take_view (node->membership, value, revision);
+  quince_ledger_membership_set_view (node->membership, value, revision);
 }
 
 void
-quince_ledger_node_set_leaving (QuinceLedgerNode *node, const char *const *nodes)
+quince_ledger_node_set_draining_nodes (QuinceLedgerNode *node, const char *const *nodes)
 {
   quince_ledger_group_set_draining_nodes (node->group, nodes);
 }
 
 void
-quince_ledger_node_confine (QuinceLedgerNode *node, const char *const *nodes)
+quince_ledger_node_set_allowed_nodes (QuinceLedgerNode *node, const char *const *nodes)
 {
-  quince_ledger_replication_confine (node->replication, nodes);
+  quince_ledger_replication_set_allowed_nodes (node->replication, nodes);
 }
 
 guint64
@@ -410,15 +414,15 @@
 }
 
 QuinceLink *
-quince_ledger_node_get_leader (QuinceLedgerNode *node)
+quince_ledger_node_get_leader_link (QuinceLedgerNode *node)
 {
-  return quince_ledger_follower_get_leader (node->follower);
+  return quince_ledger_follower_get_leader_link (node->follower);
 }
 
 guint64
-quince_ledger_node_get_successor (QuinceLedgerNode *node)
+quince_ledger_node_get_successor_serial (QuinceLedgerNode *node)
 {
-  return quince_ledger_replication_get_successor (node->replication);
+  return quince_ledger_replication_get_successor_serial (node->replication);
 }
 
 QuinceLink *
@@ -434,9 +438,9 @@
 }
 
 void
-quince_ledger_node_tell_successor (QuinceLedgerNode *node, const QuinceMessage *message)
+quince_ledger_node_send_to_successor (QuinceLedgerNode *node, const QuinceMessage *message)
 {
-  quince_ledger_replication_tell_successor (node->replication, message);
+  quince_ledger_replication_send_to_successor (node->replication, message);
 }
 
 gboolean
--- a/daemons/replica/ledger-node.h
+++ b/daemons/replica/ledger-node.h
@@ -45,7 +45,7 @@
  * @zone: of this machine
  * @folder: existing, on its disk
  * @several_regions: the platform has several regions: a new leader sends records to members alone until it
- * has read its log and its owner has called quince_ledger_node_confine()
+ * has read its log and its owner has called quince_ledger_node_set_allowed_nodes()
  * @limits: of the group
  * @may_bootstrap: the whole system starts for the first time
  */
@@ -78,28 +78,28 @@
 void quince_ledger_node_free (QuinceLedgerNode *node);
 
 /* A change of the ledger's key in the metadata store; %NULL and 0 where it holds none. */
-void quince_ledger_node_take_view (QuinceLedgerNode *node, GBytes *value, guint64 revision);
+void quince_ledger_node_set_view (QuinceLedgerNode *node, GBytes *value, guint64 revision);
 /* As quince_ledger_group_set_draining_nodes(). */
-void quince_ledger_node_set_leaving (QuinceLedgerNode *node, const char *const *nodes);
+void quince_ledger_node_set_draining_nodes (QuinceLedgerNode *node, const char *const *nodes);
 /* At the leader: only the machines @nodes (nullable, %NULL-terminated) may keep records, from now on; records
  * on others that are no members are cleared.  %NULL: all may. */
-void quince_ledger_node_confine (QuinceLedgerNode *node, const char *const *nodes);
+void quince_ledger_node_set_allowed_nodes (QuinceLedgerNode *node, const char *const *nodes);
 
 /* Appends a record; committed() is called for it once a quorum has it on disk.  Returns: its index; 0: this
  * replica does not lead, or the record does not encode */
 guint64 quince_ledger_node_append (QuinceLedgerNode *node, const QuinceBatchRecord *record);
 
 /* At a backup: its link to the leader, while it is up. (transfer none) (nullable) */
-QuinceLink *quince_ledger_node_get_leader (QuinceLedgerNode *node);
+QuinceLink *quince_ledger_node_get_leader_link (QuinceLedgerNode *node);
 /* At the leader: a number that identifies the link to the successor; 0: there is none.  Another number means
  * that the successor knows nothing that was sent before. */
-guint64 quince_ledger_node_get_successor (QuinceLedgerNode *node);
+guint64 quince_ledger_node_get_successor_serial (QuinceLedgerNode *node);
 /* The link to the successor. (transfer none) (nullable) */
 QuinceLink *quince_ledger_node_get_successor_link (QuinceLedgerNode *node);
 /* Name of the successor's machine. (transfer none) (nullable) */
 const char *quince_ledger_node_get_successor_name (QuinceLedgerNode *node);
 /* Sends @message to the successor, if there is one; for messages that may be lost. */
-void quince_ledger_node_tell_successor (QuinceLedgerNode *node, const QuinceMessage *message);
+void quince_ledger_node_send_to_successor (QuinceLedgerNode *node, const QuinceMessage *message);
 
 /* This replica leads and has read its log. */
 gboolean quince_ledger_node_is_leading (const QuinceLedgerNode *node);
--- a/daemons/replica/ledger-records.c
+++ b/daemons/replica/ledger-records.c
@@ -12,7 +12,7 @@
 
 /* How long a new leader reads its log before it serves its links again, us: short against the 1 s of silence
  * after which backups campaign, also on a tenth of a core. */
-#define READ_TURN_US (30 * 1000)
+#define READ_SLICE_MAX_US (30 * 1000)
 
 struct _QuinceLedgerRecords
 {
@@ -29,11 +29,11 @@
   GQueue uncommitted; /* QuinceLogEntry, owned records: on disk, not delivered yet */
   QuinceTimer *flush; /* writes the unwritten ones */
 
-  gboolean recovered;      /* the log was read */
-  QuinceTimer *reading;    /* reads the log; NULL: not begun, or done */
-  guint64 delivered_index; /* of the last stored record that was delivered */
-  gint64 turn_ends_us;     /* when the reading pauses for the main loop */
-  gint64 read_since_us;    /* when the reading began */
+  gboolean recovered;       /* the log was read */
+  QuinceTimer *reading;     /* reads the log; NULL: not begun, or done */
+  guint64 delivered_index;  /* of the last stored record that was delivered */
+  gint64 read_slice_end_us; /* when the reading pauses for the main loop */
+  gint64 read_started_us;   /* when the reading began */
 };
 
 /* ---- State ------------------------------------------------------------- */
@@ -111,7 +111,7 @@
 }
 
 void
-quince_ledger_records_begin (QuinceLedgerRecords *records, guint64 epoch)
+quince_ledger_records_start_leading (QuinceLedgerRecords *records, guint64 epoch)
 {
   records->epoch = epoch;
   records->next_index = quince_batch_log_get_last_index (records->log) + 1;
@@ -121,14 +121,14 @@
 }
 
 gboolean
-quince_ledger_records_end (QuinceLedgerRecords *records)
+quince_ledger_records_stop_leading (QuinceLedgerRecords *records)
 {
-  gboolean had_read = records->recovered || records->reading != NULL;
+  gboolean reading_started = records->recovered || records->reading != NULL;
   records->epoch = 0;
   records->recovered = FALSE;
   quince_timer_clear (&records->reading);
   clear_records (records);
-  return had_read;
+  return reading_started;
 }
 
 static gboolean
@@ -188,23 +188,24 @@
 
 /* Delivers one stored record.  Returns: whether time is left in this turn */
 static gboolean
-deliver_stored (const QuinceLogEntry *entry, gpointer data)
+deliver_stored_record (const QuinceLogEntry *entry, gpointer data)
 {
   QuinceLedgerRecords *records = data;
   deliver_record (records, entry);
   records->delivered_index = entry->index;
-  return quince_now_us () < records->turn_ends_us;
+  return quince_now_us () < records->read_slice_end_us;
 }
 
 /* A log of some thousand records takes seconds to read on a small machine.  Between two turns heartbeats are
  * sent: without them the backups would elect another leader, which would begin to read in its turn. */
 static gboolean
-read_more (gpointer data)
+read_log_slice (gpointer data)
 {
   QuinceLedgerRecords *records = data;
   g_autoptr (GError) error = NULL;
-  records->turn_ends_us = quince_now_us () + READ_TURN_US;
-  if (!quince_batch_log_foreach (records->log, records->delivered_index + 1, deliver_stored, records, &error))
+  records->read_slice_end_us = quince_now_us () + READ_SLICE_MAX_US;
+  if (!quince_batch_log_foreach (records->log, records->delivered_index + 1, deliver_stored_record, records,
+                                 &error))
     {
       /* It cannot answer for records that it cannot read: another replica can. */
       quince_log_failure ("ledger_disk_failed", "doing=read reason=\"%s\"", error->message);
@@ -214,7 +215,7 @@
     return G_SOURCE_CONTINUE;
   quince_timer_clear (&records->reading);
   records->recovered = TRUE;
-  gint64 read_ms = (quince_now_us () - records->read_since_us) / 1000;
+  gint64 read_ms = (quince_now_us () - records->read_started_us) / 1000;
   quince_log_info ("ledger_recovered",
                    "epoch=%" G_GUINT64_FORMAT " index=%" G_GUINT64_FORMAT " read_ms=%" G_GINT64_FORMAT,
                    records->epoch, records->delivered_index, read_ms);
@@ -224,15 +225,15 @@
 }
 
 static void
-begin_reading (QuinceLedgerRecords *records)
+start_reading (QuinceLedgerRecords *records)
 {
   records->delivered_index = 0;
-  records->read_since_us = quince_now_us ();
-  records->reading = quince_timer_add (0, read_more, records);
+  records->read_started_us = quince_now_us ();
+  records->reading = quince_timer_add (0, read_log_slice, records);
 }
 
 static gboolean
-next_is_committed (const QuinceLedgerRecords *records, guint64 commit_index)
+is_next_committed (const QuinceLedgerRecords *records, guint64 commit_index)
 {
   const QuinceLogEntry *next = records->uncommitted.head != NULL ? records->uncommitted.head->data : NULL;
   return next != NULL && next->index <= commit_index;
@@ -246,11 +247,11 @@
   /* Once it may answer, a quorum holds all that was acknowledged, and so does this log. */
   if (!records->recovered && records->reading == NULL
       && quince_ledger_group_may_answer (records->group, quince_now_us ()))
-    begin_reading (records);
+    start_reading (records);
   if (!records->recovered)
     return;
   guint64 commit_index = quince_ledger_group_get_commit_index (records->group);
-  while (next_is_committed (records, commit_index))
+  while (is_next_committed (records, commit_index))
     {
       QuinceLogEntry *entry = g_queue_pop_head (&records->uncommitted);
       deliver_record (records, entry);
--- a/daemons/replica/ledger-records.h
+++ b/daemons/replica/ledger-records.h
@@ -32,10 +32,10 @@
 void quince_ledger_records_free (QuinceLedgerRecords *records);
 
 /* This replica leads @epoch from now on: writes the first record of it. */
-void quince_ledger_records_begin (QuinceLedgerRecords *records, guint64 epoch);
+void quince_ledger_records_start_leading (QuinceLedgerRecords *records, guint64 epoch);
 /* It leads no more: records that are not committed are dropped from memory.  Returns: whether the log was
  * being read, or had been */
-gboolean quince_ledger_records_end (QuinceLedgerRecords *records);
+gboolean quince_ledger_records_stop_leading (QuinceLedgerRecords *records);
 
 /* Appends a record, which is written together with others of the same turn of the main loop.  Returns its
  * index; 0: the log is not read yet, or the record does not encode (logged) */
--- a/daemons/replica/ledger-replication.c
+++ b/daemons/replica/ledger-replication.c
@@ -22,9 +22,9 @@
   GHashTable *backups; /* QuinceLedgerBackup by replica, owned */
   guint64 joins;       /* backups that introduced themselves */
 
-  char **confined;            /* machines that may keep records; NULL: all */
-  gboolean confinement_known; /* it was set since this replica began to lead */
-  gboolean recovered;         /* this leader has read its log */
+  char **confined;              /* machines that may keep records; NULL: all */
+  gboolean allowed_nodes_known; /* it was set since this replica began to lead */
+  gboolean recovered;           /* this leader has read its log */
 };
 
 QuinceLedgerReplication *
@@ -44,7 +44,7 @@
 }
 
 static void
-drop_all (QuinceLedgerReplication *replication)
+remove_all_backups (QuinceLedgerReplication *replication)
 {
   GHashTableIter iter;
   gpointer value;
@@ -59,16 +59,16 @@
 {
   if (replication == NULL)
     return;
-  drop_all (replication);
+  remove_all_backups (replication);
   g_hash_table_unref (replication->backups);
   g_strfreev (replication->confined);
   g_free (replication);
 }
 
 void
-quince_ledger_replication_begin (QuinceLedgerReplication *replication, guint64 epoch)
+quince_ledger_replication_start_leading (QuinceLedgerReplication *replication, guint64 epoch)
 {
-  drop_all (replication);
+  remove_all_backups (replication);
   replication->epoch = epoch;
 }
 
@@ -79,13 +79,13 @@
 }
 
 void
-quince_ledger_replication_end (QuinceLedgerReplication *replication, gboolean forget_confinement)
+quince_ledger_replication_stop_leading (QuinceLedgerReplication *replication, gboolean forget_allowed_nodes)
 {
-  drop_all (replication);
+  remove_all_backups (replication);
   replication->epoch = 0;
   replication->recovered = FALSE;
-  if (forget_confinement)
-    replication->confinement_known = FALSE;
+  if (forget_allowed_nodes)
+    replication->allowed_nodes_known = FALSE;
 }
 
 /* ---- Which backups are sent records ------------------------------------- */
@@ -95,11 +95,11 @@
 {
   gint64 now = quince_now_us ();
   quince_ledger_group_peer_cleared (replication->group, backup->replica, now);
-  quince_ledger_backup_clear (backup, replication->epoch, now);
+  quince_ledger_backup_clear_records (backup, replication->epoch, now);
 }
 
 static void
-check_backup (QuinceLedgerReplication *replication, QuinceLedgerBackup *backup, gboolean chosen)
+update_backup (QuinceLedgerReplication *replication, QuinceLedgerBackup *backup, gboolean chosen)
 {
   const QuinceLedgerView *view = quince_ledger_group_get_view (replication->group);
   gboolean member = quince_ledger_view_find (view, backup->replica) != NULL;
@@ -108,7 +108,7 @@
   /* Until the log is read it is not known what may lie where.  A view of fewer members than a quorum is that
    * of the first start: it has no record. */
   gboolean unknown = replication->several_regions
-                     && !(replication->recovered && replication->confinement_known)
+                     && !(replication->recovered && replication->allowed_nodes_known)
                      && view->members.members_len >= replication->quorum;
   /* A backup that has records was allowed them by an earlier leader; without it a leader that has lost
    * members may never have a quorum again, and so never read its log. */
@@ -119,7 +119,7 @@
 }
 
 void
-quince_ledger_replication_choose (QuinceLedgerReplication *replication)
+quince_ledger_replication_choose_recipients (QuinceLedgerReplication *replication)
 {
   g_autoptr (GArray) chosen = g_array_new (FALSE, FALSE, sizeof (guint64));
   quince_ledger_group_choose_recipients (replication->group, quince_now_us (), chosen);
@@ -129,23 +129,23 @@
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
       QuinceLedgerBackup *backup = value;
-      check_backup (replication, backup, quince_replica_list_has (chosen, backup->replica));
+      update_backup (replication, backup, quince_replica_list_has (chosen, backup->replica));
     }
 }
 
 void
-quince_ledger_replication_confine (QuinceLedgerReplication *replication, const char *const *nodes)
+quince_ledger_replication_set_allowed_nodes (QuinceLedgerReplication *replication, const char *const *nodes)
 {
   const char *const *confined = (const char *const *)replication->confined;
   gboolean same = (nodes == NULL) == (confined == NULL) && (nodes == NULL || g_strv_equal (nodes, confined));
-  if (same && replication->confinement_known)
+  if (same && replication->allowed_nodes_known)
     return;
-  replication->confinement_known = TRUE;
+  replication->allowed_nodes_known = TRUE;
   g_strfreev (replication->confined);
   replication->confined = g_strdupv ((char **)nodes);
   quince_ledger_group_set_allowed_nodes (replication->group, nodes);
   if (replication->epoch != 0)
-    quince_ledger_replication_choose (replication);
+    quince_ledger_replication_choose_recipients (replication);
 }
 
 /* ---- Sending ------------------------------------------------------------ */
@@ -163,7 +163,7 @@
 quince_ledger_replication_send (QuinceLedgerReplication *replication, gboolean heartbeat)
 {
   if (heartbeat)
-    quince_ledger_replication_choose (replication);
+    quince_ledger_replication_choose_recipients (replication);
   GHashTableIter iter;
   gpointer value;
   g_hash_table_iter_init (&iter, replication->backups);
@@ -174,9 +174,9 @@
 /* ---- Links of backups --------------------------------------------------- */
 
 void
-quince_ledger_replication_join (QuinceLedgerReplication *replication,
-                                QuinceLink *link,
-                                const QuinceLedgerHello *hello)
+quince_ledger_replication_add_backup (QuinceLedgerReplication *replication,
+                                      QuinceLink *link,
+                                      const QuinceLedgerHello *hello)
 {
   QuinceLedgerBackup *backup = quince_ledger_backup_new (link, hello, ++replication->joins, replication->log);
   g_hash_table_replace (replication->backups, &backup->replica, backup);
@@ -187,7 +187,7 @@
                    " send_from=%" G_GUINT64_FORMAT " reset=%s",
                    hello->member.node, (guint64)hello->member.replica, (guint64)hello->last_index,
                    backup->next_index, backup->reset ? "true" : "false");
-  quince_ledger_replication_choose (replication);
+  quince_ledger_replication_choose_recipients (replication);
   send_to (replication, backup, TRUE);
 }
 
@@ -204,9 +204,9 @@
 }
 
 gboolean
-quince_ledger_replication_take_ack (QuinceLedgerReplication *replication,
-                                    QuinceLink *link,
-                                    const QuinceLedgerAck *ack)
+quince_ledger_replication_handle_ack (QuinceLedgerReplication *replication,
+                                      QuinceLink *link,
+                                      const QuinceLedgerAck *ack)
 {
   QuinceLedgerBackup *backup = find_by_link (replication, link);
   if (backup == NULL || ack->epoch != replication->epoch || ack->replica != backup->replica)
@@ -224,7 +224,7 @@
 }
 
 void
-quince_ledger_replication_drop (QuinceLedgerReplication *replication, QuinceLink *link)
+quince_ledger_replication_remove_backup (QuinceLedgerReplication *replication, QuinceLink *link)
 {
   QuinceLedgerBackup *backup = find_by_link (replication, link);
   if (backup == NULL)
@@ -235,7 +235,7 @@
 }
 
 gboolean
-quince_ledger_replication_is_linked (const QuinceLedgerReplication *replication, guint64 replica)
+quince_ledger_replication_has_backup (const QuinceLedgerReplication *replication, guint64 replica)
 {
   return g_hash_table_contains (replication->backups, &replica);
 }
@@ -258,7 +258,7 @@
 }
 
 guint64
-quince_ledger_replication_get_successor (const QuinceLedgerReplication *replication)
+quince_ledger_replication_get_successor_serial (const QuinceLedgerReplication *replication)
 {
   const QuinceLedgerBackup *successor = find_successor (replication);
   return successor != NULL ? successor->serial : 0;
@@ -279,8 +279,8 @@
 }
 
 void
-quince_ledger_replication_tell_successor (const QuinceLedgerReplication *replication,
-                                          const QuinceMessage *message)
+quince_ledger_replication_send_to_successor (const QuinceLedgerReplication *replication,
+                                             const QuinceMessage *message)
 {
   const QuinceLedgerBackup *successor = find_successor (replication);
   g_autoptr (GBytes) encoded = successor != NULL ? quince_message_encode (message, NULL) : NULL;
--- a/daemons/replica/ledger-storage.c
+++ b/daemons/replica/ledger-storage.c
@@ -9,17 +9,17 @@
 
 /* Pause between two compactions, us.  Not measured: forgotten batches cost disk space only, which is not
  * short within seconds. */
-#define COMPACT_EVERY_US (5 * G_USEC_PER_SEC)
+#define COMPACT_INTERVAL_US (5 * G_USEC_PER_SEC)
 /* Records that one compaction reads.  Not measured: bounds the time for which it holds up the main context.
  */
-#define COMPACT_MAX 500
+#define COMPACT_RECORDS_MAX 500
 
 struct _QuinceLedgerStorage
 {
   QuinceBatchLog *log;
-  QuinceLedgerGroup *group; /* borrowed */
-  guint64 compacted;        /* index up to which forgotten batches were searched for */
-  gint64 compacted_us;      /* when they were last searched for */
+  QuinceLedgerGroup *group;     /* borrowed */
+  guint64 last_compacted_index; /* index up to which forgotten batches were searched for */
+  gint64 last_compaction_us;    /* when they were last searched for */
 };
 
 QuinceLedgerStorage *
@@ -49,16 +49,16 @@
 }
 
 QuinceLogEnd
-quince_ledger_storage_get_end (const QuinceLedgerStorage *storage)
+quince_ledger_storage_get_log_end (const QuinceLedgerStorage *storage)
 {
   guint64 index = quince_batch_log_get_last_index (storage->log);
   return (QuinceLogEnd){ .epoch = quince_batch_log_get_epoch (storage->log, index), .index = index };
 }
 
 static void
-report_end (QuinceLedgerStorage *storage)
+update_log_end (QuinceLedgerStorage *storage)
 {
-  const QuinceLogEnd end = quince_ledger_storage_get_end (storage);
+  const QuinceLogEnd end = quince_ledger_storage_get_log_end (storage);
   quince_ledger_group_set_log_end (storage->group, &end);
 }
 
@@ -66,7 +66,7 @@
 quince_ledger_storage_set_group (QuinceLedgerStorage *storage, QuinceLedgerGroup *group)
 {
   storage->group = group;
-  report_end (storage);
+  update_log_end (storage);
 }
 
 gboolean
@@ -81,13 +81,13 @@
   if (!quince_batch_log_append (storage->log, entries, n_entries, reset, end_index, commit, error))
     return FALSE;
   if (reset)
-    storage->compacted = 0;
-  report_end (storage);
+    storage->last_compacted_index = 0;
+  update_log_end (storage);
   return TRUE;
 }
 
 gboolean
-quince_ledger_storage_keep (QuinceLedgerStorage *storage, const char *doing)
+quince_ledger_storage_save_state (QuinceLedgerStorage *storage, const char *doing)
 {
   g_autoptr (GError) error = NULL;
   if (quince_batch_log_save_persistent_state (
@@ -98,9 +98,9 @@
 }
 
 void
-quince_ledger_storage_keep_or_abort (QuinceLedgerStorage *storage)
+quince_ledger_storage_save_state_or_abort (QuinceLedgerStorage *storage)
 {
-  if (!quince_ledger_storage_keep (storage, "keep"))
+  if (!quince_ledger_storage_save_state (storage, "keep"))
     abort ();
 }
 
@@ -108,9 +108,9 @@
 quince_ledger_storage_compact (QuinceLedgerStorage *storage, gint64 now_us)
 {
   g_autoptr (GError) error = NULL;
-  if (now_us - storage->compacted_us < COMPACT_EVERY_US)
+  if (now_us - storage->last_compaction_us < COMPACT_INTERVAL_US)
     return;
-  storage->compacted_us = now_us;
-  if (!quince_batch_log_compact (storage->log, &storage->compacted, COMPACT_MAX, &error))
+  storage->last_compaction_us = now_us;
+  if (!quince_batch_log_compact (storage->log, &storage->last_compacted_index, COMPACT_RECORDS_MAX, &error))
     quince_log_failure ("ledger_disk_failed", "doing=compact reason=\"%s\"", error->message);
 }
--- a/daemons/replica/ledger-storage.h
+++ b/daemons/replica/ledger-storage.h
@@ -28,7 +28,7 @@
 /* (transfer none): to be read only; writes go through the storage */
 QuinceBatchLog *quince_ledger_storage_get_log (const QuinceLedgerStorage *storage);
 /* Epoch and index of the last record. */
-QuinceLogEnd quince_ledger_storage_get_end (const QuinceLedgerStorage *storage);
+QuinceLogEnd quince_ledger_storage_get_log_end (const QuinceLedgerStorage *storage);
 
 /* As quince_batch_log_append(). */
 gboolean quince_ledger_storage_append (QuinceLedgerStorage *storage,
@@ -39,16 +39,16 @@
                                        guint64 commit,
                                        GError **error);
 /**
- * quince_ledger_storage_keep:
+ * quince_ledger_storage_save_state:
  * @doing: what the promises are kept for, for the log line of a failure
  *
  * Writes the promises, notes and orders of the group that differ from those on the disk.
  *
  * Returns: %FALSE, logged: the disk refused; nothing that follows from them may be sent
  */
-gboolean quince_ledger_storage_keep (QuinceLedgerStorage *storage, const char *doing);
+gboolean quince_ledger_storage_save_state (QuinceLedgerStorage *storage, const char *doing);
 /* The same; ends the process where the disk refuses, since a replica that cannot keep its own promise must
  * not lead. */
-void quince_ledger_storage_keep_or_abort (QuinceLedgerStorage *storage);
+void quince_ledger_storage_save_state_or_abort (QuinceLedgerStorage *storage);
 /* Gives back the space of forgotten batches, some records at a time; to be called several times a second. */
 void quince_ledger_storage_compact (QuinceLedgerStorage *storage, gint64 now_us);
--- a/daemons/replica/replica-ledger-events.c
+++ b/daemons/replica/replica-ledger-events.c
@@ -149,7 +149,7 @@
                        QuinceLink *link,
                        const QuinceFeedSubscribe *subscribe)
 {
-  if (link == quince_ledger_node_get_leader (parts->ledger))
+  if (link == quince_ledger_node_get_leader_link (parts->ledger))
     quince_store_feed_answer (parts->observer, link, subscribe);
   else
     quince_replica_leadership_subscribe (parts->leadership, link, subscribe);
--- a/daemons/replica/residency-coordinator.c
+++ b/daemons/replica/residency-coordinator.c
@@ -248,7 +248,7 @@
       coordinator->confined = g_steal_pointer (&names);
     }
   /* Also where nothing changed: a new leader sends records to members alone until it is confined. */
-  quince_ledger_node_confine (coordinator->ledger, (const char *const *)coordinator->confined);
+  quince_ledger_node_set_allowed_nodes (coordinator->ledger, (const char *const *)coordinator->confined);
 }
 
 /* Confines the ledger to the machines where all batches of the configuration may be kept; where those are
--- a/daemons/replica/retirement.c
+++ b/daemons/replica/retirement.c
@@ -54,7 +54,7 @@
 {
   g_strfreev (retirement->draining_nodes);
   retirement->draining_nodes = g_strdupv ((char **)nodes);
-  quince_ledger_node_set_leaving (retirement->ledger, nodes);
+  quince_ledger_node_set_draining_nodes (retirement->ledger, nodes);
 }
 
 static void
--- a/daemons/replica/suspect-reporter.c
+++ b/daemons/replica/suspect-reporter.c
@@ -206,7 +206,8 @@
 void
 quince_suspect_reporter_step (QuinceSuspectReporter *reporter, const GPtrArray *all)
 {
-  guint64 successor = reporter->ledger != NULL ? quince_ledger_node_get_successor (reporter->ledger) : 0;
+  guint64 successor
+      = reporter->ledger != NULL ? quince_ledger_node_get_successor_serial (reporter->ledger) : 0;
   if (successor == reporter->informed_successor)
     return;
   reporter->informed_successor = successor;
