--- a/daemons/replica/ledger-backup.c
+++ b/daemons/replica/ledger-backup.c
@@ -23,12 +23,12 @@
   gsize bytes;
 } Chunk;
 
-/* Where the backup's log and @log part: the first index to send.  @reset: (out): nothing that it has is of
- * use */
+/* Where the backup's log and @log part: the first index to send.  @needs_reset: (out): nothing that it has is
+ * of use */
 static guint64
-find_first_index_to_send (QuinceBatchLog *log, const QuinceLedgerHello *hello, gboolean *reset)
+find_first_index_to_send (QuinceBatchLog *log, const QuinceLedgerHello *hello, gboolean *needs_reset)
 {
-  *reset = FALSE;
+  *needs_reset = FALSE;
   if (hello->last_index == 0)
     return 1;
   if (quince_batch_log_get_epoch (log, hello->last_index) == hello->last_epoch)
@@ -36,7 +36,7 @@
   /* Up to its commit index all logs are the same. */
   if (hello->commit_index > 0 && quince_batch_log_get_epoch (log, hello->commit_index) == hello->commit_epoch)
     return hello->commit_index + 1;
-  *reset = hello->commit_index > 0;
+  *needs_reset = hello->commit_index > 0;
   return 1;
 }
 
@@ -53,7 +53,7 @@
   backup->has_records = hello->last_index > 0;
   backup->serial = serial;
   backup->window = quince_send_window_new (SEND_WINDOW_BYTES);
-  backup->next_index = find_first_index_to_send (log, hello, &backup->reset);
+  backup->next_index = find_first_index_to_send (log, hello, &backup->needs_reset);
   return backup;
 }
 
@@ -115,7 +115,8 @@
                            gboolean heartbeat)
 {
   guint64 last_index = quince_batch_log_get_last_index (log);
-  gboolean has_records_to_send = backup->receives && (backup->next_index <= last_index || backup->reset)
+  gboolean has_records_to_send = backup->receives_records
+                                 && (backup->next_index <= last_index || backup->needs_reset)
                                  && quince_send_window_is_open (backup->window);
   if (!has_records_to_send && !heartbeat)
     return;
@@ -128,7 +129,7 @@
   QuinceLedgerAppend *append = &message.QuinceMessage_u.ledger_append;
   append->epoch = epoch;
   append->replica = backup->replica;
-  append->reset = has_records_to_send && backup->reset;
+  append->reset = has_records_to_send && backup->needs_reset;
   append->end_index = last_index;
   append->commit_index = commit_index;
   append->sent_us = (guint64)quince_now_us ();
@@ -137,7 +138,7 @@
   append->held_index = backup->next_index - 1;
   quince_link_send (backup->link, &message);
   if (has_records_to_send)
-    backup->reset = FALSE;
+    backup->needs_reset = FALSE;
   g_array_unref (chunk.entries);
 }
 
--- a/daemons/replica/ledger-backup.h
+++ b/daemons/replica/ledger-backup.h
@@ -18,8 +18,8 @@
  * @replica: its id
  * @serial: no two links have the same one; never 0
  * @next_index: of the next record to send
- * @reset: no record that it has is of use: the next append replaces all
- * @receives: records are sent to it; others get heartbeats alone
+ * @needs_reset: no record that it has is of use: the next append replaces all
+ * @receives_records: records are sent to it; others get heartbeats alone
  * @has_records: it has records, or had some when it introduced itself
  * @window: owned: records on their way
  */
@@ -30,8 +30,8 @@
   guint64 replica;
   guint64 serial;
   guint64 next_index;
-  gboolean reset;
-  gboolean receives;
+  gboolean needs_reset;
+  gboolean receives_records;
   gboolean has_records;
   QuinceSendWindow *window;
 } QuinceLedgerBackup;
--- a/daemons/replica/ledger-election.c
+++ b/daemons/replica/ledger-election.c
@@ -9,7 +9,7 @@
 
 /* Pause between two queries of a replica that hears no leader, us: the next leader is found within half of
  * the 1 s of silence after which members elect one, for two small messages a member. */
-#define QUERY_MEMBERS_US (440 * 1000)
+#define QUERY_MEMBERS_INTERVAL_US (440 * 1000)
 /* Pause between two queries to the leader itself, us: one of an earlier build that does not know the message
  * closes the link.  Not measured. */
 #define QUERY_LEADER_INTERVAL_US (1000 * 1000)
@@ -25,7 +25,7 @@
   const QuinceLedgerElectionCallbacks *callbacks; /* borrowed */
   gpointer user_data;
 
-  gint64 queried_us;           /* when members were last asked who leads */
+  gint64 last_query_us;        /* when members were last asked who leads */
   gint64 last_announcement_us; /* when members that are no backups were last informed who leads */
 };
 
@@ -113,7 +113,7 @@
                    (guint64)promise->replica, (guint64)promise->epoch, end.index);
   quince_ledger_group_handle_promise (election->group, quince_now_us (), promise->replica, promise->epoch,
                                       &end);
-  election->callbacks->propose (election->user_data);
+  election->callbacks->propose_view_change (election->user_data);
   quince_ledger_election_try_lead_without_store (election);
 }
 
@@ -140,7 +140,7 @@
 announce_lead_while_store_fails (QuinceLedgerElection *election, gint64 now_us)
 {
   if (!quince_meta_store_is_failing (election->store)
-      || now_us - election->last_announcement_us < QUERY_MEMBERS_US)
+      || now_us - election->last_announcement_us < QUERY_MEMBERS_INTERVAL_US)
     return;
   election->last_announcement_us = now_us;
   announce_lead (election);
@@ -170,29 +170,29 @@
 {
   if (kind == QUINCE_LEDGER_QUERY_LEADER)
     return QUERY_LEADER_INTERVAL_US;
-  return kind == QUINCE_LEDGER_QUERY_MEMBERS ? QUERY_MEMBERS_US : 0;
+  return kind == QUINCE_LEDGER_QUERY_MEMBERS ? QUERY_MEMBERS_INTERVAL_US : 0;
 }
 
 void
-quince_ledger_election_query (QuinceLedgerElection *election, gboolean leads)
+quince_ledger_election_query (QuinceLedgerElection *election, gboolean is_leader)
 {
   QuinceMessage message = { .kind = QUINCE_MESSAGE_LEDGER_QUERY };
-  gint64 now = quince_now_us ();
-  QuinceLedgerQueryKind kind
-      = quince_ledger_group_get_query (election->group, now, quince_meta_store_is_failing (election->store),
-                                       &message.QuinceMessage_u.ledger_query);
+  gint64 now_us = quince_now_us ();
+  QuinceLedgerQueryKind kind = quince_ledger_group_get_query (election->group, now_us,
+                                                              quince_meta_store_is_failing (election->store),
+                                                              &message.QuinceMessage_u.ledger_query);
   quince_ledger_member_links_close_idle (election->links);
-  if (leads)
-    announce_lead_while_store_fails (election, now);
-  if (kind == QUINCE_LEDGER_QUERY_NONE || now - election->queried_us < get_query_interval_us (kind))
+  if (is_leader)
+    announce_lead_while_store_fails (election, now_us);
+  if (kind == QUINCE_LEDGER_QUERY_NONE || now_us - election->last_query_us < get_query_interval_us (kind))
     return;
-  election->queried_us = now;
+  election->last_query_us = now_us;
   const QuinceLedgerView *view = quince_ledger_group_get_view (election->group);
   for (guint i = 0; i < view->members.members_len; i++)
     {
       const QuinceLedgerMember *member = &view->members.members_val[i];
-      gboolean asked = kind != QUINCE_LEDGER_QUERY_LEADER || member->replica == view->primary;
-      if (asked && member->replica != election->replica)
+      gboolean is_queried = kind != QUINCE_LEDGER_QUERY_LEADER || member->replica == view->primary;
+      if (is_queried && member->replica != election->replica)
         quince_ledger_member_links_send (election->links, member, &message);
     }
 }
@@ -221,15 +221,15 @@
 void
 quince_ledger_election_handle_lead (QuinceLedgerElection *election, const QuinceLedgerLead *lead)
 {
-  guint64 before = get_current_epoch (election);
+  guint64 previous_epoch = get_current_epoch (election);
   quince_ledger_group_handle_lead (election->group, quince_now_us (), lead);
-  if (get_current_epoch (election) != before)
+  if (get_current_epoch (election) != previous_epoch)
     quince_log_info ("ledger_lead_told",
                      "by=%" G_GUINT64_FORMAT " epoch=%" G_GUINT64_FORMAT " primary=%" G_GUINT64_FORMAT
                      " on_revision=%" G_GUINT64_FORMAT,
                      (guint64)lead->replica, (guint64)lead->view.epoch, (guint64)lead->view.primary,
                      (guint64)lead->revision);
   election->callbacks->role_changed (election->user_data);
-  election->callbacks->propose (election->user_data);
+  election->callbacks->propose_view_change (election->user_data);
   quince_ledger_election_try_lead_without_store (election);
 }
--- a/daemons/replica/ledger-election.h
+++ b/daemons/replica/ledger-election.h
@@ -17,13 +17,13 @@
 /**
  * QuinceLedgerElectionCallbacks:
  * @role_changed: the role or the view may have changed
- * @propose: a change of the view may be there to propose
+ * @propose_view_change: a change of the view may be there to propose
  * @is_backup: whether @replica is linked as a backup of this leader
  */
 typedef struct
 {
   void (*role_changed) (gpointer user_data);
-  void (*propose) (gpointer user_data);
+  void (*propose_view_change) (gpointer user_data);
   gboolean (*is_backup) (guint64 replica, gpointer user_data);
 } QuinceLedgerElectionCallbacks;
 
@@ -39,10 +39,11 @@
 
 /* Asks the members for promises where this replica campaigns; to be called several times a second. */
 void quince_ledger_election_campaign (QuinceLedgerElection *election);
-/* Asks the members who leads where the leader is silent; to be called several times a second.  @leads: this
- * replica has begun to lead: it informs members that are no backups of it, while the metadata store is away
+/* Asks the members who leads where the leader is silent; to be called several times a second.  @is_leader:
+ * this replica has begun to lead: it informs members that are no backups of it, while the metadata store is
+ * away
  */
-void quince_ledger_election_query (QuinceLedgerElection *election, gboolean leads);
+void quince_ledger_election_query (QuinceLedgerElection *election, gboolean is_leader);
 /* Leads if a quorum has promised and the metadata store is away or too slow; to be called several times a
  * second. */
 void quince_ledger_election_try_lead_without_store (QuinceLedgerElection *election);
--- a/daemons/replica/ledger-follower.c
+++ b/daemons/replica/ledger-follower.c
@@ -26,7 +26,7 @@
 
   QuinceLink *link;               /* owned; up or not; NULL: none */
   char *address;                  /* owned: of the leader; NULL: none */
-  gboolean lost;                  /* its loss was logged */
+  gboolean loss_logged;           /* its loss was logged */
   gint64 last_connect_attempt_us; /* when the link was last begun */
 };
 
@@ -84,18 +84,18 @@
 static void
 handle_link_loss (QuinceLedgerFollower *follower)
 {
-  if (!follower->lost)
+  if (!follower->loss_logged)
     quince_log_warning ("dependency_lost", "what=ledger_primary address=%s", follower->address);
-  follower->lost = TRUE;
+  follower->loss_logged = TRUE;
   g_clear_pointer (&follower->link, quince_link_unref);
-  follower->callbacks->unfollowed (follower->user_data);
+  follower->callbacks->leader_disconnected (follower->user_data);
 }
 
 /* ---- Records ------------------------------------------------------------ */
 
-/* @promised: 0, or the greater epoch that forbids to follow this leader */
+/* @promised_epoch: 0, or the greater epoch that forbids to follow this leader */
 static void
-send_ack (QuinceLedgerFollower *follower, const QuinceLedgerAppend *append, guint64 promised)
+send_ack (QuinceLedgerFollower *follower, const QuinceLedgerAppend *append, guint64 promised_epoch)
 {
   QuinceMessage message = { .kind = QUINCE_MESSAGE_LEDGER_ACK };
   QuinceLedgerAck *ack = &message.QuinceMessage_u.ledger_ack;
@@ -103,18 +103,18 @@
   ack->replica = follower->self->replica;
   ack->last_index = append->held_index;
   ack->echo_us = append->sent_us;
-  ack->promised = promised;
+  ack->promised = promised_epoch;
   quince_link_send (follower->link, &message);
 }
 
 /* Tells the leader that it is refused because of a later promise; one that is refused for another reason gets
  * no answer. */
 static void
-refuse (QuinceLedgerFollower *follower, const QuinceLedgerAppend *append)
+refuse_append (QuinceLedgerFollower *follower, const QuinceLedgerAppend *append)
 {
-  guint64 promised = quince_ledger_group_get_persistent_state (follower->group)->promised;
-  if (promised > append->epoch)
-    send_ack (follower, append, promised);
+  guint64 promised_epoch = quince_ledger_group_get_persistent_state (follower->group)->promised;
+  if (promised_epoch > append->epoch)
+    send_ack (follower, append, promised_epoch);
 }
 
 /* Writes what the message changes in the log; %FALSE, logged: the disk refused. */
@@ -162,7 +162,7 @@
     return;
   if (!quince_ledger_group_accept_leader (follower->group, quince_now_us (), append->epoch))
     {
-      refuse (follower, append);
+      refuse_append (follower, append);
       return;
     }
   /* An acknowledgement of records that are not here would commit them by a copy that does not exist. */
@@ -186,7 +186,7 @@
   if (message->kind == QUINCE_MESSAGE_LEDGER_APPEND && link == follower->link)
     handle_append (follower, &message->QuinceMessage_u.ledger_append);
   else if (link == follower->link)
-    follower->callbacks->message (link, message, follower->user_data);
+    follower->callbacks->other_message (link, message, follower->user_data);
   quince_message_free (message);
 }
 
@@ -204,9 +204,9 @@
   hello->commit_index = MIN (quince_batch_log_get_commit_index (follower->log), end.index);
   hello->commit_epoch = quince_batch_log_get_epoch (follower->log, hello->commit_index);
   quince_link_send (link, &message);
-  follower->lost = FALSE;
+  follower->loss_logged = FALSE;
   quince_log_info ("dependency_regained", "what=ledger_primary address=%s", follower->address);
-  follower->callbacks->followed (link, follower->user_data);
+  follower->callbacks->leader_connected (link, follower->user_data);
 }
 
 static void
@@ -220,7 +220,7 @@
 
 /* The leader to follow. (transfer none) (nullable): none is known, or this replica is no backup */
 static const QuinceLedgerMember *
-find_leader (const QuinceLedgerFollower *follower)
+find_leader_to_follow (const QuinceLedgerFollower *follower)
 {
   const QuinceLedgerView *view = quince_ledger_group_get_view (follower->group);
   const QuinceLedgerMember *leader = view != NULL ? quince_ledger_view_find (view, view->primary) : NULL;
@@ -231,20 +231,20 @@
 void
 quince_ledger_follower_update_link (QuinceLedgerFollower *follower)
 {
-  const QuinceLedgerMember *leader = find_leader (follower);
+  const QuinceLedgerMember *leader = find_leader_to_follow (follower);
   if (leader == NULL || g_strcmp0 (leader->address, follower->address) != 0)
     quince_ledger_follower_stop (follower);
   if (leader == NULL)
     return;
-  gint64 now = quince_now_us ();
-  gboolean stuck = follower->link != NULL && !quince_link_is_connected (follower->link)
-                   && now - follower->last_connect_attempt_us > CONNECT_TIMEOUT_US;
-  if (stuck)
+  gint64 now_us = quince_now_us ();
+  gboolean connect_timed_out = follower->link != NULL && !quince_link_is_connected (follower->link)
+                               && now_us - follower->last_connect_attempt_us > CONNECT_TIMEOUT_US;
+  if (connect_timed_out)
     quince_ledger_follower_stop (follower);
-  if (follower->link != NULL || now - follower->last_connect_attempt_us < RECONNECT_INTERVAL_US)
+  if (follower->link != NULL || now_us - follower->last_connect_attempt_us < RECONNECT_INTERVAL_US)
     return;
   g_free (follower->address);
   follower->address = g_strdup (leader->address);
-  follower->last_connect_attempt_us = now;
+  follower->last_connect_attempt_us = now_us;
   follower->link = quince_link_connect (leader->address, &link_callbacks, follower);
 }
--- a/daemons/replica/ledger-follower.h
+++ b/daemons/replica/ledger-follower.h
@@ -15,15 +15,15 @@
 
 /**
  * QuinceLedgerFollowerCallbacks:
- * @followed: the link to the leader is up
- * @message: a message of the leader that is not the ledger's; it lives until the return
- * @unfollowed: the link broke; not called after quince_ledger_follower_stop()
+ * @leader_connected: the link to the leader is up
+ * @other_message: a message of the leader that is not the ledger's; it lives until the return
+ * @leader_disconnected: the link broke; not called after quince_ledger_follower_stop()
  */
 typedef struct
 {
-  void (*followed) (QuinceLink *link, gpointer user_data);
-  void (*message) (QuinceLink *link, const QuinceMessage *message, gpointer user_data);
-  void (*unfollowed) (gpointer user_data);
+  void (*leader_connected) (QuinceLink *link, gpointer user_data);
+  void (*other_message) (QuinceLink *link, const QuinceMessage *message, gpointer user_data);
+  void (*leader_disconnected) (gpointer user_data);
 } QuinceLedgerFollowerCallbacks;
 
 /**
--- a/daemons/replica/ledger-member-links.c
+++ b/daemons/replica/ledger-member-links.c
@@ -20,7 +20,7 @@
 
   GHashTable *links;            /* QuinceLink by replica, both owned */
   GHashTable *addresses;        /* replica to address, both owned: where it is not the view's */
-  gint64 used_us;               /* when something was last sent */
+  gint64 last_send_us;          /* when something was last sent */
   gint64 last_connect_check_us; /* when links that do not connect were last closed */
 };
 
@@ -68,9 +68,9 @@
 {
   QuinceLedgerMemberLinks *links = data;
   if (message->kind == QUINCE_MESSAGE_LEDGER_PROMISE)
-    links->callbacks->promised (&message->QuinceMessage_u.ledger_promise, links->user_data);
+    links->callbacks->promise_received (&message->QuinceMessage_u.ledger_promise, links->user_data);
   else if (message->kind == QUINCE_MESSAGE_LEDGER_LEAD)
-    links->callbacks->lead (&message->QuinceMessage_u.ledger_lead, links->user_data);
+    links->callbacks->lead_received (&message->QuinceMessage_u.ledger_lead, links->user_data);
   quince_message_free (message);
 }
 
@@ -101,12 +101,12 @@
 void
 quince_ledger_member_links_close_idle (QuinceLedgerMemberLinks *links)
 {
-  gint64 now = quince_now_us ();
-  if (now - links->used_us > IDLE_TIMEOUT_US)
+  gint64 now_us = quince_now_us ();
+  if (now_us - links->last_send_us > IDLE_TIMEOUT_US)
     close_all_links (links);
-  if (now - links->last_connect_check_us < CONNECT_TIMEOUT_US)
+  if (now_us - links->last_connect_check_us < CONNECT_TIMEOUT_US)
     return;
-  links->last_connect_check_us = now;
+  links->last_connect_check_us = now_us;
   g_hash_table_foreach_remove (links->links, close_unconnected, NULL);
 }
 
@@ -128,7 +128,7 @@
                                  const QuinceLedgerMember *member,
                                  const QuinceMessage *message)
 {
-  links->used_us = quince_now_us ();
+  links->last_send_us = quince_now_us ();
   quince_link_send (get_or_open_link (links, member), message);
 }
 
--- a/daemons/replica/ledger-member-links.h
+++ b/daemons/replica/ledger-member-links.h
@@ -13,13 +13,13 @@
 
 /**
  * QuinceLedgerMemberLinksCallbacks:
- * @promised: a member promises to follow this replica
- * @lead: a member says who leads
+ * @promise_received: a member promises to follow this replica
+ * @lead_received: a member says who leads
  */
 typedef struct
 {
-  void (*promised) (const QuinceLedgerPromise *promise, gpointer user_data);
-  void (*lead) (const QuinceLedgerLead *lead, gpointer user_data);
+  void (*promise_received) (const QuinceLedgerPromise *promise, gpointer user_data);
+  void (*lead_received) (const QuinceLedgerLead *lead, gpointer user_data);
 } QuinceLedgerMemberLinksCallbacks;
 
 /* @group and @callbacks must outlive the links. */
--- a/daemons/replica/ledger-membership.c
+++ b/daemons/replica/ledger-membership.c
@@ -20,10 +20,10 @@
   const QuinceLedgerMembershipCallbacks *callbacks; /* borrowed */
   gpointer user_data;
 
-  gboolean reading;      /* a read is on its way */
-  gboolean answered;     /* the store has answered once, also that there is no view */
-  gint64 read_us;        /* when the last read began; 0: never */
-  guint64 read_revision; /* of the newest view that was read */
+  gboolean read_in_flight;    /* a read is on its way */
+  gboolean initial_read_done; /* the store has answered once, also that there is no view */
+  gint64 last_read_us;        /* when the last read began; 0: never */
+  guint64 newest_revision;    /* of the newest view that was read */
 };
 
 QuinceLedgerMembership *
@@ -50,9 +50,9 @@
 
 /* ---- Reading ------------------------------------------------------------ */
 
-/* @read_us: when the read began; 0: not known */
+/* @requested_us: when the read began; 0: not known */
 static void
-take_view (QuinceLedgerMembership *membership, GBytes *value, guint64 revision, gint64 read_us)
+set_view (QuinceLedgerMembership *membership, GBytes *value, guint64 revision, gint64 requested_us)
 {
   g_autoptr (GError) error = NULL;
   g_autoptr (QuinceLedgerView) view = NULL;
@@ -61,48 +61,48 @@
   if (error != NULL)
     quince_log_warning ("entry_refused", "what=ledger_view revision=%" G_GUINT64_FORMAT " code=%d", revision,
                         error->code);
-  quince_ledger_group_set_view (membership->group, quince_now_us (), read_us, view,
+  quince_ledger_group_set_view (membership->group, quince_now_us (), requested_us, view,
                                 view != NULL ? revision : 0);
-  gboolean newer = revision > membership->read_revision;
-  membership->read_revision = MAX (membership->read_revision, revision);
-  membership->callbacks->changed (newer, membership->user_data);
+  gboolean is_newer = revision > membership->newest_revision;
+  membership->newest_revision = MAX (membership->newest_revision, revision);
+  membership->callbacks->changed (is_newer, membership->user_data);
 }
 
 void
 quince_ledger_membership_set_view (QuinceLedgerMembership *membership, GBytes *value, guint64 revision)
 {
   /* A watch may be late: it does not show what the store holds now. */
-  take_view (membership, value, revision, 0);
+  set_view (membership, value, revision, 0);
 }
 
 static void
 handle_view_reply (const QuinceMetaPage *page, guint64 number, const GError *error, gpointer data)
 {
   QuinceLedgerMembership *membership = data;
-  membership->reading = FALSE;
+  membership->read_in_flight = FALSE;
   gboolean absent = g_error_matches (error, QUINCE_META_ERROR, QUINCE_META_ERROR_GONE);
   if (error != NULL && !absent)
     return; /* the store logs that it fails; a later step reads again */
-  membership->answered = TRUE;
+  membership->initial_read_done = TRUE;
   const QuinceMetaItem *item = page != NULL && page->items->len > 0 ? page->items->pdata[0] : NULL;
-  take_view (membership, item != NULL ? item->value : NULL, item != NULL ? item->revision : 0,
-             membership->read_us);
+  set_view (membership, item != NULL ? item->value : NULL, item != NULL ? item->revision : 0,
+            membership->last_read_us);
 }
 
 void
 quince_ledger_membership_read_view (QuinceLedgerMembership *membership)
 {
-  if (membership->reading)
+  if (membership->read_in_flight)
     return;
-  membership->reading = TRUE;
-  membership->read_us = quince_now_us ();
+  membership->read_in_flight = TRUE;
+  membership->last_read_us = quince_now_us ();
   quince_meta_store_get (membership->store, QUINCE_LEDGER_KEY, handle_view_reply, membership);
 }
 
 void
 quince_ledger_membership_refresh_view (QuinceLedgerMembership *membership, gint64 now_us)
 {
-  if (now_us - membership->read_us > VIEW_READ_INTERVAL_US)
+  if (now_us - membership->last_read_us > VIEW_READ_INTERVAL_US)
     quince_ledger_membership_read_view (membership);
 }
 
@@ -110,7 +110,7 @@
 quince_ledger_membership_read_initial_view (QuinceLedgerMembership *membership, gint64 now_us)
 {
   /* No watch shows a replica that there is no view yet, and that it may found the ledger. */
-  if (!membership->answered && !quince_meta_store_is_failing (membership->store))
+  if (!membership->initial_read_done && !quince_meta_store_is_failing (membership->store))
     quince_ledger_membership_refresh_view (membership, now_us);
 }
 
@@ -133,8 +133,8 @@
 {
   QuinceLedgerMembership *membership = data;
   QuinceProposalOutcome outcome = get_outcome (error);
-  static const char *const names[] = { "done", "conflict", "not_done", "unknown" };
-  quince_log_info ("view_proposal_ended", "outcome=%s", names[outcome]);
+  static const char *const outcome_names[] = { "done", "conflict", "not_done", "unknown" };
+  quince_log_info ("view_proposal_ended", "outcome=%s", outcome_names[outcome]);
   quince_ledger_group_proposal_ended (membership->group, quince_now_us (), outcome, number);
   if (outcome == QUINCE_PROPOSAL_CONFLICT || outcome == QUINCE_PROPOSAL_UNKNOWN)
     quince_ledger_membership_read_view (membership);
@@ -142,7 +142,9 @@
 }
 
 static void
-write_view (QuinceLedgerMembership *membership, const QuinceLedgerView *view, guint64 expected_revision)
+write_view_change (QuinceLedgerMembership *membership,
+                   const QuinceLedgerView *view,
+                   guint64 expected_revision)
 {
   g_autoptr (GError) error = NULL;
   g_autoptr (GBytes) value = quince_ledger_view_encode (view, &error);
@@ -164,16 +166,16 @@
 {
   if (quince_meta_store_is_failing (membership->store))
     return;
-  guint64 expected = 0; /* revision that the change is made on */
+  guint64 expected_revision = 0; /* revision that the change is made on */
   g_autoptr (QuinceLedgerView) view
-      = quince_ledger_group_propose (membership->group, quince_now_us (), &expected);
+      = quince_ledger_group_propose (membership->group, quince_now_us (), &expected_revision);
   /* Promises and notes that the step made are on the disk before the change is sent. */
   quince_ledger_storage_save_state_or_abort (membership->storage);
   if (view == NULL)
     return;
-  quince_log_info ("view_proposed",
-                   "epoch=%" G_GUINT64_FORMAT " primary=%" G_GUINT64_FORMAT
-                   " members=%u on_revision=%" G_GUINT64_FORMAT,
-                   (guint64)view->epoch, (guint64)view->primary, view->members.members_len, expected);
-  write_view (membership, view, expected);
+  quince_log_info (
+      "view_proposed",
+      "epoch=%" G_GUINT64_FORMAT " primary=%" G_GUINT64_FORMAT " members=%u on_revision=%" G_GUINT64_FORMAT,
+      (guint64)view->epoch, (guint64)view->primary, view->members.members_len, expected_revision);
+  write_view_change (membership, view, expected_revision);
 }
--- a/daemons/replica/ledger-membership.h
+++ b/daemons/replica/ledger-membership.h
@@ -15,12 +15,12 @@
 
 /**
  * QuinceLedgerMembershipCallbacks:
- * @changed: a view was read, or a change of it ended: the role may have changed; @newer: its revision is a
+ * @changed: a view was read, or a change of it ended: the role may have changed; @is_newer: its revision is a
  *   newer one than was read before
  */
 typedef struct
 {
-  void (*changed) (gboolean newer, gpointer user_data);
+  void (*changed) (gboolean is_newer, gpointer user_data);
 } QuinceLedgerMembershipCallbacks;
 
 /* All objects are borrowed and must outlive the membership. */
--- a/daemons/replica/ledger-node.c
+++ b/daemons/replica/ledger-node.c
@@ -20,7 +20,7 @@
 
 /* Period of a replica's steps and of a leader's heartbeats to its backups, ms.  Not measured: several
  * heartbeats in the 1 s of silence after which backups campaign. */
-#define TICK_MS 150
+#define TICK_INTERVAL_MS 150
 
 struct _QuinceLedgerNode
 {
@@ -72,11 +72,11 @@
 apply_role (QuinceLedgerNode *node)
 {
   const QuinceLedgerView *view = quince_ledger_group_get_view (node->group);
-  gboolean leads = quince_ledger_group_get_role (node->group) == QUINCE_LEDGER_LEADER;
+  gboolean is_leader = quince_ledger_group_get_role (node->group) == QUINCE_LEDGER_LEADER;
   guint64 epoch = quince_ledger_records_get_epoch (node->records);
-  if (epoch != 0 && (!leads || view->epoch != epoch))
+  if (epoch != 0 && (!is_leader || view->epoch != epoch))
     stop_leading (node);
-  if (leads && quince_ledger_records_get_epoch (node->records) == 0)
+  if (is_leader && quince_ledger_records_get_epoch (node->records) == 0)
     start_leading (node, view->epoch);
   /* A replica that has left the view gets no record that is written from now on. */
   if (quince_ledger_records_get_epoch (node->records) != 0)
@@ -108,7 +108,7 @@
 }
 
 static const QuinceLedgerElectionCallbacks election_callbacks = { .role_changed = election_role_changed,
-                                                                  .propose = propose_view_change,
+                                                                  .propose_view_change = propose_view_change,
                                                                   .is_backup = election_is_backup };
 
 static void
@@ -126,27 +126,27 @@
 }
 
 static const QuinceLedgerMemberLinksCallbacks member_callbacks
-    = { .promised = handle_member_promise, .lead = handle_member_lead };
+    = { .promise_received = handle_member_promise, .lead_received = handle_member_lead };
 
 static void
-view_changed (gboolean newer, gpointer data)
+handle_view_changed (gboolean is_newer, gpointer data)
 {
   QuinceLedgerNode *node = data;
-  if (newer)
+  if (is_newer)
     quince_ledger_member_links_clear_addresses (node->member_links);
   apply_role (node);
   /* A former leader that was restarted asks its members at once. */
-  if (newer)
+  if (is_newer)
     quince_ledger_election_campaign (node->election);
 }
 
-static const QuinceLedgerMembershipCallbacks membership_callbacks = { .changed = view_changed };
+static const QuinceLedgerMembershipCallbacks membership_callbacks = { .changed = handle_view_changed };
 
 static void
 handle_leader_connected (QuinceLink *link, gpointer data)
 {
   QuinceLedgerNode *node = data;
-  node->callbacks->followed (link, node->user_data);
+  node->callbacks->leader_connected (link, node->user_data);
 }
 
 static void
@@ -160,12 +160,13 @@
 handle_leader_disconnected (gpointer data)
 {
   QuinceLedgerNode *node = data;
-  node->callbacks->unfollowed (node->user_data);
+  node->callbacks->leader_disconnected (node->user_data);
 }
 
-static const QuinceLedgerFollowerCallbacks follower_callbacks = { .followed = handle_leader_connected,
-                                                                  .message = handle_leader_message,
-                                                                  .unfollowed = handle_leader_disconnected };
+static const QuinceLedgerFollowerCallbacks follower_callbacks
+    = { .leader_connected = handle_leader_connected,
+        .other_message = handle_leader_message,
+        .leader_disconnected = handle_leader_disconnected };
 
 static void
 record_committed (guint64 index, QuinceBatchRecord *record, gpointer data)
@@ -186,7 +187,7 @@
 {
   QuinceLedgerNode *node = data;
   quince_ledger_replication_set_recovered (node->replication);
-  node->callbacks->leads (node->user_data);
+  node->callbacks->started_leading (node->user_data);
 }
 
 static const QuinceLedgerRecordsCallbacks records_callbacks
@@ -203,9 +204,9 @@
       return;
     }
   /* A former leader that was restarted needs the promises of the members that come back to it. */
-  gboolean moved = quince_ledger_member_links_set_address (node->member_links, &hello->member);
+  gboolean address_changed = quince_ledger_member_links_set_address (node->member_links, &hello->member);
   quince_link_close (link);
-  if (moved)
+  if (address_changed)
     quince_ledger_election_campaign (node->election);
 }
 
@@ -264,7 +265,7 @@
 /* ---- Time ---------------------------------------------------------------- */
 
 static void
-step_as_leader (QuinceLedgerNode *node, gint64 now_us)
+run_leader_tasks (QuinceLedgerNode *node, gint64 now_us)
 {
   quince_ledger_replication_send (node->replication, TRUE);
   /* Its backups do not answer, or this process was suspended: the view may have changed meanwhile. */
@@ -282,8 +283,8 @@
 tick (gpointer data)
 {
   QuinceLedgerNode *node = data;
-  gint64 now = quince_now_us ();
-  quince_ledger_membership_read_initial_view (node->membership, now);
+  gint64 now_us = quince_now_us ();
+  quince_ledger_membership_read_initial_view (node->membership, now_us);
   /* A member that was stopped would campaign against a leader that is well, and win in a view of two. */
   if (!quince_ledger_follower_has_input (node->follower))
     quince_ledger_election_campaign (node->election);
@@ -291,9 +292,9 @@
   quince_ledger_election_query (node->election, quince_ledger_records_get_epoch (node->records) != 0);
   quince_ledger_election_try_lead_without_store (node->election);
   quince_ledger_follower_update_link (node->follower);
-  quince_ledger_storage_compact (node->storage, now);
+  quince_ledger_storage_compact (node->storage, now_us);
   if (quince_ledger_records_get_epoch (node->records) != 0)
-    step_as_leader (node, now);
+    run_leader_tasks (node, now_us);
   return G_SOURCE_CONTINUE;
 }
 
@@ -358,7 +359,7 @@
                    (guint64)node->self.replica, was_empty ? "true" : "false",
                    quince_ledger_node_get_last_index (node));
   quince_ledger_membership_read_view (node->membership);
-  node->tick = quince_timer_add (TICK_MS, tick, node);
+  node->tick = quince_timer_add (TICK_INTERVAL_MS, tick, node);
   return node;
 }
 
--- a/daemons/replica/ledger-node.h
+++ b/daemons/replica/ledger-node.h
@@ -16,26 +16,29 @@
 
 /**
  * QuinceLedgerNodeCallbacks:
- * @leads: this replica leads now and knows all that was acknowledged; committed() was called for each record
- * @stopped_leading: it does not lead any more, or lost the lead before leads() while it read its log
- * @committed: (transfer full): @record, in the order of the log; only at the leader, from before leads() on
+ * @started_leading: this replica leads now and knows all that was acknowledged; committed() was called for
+ * each record
+ * @stopped_leading: it does not lead any more, or lost the lead before started_leading() while it read its
+ * log
+ * @committed: (transfer full): @record, in the order of the log; only at the leader, from before
+ * started_leading() on
  * @service_call: a call of a front; @link is to be answered on, and may close
  * @link_closed: the link of a front or of another replica closed
- * @followed: a link to the leader is up
+ * @leader_connected: a link to the leader is up
  * @other_message: a message that is not the ledger's, from a front or from the leader; it lives until the
  *   return
- * @unfollowed: the link to the leader broke
+ * @leader_disconnected: the link to the leader broke
  */
 typedef struct
 {
-  void (*leads) (gpointer user_data);
+  void (*started_leading) (gpointer user_data);
   void (*stopped_leading) (gpointer user_data);
   void (*committed) (guint64 index, QuinceBatchRecord *record, gpointer user_data);
   void (*service_call) (QuinceLink *link, const QuinceServiceCall *call, gpointer user_data);
   void (*link_closed) (QuinceLink *link, gpointer user_data);
-  void (*followed) (QuinceLink *link, gpointer user_data);
+  void (*leader_connected) (QuinceLink *link, gpointer user_data);
   void (*other_message) (QuinceLink *link, const QuinceMessage *message, gpointer user_data);
-  void (*unfollowed) (gpointer user_data);
+  void (*leader_disconnected) (gpointer user_data);
 } QuinceLedgerNodeCallbacks;
 
 /**
--- a/daemons/replica/ledger-records.c
+++ b/daemons/replica/ledger-records.c
@@ -23,14 +23,14 @@
   const QuinceLedgerRecordsCallbacks *callbacks; /* borrowed */
   gpointer user_data;
 
-  guint64 epoch;      /* led; 0: none */
-  guint64 next_index; /* of the next record */
-  GArray *unwritten;  /* QuinceLogEntry, owned records: not on disk yet */
-  GQueue uncommitted; /* QuinceLogEntry, owned records: on disk, not delivered yet */
-  QuinceTimer *flush; /* writes the unwritten ones */
+  guint64 epoch;            /* led; 0: none */
+  guint64 next_index;       /* of the next record */
+  GArray *unwritten;        /* QuinceLogEntry, owned records: not on disk yet */
+  GQueue uncommitted;       /* QuinceLogEntry, owned records: on disk, not delivered yet */
+  QuinceTimer *flush_timer; /* writes the unwritten ones */
 
   gboolean recovered;       /* the log was read */
-  QuinceTimer *reading;     /* reads the log; NULL: not begun, or done */
+  QuinceTimer *read_timer;  /* reads the log; NULL: not begun, or done */
   guint64 delivered_index;  /* of the last stored record that was delivered */
   gint64 read_slice_end_us; /* when the reading pauses for the main loop */
   gint64 read_started_us;   /* when the reading began */
@@ -53,7 +53,7 @@
     g_free (g_array_index (records->unwritten, QuinceLogEntry, i).record.record_val);
   g_array_set_size (records->unwritten, 0);
   g_queue_clear_full (&records->uncommitted, free_entry);
-  quince_timer_clear (&records->flush);
+  quince_timer_clear (&records->flush_timer);
 }
 
 QuinceLedgerRecords *
@@ -78,7 +78,7 @@
 {
   if (records == NULL)
     return;
-  quince_timer_clear (&records->reading);
+  quince_timer_clear (&records->read_timer);
   clear_records (records);
   g_array_unref (records->unwritten);
   g_free (records);
@@ -116,17 +116,17 @@
   records->epoch = epoch;
   records->next_index = quince_batch_log_get_last_index (records->log) + 1;
   /* Records of earlier epochs count as committed only together with one of the new epoch. */
-  const QuinceLogEntry mark = { .index = records->next_index++, .epoch = epoch };
-  write_records (records, &mark, 1);
+  const QuinceLogEntry first_entry = { .index = records->next_index++, .epoch = epoch };
+  write_records (records, &first_entry, 1);
 }
 
 gboolean
 quince_ledger_records_stop_leading (QuinceLedgerRecords *records)
 {
-  gboolean reading_started = records->recovered || records->reading != NULL;
+  gboolean reading_started = records->recovered || records->read_timer != NULL;
   records->epoch = 0;
   records->recovered = FALSE;
-  quince_timer_clear (&records->reading);
+  quince_timer_clear (&records->read_timer);
   clear_records (records);
   return reading_started;
 }
@@ -135,7 +135,7 @@
 flush_records (gpointer data)
 {
   QuinceLedgerRecords *records = data;
-  quince_timer_clear (&records->flush);
+  quince_timer_clear (&records->flush_timer);
   write_records (records, (const QuinceLogEntry *)records->unwritten->data, records->unwritten->len);
   for (guint i = 0; i < records->unwritten->len; i++)
     g_queue_push_tail (
@@ -166,8 +166,8 @@
   entry->epoch = records->epoch;
   entry->record.record_val = g_bytes_unref_to_data (quince_batch_record_pack (encoded), &length);
   entry->record.record_len = (u_int)length;
-  if (records->flush == NULL)
-    records->flush = quince_timer_add (0, flush_records, records);
+  if (records->flush_timer == NULL)
+    records->flush_timer = quince_timer_add (0, flush_records, records);
   return entry->index;
 }
 
@@ -213,7 +213,7 @@
     }
   if (records->delivered_index < quince_batch_log_get_last_index (records->log))
     return G_SOURCE_CONTINUE;
-  quince_timer_clear (&records->reading);
+  quince_timer_clear (&records->read_timer);
   records->recovered = TRUE;
   gint64 read_ms = (quince_now_us () - records->read_started_us) / 1000;
   quince_log_info ("ledger_recovered",
@@ -229,7 +229,7 @@
 {
   records->delivered_index = 0;
   records->read_started_us = quince_now_us ();
-  records->reading = quince_timer_add (0, read_log_slice, records);
+  records->read_timer = quince_timer_add (0, read_log_slice, records);
 }
 
 static gboolean
@@ -245,7 +245,7 @@
   if (records->epoch == 0)
     return;
   /* Once it may answer, a quorum holds all that was acknowledged, and so does this log. */
-  if (!records->recovered && records->reading == NULL
+  if (!records->recovered && records->read_timer == NULL
       && quince_ledger_group_may_answer (records->group, quince_now_us ()))
     start_reading (records);
   if (!records->recovered)
--- a/daemons/replica/ledger-replication.c
+++ b/daemons/replica/ledger-replication.c
@@ -20,9 +20,9 @@
 
   guint64 epoch;       /* led; 0: none */
   GHashTable *backups; /* QuinceLedgerBackup by replica, owned */
-  guint64 joins;       /* backups that introduced themselves */
+  guint64 last_serial; /* backups that introduced themselves */
 
-  char **confined;              /* machines that may keep records; NULL: all */
+  char **allowed_nodes;         /* machines that may keep records; NULL: all */
   gboolean allowed_nodes_known; /* it was set since this replica began to lead */
   gboolean recovered;           /* this leader has read its log */
 };
@@ -61,7 +61,7 @@
     return;
   remove_all_backups (replication);
   g_hash_table_unref (replication->backups);
-  g_strfreev (replication->confined);
+  g_strfreev (replication->allowed_nodes);
   g_free (replication);
 }
 
@@ -93,56 +93,57 @@
 static void
 clear_backup (QuinceLedgerReplication *replication, QuinceLedgerBackup *backup)
 {
-  gint64 now = quince_now_us ();
-  quince_ledger_group_peer_cleared (replication->group, backup->replica, now);
-  quince_ledger_backup_clear_records (backup, replication->epoch, now);
+  gint64 now_us = quince_now_us ();
+  quince_ledger_group_peer_cleared (replication->group, backup->replica, now_us);
+  quince_ledger_backup_clear_records (backup, replication->epoch, now_us);
 }
 
 static void
-update_backup (QuinceLedgerReplication *replication, QuinceLedgerBackup *backup, gboolean chosen)
+update_backup (QuinceLedgerReplication *replication, QuinceLedgerBackup *backup, gboolean is_recipient)
 {
   const QuinceLedgerView *view = quince_ledger_group_get_view (replication->group);
-  gboolean member = quince_ledger_view_find (view, backup->replica) != NULL;
-  gboolean outside = replication->confined != NULL
-                     && !g_strv_contains ((const char *const *)replication->confined, backup->node);
+  gboolean is_member = quince_ledger_view_find (view, backup->replica) != NULL;
+  gboolean is_excluded = replication->allowed_nodes != NULL
+                         && !g_strv_contains ((const char *const *)replication->allowed_nodes, backup->node);
   /* Until the log is read it is not known what may lie where.  A view of fewer members than a quorum is that
    * of the first start: it has no record. */
-  gboolean unknown = replication->several_regions
-                     && !(replication->recovered && replication->allowed_nodes_known)
-                     && view->members.members_len >= replication->quorum;
+  gboolean allowed_nodes_unknown = replication->several_regions
+                                   && !(replication->recovered && replication->allowed_nodes_known)
+                                   && view->members.members_len >= replication->quorum;
   /* A backup that has records was allowed them by an earlier leader; without it a leader that has lost
    * members may never have a quorum again, and so never read its log. */
-  backup->receives = chosen && (member || !unknown || backup->has_records);
-  backup->has_records = backup->has_records || backup->receives;
-  if (outside && !member && !unknown && backup->has_records)
+  backup->receives_records = is_recipient && (is_member || !allowed_nodes_unknown || backup->has_records);
+  backup->has_records = backup->has_records || backup->receives_records;
+  if (is_excluded && !is_member && !allowed_nodes_unknown && backup->has_records)
     clear_backup (replication, backup);
 }
 
 void
 quince_ledger_replication_choose_recipients (QuinceLedgerReplication *replication)
 {
-  g_autoptr (GArray) chosen = g_array_new (FALSE, FALSE, sizeof (guint64));
-  quince_ledger_group_choose_recipients (replication->group, quince_now_us (), chosen);
+  g_autoptr (GArray) recipients = g_array_new (FALSE, FALSE, sizeof (guint64));
+  quince_ledger_group_choose_recipients (replication->group, quince_now_us (), recipients);
   GHashTableIter iter;
   gpointer value;
   g_hash_table_iter_init (&iter, replication->backups);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
       QuinceLedgerBackup *backup = value;
-      update_backup (replication, backup, quince_replica_list_has (chosen, backup->replica));
+      update_backup (replication, backup, quince_replica_list_has (recipients, backup->replica));
     }
 }
 
 void
 quince_ledger_replication_set_allowed_nodes (QuinceLedgerReplication *replication, const char *const *nodes)
 {
-  const char *const *confined = (const char *const *)replication->confined;
-  gboolean same = (nodes == NULL) == (confined == NULL) && (nodes == NULL || g_strv_equal (nodes, confined));
-  if (same && replication->allowed_nodes_known)
+  const char *const *allowed_nodes = (const char *const *)replication->allowed_nodes;
+  gboolean is_unchanged
+      = (nodes == NULL) == (allowed_nodes == NULL) && (nodes == NULL || g_strv_equal (nodes, allowed_nodes));
+  if (is_unchanged && replication->allowed_nodes_known)
     return;
   replication->allowed_nodes_known = TRUE;
-  g_strfreev (replication->confined);
-  replication->confined = g_strdupv ((char **)nodes);
+  g_strfreev (replication->allowed_nodes);
+  replication->allowed_nodes = g_strdupv ((char **)nodes);
   quince_ledger_group_set_allowed_nodes (replication->group, nodes);
   if (replication->epoch != 0)
     quince_ledger_replication_choose_recipients (replication);
@@ -151,7 +152,7 @@
 /* ---- Sending ------------------------------------------------------------ */
 
 static void
-send_to (QuinceLedgerReplication *replication, QuinceLedgerBackup *backup, gboolean heartbeat)
+send_to_backup (QuinceLedgerReplication *replication, QuinceLedgerBackup *backup, gboolean heartbeat)
 {
   if (!quince_ledger_group_may_send (replication->group, quince_now_us (), backup->replica))
     return;
@@ -168,7 +169,7 @@
   gpointer value;
   g_hash_table_iter_init (&iter, replication->backups);
   while (g_hash_table_iter_next (&iter, NULL, &value))
-    send_to (replication, value, heartbeat);
+    send_to_backup (replication, value, heartbeat);
 }
 
 /* ---- Links of backups --------------------------------------------------- */
@@ -178,7 +179,8 @@
                                       QuinceLink *link,
                                       const QuinceLedgerHello *hello)
 {
-  QuinceLedgerBackup *backup = quince_ledger_backup_new (link, hello, ++replication->joins, replication->log);
+  QuinceLedgerBackup *backup
+      = quince_ledger_backup_new (link, hello, ++replication->last_serial, replication->log);
   g_hash_table_replace (replication->backups, &backup->replica, backup);
   quince_ledger_group_peer_joined (replication->group, quince_now_us (), &hello->member);
   quince_ledger_group_set_zone (replication->group, hello->member.replica, hello->zone);
@@ -186,9 +188,9 @@
                    "node=%s replica=%" G_GUINT64_FORMAT " has_index=%" G_GUINT64_FORMAT
                    " send_from=%" G_GUINT64_FORMAT " reset=%s",
                    hello->member.node, (guint64)hello->member.replica, (guint64)hello->last_index,
-                   backup->next_index, backup->reset ? "true" : "false");
+                   backup->next_index, backup->needs_reset ? "true" : "false");
   quince_ledger_replication_choose_recipients (replication);
-  send_to (replication, backup, TRUE);
+  send_to_backup (replication, backup, TRUE);
 }
 
 static QuinceLedgerBackup *
@@ -219,7 +221,7 @@
     }
   quince_send_window_acknowledge (backup->window, ack->last_index);
   quince_ledger_group_peer_acked (replication->group, backup->replica, ack->last_index, (gint64)ack->echo_us);
-  send_to (replication, backup, FALSE);
+  send_to_backup (replication, backup, FALSE);
   return TRUE;
 }
 
@@ -251,7 +253,7 @@
     {
       guint64 replica = view->members.members_val[i].replica;
       const QuinceLedgerBackup *backup = g_hash_table_lookup (replication->backups, &replica);
-      if (backup != NULL && backup->receives)
+      if (backup != NULL && backup->receives_records)
         return backup;
     }
   return NULL;
--- a/daemons/replica/ledger-storage.c
+++ b/daemons/replica/ledger-storage.c
@@ -75,10 +75,10 @@
                               guint n_entries,
                               gboolean reset,
                               guint64 end_index,
-                              guint64 commit,
+                              guint64 commit_index,
                               GError **error)
 {
-  if (!quince_batch_log_append (storage->log, entries, n_entries, reset, end_index, commit, error))
+  if (!quince_batch_log_append (storage->log, entries, n_entries, reset, end_index, commit_index, error))
     return FALSE;
   if (reset)
     storage->last_compacted_index = 0;
@@ -87,13 +87,13 @@
 }
 
 gboolean
-quince_ledger_storage_save_state (QuinceLedgerStorage *storage, const char *doing)
+quince_ledger_storage_save_state (QuinceLedgerStorage *storage, const char *operation)
 {
   g_autoptr (GError) error = NULL;
   if (quince_batch_log_save_persistent_state (
           storage->log, quince_ledger_group_get_persistent_state (storage->group), &error))
     return TRUE;
-  quince_log_failure ("ledger_disk_failed", "doing=%s reason=\"%s\"", doing, error->message);
+  quince_log_failure ("ledger_disk_failed", "doing=%s reason=\"%s\"", operation, error->message);
   return FALSE;
 }
 
--- a/daemons/replica/ledger-storage.h
+++ b/daemons/replica/ledger-storage.h
@@ -36,17 +36,17 @@
                                        guint n_entries,
                                        gboolean reset,
                                        guint64 end_index,
-                                       guint64 commit,
+                                       guint64 commit_index,
                                        GError **error);
 /**
  * quince_ledger_storage_save_state:
- * @doing: what the promises are kept for, for the log line of a failure
+ * @operation: what the promises are kept for, for the log line of a failure
  *
  * Writes the promises, notes and orders of the group that differ from those on the disk.
  *
  * Returns: %FALSE, logged: the disk refused; nothing that follows from them may be sent
  */
-gboolean quince_ledger_storage_save_state (QuinceLedgerStorage *storage, const char *doing);
+gboolean quince_ledger_storage_save_state (QuinceLedgerStorage *storage, const char *operation);
 /* The same; ends the process where the disk refuses, since a replica that cannot keep its own promise must
  * not lead. */
 void quince_ledger_storage_save_state_or_abort (QuinceLedgerStorage *storage);
--- a/daemons/replica/replica-ledger-events.c
+++ b/daemons/replica/replica-ledger-events.c
@@ -188,11 +188,11 @@
 }
 
 const QuinceLedgerNodeCallbacks quince_replica_ledger_callbacks
-    = { .leads = handle_gained_lead,
+    = { .started_leading = handle_gained_lead,
         .stopped_leading = handle_lost_lead,
         .committed = handle_commit,
         .service_call = handle_service_call,
         .link_closed = handle_link_closed,
-        .followed = handle_leader_connected,
+        .leader_connected = handle_leader_connected,
         .other_message = handle_message,
-        .unfollowed = handle_leader_disconnected };
+        .leader_disconnected = handle_leader_disconnected };
