--- a/daemons/replica/ledger-backup.c
+++ b/daemons/replica/ledger-backup.c
@@ -1,30 +1,29 @@
 /*
- * ledger-backup.c: the leader's records on their way to one backup.
+ * ledger-backup.c: sending of the leader's records to one backup.
  */
 #include "ledger-backup.h"
 
 #include "runtime/clock.h"
 #include "runtime/log.h"
 
-/* Records of one message, bytes.  Not measured: bounds the memory of a message and the turn that encodes it.
- */
+/* A chunk ends with the record that reaches this size, in bytes.  Bounds the memory of a message and the time
+ * to encode it. */
 #define CHUNK_BYTES (512 * 1024)
-/* Records of one message.  Not measured: bounds a turn over many small records. */
+/* Maximum number of records in a chunk.  Bounds the time to encode many small records. */
 #define CHUNK_ENTRIES_MAX 512
-/* On their way to one backup, bytes: two chunks keep a link busy while the first is acknowledged.  The leader
- * holds no more than this for a backup that reads slowly, and one that catches up takes no more of the
- * leader's turns than it can follow. */
+/* Maximum bytes in flight to one backup.  Two chunks keep the link busy while the first one is acknowledged;
+ * more would only be buffered for a slow backup. */
 #define SEND_WINDOW_BYTES (2 * CHUNK_BYTES)
 
-/* The records of one message. */
+/* The records of one append message. */
 typedef struct
 {
   GArray *entries; /* QuinceLogEntry, owned records */
   gsize bytes;
 } Chunk;
 
-/* Where the backup's log and @log part: the first index to send.  @needs_reset: (out): nothing that it has is
- * of use */
+/* Returns the first index at which the backup's log may differ from @log.  @needs_reset: (out): whether the
+ * backup must remove its whole log first */
 static guint64
 find_first_index_to_send (QuinceBatchLog *log, const QuinceLedgerHello *hello, gboolean *needs_reset)
 {
@@ -33,7 +32,7 @@
     return 1;
   if (quince_batch_log_get_epoch (log, hello->last_index) == hello->last_epoch)
     return hello->last_index + 1;
-  /* Up to its commit index all logs are the same. */
+  /* All logs are identical up to a commit index. */
   if (hello->commit_index > 0 && quince_batch_log_get_epoch (log, hello->commit_index) == hello->commit_epoch)
     return hello->commit_index + 1;
   *needs_reset = hello->commit_index > 0;
@@ -86,8 +85,7 @@
   g_free (entry->record.record_val);
 }
 
-/* Reads the records from the backup's next one on; a failure is logged, and what was read before it is sent.
- */
+/* Reads records from the next index on.  Logs a read error; the records read before it are sent. */
 static void
 collect_chunk (const QuinceLedgerBackup *backup, QuinceBatchLog *log, Chunk *chunk)
 {
@@ -96,7 +94,7 @@
     quince_log_failure ("ledger_disk_failed", "doing=read reason=\"%s\"", error->message);
 }
 
-/* The chunk is sent: the backup lacks what follows it. */
+/* Adds the sent chunk to the send window and moves the next index past it. */
 static void
 mark_chunk_sent (QuinceLedgerBackup *backup, const Chunk *chunk)
 {
--- a/daemons/replica/ledger-backup.h
+++ b/daemons/replica/ledger-backup.h
@@ -1,8 +1,8 @@
 /*
- * ledger-backup.h: one backup's link, at the leader: what it lacks, and the sending of it.
+ * ledger-backup.h: the leader's connection to one backup, and the records to send on it.
  *
- * Owns the reference to the link and the send window.  Relies on the log for the records to send.  All calls
- * belong to the main context.
+ * A backup owns a reference to its link and its send window.  All functions must be called in the main
+ * context.
  */
 #pragma once
 
@@ -14,14 +14,15 @@
 /**
  * QuinceLedgerBackup:
  * @link: owned reference
- * @node: owned: name of its machine
- * @replica: its id
- * @serial: no two links have the same one; never 0
- * @next_index: of the next record to send
- * @needs_reset: no record that it has is of use: the next append replaces all
- * @receives_records: records are sent to it; others get heartbeats alone
- * @has_records: it has records, or had some when it introduced itself
- * @window: owned: records on their way
+ * @node: (owned): name of the backup's machine
+ * @replica: replica id of the backup
+ * @serial: greater than 0 and unique among the links of this process
+ * @next_index: index of the next record to send
+ * @needs_reset: the next append orders the backup to remove its whole log first
+ * @receives_records: whether records are sent to the backup; if not, it gets heartbeats only
+ * @has_records: whether the backup may have records: its log was not empty when it connected, or records were
+ *   sent to it since
+ * @window: (owned): records in flight
  */
 typedef struct
 {
@@ -36,8 +37,8 @@
   QuinceSendWindow *window;
 } QuinceLedgerBackup;
 
-/* The replica that introduced itself by @hello on @link; it is sent the records of @log from the point on
- * where its own log differs. */
+/* Creates the backup that sent @hello on @link.  Sending starts at the first index at which its log may
+ * differ from @log. */
 QuinceLedgerBackup *quince_ledger_backup_new (QuinceLink *link,
                                               const QuinceLedgerHello *hello,
                                               guint64 serial,
@@ -46,16 +47,18 @@
 
 /**
  * quince_ledger_backup_send:
- * @epoch: that this replica leads
- * @commit_index: of the leader
- * @heartbeat: send a message also where there is no record to send
+ * @epoch: epoch of this leader
+ * @commit_index: commit index of this leader
+ * @heartbeat: whether to send a message even if there is no record to send
  *
- * Sends the next chunk of what the backup lacks, if it receives records and its window is open.
+ * Sends the next chunk of records that the backup does not have, if it receives records and its send window
+ * is open.
  */
 void quince_ledger_backup_send (QuinceLedgerBackup *backup,
                                 QuinceBatchLog *log,
                                 guint64 epoch,
                                 guint64 commit_index,
                                 gboolean heartbeat);
-/* Orders a backup that may hold no records to drop all that it has. @now_us: sent along, and echoed */
+/* Orders a backup that may not store records to remove its whole log.  @now_us: send time, returned in the
+ * acknowledgement */
 void quince_ledger_backup_clear_records (QuinceLedgerBackup *backup, guint64 epoch, gint64 now_us);
--- a/daemons/replica/ledger-election.c
+++ b/daemons/replica/ledger-election.c
@@ -1,5 +1,5 @@
 /*
- * ledger-election.c: campaigns, promises, and queries of who leads.
+ * ledger-election.c: campaigns, promises, queries and announcements of a new leader.
  */
 #include "ledger-election.h"
 
@@ -7,17 +7,17 @@
 #include "runtime/log.h"
 #include "runtime/metrics.h"
 
-/* Pause between two queries of a replica that hears no leader, us: the next leader is found within half of
- * the 1 s of silence after which members elect one, for two small messages a member. */
+/* Interval of queries to all members, and of announcements of a leader, us.  A replica finds a new leader in
+ * less than half of the 1 s leader timeout. */
 #define QUERY_MEMBERS_INTERVAL_US (440 * 1000)
-/* Pause between two queries to the leader itself, us: one of an earlier build that does not know the message
- * closes the link.  Not measured. */
+/* Interval of queries to the leader, us.  Limits reconnects to a leader of an older version, which closes the
+ * link on this message. */
 #define QUERY_LEADER_INTERVAL_US (1000 * 1000)
 
 struct _QuinceLedgerElection
 {
   /* All fields belong to the main context. */
-  guint64 replica;                                /* this one */
+  guint64 replica;                                /* replica id of this process */
   QuinceLedgerGroup *group;                       /* borrowed */
   QuinceLedgerStorage *storage;                   /* borrowed */
   QuinceLedgerMemberLinks *links;                 /* borrowed */
@@ -25,8 +25,8 @@
   const QuinceLedgerElectionCallbacks *callbacks; /* borrowed */
   gpointer user_data;
 
-  gint64 last_query_us;        /* when members were last asked who leads */
-  gint64 last_announcement_us; /* when members that are no backups were last informed who leads */
+  gint64 last_query_us;        /* when the last query was sent */
+  gint64 last_announcement_us; /* when the lead was last announced because the store was unreachable */
 };
 
 QuinceLedgerElection *
@@ -117,9 +117,9 @@
   quince_ledger_election_try_lead_without_store (election);
 }
 
-/* ---- The lead that others are informed of -------------------------------- */
+/* ---- Announcements of the leader ----------------------------------------- */
 
-/* Informs the members that are no backups of this leader. */
+/* Announces this leader to the members that are not connected as its backups. */
 static void
 announce_lead (QuinceLedgerElection *election)
 {
@@ -135,7 +135,8 @@
     }
 }
 
-/* A member that was restarted while the store is away knows no view, and no member that it could ask. */
+/* Announces the lead repeatedly while the store is unreachable.  A member that restarts then knows no view,
+ * and so no member to query. */
 static void
 announce_lead_while_store_fails (QuinceLedgerElection *election, gint64 now_us)
 {
@@ -152,7 +153,7 @@
   gboolean store_fails = quince_meta_store_is_failing (election->store);
   if (!quince_ledger_group_try_lead_without_store (election->group, quince_now_us (), store_fails))
     return;
-  /* Its own promise is on the disk before it leads. */
+  /* This replica's own promise must be on disk before it leads. */
   quince_ledger_storage_save_state_or_abort (election->storage);
   const QuinceLedgerView *view = quince_ledger_group_get_view (election->group);
   quince_log_notice ("ledger_led_without_store", "epoch=%" G_GUINT64_FORMAT " members=%u store=%s",
@@ -164,7 +165,7 @@
 
 /* ---- Queries ------------------------------------------------------------ */
 
-/* Least time between two queries, us; 0: none. */
+/* Returns the minimum interval between two queries of this kind, in microseconds. */
 static gint64
 get_query_interval_us (QuinceLedgerQueryKind kind)
 {
@@ -210,7 +211,7 @@
     quince_link_send (link, &message);
 }
 
-/* Greatest epoch that is known to be led; 0: none. */
+/* Returns the epoch of the known view, or 0 if no view is known. */
 static guint64
 get_current_epoch (const QuinceLedgerElection *election)
 {
--- a/daemons/replica/ledger-election.h
+++ b/daemons/replica/ledger-election.h
@@ -1,9 +1,10 @@
 /*
- * ledger-election.h: who leads the ledger: campaigns and promises, queries and their answers.
+ * ledger-election.h: elections of the ledger's leader, and queries for the current leader.
  *
- * Owns the pace of queries.  Relies on the group for each decision, on the storage to have promises and notes
- * on the disk before an answer that follows from them is sent, on the links to members.  All calls belong to
- * the main context.
+ * A candidate asks the other members for promises.  A replica without contact to the leader asks the members
+ * who leads.  The ledger group makes each decision; the election sends the messages, after the storage has
+ * written the promises and acknowledgements that they depend on.  All functions must be called in the main
+ * context.
  */
 #pragma once
 
@@ -16,9 +17,9 @@
 
 /**
  * QuinceLedgerElectionCallbacks:
- * @role_changed: the role or the view may have changed
- * @propose_view_change: a change of the view may be there to propose
- * @is_backup: whether @replica is linked as a backup of this leader
+ * @role_changed: the role of this replica or the view may have changed
+ * @propose_view_change: a view change may be ready to be proposed to the metadata store
+ * @is_backup: returns whether @replica is connected to this leader as a backup
  */
 typedef struct
 {
@@ -27,7 +28,7 @@
   gboolean (*is_backup) (guint64 replica, gpointer user_data);
 } QuinceLedgerElectionCallbacks;
 
-/* @replica: id of this one; all objects are borrowed and must outlive the election */
+/* @replica: replica id of this process.  All objects are borrowed and must outlive the election. */
 QuinceLedgerElection *quince_ledger_election_new (guint64 replica,
                                                   QuinceLedgerGroup *group,
                                                   QuinceLedgerStorage *storage,
@@ -37,27 +38,26 @@
                                                   gpointer user_data);
 void quince_ledger_election_free (QuinceLedgerElection *election);
 
-/* Asks the members for promises where this replica campaigns; to be called several times a second. */
+/* Asks the other members for promises if this replica campaigns.  Must be called several times a second. */
 void quince_ledger_election_campaign (QuinceLedgerElection *election);
-/* Asks the members who leads where the leader is silent; to be called several times a second.  @is_leader:
- * this replica has begun to lead: it informs members that are no backups of it, while the metadata store is
- * away
- */
+/* Sends a query to the leader or to all members if one is due, and closes idle links to members.  If this
+ * replica leads (@is_leader) and the metadata store is unreachable, also announces the lead to members that
+ * are not connected as backups.  Must be called several times a second. */
 void quince_ledger_election_query (QuinceLedgerElection *election, gboolean is_leader);
-/* Leads if a quorum has promised and the metadata store is away or too slow; to be called several times a
- * second. */
+/* Becomes leader if a quorum has promised and the metadata store is unreachable or too slow.  Must be called
+ * several times a second. */
 void quince_ledger_election_try_lead_without_store (QuinceLedgerElection *election);
 
-/* A member asks for a promise; answered on @link where it is given, once it is on the disk. */
+/* Handles the promise request @ask of a member.  A granted promise is sent on @link once it is on disk. */
 void quince_ledger_election_handle_promise_request (QuinceLedgerElection *election,
                                                     QuinceLink *link,
                                                     const QuinceLedgerAsk *ask);
-/* Another replica, or a front, asks who leads; answered on @link where a view is known. */
+/* Handles a query from another replica or a front.  Answers on @link if a view is known. */
 void quince_ledger_election_handle_query (QuinceLedgerElection *election,
                                           QuinceLink *link,
                                           const QuinceLedgerQuery *query);
-/* A member's promise to follow this replica. */
+/* Handles the promise of a member to follow this replica. */
 void quince_ledger_election_handle_promise (QuinceLedgerElection *election,
                                             const QuinceLedgerPromise *promise);
-/* A member's answer to a query, or the news of a new leader. */
+/* Handles the answer of a member to a query, or the announcement of a new leader. */
 void quince_ledger_election_handle_lead (QuinceLedgerElection *election, const QuinceLedgerLead *lead);
--- a/daemons/replica/ledger-follower.c
+++ b/daemons/replica/ledger-follower.c
@@ -1,16 +1,16 @@
 /*
- * ledger-follower.c: a backup follows the leader.
+ * ledger-follower.c: receives the leader's records at a backup.
  */
 #include "ledger-follower.h"
 
 #include "runtime/clock.h"
 #include "runtime/log.h"
 
-/* A link to the leader that is not up after this is tried anew, us.  Not measured: longer than the 1 s of
- * silence after which a leader that does not answer is replaced. */
+/* Timeout for connecting to the leader, us.  Longer than the 1 s after which backups replace an unresponsive
+ * leader. */
 #define CONNECT_TIMEOUT_US (1200 * 1000)
-/* Pause between two attempts to link to the leader, us.  Not measured: short against the 1 s of silence after
- * which this replica campaigns. */
+/* Minimum interval between two attempts to connect, us.  Much shorter than the 1 s after which this replica
+ * campaigns. */
 #define RECONNECT_INTERVAL_US (150 * 1000)
 
 struct _QuinceLedgerFollower
@@ -24,10 +24,10 @@
   const QuinceLedgerFollowerCallbacks *callbacks; /* borrowed */
   gpointer user_data;
 
-  QuinceLink *link;               /* owned; up or not; NULL: none */
-  char *address;                  /* owned: of the leader; NULL: none */
-  gboolean loss_logged;           /* its loss was logged */
-  gint64 last_connect_attempt_us; /* when the link was last begun */
+  QuinceLink *link;               /* owned; NULL: none; may still be connecting */
+  char *address;                  /* owned: address of the leader; NULL: none */
+  gboolean loss_logged;           /* the loss of the link was logged, and no link was up since */
+  gint64 last_connect_attempt_us; /* when the last attempt started */
 };
 
 QuinceLedgerFollower *
@@ -80,7 +80,7 @@
   return follower->link != NULL && quince_link_has_input (follower->link);
 }
 
-/* The link is down: it is begun anew by a later step. */
+/* Drops a link that is down.  A later quince_ledger_follower_update_link() connects again. */
 static void
 handle_link_loss (QuinceLedgerFollower *follower)
 {
@@ -93,7 +93,8 @@
 
 /* ---- Records ------------------------------------------------------------ */
 
-/* @promised_epoch: 0, or the greater epoch that forbids to follow this leader */
+/* @promised_epoch: the greater epoch that this replica has promised, if it refuses the append for that
+ * reason; 0 otherwise */
 static void
 send_ack (QuinceLedgerFollower *follower, const QuinceLedgerAppend *append, guint64 promised_epoch)
 {
@@ -107,8 +108,7 @@
   quince_link_send (follower->link, &message);
 }
 
-/* Tells the leader that it is refused because of a later promise; one that is refused for another reason gets
- * no answer. */
+/* Answers a refused append if a later epoch was promised.  Other refused appends get no answer. */
 static void
 refuse_append (QuinceLedgerFollower *follower, const QuinceLedgerAppend *append)
 {
@@ -117,11 +117,11 @@
     send_ack (follower, append, promised_epoch);
 }
 
-/* Writes what the message changes in the log; %FALSE, logged: the disk refused. */
+/* Applies the append to the log on disk.  Returns %FALSE if the write failed, which is logged. */
 static gboolean
 apply_append (QuinceLedgerFollower *follower, const QuinceLedgerAppend *append)
 {
-  /* Records of earlier epochs beyond the end of the leader's log were never committed. */
+  /* Records of earlier epochs past the end of the leader's log were never committed. */
   guint64 last_index = quince_batch_log_get_last_index (follower->log);
   gboolean has_stale_records = last_index > append->end_index
                                && quince_batch_log_get_epoch (follower->log, last_index) < append->epoch;
@@ -136,8 +136,8 @@
   return FALSE;
 }
 
-/* Whether the leader counts on records that this log lacks: records that it sent on this link were refused,
- * since their epoch was not known here yet. */
+/* Returns whether the leader assumes records that this log lacks.  It may have sent them on this link before
+ * this replica accepted its epoch, so that they were refused. */
 static gboolean
 has_gap (const QuinceLedgerFollower *follower, const QuinceLedgerAppend *append)
 {
@@ -147,7 +147,7 @@
   return append->held_index > last_index;
 }
 
-/* Drops the link: the leader learns where this log ends when the follower introduces itself again. */
+/* Closes the link.  The hello message of the next one tells the leader where this log ends. */
 static void
 close_for_rejoin (QuinceLedgerFollower *follower)
 {
@@ -165,14 +165,14 @@
       refuse_append (follower, append);
       return;
     }
-  /* An acknowledgement of records that are not here would commit them by a copy that does not exist. */
+  /* An acknowledgement would count this log towards a quorum for records that it does not have. */
   if (has_gap (follower, append))
     {
       close_for_rejoin (follower);
       return;
     }
-  /* The promise first: a replica that has acknowledged a record follows no older epoch, also after a restart.
-   */
+  /* The promise is saved first: a replica that has acknowledged a record must not follow an older epoch, even
+   * after a restart. */
   if (quince_ledger_storage_save_state (follower->storage, "follow") && apply_append (follower, append))
     send_ack (follower, append, 0);
 }
@@ -218,7 +218,8 @@
 static const QuinceLinkCallbacks link_callbacks
     = { .connected = link_connected, .message = link_message, .closed = link_closed };
 
-/* The leader to follow. (transfer none) (nullable): none is known, or this replica is no backup */
+/* Returns: (transfer none) (nullable): the leader to follow, or %NULL if none is known or this replica is not
+ * a backup */
 static const QuinceLedgerMember *
 find_leader_to_follow (const QuinceLedgerFollower *follower)
 {
--- a/daemons/replica/ledger-follower.h
+++ b/daemons/replica/ledger-follower.h
@@ -1,9 +1,9 @@
 /*
- * ledger-follower.h: a backup's link to the leader, and the records that arrive on it.
+ * ledger-follower.h: a backup's link to the leader, and the records received on it.
  *
- * Owns the link.  Relies on the group for who leads and whether its records may be taken, on the storage for
- * the disk: a record is acknowledged once the disk has it, and the promise that goes with it.  All calls
- * belong to the main context.
+ * The ledger group decides which leader to follow and whether its records may be accepted.  A record is
+ * acknowledged once the record and the promise to its leader are on disk.  All functions must be called in
+ * the main context.
  */
 #pragma once
 
@@ -16,8 +16,9 @@
 /**
  * QuinceLedgerFollowerCallbacks:
  * @leader_connected: the link to the leader is up
- * @other_message: a message of the leader that is not the ledger's; it lives until the return
- * @leader_disconnected: the link broke; not called after quince_ledger_follower_stop()
+ * @other_message: a message from the leader other than LEDGER_APPEND; valid until the callback returns
+ * @leader_disconnected: the link broke or could not be established; not called by
+ *   quince_ledger_follower_stop()
  */
 typedef struct
 {
@@ -28,8 +29,10 @@
 
 /**
  * quince_ledger_follower_new:
- * @self: this replica; borrowed, like all others
- * @zone: of this machine
+ * @self: this replica
+ * @zone: zone of this machine
+ *
+ * All arguments are borrowed and must outlive the follower.
  */
 QuinceLedgerFollower *quince_ledger_follower_new (const QuinceLedgerMember *self,
                                                   const char *zone,
@@ -39,12 +42,13 @@
                                                   gpointer user_data);
 void quince_ledger_follower_free (QuinceLedgerFollower *follower);
 
-/* Links to the leader of the view where this replica is a backup, else closes the link; to be called several
- * times a second, and when the role or the view changes. */
+/* Connects to the leader of the view if this replica is a backup, and closes the link otherwise.  Must be
+ * called several times a second, and when the role or the view changes. */
 void quince_ledger_follower_update_link (QuinceLedgerFollower *follower);
-/* Closes the link. */
+/* Closes the link to the leader, if there is one. */
 void quince_ledger_follower_stop (QuinceLedgerFollower *follower);
-/* The leader has sent what was not read yet: it is not silent, however long ago its last message was read. */
+/* Returns %TRUE if bytes from the leader wait to be read: the leader is alive, even if its last processed
+ * message is older than the leader timeout. */
 gboolean quince_ledger_follower_has_input (const QuinceLedgerFollower *follower);
-/* The link to the leader, while it is up. (transfer none) (nullable) */
+/* Returns: (transfer none) (nullable): the link to the leader, or %NULL if it is not up */
 QuinceLink *quince_ledger_follower_get_leader_link (const QuinceLedgerFollower *follower);
--- a/daemons/replica/ledger-member-links.c
+++ b/daemons/replica/ledger-member-links.c
@@ -1,14 +1,14 @@
 /*
- * ledger-member-links.c: links to members, for campaigns and queries.
+ * ledger-member-links.c: links to other members, opened on demand.
  */
 #include "ledger-member-links.h"
 
 #include "runtime/clock.h"
 
-/* Links on which nothing was sent for so long are closed, us: above 440 ms, the longest time between two
- * queries of one campaign. */
+/* All links are closed if nothing was sent for this long, us.  Longer than the 440 ms between two queries to
+ * all members, so that links stay open between them. */
 #define IDLE_TIMEOUT_US (500 * 1000)
-/* A link that is not up after this is tried anew, us.  Not measured: as a backup's link to the leader. */
+/* Interval at which links that are not connected are closed, us.  The next message opens a new one. */
 #define CONNECT_TIMEOUT_US (1200 * 1000)
 
 struct _QuinceLedgerMemberLinks
@@ -18,10 +18,10 @@
   const QuinceLedgerMemberLinksCallbacks *callbacks; /* borrowed */
   gpointer user_data;
 
-  GHashTable *links;            /* QuinceLink by replica, both owned */
-  GHashTable *addresses;        /* replica to address, both owned: where it is not the view's */
-  gint64 last_send_us;          /* when something was last sent */
-  gint64 last_connect_check_us; /* when links that do not connect were last closed */
+  GHashTable *links;     /* replica id to QuinceLink, both owned */
+  GHashTable *addresses; /* replica id to reported address, both owned; only where it differs from the view */
+  gint64 last_send_us;   /* when a message was last sent on any link */
+  gint64 last_connect_check_us; /* when links that are not connected were last closed */
 };
 
 static void
--- a/daemons/replica/ledger-member-links.h
+++ b/daemons/replica/ledger-member-links.h
@@ -1,8 +1,8 @@
 /*
- * ledger-member-links.h: links to members of the ledger that a replica asks for promises, or who leads.
+ * ledger-member-links.h: links to other members, for promise requests, queries and announcements.
  *
- * Owns the links, and the addresses that members introduced themselves with since the view was read.  Relies
- * on the group for the addresses of the view.  All calls belong to the main context.
+ * Links are opened on demand.  An address that a member reported itself overrides its address in the view,
+ * until a newer view is read.  All functions must be called in the main context.
  */
 #pragma once
 
@@ -14,7 +14,7 @@
 /**
  * QuinceLedgerMemberLinksCallbacks:
  * @promise_received: a member promises to follow this replica
- * @lead_received: a member says who leads
+ * @lead_received: a member reports who leads
  */
 typedef struct
 {
@@ -22,22 +22,22 @@
   void (*lead_received) (const QuinceLedgerLead *lead, gpointer user_data);
 } QuinceLedgerMemberLinksCallbacks;
 
-/* @group and @callbacks must outlive the links. */
+/* @group and @callbacks are borrowed and must outlive the links. */
 QuinceLedgerMemberLinks *quince_ledger_member_links_new (const QuinceLedgerGroup *group,
                                                          const QuinceLedgerMemberLinksCallbacks *callbacks,
                                                          gpointer user_data);
-/* Closes the links. */
+/* Closes all links. */
 void quince_ledger_member_links_free (QuinceLedgerMemberLinks *links);
 
-/* Sends @message to @member; links to it where there is no link. */
+/* Sends @message to @member, and opens a link if there is none. */
 void quince_ledger_member_links_send (QuinceLedgerMemberLinks *links,
                                       const QuinceLedgerMember *member,
                                       const QuinceMessage *message);
-/* @member introduced itself with its address.  Returns: whether it is another one than was known */
+/* Sets the address that @member reported.  Returns: whether it differs from the known address */
 gboolean quince_ledger_member_links_set_address (QuinceLedgerMemberLinks *links,
                                                  const QuinceLedgerMember *member);
-/* A newer view was read: its addresses hold from now on. */
+/* Forgets the reported addresses, so that those of the view are used again. */
 void quince_ledger_member_links_clear_addresses (QuinceLedgerMemberLinks *links);
-/* Closes links that were not used lately, and those that do not connect; to be called several times a second.
- */
+/* Closes all links if no message was sent on any of them for 500 ms.  Every 1.2 s, closes those that are not
+ * connected.  Must be called several times a second. */
 void quince_ledger_member_links_close_idle (QuinceLedgerMemberLinks *links);
--- a/daemons/replica/ledger-membership.c
+++ b/daemons/replica/ledger-membership.c
@@ -1,5 +1,5 @@
 /*
- * ledger-membership.c: reads and changes of the view in the metadata store.
+ * ledger-membership.c: reads and writes of the view in the metadata store.
  */
 #include "ledger-membership.h"
 
@@ -7,8 +7,8 @@
 #include "runtime/clock.h"
 #include "runtime/log.h"
 
-/* Least time between two reads of the view that were not asked for by a change, us.  Not measured: two reads
- * a confirmation interval of a leader (QuinceLedgerLimits). */
+/* Minimum interval between reads by quince_ledger_membership_refresh_view(), us.  Half of the 600 ms leader
+ * lease. */
 #define VIEW_READ_INTERVAL_US (300 * 1000)
 
 struct _QuinceLedgerMembership
@@ -20,10 +20,10 @@
   const QuinceLedgerMembershipCallbacks *callbacks; /* borrowed */
   gpointer user_data;
 
-  gboolean read_in_flight;    /* a read is on its way */
-  gboolean initial_read_done; /* the store has answered once, also that there is no view */
-  gint64 last_read_us;        /* when the last read began; 0: never */
-  guint64 newest_revision;    /* of the newest view that was read */
+  gboolean read_in_flight;
+  gboolean initial_read_done; /* the store has answered a read, even if it holds no view */
+  gint64 last_read_us;        /* when the last read started; 0: never */
+  guint64 newest_revision;    /* revision of the newest view that was read; 0: none */
 };
 
 QuinceLedgerMembership *
@@ -48,9 +48,9 @@
   g_free (membership);
 }
 
-/* ---- Reading ------------------------------------------------------------ */
+/* ---- Reads -------------------------------------------------------------- */
 
-/* @requested_us: when the read began; 0: not known */
+/* @requested_us: when the read started; 0: unknown */
 static void
 set_view (QuinceLedgerMembership *membership, GBytes *value, guint64 revision, gint64 requested_us)
 {
@@ -71,7 +71,7 @@
 void
 quince_ledger_membership_set_view (QuinceLedgerMembership *membership, GBytes *value, guint64 revision)
 {
-  /* A watch may be late: it does not show what the store holds now. */
+  /* A watch event may be late, so it does not prove what the store holds now. */
   set_view (membership, value, revision, 0);
 }
 
@@ -82,7 +82,7 @@
   membership->read_in_flight = FALSE;
   gboolean absent = g_error_matches (error, QUINCE_META_ERROR, QUINCE_META_ERROR_GONE);
   if (error != NULL && !absent)
-    return; /* the store logs that it fails; a later step reads again */
+    return; /* the store logs the failure; a later call reads again */
   membership->initial_read_done = TRUE;
   const QuinceMetaItem *item = page != NULL && page->items->len > 0 ? page->items->pdata[0] : NULL;
   set_view (membership, item != NULL ? item->value : NULL, item != NULL ? item->revision : 0,
@@ -109,12 +109,12 @@
 void
 quince_ledger_membership_read_initial_view (QuinceLedgerMembership *membership, gint64 now_us)
 {
-  /* No watch shows a replica that there is no view yet, and that it may found the ledger. */
+  /* A watch does not report that there is no view yet.  A replica must know this to bootstrap the ledger. */
   if (!membership->initial_read_done && !quince_meta_store_is_failing (membership->store))
     quince_ledger_membership_refresh_view (membership, now_us);
 }
 
-/* ---- Changes ------------------------------------------------------------ */
+/* ---- Writes ------------------------------------------------------------- */
 
 static QuinceProposalOutcome
 get_outcome (const GError *error)
@@ -148,7 +148,7 @@
 {
   g_autoptr (GError) error = NULL;
   g_autoptr (GBytes) value = quince_ledger_view_encode (view, &error);
-  if (value == NULL) /* a change without a value would remove the key */
+  if (value == NULL) /* a change without a value would delete the key */
     {
       quince_log_failure ("view_not_encoded", "epoch=%" G_GUINT64_FORMAT " code=%d", (guint64)view->epoch,
                           error->code);
@@ -166,10 +166,10 @@
 {
   if (quince_meta_store_is_failing (membership->store))
     return;
-  guint64 expected_revision = 0; /* revision that the change is made on */
+  guint64 expected_revision = 0; /* revision that the new view replaces; 0: none */
   g_autoptr (QuinceLedgerView) view
       = quince_ledger_group_propose (membership->group, quince_now_us (), &expected_revision);
-  /* Promises and notes that the step made are on the disk before the change is sent. */
+  /* Promises and acknowledgements made by the proposal must be on disk before the view is written. */
   quince_ledger_storage_save_state_or_abort (membership->storage);
   if (view == NULL)
     return;
--- a/daemons/replica/ledger-membership.h
+++ b/daemons/replica/ledger-membership.h
@@ -1,9 +1,8 @@
 /*
- * ledger-membership.h: the view of the ledger in the metadata store: read, and changed under a condition.
+ * ledger-membership.h: reads and conditional writes of the ledger's view in the metadata store.
  *
- * Owns the calls for the view that are on their way.  Relies on the group for the change to propose, on the
- * storage to have notes and promises on the disk before a change is sent.  All calls belong to the main
- * context.
+ * The ledger group decides which view to write.  The storage has promises and acknowledgements on disk before
+ * a view is written.  All functions must be called in the main context.
  */
 #pragma once
 
@@ -15,8 +14,8 @@
 
 /**
  * QuinceLedgerMembershipCallbacks:
- * @changed: a view was read, or a change of it ended: the role may have changed; @is_newer: its revision is a
- *   newer one than was read before
+ * @changed: a view was read, or the write of a view ended; the role may have changed.  @is_newer: whether a
+ *   newer revision of the view was read
  */
 typedef struct
 {
@@ -31,14 +30,15 @@
                                                       gpointer user_data);
 void quince_ledger_membership_free (QuinceLedgerMembership *membership);
 
-/* As quince_ledger_node_set_view(). */
+/* See quince_ledger_node_set_view(). */
 void quince_ledger_membership_set_view (QuinceLedgerMembership *membership, GBytes *value, guint64 revision);
-/* Reads the view, unless it is being read. */
+/* Reads the view, unless a read is in flight. */
 void quince_ledger_membership_read_view (QuinceLedgerMembership *membership);
-/* Reads the view until the store has answered once, also that there is none; to be called several times a
- * second. */
+/* Reads the view, at most every 300 ms, until the store has answered once, even if it holds no view.  Must be
+ * called several times a second. */
 void quince_ledger_membership_read_initial_view (QuinceLedgerMembership *membership, gint64 now_us);
-/* Reads the view where it was not read lately. */
+/* Reads the view if the last read started more than 300 ms ago. */
 void quince_ledger_membership_refresh_view (QuinceLedgerMembership *membership, gint64 now_us);
-/* Proposes a change of the view where there is one to propose and the store is not known to be away. */
+/* Writes the view that the ledger group proposes, if there is one and the store is not known to be
+ * unreachable. */
 void quince_ledger_membership_propose (QuinceLedgerMembership *membership);
--- a/daemons/replica/ledger-node.c
+++ b/daemons/replica/ledger-node.c
@@ -1,8 +1,8 @@
 /*
- * ledger-node.c: the owner of the parts of a replica's ledger.
+ * ledger-node.c: connects the parts of a ledger replica.
  *
- * Joins election, membership, replication (at the leader), following (at a backup) and records, none of which
- * knows another one: each reports upwards by its callbacks, and the role is applied here.
+ * Election, membership, replication, follower and records do not call each other: each reports events to the
+ * node by callbacks, and the node applies changes of the role to all of them.
  */
 #include "ledger-node.h"
 
@@ -18,8 +18,8 @@
 #include "ledger-replication.h"
 #include "ledger-storage.h"
 
-/* Period of a replica's steps and of a leader's heartbeats to its backups, ms.  Not measured: several
- * heartbeats in the 1 s of silence after which backups campaign. */
+/* Interval of the periodic work and of a leader's heartbeats, ms.  Backups miss several heartbeats before the
+ * 1 s leader timeout. */
 #define TICK_INTERVAL_MS 150
 
 struct _QuinceLedgerNode
@@ -28,7 +28,7 @@
   const QuinceLedgerNodeCallbacks *callbacks; /* borrowed */
   gpointer user_data;
   QuinceLedgerMember self; /* owned strings */
-  char *zone;              /* of this machine */
+  char *zone;              /* owned; zone of this machine */
 
   QuinceLedgerGroup *group;
   QuinceLedgerStorage *storage;
@@ -40,7 +40,7 @@
   QuinceLedgerRecords *records;
 
   QuinceLinkServer *server;
-  GHashTable *incoming_links; /* QuinceLink, owned: of fronts, backups and members */
+  GHashTable *incoming_links; /* QuinceLink, owned: from fronts, backups and other members */
   QuinceTimer *tick;
 };
 
@@ -67,7 +67,7 @@
     node->callbacks->stopped_leading (node->user_data);
 }
 
-/* Acts on the role that the group has. */
+/* Starts or stops leading and following according to the role in the group. */
 static void
 apply_role (QuinceLedgerNode *node)
 {
@@ -78,14 +78,14 @@
     stop_leading (node);
   if (is_leader && quince_ledger_records_get_epoch (node->records) == 0)
     start_leading (node, view->epoch);
-  /* A replica that has left the view gets no record that is written from now on. */
+  /* A replica that was removed from the view must not receive new records. */
   if (quince_ledger_records_get_epoch (node->records) != 0)
     quince_ledger_replication_choose_recipients (node->replication);
   quince_ledger_follower_update_link (node->follower);
   quince_ledger_records_advance (node->records);
 }
 
-/* ---- Events of the parts ------------------------------------------------- */
+/* ---- Callbacks of the parts ---------------------------------------------- */
 
 static void
 election_role_changed (gpointer data)
@@ -135,7 +135,7 @@
   if (is_newer)
     quince_ledger_member_links_clear_addresses (node->member_links);
   apply_role (node);
-  /* A former leader that was restarted asks its members at once. */
+  /* A restarted former leader asks the members for promises without waiting for the next tick. */
   if (is_newer)
     quince_ledger_election_campaign (node->election);
 }
@@ -203,7 +203,8 @@
       quince_ledger_replication_add_backup (node->replication, link, hello);
       return;
     }
-  /* A former leader that was restarted needs the promises of the members that come back to it. */
+  /* A restarted former leader needs promises from the members that reconnect to it; their addresses may have
+   * changed. */
   gboolean address_changed = quince_ledger_member_links_set_address (node->member_links, &hello->member);
   quince_link_close (link);
   if (address_changed)
@@ -262,19 +263,19 @@
   g_hash_table_add (node->incoming_links, link);
 }
 
-/* ---- Time ---------------------------------------------------------------- */
+/* ---- Timer --------------------------------------------------------------- */
 
 static void
 run_leader_tasks (QuinceLedgerNode *node, gint64 now_us)
 {
   quince_ledger_replication_send (node->replication, TRUE);
-  /* Its backups do not answer, or this process was suspended: the view may have changed meanwhile. */
+  /* Either the backups do not answer, or this process was suspended.  The view may have changed since. */
   if (!quince_ledger_group_may_accept (node->group, now_us))
     quince_ledger_membership_refresh_view (node->membership, now_us);
   quince_ledger_records_advance (node->records);
   if (!quince_ledger_node_is_leading (node))
     return;
-  /* The disk keeps that this leader may give orders in its epoch. */
+  /* Saves that this leader may give orders in its epoch. */
   quince_ledger_group_record_orders (node->group, now_us);
   quince_ledger_storage_save_state (node->storage, "note_orders");
 }
@@ -285,7 +286,8 @@
   QuinceLedgerNode *node = data;
   gint64 now_us = quince_now_us ();
   quince_ledger_membership_read_initial_view (node->membership, now_us);
-  /* A member that was stopped would campaign against a leader that is well, and win in a view of two. */
+  /* A process that was suspended reads the pending messages of the leader before it campaigns.  Otherwise it
+   * would replace a healthy leader: in a view of two members its own promise is enough. */
   if (!quince_ledger_follower_has_input (node->follower))
     quince_ledger_election_campaign (node->election);
   quince_ledger_membership_propose (node->membership);
@@ -298,7 +300,7 @@
   return G_SOURCE_CONTINUE;
 }
 
-/* ---- Public -------------------------------------------------------------- */
+/* ---- Public functions ---------------------------------------------------- */
 
 static void
 create_group (QuinceLedgerNode *node, const QuinceLedgerNodeOptions *options)
--- a/daemons/replica/ledger-node.h
+++ b/daemons/replica/ledger-node.h
@@ -1,9 +1,9 @@
 /*
- * ledger-node.h: one replica of the batch ledger: its log on disk, its links, and its part in the group.
+ * ledger-node.h: one replica of the batch ledger: its log, its links and its role in the ledger group.
  *
- * Owns the log's file, the socket at which fronts and other replicas link, the links, and a timer.  Relies on
- * the metadata store for the view, and on its owner to pass the view's changes on.  All calls and callbacks
- * belong to the main context.
+ * A node owns the log file, the socket on which fronts and other replicas connect, and the links.  It reads
+ * the view from the metadata store; its owner watches the view and reports changes to it.  All functions must
+ * be called, and all callbacks run, in the main context.
  */
 #pragma once
 
@@ -16,18 +16,18 @@
 
 /**
  * QuinceLedgerNodeCallbacks:
- * @started_leading: this replica leads now and knows all that was acknowledged; committed() was called for
- * each record
- * @stopped_leading: it does not lead any more, or lost the lead before started_leading() while it read its
- * log
- * @committed: (transfer full): @record, in the order of the log; only at the leader, from before
- * started_leading() on
- * @service_call: a call of a front; @link is to be answered on, and may close
- * @link_closed: the link of a front or of another replica closed
- * @leader_connected: a link to the leader is up
- * @other_message: a message that is not the ledger's, from a front or from the leader; it lives until the
- *   return
- * @leader_disconnected: the link to the leader broke
+ * @started_leading: this replica is the leader and has read its log, which holds every acknowledged record;
+ *   committed() was called for each record
+ * @stopped_leading: this replica is no longer the leader; also called if it loses the lead while it reads its
+ *   log, before started_leading()
+ * @committed: a record is committed; called at the leader only, in log order, starting before
+ *   started_leading(). @record: (transfer full)
+ * @service_call: a front sent a call; the answer is sent on @link, which may close before
+ * @link_closed: an incoming link, from a front or another replica, closed
+ * @leader_connected: the link to the leader is up
+ * @other_message: a message from a front, another replica or the leader that is neither a service call nor
+ *   for the ledger; valid until the callback returns
+ * @leader_disconnected: the link to the leader broke or could not be established
  */
 typedef struct
 {
@@ -44,13 +44,14 @@
 /**
  * QuinceLedgerNodeOptions:
  * @node: name of this machine
- * @listen: ip:port at which it accepts links, published in the view
- * @zone: of this machine
- * @folder: existing, on its disk
- * @several_regions: the platform has several regions: a new leader sends records to members alone until it
- * has read its log and its owner has called quince_ledger_node_set_allowed_nodes()
- * @limits: of the group
- * @may_bootstrap: the whole system starts for the first time
+ * @listen: ip:port to listen on, published in the view
+ * @zone: zone of this machine
+ * @folder: existing folder for the log
+ * @several_regions: the platform has several regions: until a new leader has read its log and its owner has
+ *   called quince_ledger_node_set_allowed_nodes(), it sends records only to members and to replicas that
+ *   already have records
+ * @may_bootstrap: whether this replica may write the first view, on the first start of the whole system
+ * @limits: limits of the ledger group
  */
 typedef struct
 {
@@ -67,11 +68,12 @@
  * quince_ledger_node_new:
  * @options: copied
  * @store: borrowed, must outlive the node
- * @callbacks: must outlive the node
+ * @callbacks: borrowed, must outlive the node
  *
- * Opens the log and begins to read the view.
+ * Opens the log, starts to listen and starts to read the view.
  *
- * Returns: (transfer full) (nullable): %NULL with @error where the disk or the address cannot be used
+ * Returns: (transfer full) (nullable): the node, or %NULL with @error if the log cannot be opened or the
+ * address cannot be used
  */
 QuinceLedgerNode *quince_ledger_node_new (const QuinceLedgerNodeOptions *options,
                                           QuinceMetaStore *store,
@@ -80,44 +82,47 @@
                                           GError **error);
 void quince_ledger_node_free (QuinceLedgerNode *node);
 
-/* A change of the ledger's key in the metadata store; %NULL and 0 where it holds none. */
+/* Sets the value and the revision of the ledger's key that a watch of the metadata store reported.  %NULL and
+ * 0: the store holds no view. */
 void quince_ledger_node_set_view (QuinceLedgerNode *node, GBytes *value, guint64 revision);
-/* As quince_ledger_group_set_draining_nodes(). */
+/* See quince_ledger_group_set_draining_nodes(). */
 void quince_ledger_node_set_draining_nodes (QuinceLedgerNode *node, const char *const *nodes);
-/* At the leader: only the machines @nodes (nullable, %NULL-terminated) may keep records, from now on; records
- * on others that are no members are cleared.  %NULL: all may. */
+/* Sets the machines (nullable, %NULL-terminated) that may store records; %NULL: all machines may.  The leader
+ * orders connected replicas on other machines to remove their logs, unless they are members. */
 void quince_ledger_node_set_allowed_nodes (QuinceLedgerNode *node, const char *const *nodes);
 
-/* Appends a record; committed() is called for it once a quorum has it on disk.  Returns: its index; 0: this
- * replica does not lead, or the record does not encode */
+/* Appends a record.  committed() is called for it once a quorum has it on disk.  Returns: its index, or 0 if
+ * this replica does not lead, has not read its log yet, or cannot encode the record */
 guint64 quince_ledger_node_append (QuinceLedgerNode *node, const QuinceBatchRecord *record);
 
-/* At a backup: its link to the leader, while it is up. (transfer none) (nullable) */
+/* Returns: (transfer none) (nullable): the link from this backup to the leader, or %NULL if it is not up */
 QuinceLink *quince_ledger_node_get_leader_link (QuinceLedgerNode *node);
-/* At the leader: a number that identifies the link to the successor; 0: there is none.  Another number means
- * that the successor knows nothing that was sent before. */
+/* Returns the serial number of the link to the successor, the backup that is likely to lead next, or 0 if
+ * there is none.  After a change of the number, the caller must assume that the successor has received
+ * nothing so far. */
 guint64 quince_ledger_node_get_successor_serial (QuinceLedgerNode *node);
-/* The link to the successor. (transfer none) (nullable) */
+/* Returns: (transfer none) (nullable): the link to the successor, or %NULL if there is none */
 QuinceLink *quince_ledger_node_get_successor_link (QuinceLedgerNode *node);
-/* Name of the successor's machine. (transfer none) (nullable) */
+/* Returns: (transfer none) (nullable): the name of the successor's machine, or %NULL if there is none */
 const char *quince_ledger_node_get_successor_name (QuinceLedgerNode *node);
-/* Sends @message to the successor, if there is one; for messages that may be lost. */
+/* Sends @message to the successor, if there is one.  The message may be lost. */
 void quince_ledger_node_send_to_successor (QuinceLedgerNode *node, const QuinceMessage *message);
 
-/* This replica leads and has read its log. */
+/* Returns %TRUE if this replica is the leader and has read its log. */
 gboolean quince_ledger_node_is_leading (const QuinceLedgerNode *node);
-/* It leads, and what it knows of batches may be answered: no other replica can lead now. */
+/* Returns %TRUE if it is leading and may answer about batches, because no other replica can be leader now. */
 gboolean quince_ledger_node_may_answer (const QuinceLedgerNode *node);
-/* It can also have new records committed. */
+/* Returns %TRUE if it may answer and can also commit new records now. */
 gboolean quince_ledger_node_may_accept (const QuinceLedgerNode *node);
-/* It may give orders to workers: no other leader can have given some within the pause (QuinceLedgerLimits).
- */
+/* Returns %TRUE if it is leading and may give orders to workers: no other leader can have given any within
+ * the order pause (QuinceLedgerLimits). */
 gboolean quince_ledger_node_may_order (const QuinceLedgerNode *node);
-/* The epoch that this replica leads, the fencing token of its orders; 0: none. */
+/* Returns the epoch that this replica leads, which is the fencing token of its orders, or 0 if it does not
+ * lead. */
 guint64 quince_ledger_node_get_epoch (const QuinceLedgerNode *node);
 guint64 quince_ledger_node_get_last_index (const QuinceLedgerNode *node);
 guint64 quince_ledger_node_get_commit_index (const QuinceLedgerNode *node);
-/* The view in force. (transfer none) (nullable): none is known */
+/* Returns: (transfer none) (nullable): the current view, or %NULL if none is known */
 const QuinceLedgerView *quince_ledger_node_get_view (const QuinceLedgerNode *node);
-/* It leads, and the metadata store does not show it yet. */
+/* Returns %TRUE if this replica is the leader and its view is not known to be in the metadata store. */
 gboolean quince_ledger_node_is_unpublished (const QuinceLedgerNode *node);
--- a/daemons/replica/ledger-records.c
+++ b/daemons/replica/ledger-records.c
@@ -1,5 +1,5 @@
 /*
- * ledger-records.c: records of the leader, from their append to their delivery.
+ * ledger-records.c: the leader's records, from append to delivery.
  */
 #include "ledger-records.h"
 
@@ -10,8 +10,8 @@
 #include "runtime/log.h"
 #include "runtime/packed-message.h"
 
-/* How long a new leader reads its log before it serves its links again, us: short against the 1 s of silence
- * after which backups campaign, also on a tenth of a core. */
+/* Maximum time for which a new leader reads its log before it serves its links again, us.  Well below the 1 s
+ * leader timeout, even if the process gets a tenth of a CPU. */
 #define READ_SLICE_MAX_US (30 * 1000)
 
 struct _QuinceLedgerRecords
@@ -23,17 +23,17 @@
   const QuinceLedgerRecordsCallbacks *callbacks; /* borrowed */
   gpointer user_data;
 
-  guint64 epoch;            /* led; 0: none */
-  guint64 next_index;       /* of the next record */
+  guint64 epoch;            /* epoch that this replica leads; 0: none */
+  guint64 next_index;       /* index of the next record */
   GArray *unwritten;        /* QuinceLogEntry, owned records: not on disk yet */
   GQueue uncommitted;       /* QuinceLogEntry, owned records: on disk, not delivered yet */
-  QuinceTimer *flush_timer; /* writes the unwritten ones */
+  QuinceTimer *flush_timer; /* writes the unwritten records; NULL: none are waiting */
 
   gboolean recovered;       /* the log was read */
-  QuinceTimer *read_timer;  /* reads the log; NULL: not begun, or done */
-  guint64 delivered_index;  /* of the last stored record that was delivered */
-  gint64 read_slice_end_us; /* when the reading pauses for the main loop */
-  gint64 read_started_us;   /* when the reading began */
+  QuinceTimer *read_timer;  /* reads the log; NULL: reading has not started, or is finished */
+  guint64 delivered_index;  /* index of the last record delivered from the log */
+  gint64 read_slice_end_us; /* when the current slice of the read ends */
+  gint64 read_started_us;   /* when the read started */
 };
 
 /* ---- State ------------------------------------------------------------- */
@@ -98,7 +98,7 @@
 
 /* ---- Writing ----------------------------------------------------------- */
 
-/* A leader that cannot write must not go on: another replica takes over. */
+/* Aborts the process if the write fails, so that another replica takes over. */
 static void
 write_records (QuinceLedgerRecords *records, const QuinceLogEntry *entries, guint n_entries)
 {
@@ -115,7 +115,7 @@
 {
   records->epoch = epoch;
   records->next_index = quince_batch_log_get_last_index (records->log) + 1;
-  /* Records of earlier epochs count as committed only together with one of the new epoch. */
+  /* Records of earlier epochs are committed only together with a record of the new epoch. */
   const QuinceLogEntry first_entry = { .index = records->next_index++, .epoch = epoch };
   write_records (records, &first_entry, 1);
 }
@@ -177,7 +177,7 @@
 deliver_record (QuinceLedgerRecords *records, const QuinceLogEntry *entry)
 {
   if (entry->record.record_len == 0)
-    return; /* a record of a forgotten batch, or the first one of an epoch */
+    return; /* the cleared record of a forgotten batch, or the first record of an epoch */
   QuinceBatchRecord *record
       = quince_batch_record_unpack (entry->record.record_val, entry->record.record_len, NULL);
   if (record != NULL)
@@ -186,7 +186,7 @@
     quince_log_failure ("ledger_record_unreadable", "index=%" G_GUINT64_FORMAT, (guint64)entry->index);
 }
 
-/* Delivers one stored record.  Returns: whether time is left in this turn */
+/* Delivers a record from the log.  Returns %FALSE to stop at the end of the slice. */
 static gboolean
 deliver_stored_record (const QuinceLogEntry *entry, gpointer data)
 {
@@ -196,8 +196,8 @@
   return quince_now_us () < records->read_slice_end_us;
 }
 
-/* A log of some thousand records takes seconds to read on a small machine.  Between two turns heartbeats are
- * sent: without them the backups would elect another leader, which would begin to read in its turn. */
+/* Reads the log in slices, so that heartbeats are sent in between.  Without them, the backups would elect
+ * another leader, which would have to read its log as well. */
 static gboolean
 read_log_slice (gpointer data)
 {
@@ -207,7 +207,7 @@
   if (!quince_batch_log_foreach (records->log, records->delivered_index + 1, deliver_stored_record, records,
                                  &error))
     {
-      /* It cannot answer for records that it cannot read: another replica can. */
+      /* A leader must know all records.  Another replica may be able to read its log. */
       quince_log_failure ("ledger_disk_failed", "doing=read reason=\"%s\"", error->message);
       abort ();
     }
@@ -244,7 +244,7 @@
 {
   if (records->epoch == 0)
     return;
-  /* Once it may answer, a quorum holds all that was acknowledged, and so does this log. */
+  /* When this replica may answer, its log holds every acknowledged record. */
   if (!records->recovered && records->read_timer == NULL
       && quince_ledger_group_may_answer (records->group, quince_now_us ()))
     start_reading (records);
--- a/daemons/replica/ledger-replication.c
+++ b/daemons/replica/ledger-replication.c
@@ -1,5 +1,5 @@
 /*
- * ledger-replication.c: the backups of a leader.
+ * ledger-replication.c: the backups connected to a leader.
  */
 #include "ledger-replication.h"
 
@@ -18,12 +18,12 @@
   gboolean several_regions;
   guint quorum;
 
-  guint64 epoch;       /* led; 0: none */
-  GHashTable *backups; /* QuinceLedgerBackup by replica, owned */
-  guint64 last_serial; /* backups that introduced themselves */
+  guint64 epoch;       /* epoch that this replica leads; 0: none */
+  GHashTable *backups; /* replica id to QuinceLedgerBackup, owned */
+  guint64 last_serial; /* serial of the last added backup; 0: none */
 
-  char **allowed_nodes;         /* machines that may keep records; NULL: all */
-  gboolean allowed_nodes_known; /* it was set since this replica began to lead */
+  char **allowed_nodes;         /* machines that may store records; NULL: all */
+  gboolean allowed_nodes_known; /* the allowed nodes were set since this replica started to lead */
   gboolean recovered;           /* this leader has read its log */
 };
 
@@ -88,7 +88,7 @@
     replication->allowed_nodes_known = FALSE;
 }
 
-/* ---- Which backups are sent records ------------------------------------- */
+/* ---- Recipients of records ---------------------------------------------- */
 
 static void
 clear_backup (QuinceLedgerReplication *replication, QuinceLedgerBackup *backup)
@@ -105,13 +105,13 @@
   gboolean is_member = quince_ledger_view_find (view, backup->replica) != NULL;
   gboolean is_excluded = replication->allowed_nodes != NULL
                          && !g_strv_contains ((const char *const *)replication->allowed_nodes, backup->node);
-  /* Until the log is read it is not known what may lie where.  A view of fewer members than a quorum is that
-   * of the first start: it has no record. */
+  /* Until the log is read and the allowed nodes are set, it is unknown which machines may store records.  A
+   * view of fewer members than a quorum dates from the first start and has no records to protect. */
   gboolean allowed_nodes_unknown = replication->several_regions
                                    && !(replication->recovered && replication->allowed_nodes_known)
                                    && view->members.members_len >= replication->quorum;
-  /* A backup that has records was allowed them by an earlier leader; without it a leader that has lost
-   * members may never have a quorum again, and so never read its log. */
+  /* An earlier leader allowed a backup with records to have them.  Without such backups, a leader that lost
+   * members might never reach a quorum, and so never read its log. */
   backup->receives_records = is_recipient && (is_member || !allowed_nodes_unknown || backup->has_records);
   backup->has_records = backup->has_records || backup->receives_records;
   if (is_excluded && !is_member && !allowed_nodes_unknown && backup->has_records)
@@ -172,7 +172,7 @@
     send_to_backup (replication, value, heartbeat);
 }
 
-/* ---- Links of backups --------------------------------------------------- */
+/* ---- Connections of backups --------------------------------------------- */
 
 void
 quince_ledger_replication_add_backup (QuinceLedgerReplication *replication,
@@ -244,7 +244,8 @@
 
 /* ---- The successor ------------------------------------------------------ */
 
-/* Backups campaign in the order of the view: the first one that is sent records will likely lead next. */
+/* Backups campaign in the order of the view, so the first member that receives records is the most likely
+ * next leader. */
 static const QuinceLedgerBackup *
 find_successor (const QuinceLedgerReplication *replication)
 {
--- a/daemons/replica/ledger-replication.h
+++ b/daemons/replica/ledger-replication.h
@@ -1,8 +1,8 @@
 /*
- * ledger-replication.h: at the leader, the backups that are linked, and which of them are sent records.
+ * ledger-replication.h: the backups connected to this leader, and the choice of those that receive records.
  *
- * Owns the backups and the machines to which records are confined.  Relies on the group for the choice of
- * backups, on the log for the records.  Idle while this replica does not lead.  All calls belong to the main
+ * Holds the connected backups and the machines that may store records.  The ledger group chooses the
+ * recipients.  Does nothing while this replica does not lead.  All functions must be called in the main
  * context.
  */
 #pragma once
@@ -15,7 +15,8 @@
 
 /**
  * quince_ledger_replication_new:
- * @log, @group: borrowed, must outlive the replication
+ * @log: borrowed, must outlive the replication
+ * @group: borrowed, must outlive the replication
  * @several_regions: see QuinceLedgerNodeOptions
  * @quorum: see QuinceLedgerLimits
  */
@@ -23,37 +24,40 @@
                                                         QuinceLedgerGroup *group,
                                                         gboolean several_regions,
                                                         guint quorum);
-/* Closes the links. */
+/* Closes the links of all backups. */
 void quince_ledger_replication_free (QuinceLedgerReplication *replication);
 
-/* This replica leads @epoch from now on; no backup is linked. */
+/* Starts to lead @epoch, with no backup connected yet. */
 void quince_ledger_replication_start_leading (QuinceLedgerReplication *replication, guint64 epoch);
-/* The leader has read its log: it is known what may lie where once it is confined too. */
+/* Reports that the leader has read its log.  Required, in addition to the allowed nodes, to decide which
+ * replicas may receive records. */
 void quince_ledger_replication_set_recovered (QuinceLedgerReplication *replication);
-/* This replica leads no more: closes the links.  @forget_allowed_nodes: the next term waits for a new one */
+/* Stops leading and closes the links of all backups.  @forget_allowed_nodes: whether the next term must wait
+ * until the allowed nodes are set again */
 void quince_ledger_replication_stop_leading (QuinceLedgerReplication *replication,
                                              gboolean forget_allowed_nodes);
-/* As quince_ledger_node_set_allowed_nodes(). */
+/* See quince_ledger_node_set_allowed_nodes(). */
 void quince_ledger_replication_set_allowed_nodes (QuinceLedgerReplication *replication,
                                                   const char *const *nodes);
 
-/* A backup introduces itself on @link. */
+/* Adds the backup that sent @hello on @link. */
 void quince_ledger_replication_add_backup (QuinceLedgerReplication *replication,
                                            QuinceLink *link,
                                            const QuinceLedgerHello *hello);
-/* Returns: whether the commit index may have grown */
+/* Handles an acknowledgement received on @link.  Returns: whether the commit index may have grown */
 gboolean quince_ledger_replication_handle_ack (QuinceLedgerReplication *replication,
                                                QuinceLink *link,
                                                const QuinceLedgerAck *ack);
-/* The link closed. */
+/* Removes the backup of @link, which closed, if there is one. */
 void quince_ledger_replication_remove_backup (QuinceLedgerReplication *replication, QuinceLink *link);
 
-/* Chooses the backups that are sent records, and clears the disks that may hold none. */
+/* Chooses the backups that receive records, and orders those that may not store any to remove their logs. */
 void quince_ledger_replication_choose_recipients (QuinceLedgerReplication *replication);
-/* Sends each backup what it lacks.  @heartbeat: chooses them anew, and sends also where nothing is lacking */
+/* Sends each recipient the records that it does not have.  @heartbeat: whether to choose the recipients again
+ * first, and to send a message to each backup even if there is no record to send */
 void quince_ledger_replication_send (QuinceLedgerReplication *replication, gboolean heartbeat);
 
-/* Whether @replica is linked as a backup. */
+/* Returns %TRUE if @replica is connected as a backup. */
 gboolean quince_ledger_replication_has_backup (const QuinceLedgerReplication *replication, guint64 replica);
 /* See quince_ledger_node_get_successor_serial() and the functions that follow it. */
 guint64 quince_ledger_replication_get_successor_serial (const QuinceLedgerReplication *replication);
--- a/daemons/replica/ledger-storage.c
+++ b/daemons/replica/ledger-storage.c
@@ -1,5 +1,5 @@
 /*
- * ledger-storage.c: the log and the promises of one replica, on its disk.
+ * ledger-storage.c: the log and the persistent state of one replica, on disk.
  */
 #include "ledger-storage.h"
 
@@ -7,19 +7,17 @@
 
 #include "runtime/log.h"
 
-/* Pause between two compactions, us.  Not measured: forgotten batches cost disk space only, which is not
- * short within seconds. */
+/* Interval of compactions, us.  A delay of seconds only costs disk space. */
 #define COMPACT_INTERVAL_US (5 * G_USEC_PER_SEC)
-/* Records that one compaction reads.  Not measured: bounds the time for which it holds up the main context.
- */
+/* Maximum number of records that one compaction reads, since it blocks the main context. */
 #define COMPACT_RECORDS_MAX 500
 
 struct _QuinceLedgerStorage
 {
   QuinceBatchLog *log;
   QuinceLedgerGroup *group;     /* borrowed */
-  guint64 last_compacted_index; /* index up to which forgotten batches were searched for */
-  gint64 last_compaction_us;    /* when they were last searched for */
+  guint64 last_compacted_index; /* last index that was searched for FORGET records; 0: none */
+  gint64 last_compaction_us;    /* when the last compaction ran */
 };
 
 QuinceLedgerStorage *
--- a/daemons/replica/ledger-storage.h
+++ b/daemons/replica/ledger-storage.h
@@ -1,9 +1,9 @@
 /*
- * ledger-storage.h: what a replica of the ledger keeps on its disk: the log and its promises.
+ * ledger-storage.h: what a ledger replica stores on disk: its log and the persistent state of its group.
  *
- * Owns the batch log and the state of its compaction.  Relies on the group for the promises to keep, and
- * tells it where the log ends after each append.  Blocks until the disk has taken each write: a message that
- * follows from a write is sent after the call returns.  All calls belong to the main context.
+ * The storage owns the log, compacts it, and reports its end to the ledger group.  Writes block until the
+ * data is on disk, so messages that depend on a write may be sent after the call returns.  All functions must
+ * be called in the main context.
  */
 #pragma once
 
@@ -14,23 +14,23 @@
 
 /**
  * quince_ledger_storage_open:
- * @folder: existing
- * @was_empty: (out): no replica has written here before
+ * @folder: an existing folder
+ * @was_empty: (out): %TRUE if the log had no replica id yet, so that a new one was created
  *
- * Returns: (transfer full) (nullable): %NULL with @error where the disk cannot be used
+ * Returns: (transfer full) (nullable): the storage, or %NULL with @error if the log cannot be opened
  */
 QuinceLedgerStorage *quince_ledger_storage_open (const char *folder, gboolean *was_empty, GError **error);
 void quince_ledger_storage_close (QuinceLedgerStorage *storage);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (QuinceLedgerStorage, quince_ledger_storage_close)
 
-/* To be called once, before any write. @group: borrowed, must outlive the storage */
+/* Sets the group.  Must be called once, before any write.  @group: borrowed, must outlive the storage */
 void quince_ledger_storage_set_group (QuinceLedgerStorage *storage, QuinceLedgerGroup *group);
-/* (transfer none): to be read only; writes go through the storage */
+/* Returns: (transfer none): the log, for reading only; writes must go through the storage */
 QuinceBatchLog *quince_ledger_storage_get_log (const QuinceLedgerStorage *storage);
-/* Epoch and index of the last record. */
+/* Returns the epoch and the index of the last record. */
 QuinceLogEnd quince_ledger_storage_get_log_end (const QuinceLedgerStorage *storage);
 
-/* As quince_batch_log_append(). */
+/* Same as quince_batch_log_append(), and reports the new end of the log to the group. */
 gboolean quince_ledger_storage_append (QuinceLedgerStorage *storage,
                                        const QuinceLogEntry *entries,
                                        guint n_entries,
@@ -40,15 +40,15 @@
                                        GError **error);
 /**
  * quince_ledger_storage_save_state:
- * @operation: what the promises are kept for, for the log line of a failure
+ * @operation: what the state is saved for, logged if the write fails
  *
- * Writes the promises, notes and orders of the group that differ from those on the disk.
+ * Writes the values of the group's persistent state that differ from those on disk.
  *
- * Returns: %FALSE, logged: the disk refused; nothing that follows from them may be sent
+ * Returns: %FALSE if the write failed, which is logged; no message that depends on the state may then be sent
  */
 gboolean quince_ledger_storage_save_state (QuinceLedgerStorage *storage, const char *operation);
-/* The same; ends the process where the disk refuses, since a replica that cannot keep its own promise must
- * not lead. */
+/* Same as quince_ledger_storage_save_state(), but aborts the process if the write fails: a replica that
+ * cannot save its own promise must not lead. */
 void quince_ledger_storage_save_state_or_abort (QuinceLedgerStorage *storage);
-/* Gives back the space of forgotten batches, some records at a time; to be called several times a second. */
+/* Clears records of forgotten batches, a limited number at a time.  Must be called several times a second. */
 void quince_ledger_storage_compact (QuinceLedgerStorage *storage, gint64 now_us);
