--- a/daemons/replica/ledger-membership.c
+++ b/daemons/replica/ledger-membership.c
@@ -52,7 +52,7 @@
 
 /* @requested_us: when the read started; 0: unknown */
 static void
-set_view (QuinceLedgerMembership *membership, GBytes *value, guint64 revision, gint64 requested_us)
+apply_view (QuinceLedgerMembership *membership, GBytes *value, guint64 revision, gint64 requested_us)
 {
   g_autoptr (GError) error = NULL;
   g_autoptr (QuinceLedgerView) view = NULL;
@@ -72,7 +72,7 @@
 quince_ledger_membership_set_view (QuinceLedgerMembership *membership, GBytes *value, guint64 revision)
 {
   /* A watch event may be late, so it does not prove what the store holds now. */
-  set_view (membership, value, revision, 0);
+  apply_view (membership, value, revision, 0);
 }
 
 static void
@@ -85,8 +85,8 @@
     return; /* the store logs the failure; a later call reads again */
   membership->initial_read_done = TRUE;
   const QuinceMetaItem *item = page != NULL && page->items->len > 0 ? page->items->pdata[0] : NULL;
-  set_view (membership, item != NULL ? item->value : NULL, item != NULL ? item->revision : 0,
-            membership->last_read_us);
+  apply_view (membership, item != NULL ? item->value : NULL, item != NULL ? item->revision : 0,
+              membership->last_read_us);
 }
 
 void
