--- a/daemons/replica/batch-calls.c
+++ b/daemons/replica/batch-calls.c
@@ -160,7 +160,7 @@
     {
       g_autofree char *reason = quince_log_quote (error->message);
       quince_log_warning ("batch_refused", "batch=%s status=400 reason=%s", id, reason);
-      quince_residency_coordinator_settle (calls->residency, id);
+      quince_residency_coordinator_remove_admitted (calls->residency, id);
       quince_batch_answer_status (link, call->id, 400);
       return;
     }
@@ -174,7 +174,7 @@
   guint64 index = append_submission (calls, batch, quince_platform_read_tenant (headers));
   if (index == 0)
     {
-      quince_residency_coordinator_settle (calls->residency, id);
+      quince_residency_coordinator_remove_admitted (calls->residency, id);
       quince_batch_answer_status (link, call->id, 503);
       return;
     }
--- a/daemons/replica/batch-service.c
+++ b/daemons/replica/batch-service.c
@@ -68,7 +68,7 @@
   quince_step_demand_record_batch (service->placement, entry->batch,
                                    count_open_samples (service, entry->batch->model));
   quince_batch_calls_submission_committed (service->calls, entry->batch->id);
-  quince_residency_coordinator_settle (service->residency, entry->batch->id);
+  quince_residency_coordinator_remove_admitted (service->residency, entry->batch->id);
   quince_log_notice ("batch_taken",
                      "batch=%s model=%s step=%" G_GUINT64_FORMAT
                      " items=%u minimum_version=%" G_GUINT64_FORMAT " wanted_groups=%u replayed=%s",
@@ -204,8 +204,8 @@
       const QuinceProgressItem *item = &g_array_index (items, QuinceProgressItem, i);
       const QuinceBatchEntry *entry = quince_batch_table_find (service->table, item->batch);
       if (entry != NULL
-          && quince_residency_coordinator_allows (service->residency, node, entry->batch->host,
-                                                  entry->batch->path, entry->tenant))
+          && quince_residency_coordinator_is_allowed (service->residency, node, entry->batch->host,
+                                                      entry->batch->path, entry->tenant))
         g_array_append_val (allowed, *item);
     }
   return allowed;
@@ -341,7 +341,7 @@
   quince_timer_clear (&service->forget_timer);
   g_clear_pointer (&service->runner, quince_sample_runner_free);
   quince_batch_calls_stop_leading (service->calls);
-  quince_residency_coordinator_settle (service->residency, NULL);
+  quince_residency_coordinator_remove_admitted (service->residency, NULL);
   g_clear_pointer (&service->table, quince_batch_table_free);
   service->samples_without_result = 0;
 }
--- a/daemons/replica/quarantine-coordinator.c
+++ b/daemons/replica/quarantine-coordinator.c
@@ -16,7 +16,7 @@
 
 /* A permit expires after this time, us, so that others can send the request when its holder died or was cut
  * off. Not measured: above the deadlines of lookups (0.8 to 2 s). */
-#define PERMIT_KEEP_US (3 * G_USEC_PER_SEC)
+#define PERMIT_TTL_US (3 * G_USEC_PER_SEC)
 
 struct _QuinceQuarantineCoordinator
 {
@@ -30,7 +30,7 @@
 };
 
 static QuinceQuarantine *
-quarantine_of (const QuinceQuarantineCoordinator *coordinator)
+get_quarantine (const QuinceQuarantineCoordinator *coordinator)
 {
   return quince_send_guard_get_quarantine (coordinator->guard);
 }
@@ -48,8 +48,7 @@
   guint at_risk = quince_permits_count_recent (coordinator->permits, now, service, digest);
   if (!quince_send_guard_service_survives_end (coordinator->guard, now, service, at_risk))
     return FALSE;
-  return quince_permits_take (coordinator->permits, now, digest, service, alone, holder,
-                              now + PERMIT_KEEP_US);
+  return quince_permits_take (coordinator->permits, now, digest, service, alone, holder, now + PERMIT_TTL_US);
 }
 
 static gboolean
@@ -75,7 +74,7 @@
 sending (const QuinceSuspect *expected, gpointer data)
 {
   QuinceQuarantineCoordinator *coordinator = data;
-  quince_suspect_reporter_sending (coordinator->reporter, expected);
+  quince_suspect_reporter_send_expected_end (coordinator->reporter, expected);
 }
 
 /* Only the leader sends samples and reward calls: fronts need no report of a single end; the successor does,
@@ -84,9 +83,9 @@
 ended (const QuinceSuspect *suspect, gpointer data)
 {
   QuinceQuarantineCoordinator *coordinator = data;
-  quince_suspect_reporter_changed_for_successor (coordinator->reporter, &suspect->digest);
+  quince_suspect_reporter_queue_change_for_successor (coordinator->reporter, &suspect->digest);
   if (suspect->n_workers >= QUINCE_QUARANTINE_ALONE_ENDS_MIN)
-    quince_suspect_reporter_changed (coordinator->reporter, &suspect->digest);
+    quince_suspect_reporter_queue_change (coordinator->reporter, &suspect->digest);
 }
 
 static void
@@ -94,9 +93,9 @@
 {
   QuinceQuarantineCoordinator *coordinator = data;
   if (ends >= QUINCE_QUARANTINE_ALONE_ENDS_MIN)
-    quince_suspect_reporter_cleared (coordinator->reporter, digest, scope);
+    quince_suspect_reporter_send_cleared (coordinator->reporter, digest, scope);
   else
-    quince_suspect_reporter_cleared_for_successor (coordinator->reporter, digest, scope);
+    quince_suspect_reporter_send_cleared_to_successor (coordinator->reporter, digest, scope);
 }
 
 static const QuinceSendGuardCallbacks guard_callbacks = { .request_permit = request_permit,
@@ -117,9 +116,9 @@
   coordinator->workers = workers;
   coordinator->guard = quince_send_guard_new (limits, &guard_callbacks, coordinator);
   coordinator->permits = quince_permits_new ();
-  coordinator->reporter = quince_suspect_reporter_new (quarantine_of (coordinator), name);
+  coordinator->reporter = quince_suspect_reporter_new (get_quarantine (coordinator), name);
   coordinator->expected = quince_expected_ends_new ();
-  coordinator->keys = quince_quarantine_keys_new (store, quarantine_of (coordinator));
+  coordinator->keys = quince_quarantine_keys_new (store, get_quarantine (coordinator));
   return coordinator;
 }
 
@@ -150,7 +149,7 @@
 
 /* What the former leader sent by permit may have ended its workers unseen. */
 static void
-check_sends (QuinceQuarantineCoordinator *coordinator)
+check_former_leader_sends (QuinceQuarantineCoordinator *coordinator)
 {
   g_autoptr (GPtrArray) sends = quince_expected_ends_take (coordinator->expected, quince_now_us ());
   for (guint i = 0; i < sends->len; i++)
@@ -158,16 +157,16 @@
 }
 
 void
-quince_quarantine_coordinator_lead (QuinceQuarantineCoordinator *coordinator, GHashTable *links)
+quince_quarantine_coordinator_start_leading (QuinceQuarantineCoordinator *coordinator, GHashTable *links)
 {
   quince_suspect_reporter_set_links (coordinator->reporter, links);
   quince_permits_free (coordinator->permits);
   coordinator->permits = quince_permits_new ();
-  check_sends (coordinator);
+  check_former_leader_sends (coordinator);
   /* Nothing was sent during the election, which lasts longer than requests give way to others: without this
    * each new leader would send the same item of a suspected prompt first, which says nothing new of the
    * prompt. */
-  quince_quarantine_restart_yield_time (quarantine_of (coordinator), quince_now_us ());
+  quince_quarantine_restart_yield_time (get_quarantine (coordinator), quince_now_us ());
   quince_suspect_reporter_send_all (coordinator->reporter);
 }
 
@@ -193,7 +192,7 @@
 /* ---- Messages ------------------------------------------------------------ */
 
 static void
-take_sending (QuinceQuarantineCoordinator *coordinator, const QuinceSuspectReports *reports)
+add_expected_ends (QuinceQuarantineCoordinator *coordinator, const QuinceSuspectReports *reports)
 {
   gint64 now = quince_now_us ();
   for (guint i = 0; i < reports->suspects.suspects_len; i++)
@@ -206,7 +205,7 @@
 
 /* The outcome of a send is known, so no end is expected of it. */
 static void
-forget_expected (QuinceQuarantineCoordinator *coordinator, const QuinceSuspectReports *reports)
+remove_expected_ends (QuinceQuarantineCoordinator *coordinator, const QuinceSuspectReports *reports)
 {
   for (guint i = 0; i < reports->suspects.suspects_len; i++)
     {
@@ -223,34 +222,36 @@
     {
       const QuinceRequestDigest *digest = &g_array_index (changed, QuinceRequestDigest, i);
       quince_send_guard_handle_report (coordinator->guard, now_us, digest);
-      quince_suspect_reporter_changed (coordinator->reporter, digest);
+      quince_suspect_reporter_queue_change (coordinator->reporter, digest);
     }
 }
 
 static void
-take_reports (QuinceQuarantineCoordinator *coordinator, const QuinceSuspectReports *reports)
+handle_suspect_reports (QuinceQuarantineCoordinator *coordinator, const QuinceSuspectReports *reports)
 {
-  forget_expected (coordinator, reports);
+  remove_expected_ends (coordinator, reports);
   g_autoptr (GArray) changed = g_array_new (FALSE, FALSE, sizeof (QuinceRequestDigest));
   g_autoptr (GArray) cleared_suspects = g_array_new (FALSE, FALSE, sizeof (QuinceSuspectCleared));
   gint64 now = quince_now_us ();
-  quince_suspect_news_apply (quarantine_of (coordinator), now, reports, changed, cleared_suspects);
+  quince_suspect_news_apply (get_quarantine (coordinator), now, reports, changed, cleared_suspects);
   forward_reports (coordinator, now, changed);
   for (guint i = 0; quince_suspect_reporter_is_active (coordinator->reporter) && i < cleared_suspects->len;
        i++)
     {
       const QuinceSuspectCleared *one = &g_array_index (cleared_suspects, QuinceSuspectCleared, i);
-      quince_suspect_reporter_cleared (coordinator->reporter, &one->digest, one->scope);
+      quince_suspect_reporter_send_cleared (coordinator->reporter, &one->digest, one->scope);
     }
 }
 
 static void
-answer_permit_ask (QuinceQuarantineCoordinator *coordinator, QuinceLink *link, const QuincePermitAsk *wanted)
+handle_permit_request (QuinceQuarantineCoordinator *coordinator,
+                       QuinceLink *link,
+                       const QuincePermitAsk *wanted)
 {
   QuinceRequestDigest digest;
   memcpy (digest.bytes, wanted->digest, sizeof digest.bytes);
   /* The front may not know yet that the request is held, or that it must run alone. */
-  QuinceSendRule rule = quince_quarantine_get_rule (quarantine_of (coordinator), &digest);
+  QuinceSendRule rule = quince_quarantine_get_rule (get_quarantine (coordinator), &digest);
   gboolean known = rule != QUINCE_SEND_HELD && (wanted->alone || rule != QUINCE_SEND_ALONE);
   QuinceMessage message = { .kind = QUINCE_MESSAGE_PERMIT_ANSWER };
   QuincePermitAnswer *answer = &message.QuinceMessage_u.permit_answer;
@@ -261,21 +262,21 @@
 }
 
 gboolean
-quince_quarantine_coordinator_take (QuinceQuarantineCoordinator *coordinator,
-                                    QuinceLink *link,
-                                    const QuinceMessage *message)
+quince_quarantine_coordinator_handle_message (QuinceQuarantineCoordinator *coordinator,
+                                              QuinceLink *link,
+                                              const QuinceMessage *message)
 {
   QuinceRequestDigest digest;
   switch (message->kind)
     {
     case QUINCE_MESSAGE_SUSPECT_NEWS:
-      take_reports (coordinator, &message->QuinceMessage_u.suspect_news);
+      handle_suspect_reports (coordinator, &message->QuinceMessage_u.suspect_news);
       return TRUE;
     case QUINCE_MESSAGE_SUSPECT_SENDING:
-      take_sending (coordinator, &message->QuinceMessage_u.suspect_sending);
+      add_expected_ends (coordinator, &message->QuinceMessage_u.suspect_sending);
       return TRUE;
     case QUINCE_MESSAGE_PERMIT_ASK:
-      answer_permit_ask (coordinator, link, &message->QuinceMessage_u.permit_ask);
+      handle_permit_request (coordinator, link, &message->QuinceMessage_u.permit_ask);
       return TRUE;
     case QUINCE_MESSAGE_PERMIT_BACK:
       memcpy (digest.bytes, message->QuinceMessage_u.permit_back.digest, sizeof digest.bytes);
@@ -289,29 +290,29 @@
 /* ---- The metadata store ----------------------------------------------------- */
 
 void
-quince_quarantine_coordinator_take_list (QuinceQuarantineCoordinator *coordinator,
-                                         const char *front,
-                                         GBytes *value)
+quince_quarantine_coordinator_merge_list (QuinceQuarantineCoordinator *coordinator,
+                                          const char *front,
+                                          GBytes *value)
 {
   if (value == NULL)
     return;
   gint64 now = quince_now_us ();
   g_autoptr (GArray) changed = g_array_new (FALSE, FALSE, sizeof (QuinceRequestDigest));
-  quince_suspect_list_merge (quarantine_of (coordinator), now, quince_wall_ms (), front, value, changed);
+  quince_suspect_list_merge (get_quarantine (coordinator), now, quince_wall_ms (), front, value, changed);
   forward_reports (coordinator, now, changed);
 }
 
 void
-quince_quarantine_coordinator_take_key (QuinceQuarantineCoordinator *coordinator,
-                                        const char *name,
-                                        GBytes *value)
+quince_quarantine_coordinator_apply_entry (QuinceQuarantineCoordinator *coordinator,
+                                           const char *name,
+                                           GBytes *value)
 {
-  quince_quarantine_keys_take (coordinator->keys, name, value);
+  quince_quarantine_keys_apply_entry (coordinator->keys, name, value);
 }
 
 /* All workers of the service run other software than the one that ended, which may handle the request. */
 static gboolean
-is_outdated (const QuinceQuarantineCoordinator *coordinator, const QuinceSuspect *suspect)
+is_software_replaced (const QuinceQuarantineCoordinator *coordinator, const QuinceSuspect *suspect)
 {
   if (!suspect->held || suspect->service == NULL || suspect->software == NULL)
     return FALSE;
@@ -331,20 +332,20 @@
 quince_quarantine_coordinator_step (QuinceQuarantineCoordinator *coordinator)
 {
   gint64 now = quince_now_us ();
-  quince_quarantine_expire (quarantine_of (coordinator), now);
+  quince_quarantine_expire (get_quarantine (coordinator), now);
   if (!quince_suspect_reporter_is_active (coordinator->reporter))
     return;
-  g_autoptr (GPtrArray) all = quince_quarantine_list (quarantine_of (coordinator));
+  g_autoptr (GPtrArray) all = quince_quarantine_list (get_quarantine (coordinator));
   for (guint i = 0; i < all->len; i++)
     {
       const QuinceSuspect *suspect = all->pdata[i];
-      if (!is_outdated (coordinator, suspect))
+      if (!is_software_replaced (coordinator, suspect))
         continue;
       g_autofree char *digest = quince_request_digest_format (&suspect->digest);
       quince_log_info ("suspect_released", "digest=%s", digest);
-      quince_quarantine_release (quarantine_of (coordinator), now, &suspect->digest);
-      quince_suspect_reporter_changed (coordinator->reporter, &suspect->digest);
+      quince_quarantine_release (get_quarantine (coordinator), now, &suspect->digest);
+      quince_suspect_reporter_queue_change (coordinator->reporter, &suspect->digest);
     }
   quince_suspect_reporter_step (coordinator->reporter, all);
-  quince_quarantine_keys_save (coordinator->keys, all);
+  quince_quarantine_keys_sync (coordinator->keys, all);
 }
--- a/daemons/replica/quarantine-coordinator.h
+++ b/daemons/replica/quarantine-coordinator.h
@@ -33,25 +33,26 @@
                                                QuinceLedgerNode *ledger);
 /* @links: (transfer none): set of QuinceLink that get all reports, valid until
  * quince_quarantine_coordinator_stop_leading() */
-void quince_quarantine_coordinator_lead (QuinceQuarantineCoordinator *coordinator, GHashTable *links);
+void quince_quarantine_coordinator_start_leading (QuinceQuarantineCoordinator *coordinator,
+                                                  GHashTable *links);
 void quince_quarantine_coordinator_stop_leading (QuinceQuarantineCoordinator *coordinator);
 /* @link was added to the set: sends it what is known. */
 void quince_quarantine_coordinator_add_link (QuinceQuarantineCoordinator *coordinator, QuinceLink *link);
 /* The permits that were granted on @link are taken back. */
 void quince_quarantine_coordinator_link_closed (QuinceQuarantineCoordinator *coordinator, QuinceLink *link);
 /* Returns: whether @message is one of the quarantine's, and was taken */
-gboolean quince_quarantine_coordinator_take (QuinceQuarantineCoordinator *coordinator,
-                                             QuinceLink *link,
-                                             const QuinceMessage *message);
+gboolean quince_quarantine_coordinator_handle_message (QuinceQuarantineCoordinator *coordinator,
+                                                       QuinceLink *link,
+                                                       const QuinceMessage *message);
 /* The suspect notice of a front that reaches no leader; @value: (nullable): %NULL: it was withdrawn. */
-void quince_quarantine_coordinator_take_list (QuinceQuarantineCoordinator *coordinator,
-                                              const char *front,
-                                              GBytes *value);
+void quince_quarantine_coordinator_merge_list (QuinceQuarantineCoordinator *coordinator,
+                                               const char *front,
+                                               GBytes *value);
 /* The entry of a held request in the metadata store; @name: last part of its key, the digest as text; @value:
  * (nullable): %NULL: it was removed. */
-void quince_quarantine_coordinator_take_key (QuinceQuarantineCoordinator *coordinator,
-                                             const char *name,
-                                             GBytes *value);
+void quince_quarantine_coordinator_apply_entry (QuinceQuarantineCoordinator *coordinator,
+                                                const char *name,
+                                                GBytes *value);
 /* Forgets old suspects; at the leader also releases outdated ones and writes keys; to be called several times
  * a second. */
 void quince_quarantine_coordinator_step (QuinceQuarantineCoordinator *coordinator);
--- a/daemons/replica/quarantine-keys.c
+++ b/daemons/replica/quarantine-keys.c
@@ -8,7 +8,7 @@
 #include "runtime/clock.h"
 
 /* Pause after a failed write, us: each call of the store costs.  Not measured: as in meta-presence.c. */
-#define WRITE_PAUSE_US (1 * G_USEC_PER_SEC)
+#define WRITE_RETRY_DELAY_US (1 * G_USEC_PER_SEC)
 
 struct _QuinceQuarantineKeys
 {
@@ -38,7 +38,7 @@
 }
 
 void
-quince_quarantine_keys_take (QuinceQuarantineKeys *keys, const char *name, GBytes *value)
+quince_quarantine_keys_apply_entry (QuinceQuarantineKeys *keys, const char *name, GBytes *value)
 {
   if (value != NULL)
     g_hash_table_add (keys->saved, g_strdup (name));
@@ -61,7 +61,7 @@
   QuinceQuarantineKeys *keys = change->keys;
   keys->writing = FALSE;
   if (error != NULL)
-    keys->next_write_us = quince_now_us () + WRITE_PAUSE_US;
+    keys->next_write_us = quince_now_us () + WRITE_RETRY_DELAY_US;
   else if (change->removes)
     g_hash_table_remove (keys->saved, change->name);
   else
@@ -92,7 +92,7 @@
 
 /* Returns: (transfer none) (nullable): a key of a request that is no longer held */
 static const char *
-find_outdated (const QuinceQuarantineKeys *keys)
+find_obsolete_key (const QuinceQuarantineKeys *keys)
 {
   GHashTableIter iter;
   gpointer name;
@@ -109,7 +109,7 @@
 
 /* One write at a time suffices: holds and releases are rare. */
 void
-quince_quarantine_keys_save (QuinceQuarantineKeys *keys, const GPtrArray *all)
+quince_quarantine_keys_sync (QuinceQuarantineKeys *keys, const GPtrArray *all)
 {
   if (keys->writing || quince_now_us () < keys->next_write_us)
     return;
@@ -122,7 +122,7 @@
       write_key (keys, name, suspect);
       return;
     }
-  const char *outdated = find_outdated (keys);
+  const char *outdated = find_obsolete_key (keys);
   if (outdated != NULL)
     write_key (keys, outdated, NULL);
 }
--- a/daemons/replica/quarantine-keys.h
+++ b/daemons/replica/quarantine-keys.h
@@ -17,7 +17,7 @@
 void quince_quarantine_keys_free (QuinceQuarantineKeys *keys);
 /* A key has changed; @name: its last part, the digest as text; @value: (nullable): %NULL: it was removed. The
  * quarantine takes what it says. */
-void quince_quarantine_keys_take (QuinceQuarantineKeys *keys, const char *name, GBytes *value);
+void quince_quarantine_keys_apply_entry (QuinceQuarantineKeys *keys, const char *name, GBytes *value);
 /* At the leader, several times a second: writes or removes one key that differs from the quarantine.
  * @all: (element-type QuinceSuspect): its suspects */
-void quince_quarantine_keys_save (QuinceQuarantineKeys *keys, const GPtrArray *all);
+void quince_quarantine_keys_sync (QuinceQuarantineKeys *keys, const GPtrArray *all);
--- a/daemons/replica/replica-leadership.c
+++ b/daemons/replica/replica-leadership.c
@@ -98,7 +98,7 @@
 quince_replica_leadership_check_orders (QuinceReplicaLeadership *leadership)
 {
   if (leadership->orders != NULL)
-    quince_weight_orders_pump (leadership->orders);
+    quince_weight_orders_check_loads (leadership->orders);
 }
 
 /* ---- The store feed ------------------------------------------------------ */
@@ -168,9 +168,9 @@
   quince_replica_leadership_step_residency (leadership);
   quince_batch_service_start_leading (parts->batches);
   if (parts->usage != NULL)
-    quince_usage_collector_lead (parts->usage);
+    quince_usage_collector_start_leading (parts->usage);
   if (parts->scaler != NULL)
-    quince_worker_scaler_lead (parts->scaler);
+    quince_worker_scaler_start_leading (parts->scaler);
   /* No longer needed: the batch service has resumed its samples from the progress store. */
   quince_progress_store_clear (parts->progress);
   start_weight_orders (leadership);
@@ -179,8 +179,8 @@
   quince_observer_feed_ended (parts->observer);
   leadership->feed = quince_store_feed_new (parts->observer);
   quince_heartbeats_start_leading (parts->heartbeats, leadership->subscribers);
-  quince_quarantine_coordinator_lead (parts->quarantine, leadership->subscribers);
-  quince_warmup_coordinator_lead (parts->warmup);
+  quince_quarantine_coordinator_start_leading (parts->quarantine, leadership->subscribers);
+  quince_warmup_coordinator_start_leading (parts->warmup);
   add_subscribers_to_feed (leadership);
 }
 
--- a/daemons/replica/replica-ledger-events.c
+++ b/daemons/replica/replica-ledger-events.c
@@ -71,7 +71,7 @@
   if (!quince_usage_collector_is_record (record))
     quince_batch_service_apply_record (parts->batches, index, record);
   else if (parts->usage != NULL)
-    quince_usage_collector_committed (parts->usage, index, record);
+    quince_usage_collector_apply_record (parts->usage, index, record);
   else
     quince_batch_record_free (record);
 }
@@ -102,7 +102,7 @@
 {
   if (parts->usage != NULL)
     {
-      quince_usage_collector_take_report (parts->usage, link, report);
+      quince_usage_collector_handle_report (parts->usage, link, report);
       return;
     }
   QuinceMessage message = { .kind = QUINCE_MESSAGE_USAGE_ACK };
@@ -181,8 +181,8 @@
       handle_progress (parts, &message->QuinceMessage_u.progress);
       break;
     default:
-      if (!quince_warmup_coordinator_take (parts->warmup, link, message))
-        quince_quarantine_coordinator_take (parts->quarantine, link, message);
+      if (!quince_warmup_coordinator_handle_message (parts->warmup, link, message))
+        quince_quarantine_coordinator_handle_message (parts->quarantine, link, message);
       break;
     }
 }
--- a/daemons/replica/replica-store-events.c
+++ b/daemons/replica/replica-store-events.c
@@ -24,13 +24,14 @@
   else if (g_str_has_prefix (key, QUINCE_FRONTS_PREFIX))
     quince_heartbeats_set_listed (parts->heartbeats, key + strlen (QUINCE_FRONTS_PREFIX), value != NULL);
   else if (g_str_has_prefix (key, QUINCE_MACHINE_ZONES_PREFIX))
-    quince_residency_coordinator_take_place (parts->residency, key + strlen (QUINCE_MACHINE_ZONES_PREFIX),
-                                             value);
+    quince_residency_coordinator_apply_zone_entry (parts->residency,
+                                                   key + strlen (QUINCE_MACHINE_ZONES_PREFIX), value);
   else if (g_str_has_prefix (key, QUINCE_QUARANTINE_PREFIX))
-    quince_quarantine_coordinator_take_key (parts->quarantine, key + strlen (QUINCE_QUARANTINE_PREFIX),
-                                            value);
+    quince_quarantine_coordinator_apply_entry (parts->quarantine, key + strlen (QUINCE_QUARANTINE_PREFIX),
+                                               value);
   else if (g_str_has_prefix (key, QUINCE_SUSPECTS_PREFIX))
-    quince_quarantine_coordinator_take_list (parts->quarantine, key + strlen (QUINCE_SUSPECTS_PREFIX), value);
+    quince_quarantine_coordinator_merge_list (parts->quarantine, key + strlen (QUINCE_SUSPECTS_PREFIX),
+                                              value);
 }
 
 static void
@@ -45,7 +46,7 @@
 {
   const QuinceReplicaParts *parts = data;
   quince_retirement_set_nodes (parts->retirement, nodes);
-  quince_residency_coordinator_set_leaving (parts->residency, nodes);
+  quince_residency_coordinator_set_draining (parts->residency, nodes);
 }
 
 /* Workers of evacuated zones were removed or came back, so weight loads and samples are checked again. */
--- a/daemons/replica/residency-coordinator.c
+++ b/daemons/replica/residency-coordinator.c
@@ -14,10 +14,10 @@
 
 /* Pause before this machine's zone is written again after the store did not take it, or the next one is
  * removed, us.  Not measured: few calls while the store is away. */
-#define WRITE_AGAIN_US (2 * G_USEC_PER_SEC)
+#define ZONE_WRITE_INTERVAL_MIN_US (2 * G_USEC_PER_SEC)
 /* Least time between two log lines about members that may not keep the ledger, us.  Not measured: the state
  * lasts for minutes. */
-#define UNMET_EVERY_US (5 * G_USEC_PER_SEC)
+#define UNMET_LOG_INTERVAL_US (5 * G_USEC_PER_SEC)
 
 struct _QuinceResidencyCoordinator
 {
@@ -30,14 +30,14 @@
   const QuinceTopology *topology;
   QuinceMachineZones *zones;
   QuinceLedgerNode *ledger;
-  gboolean several_regions; /* the platform has more than one */
-  gboolean zone_written;    /* the store has this machine's zone */
-  gint64 write_after_us;    /* it is not written before */
-  char **leaving;           /* (nullable): machines to be emptied */
-  gint64 remove_after_us;   /* the next zone is not removed before */
-  char **confined;          /* machines that the ledger is confined to; NULL: not confined */
+  gboolean several_regions;    /* the platform has more than one */
+  gboolean zone_written;       /* the store has this machine's zone */
+  gint64 next_zone_write_us;   /* it is not written before */
+  char **leaving;              /* (nullable): machines to be emptied */
+  gint64 next_zone_removal_us; /* the next zone is not removed before */
+  char **confined;             /* machines that the ledger is confined to; NULL: not confined */
   gint64 unmet_logged_us;
-  GHashTable *admitted; /* ids to Admitted, both owned: batches in the log that are not committed yet */
+  GHashTable *admitted; /* ids to AdmittedBatch, both owned: batches in the log that are not committed yet */
 };
 
 typedef struct
@@ -45,12 +45,12 @@
   char *host;
   char *path;
   char *tenant;
-} Admitted;
+} AdmittedBatch;
 
 static void
-admitted_free (gpointer data)
+admitted_batch_free (gpointer data)
 {
-  Admitted *admitted = data;
+  AdmittedBatch *admitted = data;
   g_free (admitted->host);
   g_free (admitted->path);
   g_free (admitted->tenant);
@@ -69,7 +69,7 @@
 }
 
 static gboolean
-is_leaving (const QuinceResidencyCoordinator *coordinator, const char *node)
+is_draining_machine (const QuinceResidencyCoordinator *coordinator, const char *node)
 {
   return coordinator->leaving != NULL && g_strv_contains ((const char *const *)coordinator->leaving, node);
 }
@@ -77,11 +77,12 @@
 static void
 write_zone (QuinceResidencyCoordinator *coordinator, gint64 now_us)
 {
-  if (!coordinator->several_regions || coordinator->zone_written || now_us < coordinator->write_after_us
-      || is_leaving (coordinator, coordinator->name) || !quince_observer_is_synced (coordinator->observer)
+  if (!coordinator->several_regions || coordinator->zone_written || now_us < coordinator->next_zone_write_us
+      || is_draining_machine (coordinator, coordinator->name)
+      || !quince_observer_is_synced (coordinator->observer)
       || quince_meta_store_is_failing (coordinator->store))
     return;
-  coordinator->write_after_us = now_us + WRITE_AGAIN_US;
+  coordinator->next_zone_write_us = now_us + ZONE_WRITE_INTERVAL_MIN_US;
   const char *zone = quince_topology_get_own_zone (coordinator->topology);
   g_autofree char *key = g_strconcat (QUINCE_MACHINE_ZONES_PREFIX, coordinator->name, NULL);
   g_autoptr (GBytes) value = g_bytes_new (zone, strlen (zone));
@@ -90,9 +91,9 @@
 }
 
 void
-quince_residency_coordinator_take_place (QuinceResidencyCoordinator *coordinator,
-                                         const char *node,
-                                         GBytes *value)
+quince_residency_coordinator_apply_zone_entry (QuinceResidencyCoordinator *coordinator,
+                                               const char *node,
+                                               GBytes *value)
 {
   g_autofree char *zone
       = value != NULL ? g_strndup (g_bytes_get_data (value, NULL), g_bytes_get_size (value)) : NULL;
@@ -115,7 +116,7 @@
 remove_zone (QuinceResidencyCoordinator *coordinator, gint64 now_us)
 {
   const QuinceLedgerView *view = quince_ledger_node_get_view (coordinator->ledger);
-  if (now_us < coordinator->remove_after_us || view == NULL
+  if (now_us < coordinator->next_zone_removal_us || view == NULL
       || quince_meta_store_is_failing (coordinator->store))
     return;
   for (char **node = coordinator->leaving; node != NULL && *node != NULL; node++)
@@ -123,7 +124,7 @@
       if (g_str_equal (*node, coordinator->name) || quince_ledger_view_has_node (view, *node)
           || quince_machine_zones_get_zone (coordinator->zones, *node) == NULL)
         continue;
-      coordinator->remove_after_us = now_us + WRITE_AGAIN_US;
+      coordinator->next_zone_removal_us = now_us + ZONE_WRITE_INTERVAL_MIN_US;
       g_autofree char *key = g_strconcat (QUINCE_MACHINE_ZONES_PREFIX, *node, NULL);
       const QuinceMetaChange change = { .key = key, .expected_revision = -1 };
       quince_meta_store_change (coordinator->store, &change, 1, zone_removed, coordinator);
@@ -132,7 +133,7 @@
 }
 
 void
-quince_residency_coordinator_set_leaving (QuinceResidencyCoordinator *coordinator, const char *const *nodes)
+quince_residency_coordinator_set_draining (QuinceResidencyCoordinator *coordinator, const char *const *nodes)
 {
   g_strfreev (coordinator->leaving);
   coordinator->leaving = g_strdupv ((char **)nodes);
@@ -161,7 +162,7 @@
 }
 
 static void
-add_bound (GArray *bounds, const QuinceResidency *residency)
+add_restriction (GArray *bounds, const QuinceResidency *residency)
 {
   if (!quince_residency_is_unrestricted (residency))
     g_array_append_val (bounds, *residency);
@@ -169,7 +170,7 @@
 
 /* Residency of all batches that the configuration allows. (transfer full) */
 static GArray *
-collect_configured (QuinceResidencyCoordinator *coordinator)
+collect_configured_residencies (QuinceResidencyCoordinator *coordinator)
 {
   GArray *bounds = g_array_new (FALSE, FALSE, sizeof (QuinceResidency));
   const QuinceRouteTable *table = quince_observer_get_routes (coordinator->observer);
@@ -179,7 +180,7 @@
       QuinceResidency residency;
       quince_route_get_residency (route, NULL, &residency);
       if (route->kind == QUINCE_ROUTE_ROLLOUT)
-        add_bound (bounds, &residency);
+        add_restriction (bounds, &residency);
     }
   const QuinceTenantTable *tenants = table != NULL ? quince_route_table_get_tenants (table) : NULL;
   g_autoptr (GPtrArray) all = tenants != NULL ? quince_tenant_table_list (tenants) : g_ptr_array_new ();
@@ -187,14 +188,14 @@
     {
       const QuinceTenant *tenant = all->pdata[i];
       const QuinceResidency residency = { .tenant_regions = (const char *const *)tenant->regions };
-      add_bound (bounds, &residency);
+      add_restriction (bounds, &residency);
     }
   return bounds;
 }
 
 /* Residency of the batches in the ledger, committed or not. (transfer full) */
 static GArray *
-collect_kept (QuinceResidencyCoordinator *coordinator, const GPtrArray *entries)
+collect_batch_residencies (QuinceResidencyCoordinator *coordinator, const GPtrArray *entries)
 {
   GArray *bounds = g_array_new (FALSE, FALSE, sizeof (QuinceResidency));
   for (guint i = 0; i < entries->len; i++)
@@ -202,17 +203,17 @@
       const QuinceBatchEntry *entry = entries->pdata[i];
       QuinceResidency residency;
       get_residency (coordinator, entry->batch->host, entry->batch->path, entry->tenant, &residency);
-      add_bound (bounds, &residency);
+      add_restriction (bounds, &residency);
     }
   GHashTableIter iter;
   gpointer value;
   g_hash_table_iter_init (&iter, coordinator->admitted);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
-      const Admitted *admitted = value;
+      const AdmittedBatch *admitted = value;
       QuinceResidency residency;
       get_residency (coordinator, admitted->host, admitted->path, admitted->tenant, &residency);
-      add_bound (bounds, &residency);
+      add_restriction (bounds, &residency);
     }
   return bounds;
 }
@@ -220,14 +221,14 @@
 /* ---- Confinement of the ledger --------------------------------------------- */
 
 static GPtrArray *
-choose_machines (QuinceResidencyCoordinator *coordinator, const GArray *bounds)
+list_allowed_machines (QuinceResidencyCoordinator *coordinator, const GArray *bounds)
 {
   return quince_machine_zones_list_allowed (coordinator->zones, (const QuinceResidency *)bounds->data,
                                             bounds->len);
 }
 
 static void
-confine (QuinceResidencyCoordinator *coordinator, const GPtrArray *nodes)
+set_confinement (QuinceResidencyCoordinator *coordinator, const GPtrArray *nodes)
 {
   g_auto (GStrv) names = NULL;
   if (nodes != NULL)
@@ -258,23 +259,23 @@
 {
   if (!quince_backends_has_region_rules (coordinator->backends))
     {
-      confine (coordinator, NULL);
+      set_confinement (coordinator, NULL);
       return;
     }
-  g_autoptr (GArray) configured = collect_configured (coordinator);
-  g_autoptr (GArray) kept = collect_kept (coordinator, entries);
-  g_autoptr (GPtrArray) for_all = choose_machines (coordinator, configured);
-  g_autoptr (GPtrArray) for_kept = choose_machines (coordinator, kept);
+  g_autoptr (GArray) configured = collect_configured_residencies (coordinator);
+  g_autoptr (GArray) kept = collect_batch_residencies (coordinator, entries);
+  g_autoptr (GPtrArray) for_all = list_allowed_machines (coordinator, configured);
+  g_autoptr (GPtrArray) for_kept = list_allowed_machines (coordinator, kept);
   if (configured->len > 0 && for_all->len >= coordinator->quorum)
-    confine (coordinator, for_all);
+    set_confinement (coordinator, for_all);
   else
-    confine (coordinator, kept->len > 0 ? for_kept : NULL);
+    set_confinement (coordinator, kept->len > 0 ? for_kept : NULL);
 }
 
 /* Logs members that may not keep the batches in the ledger: too few other machines are there to replace them.
  */
 static void
-report_unmet (QuinceResidencyCoordinator *coordinator, gint64 now_us)
+report_disallowed_members (QuinceResidencyCoordinator *coordinator, gint64 now_us)
 {
   const QuinceLedgerView *view = quince_ledger_node_get_view (coordinator->ledger);
   g_autoptr (GString) names = g_string_new (NULL);
@@ -283,7 +284,7 @@
     if (!g_strv_contains ((const char *const *)coordinator->confined, view->members.members_val[i].node))
       g_string_append_printf (names, "%s%s", outside++ > 0 ? "," : "", view->members.members_val[i].node);
   quince_metric_set ("quince_replica_members_outside", "", outside);
-  if (names->len == 0 || now_us - coordinator->unmet_logged_us < UNMET_EVERY_US)
+  if (names->len == 0 || now_us - coordinator->unmet_logged_us < UNMET_LOG_INTERVAL_US)
     return;
   coordinator->unmet_logged_us = now_us;
   quince_log_warning ("residency_unmet", "nodes=%s", names->str);
@@ -301,7 +302,7 @@
     return; /* the regions are not known yet: the ledger stays confined as it is */
   remove_zone (coordinator, now);
   confine_ledger (coordinator, entries);
-  report_unmet (coordinator, now);
+  report_disallowed_members (coordinator, now);
 }
 
 gboolean
@@ -324,7 +325,7 @@
       return FALSE;
   if (!coordinator->several_regions)
     return TRUE;
-  Admitted *admitted = g_new0 (Admitted, 1);
+  AdmittedBatch *admitted = g_new0 (AdmittedBatch, 1);
   admitted->host = g_strdup (host);
   admitted->path = g_strdup (path);
   admitted->tenant = g_strdup (tenant);
@@ -334,7 +335,7 @@
 }
 
 void
-quince_residency_coordinator_settle (QuinceResidencyCoordinator *coordinator, const char *id)
+quince_residency_coordinator_remove_admitted (QuinceResidencyCoordinator *coordinator, const char *id)
 {
   if (id != NULL)
     g_hash_table_remove (coordinator->admitted, id);
@@ -343,11 +344,11 @@
 }
 
 gboolean
-quince_residency_coordinator_allows (QuinceResidencyCoordinator *coordinator,
-                                     const char *node,
-                                     const char *host,
-                                     const char *path,
-                                     const char *tenant)
+quince_residency_coordinator_is_allowed (QuinceResidencyCoordinator *coordinator,
+                                         const char *node,
+                                         const char *host,
+                                         const char *path,
+                                         const char *tenant)
 {
   QuinceResidency residency;
   get_residency (coordinator, host, path, tenant, &residency);
@@ -372,7 +373,7 @@
   coordinator->topology = quince_backends_get_topology (backends);
   coordinator->several_regions = quince_topology_count_regions (coordinator->topology) > 1;
   coordinator->zones = quince_machine_zones_new (coordinator->topology);
-  coordinator->admitted = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, admitted_free);
+  coordinator->admitted = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, admitted_batch_free);
   quince_machine_zones_set (coordinator->zones, name, quince_topology_get_own_zone (coordinator->topology));
   return coordinator;
 }
--- a/daemons/replica/residency-coordinator.h
+++ b/daemons/replica/residency-coordinator.h
@@ -30,18 +30,19 @@
                                               QuinceLedgerNode *ledger);
 /* A change in the metadata store: the zone of the replica of @node; @value: (nullable): %NULL: it was removed
  */
-void quince_residency_coordinator_take_place (QuinceResidencyCoordinator *coordinator,
-                                              const char *node,
-                                              GBytes *value);
+void quince_residency_coordinator_apply_zone_entry (QuinceResidencyCoordinator *coordinator,
+                                                    const char *node,
+                                                    GBytes *value);
 /* Machines to be emptied: their zones are removed from the store once they are no members, and the machines
  * themselves write none. */
-void quince_residency_coordinator_set_leaving (QuinceResidencyCoordinator *coordinator,
-                                               const char *const *nodes);
+void quince_residency_coordinator_set_draining (QuinceResidencyCoordinator *coordinator,
+                                                const char *const *nodes);
 /* To be called several times a second. @entries: (nullable) (element-type QuinceBatchEntry): batches in the
  * ledger, at the leader; %NULL: this replica does not lead */
 void quince_residency_coordinator_step (QuinceResidencyCoordinator *coordinator, const GPtrArray *entries);
 /* At the leader: whether the batch @id, of this route and tenant, may be kept on all members of the ledger;
- * if so no machine joins that may not keep it, from now until quince_residency_coordinator_settle(). */
+ * if so no machine joins that may not keep it, from now until quince_residency_coordinator_remove_admitted().
+ */
 gboolean quince_residency_coordinator_admit (QuinceResidencyCoordinator *coordinator,
                                              const GPtrArray *entries,
                                              const char *id,
@@ -49,10 +50,10 @@
                                              const char *path,
                                              const char *tenant);
 /* The batch @id is among the entries from now on, or will not be; %NULL: all that were admitted. */
-void quince_residency_coordinator_settle (QuinceResidencyCoordinator *coordinator, const char *id);
+void quince_residency_coordinator_remove_admitted (QuinceResidencyCoordinator *coordinator, const char *id);
 /* Whether the machine @node may be sent texts of the batch. */
-gboolean quince_residency_coordinator_allows (QuinceResidencyCoordinator *coordinator,
-                                              const char *node,
-                                              const char *host,
-                                              const char *path,
-                                              const char *tenant);
+gboolean quince_residency_coordinator_is_allowed (QuinceResidencyCoordinator *coordinator,
+                                                  const char *node,
+                                                  const char *host,
+                                                  const char *path,
+                                                  const char *tenant);
--- a/daemons/replica/suspect-reporter.c
+++ b/daemons/replica/suspect-reporter.c
@@ -10,9 +10,9 @@
 /* Changes are collected for this time and sent together to all, ms.  One message for each request would make
  * 100,000 when 400 requests lose their workers at once before 250 fronts (calculated).  Not measured: shorter
  * than a usual run of a lookup (25 ms). */
-#define REPORT_MS 10
+#define REPORT_DELAY_MS 10
 /* The same for the successor, ms: the end of this turn of the main loop. */
-#define SUCCESSOR_REPORT_MS 0
+#define SUCCESSOR_REPORT_DELAY_MS 0
 
 /* Changes that were not sent to one receiver yet. */
 typedef struct
@@ -22,7 +22,7 @@
   QuinceTimer *timer;  /* NULL: none */
   guint delay_ms;      /* from the first change to the message */
   void (*send) (QuinceSuspectReporter *reporter, GBytes *encoded);
-} Queue;
+} ChangeQueue;
 
 struct _QuinceSuspectReporter
 {
@@ -32,8 +32,8 @@
   QuinceLedgerNode *ledger;   /* not owned; NULL during the start */
   GHashTable *links;          /* QuinceLink, of the owner; NULL: not leading */
   guint64 informed_successor; /* the successor that was sent all suspects; 0: none */
-  Queue all;
-  Queue successor;
+  ChangeQueue all;
+  ChangeQueue successor;
 };
 
 /* ---- Receivers ------------------------------------------------------------ */
@@ -75,7 +75,7 @@
 /* ---- Queues ---------------------------------------------------------------- */
 
 static void
-queue_init (Queue *queue,
+queue_init (ChangeQueue *queue,
             QuinceSuspectReporter *reporter,
             guint delay_ms,
             void (*send) (QuinceSuspectReporter *reporter, GBytes *encoded))
@@ -88,14 +88,14 @@
 }
 
 static void
-queue_empty (Queue *queue)
+queue_reset (ChangeQueue *queue)
 {
   quince_timer_clear (&queue->timer);
   g_hash_table_remove_all (queue->digests);
 }
 
 static void
-queue_clear (Queue *queue)
+queue_clear (ChangeQueue *queue)
 {
   quince_timer_clear (&queue->timer);
   g_hash_table_unref (queue->digests);
@@ -103,7 +103,7 @@
 
 /* Returns: (transfer container) (element-type QuinceSuspect): the queued suspects that are still known */
 static GPtrArray *
-queue_list (const Queue *queue)
+queue_list_suspects (const ChangeQueue *queue)
 {
   GPtrArray *suspects = g_ptr_array_new ();
   GHashTableIter iter;
@@ -119,54 +119,54 @@
 }
 
 static gboolean
-queue_send (gpointer data)
+queue_flush (gpointer data)
 {
-  Queue *queue = data;
-  g_autoptr (GPtrArray) suspects = queue_list (queue);
-  queue_empty (queue);
+  ChangeQueue *queue = data;
+  g_autoptr (GPtrArray) suspects = queue_list_suspects (queue);
+  queue_reset (queue);
   g_autoptr (GBytes) encoded = encode_suspects (queue->reporter, suspects);
   queue->send (queue->reporter, encoded);
   return G_SOURCE_REMOVE;
 }
 
 static void
-queue_add (Queue *queue, const QuinceRequestDigest *digest)
+queue_add (ChangeQueue *queue, const QuinceRequestDigest *digest)
 {
   if (!quince_suspect_reporter_is_active (queue->reporter))
     return;
   g_hash_table_add (queue->digests, g_memdup2 (digest, sizeof *digest));
   if (queue->timer == NULL)
-    queue->timer = quince_timer_add (queue->delay_ms, queue_send, queue);
+    queue->timer = quince_timer_add (queue->delay_ms, queue_flush, queue);
 }
 
 /* ---- Reports ----------------------------------------------------------------- */
 
 void
-quince_suspect_reporter_changed (QuinceSuspectReporter *reporter, const QuinceRequestDigest *digest)
+quince_suspect_reporter_queue_change (QuinceSuspectReporter *reporter, const QuinceRequestDigest *digest)
 {
   queue_add (&reporter->all, digest);
 }
 
 void
-quince_suspect_reporter_changed_for_successor (QuinceSuspectReporter *reporter,
-                                               const QuinceRequestDigest *digest)
+quince_suspect_reporter_queue_change_for_successor (QuinceSuspectReporter *reporter,
+                                                    const QuinceRequestDigest *digest)
 {
   queue_add (&reporter->successor, digest);
 }
 
 void
-quince_suspect_reporter_cleared (QuinceSuspectReporter *reporter,
-                                 const QuinceRequestDigest *digest,
-                                 QuinceSuspectScope scope)
+quince_suspect_reporter_send_cleared (QuinceSuspectReporter *reporter,
+                                      const QuinceRequestDigest *digest,
+                                      QuinceSuspectScope scope)
 {
   g_autoptr (GBytes) encoded = quince_suspect_cleared_encode (digest, scope);
   send_to_all (reporter, encoded);
 }
 
 void
-quince_suspect_reporter_cleared_for_successor (QuinceSuspectReporter *reporter,
-                                               const QuinceRequestDigest *digest,
-                                               QuinceSuspectScope scope)
+quince_suspect_reporter_send_cleared_to_successor (QuinceSuspectReporter *reporter,
+                                                   const QuinceRequestDigest *digest,
+                                                   QuinceSuspectScope scope)
 {
   if (find_successor (reporter) == NULL)
     return;
@@ -175,7 +175,7 @@
 }
 
 void
-quince_suspect_reporter_sending (QuinceSuspectReporter *reporter, const QuinceSuspect *expected)
+quince_suspect_reporter_send_expected_end (QuinceSuspectReporter *reporter, const QuinceSuspect *expected)
 {
   if (find_successor (reporter) == NULL)
     return;
@@ -223,8 +223,8 @@
   QuinceSuspectReporter *reporter = g_new0 (QuinceSuspectReporter, 1);
   reporter->quarantine = quarantine;
   reporter->name = g_strdup (name);
-  queue_init (&reporter->all, reporter, REPORT_MS, send_to_all);
-  queue_init (&reporter->successor, reporter, SUCCESSOR_REPORT_MS, send_to_successor);
+  queue_init (&reporter->all, reporter, REPORT_DELAY_MS, send_to_all);
+  queue_init (&reporter->successor, reporter, SUCCESSOR_REPORT_DELAY_MS, send_to_successor);
   return reporter;
 }
 
@@ -252,8 +252,8 @@
       reporter->informed_successor = 0;
       return;
     }
-  queue_empty (&reporter->all);
-  queue_empty (&reporter->successor);
+  queue_reset (&reporter->all);
+  queue_reset (&reporter->successor);
 }
 
 gboolean
--- a/daemons/replica/suspect-reporter.h
+++ b/daemons/replica/suspect-reporter.h
@@ -28,20 +28,22 @@
 gboolean quince_suspect_reporter_is_active (const QuinceSuspectReporter *reporter);
 
 /* @digest has changed: soon to all. */
-void quince_suspect_reporter_changed (QuinceSuspectReporter *reporter, const QuinceRequestDigest *digest);
+void quince_suspect_reporter_queue_change (QuinceSuspectReporter *reporter,
+                                           const QuinceRequestDigest *digest);
 /* @digest has changed: to the successor at the end of this turn of the main loop.  Not later: what the
  * successor doesn't know when the leader dies is sent to workers once more. */
-void quince_suspect_reporter_changed_for_successor (QuinceSuspectReporter *reporter,
-                                                    const QuinceRequestDigest *digest);
+void quince_suspect_reporter_queue_change_for_successor (QuinceSuspectReporter *reporter,
+                                                         const QuinceRequestDigest *digest);
 /* A suspect was cleared: at once to all, or to the successor alone. */
-void quince_suspect_reporter_cleared (QuinceSuspectReporter *reporter,
-                                      const QuinceRequestDigest *digest,
-                                      QuinceSuspectScope scope);
-void quince_suspect_reporter_cleared_for_successor (QuinceSuspectReporter *reporter,
-                                                    const QuinceRequestDigest *digest,
-                                                    QuinceSuspectScope scope);
+void quince_suspect_reporter_send_cleared (QuinceSuspectReporter *reporter,
+                                           const QuinceRequestDigest *digest,
+                                           QuinceSuspectScope scope);
+void quince_suspect_reporter_send_cleared_to_successor (QuinceSuspectReporter *reporter,
+                                                        const QuinceRequestDigest *digest,
+                                                        QuinceSuspectScope scope);
 /* The leader sends a suspect to a worker: at once to the successor. */
-void quince_suspect_reporter_sending (QuinceSuspectReporter *reporter, const QuinceSuspect *expected);
+void quince_suspect_reporter_send_expected_end (QuinceSuspectReporter *reporter,
+                                                const QuinceSuspect *expected);
 /* All known suspects: to all, or to @link, which was added to the set. */
 void quince_suspect_reporter_send_all (QuinceSuspectReporter *reporter);
 void quince_suspect_reporter_send_all_to (QuinceSuspectReporter *reporter, QuinceLink *link);
--- a/daemons/replica/usage-collector.c
+++ b/daemons/replica/usage-collector.c
@@ -14,20 +14,20 @@
 
 /* A window is closed when this share of the time for its report is over: the rest is for the election of
  * another leader, which gives no orders for 3.2 s, and for an outage of the platform.  Not measured. */
-#define CLOSE_SHARE 0.5
+#define CLOSE_DELAY_FRACTION 0.5
 /* A new leader closes no window for this time, us: fronts link again (1.2 s to give up on the former leader,
  * 0.15 s to link) and report first, since what is reported of a closed window is lost. */
-#define FRONTS_TELL_US (1500 * 1000)
+#define FRONT_REPORTS_WAIT_US (1500 * 1000)
 /* Longest call of the platform, us: an answer usually takes some ms.  A slower call may have been accepted
  * and is repeated.  Not measured. */
 #define CALL_TIMEOUT_US (1500 * 1000)
 /* Pause after a failed call, us, doubled with each further failure: a few attempts fall into the time in
  * which a report is due (10 s by default).  Not measured. */
-#define RETRY_MIN_US (300 * 1000)
+#define RETRY_DELAY_MIN_US (300 * 1000)
 /* Longest such pause, us: three doublings. */
-#define RETRY_MAX_US (2400 * 1000)
+#define RETRY_DELAY_MAX_US (2400 * 1000)
 /* HTTP status with which the platform accepts a report. */
-#define REPORT_ACCEPTED 200
+#define HTTP_STATUS_ACCEPTED 200
 
 /* What one front reported since the last record. */
 typedef struct
@@ -36,7 +36,7 @@
   guint64 reported; /* greatest sequence that was reported */
   QuinceLink *link; /* owned (nullable): where to acknowledge */
   GArray *events;   /* QuinceUsageEvent, owned texts */
-} Source;
+} UsageSource;
 
 struct _QuinceUsageCollector
 {
@@ -48,10 +48,10 @@
   QuinceHttpPool *platform;
   QuinceAgreedClock *clock;
   QuinceUsageAggregator *aggregator; /* NULL: not leading */
-  GHashTable *sources;               /* source (guint64) to Source, owned */
+  GHashTable *sources;               /* source (guint64) to UsageSource, owned */
   gboolean leads;
-  gint64 close_after_us; /* monotonic: all fronts have reported what they kept; 0: not known yet */
-  guint64 closing;       /* window whose closing record is not committed yet; 0: none */
+  gint64 earliest_close_us; /* monotonic: all fronts have reported what they kept; 0: not known yet */
+  guint64 closing;          /* window whose closing record is not committed yet; 0: none */
 
   QuinceHttpExchange *exchange; /* the report in progress; NULL: none */
   guint64 sending;              /* its window */
@@ -70,7 +70,7 @@
 static void
 source_free (gpointer data)
 {
-  Source *source = data;
+  UsageSource *source = data;
   g_clear_pointer (&source->link, quince_link_unref);
   g_array_unref (source->events);
   g_free (source);
@@ -78,13 +78,13 @@
 
 /* ---- Reports of fronts ---------------------------------------------------- */
 
-static Source *
+static UsageSource *
 find_source (QuinceUsageCollector *collector, guint64 id)
 {
-  Source *source = g_hash_table_lookup (collector->sources, &id);
+  UsageSource *source = g_hash_table_lookup (collector->sources, &id);
   if (source != NULL)
     return source;
-  source = g_new0 (Source, 1);
+  source = g_new0 (UsageSource, 1);
   source->source = id;
   source->reported = quince_usage_aggregator_get_sequence (collector->aggregator, id);
   source->events = g_array_new (FALSE, TRUE, sizeof (QuinceUsageEvent));
@@ -94,7 +94,7 @@
 }
 
 static void
-acknowledge (QuinceUsageCollector *collector, const Source *source)
+acknowledge (QuinceUsageCollector *collector, const UsageSource *source)
 {
   guint64 sequence = quince_usage_aggregator_get_sequence (collector->aggregator, source->source);
   if (source->link == NULL || sequence == 0)
@@ -106,16 +106,16 @@
 }
 
 void
-quince_usage_collector_take_report (QuinceUsageCollector *collector,
-                                    QuinceLink *link,
-                                    const QuinceUsageReport *report)
+quince_usage_collector_handle_report (QuinceUsageCollector *collector,
+                                      QuinceLink *link,
+                                      const QuinceUsageReport *report)
 {
   if (!collector->leads)
     return;
   gint64 now_ms = quince_now_us () / 1000;
   quince_agreed_clock_add_report (collector->clock, report->source, now_ms, (gint64)report->wall_ms);
   gint64 wall_ms = quince_agreed_clock_get (collector->clock, now_ms, quince_wall_ms ());
-  Source *source = find_source (collector, report->source);
+  UsageSource *source = find_source (collector, report->source);
   if (source->link != link)
     {
       g_clear_pointer (&source->link, quince_link_unref);
@@ -142,13 +142,13 @@
   gpointer value;
   g_hash_table_iter_init (&iter, collector->sources);
   while (g_hash_table_iter_next (&iter, NULL, &value))
-    if (((Source *)value)->link == link)
-      g_clear_pointer (&((Source *)value)->link, quince_link_unref);
+    if (((UsageSource *)value)->link == link)
+      g_clear_pointer (&((UsageSource *)value)->link, quince_link_unref);
 }
 
 /* All that was reported since the last record becomes the next one. */
 static void
-keep_events (QuinceUsageCollector *collector)
+append_usage_record (QuinceUsageCollector *collector)
 {
   g_autoptr (GArray) sources = g_array_new (FALSE, FALSE, sizeof (QuinceUsageEvents));
   g_autoptr (GPtrArray) kept = g_ptr_array_new ();
@@ -157,7 +157,7 @@
   g_hash_table_iter_init (&iter, collector->sources);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
-      Source *source = value;
+      UsageSource *source = value;
       if (source->events->len == 0)
         continue;
       QuinceUsageEvents wire = { .source = source->source };
@@ -174,7 +174,7 @@
   if (quince_ledger_node_append (collector->ledger, &record) == 0)
     return; /* reported again by the fronts, or appended at the next step */
   for (guint i = 0; i < kept->len; i++)
-    g_array_set_size (((Source *)kept->pdata[i])->events, 0);
+    g_array_set_size (((UsageSource *)kept->pdata[i])->events, 0);
 }
 
 /* ---- Windows ------------------------------------------------------------ */
@@ -184,7 +184,7 @@
 {
   gint64 now_ms = quince_now_us () / 1000;
   gint64 wall_ms = quince_agreed_clock_get (collector->clock, now_ms, quince_wall_ms ());
-  if (collector->closing != 0 || quince_now_us () < collector->close_after_us)
+  if (collector->closing != 0 || quince_now_us () < collector->earliest_close_us)
     return;
   g_autoptr (QuinceUsageWindow) window = quince_usage_aggregator_next_to_close (
       collector->aggregator, (guint64)wall_ms, collector->close_delay_ms);
@@ -197,7 +197,7 @@
 }
 
 static void
-forget_records (QuinceUsageCollector *collector)
+append_forget_record (QuinceUsageCollector *collector)
 {
   g_autoptr (GArray) indexes = quince_usage_aggregator_take_obsolete (collector->aggregator);
   if (indexes->len == 0)
@@ -218,7 +218,9 @@
 }
 
 void
-quince_usage_collector_committed (QuinceUsageCollector *collector, guint64 index, QuinceBatchRecord *record)
+quince_usage_collector_apply_record (QuinceUsageCollector *collector,
+                                     guint64 index,
+                                     QuinceBatchRecord *record)
 {
   if (collector->aggregator == NULL)
     collector->aggregator = quince_usage_aggregator_new (collector->window_ms);
@@ -231,7 +233,7 @@
   for (guint i = 0; record->kind == QUINCE_BATCH_RECORD_USAGE && i < usage->sources.sources_len; i++)
     {
       u_quad_t id = usage->sources.sources_val[i].source;
-      const Source *source = g_hash_table_lookup (collector->sources, &id);
+      const UsageSource *source = g_hash_table_lookup (collector->sources, &id);
       if (source != NULL)
         acknowledge (collector, source);
     }
@@ -241,18 +243,18 @@
 /* ---- Reports to the platform ------------------------------------------------ */
 
 static void
-report_failed (QuinceUsageCollector *collector)
+schedule_report_retry (QuinceUsageCollector *collector)
 {
   collector->not_before_us = quince_now_us () + collector->retry_us;
-  collector->retry_us = MIN (2 * collector->retry_us, RETRY_MAX_US);
+  collector->retry_us = MIN (2 * collector->retry_us, RETRY_DELAY_MAX_US);
 }
 
 static void
-report_taken (QuinceUsageCollector *collector)
+handle_report_accepted (QuinceUsageCollector *collector)
 {
   QuinceBatchRecord record = { .kind = QUINCE_BATCH_RECORD_USAGE_SENT };
   record.QuinceBatchRecord_u.usage_sent = collector->sending;
-  collector->retry_us = RETRY_MIN_US;
+  collector->retry_us = RETRY_DELAY_MIN_US;
   collector->acknowledged = quince_ledger_node_append (collector->ledger, &record) != 0;
 }
 
@@ -265,10 +267,10 @@
   quince_log_notice ("usage_reported", "window=%" G_GUINT64_FORMAT " status=%u", collector->sending, status);
   g_autofree char *labels = g_strdup_printf ("status=\"%u\"", status);
   quince_metric_add ("quince_replica_usage_reports_total", labels, 1);
-  if (status == REPORT_ACCEPTED)
-    report_taken (collector);
+  if (status == HTTP_STATUS_ACCEPTED)
+    handle_report_accepted (collector);
   else
-    report_failed (collector);
+    schedule_report_retry (collector);
 }
 
 static const QuinceHttpExchangeCallbacks report_callbacks = { .done = report_done };
@@ -299,27 +301,27 @@
 {
   if (!collector->leads || !quince_ledger_node_may_accept (collector->ledger))
     return;
-  if (collector->close_after_us == 0)
-    collector->close_after_us = quince_now_us () + FRONTS_TELL_US;
-  keep_events (collector);
+  if (collector->earliest_close_us == 0)
+    collector->earliest_close_us = quince_now_us () + FRONT_REPORTS_WAIT_US;
+  append_usage_record (collector);
   close_window (collector);
   send_report (collector);
-  forget_records (collector);
+  append_forget_record (collector);
 }
 
 /* ---- Leadership ----------------------------------------------------------- */
 
 void
-quince_usage_collector_lead (QuinceUsageCollector *collector)
+quince_usage_collector_start_leading (QuinceUsageCollector *collector)
 {
   if (collector->aggregator == NULL)
     collector->aggregator = quince_usage_aggregator_new (collector->window_ms);
   collector->leads = TRUE;
   collector->closing = 0;
-  collector->close_after_us = 0;
+  collector->earliest_close_us = 0;
   collector->acknowledged = FALSE;
   collector->not_before_us = 0;
-  collector->retry_us = RETRY_MIN_US;
+  collector->retry_us = RETRY_DELAY_MIN_US;
 }
 
 void
@@ -340,7 +342,7 @@
   collector->ledger = ledger;
   collector->holder = g_strdup (options->holder);
   collector->window_ms = (guint64)options->window_us / 1000;
-  collector->close_delay_ms = (guint64)(CLOSE_SHARE * (double)options->late_us / 1000);
+  collector->close_delay_ms = (guint64)(CLOSE_DELAY_FRACTION * (double)options->late_us / 1000);
   collector->platform = quince_http_pool_new (options->address);
   collector->clock = quince_agreed_clock_new ();
   collector->sources = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, source_free);
--- a/daemons/replica/usage-collector.h
+++ b/daemons/replica/usage-collector.h
@@ -36,17 +36,18 @@
 QuinceUsageCollector *quince_usage_collector_new (const QuinceUsageCollectorOptions *options,
                                                   QuinceLedgerNode *ledger);
 void quince_usage_collector_free (QuinceUsageCollector *collector);
-/* Returns: whether @record is one of usage, which quince_usage_collector_committed() takes */
+/* Returns: whether @record is one of usage, which quince_usage_collector_apply_record() takes */
 gboolean quince_usage_collector_is_record (const QuinceBatchRecord *record);
 /* A record of usage is committed, at the leader, in the order of the log.  @record: (transfer full) */
-void
-quince_usage_collector_committed (QuinceUsageCollector *collector, guint64 index, QuinceBatchRecord *record);
-void quince_usage_collector_lead (QuinceUsageCollector *collector);
+void quince_usage_collector_apply_record (QuinceUsageCollector *collector,
+                                          guint64 index,
+                                          QuinceBatchRecord *record);
+void quince_usage_collector_start_leading (QuinceUsageCollector *collector);
 void quince_usage_collector_stop_leading (QuinceUsageCollector *collector);
 /* A front reported requests; they are acknowledged on @link once a record has them. */
-void quince_usage_collector_take_report (QuinceUsageCollector *collector,
-                                         QuinceLink *link,
-                                         const QuinceUsageReport *report);
+void quince_usage_collector_handle_report (QuinceUsageCollector *collector,
+                                           QuinceLink *link,
+                                           const QuinceUsageReport *report);
 void quince_usage_collector_link_closed (QuinceUsageCollector *collector, QuinceLink *link);
 /* Appends what fronts reported, closes windows, sends reports; to be called several times a second. */
 void quince_usage_collector_step (QuinceUsageCollector *collector);
--- a/daemons/replica/warmup-coordinator.c
+++ b/daemons/replica/warmup-coordinator.c
@@ -7,10 +7,10 @@
 
 /* Interval between two removals of expired leases, us, so that workers that no longer exist keep no memory.
  * Not measured: any time is short enough. */
-#define EXPIRE_US (5 * G_USEC_PER_SEC)
+#define LEASE_EXPIRE_INTERVAL_US (5 * G_USEC_PER_SEC)
 /* Shortest time after which a front may ask again, ms, so that the answer to one request arrives before the
  * next. Not measured: some round trips. */
-#define AGAIN_MIN_MS 20
+#define LEASE_REQUEST_INTERVAL_MIN_MS 20
 
 struct _QuinceWarmupCoordinator
 {
@@ -20,7 +20,7 @@
   QuinceObserver *observer; /* not owned; NULL during the start */
   gboolean (*may_grant) (gpointer);
   gpointer user_data;
-  gint64 expired_us;
+  gint64 last_expire_us;
 };
 
 static const QuinceService *
@@ -43,13 +43,13 @@
 QuinceWarmupCoordinator *
 quince_warmup_coordinator_new (const QuinceWarmupBounds *bounds,
                                QuinceWorkerTable *workers,
-                               gboolean (*may_give_now) (gpointer user_data),
+                               gboolean (*may_grant_now) (gpointer user_data),
                                gpointer user_data)
 {
   QuinceWarmupCoordinator *coordinator = g_new0 (QuinceWarmupCoordinator, 1);
   coordinator->sends = quince_warmup_sends_new (bounds, &sends_callbacks, coordinator);
   coordinator->workers = workers;
-  coordinator->may_grant = may_give_now;
+  coordinator->may_grant = may_grant_now;
   coordinator->user_data = user_data;
   return coordinator;
 }
@@ -76,21 +76,21 @@
 }
 
 void
-quince_warmup_coordinator_lead (QuinceWarmupCoordinator *coordinator)
+quince_warmup_coordinator_start_leading (QuinceWarmupCoordinator *coordinator)
 {
   quince_warmup_sends_take_over (coordinator->sends);
 }
 
 gboolean
-quince_warmup_coordinator_take (QuinceWarmupCoordinator *coordinator,
-                                QuinceLink *link,
-                                const QuinceMessage *message)
+quince_warmup_coordinator_handle_message (QuinceWarmupCoordinator *coordinator,
+                                          QuinceLink *link,
+                                          const QuinceMessage *message)
 {
   if (message->kind != QUINCE_MESSAGE_WARMUP_ASK)
     return FALSE;
   const QuinceWarmupAsk *ask = &message->QuinceMessage_u.warmup_ask;
   const QuinceWorker *worker = quince_worker_table_find (coordinator->workers, ask->worker);
-  gint64 again_us = AGAIN_MIN_MS * 1000;
+  gint64 again_us = LEASE_REQUEST_INTERVAL_MIN_MS * 1000;
   QuinceMessage answer = { .kind = QUINCE_MESSAGE_WARMUP_GRANT };
   QuinceWarmupGrant *grant = &answer.QuinceMessage_u.warmup_grant;
   grant->ask = ask->ask;
@@ -100,7 +100,7 @@
     grant->sends
         = quince_warmup_sends_grant (coordinator->sends, worker->id, worker->service, ask->sends, &again_us);
   grant->valid_ms = QUINCE_WARMUP_LEASE_VALID_US / 1000;
-  grant->again_ms = (guint)MAX (again_us / 1000, AGAIN_MIN_MS);
+  grant->again_ms = (guint)MAX (again_us / 1000, LEASE_REQUEST_INTERVAL_MIN_MS);
   quince_link_send (link, &answer);
   return TRUE;
 }
@@ -109,8 +109,8 @@
 quince_warmup_coordinator_step (QuinceWarmupCoordinator *coordinator)
 {
   gint64 now = quince_now_us ();
-  if (now - coordinator->expired_us < EXPIRE_US)
+  if (now - coordinator->last_expire_us < LEASE_EXPIRE_INTERVAL_US)
     return;
-  coordinator->expired_us = now;
+  coordinator->last_expire_us = now;
   quince_warmup_sends_expire (coordinator->sends, now);
 }
--- a/daemons/replica/warmup-coordinator.h
+++ b/daemons/replica/warmup-coordinator.h
@@ -27,11 +27,11 @@
 /* Returns: (transfer none): the limiter, for quince_backends_set_warmup() */
 QuinceWarmupSends *quince_warmup_coordinator_get_sends (QuinceWarmupCoordinator *coordinator);
 /* This process leads from now on, and grants nothing until the leases of the former leader have run out. */
-void quince_warmup_coordinator_lead (QuinceWarmupCoordinator *coordinator);
+void quince_warmup_coordinator_start_leading (QuinceWarmupCoordinator *coordinator);
 /* Returns: whether @message asks for sends, and was answered on @link */
-gboolean quince_warmup_coordinator_take (QuinceWarmupCoordinator *coordinator,
-                                         QuinceLink *link,
-                                         const QuinceMessage *message);
+gboolean quince_warmup_coordinator_handle_message (QuinceWarmupCoordinator *coordinator,
+                                                   QuinceLink *link,
+                                                   const QuinceMessage *message);
 /* Removes expired leases; to be called several times a second. */
 void quince_warmup_coordinator_step (QuinceWarmupCoordinator *coordinator);
 
--- a/daemons/replica/weight-load.c
+++ b/daemons/replica/weight-load.c
@@ -21,7 +21,7 @@
 struct _QuinceWeightLoad
 {
   /* All fields belong to the main context. */
-  const QuinceWeightLoadOwner *owner;
+  const QuinceWeightLoadContext *owner;
   char *worker_id;
   char *service;
   char *model;
@@ -55,7 +55,7 @@
 }
 
 static void
-load_end (QuinceWeightLoad *load, const char *outcome)
+end_load (QuinceWeightLoad *load, const char *outcome)
 {
   quince_log_info ("weights_order_ended",
                    "worker=%s model=%s version=%" G_GUINT64_FORMAT " outcome=%s took_ms=%" G_GINT64_FORMAT,
@@ -73,7 +73,7 @@
   if (next->action == QUINCE_LOAD_NEXT_POLL)
     quince_retry_timer_set (&load->timer, next->pause_ms);
   else if (next->action == QUINCE_LOAD_NEXT_END)
-    load_end (load, next->outcome);
+    end_load (load, next->outcome);
   return next->action != QUINCE_LOAD_NEXT_ORDER;
 }
 
@@ -147,7 +147,7 @@
 }
 
 static guint64
-reported_version (const QuincePlatformReport *report, const char *model)
+get_reported_version (const QuincePlatformReport *report, const char *model)
 {
   for (guint i = 0; i < report->models->len; i++)
     {
@@ -159,13 +159,13 @@
 }
 
 static void
-take_report (QuinceWeightLoad *load, const QuincePlatformReport *report)
+handle_worker_report (QuinceWeightLoad *load, const QuincePlatformReport *report)
 {
-  guint64 version = reported_version (report, load->model);
+  guint64 version = get_reported_version (report, load->model);
   QuinceWorker *worker = worker_of (load);
   if (worker == NULL)
     {
-      load_end (load, "worker_gone");
+      end_load (load, "worker_gone");
       return;
     }
   if (version > 0)
@@ -189,22 +189,22 @@
   gboolean good = outcome == QUINCE_HTTP_ANSWERED && quince_http_exchange_get_head (exchange)->status == 200
                   && quince_platform_read_report (quince_http_exchange_get_body (exchange), &report, NULL);
   if (good)
-    take_report (load, &report);
+    handle_worker_report (load, &report);
   else
-    load_end (load, "no_report");
+    end_load (load, "no_report");
   quince_platform_report_clear (&report);
 }
 
 static const QuinceHttpExchangeCallbacks report_callbacks = { .done = report_done };
 
 static void
-ask_report (gpointer data)
+request_report (gpointer data)
 {
   QuinceWeightLoad *load = data;
   QuinceWorker *worker = worker_of (load);
   if (worker == NULL)
     {
-      load_end (load, "worker_gone");
+      end_load (load, "worker_gone");
       return;
     }
   if (!may_send (load, worker, FALSE, FALSE))
@@ -222,7 +222,7 @@
 /* ---- Public ------------------------------------------------------------ */
 
 QuinceWeightLoad *
-quince_weight_load_new (const QuinceWeightLoadOwner *owner,
+quince_weight_load_new (const QuinceWeightLoadContext *owner,
                         const QuinceWorker *worker,
                         const char *model,
                         guint64 version,
@@ -236,14 +236,14 @@
   load->version = version;
   load->retain = retain;
   load->started_us = quince_now_us ();
-  quince_retry_timer_init (&load->timer, ask_report, load);
+  quince_retry_timer_init (&load->timer, request_report, load);
   return load;
 }
 
 void
 quince_weight_load_start (QuinceWeightLoad *load)
 {
-  ask_report (load);
+  request_report (load);
 }
 
 const char *
--- a/daemons/replica/weight-load.h
+++ b/daemons/replica/weight-load.h
@@ -13,7 +13,7 @@
 typedef struct _QuinceWeightLoad QuinceWeightLoad;
 
 /**
- * QuinceWeightLoadOwner:
+ * QuinceWeightLoadContext:
  * @holder: name of this machine
  * @may_order: whether orders may be given now, and under which fence
  * @ended: the load is over and is released by this call; @good: the worker has the version
@@ -25,10 +25,10 @@
   gboolean (*may_order) (guint64 *fence, gpointer user_data);
   void (*ended) (QuinceWeightLoad *load, gboolean good, gpointer user_data);
   gpointer user_data;
-} QuinceWeightLoadOwner;
+} QuinceWeightLoadContext;
 
 /* @owner must outlive the load.  @retain: runs go on under the new version; else they end first */
-QuinceWeightLoad *quince_weight_load_new (const QuinceWeightLoadOwner *owner,
+QuinceWeightLoad *quince_weight_load_new (const QuinceWeightLoadContext *owner,
                                           const QuinceWorker *worker,
                                           const char *model,
                                           guint64 version,
--- a/daemons/replica/weight-orders.c
+++ b/daemons/replica/weight-orders.c
@@ -19,7 +19,7 @@
 #define PUMP_EVERY_MS 200
 /* Time from the end of a load to the next check, ms: loads that end at about the same time share one.  A load
  * takes 900 ms. */
-#define PUMP_SOON_MS 20
+#define CHECK_AFTER_LOAD_DELAY_MS 20
 
 /* What the last whole check of a service found. */
 typedef struct
@@ -36,14 +36,15 @@
   QuinceObserver *observer;
   QuinceWeightOrdersOptions options;
   gpointer user_data;
-  QuinceWeightLoadOwner owner; /* of its loads */
-  GHashTable *loads;           /* QuinceWeightLoad by its worker id, owned */
-  GHashTable *pauses;          /* worker id to gint64: no order before */
-  GHashTable *named;           /* NamedVersion by model, both owned */
-  GHashTable *services;        /* ServiceState by name, both owned */
+  QuinceWeightLoadContext owner; /* of its loads */
+  GHashTable *loads;             /* QuinceWeightLoad by its worker id, owned */
+  GHashTable *pauses;            /* worker id to gint64: no order before */
+  GHashTable *named;             /* SeenVersion by model, both owned */
+  GHashTable *services;          /* ServiceState by name, both owned */
   QuinceTimer *timer;
   QuinceTimer *soon;
-  gboolean after_load; /* this check follows a load: workers and models are the same as at the last one */
+  gboolean
+      check_follows_load; /* this check follows a load: workers and models are the same as at the last one */
 };
 
 /* ---- Loads ------------------------------------------------------------ */
@@ -77,7 +78,7 @@
 }
 
 static void
-note_loaded (QuinceWeightOrders *orders, const QuinceWeightLoad *load)
+record_completed_load (QuinceWeightOrders *orders, const QuinceWeightLoad *load)
 {
   gint64 ordered_us = quince_weight_load_get_ordered_us (load);
   ServiceState *state = get_service_state (orders, quince_weight_load_get_service (load));
@@ -91,19 +92,19 @@
 {
   QuinceWeightOrders *orders = data;
   quince_timer_clear (&orders->soon);
-  orders->after_load = TRUE;
-  quince_weight_orders_pump (orders);
-  orders->after_load = FALSE;
+  orders->check_follows_load = TRUE;
+  quince_weight_orders_check_loads (orders);
+  orders->check_follows_load = FALSE;
   return G_SOURCE_REMOVE;
 }
 
 static void
-load_ended (QuinceWeightLoad *load, gboolean good, gpointer data)
+handle_load_ended (QuinceWeightLoad *load, gboolean good, gpointer data)
 {
   QuinceWeightOrders *orders = data;
   const char *worker = quince_weight_load_get_worker (load);
   if (good)
-    note_loaded (orders, load);
+    record_completed_load (orders, load);
   else
     {
       gint64 until = quince_now_us () + QUINCE_LOAD_FAILED_PAUSE_US;
@@ -113,13 +114,13 @@
   if (good)
     orders->options.loaded (orders->user_data);
   if (orders->soon == NULL)
-    orders->soon = quince_timer_add (PUMP_SOON_MS, pump_now, orders);
+    orders->soon = quince_timer_add (CHECK_AFTER_LOAD_DELAY_MS, pump_now, orders);
 }
 
 /* ---- Which workers ---------------------------------------------------- */
 
 static guint
-loads_of_service (QuinceWeightOrders *orders, const char *service)
+count_service_loads (QuinceWeightOrders *orders, const char *service)
 {
   guint count = 0;
   GHashTableIter iter;
@@ -150,7 +151,7 @@
 }
 
 static void
-begin_load (QuinceWeightOrders *orders,
+start_load (QuinceWeightOrders *orders,
             QuinceWorker *worker,
             const char *model,
             guint64 version,
@@ -166,22 +167,22 @@
 {
   guint64 version;
   gint64 seen_us;
-} NamedVersion;
+} SeenVersion;
 
 static gint64
 version_age_us (QuinceWeightOrders *orders, gint64 now_us, const char *model, guint64 version)
 {
-  const NamedVersion *known = g_hash_table_lookup (orders->named, model);
+  const SeenVersion *known = g_hash_table_lookup (orders->named, model);
   if (known != NULL && known->version == version)
     return now_us - known->seen_us;
-  const NamedVersion seen = { version, now_us };
+  const SeenVersion seen = { version, now_us };
   g_hash_table_replace (orders->named, g_strdup (model), g_memdup2 (&seen, sizeof seen));
   return 0;
 }
 
 /* The model that @worker was brought to last; NULL: none yet. */
 static const char *
-held_by (const QuinceWorker *worker)
+get_held_model (const QuinceWorker *worker)
 {
   const QuinceWorkerModel *newest = NULL;
   for (guint i = 0; i < worker->models->len; i++)
@@ -220,7 +221,7 @@
   for (guint i = 0; i < workers->len; i++)
     {
       const QuinceWorker *worker = workers->pdata[i];
-      const QuincePlacementWorker row = { worker->id, held_by (worker) };
+      const QuincePlacementWorker row = { worker->id, get_held_model (worker) };
       if (!worker->draining && quince_backends_may_send (orders->backends, worker))
         g_array_append_val (usable, row);
     }
@@ -248,11 +249,11 @@
 }
 
 static void
-take_turn (QuinceWeightOrders *orders,
-           gint64 now_us,
-           const QuinceLoadPlan *plan,
-           QuinceWorker *worker,
-           QuinceLoadTurns *turns)
+add_worker_to_turns (QuinceWeightOrders *orders,
+                     gint64 now_us,
+                     const QuinceLoadPlan *plan,
+                     QuinceWorker *worker,
+                     QuinceLoadTurns *turns)
 {
   const char *model = quince_model_placement_get (orders->options.placement, worker->id);
   if (model == NULL)
@@ -266,7 +267,7 @@
 }
 
 static void
-begin_loads (QuinceWeightOrders *orders, QuinceLoadTurns *turns, guint count, gboolean retain)
+start_loads (QuinceWeightOrders *orders, QuinceLoadTurns *turns, guint count, gboolean retain)
 {
   for (guint i = 0; i < count; i++)
     {
@@ -274,7 +275,7 @@
       if (worker == NULL)
         return;
       const char *model = quince_model_placement_get (orders->options.placement, worker->id);
-      begin_load (orders, worker, model, quince_observer_get_version (orders->observer, model), retain);
+      start_load (orders, worker, model, quince_observer_get_version (orders->observer, model), retain);
     }
 }
 
@@ -299,31 +300,31 @@
 }
 
 static void
-pump_service (QuinceWeightOrders *orders,
-              QuinceRouteTable *routes,
-              const QuinceService *service,
-              const QuinceLoadPlan *plan)
+check_service (QuinceWeightOrders *orders,
+               QuinceRouteTable *routes,
+               const QuinceService *service,
+               const QuinceLoadPlan *plan)
 {
   g_autoptr (QuinceLoadTurns) turns = quince_load_turns_new ();
   ServiceState *state = get_service_state (orders, service->name);
   gint64 now = quince_now_us ();
-  if (!orders->after_load)
+  if (!orders->check_follows_load)
     check_all (orders, now, service, state);
   for (guint i = 0; i < state->kept->len; i++)
     {
       QuinceWorker *worker
           = quince_worker_table_find (quince_backends_get_workers (orders->backends), state->kept->pdata[i]);
       if (worker != NULL && quince_backends_may_send (orders->backends, worker))
-        take_turn (orders, now, plan, worker, turns);
+        add_worker_to_turns (orders, now, plan, worker, turns);
     }
   guint at_once = quince_load_window_get_size (&state->window, quince_load_concurrent_max (state->usable));
-  guint loading = loads_of_service (orders, service->name);
-  begin_loads (orders, turns, at_once > loading ? at_once - loading : 0,
+  guint loading = count_service_loads (orders, service->name);
+  start_loads (orders, turns, at_once > loading ? at_once - loading : 0,
                !has_single_version (routes, service->name));
 }
 
 void
-quince_weight_orders_pump (QuinceWeightOrders *orders)
+quince_weight_orders_check_loads (QuinceWeightOrders *orders)
 {
   QuinceRouteTable *routes = quince_observer_get_routes (orders->observer);
   guint64 fence = 0;
@@ -335,14 +336,14 @@
     {
       const QuinceService *service = quince_route_table_get_service (routes, i);
       if (service->models->len > 0)
-        pump_service (orders, routes, service, plan);
+        check_service (orders, routes, service, plan);
     }
 }
 
 static gboolean
 timer_over (gpointer data)
 {
-  quince_weight_orders_pump (data);
+  quince_weight_orders_check_loads (data);
   return G_SOURCE_CONTINUE;
 }
 
@@ -359,11 +360,11 @@
   orders->observer = observer;
   orders->options = *options;
   orders->user_data = user_data;
-  orders->owner = (QuinceWeightLoadOwner){ .backends = backends,
-                                           .holder = options->holder,
-                                           .may_order = may_order,
-                                           .ended = load_ended,
-                                           .user_data = orders };
+  orders->owner = (QuinceWeightLoadContext){ .backends = backends,
+                                             .holder = options->holder,
+                                             .may_order = may_order,
+                                             .ended = handle_load_ended,
+                                             .user_data = orders };
   orders->loads
       = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, (GDestroyNotify)quince_weight_load_free);
   orders->pauses = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
--- a/daemons/replica/weight-orders.h
+++ b/daemons/replica/weight-orders.h
@@ -32,4 +32,4 @@
                                                 gpointer user_data);
 void quince_weight_orders_stop (QuinceWeightOrders *orders);
 /* Versions, workers or time have changed. */
-void quince_weight_orders_pump (QuinceWeightOrders *orders);
+void quince_weight_orders_check_loads (QuinceWeightOrders *orders);
--- a/daemons/replica/worker-scaler.c
+++ b/daemons/replica/worker-scaler.c
@@ -31,7 +31,7 @@
   QuinceHttpPool *platform;
   QuinceScalePlan *plan;
   gboolean leads;
-  gint64 check_due_us; /* monotonic: next count */
+  gint64 next_check_us; /* monotonic: next count */
 
   QuinceHttpExchange *exchange; /* the order in progress; NULL: none */
   QuinceScaleOrder order;
@@ -148,9 +148,9 @@
 {
   QuinceRouteTable *routes = quince_observer_get_routes (scaler->observer);
   gint64 now = quince_now_us ();
-  if (now < scaler->check_due_us || routes == NULL || !quince_observer_is_synced (scaler->observer))
+  if (now < scaler->next_check_us || routes == NULL || !quince_observer_is_synced (scaler->observer))
     return;
-  scaler->check_due_us = now + CHECK_INTERVAL_US;
+  scaler->next_check_us = now + CHECK_INTERVAL_US;
   for (guint i = 0; i < quince_route_table_get_n_services (routes); i++)
     {
       const QuinceService *service = quince_route_table_get_service (routes, i);
@@ -162,7 +162,7 @@
 /* ---- Leadership --------------------------------------------------------- */
 
 void
-quince_worker_scaler_lead (QuinceWorkerScaler *scaler)
+quince_worker_scaler_start_leading (QuinceWorkerScaler *scaler)
 {
   scaler->leads = TRUE;
   quince_scale_plan_lead (scaler->plan, quince_now_us ());
--- a/daemons/replica/worker-scaler.h
+++ b/daemons/replica/worker-scaler.h
@@ -34,7 +34,7 @@
 
 QuinceWorkerScaler *quince_worker_scaler_new (const QuinceWorkerScalerOptions *options, gpointer user_data);
 void quince_worker_scaler_free (QuinceWorkerScaler *scaler); /* (nullable) */
-void quince_worker_scaler_lead (QuinceWorkerScaler *scaler);
+void quince_worker_scaler_start_leading (QuinceWorkerScaler *scaler);
 void quince_worker_scaler_stop_leading (QuinceWorkerScaler *scaler);
 /* Counts workers and orders what is due; to be called several times a second, whether this replica leads or
  * not.
