--- a/daemons/replica/quarantine-coordinator.c
+++ b/daemons/replica/quarantine-coordinator.c
@@ -26,7 +26,7 @@
   QuinceWorkerTable *workers; /* not owned */
   QuinceSuspectReporter *reporter;
   QuinceQuarantineKeys *keys;
-  QuinceExpectedEnds *expected; /* sends of the leader, at other replicas */
+  QuinceExpectedEnds *expected_ends; /* sends of the leader, at other replicas */
 };
 
 static QuinceQuarantine *
@@ -38,15 +38,15 @@
 /* ---- Permits and reports, caused by the leader's own guard ------------------- */
 
 static gboolean
-take_permit (QuinceQuarantineCoordinator *coordinator,
-             const QuinceRequestDigest *digest,
-             const char *service,
-             gboolean alone,
-             gconstpointer holder)
+grant_permit (QuinceQuarantineCoordinator *coordinator,
+              const QuinceRequestDigest *digest,
+              const char *service,
+              gboolean alone,
+              gconstpointer holder)
 {
   gint64 now = quince_now_us ();
-  guint at_risk = quince_permits_count_recent (coordinator->permits, now, service, digest);
-  if (!quince_send_guard_service_survives_end (coordinator->guard, now, service, at_risk))
+  guint recent_permits = quince_permits_count_recent (coordinator->permits, now, service, digest);
+  if (!quince_send_guard_service_survives_end (coordinator->guard, now, service, recent_permits))
     return FALSE;
   return quince_permits_take (coordinator->permits, now, digest, service, alone, holder, now + PERMIT_TTL_US);
 }
@@ -58,7 +58,7 @@
   if (!quince_suspect_reporter_is_active (coordinator->reporter))
     return FALSE;
   quince_send_guard_handle_permit_answer (coordinator->guard, digest,
-                                          take_permit (coordinator, digest, service, alone, coordinator));
+                                          grant_permit (coordinator, digest, service, alone, coordinator));
   return TRUE;
 }
 
@@ -71,7 +71,7 @@
 
 /* A leader that dies sees no end of what it sent: the next leader looks for it, see expected-ends.h. */
 static void
-sending (const QuinceSuspect *expected, gpointer data)
+handle_sending (const QuinceSuspect *expected, gpointer data)
 {
   QuinceQuarantineCoordinator *coordinator = data;
   quince_suspect_reporter_send_expected_end (coordinator->reporter, expected);
@@ -80,7 +80,7 @@
 /* Only the leader sends samples and reward calls: fronts need no report of a single end; the successor does,
  * to count it. */
 static void
-ended (const QuinceSuspect *suspect, gpointer data)
+handle_suspect_end (const QuinceSuspect *suspect, gpointer data)
 {
   QuinceQuarantineCoordinator *coordinator = data;
   quince_suspect_reporter_queue_change_for_successor (coordinator->reporter, &suspect->digest);
@@ -89,7 +89,10 @@
 }
 
 static void
-cleared (const QuinceRequestDigest *digest, QuinceSuspectScope scope, guint ends, gpointer data)
+handle_suspect_cleared (const QuinceRequestDigest *digest,
+                        QuinceSuspectScope scope,
+                        guint ends,
+                        gpointer data)
 {
   QuinceQuarantineCoordinator *coordinator = data;
   if (ends >= QUINCE_QUARANTINE_ALONE_ENDS_MIN)
@@ -100,9 +103,9 @@
 
 static const QuinceSendGuardCallbacks guard_callbacks = { .request_permit = request_permit,
                                                           .return_permit = return_permit,
-                                                          .sending = sending,
-                                                          .ended = ended,
-                                                          .cleared = cleared };
+                                                          .sending = handle_sending,
+                                                          .ended = handle_suspect_end,
+                                                          .cleared = handle_suspect_cleared };
 
 /* ---- Life ---------------------------------------------------------------- */
 
@@ -117,7 +120,7 @@
   coordinator->guard = quince_send_guard_new (limits, &guard_callbacks, coordinator);
   coordinator->permits = quince_permits_new ();
   coordinator->reporter = quince_suspect_reporter_new (get_quarantine (coordinator), name);
-  coordinator->expected = quince_expected_ends_new ();
+  coordinator->expected_ends = quince_expected_ends_new ();
   coordinator->keys = quince_quarantine_keys_new (store, get_quarantine (coordinator));
   return coordinator;
 }
@@ -127,7 +130,7 @@
 {
   if (coordinator == NULL)
     return;
-  quince_expected_ends_free (coordinator->expected);
+  quince_expected_ends_free (coordinator->expected_ends);
   quince_quarantine_keys_free (coordinator->keys);
   quince_send_guard_free (coordinator->guard);
   quince_permits_free (coordinator->permits);
@@ -151,9 +154,10 @@
 static void
 check_former_leader_sends (QuinceQuarantineCoordinator *coordinator)
 {
-  g_autoptr (GPtrArray) sends = quince_expected_ends_take (coordinator->expected, quince_now_us ());
-  for (guint i = 0; i < sends->len; i++)
-    quince_send_guard_check_send (coordinator->guard, sends->pdata[i]);
+  g_autoptr (GPtrArray) former_sends
+      = quince_expected_ends_take (coordinator->expected_ends, quince_now_us ());
+  for (guint i = 0; i < former_sends->len; i++)
+    quince_send_guard_check_send (coordinator->guard, former_sends->pdata[i]);
 }
 
 void
@@ -199,7 +203,7 @@
     {
       QuinceSuspect expected;
       quince_suspect_read_report (&reports->suspects.suspects_val[i], now, &expected);
-      quince_expected_ends_add (coordinator->expected, now, &expected);
+      quince_expected_ends_add (coordinator->expected_ends, now, &expected);
     }
 }
 
@@ -211,7 +215,7 @@
     {
       QuinceRequestDigest digest;
       memcpy (digest.bytes, reports->suspects.suspects_val[i].digest, sizeof digest.bytes);
-      quince_expected_ends_remove (coordinator->expected, &digest);
+      quince_expected_ends_remove (coordinator->expected_ends, &digest);
     }
 }
 
@@ -238,26 +242,26 @@
   for (guint i = 0; quince_suspect_reporter_is_active (coordinator->reporter) && i < cleared_suspects->len;
        i++)
     {
-      const QuinceSuspectCleared *one = &g_array_index (cleared_suspects, QuinceSuspectCleared, i);
-      quince_suspect_reporter_send_cleared (coordinator->reporter, &one->digest, one->scope);
+      const QuinceSuspectCleared *suspect = &g_array_index (cleared_suspects, QuinceSuspectCleared, i);
+      quince_suspect_reporter_send_cleared (coordinator->reporter, &suspect->digest, suspect->scope);
     }
 }
 
 static void
 handle_permit_request (QuinceQuarantineCoordinator *coordinator,
                        QuinceLink *link,
-                       const QuincePermitAsk *wanted)
+                       const QuincePermitAsk *request)
 {
   QuinceRequestDigest digest;
-  memcpy (digest.bytes, wanted->digest, sizeof digest.bytes);
+  memcpy (digest.bytes, request->digest, sizeof digest.bytes);
   /* The front may not know yet that the request is held, or that it must run alone. */
   QuinceSendRule rule = quince_quarantine_get_rule (get_quarantine (coordinator), &digest);
-  gboolean known = rule != QUINCE_SEND_HELD && (wanted->alone || rule != QUINCE_SEND_ALONE);
+  gboolean allowed = rule != QUINCE_SEND_HELD && (request->alone || rule != QUINCE_SEND_ALONE);
   QuinceMessage message = { .kind = QUINCE_MESSAGE_PERMIT_ANSWER };
   QuincePermitAnswer *answer = &message.QuinceMessage_u.permit_answer;
-  memcpy (answer->digest, wanted->digest, sizeof answer->digest);
-  answer->given = quince_suspect_reporter_is_active (coordinator->reporter) && known
-                  && take_permit (coordinator, &digest, wanted->service, wanted->alone, link);
+  memcpy (answer->digest, request->digest, sizeof answer->digest);
+  answer->given = quince_suspect_reporter_is_active (coordinator->reporter) && allowed
+                  && grant_permit (coordinator, &digest, request->service, request->alone, link);
   quince_link_send (link, &message);
 }
 
@@ -317,15 +321,15 @@
   if (!suspect->held || suspect->service == NULL || suspect->software == NULL)
     return FALSE;
   g_autoptr (GPtrArray) workers = quince_worker_table_list (coordinator->workers, suspect->service);
-  gboolean any = FALSE;
+  gboolean has_replacement = FALSE;
   for (guint i = 0; i < workers->len; i++)
     {
       const QuinceWorker *worker = workers->pdata[i];
       if (g_strcmp0 (worker->software, suspect->software) == 0)
         return FALSE;
-      any = any || (!worker->draining && worker->software != NULL);
+      has_replacement = has_replacement || (!worker->draining && worker->software != NULL);
     }
-  return any;
+  return has_replacement;
 }
 
 void
--- a/daemons/replica/quarantine-keys.c
+++ b/daemons/replica/quarantine-keys.c
@@ -15,9 +15,9 @@
   /* All fields belong to the main context. */
   QuinceMetaStore *store;
   QuinceQuarantine *quarantine;
-  GHashTable *saved;    /* digests as text, owned: keys in the store */
-  gboolean writing;     /* a write is in progress */
-  gint64 next_write_us; /* monotonic: no write before */
+  GHashTable *saved;          /* digests as text, owned: keys in the store */
+  gboolean write_in_progress; /* a write is in progress */
+  gint64 next_write_us;       /* monotonic: no write before */
 };
 
 QuinceQuarantineKeys *
@@ -51,33 +51,33 @@
 {
   QuinceQuarantineKeys *keys;
   char *name;
-  gboolean removes;
-} Write;
+  gboolean is_removal;
+} KeyWrite;
 
 static void
 write_done (const QuinceMetaPage *page, guint64 number, const GError *error, gpointer data)
 {
-  Write *change = data;
-  QuinceQuarantineKeys *keys = change->keys;
-  keys->writing = FALSE;
+  KeyWrite *write_state = data;
+  QuinceQuarantineKeys *keys = write_state->keys;
+  keys->write_in_progress = FALSE;
   if (error != NULL)
     keys->next_write_us = quince_now_us () + WRITE_RETRY_DELAY_US;
-  else if (change->removes)
-    g_hash_table_remove (keys->saved, change->name);
+  else if (write_state->is_removal)
+    g_hash_table_remove (keys->saved, write_state->name);
   else
-    g_hash_table_add (keys->saved, g_strdup (change->name));
-  g_free (change->name);
-  g_free (change);
+    g_hash_table_add (keys->saved, g_strdup (write_state->name));
+  g_free (write_state->name);
+  g_free (write_state);
 }
 
 /* @suspect: (nullable): %NULL removes the key */
 static void
 write_key (QuinceQuarantineKeys *keys, const char *name, const QuinceSuspect *suspect)
 {
-  Write *change = g_new0 (Write, 1);
-  change->keys = keys;
-  change->name = g_strdup (name);
-  change->removes = suspect == NULL;
+  KeyWrite *write_state = g_new0 (KeyWrite, 1);
+  write_state->keys = keys;
+  write_state->name = g_strdup (name);
+  write_state->is_removal = suspect == NULL;
   g_autofree char *key = g_strconcat (QUINCE_QUARANTINE_PREFIX, name, NULL);
   g_autoptr (GBytes) value = NULL;
   if (suspect != NULL)
@@ -85,9 +85,9 @@
       gint64 ended_wall_ms = quince_wall_ms () - (quince_now_us () - suspect->ended_us) / 1000;
       value = quince_suspect_entry_format (suspect, ended_wall_ms);
     }
-  const QuinceMetaChange wanted = { .key = key, .expected_revision = -1, .value = value };
-  keys->writing = TRUE;
-  quince_meta_store_change (keys->store, &wanted, 1, write_done, change);
+  const QuinceMetaChange change = { .key = key, .expected_revision = -1, .value = value };
+  keys->write_in_progress = TRUE;
+  quince_meta_store_change (keys->store, &change, 1, write_done, write_state);
 }
 
 /* Returns: (transfer none) (nullable): a key of a request that is no longer held */
@@ -111,7 +111,7 @@
 void
 quince_quarantine_keys_sync (QuinceQuarantineKeys *keys, const GPtrArray *all)
 {
-  if (keys->writing || quince_now_us () < keys->next_write_us)
+  if (keys->write_in_progress || quince_now_us () < keys->next_write_us)
     return;
   for (guint i = 0; i < all->len; i++)
     {
--- a/daemons/replica/replica-leadership.c
+++ b/daemons/replica/replica-leadership.c
@@ -90,7 +90,7 @@
                                               .placement = parts->placement,
                                               .may_order = may_issue_orders,
                                               .loaded = handle_weights_loaded,
-                                              .describe = fill_load_plan };
+                                              .fill_plan = fill_load_plan };
   leadership->orders = quince_weight_orders_start (parts->backends, parts->observer, &options, leadership);
 }
 
--- a/daemons/replica/replica-setup.c
+++ b/daemons/replica/replica-setup.c
@@ -154,7 +154,7 @@
                                               .ledger = parts->ledger,
                                               .backends = parts->backends,
                                               .observer = parts->observer,
-                                              .count_needed = get_slots_needed };
+                                              .get_slots_needed = get_slots_needed };
   parts->scaler = quince_worker_scaler_new (&options, parts);
 }
 
--- a/daemons/replica/residency-coordinator.c
+++ b/daemons/replica/residency-coordinator.c
@@ -33,10 +33,10 @@
   gboolean several_regions;    /* the platform has more than one */
   gboolean zone_written;       /* the store has this machine's zone */
   gint64 next_zone_write_us;   /* it is not written before */
-  char **leaving;              /* (nullable): machines to be emptied */
+  char **draining;             /* (nullable): machines to be emptied */
   gint64 next_zone_removal_us; /* the next zone is not removed before */
   char **confined;             /* machines that the ledger is confined to; NULL: not confined */
-  gint64 unmet_logged_us;
+  gint64 last_unmet_log_us;
   GHashTable *admitted; /* ids to AdmittedBatch, both owned: batches in the log that are not committed yet */
 };
 
@@ -71,7 +71,7 @@
 static gboolean
 is_draining_machine (const QuinceResidencyCoordinator *coordinator, const char *node)
 {
-  return coordinator->leaving != NULL && g_strv_contains ((const char *const *)coordinator->leaving, node);
+  return coordinator->draining != NULL && g_strv_contains ((const char *const *)coordinator->draining, node);
 }
 
 static void
@@ -119,7 +119,7 @@
   if (now_us < coordinator->next_zone_removal_us || view == NULL
       || quince_meta_store_is_failing (coordinator->store))
     return;
-  for (char **node = coordinator->leaving; node != NULL && *node != NULL; node++)
+  for (char **node = coordinator->draining; node != NULL && *node != NULL; node++)
     {
       if (g_str_equal (*node, coordinator->name) || quince_ledger_view_has_node (view, *node)
           || quince_machine_zones_get_zone (coordinator->zones, *node) == NULL)
@@ -135,8 +135,8 @@
 void
 quince_residency_coordinator_set_draining (QuinceResidencyCoordinator *coordinator, const char *const *nodes)
 {
-  g_strfreev (coordinator->leaving);
-  coordinator->leaving = g_strdupv ((char **)nodes);
+  g_strfreev (coordinator->draining);
+  coordinator->draining = g_strdupv ((char **)nodes);
 }
 
 /* ---- Regions of batches --------------------------------------------------- */
@@ -154,25 +154,25 @@
     return;
   const QuinceRoute *route = quince_route_table_find (table, host, path);
   const QuinceTenantTable *tenants = quince_route_table_get_tenants (table);
-  const QuinceTenant *found = tenants != NULL ? quince_tenant_table_find (tenants, tenant) : NULL;
+  const QuinceTenant *tenant_settings = tenants != NULL ? quince_tenant_table_find (tenants, tenant) : NULL;
   if (route != NULL)
-    quince_route_get_residency (route, found, residency);
-  else if (found != NULL)
-    residency->tenant_regions = (const char *const *)found->regions;
+    quince_route_get_residency (route, tenant_settings, residency);
+  else if (tenant_settings != NULL)
+    residency->tenant_regions = (const char *const *)tenant_settings->regions;
 }
 
 static void
-add_restriction (GArray *bounds, const QuinceResidency *residency)
+add_restriction (GArray *restrictions, const QuinceResidency *residency)
 {
   if (!quince_residency_is_unrestricted (residency))
-    g_array_append_val (bounds, *residency);
+    g_array_append_val (restrictions, *residency);
 }
 
 /* Residency of all batches that the configuration allows. (transfer full) */
 static GArray *
 collect_configured_residencies (QuinceResidencyCoordinator *coordinator)
 {
-  GArray *bounds = g_array_new (FALSE, FALSE, sizeof (QuinceResidency));
+  GArray *restrictions = g_array_new (FALSE, FALSE, sizeof (QuinceResidency));
   const QuinceRouteTable *table = quince_observer_get_routes (coordinator->observer);
   for (guint i = 0; table != NULL && i < quince_route_table_get_n_routes (table); i++)
     {
@@ -180,7 +180,7 @@
       QuinceResidency residency;
       quince_route_get_residency (route, NULL, &residency);
       if (route->kind == QUINCE_ROUTE_ROLLOUT)
-        add_restriction (bounds, &residency);
+        add_restriction (restrictions, &residency);
     }
   const QuinceTenantTable *tenants = table != NULL ? quince_route_table_get_tenants (table) : NULL;
   g_autoptr (GPtrArray) all = tenants != NULL ? quince_tenant_table_list (tenants) : g_ptr_array_new ();
@@ -188,22 +188,22 @@
     {
       const QuinceTenant *tenant = all->pdata[i];
       const QuinceResidency residency = { .tenant_regions = (const char *const *)tenant->regions };
-      add_restriction (bounds, &residency);
+      add_restriction (restrictions, &residency);
     }
-  return bounds;
+  return restrictions;
 }
 
 /* Residency of the batches in the ledger, committed or not. (transfer full) */
 static GArray *
 collect_batch_residencies (QuinceResidencyCoordinator *coordinator, const GPtrArray *entries)
 {
-  GArray *bounds = g_array_new (FALSE, FALSE, sizeof (QuinceResidency));
+  GArray *restrictions = g_array_new (FALSE, FALSE, sizeof (QuinceResidency));
   for (guint i = 0; i < entries->len; i++)
     {
       const QuinceBatchEntry *entry = entries->pdata[i];
       QuinceResidency residency;
       get_residency (coordinator, entry->batch->host, entry->batch->path, entry->tenant, &residency);
-      add_restriction (bounds, &residency);
+      add_restriction (restrictions, &residency);
     }
   GHashTableIter iter;
   gpointer value;
@@ -213,18 +213,18 @@
       const AdmittedBatch *admitted = value;
       QuinceResidency residency;
       get_residency (coordinator, admitted->host, admitted->path, admitted->tenant, &residency);
-      add_restriction (bounds, &residency);
+      add_restriction (restrictions, &residency);
     }
-  return bounds;
+  return restrictions;
 }
 
 /* ---- Confinement of the ledger --------------------------------------------- */
 
 static GPtrArray *
-list_allowed_machines (QuinceResidencyCoordinator *coordinator, const GArray *bounds)
+list_allowed_machines (QuinceResidencyCoordinator *coordinator, const GArray *restrictions)
 {
-  return quince_machine_zones_list_allowed (coordinator->zones, (const QuinceResidency *)bounds->data,
-                                            bounds->len);
+  return quince_machine_zones_list_allowed (coordinator->zones, (const QuinceResidency *)restrictions->data,
+                                            restrictions->len);
 }
 
 static void
@@ -237,11 +237,11 @@
       for (guint i = 0; i < nodes->len; i++)
         names[i] = g_strdup (nodes->pdata[i]);
     }
-  gboolean same
+  gboolean unchanged
       = (names == NULL) == (coordinator->confined == NULL)
         && (names == NULL
             || g_strv_equal ((const char *const *)names, (const char *const *)coordinator->confined));
-  if (!same)
+  if (!unchanged)
     {
       g_autofree char *text = names != NULL ? g_strjoinv (",", names) : g_strdup ("all");
       quince_log_notice ("ledger_confined", "nodes=%s", text);
@@ -262,14 +262,14 @@
       set_confinement (coordinator, NULL);
       return;
     }
-  g_autoptr (GArray) configured = collect_configured_residencies (coordinator);
-  g_autoptr (GArray) kept = collect_batch_residencies (coordinator, entries);
-  g_autoptr (GPtrArray) for_all = list_allowed_machines (coordinator, configured);
-  g_autoptr (GPtrArray) for_kept = list_allowed_machines (coordinator, kept);
-  if (configured->len > 0 && for_all->len >= coordinator->quorum)
-    set_confinement (coordinator, for_all);
+  g_autoptr (GArray) configured_residencies = collect_configured_residencies (coordinator);
+  g_autoptr (GArray) batch_residencies = collect_batch_residencies (coordinator, entries);
+  g_autoptr (GPtrArray) machines_for_configured = list_allowed_machines (coordinator, configured_residencies);
+  g_autoptr (GPtrArray) machines_for_batches = list_allowed_machines (coordinator, batch_residencies);
+  if (configured_residencies->len > 0 && machines_for_configured->len >= coordinator->quorum)
+    set_confinement (coordinator, machines_for_configured);
   else
-    set_confinement (coordinator, kept->len > 0 ? for_kept : NULL);
+    set_confinement (coordinator, batch_residencies->len > 0 ? machines_for_batches : NULL);
 }
 
 /* Logs members that may not keep the batches in the ledger: too few other machines are there to replace them.
@@ -279,14 +279,14 @@
 {
   const QuinceLedgerView *view = quince_ledger_node_get_view (coordinator->ledger);
   g_autoptr (GString) names = g_string_new (NULL);
-  guint outside = 0;
+  guint n_outside = 0;
   for (guint i = 0; view != NULL && coordinator->confined != NULL && i < view->members.members_len; i++)
     if (!g_strv_contains ((const char *const *)coordinator->confined, view->members.members_val[i].node))
-      g_string_append_printf (names, "%s%s", outside++ > 0 ? "," : "", view->members.members_val[i].node);
-  quince_metric_set ("quince_replica_members_outside", "", outside);
-  if (names->len == 0 || now_us - coordinator->unmet_logged_us < UNMET_LOG_INTERVAL_US)
+      g_string_append_printf (names, "%s%s", n_outside++ > 0 ? "," : "", view->members.members_val[i].node);
+  quince_metric_set ("quince_replica_members_outside", "", n_outside);
+  if (names->len == 0 || now_us - coordinator->last_unmet_log_us < UNMET_LOG_INTERVAL_US)
     return;
-  coordinator->unmet_logged_us = now_us;
+  coordinator->last_unmet_log_us = now_us;
   quince_log_warning ("residency_unmet", "nodes=%s", names->str);
 }
 
@@ -392,7 +392,7 @@
   quince_machine_zones_free (coordinator->zones);
   g_hash_table_unref (coordinator->admitted);
   g_strfreev (coordinator->confined);
-  g_strfreev (coordinator->leaving);
+  g_strfreev (coordinator->draining);
   g_free (coordinator->name);
   g_free (coordinator);
 }
--- a/daemons/replica/suspect-reporter.c
+++ b/daemons/replica/suspect-reporter.c
@@ -32,8 +32,8 @@
   QuinceLedgerNode *ledger;   /* not owned; NULL during the start */
   GHashTable *links;          /* QuinceLink, of the owner; NULL: not leading */
   guint64 informed_successor; /* the successor that was sent all suspects; 0: none */
-  ChangeQueue all;
-  ChangeQueue successor;
+  ChangeQueue all_queue;
+  ChangeQueue successor_queue;
 };
 
 /* ---- Receivers ------------------------------------------------------------ */
@@ -144,14 +144,14 @@
 void
 quince_suspect_reporter_queue_change (QuinceSuspectReporter *reporter, const QuinceRequestDigest *digest)
 {
-  queue_add (&reporter->all, digest);
+  queue_add (&reporter->all_queue, digest);
 }
 
 void
 quince_suspect_reporter_queue_change_for_successor (QuinceSuspectReporter *reporter,
                                                     const QuinceRequestDigest *digest)
 {
-  queue_add (&reporter->successor, digest);
+  queue_add (&reporter->successor_queue, digest);
 }
 
 void
@@ -223,16 +223,16 @@
   QuinceSuspectReporter *reporter = g_new0 (QuinceSuspectReporter, 1);
   reporter->quarantine = quarantine;
   reporter->name = g_strdup (name);
-  queue_init (&reporter->all, reporter, REPORT_DELAY_MS, send_to_all);
-  queue_init (&reporter->successor, reporter, SUCCESSOR_REPORT_DELAY_MS, send_to_successor);
+  queue_init (&reporter->all_queue, reporter, REPORT_DELAY_MS, send_to_all);
+  queue_init (&reporter->successor_queue, reporter, SUCCESSOR_REPORT_DELAY_MS, send_to_successor);
   return reporter;
 }
 
 void
 quince_suspect_reporter_free (QuinceSuspectReporter *reporter)
 {
-  queue_clear (&reporter->all);
-  queue_clear (&reporter->successor);
+  queue_clear (&reporter->all_queue);
+  queue_clear (&reporter->successor_queue);
   g_free (reporter->name);
   g_free (reporter);
 }
@@ -252,8 +252,8 @@
       reporter->informed_successor = 0;
       return;
     }
-  queue_reset (&reporter->all);
-  queue_reset (&reporter->successor);
+  queue_reset (&reporter->all_queue);
+  queue_reset (&reporter->successor_queue);
 }
 
 gboolean
--- a/daemons/replica/usage-collector.c
+++ b/daemons/replica/usage-collector.c
@@ -27,15 +27,15 @@
 /* Longest such pause, us: three doublings. */
 #define RETRY_DELAY_MAX_US (2400 * 1000)
 /* HTTP status with which the platform accepts a report. */
-#define HTTP_STATUS_ACCEPTED 200
+#define REPORT_ACCEPTED_STATUS 200
 
 /* What one front reported since the last record. */
 typedef struct
 {
-  guint64 source;
-  guint64 reported; /* greatest sequence that was reported */
-  QuinceLink *link; /* owned (nullable): where to acknowledge */
-  GArray *events;   /* QuinceUsageEvent, owned texts */
+  guint64 id;
+  guint64 last_reported_sequence; /* greatest sequence that was reported */
+  QuinceLink *link;               /* owned (nullable): where to acknowledge */
+  GArray *events;                 /* QuinceUsageEvent, owned texts */
 } UsageSource;
 
 struct _QuinceUsageCollector
@@ -51,13 +51,13 @@
   GHashTable *sources;               /* source (guint64) to UsageSource, owned */
   gboolean leads;
   gint64 earliest_close_us; /* monotonic: all fronts have reported what they kept; 0: not known yet */
-  guint64 closing;          /* window whose closing record is not committed yet; 0: none */
+  guint64 closing_window;   /* window whose closing record is not committed yet; 0: none */
 
   QuinceHttpExchange *exchange; /* the report in progress; NULL: none */
-  guint64 sending;              /* its window */
+  guint64 reporting_window;     /* its window */
   gboolean acknowledged;        /* the platform accepted it; the record that says so is not committed yet */
-  gint64 not_before_us;         /* monotonic: no report before */
-  gint64 retry_us;              /* pause after the next failure */
+  gint64 next_report_us;        /* monotonic: no report before */
+  gint64 retry_delay_us;        /* pause after the next failure */
 };
 
 static void
@@ -85,22 +85,22 @@
   if (source != NULL)
     return source;
   source = g_new0 (UsageSource, 1);
-  source->source = id;
-  source->reported = quince_usage_aggregator_get_sequence (collector->aggregator, id);
+  source->id = id;
+  source->last_reported_sequence = quince_usage_aggregator_get_sequence (collector->aggregator, id);
   source->events = g_array_new (FALSE, TRUE, sizeof (QuinceUsageEvent));
   g_array_set_clear_func (source->events, clear_event);
-  g_hash_table_insert (collector->sources, &source->source, source);
+  g_hash_table_insert (collector->sources, &source->id, source);
   return source;
 }
 
 static void
 acknowledge (QuinceUsageCollector *collector, const UsageSource *source)
 {
-  guint64 sequence = quince_usage_aggregator_get_sequence (collector->aggregator, source->source);
+  guint64 sequence = quince_usage_aggregator_get_sequence (collector->aggregator, source->id);
   if (source->link == NULL || sequence == 0)
     return;
   QuinceMessage message = { .kind = QUINCE_MESSAGE_USAGE_ACK };
-  message.QuinceMessage_u.usage_ack.source = source->source;
+  message.QuinceMessage_u.usage_ack.source = source->id;
   message.QuinceMessage_u.usage_ack.sequence = sequence;
   quince_link_send (source->link, &message);
 }
@@ -125,9 +125,9 @@
   for (guint i = 0; i < report->events.events_len; i++)
     {
       const QuinceUsageStart *start = &report->events.events_val[i];
-      if (start->sequence <= source->reported)
+      if (start->sequence <= source->last_reported_sequence)
         continue;
-      source->reported = start->sequence;
+      source->last_reported_sequence = start->sequence;
       QuinceUsageEvent event = { .sequence = start->sequence,
                                  .tenant = quince_string (start->tenant),
                                  .begun_ms = (u_quad_t)MAX (wall_ms - (gint64)start->age_ms, 0) };
@@ -151,7 +151,7 @@
 append_usage_record (QuinceUsageCollector *collector)
 {
   g_autoptr (GArray) sources = g_array_new (FALSE, FALSE, sizeof (QuinceUsageEvents));
-  g_autoptr (GPtrArray) kept = g_ptr_array_new ();
+  g_autoptr (GPtrArray) appended = g_ptr_array_new ();
   GHashTableIter iter;
   gpointer value;
   g_hash_table_iter_init (&iter, collector->sources);
@@ -160,11 +160,11 @@
       UsageSource *source = value;
       if (source->events->len == 0)
         continue;
-      QuinceUsageEvents wire = { .source = source->source };
-      wire.events.events_val = (QuinceUsageEvent *)source->events->data;
-      wire.events.events_len = source->events->len;
-      g_array_append_val (sources, wire);
-      g_ptr_array_add (kept, source);
+      QuinceUsageEvents source_events = { .source = source->id };
+      source_events.events.events_val = (QuinceUsageEvent *)source->events->data;
+      source_events.events.events_len = source->events->len;
+      g_array_append_val (sources, source_events);
+      g_ptr_array_add (appended, source);
     }
   if (sources->len == 0)
     return;
@@ -173,8 +173,8 @@
   record.QuinceBatchRecord_u.usage.sources.sources_len = sources->len;
   if (quince_ledger_node_append (collector->ledger, &record) == 0)
     return; /* reported again by the fronts, or appended at the next step */
-  for (guint i = 0; i < kept->len; i++)
-    g_array_set_size (((UsageSource *)kept->pdata[i])->events, 0);
+  for (guint i = 0; i < appended->len; i++)
+    g_array_set_size (((UsageSource *)appended->pdata[i])->events, 0);
 }
 
 /* ---- Windows ------------------------------------------------------------ */
@@ -184,7 +184,7 @@
 {
   gint64 now_ms = quince_now_us () / 1000;
   gint64 wall_ms = quince_agreed_clock_get (collector->clock, now_ms, quince_wall_ms ());
-  if (collector->closing != 0 || quince_now_us () < collector->earliest_close_us)
+  if (collector->closing_window != 0 || quince_now_us () < collector->earliest_close_us)
     return;
   g_autoptr (QuinceUsageWindow) window = quince_usage_aggregator_next_to_close (
       collector->aggregator, (guint64)wall_ms, collector->close_delay_ms);
@@ -193,7 +193,7 @@
   QuinceBatchRecord record = { .kind = QUINCE_BATCH_RECORD_USAGE_CLOSED };
   record.QuinceBatchRecord_u.usage_closed = *window;
   if (quince_ledger_node_append (collector->ledger, &record) != 0)
-    collector->closing = window->window;
+    collector->closing_window = window->window;
 }
 
 static void
@@ -226,7 +226,7 @@
     collector->aggregator = quince_usage_aggregator_new (collector->window_ms);
   quince_usage_aggregator_apply (collector->aggregator, index, record);
   if (record->kind == QUINCE_BATCH_RECORD_USAGE_CLOSED)
-    collector->closing = 0;
+    collector->closing_window = 0;
   if (record->kind == QUINCE_BATCH_RECORD_USAGE_SENT)
     collector->acknowledged = FALSE;
   const QuinceUsageRecord *usage = &record->QuinceBatchRecord_u.usage;
@@ -245,16 +245,16 @@
 static void
 schedule_report_retry (QuinceUsageCollector *collector)
 {
-  collector->not_before_us = quince_now_us () + collector->retry_us;
-  collector->retry_us = MIN (2 * collector->retry_us, RETRY_DELAY_MAX_US);
+  collector->next_report_us = quince_now_us () + collector->retry_delay_us;
+  collector->retry_delay_us = MIN (2 * collector->retry_delay_us, RETRY_DELAY_MAX_US);
 }
 
 static void
 handle_report_accepted (QuinceUsageCollector *collector)
 {
   QuinceBatchRecord record = { .kind = QUINCE_BATCH_RECORD_USAGE_SENT };
-  record.QuinceBatchRecord_u.usage_sent = collector->sending;
-  collector->retry_us = RETRY_DELAY_MIN_US;
+  record.QuinceBatchRecord_u.usage_sent = collector->reporting_window;
+  collector->retry_delay_us = RETRY_DELAY_MIN_US;
   collector->acknowledged = quince_ledger_node_append (collector->ledger, &record) != 0;
 }
 
@@ -264,10 +264,11 @@
   QuinceUsageCollector *collector = data;
   collector->exchange = NULL;
   guint status = outcome == QUINCE_HTTP_ANSWERED ? quince_http_exchange_get_head (exchange)->status : 0;
-  quince_log_notice ("usage_reported", "window=%" G_GUINT64_FORMAT " status=%u", collector->sending, status);
+  quince_log_notice ("usage_reported", "window=%" G_GUINT64_FORMAT " status=%u", collector->reporting_window,
+                     status);
   g_autofree char *labels = g_strdup_printf ("status=\"%u\"", status);
   quince_metric_add ("quince_replica_usage_reports_total", labels, 1);
-  if (status == HTTP_STATUS_ACCEPTED)
+  if (status == REPORT_ACCEPTED_STATUS)
     handle_report_accepted (collector);
   else
     schedule_report_retry (collector);
@@ -279,8 +280,8 @@
 send_report (QuinceUsageCollector *collector)
 {
   const QuinceUsageWindow *window = quince_usage_aggregator_next_to_send (collector->aggregator);
-  gboolean busy = collector->exchange != NULL || collector->acknowledged;
-  if (window == NULL || busy || quince_now_us () < collector->not_before_us
+  gboolean report_pending = collector->exchange != NULL || collector->acknowledged;
+  if (window == NULL || report_pending || quince_now_us () < collector->next_report_us
       || !quince_ledger_node_may_order (collector->ledger))
     return;
   g_autoptr (GBytes) body = quince_platform_format_usage (window);
@@ -292,7 +293,7 @@
                                       .headers = headers,
                                       .body = body,
                                       .timeout_us = CALL_TIMEOUT_US };
-  collector->sending = window->window;
+  collector->reporting_window = window->window;
   collector->exchange = quince_http_pool_start (collector->platform, &request, &report_callbacks, collector);
 }
 
@@ -317,11 +318,11 @@
   if (collector->aggregator == NULL)
     collector->aggregator = quince_usage_aggregator_new (collector->window_ms);
   collector->leads = TRUE;
-  collector->closing = 0;
+  collector->closing_window = 0;
   collector->earliest_close_us = 0;
   collector->acknowledged = FALSE;
-  collector->not_before_us = 0;
-  collector->retry_us = RETRY_DELAY_MIN_US;
+  collector->next_report_us = 0;
+  collector->retry_delay_us = RETRY_DELAY_MIN_US;
 }
 
 void
--- a/daemons/replica/warmup-coordinator.c
+++ b/daemons/replica/warmup-coordinator.c
@@ -88,19 +88,19 @@
 {
   if (message->kind != QUINCE_MESSAGE_WARMUP_ASK)
     return FALSE;
-  const QuinceWarmupAsk *ask = &message->QuinceMessage_u.warmup_ask;
-  const QuinceWorker *worker = quince_worker_table_find (coordinator->workers, ask->worker);
-  gint64 again_us = LEASE_REQUEST_INTERVAL_MIN_MS * 1000;
+  const QuinceWarmupAsk *request = &message->QuinceMessage_u.warmup_ask;
+  const QuinceWorker *worker = quince_worker_table_find (coordinator->workers, request->worker);
+  gint64 retry_after_us = LEASE_REQUEST_INTERVAL_MIN_MS * 1000;
   QuinceMessage answer = { .kind = QUINCE_MESSAGE_WARMUP_GRANT };
   QuinceWarmupGrant *grant = &answer.QuinceMessage_u.warmup_grant;
-  grant->ask = ask->ask;
-  grant->worker = ask->worker;
+  grant->ask = request->ask;
+  grant->worker = request->worker;
   /* Nothing is granted for a worker that this process doesn't know: its limit isn't known either. */
   if (worker != NULL)
-    grant->sends
-        = quince_warmup_sends_grant (coordinator->sends, worker->id, worker->service, ask->sends, &again_us);
+    grant->sends = quince_warmup_sends_grant (coordinator->sends, worker->id, worker->service, request->sends,
+                                              &retry_after_us);
   grant->valid_ms = QUINCE_WARMUP_LEASE_VALID_US / 1000;
-  grant->again_ms = (guint)MAX (again_us / 1000, LEASE_REQUEST_INTERVAL_MIN_MS);
+  grant->again_ms = (guint)MAX (retry_after_us / 1000, LEASE_REQUEST_INTERVAL_MIN_MS);
   quince_link_send (link, &answer);
   return TRUE;
 }
--- a/daemons/replica/weight-load.c
+++ b/daemons/replica/weight-load.c
@@ -21,7 +21,7 @@
 struct _QuinceWeightLoad
 {
   /* All fields belong to the main context. */
-  const QuinceWeightLoadContext *owner;
+  const QuinceWeightLoadContext *context;
   char *worker_id;
   char *service;
   char *model;
@@ -34,9 +34,9 @@
 };
 
 static QuinceWorker *
-worker_of (const QuinceWeightLoad *load)
+find_worker (const QuinceWeightLoad *load)
 {
-  return quince_worker_table_find (quince_backends_get_workers (load->owner->backends), load->worker_id);
+  return quince_worker_table_find (quince_backends_get_workers (load->context->backends), load->worker_id);
 }
 
 void
@@ -45,7 +45,7 @@
   if (load->exchange != NULL)
     quince_http_exchange_cancel (load->exchange);
   quince_retry_timer_clear (&load->timer);
-  QuinceWorker *worker = worker_of (load);
+  QuinceWorker *worker = find_worker (load);
   if (worker != NULL)
     worker->loading = FALSE;
   g_free (load->worker_id);
@@ -63,12 +63,12 @@
                    (quince_now_us () - load->started_us) / 1000);
   g_autofree char *labels = g_strdup_printf ("outcome=\"%s\"", outcome);
   quince_metric_add ("quince_replica_orders_total", labels, 1);
-  load->owner->ended (load, g_str_equal (outcome, QUINCE_LOAD_LOADED), load->owner->user_data);
+  load->context->ended (load, g_str_equal (outcome, QUINCE_LOAD_LOADED), load->context->user_data);
 }
 
 /* Polls or ends as the rule says. Returns: %FALSE: an order is due */
 static gboolean
-follow (QuinceWeightLoad *load, const QuinceLoadNext *next)
+apply_next_action (QuinceWeightLoad *load, const QuinceLoadNext *next)
 {
   if (next->action == QUINCE_LOAD_NEXT_POLL)
     quince_retry_timer_set (&load->timer, next->pause_ms);
@@ -78,7 +78,7 @@
 }
 
 static QuinceOrderAnswer
-read_answer (QuinceHttpOutcome outcome, guint status)
+parse_order_answer (QuinceHttpOutcome outcome, guint status)
 {
   switch (status)
     {
@@ -101,37 +101,37 @@
   guint status = outcome == QUINCE_HTTP_ANSWERED ? quince_http_exchange_get_head (exchange)->status : 0;
   quince_log_info ("weights_order", "worker=%s model=%s version=%" G_GUINT64_FORMAT " status=%u",
                    load->worker_id, load->model, load->version, status);
-  const QuinceLoadNext next = quince_load_next_after_order (read_answer (outcome, status));
-  follow (load, &next);
+  const QuinceLoadNext next = quince_load_next_after_order (parse_order_answer (outcome, status));
+  apply_next_action (load, &next);
 }
 
 static const QuinceHttpExchangeCallbacks order_callbacks = { .done = order_done };
 
 /* Whether @worker (nullable) may be sent something now; else what follows. */
 static gboolean
-may_send (QuinceWeightLoad *load, const QuinceWorker *worker, gboolean is_order, gboolean may_order)
+check_may_send (QuinceWeightLoad *load, const QuinceWorker *worker, gboolean is_order, gboolean may_order)
 {
-  QuinceBackends *backends = load->owner->backends;
-  const QuinceLoadSendInput send
+  QuinceBackends *backends = load->context->backends;
+  const QuinceLoadSendInput input
       = { .holds_sends = quince_backends_holds_sends (backends),
           .evacuated = worker != NULL && !quince_backends_may_send (backends, worker),
           .is_order = is_order,
           .may_order = may_order };
-  const QuinceLoadNext next = quince_load_next_before_send (&send);
-  return !follow (load, &next);
+  const QuinceLoadNext next = quince_load_next_before_send (&input);
+  return !apply_next_action (load, &next);
 }
 
 static void
 send_order (QuinceWeightLoad *load, guint64 orders_taken)
 {
-  QuinceWorker *worker = worker_of (load);
+  QuinceWorker *worker = find_worker (load);
   guint64 fence = 0;
-  gboolean may_order = worker != NULL && load->owner->may_order (&fence, load->owner->user_data);
-  if (!may_send (load, worker, TRUE, may_order))
+  gboolean may_order = worker != NULL && load->context->may_order (&fence, load->context->user_data);
+  if (!check_may_send (load, worker, TRUE, may_order))
     return;
   QuincePlatformLoadMode mode = load->retain ? QUINCE_PLATFORM_LOAD_RETAIN : QUINCE_PLATFORM_LOAD_WAIT;
   g_autoptr (GBytes) body = quince_platform_format_load (load->model, load->version, mode,
-                                                         load->owner->holder, fence, orders_taken);
+                                                         load->context->holder, fence, orders_taken);
   g_autoptr (QuinceHttpHeaders) headers = quince_http_headers_new ();
   quince_http_headers_add (headers, "Content-Type", "application/json");
   quince_platform_write_worker (headers, worker->id);
@@ -142,8 +142,8 @@
                                       .timeout_us = CALL_TIMEOUT_US };
   worker->loading = TRUE;
   load->ordered_us = quince_now_us ();
-  load->exchange = quince_http_pool_start (quince_backends_get_pool (load->owner->backends, worker), &request,
-                                           &order_callbacks, load);
+  load->exchange = quince_http_pool_start (quince_backends_get_pool (load->context->backends, worker),
+                                           &request, &order_callbacks, load);
 }
 
 static guint64
@@ -162,21 +162,21 @@
 handle_worker_report (QuinceWeightLoad *load, const QuincePlatformReport *report)
 {
   guint64 version = get_reported_version (report, load->model);
-  QuinceWorker *worker = worker_of (load);
+  QuinceWorker *worker = find_worker (load);
   if (worker == NULL)
     {
       end_load (load, "worker_gone");
       return;
     }
   if (version > 0)
-    quince_worker_table_set_model (quince_backends_get_workers (load->owner->backends), worker, load->model,
+    quince_worker_table_set_model (quince_backends_get_workers (load->context->backends), worker, load->model,
                                    MAX (version, quince_worker_get_version (worker, load->model)));
-  const QuinceLoadReport reported = { .loaded_version = version,
-                                      .target_version = load->version,
-                                      .busy = report->busy,
-                                      .elapsed_us = quince_now_us () - load->started_us };
-  const QuinceLoadNext next = quince_load_next_after_report (&reported);
-  if (!follow (load, &next))
+  const QuinceLoadReport input = { .loaded_version = version,
+                                   .target_version = load->version,
+                                   .busy = report->busy,
+                                   .elapsed_us = quince_now_us () - load->started_us };
+  const QuinceLoadNext next = quince_load_next_after_report (&input);
+  if (!apply_next_action (load, &next))
     send_order (load, report->orders_taken);
 }
 
@@ -186,9 +186,10 @@
   QuinceWeightLoad *load = data;
   load->exchange = NULL;
   QuincePlatformReport report = { 0 };
-  gboolean good = outcome == QUINCE_HTTP_ANSWERED && quince_http_exchange_get_head (exchange)->status == 200
-                  && quince_platform_read_report (quince_http_exchange_get_body (exchange), &report, NULL);
-  if (good)
+  gboolean success = outcome == QUINCE_HTTP_ANSWERED
+                     && quince_http_exchange_get_head (exchange)->status == 200
+                     && quince_platform_read_report (quince_http_exchange_get_body (exchange), &report, NULL);
+  if (success)
     handle_worker_report (load, &report);
   else
     end_load (load, "no_report");
@@ -201,13 +202,13 @@
 request_report (gpointer data)
 {
   QuinceWeightLoad *load = data;
-  QuinceWorker *worker = worker_of (load);
+  QuinceWorker *worker = find_worker (load);
   if (worker == NULL)
     {
       end_load (load, "worker_gone");
       return;
     }
-  if (!may_send (load, worker, FALSE, FALSE))
+  if (!check_may_send (load, worker, FALSE, FALSE))
     return;
   g_autoptr (QuinceHttpHeaders) headers = quince_http_headers_new ();
   quince_platform_write_worker (headers, worker->id);
@@ -215,21 +216,21 @@
                                       .target = QUINCE_PLATFORM_REPORT_TARGET,
                                       .headers = headers,
                                       .timeout_us = CALL_TIMEOUT_US };
-  load->exchange = quince_http_pool_start (quince_backends_get_pool (load->owner->backends, worker), &request,
-                                           &report_callbacks, load);
+  load->exchange = quince_http_pool_start (quince_backends_get_pool (load->context->backends, worker),
+                                           &request, &report_callbacks, load);
 }
 
 /* ---- Public ------------------------------------------------------------ */
 
 QuinceWeightLoad *
-quince_weight_load_new (const QuinceWeightLoadContext *owner,
+quince_weight_load_new (const QuinceWeightLoadContext *context,
                         const QuinceWorker *worker,
                         const char *model,
                         guint64 version,
                         gboolean retain)
 {
   QuinceWeightLoad *load = g_new0 (QuinceWeightLoad, 1);
-  load->owner = owner;
+  load->context = context;
   load->worker_id = g_strdup (worker->id);
   load->service = g_strdup (worker->service);
   load->model = g_strdup (model);
--- a/daemons/replica/weight-load.h
+++ b/daemons/replica/weight-load.h
@@ -23,12 +23,12 @@
   QuinceBackends *backends;
   const char *holder;
   gboolean (*may_order) (guint64 *fence, gpointer user_data);
-  void (*ended) (QuinceWeightLoad *load, gboolean good, gpointer user_data);
+  void (*ended) (QuinceWeightLoad *load, gboolean success, gpointer user_data);
   gpointer user_data;
 } QuinceWeightLoadContext;
 
 /* @owner must outlive the load.  @retain: runs go on under the new version; else they end first */
-QuinceWeightLoad *quince_weight_load_new (const QuinceWeightLoadContext *owner,
+QuinceWeightLoad *quince_weight_load_new (const QuinceWeightLoadContext *context,
                                           const QuinceWorker *worker,
                                           const char *model,
                                           guint64 version,
--- a/daemons/replica/weight-orders.c
+++ b/daemons/replica/weight-orders.c
@@ -16,7 +16,7 @@
 #include "weight-load.h"
 
 /* Interval of the checks of all workers, ms.  Not measured: a fraction of a load. */
-#define PUMP_EVERY_MS 200
+#define CHECK_INTERVAL_MS 200
 /* Time from the end of a load to the next check, ms: loads that end at about the same time share one.  A load
  * takes 900 ms. */
 #define CHECK_AFTER_LOAD_DELAY_MS 20
@@ -25,8 +25,8 @@
 typedef struct
 {
   QuinceLoadWindow window;
-  GPtrArray *kept; /* ids, owned: of workers that are kept at a model */
-  guint usable;    /* workers that may load */
+  GPtrArray *assigned_workers; /* ids, owned: of workers that are kept at a model */
+  guint n_usable;              /* workers that may load */
 } ServiceState;
 
 struct _QuinceWeightOrders
@@ -36,13 +36,13 @@
   QuinceObserver *observer;
   QuinceWeightOrdersOptions options;
   gpointer user_data;
-  QuinceWeightLoadContext owner; /* of its loads */
-  GHashTable *loads;             /* QuinceWeightLoad by its worker id, owned */
-  GHashTable *pauses;            /* worker id to gint64: no order before */
-  GHashTable *named;             /* SeenVersion by model, both owned */
-  GHashTable *services;          /* ServiceState by name, both owned */
+  QuinceWeightLoadContext load_context; /* of its loads */
+  GHashTable *loads;                    /* QuinceWeightLoad by its worker id, owned */
+  GHashTable *retry_times;              /* worker id to gint64: no order before */
+  GHashTable *first_seen;               /* SeenVersion by model, both owned */
+  GHashTable *services;                 /* ServiceState by name, both owned */
   QuinceTimer *timer;
-  QuinceTimer *soon;
+  QuinceTimer *after_load_timer;
   gboolean
       check_follows_load; /* this check follows a load: workers and models are the same as at the last one */
 };
@@ -60,7 +60,7 @@
 service_state_free (gpointer data)
 {
   ServiceState *state = data;
-  g_ptr_array_unref (state->kept);
+  g_ptr_array_unref (state->assigned_workers);
   g_free (state);
 }
 
@@ -71,7 +71,7 @@
   if (state == NULL)
     {
       state = g_new0 (ServiceState, 1);
-      state->kept = g_ptr_array_new_with_free_func (g_free);
+      state->assigned_workers = g_ptr_array_new_with_free_func (g_free);
       g_hash_table_insert (orders->services, g_strdup (service), state);
     }
   return state;
@@ -84,14 +84,14 @@
   ServiceState *state = get_service_state (orders, quince_weight_load_get_service (load));
   if (ordered_us != 0)
     quince_load_window_record_load (&state->window, quince_now_us (), ordered_us,
-                                    quince_load_concurrent_max (state->usable));
+                                    quince_load_concurrent_max (state->n_usable));
 }
 
 static gboolean
-pump_now (gpointer data)
+check_after_load (gpointer data)
 {
   QuinceWeightOrders *orders = data;
-  quince_timer_clear (&orders->soon);
+  quince_timer_clear (&orders->after_load_timer);
   orders->check_follows_load = TRUE;
   quince_weight_orders_check_loads (orders);
   orders->check_follows_load = FALSE;
@@ -99,22 +99,22 @@
 }
 
 static void
-handle_load_ended (QuinceWeightLoad *load, gboolean good, gpointer data)
+handle_load_ended (QuinceWeightLoad *load, gboolean success, gpointer data)
 {
   QuinceWeightOrders *orders = data;
   const char *worker = quince_weight_load_get_worker (load);
-  if (good)
+  if (success)
     record_completed_load (orders, load);
   else
     {
-      gint64 until = quince_now_us () + QUINCE_LOAD_FAILED_PAUSE_US;
-      g_hash_table_replace (orders->pauses, g_strdup (worker), g_memdup2 (&until, sizeof until));
+      gint64 retry_us = quince_now_us () + QUINCE_LOAD_FAILED_PAUSE_US;
+      g_hash_table_replace (orders->retry_times, g_strdup (worker), g_memdup2 (&retry_us, sizeof retry_us));
     }
   g_hash_table_remove (orders->loads, worker);
-  if (good)
+  if (success)
     orders->options.loaded (orders->user_data);
-  if (orders->soon == NULL)
-    orders->soon = quince_timer_add (CHECK_AFTER_LOAD_DELAY_MS, pump_now, orders);
+  if (orders->after_load_timer == NULL)
+    orders->after_load_timer = quince_timer_add (CHECK_AFTER_LOAD_DELAY_MS, check_after_load, orders);
 }
 
 /* ---- Which workers ---------------------------------------------------- */
@@ -134,8 +134,8 @@
 static gboolean
 is_paused (QuinceWeightOrders *orders, const char *worker_id, gint64 now_us)
 {
-  const gint64 *until = g_hash_table_lookup (orders->pauses, worker_id);
-  return until != NULL && now_us < *until;
+  const gint64 *retry_us = g_hash_table_lookup (orders->retry_times, worker_id);
+  return retry_us != NULL && now_us < *retry_us;
 }
 
 static gboolean
@@ -157,7 +157,7 @@
             guint64 version,
             gboolean retain)
 {
-  QuinceWeightLoad *load = quince_weight_load_new (&orders->owner, worker, model, version, retain);
+  QuinceWeightLoad *load = quince_weight_load_new (&orders->load_context, worker, model, version, retain);
   g_hash_table_insert (orders->loads, (char *)quince_weight_load_get_worker (load), load);
   quince_weight_load_start (load);
 }
@@ -172,11 +172,11 @@
 static gint64
 version_age_us (QuinceWeightOrders *orders, gint64 now_us, const char *model, guint64 version)
 {
-  const SeenVersion *known = g_hash_table_lookup (orders->named, model);
-  if (known != NULL && known->version == version)
-    return now_us - known->seen_us;
-  const SeenVersion seen = { version, now_us };
-  g_hash_table_replace (orders->named, g_strdup (model), g_memdup2 (&seen, sizeof seen));
+  const SeenVersion *seen = g_hash_table_lookup (orders->first_seen, model);
+  if (seen != NULL && seen->version == version)
+    return now_us - seen->seen_us;
+  const SeenVersion now_seen = { version, now_us };
+  g_hash_table_replace (orders->first_seen, g_strdup (model), g_memdup2 (&now_seen, sizeof now_seen));
   return 0;
 }
 
@@ -221,9 +221,9 @@
   for (guint i = 0; i < workers->len; i++)
     {
       const QuinceWorker *worker = workers->pdata[i];
-      const QuincePlacementWorker row = { worker->id, get_held_model (worker) };
+      const QuincePlacementWorker placement_worker = { worker->id, get_held_model (worker) };
       if (!worker->draining && quince_backends_may_send (orders->backends, worker))
-        g_array_append_val (usable, row);
+        g_array_append_val (usable, placement_worker);
     }
   quince_model_placement_assign (orders->options.placement, now_us, service->models, usable, service->slots);
   set_placement_metrics (orders, service, usable);
@@ -259,11 +259,11 @@
   if (model == NULL)
     return;
   guint64 wanted = quince_observer_get_version (orders->observer, model);
-  guint64 has = quince_worker_get_version (worker, model);
-  gboolean fresh = has >= wanted || g_hash_table_contains (orders->loads, worker->id);
-  quince_load_turns_count_worker (turns, model, fresh);
-  if (!fresh && may_load (orders, now_us, plan, worker, model))
-    quince_load_turns_add_candidate (turns, model, wanted - has, worker->running, worker);
+  guint64 loaded = quince_worker_get_version (worker, model);
+  gboolean up_to_date = loaded >= wanted || g_hash_table_contains (orders->loads, worker->id);
+  quince_load_turns_count_worker (turns, model, up_to_date);
+  if (!up_to_date && may_load (orders, now_us, plan, worker, model))
+    quince_load_turns_add_candidate (turns, model, wanted - loaded, worker->running, worker);
 }
 
 static void
@@ -281,21 +281,24 @@
 
 /* Deals out placement, and finds the workers that have one. */
 static void
-check_all (QuinceWeightOrders *orders, gint64 now_us, const QuinceService *service, ServiceState *state)
+update_assignments (QuinceWeightOrders *orders,
+                    gint64 now_us,
+                    const QuinceService *service,
+                    ServiceState *state)
 {
   g_autoptr (GPtrArray) workers
       = quince_worker_table_list (quince_backends_get_workers (orders->backends), service->name);
   assign_models (orders, now_us, service, workers);
-  g_ptr_array_set_size (state->kept, 0);
-  state->usable = 0;
+  g_ptr_array_set_size (state->assigned_workers, 0);
+  state->n_usable = 0;
   for (guint i = 0; i < workers->len; i++)
     {
       const QuinceWorker *worker = workers->pdata[i];
       if (!quince_backends_may_send (orders->backends, worker))
         continue;
-      state->usable++;
+      state->n_usable++;
       if (quince_model_placement_get (orders->options.placement, worker->id) != NULL)
-        g_ptr_array_add (state->kept, g_strdup (worker->id));
+        g_ptr_array_add (state->assigned_workers, g_strdup (worker->id));
     }
 }
 
@@ -309,17 +312,18 @@
   ServiceState *state = get_service_state (orders, service->name);
   gint64 now = quince_now_us ();
   if (!orders->check_follows_load)
-    check_all (orders, now, service, state);
-  for (guint i = 0; i < state->kept->len; i++)
+    update_assignments (orders, now, service, state);
+  for (guint i = 0; i < state->assigned_workers->len; i++)
     {
-      QuinceWorker *worker
-          = quince_worker_table_find (quince_backends_get_workers (orders->backends), state->kept->pdata[i]);
+      QuinceWorker *worker = quince_worker_table_find (quince_backends_get_workers (orders->backends),
+                                                       state->assigned_workers->pdata[i]);
       if (worker != NULL && quince_backends_may_send (orders->backends, worker))
         add_worker_to_turns (orders, now, plan, worker, turns);
     }
-  guint at_once = quince_load_window_get_size (&state->window, quince_load_concurrent_max (state->usable));
+  guint concurrent_max
+      = quince_load_window_get_size (&state->window, quince_load_concurrent_max (state->n_usable));
   guint loading = count_service_loads (orders, service->name);
-  start_loads (orders, turns, at_once > loading ? at_once - loading : 0,
+  start_loads (orders, turns, concurrent_max > loading ? concurrent_max - loading : 0,
                !has_single_version (routes, service->name));
 }
 
@@ -331,7 +335,7 @@
   if (routes == NULL || quince_backends_holds_sends (orders->backends) || !may_order (&fence, orders))
     return;
   g_autoptr (QuinceLoadPlan) plan = quince_load_plan_new ();
-  orders->options.describe (plan, orders->user_data);
+  orders->options.fill_plan (plan, orders->user_data);
   for (guint i = 0; i < quince_route_table_get_n_services (routes); i++)
     {
       const QuinceService *service = quince_route_table_get_service (routes, i);
@@ -341,7 +345,7 @@
 }
 
 static gboolean
-timer_over (gpointer data)
+handle_check_timer (gpointer data)
 {
   quince_weight_orders_check_loads (data);
   return G_SOURCE_CONTINUE;
@@ -360,17 +364,17 @@
   orders->observer = observer;
   orders->options = *options;
   orders->user_data = user_data;
-  orders->owner = (QuinceWeightLoadContext){ .backends = backends,
-                                             .holder = options->holder,
-                                             .may_order = may_order,
-                                             .ended = handle_load_ended,
-                                             .user_data = orders };
+  orders->load_context = (QuinceWeightLoadContext){ .backends = backends,
+                                                    .holder = options->holder,
+                                                    .may_order = may_order,
+                                                    .ended = handle_load_ended,
+                                                    .user_data = orders };
   orders->loads
       = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, (GDestroyNotify)quince_weight_load_free);
-  orders->pauses = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
-  orders->named = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
+  orders->retry_times = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
+  orders->first_seen = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   orders->services = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, service_state_free);
-  orders->timer = quince_timer_add (PUMP_EVERY_MS, timer_over, orders);
+  orders->timer = quince_timer_add (CHECK_INTERVAL_MS, handle_check_timer, orders);
   return orders;
 }
 
@@ -380,10 +384,10 @@
   if (orders == NULL)
     return;
   quince_timer_clear (&orders->timer);
-  quince_timer_clear (&orders->soon);
+  quince_timer_clear (&orders->after_load_timer);
   g_hash_table_unref (orders->loads);
   g_hash_table_unref (orders->services);
-  g_hash_table_unref (orders->pauses);
-  g_hash_table_unref (orders->named);
+  g_hash_table_unref (orders->retry_times);
+  g_hash_table_unref (orders->first_seen);
   g_free (orders);
 }
--- a/daemons/replica/weight-orders.h
+++ b/daemons/replica/weight-orders.h
@@ -23,7 +23,7 @@
   QuinceModelPlacement *placement; /* not owned */
   gboolean (*may_order) (guint64 *fence, gpointer user_data);
   void (*loaded) (gpointer user_data);
-  void (*describe) (QuinceLoadPlan *plan, gpointer user_data);
+  void (*fill_plan) (QuinceLoadPlan *plan, gpointer user_data);
 } QuinceWeightOrdersOptions;
 
 QuinceWeightOrders *quince_weight_orders_start (QuinceBackends *backends,
--- a/daemons/replica/worker-scaler.c
+++ b/daemons/replica/worker-scaler.c
@@ -25,7 +25,7 @@
   QuinceLedgerNode *ledger;
   QuinceBackends *backends;
   QuinceObserver *observer;
-  double (*count_needed) (const char *service, gpointer user_data);
+  double (*get_slots_needed) (const char *service, gpointer user_data);
   gpointer user_data;
   char *holder;
   QuinceHttpPool *platform;
@@ -120,11 +120,11 @@
 
 /* Workers that the open samples need to end in time; 0 where none is lost, when it doesn't matter. */
 static guint
-count_needed (QuinceWorkerScaler *scaler, const QuinceService *service)
+get_workers_needed (QuinceWorkerScaler *scaler, const QuinceService *service)
 {
   if (!scaler->leads || service->slots == 0 || quince_scale_plan_get_lost (scaler->plan, service->name) == 0)
     return 0;
-  return (guint)ceil (scaler->count_needed (service->name, scaler->user_data) / service->slots);
+  return (guint)ceil (scaler->get_slots_needed (service->name, scaler->user_data) / service->slots);
 }
 
 static void
@@ -133,7 +133,7 @@
   g_autoptr (GArray) zones = count_workers (scaler, service);
   gboolean may_order
       = scaler->leads && scaler->exchange == NULL && quince_ledger_node_may_order (scaler->ledger);
-  guint needed = count_needed (scaler, service);
+  guint needed = get_workers_needed (scaler, service);
   if (quince_scale_plan_step (scaler->plan, quince_now_us (), service, zones, needed,
                               may_order ? &scaler->order : NULL))
     send_order (scaler, service->name);
@@ -185,7 +185,7 @@
   scaler->ledger = options->ledger;
   scaler->backends = options->backends;
   scaler->observer = options->observer;
-  scaler->count_needed = options->count_needed;
+  scaler->get_slots_needed = options->get_slots_needed;
   scaler->user_data = user_data;
   scaler->holder = g_strdup (options->holder);
   scaler->platform = quince_http_pool_new (options->address);
--- a/daemons/replica/worker-scaler.h
+++ b/daemons/replica/worker-scaler.h
@@ -29,7 +29,7 @@
   QuinceLedgerNode *ledger;
   QuinceBackends *backends;
   QuinceObserver *observer;
-  double (*count_needed) (const char *service, gpointer user_data);
+  double (*get_slots_needed) (const char *service, gpointer user_data);
 } QuinceWorkerScalerOptions;
 
 QuinceWorkerScaler *quince_worker_scaler_new (const QuinceWorkerScalerOptions *options, gpointer user_data);
