--- a/daemons/replica/quarantine-coordinator.c
+++ b/daemons/replica/quarantine-coordinator.c
@@ -1,5 +1,5 @@
 /*
- * quarantine-coordinator.c: the leader's part in the quarantine of requests under which workers ended.
+ * quarantine-coordinator.c: coordinates the quarantine of requests that were running at workers which ended.
  */
 #include "quarantine-coordinator.h"
 
@@ -14,8 +14,8 @@
 #include "quarantine-keys.h"
 #include "suspect-reporter.h"
 
-/* A permit expires after this time, us, so that others can send the request when its holder died or was cut
- * off. Not measured: above the deadlines of lookups (0.8 to 2 s). */
+/* Duration of a permit, us, after which another process may send the request even if the holder failed or was
+ * disconnected.  Longer than the deadlines of lookups. */
 #define PERMIT_TTL_US (3 * G_USEC_PER_SEC)
 
 struct _QuinceQuarantineCoordinator
@@ -26,7 +26,7 @@
   QuinceWorkerTable *workers; /* not owned */
   QuinceSuspectReporter *reporter;
   QuinceQuarantineKeys *keys;
-  QuinceExpectedEnds *expected_ends; /* sends of the leader, at other replicas */
+  QuinceExpectedEnds *expected_ends; /* in-flight sends that the leader reported */
 };
 
 static QuinceQuarantine *
@@ -35,7 +35,7 @@
   return quince_send_guard_get_quarantine (coordinator->guard);
 }
 
-/* ---- Permits and reports, caused by the leader's own guard ------------------- */
+/* ---- Callbacks of the leader's send guard ------------------------------------ */
 
 static gboolean
 grant_permit (QuinceQuarantineCoordinator *coordinator,
@@ -69,7 +69,8 @@
   quince_permits_return (coordinator->permits, digest, coordinator);
 }
 
-/* A leader that dies sees no end of what it sent: the next leader looks for it, see expected-ends.h. */
+/* A leader that fails cannot report the outcome of its sends, so the successor must know them; see
+ * expected-ends.h. */
 static void
 handle_sending (const QuinceSuspect *expected, gpointer data)
 {
@@ -77,8 +78,8 @@
   quince_suspect_reporter_send_expected_end (coordinator->reporter, expected);
 }
 
-/* Only the leader sends samples and reward calls: fronts need no report of a single end; the successor does,
- * to count it. */
+/* Fronts need no report of a single end, since only the leader sends samples and reward calls.  The successor
+ * needs it to continue the count. */
 static void
 handle_suspect_end (const QuinceSuspect *suspect, gpointer data)
 {
@@ -107,7 +108,7 @@
                                                           .ended = handle_suspect_end,
                                                           .cleared = handle_suspect_cleared };
 
-/* ---- Life ---------------------------------------------------------------- */
+/* ---- Construction and leadership ----------------------------------------- */
 
 QuinceQuarantineCoordinator *
 quince_quarantine_coordinator_new (const QuinceQuarantineLimits *limits,
@@ -150,7 +151,7 @@
   quince_suspect_reporter_set_ledger (coordinator->reporter, ledger);
 }
 
-/* What the former leader sent by permit may have ended its workers unseen. */
+/* Checks the workers to which the former leader was sending under a permit: they may have ended unnoticed. */
 static void
 check_former_leader_sends (QuinceQuarantineCoordinator *coordinator)
 {
@@ -167,9 +168,9 @@
   quince_permits_free (coordinator->permits);
   coordinator->permits = quince_permits_new ();
   check_former_leader_sends (coordinator);
-  /* Nothing was sent during the election, which lasts longer than requests give way to others: without this
-   * each new leader would send the same item of a suspected prompt first, which says nothing new of the
-   * prompt. */
+  /* The election lasts longer than the yield time (quince_quarantine_should_yield()), and nothing was sent
+   * during it.  Without a restart, each new leader would first send the same request of a suspected prompt,
+   * whose end would not count against the prompt. */
   quince_quarantine_restart_yield_time (get_quarantine (coordinator), quince_now_us ());
   quince_suspect_reporter_send_all (coordinator->reporter);
 }
@@ -207,7 +208,7 @@
     }
 }
 
-/* The outcome of a send is known, so no end is expected of it. */
+/* Removes the in-flight sends whose outcome was reported. */
 static void
 remove_expected_ends (QuinceQuarantineCoordinator *coordinator, const QuinceSuspectReports *reports)
 {
@@ -254,7 +255,7 @@
 {
   QuinceRequestDigest digest;
   memcpy (digest.bytes, request->digest, sizeof digest.bytes);
-  /* The front may not know yet that the request is held, or that it must run alone. */
+  /* The front may not know yet that the request is held or must be sent alone. */
   QuinceSendRule rule = quince_quarantine_get_rule (get_quarantine (coordinator), &digest);
   gboolean allowed = rule != QUINCE_SEND_HELD && (request->alone || rule != QUINCE_SEND_ALONE);
   QuinceMessage message = { .kind = QUINCE_MESSAGE_PERMIT_ANSWER };
@@ -314,7 +315,9 @@
   quince_quarantine_keys_apply_entry (coordinator->keys, name, value);
 }
 
-/* All workers of the service run other software than the one that ended, which may handle the request. */
+/* Returns whether the software of the worker that ended has been replaced in the whole service, so that the
+ * request may succeed now: no listed worker runs it, and at least one worker that is not draining reports
+ * other software. */
 static gboolean
 is_software_replaced (const QuinceQuarantineCoordinator *coordinator, const QuinceSuspect *suspect)
 {
--- a/daemons/replica/quarantine-coordinator.h
+++ b/daemons/replica/quarantine-coordinator.h
@@ -1,13 +1,13 @@
 /*
- * quarantine-coordinator.h: the leader's part in the quarantine of requests under which workers ended
- * (suspects).
+ * quarantine-coordinator.h: coordinates the quarantine of suspects: requests that were running at workers
+ * which ended.
  *
- * The leader grants permits, merges the reports of fronts, sends the result to all processes, and keeps held
- * requests in the metadata store (quarantine-keys.h).  Other replicas take the reports too, so that one of
- * them can lead at once.
+ * The leader grants permits, merges the reports of the fronts, sends the merged state to all processes, and
+ * stores held requests in the metadata store (quarantine-keys.h).  The other replicas merge the reports too,
+ * so that a new leader knows all suspects.
  *
- * Owns the send guard with its quarantine, the permits, the ends expected from the leader's own sends, and
- * the reporter (suspect-reporter.h).
+ * The coordinator owns the send guard with its quarantine, the permits, the in-flight sends that the leader
+ * reported (core/request/expected-ends.h), the reporter (suspect-reporter.h) and the keys.
  */
 #pragma once
 
@@ -20,39 +20,40 @@
 
 typedef struct _QuinceQuarantineCoordinator QuinceQuarantineCoordinator;
 
-/* @name: of this machine, copied; @store, @workers: (transfer none): must outlive the coordinator */
+/* @name: name of this machine, copied; @store, @workers: (transfer none): must outlive the coordinator */
 QuinceQuarantineCoordinator *quince_quarantine_coordinator_new (const QuinceQuarantineLimits *limits,
                                                                 const char *name,
                                                                 QuinceMetaStore *store,
                                                                 QuinceWorkerTable *workers);
 void quince_quarantine_coordinator_free (QuinceQuarantineCoordinator *coordinator);
-/* Returns: (transfer none): the guard, for quince_backends_set_guard() */
+/* Returns (transfer none): the send guard, for quince_backends_set_guard() */
 QuinceSendGuard *quince_quarantine_coordinator_get_guard (QuinceQuarantineCoordinator *coordinator);
-/* @ledger: (transfer none): names the successor; must outlive the coordinator */
+/* @ledger: (transfer none): provides the successor; must outlive the coordinator */
 void quince_quarantine_coordinator_set_ledger (QuinceQuarantineCoordinator *coordinator,
                                                QuinceLedgerNode *ledger);
-/* @links: (transfer none): set of QuinceLink that get all reports, valid until
- * quince_quarantine_coordinator_stop_leading() */
+/* Starts a term of this replica as leader.  @links: (transfer none): set of the QuinceLink that receive the
+ * reports; must stay valid until quince_quarantine_coordinator_stop_leading() */
 void quince_quarantine_coordinator_start_leading (QuinceQuarantineCoordinator *coordinator,
                                                   GHashTable *links);
 void quince_quarantine_coordinator_stop_leading (QuinceQuarantineCoordinator *coordinator);
-/* @link was added to the set: sends it what is known. */
+/* Sends all suspects to @link, which was added to the set of links. */
 void quince_quarantine_coordinator_add_link (QuinceQuarantineCoordinator *coordinator, QuinceLink *link);
-/* The permits that were granted on @link are taken back. */
+/* Returns all permits that were granted on @link, which is closed. */
 void quince_quarantine_coordinator_link_closed (QuinceQuarantineCoordinator *coordinator, QuinceLink *link);
-/* Returns: whether @message is one of the quarantine's, and was taken */
+/* Returns whether @message belongs to the quarantine and was handled. */
 gboolean quince_quarantine_coordinator_handle_message (QuinceQuarantineCoordinator *coordinator,
                                                        QuinceLink *link,
                                                        const QuinceMessage *message);
-/* The suspect notice of a front that reaches no leader; @value: (nullable): %NULL: it was withdrawn. */
+/* Merges the suspect list that a front without a leader wrote to the metadata store.  @value: (nullable):
+ * %NULL: the front removed the list, which changes nothing */
 void quince_quarantine_coordinator_merge_list (QuinceQuarantineCoordinator *coordinator,
                                                const char *front,
                                                GBytes *value);
-/* The entry of a held request in the metadata store; @name: last part of its key, the digest as text; @value:
- * (nullable): %NULL: it was removed. */
+/* Applies a change to the entry of a held request in the metadata store.  @name: last part of the key, the
+ * digest as text; @value: (nullable): %NULL: the entry was removed */
 void quince_quarantine_coordinator_apply_entry (QuinceQuarantineCoordinator *coordinator,
                                                 const char *name,
                                                 GBytes *value);
-/* Forgets old suspects; at the leader also releases outdated ones and writes keys; to be called several times
- * a second. */
+/* Removes expired suspects.  At the leader, also releases suspects whose software was replaced, informs a new
+ * successor, and updates the metadata store.  To be called several times a second. */
 void quince_quarantine_coordinator_step (QuinceQuarantineCoordinator *coordinator);
--- a/daemons/replica/quarantine-keys.c
+++ b/daemons/replica/quarantine-keys.c
@@ -1,5 +1,5 @@
 /*
- * quarantine-keys.c: held requests as keys of the metadata store.
+ * quarantine-keys.c: stores held requests as keys of the metadata store.
  */
 #include "quarantine-keys.h"
 
@@ -7,7 +7,7 @@
 #include "forward/suspect-entry.h"
 #include "runtime/clock.h"
 
-/* Pause after a failed write, us: each call of the store costs.  Not measured: as in meta-presence.c. */
+/* Delay after a failed write, us, to limit the load on the store. */
 #define WRITE_RETRY_DELAY_US (1 * G_USEC_PER_SEC)
 
 struct _QuinceQuarantineKeys
@@ -15,9 +15,9 @@
   /* All fields belong to the main context. */
   QuinceMetaStore *store;
   QuinceQuarantine *quarantine;
-  GHashTable *saved;          /* digests as text, owned: keys in the store */
-  gboolean write_in_progress; /* a write is in progress */
-  gint64 next_write_us;       /* monotonic: no write before */
+  GHashTable *saved; /* set of digests as text, owned: the keys in the store */
+  gboolean write_in_progress;
+  gint64 next_write_us; /* monotonic: earliest time of the next write */
 };
 
 QuinceQuarantineKeys *
@@ -70,7 +70,7 @@
   g_free (write_state);
 }
 
-/* @suspect: (nullable): %NULL removes the key */
+/* Writes @suspect to the key.  @suspect: (nullable): %NULL removes the key */
 static void
 write_key (QuinceQuarantineKeys *keys, const char *name, const QuinceSuspect *suspect)
 {
@@ -90,7 +90,7 @@
   quince_meta_store_change (keys->store, &change, 1, write_done, write_state);
 }
 
-/* Returns: (transfer none) (nullable): a key of a request that is no longer held */
+/* Returns (transfer none) (nullable): the key of a request that is no longer held */
 static const char *
 find_obsolete_key (const QuinceQuarantineKeys *keys)
 {
@@ -107,7 +107,7 @@
   return NULL;
 }
 
-/* One write at a time suffices: holds and releases are rare. */
+/* One write at a time is enough: holds and releases are rare. */
 void
 quince_quarantine_keys_sync (QuinceQuarantineKeys *keys, const GPtrArray *all)
 {
--- a/daemons/replica/quarantine-keys.h
+++ b/daemons/replica/quarantine-keys.h
@@ -1,9 +1,9 @@
 /*
- * quarantine-keys.h: held requests as keys of the metadata store, for operators and for processes that no
- * other process reports to.
+ * quarantine-keys.h: stores held requests as keys of the metadata store, for operators and for processes
+ * that receive no reports from other processes.
  *
- * Owns the set of keys that the store holds; one write at a time.  The quarantine itself belongs to the
- * caller.
+ * The object tracks the keys in the store and has at most one write in flight.  The caller owns the
+ * quarantine.
  */
 #pragma once
 
@@ -12,12 +12,12 @@
 
 typedef struct _QuinceQuarantineKeys QuinceQuarantineKeys;
 
-/* @store, @quarantine: (transfer none): must outlive it */
+/* @store, @quarantine: (transfer none): must outlive the object */
 QuinceQuarantineKeys *quince_quarantine_keys_new (QuinceMetaStore *store, QuinceQuarantine *quarantine);
 void quince_quarantine_keys_free (QuinceQuarantineKeys *keys);
-/* A key has changed; @name: its last part, the digest as text; @value: (nullable): %NULL: it was removed. The
- * quarantine takes what it says. */
+/* Applies a changed key to the quarantine.  @name: last part of the key, the digest as text; @value:
+ * (nullable): %NULL: the key was removed */
 void quince_quarantine_keys_apply_entry (QuinceQuarantineKeys *keys, const char *name, GBytes *value);
-/* At the leader, several times a second: writes or removes one key that differs from the quarantine.
- * @all: (element-type QuinceSuspect): its suspects */
+/* Writes or removes one key that differs from the quarantine.  The leader calls it several times a second.
+ * @all: (element-type QuinceSuspect): all suspects of the quarantine */
 void quince_quarantine_keys_sync (QuinceQuarantineKeys *keys, const GPtrArray *all);
--- a/daemons/replica/residency-coordinator.c
+++ b/daemons/replica/residency-coordinator.c
@@ -1,5 +1,5 @@
 /*
- * residency-coordinator.c: regions that batches may be kept in, and the machines in them.
+ * residency-coordinator.c: decides which machines may store the ledger's records.
  */
 #include "residency-coordinator.h"
 
@@ -12,11 +12,10 @@
 #include "forward/residency-lookup.h"
 #include "runtime/clock.h"
 
-/* Pause before this machine's zone is written again after the store did not take it, or the next one is
- * removed, us.  Not measured: few calls while the store is away. */
+/* Minimum interval between attempts to write the zone of this machine, and between removals of zones, us.
+ * Limits the calls while the store is unavailable. */
 #define ZONE_WRITE_INTERVAL_MIN_US (2 * G_USEC_PER_SEC)
-/* Least time between two log lines about members that may not keep the ledger, us.  Not measured: the state
- * lasts for minutes. */
+/* Minimum interval between log lines about members outside the confinement, us. */
 #define UNMET_LOG_INTERVAL_US (5 * G_USEC_PER_SEC)
 
 struct _QuinceResidencyCoordinator
@@ -30,14 +29,14 @@
   const QuinceTopology *topology;
   QuinceMachineZones *zones;
   QuinceLedgerNode *ledger;
-  gboolean several_regions;    /* the platform has more than one */
-  gboolean zone_written;       /* the store has this machine's zone */
-  gint64 next_zone_write_us;   /* it is not written before */
-  char **draining;             /* (nullable): machines to be emptied */
-  gint64 next_zone_removal_us; /* the next zone is not removed before */
-  char **confined;             /* machines that the ledger is confined to; NULL: not confined */
+  gboolean several_regions;    /* the topology has more than one region */
+  gboolean zone_written;       /* the store has the current zone of this machine */
+  gint64 next_zone_write_us;   /* monotonic: earliest time of the next write of the zone */
+  char **draining;             /* (nullable): names of draining machines */
+  gint64 next_zone_removal_us; /* monotonic: earliest time of the next removal */
+  char **confined;             /* machines that the ledger is confined to; NULL: all */
   gint64 last_unmet_log_us;
-  GHashTable *admitted; /* ids to AdmittedBatch, both owned: batches in the log that are not committed yet */
+  GHashTable *admitted; /* batch id to AdmittedBatch, both owned: not in the ledger's entries yet */
 };
 
 typedef struct
@@ -110,8 +109,8 @@
     quince_log_warning ("place_not_removed", "code=%d", error->code);
 }
 
-/* Removes the zone of a machine that was emptied from the store: batches may not be kept there any more.  One
- * at a time: the store reports each removal before the next. */
+/* Removes the zone of a drained machine from the store, so that it may no longer store batches.  Removes one
+ * zone at a time: the store usually reports the removal before the next one is due. */
 static void
 remove_zone (QuinceResidencyCoordinator *coordinator, gint64 now_us)
 {
@@ -139,7 +138,7 @@
   coordinator->draining = g_strdupv ((char **)nodes);
 }
 
-/* ---- Regions of batches --------------------------------------------------- */
+/* ---- Residency of batches ------------------------------------------------- */
 
 static void
 get_residency (QuinceResidencyCoordinator *coordinator,
@@ -168,7 +167,8 @@
     g_array_append_val (restrictions, *residency);
 }
 
-/* Residency of all batches that the configuration allows. (transfer full) */
+/* Returns (transfer full) (element-type QuinceResidency): the restrictions of all rollout routes and tenants
+ */
 static GArray *
 collect_configured_residencies (QuinceResidencyCoordinator *coordinator)
 {
@@ -193,7 +193,8 @@
   return restrictions;
 }
 
-/* Residency of the batches in the ledger, committed or not. (transfer full) */
+/* Returns (transfer full) (element-type QuinceResidency): the restrictions of the batches in @entries and of
+ * the admitted batches */
 static GArray *
 collect_batch_residencies (QuinceResidencyCoordinator *coordinator, const GPtrArray *entries)
 {
@@ -248,12 +249,13 @@
       g_strfreev (coordinator->confined);
       coordinator->confined = g_steal_pointer (&names);
     }
-  /* Also where nothing changed: a new leader sends records to members alone until it is confined. */
+  /* Also without a change: a new leader sends records only to members until the ledger has been confined. */
   quince_ledger_node_set_allowed_nodes (coordinator->ledger, (const char *const *)coordinator->confined);
 }
 
-/* Confines the ledger to the machines where all batches of the configuration may be kept; where those are
- * fewer than a quorum, to the machines where the batches in it may be kept. */
+/* Confines the ledger to the machines that may store batches of all configured routes and tenants.  If the
+ * configuration restricts nothing, or fewer machines than the quorum qualify, confines it to the machines
+ * that may store the current batches instead, or lifts the confinement if no batch is restricted. */
 static void
 confine_ledger (QuinceResidencyCoordinator *coordinator, const GPtrArray *entries)
 {
@@ -272,8 +274,8 @@
     set_confinement (coordinator, batch_residencies->len > 0 ? machines_for_batches : NULL);
 }
 
-/* Logs members that may not keep the batches in the ledger: too few other machines are there to replace them.
- */
+/* Counts and logs the members outside the confinement.  They remain members while too few other
+ * machines can replace them. */
 static void
 report_disallowed_members (QuinceResidencyCoordinator *coordinator, gint64 now_us)
 {
@@ -296,10 +298,10 @@
   gint64 now = quince_now_us ();
   write_zone (coordinator, now);
   if (coordinator->several_regions && entries == NULL)
-    quince_metric_set ("quince_replica_members_outside", "", 0); /* the leader reports it */
+    quince_metric_set ("quince_replica_members_outside", "", 0); /* only the leader counts them */
   if (!coordinator->several_regions || entries == NULL
       || quince_observer_get_routes (coordinator->observer) == NULL)
-    return; /* the regions are not known yet: the ledger stays confined as it is */
+    return; /* not the leader, or the routes are not known yet: the confinement stays */
   remove_zone (coordinator, now);
   confine_ledger (coordinator, entries);
   report_disallowed_members (coordinator, now);
@@ -314,7 +316,7 @@
                                     const char *tenant)
 {
   if (coordinator->several_regions && quince_observer_get_routes (coordinator->observer) == NULL)
-    return FALSE; /* the regions are not known yet */
+    return FALSE; /* the routes are not known yet */
   QuinceResidency residency;
   get_residency (coordinator, host, path, tenant, &residency);
   if (quince_residency_is_unrestricted (&residency))
--- a/daemons/replica/residency-coordinator.h
+++ b/daemons/replica/residency-coordinator.h
@@ -1,13 +1,13 @@
 /*
- * residency-coordinator.h: which machines may keep the ledger's records, by the regions that routes and
- * tenants allow.
+ * residency-coordinator.h: decides which machines may store the ledger's records, from the regions that
+ * routes and tenants allow.
  *
- * Where there are several regions each replica writes its zone into the metadata store.  The leader confines
- * its ledger to the machines where the batches in it may be kept, and takes no batch that may not be kept on
- * all of them.
+ * In a deployment with several regions, each replica writes its zone to the metadata store.  The leader
+ * confines the ledger to machines that may store its batches, and admits no batch that a ledger member may
+ * not store.
  *
- * Owns the zones of machines and the batches that were admitted.  Relies on the routes of the observer, the
- * topology of the backends, and the ledger.  All calls belong to the main context.
+ * The coordinator owns the zones of the machines and the set of admitted batches.  All functions must be
+ * called from the main context.
  */
 #pragma once
 
@@ -17,41 +17,44 @@
 
 typedef struct _QuinceResidencyCoordinator QuinceResidencyCoordinator;
 
-/* @name: of this machine; @quorum: machines that must hold a record; the objects must outlive the coordinator
- */
+/* @name: name of this machine, copied; @quorum: number of machines that must store a record; the objects must
+ * outlive the coordinator */
 QuinceResidencyCoordinator *quince_residency_coordinator_new (const char *name,
                                                               guint quorum,
                                                               QuinceMetaStore *store,
                                                               QuinceBackends *backends,
                                                               QuinceObserver *observer);
 void quince_residency_coordinator_free (QuinceResidencyCoordinator *coordinator);
-/* Set once, before any other call. */
+/* Must be called once, before all other functions.  @ledger: (transfer none): must outlive the coordinator */
 void quince_residency_coordinator_set_ledger (QuinceResidencyCoordinator *coordinator,
                                               QuinceLedgerNode *ledger);
-/* A change in the metadata store: the zone of the replica of @node; @value: (nullable): %NULL: it was removed
- */
+/* Applies a change to the zone of the machine @node in the metadata store.  @value: (nullable): %NULL: the
+ * zone was removed */
 void quince_residency_coordinator_apply_zone_entry (QuinceResidencyCoordinator *coordinator,
                                                     const char *node,
                                                     GBytes *value);
-/* Machines to be emptied: their zones are removed from the store once they are no members, and the machines
- * themselves write none. */
+/* Sets the draining machines (nullable).  The leader removes the zone of another draining machine from the
+ * store when the machine is no longer a ledger member.  A draining machine does not write its zone. */
 void quince_residency_coordinator_set_draining (QuinceResidencyCoordinator *coordinator,
                                                 const char *const *nodes);
-/* To be called several times a second. @entries: (nullable) (element-type QuinceBatchEntry): batches in the
- * ledger, at the leader; %NULL: this replica does not lead */
+/* Writes the zone of this machine; at the leader, also confines the ledger.  To be called several times a
+ * second.  @entries: (nullable) (element-type QuinceBatchEntry): the batches in the ledger; %NULL: this
+ * replica does not lead */
 void quince_residency_coordinator_step (QuinceResidencyCoordinator *coordinator, const GPtrArray *entries);
-/* At the leader: whether the batch @id, of this route and tenant, may be kept on all members of the ledger;
- * if so no machine joins that may not keep it, from now until quince_residency_coordinator_remove_admitted().
- */
+/* Returns whether all ledger members may store the batch @id of this route and tenant; %FALSE also if there
+ * are several regions and the routes are not known yet.  With several regions, the ledger stays confined to
+ * machines that may store the batch until quince_residency_coordinator_remove_admitted().  Only called at the
+ * leader. */
 gboolean quince_residency_coordinator_admit (QuinceResidencyCoordinator *coordinator,
                                              const GPtrArray *entries,
                                              const char *id,
                                              const char *host,
                                              const char *path,
                                              const char *tenant);
-/* The batch @id is among the entries from now on, or will not be; %NULL: all that were admitted. */
+/* Removes the batch @id from the admitted batches, because it is in the ledger's entries now or was not
+ * submitted.  @id: (nullable): %NULL removes all */
 void quince_residency_coordinator_remove_admitted (QuinceResidencyCoordinator *coordinator, const char *id);
-/* Whether the machine @node may be sent texts of the batch. */
+/* Returns whether the machine @node may receive and store texts of a batch of this route and tenant. */
 gboolean quince_residency_coordinator_is_allowed (QuinceResidencyCoordinator *coordinator,
                                                   const char *node,
                                                   const char *host,
--- a/daemons/replica/suspect-reporter.c
+++ b/daemons/replica/suspect-reporter.c
@@ -1,5 +1,5 @@
 /*
- * suspect-reporter.c: sends what the leader knows of suspects to the other processes.
+ * suspect-reporter.c: sends the leader's suspects to the other processes.
  */
 #include "suspect-reporter.h"
 
@@ -7,20 +7,19 @@
 #include "runtime/clock.h"
 #include "runtime/timer.h"
 
-/* Changes are collected for this time and sent together to all, ms.  One message for each request would make
- * 100,000 when 400 requests lose their workers at once before 250 fronts (calculated).  Not measured: shorter
- * than a usual run of a lookup (25 ms). */
+/* Delay after which the collected changes are sent to all processes in one message, ms.  Limits the number of
+ * messages when many requests lose their workers at the same time; shorter than a typical lookup. */
 #define REPORT_DELAY_MS 10
-/* The same for the successor, ms: the end of this turn of the main loop. */
+/* The same delay for the successor, ms.  With 0, changes are sent in the next main loop iteration. */
 #define SUCCESSOR_REPORT_DELAY_MS 0
 
-/* Changes that were not sent to one receiver yet. */
+/* Changes to send, either to all processes or to the successor. */
 typedef struct
 {
   QuinceSuspectReporter *reporter;
-  GHashTable *digests; /* QuinceRequestDigest, owned */
-  QuinceTimer *timer;  /* NULL: none */
-  guint delay_ms;      /* from the first change to the message */
+  GHashTable *digests; /* set of QuinceRequestDigest, owned */
+  QuinceTimer *timer;  /* NULL: the queue is empty */
+  guint delay_ms;      /* time from the first change to the message */
   void (*send) (QuinceSuspectReporter *reporter, GBytes *encoded);
 } ChangeQueue;
 
@@ -29,9 +28,9 @@
   /* All fields belong to the main context. */
   const QuinceQuarantine *quarantine;
   char *name;
-  QuinceLedgerNode *ledger;   /* not owned; NULL during the start */
-  GHashTable *links;          /* QuinceLink, of the owner; NULL: not leading */
-  guint64 informed_successor; /* the successor that was sent all suspects; 0: none */
+  QuinceLedgerNode *ledger;   /* not owned; NULL: not set yet */
+  GHashTable *links;          /* set of QuinceLink, not owned; NULL: not leading */
+  guint64 informed_successor; /* number of the successor link on which all suspects were sent; 0: none */
   ChangeQueue all_queue;
   ChangeQueue successor_queue;
 };
@@ -50,7 +49,7 @@
     quince_link_send_bytes (link, encoded);
 }
 
-/* Returns: (transfer none) (nullable) */
+/* Returns (transfer none) (nullable): the link to the successor, or NULL if there is none */
 static QuinceLink *
 find_successor (const QuinceSuspectReporter *reporter)
 {
@@ -65,7 +64,8 @@
     quince_link_send_bytes (successor, encoded);
 }
 
-/* Returns: (transfer full) (nullable): a message with @suspects (QuinceSuspect); %NULL where it is empty */
+/* Returns (transfer full) (nullable): a message with @suspects (element-type QuinceSuspect), or NULL if there
+ * are none */
 static GBytes *
 encode_suspects (const QuinceSuspectReporter *reporter, const GPtrArray *suspects)
 {
@@ -101,7 +101,8 @@
   g_hash_table_unref (queue->digests);
 }
 
-/* Returns: (transfer container) (element-type QuinceSuspect): the queued suspects that are still known */
+/* Returns (transfer container) (element-type QuinceSuspect): the queued suspects that are still in the
+ * quarantine */
 static GPtrArray *
 queue_list_suspects (const ChangeQueue *queue)
 {
@@ -202,7 +203,7 @@
     quince_link_send_bytes (link, encoded);
 }
 
-/* A new successor knows nothing of requests that ended one worker. */
+/* A new successor has no reports of requests at which a single worker ended. */
 void
 quince_suspect_reporter_step (QuinceSuspectReporter *reporter, const GPtrArray *all)
 {
@@ -215,7 +216,7 @@
   send_to_successor (reporter, encoded);
 }
 
-/* ---- Life ---------------------------------------------------------------------- */
+/* ---- Construction -------------------------------------------------------------- */
 
 QuinceSuspectReporter *
 quince_suspect_reporter_new (const QuinceQuarantine *quarantine, const char *name)
--- a/daemons/replica/usage-collector.c
+++ b/daemons/replica/usage-collector.c
@@ -1,5 +1,5 @@
 /*
- * usage-collector.c: usage of tenants, from the reports of fronts to the platform's acknowledgement.
+ * usage-collector.c: collects the usage of tenants from the fronts and reports it to the platform.
  */
 #include "usage-collector.h"
 
@@ -12,30 +12,30 @@
 
 #include "platform.h"
 
-/* A window is closed when this share of the time for its report is over: the rest is for the election of
- * another leader, which gives no orders for 3.2 s, and for an outage of the platform.  Not measured. */
+/* Fraction of the time for a report after which its window is closed.  The rest is for the election of a new
+ * leader, which sends no orders at first, and for an outage of the platform. */
 #define CLOSE_DELAY_FRACTION 0.5
-/* A new leader closes no window for this time, us: fronts link again (1.2 s to give up on the former leader,
- * 0.15 s to link) and report first, since what is reported of a closed window is lost. */
+/* Time for which a new leader closes no window, us.  Fronts must first detect the loss of the former leader,
+ * reconnect and report: events of a closed window are lost. */
 #define FRONT_REPORTS_WAIT_US (1500 * 1000)
-/* Longest call of the platform, us: an answer usually takes some ms.  A slower call may have been accepted
- * and is repeated.  Not measured. */
+/* Timeout of a call to the platform, us.  A call that times out is repeated, although the platform may have
+ * accepted it. */
 #define CALL_TIMEOUT_US (1500 * 1000)
-/* Pause after a failed call, us, doubled with each further failure: a few attempts fall into the time in
- * which a report is due (10 s by default).  Not measured. */
+/* Initial retry delay of a failed call, us.  It doubles with each further failure.  Allows several attempts
+ * before the report is late. */
 #define RETRY_DELAY_MIN_US (300 * 1000)
-/* Longest such pause, us: three doublings. */
+/* Maximum retry delay, us. */
 #define RETRY_DELAY_MAX_US (2400 * 1000)
-/* HTTP status with which the platform accepts a report. */
+/* HTTP status of an accepted report. */
 #define REPORT_ACCEPTED_STATUS 200
 
-/* What one front reported since the last record. */
+/* Events that one front reported and that are not in a record yet. */
 typedef struct
 {
   guint64 id;
-  guint64 last_reported_sequence; /* greatest sequence that was reported */
-  QuinceLink *link;               /* owned (nullable): where to acknowledge */
-  GArray *events;                 /* QuinceUsageEvent, owned texts */
+  guint64 last_reported_sequence; /* highest sequence number that was reported */
+  QuinceLink *link;               /* owned (nullable): link for acknowledgements */
+  GArray *events;                 /* owned: QuinceUsageEvent with owned strings */
 } UsageSource;
 
 struct _QuinceUsageCollector
@@ -47,17 +47,17 @@
   guint64 close_delay_ms;
   QuinceHttpPool *platform;
   QuinceAgreedClock *clock;
-  QuinceUsageAggregator *aggregator; /* NULL: not leading */
-  GHashTable *sources;               /* source (guint64) to UsageSource, owned */
+  QuinceUsageAggregator *aggregator; /* NULL: not leading, and no record was applied */
+  GHashTable *sources;               /* id (guint64) to UsageSource, owned */
   gboolean leads;
-  gint64 earliest_close_us; /* monotonic: all fronts have reported what they kept; 0: not known yet */
+  gint64 earliest_close_us; /* monotonic: earliest time to close a window; 0: not set yet */
   guint64 closing_window;   /* window whose closing record is not committed yet; 0: none */
 
-  QuinceHttpExchange *exchange; /* the report in progress; NULL: none */
-  guint64 reporting_window;     /* its window */
-  gboolean acknowledged;        /* the platform accepted it; the record that says so is not committed yet */
-  gint64 next_report_us;        /* monotonic: no report before */
-  gint64 retry_delay_us;        /* pause after the next failure */
+  QuinceHttpExchange *exchange; /* the report in flight; NULL: none */
+  guint64 reporting_window;     /* window of the last report that was sent */
+  gboolean acknowledged;        /* the platform accepted it; the record of this is not committed yet */
+  gint64 next_report_us;        /* monotonic: earliest time of the next report */
+  gint64 retry_delay_us;        /* delay after the next failure */
 };
 
 static void
@@ -120,7 +120,7 @@
     {
       g_clear_pointer (&source->link, quince_link_unref);
       source->link = quince_link_ref (link);
-      acknowledge (collector, source); /* the one on the former link may be lost */
+      acknowledge (collector, source); /* the acknowledgement on the former link may be lost */
     }
   for (guint i = 0; i < report->events.events_len; i++)
     {
@@ -146,7 +146,7 @@
       g_clear_pointer (&((UsageSource *)value)->link, quince_link_unref);
 }
 
-/* All that was reported since the last record becomes the next one. */
+/* Appends all events that were reported since the last record as one record. */
 static void
 append_usage_record (QuinceUsageCollector *collector)
 {
@@ -172,7 +172,7 @@
   record.QuinceBatchRecord_u.usage.sources.sources_val = (QuinceUsageEvents *)sources->data;
   record.QuinceBatchRecord_u.usage.sources.sources_len = sources->len;
   if (quince_ledger_node_append (collector->ledger, &record) == 0)
-    return; /* reported again by the fronts, or appended at the next step */
+    return; /* appended at the next step, or reported again by the fronts to a new leader */
   for (guint i = 0; i < appended->len; i++)
     g_array_set_size (((UsageSource *)appended->pdata[i])->events, 0);
 }
@@ -204,7 +204,7 @@
     return;
   QuinceBatchRecord record = { .kind = QUINCE_BATCH_RECORD_FORGET };
   QuinceBatchForget *forget = &record.QuinceBatchRecord_u.forget;
-  forget->batch = (char *)""; /* of no batch */
+  forget->batch = (char *)""; /* the record belongs to no batch */
   forget->indexes.indexes_val = (u_quad_t *)indexes->data;
   forget->indexes.indexes_len = indexes->len;
   quince_ledger_node_append (collector->ledger, &record);
--- a/daemons/replica/usage-collector.h
+++ b/daemons/replica/usage-collector.h
@@ -1,12 +1,12 @@
 /*
- * usage-collector.h: reports to the platform how many requests of each tenant began in each usage window.
+ * usage-collector.h: reports to the platform how many requests of each tenant started in each usage window.
  *
- * Only the ledger's leader reports, with its epoch as the fencing token.  What fronts report is a record of
- * the ledger before it is acknowledged, and so are the counts of a window before they are sent: a report that
- * is repeated, by this leader or a later one, is the same to the byte.
+ * Only the ledger's leader reports, with its epoch as the fencing token.  The events of a front are committed
+ * to the ledger before they are acknowledged, and the counts of a window before they are sent.  A repeated
+ * report, by this leader or a later one, is therefore identical to the byte.
  *
- * Owns the usage aggregator, the agreed clock, what fronts reported since the last record, the connections to
- * the platform and the report in progress.
+ * The collector owns the usage aggregator, the agreed clock, the events that are not in a record yet, and the
+ * connections to the platform.
  */
 #pragma once
 
@@ -20,9 +20,9 @@
 /**
  * QuinceUsageCollectorOptions:
  * @holder: name of this machine, copied
- * @address: ip:port of the platform's calls
- * @window_us: length of a window
- * @late_us: time from the end of a window to the moment at which its report is late
+ * @address: ip:port of the platform's API
+ * @window_us: length of a window, us
+ * @late_us: time after the end of a window within which its report is due, us
  */
 typedef struct
 {
@@ -36,18 +36,21 @@
 QuinceUsageCollector *quince_usage_collector_new (const QuinceUsageCollectorOptions *options,
                                                   QuinceLedgerNode *ledger);
 void quince_usage_collector_free (QuinceUsageCollector *collector);
-/* Returns: whether @record is one of usage, which quince_usage_collector_apply_record() takes */
+/* Returns whether @record is a usage record, to be passed to quince_usage_collector_apply_record(). */
 gboolean quince_usage_collector_is_record (const QuinceBatchRecord *record);
-/* A record of usage is committed, at the leader, in the order of the log.  @record: (transfer full) */
+/* Applies a committed usage record.  The leader calls it in the order of the log.  @record: (transfer full)
+ */
 void quince_usage_collector_apply_record (QuinceUsageCollector *collector,
                                           guint64 index,
                                           QuinceBatchRecord *record);
 void quince_usage_collector_start_leading (QuinceUsageCollector *collector);
 void quince_usage_collector_stop_leading (QuinceUsageCollector *collector);
-/* A front reported requests; they are acknowledged on @link once a record has them. */
+/* Handles a report of started requests from a front; at the leader, they are acknowledged on @link after they
+ * are committed to the ledger. */
 void quince_usage_collector_handle_report (QuinceUsageCollector *collector,
                                            QuinceLink *link,
                                            const QuinceUsageReport *report);
 void quince_usage_collector_link_closed (QuinceUsageCollector *collector, QuinceLink *link);
-/* Appends what fronts reported, closes windows, sends reports; to be called several times a second. */
+/* Appends reported events to the ledger, closes windows and sends reports.  To be called several times a
+ * second. */
 void quince_usage_collector_step (QuinceUsageCollector *collector);
--- a/daemons/replica/warmup-coordinator.c
+++ b/daemons/replica/warmup-coordinator.c
@@ -1,15 +1,14 @@
 /*
- * warmup-coordinator.c: the leader's grants of send leases for cold workers, to itself and to the fronts.
+ * warmup-coordinator.c: grants send leases for cold workers to the leader itself and to the fronts.
  */
 #include "warmup-coordinator.h"
 
 #include "runtime/clock.h"
 
-/* Interval between two removals of expired leases, us, so that workers that no longer exist keep no memory.
- * Not measured: any time is short enough. */
+/* Interval between removals of expired leases, us.  They free the memory of workers that no longer exist. */
 #define LEASE_EXPIRE_INTERVAL_US (5 * G_USEC_PER_SEC)
-/* Shortest time after which a front may ask again, ms, so that the answer to one request arrives before the
- * next. Not measured: some round trips. */
+/* Minimum interval between lease requests of a front for a worker, ms: a few round trips, so that the answer
+ * to one request arrives before the next is sent. */
 #define LEASE_REQUEST_INTERVAL_MIN_MS 20
 
 struct _QuinceWarmupCoordinator
@@ -17,7 +16,7 @@
   /* All fields belong to the main context. */
   QuinceWarmupSends *sends;
   QuinceWorkerTable *workers;
-  QuinceObserver *observer; /* not owned; NULL during the start */
+  QuinceObserver *observer; /* not owned; NULL: not set yet */
   gboolean (*may_grant) (gpointer);
   gpointer user_data;
   gint64 last_expire_us;
@@ -95,7 +94,7 @@
   QuinceWarmupGrant *grant = &answer.QuinceMessage_u.warmup_grant;
   grant->ask = request->ask;
   grant->worker = request->worker;
-  /* Nothing is granted for a worker that this process doesn't know: its limit isn't known either. */
+  /* Grants nothing for a worker that this process doesn't know, since its limit is unknown too. */
   if (worker != NULL)
     grant->sends = quince_warmup_sends_grant (coordinator->sends, worker->id, worker->service, request->sends,
                                               &retry_after_us);
--- a/daemons/replica/warmup-coordinator.h
+++ b/daemons/replica/warmup-coordinator.h
@@ -1,8 +1,8 @@
 /*
- * warmup-coordinator.h: the leader's grants of send leases for cold workers, to itself and to the fronts.
+ * warmup-coordinator.h: grants send leases for cold workers to the leader itself and to the fronts.
  *
- * One process grants them all, so that the warmup limit holds for all processes together.  Owns the limiter
- * of sends to cold workers (forward/warmup-sends.h).
+ * Only the leader grants leases, so that the warmup limit holds across all processes.  The coordinator owns
+ * the limiter of sends to cold workers (forward/warmup-sends.h).
  */
 #pragma once
 
@@ -15,20 +15,21 @@
 typedef struct _QuinceWarmupCoordinator QuinceWarmupCoordinator;
 
 /* @workers: (transfer none): must outlive the coordinator
- * @may_grant: whether this process may grant now: it leads and a quorum has followed it lately; called for
- * each grant */
+ * @may_grant: returns whether this process may grant leases now, i.e. it leads and a quorum followed it
+ * recently; called for each grant */
 QuinceWarmupCoordinator *quince_warmup_coordinator_new (const QuinceWarmupBounds *bounds,
                                                         QuinceWorkerTable *workers,
                                                         gboolean (*may_grant) (gpointer user_data),
                                                         gpointer user_data);
 void quince_warmup_coordinator_free (QuinceWarmupCoordinator *coordinator);
-/* @observer: (transfer none): looks up services; must outlive the last send */
+/* @observer: (transfer none): used to look up services; must outlive the last send */
 void quince_warmup_coordinator_set_observer (QuinceWarmupCoordinator *coordinator, QuinceObserver *observer);
-/* Returns: (transfer none): the limiter, for quince_backends_set_warmup() */
+/* Returns (transfer none): the limiter, for quince_backends_set_warmup() */
 QuinceWarmupSends *quince_warmup_coordinator_get_sends (QuinceWarmupCoordinator *coordinator);
-/* This process leads from now on, and grants nothing until the leases of the former leader have run out. */
+/* Starts a term of this process as leader.  It grants no lease until those of the former leader have expired.
+ */
 void quince_warmup_coordinator_start_leading (QuinceWarmupCoordinator *coordinator);
-/* Returns: whether @message asks for sends, and was answered on @link */
+/* Returns whether @message is a lease request; the request is answered on @link. */
 gboolean quince_warmup_coordinator_handle_message (QuinceWarmupCoordinator *coordinator,
                                                    QuinceLink *link,
                                                    const QuinceMessage *message);
--- a/daemons/replica/weight-load.c
+++ b/daemons/replica/weight-load.c
@@ -1,8 +1,8 @@
 /*
- * weight-load.c: asks a worker for its report, orders the load, and polls until it has loaded.
+ * weight-load.c: loads a version of a model at one worker.
  *
- * Each worker is asked how many orders it has taken before it gets one, and the order names that number: an
- * order that is carried out late, after others, is then refused by the worker itself.
+ * The worker's report contains the number of orders that it has accepted, and each order repeats that number.
+ * The worker refuses an order with another number, so that a delayed order has no effect after later ones.
  */
 #include "weight-load.h"
 
@@ -14,8 +14,8 @@
 
 #include "platform.h"
 
-/* Time for a worker's answer to an order or to the request for its report, us.  Not measured: as long as a
- * load takes. */
+/* Timeout of a worker's answer to an order or to a request for its report, us: about the duration of a load.
+ */
 #define CALL_TIMEOUT_US (900 * 1000)
 
 struct _QuinceWeightLoad
@@ -28,9 +28,9 @@
   guint64 version;
   gboolean retain;
   gint64 started_us;
-  gint64 ordered_us; /* 0: not yet */
+  gint64 ordered_us; /* monotonic: time of the last order; 0: none */
   QuinceHttpExchange *exchange;
-  QuinceRetryTimer timer; /* the next request for the report */
+  QuinceRetryTimer timer; /* delay until the next request for the report */
 };
 
 static QuinceWorker *
@@ -66,7 +66,7 @@
   load->context->ended (load, g_str_equal (outcome, QUINCE_LOAD_LOADED), load->context->user_data);
 }
 
-/* Polls or ends as the rule says. Returns: %FALSE: an order is due */
+/* Schedules the next poll or ends the load, which frees it.  Returns %FALSE if @next is to send instead. */
 static gboolean
 apply_next_action (QuinceWeightLoad *load, const QuinceLoadNext *next)
 {
@@ -107,7 +107,8 @@
 
 static const QuinceHttpExchangeCallbacks order_callbacks = { .done = order_done };
 
-/* Whether @worker (nullable) may be sent something now; else what follows. */
+/* Returns whether an order or a request for the report may be sent to @worker (nullable) now; otherwise polls
+ * later or ends the load, which frees it. */
 static gboolean
 check_may_send (QuinceWeightLoad *load, const QuinceWorker *worker, gboolean is_order, gboolean may_order)
 {
--- a/daemons/replica/weight-load.h
+++ b/daemons/replica/weight-load.h
@@ -1,10 +1,9 @@
 /*
- * weight-load.h: brings one worker to a version of a model: asks for its report, orders the load, polls until
- * it has loaded.
+ * weight-load.h: loads a version of a model at one worker: requests the worker's report, orders the load, and
+ * polls until the worker has the version.
  *
- * For: weight-orders.c.  Owns: one exchange with the worker, one timer.  Relies on:
- * core/decisions/load-next.h for the rules; the worker, which refuses an order whose fence is old or whose
- * number of orders taken is not its own.
+ * core/decisions/load-next.h decides each step.  The worker refuses an order with an outdated fencing token,
+ * or with a number of accepted orders that differs from its own count.
  */
 #pragma once
 
@@ -15,8 +14,8 @@
 /**
  * QuinceWeightLoadContext:
  * @holder: name of this machine
- * @may_order: whether orders may be given now, and under which fence
- * @ended: the load is over and is released by this call; @good: the worker has the version
+ * @may_order: returns whether orders may be sent now, and sets the fencing token
+ * @ended: called when the load ends; frees the load.  @success: the worker has the version
  */
 typedef struct
 {
@@ -27,18 +26,19 @@
   gpointer user_data;
 } QuinceWeightLoadContext;
 
-/* @owner must outlive the load.  @retain: runs go on under the new version; else they end first */
+/* @context: must outlive the load; @retain: running requests continue under the new version; otherwise the
+ * worker finishes them before it loads */
 QuinceWeightLoad *quince_weight_load_new (const QuinceWeightLoadContext *context,
                                           const QuinceWorker *worker,
                                           const char *model,
                                           guint64 version,
                                           gboolean retain);
-/* Begins it, once; it may end before this returns. */
+/* Starts the load; to be called once.  The load may end, and be freed, before the call returns. */
 void quince_weight_load_start (QuinceWeightLoad *load);
-/* What was ordered may be carried out all the same. */
+/* Frees the load.  The worker may still execute an order that was sent. */
 void quince_weight_load_free (QuinceWeightLoad *load);
-/* (transfer none) */
+/* Returns (transfer none): the id of the worker, or the name of its service */
 const char *quince_weight_load_get_worker (const QuinceWeightLoad *load);
 const char *quince_weight_load_get_service (const QuinceWeightLoad *load);
-/* Monotonic time of the last order; 0: none was needed so far */
+/* Returns the monotonic time of the last order, us, or 0 if none was sent. */
 gint64 quince_weight_load_get_ordered_us (const QuinceWeightLoad *load);
--- a/daemons/replica/weight-orders.c
+++ b/daemons/replica/weight-orders.c
@@ -1,7 +1,8 @@
 /*
- * weight-orders.c: orders to workers to load weights, a few workers at a time.
+ * weight-orders.c: orders workers to load weights, a few workers at a time.
  *
- * Which model a worker is kept at: model-placement.h; which load waits: load-plan.h.
+ * model-placement.h assigns models to workers, load-plan.h defers loads, and load-turns.h decides which
+ * worker loads next.
  */
 #include "weight-orders.h"
 
@@ -15,18 +16,18 @@
 
 #include "weight-load.h"
 
-/* Interval of the checks of all workers, ms.  Not measured: a fraction of a load. */
+/* Interval between checks of all workers, ms: a fraction of the duration of a load. */
 #define CHECK_INTERVAL_MS 200
-/* Time from the end of a load to the next check, ms: loads that end at about the same time share one.  A load
- * takes 900 ms. */
+/* Delay from the end of a load to the next check, ms, so that loads that end at about the same time share one
+ * check. */
 #define CHECK_AFTER_LOAD_DELAY_MS 20
 
-/* What the last whole check of a service found. */
+/* Load window of a service, and its workers at the last check that was not started by the end of a load. */
 typedef struct
 {
   QuinceLoadWindow window;
-  GPtrArray *assigned_workers; /* ids, owned: of workers that are kept at a model */
-  guint n_usable;              /* workers that may load */
+  GPtrArray *assigned_workers; /* ids, owned: workers with an assigned model */
+  guint n_usable;              /* number of workers to which this process may send */
 } ServiceState;
 
 struct _QuinceWeightOrders
@@ -36,15 +37,14 @@
   QuinceObserver *observer;
   QuinceWeightOrdersOptions options;
   gpointer user_data;
-  QuinceWeightLoadContext load_context; /* of its loads */
-  GHashTable *loads;                    /* QuinceWeightLoad by its worker id, owned */
-  GHashTable *retry_times;              /* worker id to gint64: no order before */
-  GHashTable *first_seen;               /* SeenVersion by model, both owned */
-  GHashTable *services;                 /* ServiceState by name, both owned */
+  QuinceWeightLoadContext load_context; /* shared by all loads */
+  GHashTable *loads;                    /* worker id to QuinceWeightLoad, which owns the id; owned */
+  GHashTable *retry_times; /* worker id to gint64, both owned: monotonic time of the next attempt, us */
+  GHashTable *first_seen;  /* model to SeenVersion, both owned */
+  GHashTable *services;    /* service name to ServiceState, both owned */
   QuinceTimer *timer;
   QuinceTimer *after_load_timer;
-  gboolean
-      check_follows_load; /* this check follows a load: workers and models are the same as at the last one */
+  gboolean check_follows_load; /* skips the assignment of models in this check */
 };
 
 /* ---- Loads ------------------------------------------------------------ */
@@ -117,7 +117,7 @@
     orders->after_load_timer = quince_timer_add (CHECK_AFTER_LOAD_DELAY_MS, check_after_load, orders);
 }
 
-/* ---- Which workers ---------------------------------------------------- */
+/* ---- Choice of workers ------------------------------------------------ */
 
 static guint
 count_service_loads (QuinceWeightOrders *orders, const char *service)
@@ -162,7 +162,7 @@
   quince_weight_load_start (load);
 }
 
-/* When a version was first seen here. */
+/* The version of a model that was seen last, and the monotonic time at which it was first seen. */
 typedef struct
 {
   guint64 version;
@@ -180,7 +180,7 @@
   return 0;
 }
 
-/* The model that @worker was brought to last; NULL: none yet. */
+/* Returns the model of which @worker has the highest version above 1, or NULL if there is none. */
 static const char *
 get_held_model (const QuinceWorker *worker)
 {
@@ -229,7 +229,7 @@
   set_placement_metrics (orders, service, usable);
 }
 
-/* Whether @worker, which is behind, loads now if it comes to its turn. */
+/* Returns whether @worker, which does not have the wanted version, may load it now. */
 static gboolean
 may_load (QuinceWeightOrders *orders,
           gint64 now_us,
@@ -279,7 +279,7 @@
     }
 }
 
-/* Deals out placement, and finds the workers that have one. */
+/* Assigns models to the workers of a service, and updates the list of workers with an assigned model. */
 static void
 update_assignments (QuinceWeightOrders *orders,
                     gint64 now_us,
--- a/daemons/replica/weight-orders.h
+++ b/daemons/replica/weight-orders.h
@@ -1,10 +1,9 @@
 /*
- * weight-orders.h: brings workers to the versions of the weights that trainers name.
+ * weight-orders.h: orders workers to load the weight versions that trainers announce.
  *
- * Only the ledger's leader orders, with its epoch as the fencing token.
- *
- * For: the replica, while it leads.  Owns: the loads in progress, the load window of each service.  Relies
- * on: core/weights for which worker loads, weight-load.c for each load.
+ * Only the ledger's leader sends orders, with its epoch as the fencing token.  The object exists while this
+ * replica leads, and owns the loads in progress and the load window of each service.  core/weights decides
+ * which worker loads next; weight-load.c performs each load.
  */
 #pragma once
 
@@ -15,8 +14,13 @@
 
 typedef struct _QuinceWeightOrders QuinceWeightOrders;
 
-/* @holder: name of this machine; @may_order: whether orders may be given now; @loaded: a worker has other
- * weights; @describe: fills in the samples that wait and run now */
+/**
+ * QuinceWeightOrdersOptions:
+ * @holder: name of this machine, not copied
+ * @may_order: returns whether orders may be sent now, and sets the fencing token
+ * @loaded: called after a worker has loaded a version
+ * @fill_plan: adds the waiting and running samples to the plan
+ */
 typedef struct
 {
   const char *holder;
@@ -31,5 +35,6 @@
                                                 const QuinceWeightOrdersOptions *options,
                                                 gpointer user_data);
 void quince_weight_orders_stop (QuinceWeightOrders *orders);
-/* Versions, workers or time have changed. */
+/* Starts the loads that are due.  Called when versions or workers have changed, and periodically by a timer
+ * of the object. */
 void quince_weight_orders_check_loads (QuinceWeightOrders *orders);
--- a/daemons/replica/worker-scaler.c
+++ b/daemons/replica/worker-scaler.c
@@ -1,5 +1,5 @@
 /*
- * worker-scaler.c: orders workers from the platform in place of lost ones, and gives them back.
+ * worker-scaler.c: orders workers from the platform to replace lost ones, and releases surplus workers.
  */
 #include "worker-scaler.h"
 
@@ -12,11 +12,10 @@
 
 #include "platform.h"
 
-/* Longest call of the platform, us: an answer usually takes some ms.  A slower call may have been accepted
- * and is repeated.  Not measured. */
+/* Timeout of a call to the platform, us.  A call that times out is repeated, although the platform may have
+ * accepted it. */
 #define CALL_TIMEOUT_US (1500 * 1000)
-/* Interval between two counts of workers, us.  Not measured: the list of workers changes about as seldom, and
- * counting them and the open samples costs about 0.1 ms. */
+/* Interval between counts of workers, us. */
 #define CHECK_INTERVAL_US (400 * 1000)
 
 struct _QuinceWorkerScaler
@@ -31,11 +30,11 @@
   QuinceHttpPool *platform;
   QuinceScalePlan *plan;
   gboolean leads;
-  gint64 next_check_us; /* monotonic: next count */
+  gint64 next_check_us; /* monotonic: time of the next count */
 
-  QuinceHttpExchange *exchange; /* the order in progress; NULL: none */
+  QuinceHttpExchange *exchange; /* the order in flight; NULL: none */
   QuinceScaleOrder order;
-  char *service; /* owned: of that order */
+  char *service; /* owned: service of the order */
 };
 
 /* ---- Calls -------------------------------------------------------------- */
@@ -96,8 +95,9 @@
   return &g_array_index (zones, QuinceZoneWorkers, zones->len - 1);
 }
 
-/* A worker whose entry disappeared in an outage of the store still counts as serving: it likely runs.
- * Returns: (transfer full) (element-type QuinceZoneWorkers) */
+/* Counts the serving workers of each zone.  A worker whose entry disappeared during an outage of the store
+ * also counts while it is in the table, since it is probably running.
+ * Returns (transfer full) (element-type QuinceZoneWorkers) */
 static GArray *
 count_workers (QuinceWorkerScaler *scaler, const QuinceService *service)
 {
@@ -118,7 +118,8 @@
   return zones;
 }
 
-/* Workers that the open samples need to end in time; 0 where none is lost, when it doesn't matter. */
+/* Returns the number of workers that the open samples need to meet their deadlines.  Returns 0 without
+ * counting if this replica does not lead, no worker is lost, or the slots of a worker are unknown. */
 static guint
 get_workers_needed (QuinceWorkerScaler *scaler, const QuinceService *service)
 {
@@ -159,7 +160,7 @@
     }
 }
 
-/* ---- Leadership --------------------------------------------------------- */
+/* ---- Leadership and construction ---------------------------------------- */
 
 void
 quince_worker_scaler_start_leading (QuinceWorkerScaler *scaler)
--- a/daemons/replica/worker-scaler.h
+++ b/daemons/replica/worker-scaler.h
@@ -1,11 +1,9 @@
 /*
- * worker-scaler.h: orders workers from the platform in place of lost ones, and gives them back.
+ * worker-scaler.h: orders workers from the platform to replace lost ones, and releases surplus workers.
  *
- * Only the ledger's leader orders, with its epoch as the fencing token, one call at a time.  All replicas
- * count the workers of each zone, so that a new leader knows how many there were; the decisions are those of
- * core/scaling/scale-plan.h.
- *
- * Owns the plan, the connections to the platform and the order in progress.
+ * Only the ledger's leader sends orders, one at a time, with its epoch as the fencing token.  All replicas
+ * count the workers of each zone, so that a new leader knows the initial numbers.  core/scaling/scale-plan.h
+ * decides on the orders.  The scaler owns the plan, the connections to the platform and the order in flight.
  */
 #pragma once
 
@@ -18,9 +16,10 @@
 /**
  * QuinceWorkerScalerOptions:
  * @holder: name of this machine, copied
- * @address: ip:port of the platform's calls
+ * @address: ip:port of the platform's API
  * @ledger, @backends, @observer: (transfer none): must outlive the scaler
- * @count_needed: slots at workers of a service that its open samples need to end in time
+ * @get_slots_needed: returns the number of worker slots that the open samples of a service need to meet their
+ *   deadlines
  */
 typedef struct
 {
@@ -36,7 +35,6 @@
 void quince_worker_scaler_free (QuinceWorkerScaler *scaler); /* (nullable) */
 void quince_worker_scaler_start_leading (QuinceWorkerScaler *scaler);
 void quince_worker_scaler_stop_leading (QuinceWorkerScaler *scaler);
-/* Counts workers and orders what is due; to be called several times a second, whether this replica leads or
- * not.
- */
+/* Counts workers; at the leader, also sends the next order.  To be called several times a second at all
+ * replicas. */
 void quince_worker_scaler_step (QuinceWorkerScaler *scaler);
