--- a/daemons/replica/replica-store-events.c
+++ b/daemons/replica/replica-store-events.c
@@ -46,7 +46,7 @@
 {
   const QuinceReplicaParts *parts = data;
   quince_retirement_set_nodes (parts->retirement, nodes);
-  quince_residency_coordinator_set_draining (parts->residency, nodes);
+  quince_residency_coordinator_set_draining_nodes (parts->residency, nodes);
 }
 
 /* Workers of evacuated zones were removed or came back, so weight loads and samples are checked again. */
--- a/daemons/replica/residency-coordinator.c
+++ b/daemons/replica/residency-coordinator.c
@@ -68,7 +68,7 @@
 }
 
 static gboolean
-is_draining_machine (const QuinceResidencyCoordinator *coordinator, const char *node)
+is_draining_node (const QuinceResidencyCoordinator *coordinator, const char *node)
 {
   return coordinator->draining != NULL && g_strv_contains ((const char *const *)coordinator->draining, node);
 }
@@ -77,7 +77,7 @@
 write_zone (QuinceResidencyCoordinator *coordinator, gint64 now_us)
 {
   if (!coordinator->several_regions || coordinator->zone_written || now_us < coordinator->next_zone_write_us
-      || is_draining_machine (coordinator, coordinator->name)
+      || is_draining_node (coordinator, coordinator->name)
       || !quince_observer_is_synced (coordinator->observer)
       || quince_meta_store_is_failing (coordinator->store))
     return;
@@ -132,7 +132,8 @@
 }
 
 void
-quince_residency_coordinator_set_draining (QuinceResidencyCoordinator *coordinator, const char *const *nodes)
+quince_residency_coordinator_set_draining_nodes (QuinceResidencyCoordinator *coordinator,
+                                                 const char *const *nodes)
 {
   g_strfreev (coordinator->draining);
   coordinator->draining = g_strdupv ((char **)nodes);
@@ -229,7 +230,7 @@
 }
 
 static void
-set_confinement (QuinceResidencyCoordinator *coordinator, const GPtrArray *nodes)
+set_allowed_nodes (QuinceResidencyCoordinator *coordinator, const GPtrArray *nodes)
 {
   g_auto (GStrv) names = NULL;
   if (nodes != NULL)
@@ -257,11 +258,11 @@
  * configuration restricts nothing, or fewer machines than the quorum qualify, confines it to the machines
  * that may store the current batches instead, or lifts the confinement if no batch is restricted. */
 static void
-confine_ledger (QuinceResidencyCoordinator *coordinator, const GPtrArray *entries)
+update_allowed_nodes (QuinceResidencyCoordinator *coordinator, const GPtrArray *entries)
 {
   if (!quince_backends_has_region_rules (coordinator->backends))
     {
-      set_confinement (coordinator, NULL);
+      set_allowed_nodes (coordinator, NULL);
       return;
     }
   g_autoptr (GArray) configured_residencies = collect_configured_residencies (coordinator);
@@ -269,9 +270,9 @@
   g_autoptr (GPtrArray) machines_for_configured = list_allowed_machines (coordinator, configured_residencies);
   g_autoptr (GPtrArray) machines_for_batches = list_allowed_machines (coordinator, batch_residencies);
   if (configured_residencies->len > 0 && machines_for_configured->len >= coordinator->quorum)
-    set_confinement (coordinator, machines_for_configured);
+    set_allowed_nodes (coordinator, machines_for_configured);
   else
-    set_confinement (coordinator, batch_residencies->len > 0 ? machines_for_batches : NULL);
+    set_allowed_nodes (coordinator, batch_residencies->len > 0 ? machines_for_batches : NULL);
 }
 
 /* Counts and logs the members outside the confinement.  They remain members while too few other
@@ -303,7 +304,7 @@
       || quince_observer_get_routes (coordinator->observer) == NULL)
     return; /* not the leader, or the routes are not known yet: the confinement stays */
   remove_zone (coordinator, now);
-  confine_ledger (coordinator, entries);
+  update_allowed_nodes (coordinator, entries);
   report_disallowed_members (coordinator, now);
 }
 
@@ -332,7 +333,7 @@
   admitted->path = g_strdup (path);
   admitted->tenant = g_strdup (tenant);
   g_hash_table_replace (coordinator->admitted, g_strdup (id), admitted);
-  confine_ledger (coordinator, entries);
+  update_allowed_nodes (coordinator, entries);
   return TRUE;
 }
 
--- a/daemons/replica/residency-coordinator.h
+++ b/daemons/replica/residency-coordinator.h
@@ -35,8 +35,8 @@
                                                     GBytes *value);
 /* Sets the draining machines (nullable).  The leader removes the zone of another draining machine from the
  * store when the machine is no longer a ledger member.  A draining machine does not write its zone. */
-void quince_residency_coordinator_set_draining (QuinceResidencyCoordinator *coordinator,
-                                                const char *const *nodes);
+void quince_residency_coordinator_set_draining_nodes (QuinceResidencyCoordinator *coordinator,
+                                                      const char *const *nodes);
 /* Writes the zone of this machine; at the leader, also confines the ledger.  To be called several times a
  * second.  @entries: (nullable) (element-type QuinceBatchEntry): the batches in the ledger; %NULL: this
  * replica does not lead */
