--- a/daemons/replica/quarantine-coordinator.c
+++ b/daemons/replica/quarantine-coordinator.c
@@ -342,10 +342,10 @@
   quince_quarantine_expire (get_quarantine (coordinator), now);
   if (!quince_suspect_reporter_is_active (coordinator->reporter))
     return;
-  g_autoptr (GPtrArray) all = quince_quarantine_list (get_quarantine (coordinator));
-  for (guint i = 0; i < all->len; i++)
+  g_autoptr (GPtrArray) suspects = quince_quarantine_list (get_quarantine (coordinator));
+  for (guint i = 0; i < suspects->len; i++)
     {
-      const QuinceSuspect *suspect = all->pdata[i];
+      const QuinceSuspect *suspect = suspects->pdata[i];
       if (!is_software_replaced (coordinator, suspect))
         continue;
       g_autofree char *digest = quince_request_digest_format (&suspect->digest);
@@ -353,6 +353,6 @@
       quince_quarantine_release (get_quarantine (coordinator), now, &suspect->digest);
       quince_suspect_reporter_queue_change (coordinator->reporter, &suspect->digest);
     }
-  quince_suspect_reporter_step (coordinator->reporter, all);
-  quince_quarantine_keys_sync (coordinator->keys, all);
+  quince_suspect_reporter_step (coordinator->reporter, suspects);
+  quince_quarantine_keys_sync (coordinator->keys, suspects);
 }
--- a/daemons/replica/quarantine-keys.c
+++ b/daemons/replica/quarantine-keys.c
@@ -109,13 +109,13 @@
 
 /* One write at a time is enough: holds and releases are rare. */
 void
-quince_quarantine_keys_sync (QuinceQuarantineKeys *keys, const GPtrArray *all)
+quince_quarantine_keys_sync (QuinceQuarantineKeys *keys, const GPtrArray *suspects)
 {
   if (keys->write_in_progress || quince_now_us () < keys->next_write_us)
     return;
-  for (guint i = 0; i < all->len; i++)
+  for (guint i = 0; i < suspects->len; i++)
     {
-      const QuinceSuspect *suspect = all->pdata[i];
+      const QuinceSuspect *suspect = suspects->pdata[i];
       g_autofree char *name = quince_request_digest_format (&suspect->digest);
       if (!suspect->held || g_hash_table_contains (keys->saved, name))
         continue;
--- a/daemons/replica/quarantine-keys.h
+++ b/daemons/replica/quarantine-keys.h
@@ -19,5 +19,5 @@
  * (nullable): %NULL: the key was removed */
 void quince_quarantine_keys_apply_entry (QuinceQuarantineKeys *keys, const char *name, GBytes *value);
 /* Writes or removes one key that differs from the quarantine.  The leader calls it several times a second.
- * @all: (element-type QuinceSuspect): all suspects of the quarantine */
-void quince_quarantine_keys_sync (QuinceQuarantineKeys *keys, const GPtrArray *all);
+ * @suspects: (element-type QuinceSuspect): all suspects of the quarantine */
+void quince_quarantine_keys_sync (QuinceQuarantineKeys *keys, const GPtrArray *suspects);
--- a/daemons/replica/residency-coordinator.c
+++ b/daemons/replica/residency-coordinator.c
@@ -34,7 +34,7 @@
   gint64 next_zone_write_us;   /* monotonic: earliest time of the next write of the zone */
   char **draining;             /* (nullable): names of draining machines */
   gint64 next_zone_removal_us; /* monotonic: earliest time of the next removal */
-  char **confined;             /* machines that the ledger is confined to; NULL: all */
+  char **allowed_nodes;        /* machines that the ledger is confined to; NULL: all */
   gint64 last_unmet_log_us;
   GHashTable *admitted; /* batch id to AdmittedBatch, both owned: not in the ledger's entries yet */
 };
@@ -240,18 +240,18 @@
         names[i] = g_strdup (nodes->pdata[i]);
     }
   gboolean unchanged
-      = (names == NULL) == (coordinator->confined == NULL)
+      = (names == NULL) == (coordinator->allowed_nodes == NULL)
         && (names == NULL
-            || g_strv_equal ((const char *const *)names, (const char *const *)coordinator->confined));
+            || g_strv_equal ((const char *const *)names, (const char *const *)coordinator->allowed_nodes));
   if (!unchanged)
     {
       g_autofree char *text = names != NULL ? g_strjoinv (",", names) : g_strdup ("all");
       quince_log_notice ("ledger_confined", "nodes=%s", text);
-      g_strfreev (coordinator->confined);
-      coordinator->confined = g_steal_pointer (&names);
+      g_strfreev (coordinator->allowed_nodes);
+      coordinator->allowed_nodes = g_steal_pointer (&names);
     }
   /* Also without a change: a new leader sends records only to members until the ledger has been confined. */
-  quince_ledger_node_set_allowed_nodes (coordinator->ledger, (const char *const *)coordinator->confined);
+  quince_ledger_node_set_allowed_nodes (coordinator->ledger, (const char *const *)coordinator->allowed_nodes);
 }
 
 /* Confines the ledger to the machines that may store batches of all configured routes and tenants.  If the
@@ -282,11 +282,12 @@
 {
   const QuinceLedgerView *view = quince_ledger_node_get_view (coordinator->ledger);
   g_autoptr (GString) names = g_string_new (NULL);
-  guint n_outside = 0;
-  for (guint i = 0; view != NULL && coordinator->confined != NULL && i < view->members.members_len; i++)
-    if (!g_strv_contains ((const char *const *)coordinator->confined, view->members.members_val[i].node))
-      g_string_append_printf (names, "%s%s", n_outside++ > 0 ? "," : "", view->members.members_val[i].node);
-  quince_metric_set ("quince_replica_members_outside", "", n_outside);
+  guint n_disallowed = 0;
+  for (guint i = 0; view != NULL && coordinator->allowed_nodes != NULL && i < view->members.members_len; i++)
+    if (!g_strv_contains ((const char *const *)coordinator->allowed_nodes, view->members.members_val[i].node))
+      g_string_append_printf (names, "%s%s", n_disallowed++ > 0 ? "," : "",
+                              view->members.members_val[i].node);
+  quince_metric_set ("quince_replica_members_outside", "", n_disallowed);
   if (names->len == 0 || now_us - coordinator->last_unmet_log_us < UNMET_LOG_INTERVAL_US)
     return;
   coordinator->last_unmet_log_us = now_us;
@@ -394,7 +395,7 @@
     return;
   quince_machine_zones_free (coordinator->zones);
   g_hash_table_unref (coordinator->admitted);
-  g_strfreev (coordinator->confined);
+  g_strfreev (coordinator->allowed_nodes);
   g_strfreev (coordinator->draining);
   g_free (coordinator->name);
   g_free (coordinator);
--- a/daemons/replica/suspect-reporter.c
+++ b/daemons/replica/suspect-reporter.c
@@ -187,8 +187,8 @@
 void
 quince_suspect_reporter_send_all (QuinceSuspectReporter *reporter)
 {
-  g_autoptr (GPtrArray) all = quince_quarantine_list (reporter->quarantine);
-  g_autoptr (GBytes) encoded = encode_suspects (reporter, all);
+  g_autoptr (GPtrArray) suspects = quince_quarantine_list (reporter->quarantine);
+  g_autoptr (GBytes) encoded = encode_suspects (reporter, suspects);
   send_to_all (reporter, encoded);
 }
 
@@ -197,22 +197,22 @@
 {
   if (!quince_suspect_reporter_is_active (reporter))
     return;
-  g_autoptr (GPtrArray) all = quince_quarantine_list (reporter->quarantine);
-  g_autoptr (GBytes) encoded = encode_suspects (reporter, all);
+  g_autoptr (GPtrArray) suspects = quince_quarantine_list (reporter->quarantine);
+  g_autoptr (GBytes) encoded = encode_suspects (reporter, suspects);
   if (encoded != NULL)
     quince_link_send_bytes (link, encoded);
 }
 
 /* A new successor has no reports of requests at which a single worker ended. */
 void
-quince_suspect_reporter_step (QuinceSuspectReporter *reporter, const GPtrArray *all)
+quince_suspect_reporter_step (QuinceSuspectReporter *reporter, const GPtrArray *suspects)
 {
   guint64 successor
       = reporter->ledger != NULL ? quince_ledger_node_get_successor_serial (reporter->ledger) : 0;
   if (successor == reporter->informed_successor)
     return;
   reporter->informed_successor = successor;
-  g_autoptr (GBytes) encoded = encode_suspects (reporter, all);
+  g_autoptr (GBytes) encoded = encode_suspects (reporter, suspects);
   send_to_successor (reporter, encoded);
 }
 
--- a/daemons/replica/suspect-reporter.h
+++ b/daemons/replica/suspect-reporter.h
@@ -46,6 +46,6 @@
 /* Sends all suspects to all processes, or to @link, which was added to the set. */
 void quince_suspect_reporter_send_all (QuinceSuspectReporter *reporter);
 void quince_suspect_reporter_send_all_to (QuinceSuspectReporter *reporter, QuinceLink *link);
-/* Sends all suspects to the successor if it is new.  To be called several times a second.  @all:
+/* Sends all suspects to the successor if it is new.  To be called several times a second.  @suspects:
  * (element-type QuinceSuspect): all suspects of the quarantine */
-void quince_suspect_reporter_step (QuinceSuspectReporter *reporter, const GPtrArray *all);
+void quince_suspect_reporter_step (QuinceSuspectReporter *reporter, const GPtrArray *suspects);
