--- a/daemons/replica/residency-coordinator.c
+++ b/daemons/replica/residency-coordinator.c
@@ -15,7 +15,7 @@
 /* Minimum interval between attempts to write the zone of this machine, and between removals of zones, us.
  * Limits the calls while the store is unavailable. */
 #define ZONE_WRITE_INTERVAL_MIN_US (2 * G_USEC_PER_SEC)
-/* Minimum interval between log lines about members outside the confinement, us. */
+/* Minimum interval between log lines about ledger members that are not allowed nodes, us. */
 #define UNMET_LOG_INTERVAL_US (5 * G_USEC_PER_SEC)
 
 struct _QuinceResidencyCoordinator
@@ -34,7 +34,7 @@
   gint64 next_zone_write_us;   /* monotonic: earliest time of the next write of the zone */
   char **draining;             /* (nullable): names of draining machines */
   gint64 next_zone_removal_us; /* monotonic: earliest time of the next removal */
-  char **allowed_nodes;        /* machines that the ledger is confined to; NULL: all */
+  char **allowed_nodes;        /* machines that may store the ledger's records; NULL: all */
   gint64 last_unmet_log_us;
   GHashTable *admitted; /* batch id to AdmittedBatch, both owned: not in the ledger's entries yet */
 };
@@ -109,8 +109,8 @@
     quince_log_warning ("place_not_removed", "code=%d", error->code);
 }
 
-/* Removes the zone of a drained machine from the store, so that it may no longer store batches.  Removes one
- * zone at a time: the store usually reports the removal before the next one is due. */
+/* Removes the zone of a drained machine from the store, so that it may no longer store restricted batches.
+ * Removes one zone at a time: the store usually reports the removal before the next one is due. */
 static void
 remove_zone (QuinceResidencyCoordinator *coordinator, gint64 now_us)
 {
@@ -168,8 +168,7 @@
     g_array_append_val (restrictions, *residency);
 }
 
-/* Returns (transfer full) (element-type QuinceResidency): the restrictions of all rollout routes and tenants
- */
+/* Returns (transfer full) (element-type QuinceResidency): restrictions of all rollout routes and tenants */
 static GArray *
 collect_configured_residencies (QuinceResidencyCoordinator *coordinator)
 {
@@ -220,7 +219,7 @@
   return restrictions;
 }
 
-/* ---- Confinement of the ledger --------------------------------------------- */
+/* ---- Allowed nodes of the ledger ------------------------------------------- */
 
 static GPtrArray *
 list_allowed_machines (QuinceResidencyCoordinator *coordinator, const GArray *restrictions)
@@ -250,13 +249,13 @@
       g_strfreev (coordinator->allowed_nodes);
       coordinator->allowed_nodes = g_steal_pointer (&names);
     }
-  /* Also without a change: a new leader sends records only to members until the ledger has been confined. */
+  /* Also needed without a change: a new leader sends records only to members until this call. */
   quince_ledger_node_set_allowed_nodes (coordinator->ledger, (const char *const *)coordinator->allowed_nodes);
 }
 
-/* Confines the ledger to the machines that may store batches of all configured routes and tenants.  If the
- * configuration restricts nothing, or fewer machines than the quorum qualify, confines it to the machines
- * that may store the current batches instead, or lifts the confinement if no batch is restricted. */
+/* Allows the machines that may store batches of all configured routes and tenants.  If the configuration
+ * restricts nothing, or fewer machines than the quorum qualify, allows the machines that may store the
+ * current batches instead, or all machines if no batch is restricted. */
 static void
 update_allowed_nodes (QuinceResidencyCoordinator *coordinator, const GPtrArray *entries)
 {
@@ -275,7 +274,7 @@
     set_allowed_nodes (coordinator, batch_residencies->len > 0 ? machines_for_batches : NULL);
 }
 
-/* Counts and logs the members outside the confinement.  They remain members while too few other
+/* Counts and logs the ledger members that are not allowed nodes.  They remain members while too few allowed
  * machines can replace them. */
 static void
 report_disallowed_members (QuinceResidencyCoordinator *coordinator, gint64 now_us)
@@ -303,7 +302,7 @@
     quince_metric_set ("quince_replica_members_outside", "", 0); /* only the leader counts them */
   if (!coordinator->several_regions || entries == NULL
       || quince_observer_get_routes (coordinator->observer) == NULL)
-    return; /* not the leader, or the routes are not known yet: the confinement stays */
+    return; /* not the leader, or the routes are not known yet: the allowed nodes stay */
   remove_zone (coordinator, now);
   update_allowed_nodes (coordinator, entries);
   report_disallowed_members (coordinator, now);
--- a/daemons/replica/residency-coordinator.h
+++ b/daemons/replica/residency-coordinator.h
@@ -3,8 +3,8 @@
  * routes and tenants allow.
  *
  * In a deployment with several regions, each replica writes its zone to the metadata store.  The leader
- * confines the ledger to machines that may store its batches, and admits no batch that a ledger member may
- * not store.
+ * sets the allowed nodes of the ledger to the machines that may store its batches, and admits no batch that a
+ * ledger member may not store.
  *
  * The coordinator owns the zones of the machines and the set of admitted batches.  All functions must be
  * called from the main context.
@@ -37,14 +37,14 @@
  * store when the machine is no longer a ledger member.  A draining machine does not write its zone. */
 void quince_residency_coordinator_set_draining_nodes (QuinceResidencyCoordinator *coordinator,
                                                       const char *const *nodes);
-/* Writes the zone of this machine; at the leader, also confines the ledger.  To be called several times a
- * second.  @entries: (nullable) (element-type QuinceBatchEntry): the batches in the ledger; %NULL: this
- * replica does not lead */
+/* Writes the zone of this machine; at the leader, also updates the allowed nodes of the ledger.  To be called
+ * several times a second.  @entries: (nullable) (element-type QuinceBatchEntry): the batches in the ledger;
+ * %NULL: this replica does not lead */
 void quince_residency_coordinator_step (QuinceResidencyCoordinator *coordinator, const GPtrArray *entries);
 /* Returns whether all ledger members may store the batch @id of this route and tenant; %FALSE also if there
- * are several regions and the routes are not known yet.  With several regions, the ledger stays confined to
- * machines that may store the batch until quince_residency_coordinator_remove_admitted().  Only called at the
- * leader. */
+ * are several regions and the routes are not known yet.  With several regions, the allowed nodes of the
+ * ledger take the batch into account until quince_residency_coordinator_remove_admitted().  Only called at
+ * the leader. */
 gboolean quince_residency_coordinator_admit (QuinceResidencyCoordinator *coordinator,
                                              const GPtrArray *entries,
                                              const char *id,
--- a/daemons/replica/warmup-coordinator.h
+++ b/daemons/replica/warmup-coordinator.h
@@ -26,8 +26,7 @@
 void quince_warmup_coordinator_set_observer (QuinceWarmupCoordinator *coordinator, QuinceObserver *observer);
 /* Returns (transfer none): the limiter, for quince_backends_set_warmup() */
 QuinceWarmupSends *quince_warmup_coordinator_get_sends (QuinceWarmupCoordinator *coordinator);
-/* Starts a term of this process as leader.  It grants no lease until those of the former leader have expired.
- */
+/* Starts a term of this process as leader.  Leases of the former leader must expire before it grants any. */
 void quince_warmup_coordinator_start_leading (QuinceWarmupCoordinator *coordinator);
 /* Returns whether @message is a lease request; the request is answered on @link. */
 gboolean quince_warmup_coordinator_handle_message (QuinceWarmupCoordinator *coordinator,
--- a/daemons/replica/weight-load.c
+++ b/daemons/replica/weight-load.c
@@ -14,8 +14,7 @@
 
 #include "platform.h"
 
-/* Timeout of a worker's answer to an order or to a request for its report, us: about the duration of a load.
- */
+/* Timeout of an order or of a request for a worker's report, us: about the duration of a load. */
 #define CALL_TIMEOUT_US (900 * 1000)
 
 struct _QuinceWeightLoad
