--- a/daemons/front/caller-connection.c
+++ b/daemons/front/caller-connection.c
@@ -20,14 +20,14 @@
 /* Longest request body, bytes. */
 #define BODY_MAX_BYTES (64 * 1024 * 1024)
 /* Connections without a request are closed after it, ms. */
-#define IDLE_MS 15000
+#define DEFAULT_IDLE_TIMEOUT_MS 15000
 /* Longest time to read a request head, ms; also the first check of a new connection. */
-#define HEAD_MS 3000
+#define DEFAULT_HEAD_TIMEOUT_MS 3000
 /* Added to the idle limit, ms: a caller may send on a connection that has been idle for nearly the whole
  * limit, and a close at that moment would lose the request.  Not measured: above any round trip. */
-#define IDLE_MARGIN_MS 1000
+#define IDLE_TIMEOUT_MARGIN_MS 1000
 /* Size of an answer's head that a text buffer is first allocated for, bytes; it grows if needed. */
-#define ANSWER_HEAD_BYTES 512
+#define ANSWER_HEAD_INITIAL_BYTES 512
 
 struct _QuinceCallerConnection
 {
@@ -42,10 +42,10 @@
   QuinceCallerRequest *request; /* being answered; NULL: none */
   gboolean answering;           /* a request was read and has no whole answer yet */
   gboolean keep_alive;
-  gboolean truncated;   /* a piece of the answer was left out, since the caller does not read */
-  gint64 received_us;   /* when the head of the last request was read */
-  gint64 idle_since_us; /* end of the last answer, or start of the connection */
-  gint64 head_since_us; /* when an unfinished head was first seen by the timer; 0: none */
+  gboolean truncated;           /* a piece of the answer was left out, since the caller does not read */
+  gint64 received_us;           /* when the head of the last request was read */
+  gint64 idle_since_us;         /* end of the last answer, or start of the connection */
+  gint64 partial_head_since_us; /* when an unfinished head was first seen by the timer; 0: none */
   QuinceTimer *timer;
 };
 
@@ -66,7 +66,7 @@
 }
 
 void
-quince_caller_connection_drop (QuinceCallerConnection *connection)
+quince_caller_connection_close (QuinceCallerConnection *connection)
 {
   quince_http_connection_close (connection->http);
   connection_free (connection);
@@ -81,13 +81,13 @@
 /* ---- Limits ----------------------------------------------------------- */
 
 static QuinceCallerLimits
-limits_now (const QuinceFrontContext *context)
+get_current_limits (const QuinceFrontContext *context)
 {
   QuinceRouteTable *routes = quince_observer_get_routes (context->observer);
   const QuinceCallerLimits unknown = { .max_head_bytes = HEAD_MAX_BYTES,
                                        .max_body_bytes = BODY_MAX_BYTES,
-                                       .head_timeout_ms = HEAD_MS,
-                                       .idle_timeout_ms = IDLE_MS };
+                                       .head_timeout_ms = DEFAULT_HEAD_TIMEOUT_MS,
+                                       .idle_timeout_ms = DEFAULT_IDLE_TIMEOUT_MS };
   return routes != NULL ? *quince_route_table_get_limits (routes) : unknown;
 }
 
@@ -102,7 +102,7 @@
 }
 
 static void
-watch_time (QuinceCallerConnection *connection, guint wait_ms)
+schedule_timeout_check (QuinceCallerConnection *connection, guint wait_ms)
 {
   quince_timer_clear (&connection->timer);
   connection->timer = quince_timer_add (MAX (wait_ms, 1), check_time, connection);
@@ -113,15 +113,16 @@
 check_time (gpointer data)
 {
   QuinceCallerConnection *connection = data;
-  const QuinceCallerLimits limits = limits_now (connection->context);
+  const QuinceCallerLimits limits = get_current_limits (connection->context);
   gint64 now = quince_now_us ();
   gint64 head_us = (gint64)limits.head_timeout_ms * 1000;
-  gint64 idle_us = ((gint64)limits.idle_timeout_ms + IDLE_MARGIN_MS) * 1000;
+  gint64 idle_us = ((gint64)limits.idle_timeout_ms + IDLE_TIMEOUT_MARGIN_MS) * 1000;
   gint64 left_us = MAX (connection->idle_since_us, connection->received_us) + idle_us - now;
   if (is_reading_head (connection))
     {
-      connection->head_since_us = connection->head_since_us > 0 ? connection->head_since_us : now;
-      if (now - connection->head_since_us >= head_us)
+      connection->partial_head_since_us
+          = connection->partial_head_since_us > 0 ? connection->partial_head_since_us : now;
+      if (now - connection->partial_head_since_us >= head_us)
         {
           refuse_input (connection, 408);
           return G_SOURCE_REMOVE;
@@ -130,17 +131,17 @@
   if (connection->answering || left_us > 0)
     {
       gint64 wait_us = connection->answering ? idle_us / 2 : left_us;
-      watch_time (connection, (guint)(MIN (wait_us, head_us) / 1000));
+      schedule_timeout_check (connection, (guint)(MIN (wait_us, head_us) / 1000));
       return G_SOURCE_REMOVE;
     }
-  quince_caller_connection_drop (connection);
+  quince_caller_connection_close (connection);
   return G_SOURCE_REMOVE;
 }
 
 /* ---- Answers ---------------------------------------------------------- */
 
 static const char *
-reason_of (guint status)
+get_reason_phrase (guint status)
 {
   static const struct
   {
@@ -184,8 +185,8 @@
 answer (QuinceCallerConnection *connection, const QuinceCallerAnswer *answer)
 {
   gboolean keep = connection->keep_alive && !connection->context->stopping;
-  g_autoptr (GString) text = g_string_sized_new (ANSWER_HEAD_BYTES + answer->body_length);
-  g_string_append_printf (text, "HTTP/1.1 %u %s\r\n", answer->status, reason_of (answer->status));
+  g_autoptr (GString) text = g_string_sized_new (ANSWER_HEAD_INITIAL_BYTES + answer->body_length);
+  g_string_append_printf (text, "HTTP/1.1 %u %s\r\n", answer->status, get_reason_phrase (answer->status));
   append_headers (text, answer);
   if (!keep)
     g_string_append (text, "Connection: close\r\n");
@@ -204,7 +205,7 @@
 }
 
 static void
-request_done (const QuinceCallerAnswer *result, gpointer data)
+write_complete_answer (const QuinceCallerAnswer *result, gpointer data)
 {
   QuinceCallerConnection *connection = data;
   connection->request = NULL;
@@ -219,12 +220,12 @@
 #define UNREAD_MAX_BYTES (1024 * 1024)
 
 static void
-request_begins (const QuinceCallerAnswer *result, gpointer data)
+write_answer_head (const QuinceCallerAnswer *result, gpointer data)
 {
   QuinceCallerConnection *connection = data;
   connection->keep_alive = connection->keep_alive && !connection->context->stopping;
-  g_autoptr (GString) text = g_string_sized_new (ANSWER_HEAD_BYTES);
-  g_string_append_printf (text, "HTTP/1.1 %u %s\r\n", result->status, reason_of (result->status));
+  g_autoptr (GString) text = g_string_sized_new (ANSWER_HEAD_INITIAL_BYTES);
+  g_string_append_printf (text, "HTTP/1.1 %u %s\r\n", result->status, get_reason_phrase (result->status));
   append_headers (text, result);
   if (!connection->keep_alive)
     g_string_append (text, "Connection: close\r\n");
@@ -233,11 +234,11 @@
 }
 
 static void
-request_data (const char *data, gsize length, gpointer user_data)
+write_answer_chunk (const char *data, gsize length, gpointer user_data)
 {
   QuinceCallerConnection *connection = user_data;
   if (quince_http_connection_get_output (connection->http) > UNREAD_MAX_BYTES)
-    return; /* the last chunk will be missing, see request_ends() */
+    return; /* the last chunk will be missing, see end_streamed_answer() */
   g_autofree char *size = g_strdup_printf ("%zx\r\n", length);
   g_autoptr (GString) chunk = g_string_new (size);
   g_string_append_len (chunk, data, (gssize)length);
@@ -248,7 +249,7 @@
 }
 
 static void
-request_ends (gboolean whole, gpointer data)
+end_streamed_answer (gboolean whole, gpointer data)
 {
   QuinceCallerConnection *connection = data;
   static const char last_chunk[] = "0\r\n\r\n";
@@ -273,8 +274,10 @@
   connection_free (connection);
 }
 
-static const QuinceCallerSink request_sink
-    = { .answer = request_done, .begin = request_begins, .data = request_data, .end = request_ends };
+static const QuinceCallerSink request_sink = { .answer = write_complete_answer,
+                                               .begin = write_answer_head,
+                                               .data = write_answer_chunk,
+                                               .end = end_streamed_answer };
 
 static void
 answer_status (QuinceCallerConnection *connection, guint status)
@@ -369,27 +372,27 @@
   quince_http_head_free (connection->head);
   connection->head = head;
   connection->received_us = quince_now_us ();
-  connection->head_since_us = 0;
+  connection->partial_head_since_us = 0;
   g_clear_pointer (&connection->body, g_byte_array_unref);
   connection->body = g_byte_array_new ();
   const char *length = quince_http_headers_get (head->headers, "Content-Length");
-  const QuinceCallerLimits limits = limits_now (connection->context);
+  const QuinceCallerLimits limits = get_current_limits (connection->context);
   if (length != NULL && g_ascii_strtoull (length, NULL, 10) > limits.max_body_bytes)
     {
       refuse_input (connection, 413);
       return;
     }
   const char *expect = quince_http_headers_get (head->headers, "Expect");
-  static const char go_on[] = "HTTP/1.1 100 Continue\r\n\r\n";
+  static const char continue_line[] = "HTTP/1.1 100 Continue\r\n\r\n";
   if (expect != NULL && g_ascii_strcasecmp (expect, "100-continue") == 0)
-    quince_http_connection_write (http, go_on, sizeof go_on - 1);
+    quince_http_connection_write (http, continue_line, sizeof continue_line - 1);
 }
 
 static void
 http_body (QuinceHttpConnection *http, const char *data, gsize length, gpointer user_data)
 {
   QuinceCallerConnection *connection = user_data;
-  if (connection->body->len + length > limits_now (connection->context).max_body_bytes)
+  if (connection->body->len + length > get_current_limits (connection->context).max_body_bytes)
     {
       refuse_input (connection, 413);
       return;
@@ -422,8 +425,8 @@
   connection->closed = closed;
   connection->user_data = user_data;
   connection->idle_since_us = quince_now_us ();
-  connection->http = quince_http_connection_new_server (socket, limits_now (context).max_head_bytes,
+  connection->http = quince_http_connection_new_server (socket, get_current_limits (context).max_head_bytes,
                                                         &http_callbacks, connection);
-  watch_time (connection, HEAD_MS);
+  schedule_timeout_check (connection, DEFAULT_HEAD_TIMEOUT_MS);
   return connection;
 }
--- a/daemons/front/caller-connection.h
+++ b/daemons/front/caller-connection.h
@@ -19,7 +19,7 @@
   QUINCE_LISTEN_CALLERS,   /* requests and calls about batches */
   QUINCE_LISTEN_READY,     /* the readiness check */
   QUINCE_LISTEN_DIRECTORY, /* which fronts to use */
-  QUINCE_LISTEN_KINDS,     /* how many there are */
+  QUINCE_LISTEN_N_KINDS,   /* how many there are */
 } QuinceListenKind;
 
 /* @connection is about to be released, by either side. */
@@ -39,6 +39,6 @@
                                                       QuinceCallerConnectionClosed closed,
                                                       gpointer user_data);
 /* Closes it at once; a request on it is cancelled. */
-void quince_caller_connection_drop (QuinceCallerConnection *connection);
+void quince_caller_connection_close (QuinceCallerConnection *connection);
 /* No request is being read or answered. */
 gboolean quince_caller_connection_is_idle (const QuinceCallerConnection *connection);
--- a/daemons/front/caller-listeners.c
+++ b/daemons/front/caller-listeners.c
@@ -9,8 +9,8 @@
 {
   /* All fields belong to the main context. */
   QuinceFrontContext *context;
-  QuinceAcceptor *acceptors[QUINCE_LISTEN_KINDS]; /* owned; NULL: closed */
-  GHashTable *connections;                        /* QuinceCallerConnection, which own themselves */
+  QuinceAcceptor *acceptors[QUINCE_LISTEN_N_KINDS]; /* owned; NULL: closed */
+  GHashTable *connections;                          /* QuinceCallerConnection, which own themselves */
 };
 
 static void
@@ -50,9 +50,9 @@
 {
   const char *key; /* of the section "listen" */
   void (*accepted) (GSocket *socket, gpointer data);
-} listen_kinds[QUINCE_LISTEN_KINDS] = { [QUINCE_LISTEN_CALLERS] = { "callers", caller_accepted },
-                                        [QUINCE_LISTEN_READY] = { "ready", ready_accepted },
-                                        [QUINCE_LISTEN_DIRECTORY] = { "directory", directory_accepted } };
+} listen_kinds[QUINCE_LISTEN_N_KINDS] = { [QUINCE_LISTEN_CALLERS] = { "callers", caller_accepted },
+                                          [QUINCE_LISTEN_READY] = { "ready", ready_accepted },
+                                          [QUINCE_LISTEN_DIRECTORY] = { "directory", directory_accepted } };
 
 QuinceCallerListeners *
 quince_caller_listeners_new (QuinceFrontContext *context, const QuinceSettings *settings, GError **error)
@@ -60,7 +60,7 @@
   QuinceCallerListeners *listeners = g_new0 (QuinceCallerListeners, 1);
   listeners->context = context;
   listeners->connections = g_hash_table_new (NULL, NULL);
-  for (guint kind = 0; kind < QUINCE_LISTEN_KINDS; kind++)
+  for (guint kind = 0; kind < QUINCE_LISTEN_N_KINDS; kind++)
     {
       const char *address = quince_settings_get_text (settings, "listen", listen_kinds[kind].key);
       listeners->acceptors[kind]
@@ -76,7 +76,7 @@
 
 /* @only_idle: those without a request */
 static void
-drop_connections (QuinceCallerListeners *listeners, gboolean only_idle)
+close_connections (QuinceCallerListeners *listeners, gboolean only_idle)
 {
   g_autoptr (GPtrArray) dropped = g_ptr_array_new ();
   GHashTableIter iter;
@@ -86,7 +86,7 @@
     if (!only_idle || quince_caller_connection_is_idle (connection))
       g_ptr_array_add (dropped, connection);
   for (guint i = 0; i < dropped->len; i++)
-    quince_caller_connection_drop (dropped->pdata[i]);
+    quince_caller_connection_close (dropped->pdata[i]);
 }
 
 void
@@ -94,8 +94,8 @@
 {
   if (listeners == NULL)
     return;
-  drop_connections (listeners, FALSE);
-  for (guint kind = 0; kind < QUINCE_LISTEN_KINDS; kind++)
+  close_connections (listeners, FALSE);
+  for (guint kind = 0; kind < QUINCE_LISTEN_N_KINDS; kind++)
     quince_acceptor_free (listeners->acceptors[kind]);
   g_hash_table_unref (listeners->connections);
   g_free (listeners);
@@ -120,10 +120,10 @@
 }
 
 void
-quince_caller_listeners_close_callers (QuinceCallerListeners *listeners)
+quince_caller_listeners_close_caller_address (QuinceCallerListeners *listeners)
 {
   if (listeners->acceptors[QUINCE_LISTEN_CALLERS] == NULL)
     return;
   g_clear_pointer (&listeners->acceptors[QUINCE_LISTEN_CALLERS], quince_acceptor_free);
-  drop_connections (listeners, TRUE);
+  close_connections (listeners, TRUE);
 }
--- a/daemons/front/caller-listeners.h
+++ b/daemons/front/caller-listeners.h
@@ -31,4 +31,4 @@
 /* The kernel begins no new connection at the callers' address; those already begun are accepted. */
 void quince_caller_listeners_ignore_new (QuinceCallerListeners *listeners);
 /* Closes the callers' address and drops connections without a request; does nothing the second time. */
-void quince_caller_listeners_close_callers (QuinceCallerListeners *listeners);
+void quince_caller_listeners_close_caller_address (QuinceCallerListeners *listeners);
--- a/daemons/front/caller-request.c
+++ b/daemons/front/caller-request.c
@@ -18,12 +18,12 @@
 #include "platform.h"
 
 /* Deadline of a request that names none, ms.  Not measured. */
-#define DEADLINE_DEFAULT_MS 30000
+#define DEFAULT_DEADLINE_MS 30000
 /* How long a ledger call may take beyond what its caller lets it wait. */
-#define LEDGER_READ_MS 1500
+#define LEDGER_READ_MARGIN_MS 1500
 /* Longest wait for the leader's reply to a submission, ms; then its caller gets 504.  Not measured: a commit
  * takes some ms. */
-#define LEDGER_SUBMIT_MS 4000
+#define LEDGER_SUBMIT_TIMEOUT_MS 4000
 
 struct _QuinceCallerRequest
 {
@@ -58,7 +58,7 @@
 
 /* @began_us: monotonic: when a worker may have begun it; 0: none can have */
 static void
-note_usage (const QuinceCallerRequest *request, gint64 began_us)
+record_usage (const QuinceCallerRequest *request, gint64 began_us)
 {
   if (request->tenant != NULL && began_us != 0)
     quince_usage_reporter_note (request->context->usage, request->tenant, began_us);
@@ -69,7 +69,7 @@
 {
   if (request->forward != NULL)
     {
-      note_usage (request, quince_forward_get_first_run_us (request->forward));
+      record_usage (request, quince_forward_get_first_run_us (request->forward));
       quince_forward_cancel (request->forward);
     }
   if (request->stream != NULL)
@@ -86,7 +86,7 @@
 }
 
 static const char *
-kind_of (const QuinceCallerRequest *request)
+get_kind_label (const QuinceCallerRequest *request)
 {
   if (request->submits)
     return "submit";
@@ -108,7 +108,7 @@
 static void
 finish (QuinceCallerRequest *request, const QuinceCallerAnswer *answer)
 {
-  const char *kind = kind_of (request);
+  const char *kind = get_kind_label (request);
   g_autofree char *outcome = g_strdup_printf ("kind=\"%s\",status=\"%u\"", kind, answer->status);
   g_autofree char *labels = g_strdup_printf ("kind=\"%s\"", kind);
   quince_metric_add ("quince_front_requests_total", outcome, 1);
@@ -166,7 +166,7 @@
   quince_http_headers_remove_hop_by_hop (headers);
   const QuinceCallerAnswer answer = { .status = head->status, .headers = headers };
   if (!request->began)
-    note_usage (request, quince_now_us ());
+    record_usage (request, quince_now_us ());
   request->began = TRUE;
   request->sink->begin (&answer, request->user_data);
 }
@@ -226,7 +226,7 @@
 {
   QuinceCallerRequest *request = data;
   request->forward = NULL;
-  note_usage (request, result->first_run_us);
+  record_usage (request, result->first_run_us);
   switch (result->outcome)
     {
     case QUINCE_FORWARD_ANSWERED:
@@ -279,7 +279,7 @@
 {
   QuincePlatformRequestFacts facts;
   quince_platform_read_request (request->head->headers, &facts);
-  guint deadline_ms = facts.deadline_ms > 0 ? facts.deadline_ms : DEADLINE_DEFAULT_MS;
+  guint deadline_ms = facts.deadline_ms > 0 ? facts.deadline_ms : DEFAULT_DEADLINE_MS;
   guint timeout_ms = route->timeout_ms > 0 ? MIN (route->timeout_ms, deadline_ms) : deadline_ms;
   const char *service = quince_route_splits_next_service (request->context->splits, route);
   if (!quince_residency_check_workers (request->context, route, request->tenant, service))
@@ -352,7 +352,7 @@
 call_ledger (QuinceCallerRequest *request)
 {
   guint wait_ms = quince_platform_read_wait (request->head->headers);
-  guint timeout_ms = request->submits ? LEDGER_SUBMIT_MS : wait_ms + LEDGER_READ_MS;
+  guint timeout_ms = request->submits ? LEDGER_SUBMIT_TIMEOUT_MS : wait_ms + LEDGER_READ_MARGIN_MS;
   request->ledger_call
       = quince_ledger_caller_start (request->context->ledger, request->head->method, request->head->target,
                                     request->head->headers, request->body, timeout_ms, ledger_done, request);
--- a/daemons/front/directory.c
+++ b/daemons/front/directory.c
@@ -16,12 +16,12 @@
 
 /* A front whose key may have lapsed in an outage of the store is named for this long, us: it writes the key
  * anew within a second once the store answers.  Not measured. */
-#define REMOVED_KEEP_US (4 * G_USEC_PER_SEC)
+#define REMOVED_RETENTION_US (4 * G_USEC_PER_SEC)
 /* The leader's list of silent fronts counts for this long, us; the leader sends it four times a second.  Not
  * measured: longer than the election of another leader, about 1.2 s. */
-#define SILENT_KEEP_US (5 * G_USEC_PER_SEC)
+#define SILENT_TTL_US (5 * G_USEC_PER_SEC)
 /* Most addresses in one answer, so that it stays small with hundreds of fronts.  Not measured. */
-#define ANSWERS_MAX 64
+#define ADDRESSES_MAX 64
 /* A front's entry is "STATE ADDRESS ZONE". */
 #define SEPARATOR " "
 /* Fields of an entry. */
@@ -40,9 +40,9 @@
 struct _QuinceDirectory
 {
   /* All fields belong to the main context. */
-  GHashTable *fronts;     /* Front by name, owned; without this front */
-  GHashTable *silent;     /* names, owned: fronts that answer no heartbeat */
-  gint64 silent_until_us; /* monotonic: when the set above runs out */
+  GHashTable *fronts;       /* Front by name, owned; without this front */
+  GHashTable *silent;       /* names, owned: fronts that answer no heartbeat */
+  gint64 silent_expires_us; /* monotonic: when the set above runs out */
   Front self;
   gboolean serving;
   const QuinceTopology *topology;
@@ -98,9 +98,12 @@
 }
 
 static void
-front_removed (QuinceDirectory *directory, gint64 now_us, const char *name, gboolean may_be_lapse)
+handle_key_removal (QuinceDirectory *directory,
+                    gint64 now_us,
+                    const char *name,
+                    gboolean lease_may_have_lapsed)
 {
-  if (!may_be_lapse)
+  if (!lease_may_have_lapsed)
     {
       g_hash_table_remove (directory->fronts, name);
       return;
@@ -111,17 +114,17 @@
 }
 
 void
-quince_directory_take_entry (QuinceDirectory *directory,
-                             gint64 now_us,
-                             const char *name,
-                             GBytes *entry,
-                             gboolean may_be_lapse)
+quince_directory_apply_entry (QuinceDirectory *directory,
+                              gint64 now_us,
+                              const char *name,
+                              GBytes *entry,
+                              gboolean lease_may_have_lapsed)
 {
   if (g_str_equal (name, directory->self.name))
     return;
   if (entry == NULL)
     {
-      front_removed (directory, now_us, name, may_be_lapse);
+      handle_key_removal (directory, now_us, name, lease_may_have_lapsed);
       return;
     }
   g_autofree char *text = g_strndup (g_bytes_get_data (entry, NULL), g_bytes_get_size (entry));
@@ -145,7 +148,7 @@
 }
 
 static void
-forget_removed (QuinceDirectory *directory, gint64 now_us)
+remove_expired_fronts (QuinceDirectory *directory, gint64 now_us)
 {
   GHashTableIter iter;
   gpointer value;
@@ -153,27 +156,27 @@
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
       const Front *front = value;
-      if (front->removed_us != 0 && now_us - front->removed_us > REMOVED_KEEP_US)
+      if (front->removed_us != 0 && now_us - front->removed_us > REMOVED_RETENTION_US)
         g_hash_table_iter_remove (&iter);
     }
 }
 
 void
-quince_directory_set_silent (QuinceDirectory *directory,
-                             gint64 now_us,
-                             const char *const *names,
-                             guint n_names)
+quince_directory_set_silent_fronts (QuinceDirectory *directory,
+                                    gint64 now_us,
+                                    const char *const *names,
+                                    guint n_names)
 {
   g_hash_table_remove_all (directory->silent);
   for (guint i = 0; i < n_names; i++)
     g_hash_table_add (directory->silent, g_strdup (names[i]));
-  directory->silent_until_us = now_us + SILENT_KEEP_US;
+  directory->silent_expires_us = now_us + SILENT_TTL_US;
 }
 
 static gboolean
 is_silent (const QuinceDirectory *directory, gint64 now_us, const Front *front)
 {
-  return now_us < directory->silent_until_us && g_hash_table_contains (directory->silent, front->name);
+  return now_us < directory->silent_expires_us && g_hash_table_contains (directory->silent, front->name);
 }
 
 /* Addresses (not owned) of fronts that serve, by their distance from a caller. */
@@ -220,7 +223,7 @@
 char **
 quince_directory_list (QuinceDirectory *directory, gint64 now_us, const char *zone, const char *region)
 {
-  forget_removed (directory, now_us);
+  remove_expired_fronts (directory, now_us);
   if ((region == NULL || *region == '\0') && zone != NULL)
     region = quince_topology_get_region (directory->topology, zone);
   g_autoptr (GPtrArray) found = g_ptr_array_new ();
@@ -230,7 +233,7 @@
   if (region == NULL || found->len == 0)
     g_ptr_array_extend (found, choice.elsewhere, NULL, NULL);
   g_ptr_array_unref (choice.elsewhere);
-  g_ptr_array_set_size (found, (gint)MIN (found->len, ANSWERS_MAX));
+  g_ptr_array_set_size (found, (gint)MIN (found->len, ADDRESSES_MAX));
   g_ptr_array_add (found, NULL);
   return g_strdupv ((char **)found->pdata);
 }
@@ -238,6 +241,6 @@
 guint
 quince_directory_get_size (QuinceDirectory *directory, gint64 now_us)
 {
-  forget_removed (directory, now_us);
+  remove_expired_fronts (directory, now_us);
   return g_hash_table_size (directory->fronts) + (directory->serving ? 1 : 0);
 }
--- a/daemons/front/directory.h
+++ b/daemons/front/directory.h
@@ -21,23 +21,23 @@
  * @address: ip:port for callers; @leaving: its planned stop has begun */
 GBytes *quince_directory_format_entry (const char *address, const char *zone, gboolean leaving);
 /**
- * quince_directory_take_entry: the key of the front @name in the metadata store has changed
+ * quince_directory_apply_entry: the key of the front @name in the metadata store has changed
  * @now_us: monotonic
  * @entry: (nullable): %NULL: the key is gone
- * @may_be_lapse: perhaps only because the lease ran out during an outage of the store: the front is named for
- *   some seconds more
+ * @lease_may_have_lapsed: perhaps only because the lease ran out during an outage of the store: the front is
+ * named for some seconds more
  */
-void quince_directory_take_entry (QuinceDirectory *directory,
-                                  gint64 now_us,
-                                  const char *name,
-                                  GBytes *entry,
-                                  gboolean may_be_lapse);
+void quince_directory_apply_entry (QuinceDirectory *directory,
+                                   gint64 now_us,
+                                   const char *name,
+                                   GBytes *entry,
+                                   gboolean lease_may_have_lapsed);
 /* The fronts @names answer no heartbeat of the ledger's leader.  They are left out until the next call, or
  * until there was no call for some seconds. */
-void quince_directory_set_silent (QuinceDirectory *directory,
-                                  gint64 now_us,
-                                  const char *const *names,
-                                  guint n_names);
+void quince_directory_set_silent_fronts (QuinceDirectory *directory,
+                                         gint64 now_us,
+                                         const char *const *names,
+                                         guint n_names);
 /* Returns: (transfer full): addresses for a caller in @zone of @region (each nullable), %NULL-terminated:
  * fronts of its zone first, then of its region.  Others follow where its region is not known or has no front
  * left. */
--- a/daemons/front/feed-subscription.c
+++ b/daemons/front/feed-subscription.c
@@ -9,14 +9,14 @@
 /* Longest wait for the front's own lists of the store before it subscribes without them, ms: a list takes
  * some ms, so this passes only while the store is away.  A front that has not begun to list is fed all at
  * once. */
-#define SYNC_WAIT_MS 300
+#define SYNC_TIMEOUT_MS 300
 
 struct _QuinceFeedSubscription
 {
   /* All fields belong to the main context. */
   QuinceObserver *observer;
   QuinceLink *link;   /* owned: to the leader, not subscribed to yet; NULL: none */
-  QuinceTimer *timer; /* runs out after SYNC_WAIT_MS */
+  QuinceTimer *timer; /* runs out after SYNC_TIMEOUT_MS */
 };
 
 QuinceFeedSubscription *
@@ -52,7 +52,7 @@
 }
 
 static gboolean
-sync_late (gpointer data)
+sync_timed_out (gpointer data)
 {
   subscribe (data);
   return G_SOURCE_REMOVE;
@@ -63,7 +63,7 @@
 {
   quince_feed_subscription_unlinked (subscription);
   subscription->link = quince_link_ref (leader);
-  subscription->timer = quince_timer_add (SYNC_WAIT_MS, sync_late, subscription);
+  subscription->timer = quince_timer_add (SYNC_TIMEOUT_MS, sync_timed_out, subscription);
   quince_feed_subscription_synced (subscription);
 }
 
--- a/daemons/front/feed-wait.c
+++ b/daemons/front/feed-wait.c
@@ -8,12 +8,12 @@
 
 /* Least time between two reads of the view, ms: a new ledger takes its members in one after the other, each a
  * new view. */
-#define PACE_MS 300
+#define VIEW_READ_INTERVAL_MIN_MS 300
 /* Longest time for which the store holds a watch, ms. */
 #define READ_EVERY_MS 1000
 /* A leader that lives feeds a new front within this time, ms: a connection, a subscription and its answer,
  * each in a turn of a busy leader's main loop. */
-#define FEED_MS 300
+#define FEED_TIMEOUT_MS 300
 
 struct _QuinceFeedWait
 {
@@ -27,16 +27,16 @@
 
 /* The lists bring the view too. */
 static void
-list_now (QuinceFeedWait *wait)
+list_store (QuinceFeedWait *wait)
 {
   g_clear_pointer (&wait->mirror, quince_meta_mirror_free);
   quince_observer_list_now (wait->observer);
 }
 
 static gboolean
-not_fed (gpointer data)
+feed_timed_out (gpointer data)
 {
-  list_now (data);
+  list_store (data);
   return G_SOURCE_REMOVE;
 }
 
@@ -47,7 +47,7 @@
   if (item->value == NULL || !g_str_equal (item->key, QUINCE_LEDGER_KEY))
     return;
   if (wait->timer == NULL)
-    wait->timer = quince_timer_add (FEED_MS, not_fed, wait);
+    wait->timer = quince_timer_add (FEED_TIMEOUT_MS, feed_timed_out, wait);
   wait->read (item->value, item->revision, wait->user_data);
 }
 
@@ -64,8 +64,9 @@
   wait->read = read;
   wait->user_data = user_data;
   wait->mirror = quince_meta_mirror_new (store, QUINCE_LEDGER_KEY, 0, &mirror_callbacks, wait);
-  const QuinceMetaMirrorTimes times
-      = { .pace_ms = PACE_MS, .read_every_ms = READ_EVERY_MS, .spread_ms = PACE_MS };
+  const QuinceMetaMirrorTimes times = { .pace_ms = VIEW_READ_INTERVAL_MIN_MS,
+                                        .read_every_ms = READ_EVERY_MS,
+                                        .spread_ms = VIEW_READ_INTERVAL_MIN_MS };
   quince_meta_mirror_set_times (wait->mirror, &times);
   return wait;
 }
@@ -73,7 +74,7 @@
 void
 quince_feed_wait_unlinked (QuinceFeedWait *wait)
 {
-  list_now (wait);
+  list_store (wait);
 }
 
 void
--- a/daemons/front/front.c
+++ b/daemons/front/front.c
@@ -67,8 +67,8 @@
 take_front_entry (Front *front, const char *name, GBytes *value)
 {
   gint64 now = quince_now_us ();
-  gboolean may_be_lapse = quince_observer_may_have_lapsed (front->context.observer, now);
-  quince_directory_take_entry (front->context.directory, now, name, value, may_be_lapse);
+  gboolean lease_may_have_lapsed = quince_observer_may_have_lapsed (front->context.observer, now);
+  quince_directory_apply_entry (front->context.directory, now, name, value, lease_may_have_lapsed);
 }
 
 static void
@@ -143,9 +143,9 @@
   quince_link_send (link, &message);
   quince_usage_reporter_remind (front->context.usage);
   if (heartbeat->certain)
-    quince_directory_set_silent (front->context.directory, quince_now_us (),
-                                 (const char *const *)heartbeat->silent.silent_val,
-                                 heartbeat->silent.silent_len);
+    quince_directory_set_silent_fronts (front->context.directory, quince_now_us (),
+                                        (const char *const *)heartbeat->silent.silent_val,
+                                        heartbeat->silent.silent_len);
 }
 
 static void
--- a/daemons/front/planned-stop.c
+++ b/daemons/front/planned-stop.c
@@ -9,11 +9,11 @@
 
 /* A stopping front accepts connections for this long at least, us: twice the 2 s for which callers keep an
  * answer of the directory by default (directory.keep). */
-#define SERVE_US (4 * G_USEC_PER_SEC)
+#define SERVE_DURATION_US (4 * G_USEC_PER_SEC)
 /* Then no connection is begun for this long before the listener is closed, us: what the kernel had already
  * begun is accepted and answered meanwhile, where a close would reset it.  Measured with six callers that
  * connect all the while: 6 of 53,733 requests lost without it, none of 146,366 with it. */
-#define ACCEPT_US (300 * 1000)
+#define BACKLOG_DRAIN_US (300 * 1000)
 /* Kept free at the end of the grace for the end of the process itself, us.  Not measured. */
 #define MARGIN_US (700 * 1000)
 /* Interval between two checks of the stop's progress, ms; small against the times above. */
@@ -26,7 +26,7 @@
   QuinceCallerListeners *listeners;
   gint64 grace_us;
   gint64 began_us;
-  gboolean ignores_new; /* no connection is begun any more */
+  gboolean ignores_new_connections; /* no connection is begun any more */
   QuinceTimer *timer;
 };
 
@@ -56,19 +56,19 @@
 }
 
 static gboolean
-stop_step (gpointer data)
+check_stop_progress (gpointer data)
 {
   QuincePlannedStop *stop = data;
   gint64 elapsed_us = quince_now_us () - stop->began_us;
-  gint64 serve_us = MIN (SERVE_US, stop->grace_us - MARGIN_US - ACCEPT_US);
-  gboolean served = elapsed_us >= serve_us + ACCEPT_US;
-  if (elapsed_us >= serve_us && !stop->ignores_new)
+  gint64 serve_us = MIN (SERVE_DURATION_US, stop->grace_us - MARGIN_US - BACKLOG_DRAIN_US);
+  gboolean served = elapsed_us >= serve_us + BACKLOG_DRAIN_US;
+  if (elapsed_us >= serve_us && !stop->ignores_new_connections)
     {
-      stop->ignores_new = TRUE;
+      stop->ignores_new_connections = TRUE;
       quince_caller_listeners_ignore_new (stop->listeners);
     }
   if (served)
-    quince_caller_listeners_close_callers (stop->listeners);
+    quince_caller_listeners_close_caller_address (stop->listeners);
   gboolean done = served && stop->context->in_progress == 0;
   if (!done && elapsed_us < stop->grace_us - MARGIN_US)
     return G_SOURCE_CONTINUE;
@@ -82,5 +82,5 @@
 {
   stop->context->stopping = TRUE;
   stop->began_us = quince_now_us ();
-  stop->timer = quince_timer_add (STEP_MS, stop_step, stop);
+  stop->timer = quince_timer_add (STEP_MS, check_stop_progress, stop);
 }
--- a/daemons/front/route-splits.c
+++ b/daemons/front/route-splits.c
@@ -5,7 +5,7 @@
 
 /* Advance of a route's position in [0, 1) with each request: the golden ratio's fractional part, which
  * spreads successive positions evenly for any weights (low-discrepancy sequence). */
-#define SPLIT_STEP 0.6180339887498949
+#define POSITION_INCREMENT 0.6180339887498949
 
 struct _QuinceRouteSplits
 {
@@ -31,7 +31,7 @@
 
 /* A random start keeps fronts that start together from sending in step. */
 static double *
-find_position (QuinceRouteSplits *splits, const char *route)
+find_or_add_position (QuinceRouteSplits *splits, const char *route)
 {
   double *position = g_hash_table_lookup (splits->positions, route);
   if (position != NULL)
@@ -47,8 +47,8 @@
 {
   if (route->weighted_services->len == 1)
     return quince_route_pick_service (route, 0);
-  double *position = find_position (splits, route->name);
-  *position += SPLIT_STEP;
+  double *position = find_or_add_position (splits, route->name);
+  *position += POSITION_INCREMENT;
   if (*position >= 1)
     *position -= 1;
   return quince_route_pick_service (route, *position);
