--- a/daemons/front/caller-connection.c
+++ b/daemons/front/caller-connection.c
@@ -16,9 +16,9 @@
 /* Limits while no configuration is known; after that the configuration's own count.  Not measured: generous,
  * since the configuration may allow a request that they refuse. */
 /* Longest request head, bytes. */
-#define HEAD_MAX_BYTES (64 * 1024)
+#define DEFAULT_HEAD_MAX_BYTES (64 * 1024)
 /* Longest request body, bytes. */
-#define BODY_MAX_BYTES (64 * 1024 * 1024)
+#define DEFAULT_BODY_MAX_BYTES (64 * 1024 * 1024)
 /* Connections without a request are closed after it, ms. */
 #define DEFAULT_IDLE_TIMEOUT_MS 15000
 /* Longest time to read a request head, ms; also the first check of a new connection. */
@@ -84,15 +84,15 @@
 get_current_limits (const QuinceFrontContext *context)
 {
   QuinceRouteTable *routes = quince_observer_get_routes (context->observer);
-  const QuinceCallerLimits unknown = { .max_head_bytes = HEAD_MAX_BYTES,
-                                       .max_body_bytes = BODY_MAX_BYTES,
-                                       .head_timeout_ms = DEFAULT_HEAD_TIMEOUT_MS,
-                                       .idle_timeout_ms = DEFAULT_IDLE_TIMEOUT_MS };
-  return routes != NULL ? *quince_route_table_get_limits (routes) : unknown;
+  const QuinceCallerLimits defaults = { .max_head_bytes = DEFAULT_HEAD_MAX_BYTES,
+                                        .max_body_bytes = DEFAULT_BODY_MAX_BYTES,
+                                        .head_timeout_ms = DEFAULT_HEAD_TIMEOUT_MS,
+                                        .idle_timeout_ms = DEFAULT_IDLE_TIMEOUT_MS };
+  return routes != NULL ? *quince_route_table_get_limits (routes) : defaults;
 }
 
-static gboolean check_time (gpointer data);
-static void refuse_input (QuinceCallerConnection *connection, guint status);
+static gboolean check_timeouts (gpointer data);
+static void refuse_request (QuinceCallerConnection *connection, guint status);
 
 static gboolean
 is_reading_head (const QuinceCallerConnection *connection)
@@ -105,33 +105,33 @@
 schedule_timeout_check (QuinceCallerConnection *connection, guint wait_ms)
 {
   quince_timer_clear (&connection->timer);
-  connection->timer = quince_timer_add (MAX (wait_ms, 1), check_time, connection);
+  connection->timer = quince_timer_add (MAX (wait_ms, 1), check_timeouts, connection);
 }
 
 /* The one timer of a connection: checks the limits, and is set to when the next may be exceeded. */
 static gboolean
-check_time (gpointer data)
+check_timeouts (gpointer data)
 {
   QuinceCallerConnection *connection = data;
   const QuinceCallerLimits limits = get_current_limits (connection->context);
   gint64 now = quince_now_us ();
-  gint64 head_us = (gint64)limits.head_timeout_ms * 1000;
-  gint64 idle_us = ((gint64)limits.idle_timeout_ms + IDLE_TIMEOUT_MARGIN_MS) * 1000;
-  gint64 left_us = MAX (connection->idle_since_us, connection->received_us) + idle_us - now;
+  gint64 head_timeout_us = (gint64)limits.head_timeout_ms * 1000;
+  gint64 idle_timeout_us = ((gint64)limits.idle_timeout_ms + IDLE_TIMEOUT_MARGIN_MS) * 1000;
+  gint64 idle_left_us = MAX (connection->idle_since_us, connection->received_us) + idle_timeout_us - now;
   if (is_reading_head (connection))
     {
       connection->partial_head_since_us
           = connection->partial_head_since_us > 0 ? connection->partial_head_since_us : now;
-      if (now - connection->partial_head_since_us >= head_us)
+      if (now - connection->partial_head_since_us >= head_timeout_us)
         {
-          refuse_input (connection, 408);
+          refuse_request (connection, 408);
           return G_SOURCE_REMOVE;
         }
     }
-  if (connection->answering || left_us > 0)
+  if (connection->answering || idle_left_us > 0)
     {
-      gint64 wait_us = connection->answering ? idle_us / 2 : left_us;
-      schedule_timeout_check (connection, (guint)(MIN (wait_us, head_us) / 1000));
+      gint64 wait_us = connection->answering ? idle_timeout_us / 2 : idle_left_us;
+      schedule_timeout_check (connection, (guint)(MIN (wait_us, head_timeout_us) / 1000));
       return G_SOURCE_REMOVE;
     }
   quince_caller_connection_close (connection);
@@ -146,8 +146,8 @@
   static const struct
   {
     guint status;
-    const char *reason;
-  } reasons[] = { { 200, "OK" },
+    const char *phrase;
+  } phrases[] = { { 200, "OK" },
                   { 202, "Accepted" },
                   { 400, "Bad Request" },
                   { 401, "Unauthorized" },
@@ -160,9 +160,9 @@
                   { 502, "Bad Gateway" },
                   { 503, "Service Unavailable" },
                   { 504, "Gateway Timeout" } };
-  for (guint i = 0; i < G_N_ELEMENTS (reasons); i++)
-    if (reasons[i].status == status)
-      return reasons[i].reason;
+  for (guint i = 0; i < G_N_ELEMENTS (phrases); i++)
+    if (phrases[i].status == status)
+      return phrases[i].phrase;
   return "Answer";
 }
 
@@ -171,8 +171,8 @@
 {
   for (guint i = 0; answer->headers != NULL && i < quince_http_headers_get_length (answer->headers); i++)
     {
-      const QuinceHttpHeader *line = quince_http_headers_index (answer->headers, i);
-      g_string_append_printf (text, "%s: %s\r\n", line->name, line->value);
+      const QuinceHttpHeader *header = quince_http_headers_index (answer->headers, i);
+      g_string_append_printf (text, "%s: %s\r\n", header->name, header->value);
     }
   if (answer->content_type != NULL && *answer->content_type != '\0')
     g_string_append_printf (text, "Content-Type: %s\r\n", answer->content_type);
@@ -182,20 +182,20 @@
 }
 
 static void
-answer (QuinceCallerConnection *connection, const QuinceCallerAnswer *answer)
+write_answer (QuinceCallerConnection *connection, const QuinceCallerAnswer *answer)
 {
-  gboolean keep = connection->keep_alive && !connection->context->stopping;
+  gboolean keep_open = connection->keep_alive && !connection->context->stopping;
   g_autoptr (GString) text = g_string_sized_new (ANSWER_HEAD_INITIAL_BYTES + answer->body_length);
   g_string_append_printf (text, "HTTP/1.1 %u %s\r\n", answer->status, get_reason_phrase (answer->status));
   append_headers (text, answer);
-  if (!keep)
+  if (!keep_open)
     g_string_append (text, "Connection: close\r\n");
   g_string_append_printf (text, "Content-Length: %" G_GSIZE_FORMAT "\r\n\r\n", answer->body_length);
   g_string_append_len (text, answer->body, (gssize)answer->body_length);
   connection->answering = FALSE;
   connection->idle_since_us = quince_now_us ();
   quince_http_connection_write (connection->http, text->str, text->len);
-  if (keep)
+  if (keep_open)
     {
       quince_http_connection_next (connection->http);
       return;
@@ -210,14 +210,14 @@
   QuinceCallerConnection *connection = data;
   connection->request = NULL;
   connection->context->in_progress--;
-  answer (connection, result);
+  write_answer (connection, result);
 }
 
 /* ---- Answers piece by piece ------------------------------------------- */
 
 /* Bytes of a streamed answer that wait for a caller to read them; what comes beyond is left out and the
  * answer ends without its last chunk, so that a slow caller bounds no memory but its own.  Not measured. */
-#define UNREAD_MAX_BYTES (1024 * 1024)
+#define UNSENT_MAX_BYTES (1024 * 1024)
 
 static void
 write_answer_head (const QuinceCallerAnswer *result, gpointer data)
@@ -237,7 +237,7 @@
 write_answer_chunk (const char *data, gsize length, gpointer user_data)
 {
   QuinceCallerConnection *connection = user_data;
-  if (quince_http_connection_get_output (connection->http) > UNREAD_MAX_BYTES)
+  if (quince_http_connection_get_output (connection->http) > UNSENT_MAX_BYTES)
     return; /* the last chunk will be missing, see end_streamed_answer() */
   g_autofree char *size = g_strdup_printf ("%zx\r\n", length);
   g_autoptr (GString) chunk = g_string_new (size);
@@ -245,11 +245,11 @@
   g_string_append (chunk, "\r\n");
   quince_http_connection_write (connection->http, chunk->str, chunk->len);
   connection->truncated
-      = connection->truncated || quince_http_connection_get_output (connection->http) > UNREAD_MAX_BYTES;
+      = connection->truncated || quince_http_connection_get_output (connection->http) > UNSENT_MAX_BYTES;
 }
 
 static void
-end_streamed_answer (gboolean whole, gpointer data)
+end_streamed_answer (gboolean complete, gpointer data)
 {
   QuinceCallerConnection *connection = data;
   static const char last_chunk[] = "0\r\n\r\n";
@@ -257,7 +257,7 @@
   connection->answering = FALSE;
   connection->idle_since_us = quince_now_us ();
   connection->context->in_progress--;
-  if (!whole || connection->truncated)
+  if (!complete || connection->truncated)
     {
       /* Without the last chunk the caller's HTTP library reports a truncated answer. */
       quince_http_connection_finish (connection->http);
@@ -274,27 +274,27 @@
   connection_free (connection);
 }
 
-static const QuinceCallerSink request_sink = { .answer = write_complete_answer,
-                                               .begin = write_answer_head,
-                                               .data = write_answer_chunk,
-                                               .end = end_streamed_answer };
+static const QuinceCallerSink answer_sink = { .answer = write_complete_answer,
+                                              .begin = write_answer_head,
+                                              .data = write_answer_chunk,
+                                              .end = end_streamed_answer };
 
 static void
-answer_status (QuinceCallerConnection *connection, guint status)
+write_status_answer (QuinceCallerConnection *connection, guint status)
 {
   const QuinceCallerAnswer result = { .status = status, .body = "" };
-  answer (connection, &result);
+  write_answer (connection, &result);
 }
 
 static void
-answer_directory (QuinceCallerConnection *connection, const QuinceCall *call)
+write_directory_answer (QuinceCallerConnection *connection, const QuinceCall *call)
 {
   const QuinceFrontContext *context = connection->context;
   g_auto (GStrv) addresses
       = quince_directory_list (context->directory, quince_now_us (), call->zone, call->region);
   if (addresses[0] == NULL)
     {
-      answer_status (connection, 503);
+      write_status_answer (connection, 503);
       return;
     }
   g_autoptr (GBytes) body
@@ -303,7 +303,7 @@
                                       .content_type = "application/json",
                                       .body = g_bytes_get_data (body, NULL),
                                       .body_length = g_bytes_get_size (body) };
-  answer (connection, &result);
+  write_answer (connection, &result);
 }
 
 /* ---- Requests --------------------------------------------------------- */
@@ -315,12 +315,12 @@
 }
 
 static void
-begin_request (QuinceCallerConnection *connection)
+start_request (QuinceCallerConnection *connection)
 {
   connection->context->in_progress++;
   QuinceCallerRequest *request = quince_caller_request_start (
       connection->context, g_steal_pointer (&connection->head), g_steal_pointer (&connection->body),
-      connection->received_us, &request_sink, connection);
+      connection->received_us, &answer_sink, connection);
   /* NULL: already answered, and the connection may be released. */
   if (request != NULL)
     connection->request = request;
@@ -334,35 +334,35 @@
   connection->keep_alive = connection->head->keep_alive;
   if (connection->kind == QUINCE_LISTEN_CALLERS)
     {
-      begin_request (connection);
+      start_request (connection);
       return;
     }
   QuinceCall call;
   quince_platform_read_call (connection->head->method, connection->head->target, &call);
   g_clear_pointer (&connection->head, quince_http_head_free);
   if (connection->kind == QUINCE_LISTEN_READY)
-    answer_status (connection, is_ready (connection->context) ? 200 : 503);
+    write_status_answer (connection, is_ready (connection->context) ? 200 : 503);
   else if (call.kind == QUINCE_CALL_RESOLVE)
-    answer_directory (connection, &call);
+    write_directory_answer (connection, &call);
   else
-    answer_status (connection, 404);
+    write_status_answer (connection, 404);
   quince_platform_call_clear (&call);
 }
 
 /* Answers a request that is malformed, too large or too slow; nothing of it runs and the rest isn't read. */
 static void
-refuse_input (QuinceCallerConnection *connection, guint status)
+refuse_request (QuinceCallerConnection *connection, guint status)
 {
   quince_log_warning ("request_unreadable", "status=%u", status);
   connection->keep_alive = FALSE;
-  answer_status (connection, status);
+  write_status_answer (connection, status);
 }
 
 static void
 http_refused (QuinceHttpConnection *http, const GError *error, gpointer data)
 {
   gboolean too_large = g_error_matches (error, QUINCE_HTTP1_ERROR, QUINCE_HTTP1_ERROR_TOO_LARGE);
-  refuse_input (data, too_large ? 431 : 400);
+  refuse_request (data, too_large ? 431 : 400);
 }
 
 static void
@@ -379,7 +379,7 @@
   const QuinceCallerLimits limits = get_current_limits (connection->context);
   if (length != NULL && g_ascii_strtoull (length, NULL, 10) > limits.max_body_bytes)
     {
-      refuse_input (connection, 413);
+      refuse_request (connection, 413);
       return;
     }
   const char *expect = quince_http_headers_get (head->headers, "Expect");
@@ -394,7 +394,7 @@
   QuinceCallerConnection *connection = user_data;
   if (connection->body->len + length > get_current_limits (connection->context).max_body_bytes)
     {
-      refuse_input (connection, 413);
+      refuse_request (connection, 413);
       return;
     }
   g_byte_array_append (connection->body, (const guint8 *)data, (guint)length);
--- a/daemons/front/caller-listeners.c
+++ b/daemons/front/caller-listeners.c
@@ -78,15 +78,15 @@
 static void
 close_connections (QuinceCallerListeners *listeners, gboolean only_idle)
 {
-  g_autoptr (GPtrArray) dropped = g_ptr_array_new ();
+  g_autoptr (GPtrArray) closing = g_ptr_array_new ();
   GHashTableIter iter;
   gpointer connection;
   g_hash_table_iter_init (&iter, listeners->connections);
   while (g_hash_table_iter_next (&iter, &connection, NULL))
     if (!only_idle || quince_caller_connection_is_idle (connection))
-      g_ptr_array_add (dropped, connection);
-  for (guint i = 0; i < dropped->len; i++)
-    quince_caller_connection_close (dropped->pdata[i]);
+      g_ptr_array_add (closing, connection);
+  for (guint i = 0; i < closing->len; i++)
+    quince_caller_connection_close (closing->pdata[i]);
 }
 
 void
--- a/daemons/front/caller-request.c
+++ b/daemons/front/caller-request.c
@@ -32,15 +32,15 @@
   QuinceHttpHead *head;
   GByteArray *body;
   QuinceCall call;
-  gint64 received_us; /* monotonic: when its head was read */
-  char *key;          /* API key of the caller until it is looked up; NULL: none was given */
-  char *tenant;       /* owner of the key; NULL: none */
-  gboolean submits;   /* it submits a batch */
+  gint64 received_us;     /* monotonic: when its head was read */
+  char *api_key;          /* API key of the caller until it is looked up; NULL: none was given */
+  char *tenant;           /* owner of the key; NULL: none */
+  gboolean is_submission; /* it submits a batch */
   /* At most one of these is set: what the answer is waited for from. */
   QuinceForward *forward;
   QuinceStream *stream;
   QuinceLedgerCallHandle *ledger_call;
-  gboolean began; /* the caller has the head of a streamed answer */
+  gboolean answer_started; /* the caller has the head of a streamed answer */
   const QuinceCallerSink *sink;
   gpointer user_data;
 };
@@ -51,17 +51,17 @@
   quince_http_head_free (request->head);
   g_byte_array_unref (request->body);
   quince_platform_call_clear (&request->call);
-  g_free (request->key);
+  g_free (request->api_key);
   g_free (request->tenant);
   g_free (request);
 }
 
-/* @began_us: monotonic: when a worker may have begun it; 0: none can have */
+/* @first_run_us: monotonic: when a worker may have begun it; 0: none can have */
 static void
-record_usage (const QuinceCallerRequest *request, gint64 began_us)
+record_usage (const QuinceCallerRequest *request, gint64 first_run_us)
 {
-  if (request->tenant != NULL && began_us != 0)
-    quince_usage_reporter_note (request->context->usage, request->tenant, began_us);
+  if (request->tenant != NULL && first_run_us != 0)
+    quince_usage_reporter_note (request->context->usage, request->tenant, first_run_us);
 }
 
 void
@@ -88,7 +88,7 @@
 static const char *
 get_kind_label (const QuinceCallerRequest *request)
 {
-  if (request->submits)
+  if (request->is_submission)
     return "submit";
   switch (request->call.kind)
     {
@@ -139,21 +139,21 @@
 
 /* @known_ms: when the cause may be over, as its owner knows it; 0: not known */
 static guint
-retry_after (QuinceRefusalCause cause, guint known_ms)
+get_retry_after_ms (QuinceRefusalCause cause, guint known_ms)
 {
-  const QuinceRetryAfterInput refused
+  const QuinceRetryAfterInput input
       = { .cause = cause, .known_ms = known_ms, .zone_change_ms = QUINCE_OBSERVER_CHANGE_BOUND_MIN_MS };
-  return quince_retry_after_ms (&refused);
+  return quince_retry_after_ms (&input);
 }
 
 /* No worker has run it, and none will.  @known_retry_after_ms: when a worker may take it; 0: not known */
 static void
 finish_refused (QuinceCallerRequest *request, const char *cause, guint known_retry_after_ms)
 {
-  gboolean evacuated = g_strcmp0 (cause, QUINCE_FORWARD_CAUSE_EVACUATED) == 0;
-  QuinceRefusalCause refusal = evacuated ? QUINCE_REFUSED_EVACUATED : QUINCE_REFUSED_NO_WORKER;
+  gboolean is_evacuated = g_strcmp0 (cause, QUINCE_FORWARD_CAUSE_EVACUATED) == 0;
+  QuinceRefusalCause refusal_cause = is_evacuated ? QUINCE_REFUSED_EVACUATED : QUINCE_REFUSED_NO_WORKER;
   finish_error (request, 503, cause != NULL ? cause : "no_worker",
-                retry_after (refusal, known_retry_after_ms));
+                get_retry_after_ms (refusal_cause, known_retry_after_ms));
 }
 
 /* ---- Streams ---------------------------------------------------------- */
@@ -165,9 +165,9 @@
   g_autoptr (QuinceHttpHeaders) headers = quince_http_headers_copy (head->headers);
   quince_http_headers_remove_hop_by_hop (headers);
   const QuinceCallerAnswer answer = { .status = head->status, .headers = headers };
-  if (!request->began)
+  if (!request->answer_started)
     record_usage (request, quince_now_us ());
-  request->began = TRUE;
+  request->answer_started = TRUE;
   request->sink->begin (&answer, request->user_data);
 }
 
@@ -184,12 +184,12 @@
   QuinceCallerRequest *request = data;
   guint retry_after_ms = quince_stream_get_retry_after_ms (request->stream);
   request->stream = NULL;
-  if (!request->began && outcome == QUINCE_FORWARD_REFUSED)
+  if (!request->answer_started && outcome == QUINCE_FORWARD_REFUSED)
     {
       finish_refused (request, cause, retry_after_ms);
       return;
     }
-  if (!request->began)
+  if (!request->answer_started)
     {
       /* A held request has run at workers that ended under it: 502, which doesn't say that it was not run,
        * and no Retry-After, which would invite further attempts. */
@@ -197,9 +197,9 @@
       finish_error (request, status, cause != NULL ? cause : "no_worker", 0);
       return;
     }
-  gboolean whole = outcome == QUINCE_FORWARD_ANSWERED;
-  quince_metric_add ("quince_front_streams_total", whole ? "outcome=\"whole\"" : "outcome=\"cut\"", 1);
-  request->sink->end (whole, request->user_data);
+  gboolean complete = outcome == QUINCE_FORWARD_ANSWERED;
+  quince_metric_add ("quince_front_streams_total", complete ? "outcome=\"whole\"" : "outcome=\"cut\"", 1);
+  request->sink->end (complete, request->user_data);
   request_free (request);
 }
 
@@ -256,20 +256,24 @@
 
 /* Returns: %FALSE where the policy refuses the request, which is answered then */
 static gboolean
-admit_request (QuinceCallerRequest *request, const QuinceRoute *route, const char *service, guint deadline_ms)
+admit_by_policy (QuinceCallerRequest *request,
+                 const QuinceRoute *route,
+                 const char *service,
+                 guint deadline_ms)
 {
-  QuincePolicyRequest described = { .service = service,
-                                    .member = request->tenant != NULL ? request->tenant : "",
-                                    .kind = route->name,
-                                    .at_most_once = route->kind == QUINCE_ROUTE_AT_MOST_ONCE,
-                                    .attempt = 1,
-                                    .deadline_ms = deadline_ms,
-                                    .waiting = request->context->in_progress };
-  quince_backends_describe_events (request->context->backends, quince_wall_ms (), &described);
+  QuincePolicyRequest policy_request = { .service = service,
+                                         .member = request->tenant != NULL ? request->tenant : "",
+                                         .kind = route->name,
+                                         .at_most_once = route->kind == QUINCE_ROUTE_AT_MOST_ONCE,
+                                         .attempt = 1,
+                                         .deadline_ms = deadline_ms,
+                                         .waiting = request->context->in_progress };
+  quince_backends_describe_events (request->context->backends, quince_wall_ms (), &policy_request);
   QuincePolicyAdmission admission;
-  quince_backends_admit (request->context->backends, &described, &admission);
+  quince_backends_admit (request->context->backends, &policy_request, &admission);
   if (admission.refuse)
-    finish_error (request, 503, "policy", retry_after (QUINCE_REFUSED_POLICY, admission.retry_after_ms));
+    finish_error (request, 503, "policy",
+                  get_retry_after_ms (QUINCE_REFUSED_POLICY, admission.retry_after_ms));
   return !admission.refuse;
 }
 
@@ -284,10 +288,10 @@
   const char *service = quince_route_splits_next_service (request->context->splits, route);
   if (!quince_residency_check_workers (request->context, route, request->tenant, service))
     {
-      finish_error (request, 503, "residency", retry_after (QUINCE_REFUSED_RESIDENCY, 0));
+      finish_error (request, 503, "residency", get_retry_after_ms (QUINCE_REFUSED_RESIDENCY, 0));
       return FALSE;
     }
-  if (!admit_request (request, route, service, deadline_ms))
+  if (!admit_by_policy (request, route, service, deadline_ms))
     return FALSE;
   g_autoptr (QuinceHttpHeaders) headers = quince_http_headers_copy (request->head->headers);
   quince_http_headers_remove_hop_by_hop (headers);
@@ -325,14 +329,14 @@
 {
   QuinceCallerRequest *request = data;
   request->ledger_call = NULL;
-  if (outcome == QUINCE_LEDGER_CALL_LOST && request->submits)
+  if (outcome == QUINCE_LEDGER_CALL_LOST && request->is_submission)
     {
       finish_error (request, 504, "ledger_unknown", 0);
       return;
     }
   if (outcome != QUINCE_LEDGER_CALL_ANSWERED)
     {
-      finish_error (request, 503, "ledger_unreachable", retry_after (QUINCE_REFUSED_LEDGER, 0));
+      finish_error (request, 503, "ledger_unreachable", get_retry_after_ms (QUINCE_REFUSED_LEDGER, 0));
       return;
     }
   if (reply->status >= 500)
@@ -352,7 +356,7 @@
 call_ledger (QuinceCallerRequest *request)
 {
   guint wait_ms = quince_platform_read_wait (request->head->headers);
-  guint timeout_ms = request->submits ? LEDGER_SUBMIT_TIMEOUT_MS : wait_ms + LEDGER_READ_MARGIN_MS;
+  guint timeout_ms = request->is_submission ? LEDGER_SUBMIT_TIMEOUT_MS : wait_ms + LEDGER_READ_MARGIN_MS;
   request->ledger_call
       = quince_ledger_caller_start (request->context->ledger, request->head->method, request->head->target,
                                     request->head->headers, request->body, timeout_ms, ledger_done, request);
@@ -367,17 +371,17 @@
 authorize (QuinceCallerRequest *request, const QuinceRouteTable *routes, gboolean key_optional)
 {
   const QuinceTenantTable *tenants = quince_route_table_get_tenants (routes);
-  g_autofree char *key = g_steal_pointer (&request->key);
+  g_autofree char *api_key = g_steal_pointer (&request->api_key);
   if (tenants == NULL)
     return TRUE;
-  const QuinceTenant *tenant = key != NULL ? quince_tenant_table_find_by_key (tenants, key) : NULL;
+  const QuinceTenant *tenant = api_key != NULL ? quince_tenant_table_find_by_key (tenants, api_key) : NULL;
   if (tenant != NULL)
     {
       request->tenant = g_strdup (tenant->name);
       quince_platform_write_tenant (request->head->headers, tenant->name);
     }
   else if (!key_optional)
-    finish_error (request, 401, key != NULL ? "unknown_key" : "no_key", 0);
+    finish_error (request, 401, api_key != NULL ? "unknown_key" : "no_key", 0);
   return tenant != NULL || key_optional;
 }
 
@@ -385,11 +389,11 @@
 
 /* Returns: (transfer none) (nullable): %NULL: no configuration is known yet, and the request was answered */
 static QuinceRouteTable *
-get_routes (QuinceCallerRequest *request)
+require_routes (QuinceCallerRequest *request)
 {
   QuinceRouteTable *routes = quince_observer_get_routes (request->context->observer);
   if (routes == NULL)
-    finish_error (request, 503, "no_configuration", retry_after (QUINCE_REFUSED_NO_CONFIGURATION, 0));
+    finish_error (request, 503, "no_configuration", get_retry_after_ms (QUINCE_REFUSED_NO_CONFIGURATION, 0));
   return routes;
 }
 
@@ -397,7 +401,7 @@
 static gboolean
 route_request (QuinceCallerRequest *request)
 {
-  QuinceRouteTable *routes = get_routes (request);
+  QuinceRouteTable *routes = require_routes (request);
   if (routes == NULL)
     return FALSE;
   const char *host = quince_http_headers_get (request->head->headers, "Host");
@@ -410,12 +414,12 @@
     }
   if (!authorize (request, routes, route->is_public))
     return FALSE;
-  request->submits = route->kind == QUINCE_ROUTE_ROLLOUT;
-  if (!request->submits)
+  request->is_submission = route->kind == QUINCE_ROUTE_ROLLOUT;
+  if (!request->is_submission)
     return forward_request (request, route);
   if (!quince_residency_check_ledger (request->context, route, request->tenant))
     {
-      finish_error (request, 503, "residency_ledger", retry_after (QUINCE_REFUSED_RESIDENCY, 0));
+      finish_error (request, 503, "residency_ledger", get_retry_after_ms (QUINCE_REFUSED_RESIDENCY, 0));
       return FALSE;
     }
   call_ledger (request);
@@ -425,10 +429,10 @@
 /* A call about a batch.  A batch of a public route belongs to no tenant, so without a key the leader decides.
  * Returns: %FALSE where the request was answered */
 static gboolean
-route_batch_call (QuinceCallerRequest *request)
+start_batch_call (QuinceCallerRequest *request)
 {
-  QuinceRouteTable *routes = get_routes (request);
-  if (routes == NULL || !authorize (request, routes, request->key == NULL))
+  QuinceRouteTable *routes = require_routes (request);
+  if (routes == NULL || !authorize (request, routes, request->api_key == NULL))
     return FALSE;
   call_ledger (request);
   return TRUE;
@@ -449,7 +453,7 @@
   request->received_us = received_us;
   request->sink = sink;
   request->user_data = user_data;
-  request->key = quince_platform_take_key (head->headers);
+  request->api_key = quince_platform_take_key (head->headers);
   quince_platform_read_call (head->method, head->target, &request->call);
   switch (request->call.kind)
     {
@@ -458,7 +462,7 @@
     case QUINCE_CALL_RESULTS:
     case QUINCE_CALL_ITEM:
     case QUINCE_CALL_END:
-      return route_batch_call (request) ? request : NULL;
+      return start_batch_call (request) ? request : NULL;
     case QUINCE_CALL_READY:
     case QUINCE_CALL_RESOLVE:
     case QUINCE_CALL_UNKNOWN:
--- a/daemons/front/caller-request.h
+++ b/daemons/front/caller-request.h
@@ -36,7 +36,8 @@
  * @answer: the complete answer
  * @begin: status and headers of an answer whose body comes in pieces
  * @data: a piece of the body
- * @end: no more pieces come; @whole: %FALSE: the answer is truncated, and the caller must be able to see it
+ * @end: no more pieces come; @complete: %FALSE: the answer is truncated, and the caller must be able to see
+ * it
  *
  * Arguments are valid until the return.  After answer() or end() the request is released.
  */
@@ -45,7 +46,7 @@
   void (*answer) (const QuinceCallerAnswer *answer, gpointer user_data);
   void (*begin) (const QuinceCallerAnswer *answer, gpointer user_data);
   void (*data) (const char *data, gsize length, gpointer user_data);
-  void (*end) (gboolean whole, gpointer user_data);
+  void (*end) (gboolean complete, gpointer user_data);
 } QuinceCallerSink;
 
 /**
--- a/daemons/front/directory.c
+++ b/daemons/front/directory.c
@@ -23,9 +23,9 @@
 /* Most addresses in one answer, so that it stays small with hundreds of fronts.  Not measured. */
 #define ADDRESSES_MAX 64
 /* A front's entry is "STATE ADDRESS ZONE". */
-#define SEPARATOR " "
+#define ENTRY_SEPARATOR " "
 /* Fields of an entry. */
-#define ENTRY_FIELDS 3
+#define N_ENTRY_FIELDS 3
 #define STATE_LEAVING "leaving"
 #define STATE_SERVING "serving"
 
@@ -93,7 +93,7 @@
 GBytes *
 quince_directory_format_entry (const char *address, const char *zone, gboolean leaving)
 {
-  char *text = g_strjoin (SEPARATOR, leaving ? STATE_LEAVING : STATE_SERVING, address, zone, NULL);
+  char *text = g_strjoin (ENTRY_SEPARATOR, leaving ? STATE_LEAVING : STATE_SERVING, address, zone, NULL);
   return g_bytes_new_take (text, strlen (text));
 }
 
@@ -128,8 +128,8 @@
       return;
     }
   g_autofree char *text = g_strndup (g_bytes_get_data (entry, NULL), g_bytes_get_size (entry));
-  g_auto (GStrv) fields = g_strsplit (text, SEPARATOR, ENTRY_FIELDS);
-  if (g_strv_length (fields) != ENTRY_FIELDS)
+  g_auto (GStrv) fields = g_strsplit (text, ENTRY_SEPARATOR, N_ENTRY_FIELDS);
+  if (g_strv_length (fields) != N_ENTRY_FIELDS)
     {
       quince_log_warning ("entry_refused", "what=front front=%s reason=fields", name);
       return;
@@ -184,40 +184,40 @@
 {
   GPtrArray *same_zone;
   GPtrArray *same_region;
-  GPtrArray *elsewhere;
-} Choice;
+  GPtrArray *other_regions;
+} FrontsByDistance;
 
 static void
 add_front (const QuinceDirectory *directory,
            const Front *front,
            const char *zone,
            const char *region,
-           Choice *choice)
+           FrontsByDistance *by_distance)
 {
   const char *front_region = quince_topology_get_region (directory->topology, front->zone);
   if (g_strcmp0 (front->zone, zone) == 0)
-    g_ptr_array_add (choice->same_zone, front->address);
+    g_ptr_array_add (by_distance->same_zone, front->address);
   else if (region != NULL && g_strcmp0 (front_region, region) == 0)
-    g_ptr_array_add (choice->same_region, front->address);
+    g_ptr_array_add (by_distance->same_region, front->address);
   else
-    g_ptr_array_add (choice->elsewhere, front->address);
+    g_ptr_array_add (by_distance->other_regions, front->address);
 }
 
 static void
-collect_serving (QuinceDirectory *directory,
-                 gint64 now_us,
-                 const char *zone,
-                 const char *region,
-                 Choice *choice)
+collect_available (QuinceDirectory *directory,
+                   gint64 now_us,
+                   const char *zone,
+                   const char *region,
+                   FrontsByDistance *by_distance)
 {
   if (directory->serving)
-    add_front (directory, &directory->self, zone, region, choice);
+    add_front (directory, &directory->self, zone, region, by_distance);
   GHashTableIter iter;
   gpointer value;
   g_hash_table_iter_init (&iter, directory->fronts);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     if (!is_silent (directory, now_us, value))
-      add_front (directory, value, zone, region, choice);
+      add_front (directory, value, zone, region, by_distance);
 }
 
 char **
@@ -226,16 +226,17 @@
   remove_expired_fronts (directory, now_us);
   if ((region == NULL || *region == '\0') && zone != NULL)
     region = quince_topology_get_region (directory->topology, zone);
-  g_autoptr (GPtrArray) found = g_ptr_array_new ();
-  Choice choice = { .same_zone = found, .same_region = g_ptr_array_new (), .elsewhere = g_ptr_array_new () };
-  collect_serving (directory, now_us, zone, region, &choice);
-  g_ptr_array_extend_and_steal (found, choice.same_region);
-  if (region == NULL || found->len == 0)
-    g_ptr_array_extend (found, choice.elsewhere, NULL, NULL);
-  g_ptr_array_unref (choice.elsewhere);
-  g_ptr_array_set_size (found, (gint)MIN (found->len, ADDRESSES_MAX));
-  g_ptr_array_add (found, NULL);
-  return g_strdupv ((char **)found->pdata);
+  g_autoptr (GPtrArray) addresses = g_ptr_array_new ();
+  FrontsByDistance by_distance
+      = { .same_zone = addresses, .same_region = g_ptr_array_new (), .other_regions = g_ptr_array_new () };
+  collect_available (directory, now_us, zone, region, &by_distance);
+  g_ptr_array_extend_and_steal (addresses, by_distance.same_region);
+  if (region == NULL || addresses->len == 0)
+    g_ptr_array_extend (addresses, by_distance.other_regions, NULL, NULL);
+  g_ptr_array_unref (by_distance.other_regions);
+  g_ptr_array_set_size (addresses, (gint)MIN (addresses->len, ADDRESSES_MAX));
+  g_ptr_array_add (addresses, NULL);
+  return g_strdupv ((char **)addresses->pdata);
 }
 
 guint
--- a/daemons/front/feed-wait.c
+++ b/daemons/front/feed-wait.c
@@ -10,7 +10,7 @@
  * new view. */
 #define VIEW_READ_INTERVAL_MIN_MS 300
 /* Longest time for which the store holds a watch, ms. */
-#define READ_EVERY_MS 1000
+#define VIEW_WATCH_TIMEOUT_MS 1000
 /* A leader that lives feeds a new front within this time, ms: a connection, a subscription and its answer,
  * each in a turn of a busy leader's main loop. */
 #define FEED_TIMEOUT_MS 300
@@ -21,7 +21,7 @@
   QuinceObserver *observer; /* borrowed */
   QuinceMetaMirror *mirror; /* owned; NULL: the observer lists */
   QuinceTimer *timer;       /* NULL: no leader is known */
-  QuinceLedgerViewRead read;
+  QuinceLedgerViewRead view_read;
   gpointer user_data;
 };
 
@@ -41,31 +41,31 @@
 }
 
 static void
-take_item (const QuinceMetaItem *item, gpointer data)
+handle_item (const QuinceMetaItem *item, gpointer data)
 {
   QuinceFeedWait *wait = data;
   if (item->value == NULL || !g_str_equal (item->key, QUINCE_LEDGER_KEY))
     return;
   if (wait->timer == NULL)
     wait->timer = quince_timer_add (FEED_TIMEOUT_MS, feed_timed_out, wait);
-  wait->read (item->value, item->revision, wait->user_data);
+  wait->view_read (item->value, item->revision, wait->user_data);
 }
 
-static const QuinceMetaMirrorCallbacks mirror_callbacks = { .item = take_item };
+static const QuinceMetaMirrorCallbacks mirror_callbacks = { .item = handle_item };
 
 QuinceFeedWait *
 quince_feed_wait_new (QuinceMetaStore *store,
                       QuinceObserver *observer,
-                      QuinceLedgerViewRead read,
+                      QuinceLedgerViewRead view_read,
                       gpointer user_data)
 {
   QuinceFeedWait *wait = g_new0 (QuinceFeedWait, 1);
   wait->observer = observer;
-  wait->read = read;
+  wait->view_read = view_read;
   wait->user_data = user_data;
   wait->mirror = quince_meta_mirror_new (store, QUINCE_LEDGER_KEY, 0, &mirror_callbacks, wait);
   const QuinceMetaMirrorTimes times = { .pace_ms = VIEW_READ_INTERVAL_MIN_MS,
-                                        .read_every_ms = READ_EVERY_MS,
+                                        .read_every_ms = VIEW_WATCH_TIMEOUT_MS,
                                         .spread_ms = VIEW_READ_INTERVAL_MIN_MS };
   quince_meta_mirror_set_times (wait->mirror, &times);
   return wait;
--- a/daemons/front/feed-wait.h
+++ b/daemons/front/feed-wait.h
@@ -23,7 +23,7 @@
 /* @store, @observer: must outlive the wait; the observer has not begun to list */
 QuinceFeedWait *quince_feed_wait_new (QuinceMetaStore *store,
                                       QuinceObserver *observer,
-                                      QuinceLedgerViewRead read,
+                                      QuinceLedgerViewRead view_read,
                                       gpointer user_data);
 /* The link to the leader could not be made, or broke. */
 void quince_feed_wait_unlinked (QuinceFeedWait *wait);
--- a/daemons/front/planned-stop.c
+++ b/daemons/front/planned-stop.c
@@ -15,9 +15,9 @@
  * connect all the while: 6 of 53,733 requests lost without it, none of 146,366 with it. */
 #define BACKLOG_DRAIN_US (300 * 1000)
 /* Kept free at the end of the grace for the end of the process itself, us.  Not measured. */
-#define MARGIN_US (700 * 1000)
+#define EXIT_MARGIN_US (700 * 1000)
 /* Interval between two checks of the stop's progress, ms; small against the times above. */
-#define STEP_MS 100
+#define CHECK_INTERVAL_MS 100
 
 struct _QuincePlannedStop
 {
@@ -25,7 +25,7 @@
   QuinceFrontContext *context;
   QuinceCallerListeners *listeners;
   gint64 grace_us;
-  gint64 began_us;
+  gint64 started_us;
   gboolean ignores_new_connections; /* no connection is begun any more */
   QuinceTimer *timer;
 };
@@ -59,18 +59,18 @@
 check_stop_progress (gpointer data)
 {
   QuincePlannedStop *stop = data;
-  gint64 elapsed_us = quince_now_us () - stop->began_us;
-  gint64 serve_us = MIN (SERVE_DURATION_US, stop->grace_us - MARGIN_US - BACKLOG_DRAIN_US);
-  gboolean served = elapsed_us >= serve_us + BACKLOG_DRAIN_US;
-  if (elapsed_us >= serve_us && !stop->ignores_new_connections)
+  gint64 elapsed_us = quince_now_us () - stop->started_us;
+  gint64 serve_duration_us = MIN (SERVE_DURATION_US, stop->grace_us - EXIT_MARGIN_US - BACKLOG_DRAIN_US);
+  gboolean backlog_drained = elapsed_us >= serve_duration_us + BACKLOG_DRAIN_US;
+  if (elapsed_us >= serve_duration_us && !stop->ignores_new_connections)
     {
       stop->ignores_new_connections = TRUE;
       quince_caller_listeners_ignore_new (stop->listeners);
     }
-  if (served)
+  if (backlog_drained)
     quince_caller_listeners_close_caller_address (stop->listeners);
-  gboolean done = served && stop->context->in_progress == 0;
-  if (!done && elapsed_us < stop->grace_us - MARGIN_US)
+  gboolean drained = backlog_drained && stop->context->in_progress == 0;
+  if (!drained && elapsed_us < stop->grace_us - EXIT_MARGIN_US)
     return G_SOURCE_CONTINUE;
   quince_timer_clear (&stop->timer);
   quince_program_quit (QUINCE_EXIT_OK);
@@ -81,6 +81,6 @@
 quince_planned_stop_begin (QuincePlannedStop *stop)
 {
   stop->context->stopping = TRUE;
-  stop->began_us = quince_now_us ();
-  stop->timer = quince_timer_add (STEP_MS, check_stop_progress, stop);
+  stop->started_us = quince_now_us ();
+  stop->timer = quince_timer_add (CHECK_INTERVAL_MS, check_stop_progress, stop);
 }
--- a/daemons/front/residency-check.c
+++ b/daemons/front/residency-check.c
@@ -8,24 +8,24 @@
 static void
 get_residency (const QuinceFrontContext *context,
                const QuinceRoute *route,
-               const char *tenant,
+               const char *tenant_name,
                QuinceResidency *residency)
 {
   const QuinceTenantTable *tenants
       = quince_route_table_get_tenants (quince_observer_get_routes (context->observer));
-  const QuinceTenant *found
-      = tenants != NULL && tenant != NULL ? quince_tenant_table_find (tenants, tenant) : NULL;
-  quince_route_get_residency (route, found, residency);
+  const QuinceTenant *tenant
+      = tenants != NULL && tenant_name != NULL ? quince_tenant_table_find (tenants, tenant_name) : NULL;
+  quince_route_get_residency (route, tenant, residency);
 }
 
 gboolean
 quince_residency_check_workers (const QuinceFrontContext *context,
                                 const QuinceRoute *route,
-                                const char *tenant,
+                                const char *tenant_name,
                                 const char *service)
 {
   QuinceResidency residency;
-  get_residency (context, route, tenant, &residency);
+  get_residency (context, route, tenant_name, &residency);
   return quince_residency_is_unrestricted (&residency)
          || quince_backends_has_allowed_worker (context->backends, service, &residency);
 }
@@ -33,10 +33,10 @@
 gboolean
 quince_residency_check_ledger (const QuinceFrontContext *context,
                                const QuinceRoute *route,
-                               const char *tenant)
+                               const char *tenant_name)
 {
   QuinceResidency residency;
-  get_residency (context, route, tenant, &residency);
+  get_residency (context, route, tenant_name, &residency);
   if (quince_residency_is_unrestricted (&residency))
     return TRUE;
   const QuinceLedgerView *view = quince_ledger_caller_get_view (context->ledger);
--- a/daemons/front/residency-check.h
+++ b/daemons/front/residency-check.h
@@ -8,14 +8,14 @@
 
 #include "front-context.h"
 
-/* Returns: %TRUE where @service has a worker in a region that @route and @tenant (nullable) allow, or where
- * they name no regions. */
+/* Returns: %TRUE where @service has a worker in a region that @route and @tenant_name (nullable) allow, or
+ * where they name no regions. */
 gboolean quince_residency_check_workers (const QuinceFrontContext *context,
                                          const QuinceRoute *route,
-                                         const char *tenant,
+                                         const char *tenant_name,
                                          const char *service);
-/* Returns: %TRUE where all members of the ledger's view are in regions that @route and @tenant (nullable)
- * allow, or where they name no regions; %FALSE also while no view is known. */
+/* Returns: %TRUE where all members of the ledger's view are in regions that @route and @tenant_name
+ * (nullable) allow, or where they name no regions; %FALSE also while no view is known. */
 gboolean quince_residency_check_ledger (const QuinceFrontContext *context,
                                         const QuinceRoute *route,
-                                        const char *tenant);
+                                        const char *tenant_name);
