--- a/daemons/front/feed-wait.c
+++ b/daemons/front/feed-wait.c
@@ -10,7 +10,7 @@
  * new view. */
 #define VIEW_READ_INTERVAL_MIN_MS 300
 /* Longest time for which the store holds a watch, ms. */
-#define VIEW_WATCH_TIMEOUT_MS 1000
+#define VIEW_READ_INTERVAL_MAX_MS 1000
 /* A leader that lives feeds a new front within this time, ms: a connection, a subscription and its answer,
  * each in a turn of a busy leader's main loop. */
 #define FEED_TIMEOUT_MS 300
@@ -65,7 +65,7 @@
   wait->user_data = user_data;
   wait->mirror = quince_meta_mirror_new (store, QUINCE_LEDGER_KEY, 0, &mirror_callbacks, wait);
   const QuinceMetaMirrorTimes times = { .pace_ms = VIEW_READ_INTERVAL_MIN_MS,
-                                        .read_every_ms = VIEW_WATCH_TIMEOUT_MS,
+                                        .read_every_ms = VIEW_READ_INTERVAL_MAX_MS,
                                         .spread_ms = VIEW_READ_INTERVAL_MIN_MS };
   quince_meta_mirror_set_times (wait->mirror, &times);
   return wait;
