--- a/daemons/front/caller-listeners.h
+++ b/daemons/front/caller-listeners.h
@@ -29,6 +29,6 @@
                                                  QuinceListenKind kind);
 guint quince_caller_listeners_count_connections (const QuinceCallerListeners *listeners);
 /* The kernel begins no new connection at the callers' address; those already begun are accepted. */
-void quince_caller_listeners_ignore_new (QuinceCallerListeners *listeners);
+void quince_caller_listeners_ignore_new_connections (QuinceCallerListeners *listeners);
 /* Closes the callers' address and drops connections without a request; does nothing the second time. */
 void quince_caller_listeners_close_caller_address (QuinceCallerListeners *listeners);
--- a/daemons/front/planned-stop.c
+++ b/daemons/front/planned-stop.c
@@ -65,7 +65,7 @@
   if (elapsed_us >= serve_duration_us && !stop->ignores_new_connections)
     {
       stop->ignores_new_connections = TRUE;
-      quince_caller_listeners_ignore_new (stop->listeners);
+      quince_caller_listeners_ignore_new_connections (stop->listeners);
     }
   if (backlog_drained)
     quince_caller_listeners_close_caller_address (stop->listeners);
