--- a/daemons/front/caller-connection.c
+++ b/daemons/front/caller-connection.c
@@ -1,8 +1,8 @@
 /*
- * caller-connection.c: one connection of a caller.
+ * caller-connection.c: a caller's HTTP connection.
  *
- * A request is read whole before it is processed; if its caller closes the connection, the request is
- * cancelled.  While the front stops, each answer ends its connection.
+ * A request is processed once its whole body has arrived, and cancelled if the caller closes the connection.
+ * During a planned stop the connection closes after the current answer.
  */
 #include "caller-connection.h"
 
@@ -13,20 +13,20 @@
 #include "caller-request.h"
 #include "platform.h"
 
-/* Limits while no configuration is known; after that the configuration's own count.  Not measured: generous,
- * since the configuration may allow a request that they refuse. */
-/* Longest request head, bytes. */
+/* Limits until the first configuration is known.  They are generous, so that they do not refuse a request
+ * that the configuration allows. */
+/* Maximum size of a request head, bytes. */
 #define DEFAULT_HEAD_MAX_BYTES (64 * 1024)
-/* Longest request body, bytes. */
+/* Maximum size of a request body, bytes. */
 #define DEFAULT_BODY_MAX_BYTES (64 * 1024 * 1024)
-/* Connections without a request are closed after it, ms. */
+/* Time after which an idle connection is closed, ms. */
 #define DEFAULT_IDLE_TIMEOUT_MS 15000
-/* Longest time to read a request head, ms; also the first check of a new connection. */
+/* Maximum time to receive a request head, ms; also the delay of the first check of a new connection. */
 #define DEFAULT_HEAD_TIMEOUT_MS 3000
-/* Added to the idle limit, ms: a caller may send on a connection that has been idle for nearly the whole
- * limit, and a close at that moment would lose the request.  Not measured: above any round trip. */
+/* Added to the idle timeout, ms.  A caller may reuse a connection just before the timeout; the margin covers
+ * the round trip, so that the request is not lost. */
 #define IDLE_TIMEOUT_MARGIN_MS 1000
-/* Size of an answer's head that a text buffer is first allocated for, bytes; it grows if needed. */
+/* Initial buffer size for the head of an answer, bytes; the buffer grows if needed. */
 #define ANSWER_HEAD_INITIAL_BYTES 512
 
 struct _QuinceCallerConnection
@@ -37,15 +37,15 @@
   QuinceCallerConnectionClosed closed;
   gpointer user_data;
   QuinceHttpConnection *http;
-  QuinceHttpHead *head; /* of the request being read */
+  QuinceHttpHead *head; /* of the request being read; NULL: none */
   GByteArray *body;
-  QuinceCallerRequest *request; /* being answered; NULL: none */
-  gboolean answering;           /* a request was read and has no whole answer yet */
+  QuinceCallerRequest *request; /* in progress; NULL: none */
+  gboolean answering;           /* a request was read and its answer is not complete */
   gboolean keep_alive;
-  gboolean truncated;           /* a piece of the answer was left out, since the caller does not read */
-  gint64 received_us;           /* when the head of the last request was read */
-  gint64 idle_since_us;         /* end of the last answer, or start of the connection */
-  gint64 partial_head_since_us; /* when an unfinished head was first seen by the timer; 0: none */
+  gboolean truncated;           /* the caller reads too slowly, so the answer ends without its last chunk */
+  gint64 received_us;           /* when the last request head was read, monotonic */
+  gint64 idle_since_us;         /* end of the last answer or start of the connection, monotonic */
+  gint64 partial_head_since_us; /* when the timer first found an incomplete head, monotonic; 0: none */
   QuinceTimer *timer;
 };
 
@@ -108,7 +108,7 @@
   connection->timer = quince_timer_add (MAX (wait_ms, 1), check_timeouts, connection);
 }
 
-/* The one timer of a connection: checks the limits, and is set to when the next may be exceeded. */
+/* Checks the timeouts of the connection and schedules the next check. */
 static gboolean
 check_timeouts (gpointer data)
 {
@@ -213,10 +213,10 @@
   write_answer (connection, result);
 }
 
-/* ---- Answers piece by piece ------------------------------------------- */
+/* ---- Streamed answers -------------------------------------------------- */
 
-/* Bytes of a streamed answer that wait for a caller to read them; what comes beyond is left out and the
- * answer ends without its last chunk, so that a slow caller bounds no memory but its own.  Not measured. */
+/* Maximum unsent output of a streamed answer, bytes; it limits the memory that a slow caller uses.  While
+ * more output is unsent, new data is dropped; the answer then ends without its last chunk. */
 #define UNSENT_MAX_BYTES (1024 * 1024)
 
 static void
@@ -238,7 +238,7 @@
 {
   QuinceCallerConnection *connection = user_data;
   if (quince_http_connection_get_output (connection->http) > UNSENT_MAX_BYTES)
-    return; /* the last chunk will be missing, see end_streamed_answer() */
+    return; /* end_streamed_answer() omits the last chunk */
   g_autofree char *size = g_strdup_printf ("%zx\r\n", length);
   g_autoptr (GString) chunk = g_string_new (size);
   g_string_append_len (chunk, data, (gssize)length);
@@ -321,7 +321,7 @@
   QuinceCallerRequest *request = quince_caller_request_start (
       connection->context, g_steal_pointer (&connection->head), g_steal_pointer (&connection->body),
       connection->received_us, &answer_sink, connection);
-  /* NULL: already answered, and the connection may be released. */
+  /* After NULL the request is answered and the connection may have been freed. */
   if (request != NULL)
     connection->request = request;
 }
@@ -349,7 +349,8 @@
   quince_platform_call_clear (&call);
 }
 
-/* Answers a request that is malformed, too large or too slow; nothing of it runs and the rest isn't read. */
+/* Refuses a request that is malformed, too large or too slow.  The request does not run, and the connection
+ * closes without reading the rest of it. */
 static void
 refuse_request (QuinceCallerConnection *connection, guint status)
 {
--- a/daemons/front/caller-connection.h
+++ b/daemons/front/caller-connection.h
@@ -1,9 +1,8 @@
 /*
- * caller-connection.h: one connection of a caller: reads whole requests, one after the other, and answers
- * them.
+ * caller-connection.h: a caller's HTTP connection.  It reads one request at a time and sends the answer.
  *
- * Owns the HTTP connection, a timer and the request being read or answered.  Relies on http1/http1.h for the
- * protocol and on caller-request.h for the answers; the readiness check and the directory are answered here.
+ * A connection owns its HTTP connection, a timer and the request in progress.  caller-request.h processes
+ * requests; the connection itself answers readiness checks and directory lookups.
  */
 #pragma once
 
@@ -13,32 +12,32 @@
 
 typedef struct _QuinceCallerConnection QuinceCallerConnection;
 
-/* What a listening address is for; the values index arrays. */
+/* The purpose of a listening address; also an array index. */
 typedef enum
 {
-  QUINCE_LISTEN_CALLERS,   /* requests and calls about batches */
+  QUINCE_LISTEN_CALLERS,   /* lookups, streams, rollouts and calls about batches */
   QUINCE_LISTEN_READY,     /* the readiness check */
-  QUINCE_LISTEN_DIRECTORY, /* which fronts to use */
-  QUINCE_LISTEN_N_KINDS,   /* how many there are */
+  QUINCE_LISTEN_DIRECTORY, /* lists the fronts that callers may use */
+  QUINCE_LISTEN_N_KINDS,   /* number of kinds */
 } QuinceListenKind;
 
-/* @connection is about to be released, by either side. */
+/* Called before @connection is freed, whichever side closes it. */
 typedef void (*QuinceCallerConnectionClosed) (QuinceCallerConnection *connection, gpointer user_data);
 
 /**
  * quince_caller_connection_new:
  * @context: (transfer none): must outlive the connection
  * @socket: (transfer full)
- * @closed: called once, never before this returns
+ * @closed: called once, after this function has returned
  *
- * Returns: (transfer none): the connection, which owns itself until closed() is called
+ * Returns: (transfer none): the connection, which frees itself after it calls closed()
  */
 QuinceCallerConnection *quince_caller_connection_new (QuinceFrontContext *context,
                                                       QuinceListenKind kind,
                                                       GSocket *socket,
                                                       QuinceCallerConnectionClosed closed,
                                                       gpointer user_data);
-/* Closes it at once; a request on it is cancelled. */
+/* Closes the connection immediately, cancels its request, calls closed() and frees the connection. */
 void quince_caller_connection_close (QuinceCallerConnection *connection);
-/* No request is being read or answered. */
+/* Returns %TRUE if no request is being read or answered. */
 gboolean quince_caller_connection_is_idle (const QuinceCallerConnection *connection);
--- a/daemons/front/caller-listeners.c
+++ b/daemons/front/caller-listeners.c
@@ -1,5 +1,5 @@
 /*
- * caller-listeners.c: the addresses that callers connect to, and the connections accepted there.
+ * caller-listeners.c: the listening addresses of a front and the connections accepted on them.
  */
 #include "caller-listeners.h"
 
@@ -9,8 +9,8 @@
 {
   /* All fields belong to the main context. */
   QuinceFrontContext *context;
-  QuinceAcceptor *acceptors[QUINCE_LISTEN_N_KINDS]; /* owned; NULL: closed */
-  GHashTable *connections;                          /* QuinceCallerConnection, which own themselves */
+  QuinceAcceptor *acceptors[QUINCE_LISTEN_N_KINDS]; /* owned; NULL: not open */
+  GHashTable *connections;                          /* set of QuinceCallerConnection, not owned */
 };
 
 static void
@@ -48,7 +48,7 @@
 
 static const struct
 {
-  const char *key; /* of the section "listen" */
+  const char *key; /* in the section "listen" */
   void (*accepted) (GSocket *socket, gpointer data);
 } listen_kinds[QUINCE_LISTEN_N_KINDS] = { [QUINCE_LISTEN_CALLERS] = { "callers", caller_accepted },
                                           [QUINCE_LISTEN_READY] = { "ready", ready_accepted },
@@ -74,7 +74,7 @@
   return listeners;
 }
 
-/* @only_idle: those without a request */
+/* Collects the connections first, since each one removes itself from the set when it closes. */
 static void
 close_connections (QuinceCallerListeners *listeners, gboolean only_idle)
 {
--- a/daemons/front/caller-listeners.h
+++ b/daemons/front/caller-listeners.h
@@ -1,8 +1,7 @@
 /*
- * caller-listeners.h: the addresses that callers connect to, and the connections accepted there.
+ * caller-listeners.h: the listening addresses of a front and the connections accepted on them.
  *
- * Owns the listening sockets and the set of open connections.  Relies on caller-connection.h for what happens
- * on a connection.
+ * The listeners own the listening sockets and keep the set of open connections (caller-connection.h).
  */
 #pragma once
 
@@ -16,19 +15,24 @@
 /**
  * quince_caller_listeners_new:
  * @context: (transfer none): must outlive the listeners
- * @settings: [listen] callers, ready and directory
+ * @settings: the keys callers, ready and directory of the section [listen]
  *
- * Returns: (transfer full) (nullable): %NULL with @error where an address can't be listened on
+ * Returns: (transfer full) (nullable): the listeners, or %NULL with @error if an address cannot be listened
+ * on
  */
 QuinceCallerListeners *
 quince_caller_listeners_new (QuinceFrontContext *context, const QuinceSettings *settings, GError **error);
-/* (nullable).  Ends all connections; requests on them are cancelled. */
+/* Closes all connections and cancels their requests.  @listeners is (nullable). */
 void quince_caller_listeners_free (QuinceCallerListeners *listeners);
-/* (transfer none): ip:port, with the port that the kernel chose where the settings ask for port 0 */
+/* Returns: (transfer none): ip:port; if the settings name port 0, the port that the kernel chose.  Not
+ * to be called for the address of callers once it is closed. */
 const char *quince_caller_listeners_get_address (const QuinceCallerListeners *listeners,
                                                  QuinceListenKind kind);
+/* Returns the number of open connections to all addresses. */
 guint quince_caller_listeners_count_connections (const QuinceCallerListeners *listeners);
-/* The kernel begins no new connection at the callers' address; those already begun are accepted. */
+/* Ignores new connection attempts on the address of callers.  Connections that the kernel has already
+ * established are still accepted. */
 void quince_caller_listeners_ignore_new_connections (QuinceCallerListeners *listeners);
-/* Closes the callers' address and drops connections without a request; does nothing the second time. */
+/* Closes the address of callers and all idle connections, also those to the other addresses.  Does nothing
+ * if the address is closed already. */
 void quince_caller_listeners_close_caller_address (QuinceCallerListeners *listeners);
--- a/daemons/front/caller-request.c
+++ b/daemons/front/caller-request.c
@@ -1,8 +1,9 @@
 /*
- * caller-request.c: one request of a caller, from its last byte to its answer.
+ * caller-request.c: processes one complete request of a caller.
  *
- * A request for a service is forwarded to a worker; a call about a batch goes to the ledger's leader.  503
- * says that the request was not run: it is sent only if no worker and no leader can have received it.
+ * A request for a service is forwarded to a worker; a rollout or a call about a batch goes to the ledger's
+ * leader.  A 503 of the front itself means that the request has not run, and the caller may send it
+ * again.  Exception: a call about an existing batch also gets a 503 if the leader's reply is lost.
  */
 #include "caller-request.h"
 
@@ -17,12 +18,12 @@
 #include "residency-check.h"
 #include "platform.h"
 
-/* Deadline of a request that names none, ms.  Not measured. */
+/* Deadline of a request that does not set one, ms. */
 #define DEFAULT_DEADLINE_MS 30000
-/* How long a ledger call may take beyond what its caller lets it wait. */
+/* Time for a call to the leader in addition to the wait that its caller allows, ms. */
 #define LEDGER_READ_MARGIN_MS 1500
-/* Longest wait for the leader's reply to a submission, ms; then its caller gets 504.  Not measured: a commit
- * takes some ms. */
+/* Maximum wait for the leader's reply to a submission, ms.  The caller then gets a 504, since the leader may
+ * have accepted the batch. */
 #define LEDGER_SUBMIT_TIMEOUT_MS 4000
 
 struct _QuinceCallerRequest
@@ -32,15 +33,15 @@
   QuinceHttpHead *head;
   GByteArray *body;
   QuinceCall call;
-  gint64 received_us;     /* monotonic: when its head was read */
-  char *api_key;          /* API key of the caller until it is looked up; NULL: none was given */
-  char *tenant;           /* owner of the key; NULL: none */
-  gboolean is_submission; /* it submits a batch */
-  /* At most one of these is set: what the answer is waited for from. */
+  gint64 received_us;     /* when its head was read, monotonic */
+  char *api_key;          /* key of the caller, until the lookup of its tenant; NULL: none */
+  char *tenant;           /* name of the tenant that owns the key; NULL: none */
+  gboolean is_submission; /* the request submits a batch */
+  /* The source of the pending answer; at most one is set. */
   QuinceForward *forward;
   QuinceStream *stream;
   QuinceLedgerCallHandle *ledger_call;
-  gboolean answer_started; /* the caller has the head of a streamed answer */
+  gboolean answer_started; /* the head of a streamed answer was sent to the caller */
   const QuinceCallerSink *sink;
   gpointer user_data;
 };
@@ -56,7 +57,7 @@
   g_free (request);
 }
 
-/* @first_run_us: monotonic: when a worker may have begun it; 0: none can have */
+/* @first_run_us: when a worker may have started the request, monotonic; 0: no worker can have started it */
 static void
 record_usage (const QuinceCallerRequest *request, gint64 first_run_us)
 {
@@ -137,7 +138,7 @@
   finish (request, &answer);
 }
 
-/* @known_ms: when the cause may be over, as its owner knows it; 0: not known */
+/* @known_ms: estimated time until the request may succeed, ms; 0: not known */
 static guint
 get_retry_after_ms (QuinceRefusalCause cause, guint known_ms)
 {
@@ -146,7 +147,9 @@
   return quince_retry_after_ms (&input);
 }
 
-/* No worker has run it, and none will.  @known_retry_after_ms: when a worker may take it; 0: not known */
+/* Refuses a request that no worker has run and that is not sent again.
+ * @cause: (nullable)
+ * @known_retry_after_ms: estimated time until a worker may accept it; 0: not known */
 static void
 finish_refused (QuinceCallerRequest *request, const char *cause, guint known_retry_after_ms)
 {
@@ -191,8 +194,8 @@
     }
   if (!request->answer_started)
     {
-      /* A held request has run at workers that ended under it: 502, which doesn't say that it was not run,
-       * and no Retry-After, which would invite further attempts. */
+      /* Workers ended while they ran a held request.  502 does not claim that the request has not run, and
+       * without Retry-After the caller is not invited to send it again. */
       guint status = outcome == QUINCE_FORWARD_TIMEOUT ? 504 : 502;
       finish_error (request, status, cause != NULL ? cause : "no_worker", 0);
       return;
@@ -254,7 +257,7 @@
     }
 }
 
-/* Returns: %FALSE where the policy refuses the request, which is answered then */
+/* Returns: %FALSE if the policy refuses the request, which is then answered and freed */
 static gboolean
 admit_by_policy (QuinceCallerRequest *request,
                  const QuinceRoute *route,
@@ -277,7 +280,7 @@
   return !admission.refuse;
 }
 
-/* Returns: %FALSE where the request was answered */
+/* Returns: %FALSE if the request was refused and freed */
 static gboolean
 forward_request (QuinceCallerRequest *request, const QuinceRoute *route)
 {
@@ -364,9 +367,10 @@
 
 /* ---- Tenants ----------------------------------------------------------- */
 
-/* Finds the tenant of the caller's API key and adds its name to the request's headers.
- * @key_optional: the request is served without a tenant too
- * Returns: %FALSE where the request was answered */
+/* Finds the tenant of the caller's API key and adds its name to the request's headers.  Without tenants in
+ * the configuration, any request is accepted.
+ * @key_optional: also accept a request without a known key
+ * Returns: %FALSE if the request was refused and freed */
 static gboolean
 authorize (QuinceCallerRequest *request, const QuinceRouteTable *routes, gboolean key_optional)
 {
@@ -387,7 +391,8 @@
 
 /* ---- Routing ---------------------------------------------------------- */
 
-/* Returns: (transfer none) (nullable): %NULL: no configuration is known yet, and the request was answered */
+/* Returns: (transfer none) (nullable): the route table, or %NULL if no configuration is known yet; the
+ * request is then refused and freed */
 static QuinceRouteTable *
 require_routes (QuinceCallerRequest *request)
 {
@@ -397,7 +402,7 @@
   return routes;
 }
 
-/* Returns: %FALSE where the request was answered */
+/* Returns: %FALSE if the request was refused and freed */
 static gboolean
 route_request (QuinceCallerRequest *request)
 {
@@ -426,8 +431,9 @@
   return TRUE;
 }
 
-/* A call about a batch.  A batch of a public route belongs to no tenant, so without a key the leader decides.
- * Returns: %FALSE where the request was answered */
+/* Sends a call about a batch to the leader.  A call without a key is allowed here, since a batch of a public
+ * route belongs to no tenant; the leader decides whether the batch is accessible.
+ * Returns: %FALSE if the request was refused and freed */
 static gboolean
 start_batch_call (QuinceCallerRequest *request)
 {
--- a/daemons/front/caller-request.h
+++ b/daemons/front/caller-request.h
@@ -1,9 +1,8 @@
 /*
- * caller-request.h: one request of a caller, from its last byte to its answer.
+ * caller-request.h: processes one complete request of a caller and passes the answer to a sink.
  *
- * Owns the request's head and body and the work for it: a forwarded request, a stream, or a call to the
- * ledger's leader.  Relies on the parts of the front context, on lib/forward and on the platform's reader of
- * requests.
+ * A request owns its head and body, and the forward, stream or call to the ledger's leader that produces the
+ * answer.
  */
 #pragma once
 
@@ -16,10 +15,11 @@
 /**
  * QuinceCallerAnswer:
  * @status: HTTP status
- * @headers: (nullable): of a worker's answer, without hop-by-hop headers
- * @content_type: (nullable): where @headers is %NULL
- * @body, @body_length: bytes; not set in an answer that comes in pieces
- * @retry_after_ms: 0: the answer has no Retry-After
+ * @headers: (nullable): headers of the worker's answer, without hop-by-hop headers
+ * @content_type: (nullable): content type, if @headers is %NULL
+ * @body: body of a complete answer; unused for a streamed answer
+ * @body_length: length of @body, bytes
+ * @retry_after_ms: value of Retry-After, ms; 0: no such header
  */
 typedef struct
 {
@@ -32,14 +32,14 @@
 } QuinceCallerAnswer;
 
 /**
- * QuinceCallerSink: receives the answer of a request, either by answer() or by begin(), data() and end()
+ * QuinceCallerSink:
  * @answer: the complete answer
- * @begin: status and headers of an answer whose body comes in pieces
- * @data: a piece of the body
- * @end: no more pieces come; @complete: %FALSE: the answer is truncated, and the caller must be able to see
- * it
+ * @begin: status and headers of a streamed answer
+ * @data: a piece of the body of a streamed answer
+ * @end: end of a streamed answer; if @complete is %FALSE, the sink must let the caller detect the truncation
  *
- * Arguments are valid until the return.  After answer() or end() the request is released.
+ * Receives the answer of a request: either one call of answer(), or begin(), calls of data() and end().
+ * Arguments are valid during the call.  The request is freed after answer() or end().
  */
 typedef struct
 {
@@ -53,10 +53,10 @@
  * quince_caller_request_start:
  * @head: (transfer full)
  * @body: (transfer full)
- * @received_us: monotonic: when its head was read; its deadlines count from there
- * @sink: may be called before this returns
+ * @received_us: when its head was read, monotonic, us; its deadlines start then
+ * @sink: (transfer none): may be called before this function returns; must outlive the request
  *
- * Returns: (transfer none) (nullable): the request; %NULL where it was answered already
+ * Returns: (transfer none) (nullable): the request, or %NULL if it is already answered and freed
  */
 QuinceCallerRequest *quince_caller_request_start (QuinceFrontContext *context,
                                                   QuinceHttpHead *head,
@@ -64,5 +64,5 @@
                                                   gint64 received_us,
                                                   const QuinceCallerSink *sink,
                                                   gpointer user_data);
-/* The caller closed the connection: ends the work for the request and releases it; the sink isn't called. */
+/* Cancels the request and frees it without calling the sink, because its connection closed. */
 void quince_caller_request_cancel (QuinceCallerRequest *request);
--- a/daemons/front/directory.c
+++ b/daemons/front/directory.c
@@ -1,12 +1,12 @@
 /*
- * directory.c: the fronts that callers may use.
+ * directory.c: the list of fronts that callers may use.
  *
- * A front whose key disappears while it was serving may only have lost its lease in an outage of the store,
- * so it is named for a while longer; a front that is leaving is removed at once.  A front that answers no
- * heartbeat of the ledger's leader is left out while that lasts.
+ * The key of a serving front may disappear because its lease expired during an outage of the store, so such a
+ * front stays listed for a while.  A front that announces its planned stop is removed immediately.  Silent
+ * fronts are not listed.
  *
- * Callers choose among the answers at random, so a front of another region is named only if nothing nearer is
- * left.
+ * Callers choose a listed front at random, so fronts of other regions are listed only if no nearer front is
+ * available.
  */
 #include "directory.h"
 
@@ -14,17 +14,16 @@
 
 #include "runtime/log.h"
 
-/* A front whose key may have lapsed in an outage of the store is named for this long, us: it writes the key
- * anew within a second once the store answers.  Not measured. */
+/* How long a front stays listed after its lease may have expired in an outage of the store, us.  A running
+ * front writes its key again within a second once the store answers. */
 #define REMOVED_RETENTION_US (4 * G_USEC_PER_SEC)
-/* The leader's list of silent fronts counts for this long, us; the leader sends it four times a second.  Not
- * measured: longer than the election of another leader, about 1.2 s. */
+/* How long the leader's list of silent fronts is valid, us.  The leader sends it with every heartbeat; the
+ * TTL is longer than the election of a new leader. */
 #define SILENT_TTL_US (5 * G_USEC_PER_SEC)
-/* Most addresses in one answer, so that it stays small with hundreds of fronts.  Not measured. */
+/* Maximum number of addresses in one answer, which keeps it small with hundreds of fronts. */
 #define ADDRESSES_MAX 64
-/* A front's entry is "STATE ADDRESS ZONE". */
+/* The entry of a front in the metadata store is "STATE ADDRESS ZONE". */
 #define ENTRY_SEPARATOR " "
-/* Fields of an entry. */
 #define N_ENTRY_FIELDS 3
 #define STATE_LEAVING "leaving"
 #define STATE_SERVING "serving"
@@ -34,15 +33,15 @@
   char *name;
   char *address;
   char *zone;
-  gint64 removed_us; /* monotonic: when its key disappeared; 0: the key exists */
+  gint64 removed_us; /* when its key was removed, monotonic; 0: the key exists */
 } Front;
 
 struct _QuinceDirectory
 {
   /* All fields belong to the main context. */
-  GHashTable *fronts;       /* Front by name, owned; without this front */
-  GHashTable *silent;       /* names, owned: fronts that answer no heartbeat */
-  gint64 silent_expires_us; /* monotonic: when the set above runs out */
+  GHashTable *fronts;       /* name to Front, owned; without this front */
+  GHashTable *silent;       /* set of names, owned: fronts that answer no heartbeat */
+  gint64 silent_expires_us; /* when the set of silent fronts expires, monotonic */
   Front self;
   gboolean serving;
   const QuinceTopology *topology;
@@ -179,7 +178,7 @@
   return now_us < directory->silent_expires_us && g_hash_table_contains (directory->silent, front->name);
 }
 
-/* Addresses (not owned) of fronts that serve, by their distance from a caller. */
+/* Addresses (not owned) of available fronts, by their distance from a caller. */
 typedef struct
 {
   GPtrArray *same_zone;
--- a/daemons/front/feed-subscription.c
+++ b/daemons/front/feed-subscription.c
@@ -1,22 +1,21 @@
 /*
- * feed-subscription.c: when a front subscribes to the store feed of the ledger's leader.
+ * feed-subscription.c: subscribes a front to the store feed of the ledger's leader.
  */
 #include "feed-subscription.h"
 
 #include "observer/store-feed.h"
 #include "runtime/timer.h"
 
-/* Longest wait for the front's own lists of the store before it subscribes without them, ms: a list takes
- * some ms, so this passes only while the store is away.  A front that has not begun to list is fed all at
- * once. */
+/* Maximum wait for lists of the store in progress, ms.  A list takes a few ms, so the wait times out only if
+ * the store does not answer.  The front then subscribes with the revisions that it has. */
 #define SYNC_TIMEOUT_MS 300
 
 struct _QuinceFeedSubscription
 {
   /* All fields belong to the main context. */
   QuinceObserver *observer;
-  QuinceLink *link;   /* owned: to the leader, not subscribed to yet; NULL: none */
-  QuinceTimer *timer; /* runs out after SYNC_TIMEOUT_MS */
+  QuinceLink *link;   /* owned: link to the leader, not subscribed yet; NULL: none */
+  QuinceTimer *timer; /* limits the wait to SYNC_TIMEOUT_MS; NULL: no wait */
 };
 
 QuinceFeedSubscription *
--- a/daemons/front/feed-subscription.h
+++ b/daemons/front/feed-subscription.h
@@ -1,10 +1,10 @@
 /*
- * feed-subscription.h: when a front subscribes to the store feed of the ledger's leader.
+ * feed-subscription.h: subscribes a front to the store feed of the ledger's leader.
  *
- * A subscription names the revisions that the front has read; the leader sends the rest.  So the front first
- * waits for its own reads of the metadata store, for a bounded time.
+ * A subscription names the revisions that the front has read, and the leader sends only later changes.  So
+ * the front first waits for the lists of the metadata store that are in progress, up to 300 ms.
  *
- * Owns a reference to the link that waits and a timer.  Relies on observer/store-feed.h.
+ * A subscription owns a timer and, until the front has subscribed, a reference to the link to the leader.
  */
 #pragma once
 
@@ -13,11 +13,13 @@
 
 typedef struct _QuinceFeedSubscription QuinceFeedSubscription;
 
-/* @observer: not owned; must outlive the subscription */
+/* Returns: (transfer full): the subscription.  @observer is not owned and must outlive it. */
 QuinceFeedSubscription *quince_feed_subscription_new (QuinceObserver *observer);
 void quince_feed_subscription_free (QuinceFeedSubscription *subscription); /* (nullable) */
-/* A link to the leader is open; it replaces an earlier one. */
+/* A link to the leader is open.  Subscribes on it, immediately or after the lists in progress; replaces an
+ * earlier link. */
 void quince_feed_subscription_linked (QuinceFeedSubscription *subscription, QuinceLink *leader);
+/* The link to the leader is closed. */
 void quince_feed_subscription_unlinked (QuinceFeedSubscription *subscription);
-/* A prefix of the metadata store has been read. */
+/* The observer has read a whole prefix of the metadata store. */
 void quince_feed_subscription_synced (QuinceFeedSubscription *subscription);
--- a/daemons/front/feed-wait.c
+++ b/daemons/front/feed-wait.c
@@ -1,31 +1,31 @@
 /*
- * feed-wait.c: a front that starts waits to be fed.
+ * feed-wait.c: waits for the ledger's leader to feed a front that starts.
  */
 #include "feed-wait.h"
 
 #include "meta/meta-mirror.h"
 #include "runtime/timer.h"
 
-/* Least time between two reads of the view, ms: a new ledger takes its members in one after the other, each a
- * new view. */
+/* Minimum time between two reads of the view, ms.  A new ledger adds its members one after another and writes
+ * a new view for each. */
 #define VIEW_READ_INTERVAL_MIN_MS 300
-/* Longest time for which the store holds a watch, ms. */
+/* Maximum time between two reads of the view if the store answers immediately, ms. */
 #define VIEW_READ_INTERVAL_MAX_MS 1000
-/* A leader that lives feeds a new front within this time, ms: a connection, a subscription and its answer,
- * each in a turn of a busy leader's main loop. */
+/* Maximum time from the first view until the leader feeds the front, ms.  It allows a busy leader to accept
+ * the connection, handle the subscription and answer it. */
 #define FEED_TIMEOUT_MS 300
 
 struct _QuinceFeedWait
 {
   /* All fields belong to the main context. */
-  QuinceObserver *observer; /* borrowed */
-  QuinceMetaMirror *mirror; /* owned; NULL: the observer lists */
-  QuinceTimer *timer;       /* NULL: no leader is known */
+  QuinceObserver *observer; /* not owned */
+  QuinceMetaMirror *mirror; /* owned; NULL: the observer lists the store */
+  QuinceTimer *timer;       /* limits the wait to FEED_TIMEOUT_MS; NULL: no view was read */
   QuinceLedgerViewRead view_read;
   gpointer user_data;
 };
 
-/* The lists bring the view too. */
+/* Stops reading the view separately, since the observer's lists contain it. */
 static void
 list_store (QuinceFeedWait *wait)
 {
--- a/daemons/front/planned-stop.c
+++ b/daemons/front/planned-stop.c
@@ -1,5 +1,5 @@
 /*
- * planned-stop.c: the end of a front that was asked to stop, step by step.
+ * planned-stop.c: graceful shutdown of a front.
  */
 #include "planned-stop.h"
 
@@ -7,16 +7,15 @@
 #include "runtime/timer.h"
 #include "runtime/program.h"
 
-/* A stopping front accepts connections for this long at least, us: twice the 2 s for which callers keep an
- * answer of the directory by default (directory.keep). */
+/* How long a stopping front accepts new connections, us: twice the default time for which callers cache a
+ * directory answer (2 s, directory.keep).  A short grace period reduces it. */
 #define SERVE_DURATION_US (4 * G_USEC_PER_SEC)
-/* Then no connection is begun for this long before the listener is closed, us: what the kernel had already
- * begun is accepted and answered meanwhile, where a close would reset it.  Measured with six callers that
- * connect all the while: 6 of 53,733 requests lost without it, none of 146,366 with it. */
+/* Time between ignoring new connection attempts and closing the listener, us.  Meanwhile the front accepts
+ * the connections in the kernel's backlog, which a close would reset. */
 #define BACKLOG_DRAIN_US (300 * 1000)
-/* Kept free at the end of the grace for the end of the process itself, us.  Not measured. */
+/* Time reserved at the end of the grace period for the exit of the process, us. */
 #define EXIT_MARGIN_US (700 * 1000)
-/* Interval between two checks of the stop's progress, ms; small against the times above. */
+/* Interval between two checks of the stop's progress, ms. */
 #define CHECK_INTERVAL_MS 100
 
 struct _QuincePlannedStop
@@ -26,7 +25,7 @@
   QuinceCallerListeners *listeners;
   gint64 grace_us;
   gint64 started_us;
-  gboolean ignores_new_connections; /* no connection is begun any more */
+  gboolean ignores_new_connections; /* new connection attempts are ignored */
   QuinceTimer *timer;
 };
 
--- a/daemons/front/planned-stop.h
+++ b/daemons/front/planned-stop.h
@@ -1,13 +1,14 @@
 /*
- * planned-stop.h: the end of a front that was asked to stop (SIGTERM), step by step.
+ * planned-stop.h: graceful shutdown of a front after SIGTERM.
  *
- *   1. at once: the directory and the readiness check no longer name this front, each answer ends its
- *      connection; requests are still taken, from callers that keep an older answer of the directory
- *   2. after 4 s, or earlier where the grace is shorter: no new connection is begun
- *   3. 0.3 s later: the callers' address is closed, idle connections are dropped
- *   4. the process ends once no request is in progress, or shortly before the grace is over
+ *   1. Immediately: the directory no longer lists this front, the readiness check fails and connections close
+ *      after their next answer.  New requests are still served, because callers cache directory answers.
+ *   2. After 4 s, or earlier if the grace period is shorter: new connection attempts are ignored.
+ *   3. 0.3 s later: the address of callers and idle connections are closed.
+ *   4. The process exits once no request is in progress, or shortly before the grace period ends.
  *
- * Owns a timer.  Step 1 in the directory and in the metadata store is the owner's (front.c).
+ * The stop owns a timer.  Its owner (front.c) removes the front from the directory and updates the front's
+ * key in the metadata store.
  */
 #pragma once
 
@@ -16,12 +17,13 @@
 
 typedef struct _QuincePlannedStop QuincePlannedStop;
 
-/* @context, @listeners: not owned; must outlive the stop.  @grace_us: from the begin to the end of the
- * process */
+/* Returns: (transfer full): the stop, not started
+ * @context, @listeners: (transfer none): must outlive the stop
+ * @grace_us: grace period, us: maximum time from quince_planned_stop_begin() to the exit of the process */
 QuincePlannedStop *
 quince_planned_stop_new (QuinceFrontContext *context, QuinceCallerListeners *listeners, gint64 grace_us);
 void quince_planned_stop_free (QuincePlannedStop *stop); /* (nullable) */
-/* Also while it runs: the settings were read anew. */
+/* Changes the grace period, also during a stop. */
 void quince_planned_stop_set_grace (QuincePlannedStop *stop, gint64 grace_us);
-/* Sets the context's stopping flag and begins; the process ends by quince_program_quit(). */
+/* Sets the context's stopping flag and starts the stop, which ends with quince_program_quit(). */
 void quince_planned_stop_begin (QuincePlannedStop *stop);
--- a/daemons/front/residency-check.c
+++ b/daemons/front/residency-check.c
@@ -1,5 +1,5 @@
 /*
- * residency-check.c: compares the regions of a request with those of workers and of the ledger's machines.
+ * residency-check.c: compares the regions that a request allows with those of workers and ledger replicas.
  */
 #include "residency-check.h"
 
--- a/daemons/front/route-splits.c
+++ b/daemons/front/route-splits.c
@@ -1,15 +1,15 @@
 /*
- * route-splits.c: which service of a split route gets the next request.
+ * route-splits.c: splits the requests of a route among its services by weight.
  */
 #include "route-splits.h"
 
-/* Advance of a route's position in [0, 1) with each request: the golden ratio's fractional part, which
- * spreads successive positions evenly for any weights (low-discrepancy sequence). */
+/* Added to a route's position in [0, 1) with each request.  Steps of the fractional part of the golden ratio
+ * form a low-discrepancy sequence: even short runs of requests follow the weights. */
 #define POSITION_INCREMENT 0.6180339887498949
 
 struct _QuinceRouteSplits
 {
-  GHashTable *positions; /* route name to double in [0, 1), both owned */
+  GHashTable *positions; /* route name to position (double in [0, 1)), both owned */
 };
 
 QuinceRouteSplits *
@@ -29,7 +29,7 @@
   g_free (splits);
 }
 
-/* A random start keeps fronts that start together from sending in step. */
+/* A position starts at random, so that fronts that start together do not select the same services in step. */
 static double *
 find_or_add_position (QuinceRouteSplits *splits, const char *route)
 {
--- a/daemons/front/route-splits.h
+++ b/daemons/front/route-splits.h
@@ -1,7 +1,7 @@
 /*
- * route-splits.h: which service of a split route gets the next request.
+ * route-splits.h: splits the requests of a route among its services by weight.
  *
- * Owns a position for each split route; relies on core/routing for the weights.
+ * The splits own a position for each split route.  The weights come from core/routing.
  */
 #pragma once
 
@@ -11,6 +11,6 @@
 
 QuinceRouteSplits *quince_route_splits_new (void);
 void quince_route_splits_free (QuinceRouteSplits *splits);
-/* Returns: (transfer none): the service for the next request on @route, by the weights of its parts; owned by
- * @route */
+/* Returns: (transfer none): the service for the next request on @route, in proportion to the services'
+ * weights; owned by @route */
 const char *quince_route_splits_next_service (QuinceRouteSplits *splits, const QuinceRoute *route);
