--- a/daemons/daemon-settings.h
+++ b/daemons/daemon-settings.h
@@ -12,7 +12,7 @@
 
 /* Most log lines that a daemon writes in a second; more are left out and counted.  Not measured: a warning
  * for each refused request of a busy front (60 a second) fits. */
-#define QUINCE_DAEMON_LOG_LINES_PER_SECOND 200
+#define QUINCE_DAEMON_LOG_LINES_PER_SECOND_MAX 200
 
 /* One second in microseconds, the unit of duration bounds. */
 #define QUINCE_SECOND_US G_USEC_PER_SEC
--- a/daemons/front/caller-request.c
+++ b/daemons/front/caller-request.c
@@ -62,7 +62,7 @@
 record_usage (const QuinceCallerRequest *request, gint64 first_run_us)
 {
   if (request->tenant != NULL && first_run_us != 0)
-    quince_usage_reporter_note (request->context->usage, request->tenant, first_run_us);
+    quince_usage_reporter_record_start (request->context->usage, request->tenant, first_run_us);
 }
 
 void
--- a/daemons/front/front.c
+++ b/daemons/front/front.c
@@ -49,7 +49,7 @@
 /* ---- Events of the observer -------------------------------------------- */
 
 static void
-take_ledger_view (GBytes *value, guint64 revision, gpointer user_data)
+apply_ledger_view (GBytes *value, guint64 revision, gpointer user_data)
 {
   Front *front = user_data;
   gsize length;
@@ -64,7 +64,7 @@
 }
 
 static void
-take_front_entry (Front *front, const char *name, GBytes *value)
+apply_front_entry (Front *front, const char *name, GBytes *value)
 {
   gint64 now = quince_now_us ();
   gboolean lease_may_have_lapsed = quince_observer_may_have_lapsed (front->context.observer, now);
@@ -72,7 +72,7 @@
 }
 
 static void
-take_replica_zone (Front *front, const char *node, GBytes *value)
+apply_replica_zone (Front *front, const char *node, GBytes *value)
 {
   g_autofree char *zone
       = value != NULL ? g_strndup (g_bytes_get_data (value, NULL), g_bytes_get_size (value)) : NULL;
@@ -84,15 +84,15 @@
 {
   Front *front = data;
   if (g_str_equal (key, QUINCE_LEDGER_KEY) && value != NULL)
-    take_ledger_view (value, revision, front);
+    apply_ledger_view (value, revision, front);
   else if (g_str_has_prefix (key, QUINCE_FRONTS_PREFIX))
-    take_front_entry (front, key + strlen (QUINCE_FRONTS_PREFIX), value);
+    apply_front_entry (front, key + strlen (QUINCE_FRONTS_PREFIX), value);
   else if (g_str_has_prefix (key, QUINCE_MACHINE_ZONES_PREFIX))
-    take_replica_zone (front, key + strlen (QUINCE_MACHINE_ZONES_PREFIX), value);
+    apply_replica_zone (front, key + strlen (QUINCE_MACHINE_ZONES_PREFIX), value);
   else if (g_str_has_prefix (key, QUINCE_QUARANTINE_PREFIX))
-    quince_quarantine_client_take_key (front->quarantine, key + strlen (QUINCE_QUARANTINE_PREFIX), value);
+    quince_quarantine_client_apply_entry (front->quarantine, key + strlen (QUINCE_QUARANTINE_PREFIX), value);
   else if (g_str_has_prefix (key, QUINCE_SUSPECTS_PREFIX))
-    quince_quarantine_client_take_list (front->quarantine, key + strlen (QUINCE_SUSPECTS_PREFIX), value);
+    quince_quarantine_client_merge_list (front->quarantine, key + strlen (QUINCE_SUSPECTS_PREFIX), value);
 }
 
 /* With a configuration this front can route requests, so the directory may name it. */
@@ -126,7 +126,7 @@
 /* ---- Events of the link to the ledger's leader -------------------------- */
 
 static void
-ledger_linked (QuinceLink *link, gpointer data)
+handle_ledger_linked (QuinceLink *link, gpointer data)
 {
   Front *front = data;
   quince_usage_reporter_linked (front->context.usage, link);
@@ -141,7 +141,7 @@
   QuinceMessage message = { .kind = QUINCE_MESSAGE_HEARTBEAT_ACK };
   message.QuinceMessage_u.heartbeat_ack.node = front->name;
   quince_link_send (link, &message);
-  quince_usage_reporter_remind (front->context.usage);
+  quince_usage_reporter_resend_overdue (front->context.usage);
   if (heartbeat->certain)
     quince_directory_set_silent_fronts (front->context.directory, quince_now_us (),
                                         (const char *const *)heartbeat->silent.silent_val,
@@ -149,11 +149,11 @@
 }
 
 static void
-ledger_message (QuinceLink *link, const QuinceMessage *message, gpointer data)
+handle_ledger_message (QuinceLink *link, const QuinceMessage *message, gpointer data)
 {
   Front *front = data;
   quince_observer_feeder_alive (front->context.observer);
-  if (quince_quarantine_client_take (front->quarantine, message))
+  if (quince_quarantine_client_handle_message (front->quarantine, message))
     return;
   if (message->kind == QUINCE_MESSAGE_FEED_UPDATE)
     quince_store_feed_apply (front->context.observer, &message->QuinceMessage_u.feed_update);
@@ -162,13 +162,13 @@
   else if (message->kind == QUINCE_MESSAGE_HEARTBEAT)
     take_heartbeat (front, link, &message->QuinceMessage_u.heartbeat);
   else if (message->kind == QUINCE_MESSAGE_USAGE_ACK)
-    quince_usage_reporter_take_ack (front->context.usage, &message->QuinceMessage_u.usage_ack);
+    quince_usage_reporter_handle_ack (front->context.usage, &message->QuinceMessage_u.usage_ack);
   else
-    quince_warmup_client_take (front->warmup, message);
+    quince_warmup_client_handle_message (front->warmup, message);
 }
 
 static void
-ledger_unlinked (gpointer data)
+handle_ledger_unlinked (gpointer data)
 {
   Front *front = data;
   quince_feed_subscription_unlinked (front->subscription);
@@ -180,8 +180,9 @@
     quince_feed_wait_unlinked (front->feed_wait);
 }
 
-static const QuinceLedgerCallerCallbacks ledger_callbacks
-    = { .linked = ledger_linked, .message = ledger_message, .unlinked = ledger_unlinked };
+static const QuinceLedgerCallerCallbacks ledger_callbacks = { .linked = handle_ledger_linked,
+                                                              .message = handle_ledger_message,
+                                                              .unlinked = handle_ledger_unlinked };
 
 /* ---- Suspension --------------------------------------------------------- */
 
@@ -193,7 +194,7 @@
   Front *front = data;
   quince_meta_store_resumed (front->store);
   quince_backends_handle_resume (front->context.backends);
-  quince_ledger_caller_resumed (front->context.ledger);
+  quince_ledger_caller_handle_resume (front->context.ledger);
   quince_observer_resumed (front->context.observer);
   quince_meta_presence_resumed (front->presence);
 }
@@ -252,7 +253,7 @@
 
 /* Limits of what may be sent to workers: the quarantine's and those of cold workers. */
 static void
-limit_sends (Front *front, const QuinceSettings *settings)
+create_send_limiters (Front *front, const QuinceSettings *settings)
 {
   QuinceQuarantineLimits limits;
   quince_quarantine_read_limits (settings, &limits);
@@ -275,7 +276,7 @@
   front->context.directory_keep_s = read_directory_keep_s (settings);
   front->context.splits = quince_route_splits_new ();
   front->context.usage = quince_usage_reporter_new ();
-  limit_sends (front, settings);
+  create_send_limiters (front, settings);
   front->context.ledger = quince_ledger_caller_new (&ledger_callbacks, front);
   return front;
 }
@@ -304,7 +305,7 @@
   context->observer = quince_observer_new (front->store, context->backends, &quince_platform_observer_dialect,
                                            &options, &observer_callbacks, front);
   front->subscription = quince_feed_subscription_new (context->observer);
-  front->feed_wait = quince_feed_wait_new (front->store, context->observer, take_ledger_view, front);
+  front->feed_wait = quince_feed_wait_new (front->store, context->observer, apply_ledger_view, front);
   quince_warmup_client_set_observer (front->warmup, context->observer);
 }
 
--- a/daemons/front/leader-search.c
+++ b/daemons/front/leader-search.c
@@ -14,22 +14,22 @@
 /* Time from one question to the next at first, ms: a quorum of five members is the leader and two
  * others that follow it; of the four others, asked one after the other, the third at the latest knows it,
  * after 0.75 s. */
-#define ASK_FIRST_MS 250
+#define QUERY_INTERVAL_MIN_MS 250
 /* Longest time between two questions, ms; each question without a newer leader makes it longer by half.  A
  * hundred fronts then ask a ledger without a leader a hundred times a second in all. */
-#define ASK_MAX_MS 1000
+#define QUERY_INTERVAL_MAX_MS 1000
 
 struct _QuinceLeaderSearch
 {
   /* All fields belong to the main context. */
   QuinceLeaderFound found;
   gpointer user_data;
-  QuinceLedgerView *view; /* owned; NULL: no member is known */
-  gint64 contact_us;      /* monotonic: last sign of life of the leader */
-  gboolean unavailable;   /* the leader can't serve or answers no call; another member may lead */
-  guint ask_ms;           /* from this question to the next */
-  guint next;             /* index of the member to ask, modulo their number */
-  QuinceLink *link;       /* owned: to the member that is asked; NULL: none */
+  QuinceLedgerView *view;  /* owned; NULL: no member is known */
+  gint64 contact_us;       /* monotonic: last sign of life of the leader */
+  gboolean unavailable;    /* the leader can't serve or answers no call; another member may lead */
+  guint query_interval_ms; /* from this question to the next */
+  guint next;              /* index of the member to ask, modulo their number */
+  QuinceLink *link;        /* owned: to the member that is asked; NULL: none */
   QuinceTimer *timer;
 };
 
@@ -79,7 +79,7 @@
 }
 
 static gboolean
-ask_next (gpointer data)
+query_next_member (gpointer data)
 {
   QuinceLeaderSearch *search = data;
   quince_timer_clear (&search->timer);
@@ -89,9 +89,10 @@
     {
       ask (search, &search->view->members.members_val[search->next % search->view->members.members_len]);
       search->next++;
-      search->ask_ms = MIN (search->ask_ms + search->ask_ms / 2, ASK_MAX_MS);
+      search->query_interval_ms
+          = MIN (search->query_interval_ms + search->query_interval_ms / 2, QUERY_INTERVAL_MAX_MS);
     }
-  search->timer = quince_timer_add (search->ask_ms, ask_next, search);
+  search->timer = quince_timer_add (search->query_interval_ms, query_next_member, search);
   return G_SOURCE_REMOVE;
 }
 
@@ -102,8 +103,8 @@
   search->found = found;
   search->user_data = user_data;
   search->contact_us = quince_now_us ();
-  search->ask_ms = ASK_FIRST_MS;
-  search->timer = quince_timer_add (search->ask_ms, ask_next, search);
+  search->query_interval_ms = QUERY_INTERVAL_MIN_MS;
+  search->timer = quince_timer_add (search->query_interval_ms, query_next_member, search);
   return search;
 }
 
@@ -124,19 +125,19 @@
   g_clear_pointer (&search->view, quince_ledger_view_free);
   search->view = quince_ledger_view_copy (view);
   search->unavailable = FALSE;
-  quince_leader_search_note_contact (search);
+  quince_leader_search_record_contact (search);
 }
 
 void
-quince_leader_search_note_contact (QuinceLeaderSearch *search)
+quince_leader_search_record_contact (QuinceLeaderSearch *search)
 {
   search->contact_us = quince_now_us ();
   if (!search->unavailable)
-    search->ask_ms = ASK_FIRST_MS;
+    search->query_interval_ms = QUERY_INTERVAL_MIN_MS;
 }
 
 void
-quince_leader_search_answered (QuinceLeaderSearch *search, gboolean leads)
+quince_leader_search_set_leader_available (QuinceLeaderSearch *search, gboolean leads)
 {
   search->unavailable = !leads;
 }
--- a/daemons/front/leader-search.h
+++ b/daemons/front/leader-search.h
@@ -19,7 +19,7 @@
 void quince_leader_search_set_view (QuinceLeaderSearch *search, const QuinceLedgerView *view);
 /* A message of the leader arrived: no member is asked while it is younger than 1 s.  An accepted connection
  * is no sign of life: the kernel accepts for a frozen process. */
-void quince_leader_search_note_contact (QuinceLeaderSearch *search);
+void quince_leader_search_record_contact (QuinceLeaderSearch *search);
 /* The leader answered a call, or did not in time.  @leads: %FALSE: with "unavailable", or not at all: it may
  * be cut off from the other members, so they are asked although it is not silent. */
-void quince_leader_search_answered (QuinceLeaderSearch *search, gboolean leads);
+void quince_leader_search_set_leader_available (QuinceLeaderSearch *search, gboolean leads);
--- a/daemons/front/ledger-caller.c
+++ b/daemons/front/ledger-caller.c
@@ -11,12 +11,12 @@
 
 /* Pause between a link that closed and the next one, ms.  Not measured: short against an election (about 1.2
  * s), long enough not to keep a restarting leader busy. */
-#define RECONNECT_MS 150
+#define RECONNECT_DELAY_MS 150
 /* Longest time to open a link, ms; then it is opened anew.  Not measured: one lost SYN (repeated after 1 s)
  * is survived. */
 #define CONNECT_MS 1200
 /* HTTP status with which a leader refuses that has no quorum or has not read its log yet. */
-#define LEADER_UNAVAILABLE 503
+#define HTTP_STATUS_SERVICE_UNAVAILABLE 503
 
 struct _QuinceLedgerCaller
 {
@@ -45,7 +45,7 @@
   gpointer user_data;
 };
 
-static void begin_link (QuinceLedgerCaller *caller);
+static void open_leader_link (QuinceLedgerCaller *caller);
 
 static void
 call_free (gpointer data)
@@ -92,11 +92,11 @@
 }
 
 static gboolean
-link_again (gpointer data)
+reconnect_to_leader (gpointer data)
 {
   QuinceLedgerCaller *caller = data;
   quince_timer_clear (&caller->timer);
-  begin_link (caller);
+  open_leader_link (caller);
   return G_SOURCE_REMOVE;
 }
 
@@ -109,7 +109,7 @@
   caller->lost = TRUE;
   drop_link (caller);
   caller->callbacks->unlinked (caller->user_data);
-  caller->timer = quince_timer_add (RECONNECT_MS, link_again, caller);
+  caller->timer = quince_timer_add (RECONNECT_DELAY_MS, reconnect_to_leader, caller);
 }
 
 static gboolean
@@ -118,7 +118,7 @@
   QuinceLedgerCaller *caller = data;
   quince_timer_clear (&caller->timer);
   drop_link (caller);
-  begin_link (caller);
+  open_leader_link (caller);
   return G_SOURCE_REMOVE;
 }
 
@@ -136,12 +136,13 @@
 link_message (QuinceLink *link, QuinceMessage *message, gpointer data)
 {
   QuinceLedgerCaller *caller = data;
-  quince_leader_search_note_contact (caller->search);
+  quince_leader_search_record_contact (caller->search);
   if (message->kind == QUINCE_MESSAGE_SERVICE_REPLY)
     {
       const QuinceServiceReply *reply = &message->QuinceMessage_u.service_reply;
       guint64 id = reply->id;
-      quince_leader_search_answered (caller->search, reply->status != LEADER_UNAVAILABLE);
+      quince_leader_search_set_leader_available (caller->search,
+                                                 reply->status != HTTP_STATUS_SERVICE_UNAVAILABLE);
       QuinceLedgerCallHandle *call = g_hash_table_lookup (caller->calls, &id);
       if (call != NULL)
         call_end (call, QUINCE_LEDGER_CALL_ANSWERED, reply);
@@ -155,7 +156,7 @@
     = { .connected = link_connected, .message = link_message, .closed = link_closed };
 
 static void
-begin_link (QuinceLedgerCaller *caller)
+open_leader_link (QuinceLedgerCaller *caller)
 {
   if (caller->address == NULL || caller->link != NULL)
     return;
@@ -166,7 +167,7 @@
 /* ---- Life and views -------------------------------------------------------- */
 
 static void
-leader_found (const QuinceLedgerView *view, gpointer data)
+handle_leader_found (const QuinceLedgerView *view, gpointer data)
 {
   quince_ledger_caller_set_view (data, view);
 }
@@ -176,7 +177,7 @@
 {
   QuinceLedgerCaller *caller = g_new0 (QuinceLedgerCaller, 1);
   caller->callbacks = callbacks;
-  caller->search = quince_leader_search_new (leader_found, caller);
+  caller->search = quince_leader_search_new (handle_leader_found, caller);
   caller->user_data = user_data;
   caller->calls = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, call_free);
   return caller;
@@ -223,7 +224,7 @@
   drop_link (caller);
   g_free (caller->address);
   caller->address = g_strdup (primary->address);
-  begin_link (caller);
+  open_leader_link (caller);
 }
 
 const QuinceLedgerView *
@@ -233,11 +234,11 @@
 }
 
 void
-quince_ledger_caller_resumed (QuinceLedgerCaller *caller)
+quince_ledger_caller_handle_resume (QuinceLedgerCaller *caller)
 {
   drop_link (caller);
   caller->callbacks->unlinked (caller->user_data);
-  begin_link (caller);
+  open_leader_link (caller);
 }
 
 gboolean
@@ -251,7 +252,7 @@
 /* A front that was stopped finds the leader's answer and the end of the call's time ready at once: it reads
  * first.  What a turn has read is handed over in the next one, so that one turn passes in any case. */
 static gboolean
-reads_first (QuinceLedgerCallHandle *call)
+defer_call_timeout (QuinceLedgerCallHandle *call)
 {
   if (!call->sent || call->caller->link == NULL || call->read_first >= QUINCE_READ_FIRST_MAX
       || (call->read_first > 0 && !quince_link_has_input (call->caller->link)))
@@ -261,18 +262,18 @@
 }
 
 static gboolean
-call_late (gpointer data)
+call_timed_out (gpointer data)
 {
   QuinceLedgerCallHandle *call = data;
-  if (reads_first (call))
+  if (defer_call_timeout (call))
     {
       quince_timer_clear (&call->timer);
-      call->timer = quince_timer_add (QUINCE_READ_FIRST_MS, call_late, call);
+      call->timer = quince_timer_add (QUINCE_READ_FIRST_MS, call_timed_out, call);
       return G_SOURCE_REMOVE;
     }
   /* A leader whose heartbeats arrive may not hear this front, and another one may lead meanwhile. */
   if (call->sent)
-    quince_leader_search_answered (call->caller->search, FALSE);
+    quince_leader_search_set_leader_available (call->caller->search, FALSE);
   call_end (call, call->sent ? QUINCE_LEDGER_CALL_LOST : QUINCE_LEDGER_CALL_NOT_SENT, NULL);
   return G_SOURCE_REMOVE;
 }
@@ -324,6 +325,6 @@
   if (quince_ledger_caller_is_linked (caller))
     send_call (call, method, target, headers, body);
   /* Without a link it ends in the next turn of the main loop. */
-  call->timer = quince_timer_add (call->sent ? timeout_ms : 0, call_late, call);
+  call->timer = quince_timer_add (call->sent ? timeout_ms : 0, call_timed_out, call);
   return call;
 }
--- a/daemons/front/ledger-caller.h
+++ b/daemons/front/ledger-caller.h
@@ -45,7 +45,7 @@
 const QuinceLedgerView *quince_ledger_caller_get_view (const QuinceLedgerCaller *caller);
 /* The process was suspended: the leader may have closed the link without a sign of it here, so it is opened
  * anew. Calls in progress end as LOST. */
-void quince_ledger_caller_resumed (QuinceLedgerCaller *caller);
+void quince_ledger_caller_handle_resume (QuinceLedgerCaller *caller);
 gboolean quince_ledger_caller_is_linked (const QuinceLedgerCaller *caller);
 
 /**
--- a/daemons/front/main.c
+++ b/daemons/front/main.c
@@ -20,7 +20,7 @@
     .specs = quince_front_setting_specs,
     .n_specs = quince_front_n_setting_specs,
     .name_section = "node",
-    .log_lines_per_second = QUINCE_DAEMON_LOG_LINES_PER_SECOND,
+    .log_lines_per_second = QUINCE_DAEMON_LOG_LINES_PER_SECOND_MAX,
     .start = quince_front_start,
     .ready_line = quince_front_ready_line,
     .reload = quince_front_reload,
--- a/daemons/front/quarantine-client.c
+++ b/daemons/front/quarantine-client.c
@@ -36,7 +36,7 @@
 }
 
 static gboolean
-is_reached (const QuinceQuarantineClient *client)
+is_leader_reachable (const QuinceQuarantineClient *client)
 {
   return is_linked (client) && quince_now_us () - client->contact_us < SILENCE_MS * 1000;
 }
@@ -54,7 +54,7 @@
 request_permit (const QuinceRequestDigest *digest, const char *service, gboolean alone, gpointer data)
 {
   QuinceQuarantineClient *client = data;
-  if (!is_reached (client))
+  if (!is_leader_reachable (client))
     return FALSE;
   QuinceMessage message = { .kind = QUINCE_MESSAGE_PERMIT_ASK };
   QuincePermitAsk *wire = &message.QuinceMessage_u.permit_ask;
@@ -79,36 +79,36 @@
 /* ---- While no leader is reached ----------------------------------------- */
 
 static void
-begin_notice (QuinceQuarantineClient *client)
+start_notice (QuinceQuarantineClient *client)
 {
   if (client->noticed)
     return;
   client->noticed = TRUE;
-  quince_suspect_notice_begin (client->notice, quince_now_us ());
+  quince_suspect_notice_start (client->notice, quince_now_us ());
 }
 
 static gboolean
-watch_over (gpointer data)
+check_leader_contact (gpointer data)
 {
   QuinceQuarantineClient *client = data;
   quince_timer_clear (&client->watch);
-  if (!is_reached (client))
-    begin_notice (client);
+  if (!is_leader_reachable (client))
+    start_notice (client);
   return G_SOURCE_REMOVE;
 }
 
 /* This front learned something of the suspect @digest. */
 static void
-note_change (QuinceQuarantineClient *client, const QuinceRequestDigest *digest)
+record_change (QuinceQuarantineClient *client, const QuinceRequestDigest *digest)
 {
-  if (is_reached (client))
+  if (is_leader_reachable (client))
     {
       if (client->watch == NULL)
-        client->watch = quince_timer_add (SILENCE_MS, watch_over, client);
+        client->watch = quince_timer_add (SILENCE_MS, check_leader_contact, client);
       return;
     }
-  begin_notice (client);
-  quince_suspect_notice_changed (client->notice, digest);
+  start_notice (client);
+  quince_suspect_notice_record_change (client->notice, digest);
 }
 
 static void
@@ -130,7 +130,7 @@
     return;
   client->noticed = FALSE;
   report_all (client);
-  quince_suspect_notice_end (client->notice);
+  quince_suspect_notice_withdraw (client->notice);
 }
 
 /* ---- Reports, caused by the guard ------------------------------------------ */
@@ -139,7 +139,7 @@
 ended (const QuinceSuspect *suspect, gpointer data)
 {
   QuinceQuarantineClient *client = data;
-  note_change (client, &suspect->digest);
+  record_change (client, &suspect->digest);
   g_autoptr (GPtrArray) one = g_ptr_array_new ();
   g_ptr_array_add (one, (gpointer)suspect);
   g_autoptr (GBytes) encoded = quince_suspect_news_encode (one, quince_now_us (), client->name);
@@ -150,7 +150,7 @@
 cleared (const QuinceRequestDigest *digest, QuinceSuspectScope scope, guint ends, gpointer data)
 {
   QuinceQuarantineClient *client = data;
-  note_change (client, digest);
+  record_change (client, digest);
   g_autoptr (GBytes) encoded = quince_suspect_cleared_encode (digest, scope);
   send_encoded (client, encoded);
 }
@@ -212,7 +212,7 @@
 {
   g_clear_pointer (&client->link, quince_link_unref);
   quince_send_guard_drop_permit_requests (client->guard);
-  begin_notice (client);
+  start_notice (client);
 }
 
 static void
@@ -223,7 +223,7 @@
 }
 
 gboolean
-quince_quarantine_client_take (QuinceQuarantineClient *client, const QuinceMessage *message)
+quince_quarantine_client_handle_message (QuinceQuarantineClient *client, const QuinceMessage *message)
 {
   note_contact (client);
   if (message->kind == QUINCE_MESSAGE_PERMIT_ANSWER)
@@ -246,7 +246,7 @@
 }
 
 void
-quince_quarantine_client_take_list (QuinceQuarantineClient *client, const char *front, GBytes *value)
+quince_quarantine_client_merge_list (QuinceQuarantineClient *client, const char *front, GBytes *value)
 {
   if (value == NULL || g_str_equal (front, client->name))
     return;
@@ -258,7 +258,7 @@
 }
 
 void
-quince_quarantine_client_take_key (QuinceQuarantineClient *client, const char *name, GBytes *value)
+quince_quarantine_client_apply_entry (QuinceQuarantineClient *client, const char *name, GBytes *value)
 {
   quince_suspect_entry_apply (quince_send_guard_get_quarantine (client->guard), quince_now_us (),
                               quince_wall_ms (), name, value);
--- a/daemons/front/quarantine-client.h
+++ b/daemons/front/quarantine-client.h
@@ -29,9 +29,10 @@
 void quince_quarantine_client_unlinked (QuinceQuarantineClient *client);
 /* For each message of the leader, of any kind: it is a sign of life.
  * Returns: whether it is one of the quarantine's, and was taken */
-gboolean quince_quarantine_client_take (QuinceQuarantineClient *client, const QuinceMessage *message);
+gboolean quince_quarantine_client_handle_message (QuinceQuarantineClient *client,
+                                                  const QuinceMessage *message);
 /* The suspect notice of a front that reaches no leader; @value: (nullable): %NULL: it was withdrawn. */
-void quince_quarantine_client_take_list (QuinceQuarantineClient *client, const char *front, GBytes *value);
+void quince_quarantine_client_merge_list (QuinceQuarantineClient *client, const char *front, GBytes *value);
 /* The entry of a held request in the metadata store; @name: last part of its key, the digest as text; @value:
  * (nullable): %NULL: it was removed. */
-void quince_quarantine_client_take_key (QuinceQuarantineClient *client, const char *name, GBytes *value);
+void quince_quarantine_client_apply_entry (QuinceQuarantineClient *client, const char *name, GBytes *value);
--- a/daemons/front/suspect-notice.c
+++ b/daemons/front/suspect-notice.c
@@ -11,10 +11,10 @@
 
 /* What was seen this shortly before the leader became unreachable may not have arrived there, us: the leader
  * counts as unreachable 0.9 s after its last message, and answers are waited for 0.5 s. */
-#define UNREPORTED_US (2 * G_USEC_PER_SEC)
+#define UNREPORTED_AGE_MAX_US (2 * G_USEC_PER_SEC)
 /* Shortest time between two writes, us: a worker ends under some hundred requests at once, which become one
  * write; writes don't overtake each other (a call of the store takes 4 ms). */
-#define WRITE_PACE_US (100 * 1000)
+#define WRITE_INTERVAL_MIN_US (100 * 1000)
 
 struct _QuinceSuspectNotice
 {
@@ -25,7 +25,7 @@
   QuinceMetaStore *store;
   guint ttl_ms;
   QuinceMetaPresence *presence; /* NULL: nothing is in the store */
-  gint64 written_us;            /* monotonic: last write */
+  gint64 last_write_us;         /* monotonic: last write */
   QuinceTimer *timer;           /* next write; NULL: nothing has changed since the last */
 };
 
@@ -78,7 +78,7 @@
 write_list (QuinceSuspectNotice *notice)
 {
   quince_timer_clear (&notice->timer);
-  notice->written_us = quince_now_us ();
+  notice->last_write_us = quince_now_us ();
   g_autoptr (GPtrArray) suspects = list_suspects (notice);
   g_autoptr (GBytes) value = quince_suspect_list_format (suspects, quince_now_us (), quince_wall_ms ());
   if (notice->presence != NULL)
@@ -88,20 +88,20 @@
 }
 
 static gboolean
-write_due (gpointer data)
+write_timer_fired (gpointer data)
 {
   write_list (data);
   return G_SOURCE_REMOVE;
 }
 
 static void
-write_soon (QuinceSuspectNotice *notice)
+schedule_write (QuinceSuspectNotice *notice)
 {
-  gint64 wait_us = notice->written_us + WRITE_PACE_US - quince_now_us ();
+  gint64 wait_us = notice->last_write_us + WRITE_INTERVAL_MIN_US - quince_now_us ();
   if (wait_us <= 0)
     write_list (notice);
   else if (notice->timer == NULL)
-    notice->timer = quince_timer_add ((guint)(wait_us / 1000) + 1, write_due, notice);
+    notice->timer = quince_timer_add ((guint)(wait_us / 1000) + 1, write_timer_fired, notice);
 }
 
 static void
@@ -119,28 +119,28 @@
 }
 
 void
-quince_suspect_notice_changed (QuinceSuspectNotice *notice, const QuinceRequestDigest *digest)
+quince_suspect_notice_record_change (QuinceSuspectNotice *notice, const QuinceRequestDigest *digest)
 {
   add_digest (notice, digest);
-  write_soon (notice);
+  schedule_write (notice);
 }
 
 void
-quince_suspect_notice_begin (QuinceSuspectNotice *notice, gint64 now_us)
+quince_suspect_notice_start (QuinceSuspectNotice *notice, gint64 now_us)
 {
   g_autoptr (GPtrArray) all = quince_quarantine_list (notice->quarantine);
   for (guint i = 0; i < all->len; i++)
     {
       const QuinceSuspect *suspect = all->pdata[i];
-      if (suspect->reported_by == NULL && now_us - suspect->ended_us < UNREPORTED_US)
+      if (suspect->reported_by == NULL && now_us - suspect->ended_us < UNREPORTED_AGE_MAX_US)
         add_digest (notice, &suspect->digest);
     }
   if (notice->digests->len > 0)
-    write_soon (notice);
+    schedule_write (notice);
 }
 
 void
-quince_suspect_notice_end (QuinceSuspectNotice *notice)
+quince_suspect_notice_withdraw (QuinceSuspectNotice *notice)
 {
   g_array_set_size (notice->digests, 0);
   quince_timer_clear (&notice->timer);
--- a/daemons/front/suspect-notice.h
+++ b/daemons/front/suspect-notice.h
@@ -20,8 +20,8 @@
 /* @store: (transfer none) (nullable): %NULL: nothing is written; @ttl_ms: lease of the key */
 void quince_suspect_notice_set_store (QuinceSuspectNotice *notice, QuinceMetaStore *store, guint ttl_ms);
 /* A worker ended under the request @digest, or it was answered, and no leader can be reached. */
-void quince_suspect_notice_changed (QuinceSuspectNotice *notice, const QuinceRequestDigest *digest);
+void quince_suspect_notice_record_change (QuinceSuspectNotice *notice, const QuinceRequestDigest *digest);
 /* No leader can be reached from @now_us on (monotonic): what was seen shortly before may not have arrived. */
-void quince_suspect_notice_begin (QuinceSuspectNotice *notice, gint64 now_us);
+void quince_suspect_notice_start (QuinceSuspectNotice *notice, gint64 now_us);
 /* A leader has been sent all reports: withdraws the key. */
-void quince_suspect_notice_end (QuinceSuspectNotice *notice);
+void quince_suspect_notice_withdraw (QuinceSuspectNotice *notice);
--- a/daemons/front/usage-reporter.c
+++ b/daemons/front/usage-reporter.c
@@ -8,12 +8,12 @@
 
 /* Most requests kept while no leader acknowledges them: some minutes of a busy front (60 requests a second),
  * about 100 bytes each.  Beyond it the oldest are dropped, whose usage windows are over anyway. */
-#define KEPT_MAX 20000
+#define UNACKNOWLEDGED_MAX 20000
 /* Most requests in one message, about 100 KB; the rest follows once these are acknowledged. */
 #define REPORT_EVENTS_MAX 2000
 /* Requests are reported again after this time without an acknowledgement, us: the leader appends them to its
  * log each 0.2 s. */
-#define REMIND_US (1000 * 1000)
+#define ACK_TIMEOUT_US (1000 * 1000)
 
 typedef struct
 {
@@ -83,14 +83,14 @@
 }
 
 void
-quince_usage_reporter_note (QuinceUsageReporter *reporter, const char *tenant, gint64 begun_us)
+quince_usage_reporter_record_start (QuinceUsageReporter *reporter, const char *tenant, gint64 begun_us)
 {
   Event *event = g_new0 (Event, 1);
   event->sequence = ++reporter->last_sequence;
   event->tenant = g_strdup (tenant);
   event->begun_us = begun_us;
   g_queue_push_tail (&reporter->events, event);
-  if (g_queue_get_length (&reporter->events) > KEPT_MAX)
+  if (g_queue_get_length (&reporter->events) > UNACKNOWLEDGED_MAX)
     {
       event_free (g_queue_pop_head (&reporter->events));
       quince_metric_add ("quince_front_usage_dropped_total", "", 1);
@@ -117,11 +117,12 @@
 }
 
 void
-quince_usage_reporter_remind (QuinceUsageReporter *reporter)
+quince_usage_reporter_resend_overdue (QuinceUsageReporter *reporter)
 {
   const Event *oldest = g_queue_peek_head (&reporter->events);
-  gint64 waits_since_us = oldest != NULL ? MAX (oldest->begun_us, reporter->reported_us) : G_MAXINT64;
-  if (quince_now_us () - REMIND_US > waits_since_us)
+  gint64 unacknowledged_since_us
+      = oldest != NULL ? MAX (oldest->begun_us, reporter->reported_us) : G_MAXINT64;
+  if (quince_now_us () - ACK_TIMEOUT_US > unacknowledged_since_us)
     report_all (reporter);
 }
 
@@ -132,7 +133,7 @@
 }
 
 void
-quince_usage_reporter_take_ack (QuinceUsageReporter *reporter, const QuinceUsageAck *ack)
+quince_usage_reporter_handle_ack (QuinceUsageReporter *reporter, const QuinceUsageAck *ack)
 {
   if (ack->source != reporter->source)
     return;
--- a/daemons/front/warmup-client.c
+++ b/daemons/front/warmup-client.c
@@ -8,7 +8,7 @@
 
 /* Interval between two removals of expired leases, ms, so that workers that no longer exist keep no memory.
  * Not measured: any time is short enough. */
-#define EXPIRE_MS 5000
+#define LEASE_EXPIRE_INTERVAL_MS 5000
 
 struct _QuinceWarmupClient
 {
@@ -57,7 +57,7 @@
 {
   QuinceWarmupClient *client = g_new0 (QuinceWarmupClient, 1);
   client->sends = quince_warmup_sends_new (bounds, &sends_callbacks, client);
-  client->timer = quince_timer_add (EXPIRE_MS, expire, client);
+  client->timer = quince_timer_add (LEASE_EXPIRE_INTERVAL_MS, expire, client);
   return client;
 }
 
@@ -99,7 +99,7 @@
 }
 
 gboolean
-quince_warmup_client_take (QuinceWarmupClient *client, const QuinceMessage *message)
+quince_warmup_client_handle_message (QuinceWarmupClient *client, const QuinceMessage *message)
 {
   if (message->kind != QUINCE_MESSAGE_WARMUP_GRANT)
     return FALSE;
--- a/daemons/front/warmup-client.h
+++ b/daemons/front/warmup-client.h
@@ -23,6 +23,6 @@
 void quince_warmup_client_linked (QuinceWarmupClient *client, QuinceLink *leader);
 void quince_warmup_client_unlinked (QuinceWarmupClient *client);
 /* Returns: whether @message is a grant, and was taken */
-gboolean quince_warmup_client_take (QuinceWarmupClient *client, const QuinceMessage *message);
+gboolean quince_warmup_client_handle_message (QuinceWarmupClient *client, const QuinceMessage *message);
 
 G_END_DECLS
--- a/daemons/replica/main.c
+++ b/daemons/replica/main.c
@@ -28,7 +28,7 @@
     .specs = quince_replica_setting_specs,
     .n_specs = quince_replica_n_setting_specs,
     .name_section = "node",
-    .log_lines_per_second = QUINCE_DAEMON_LOG_LINES_PER_SECOND,
+    .log_lines_per_second = QUINCE_DAEMON_LOG_LINES_PER_SECOND_MAX,
     .start = quince_replica_start,
     .ready_line = quince_replica_ready_line,
     .stop = quince_replica_stop,
