--- a/daemons/daemon-settings.h
+++ b/daemons/daemon-settings.h
@@ -42,9 +42,9 @@
 /* @pace: fallback of store.workers_pace.  The deployment's bounds replace those of change, drain and
  * evacuation; their fallbacks of 2 s are the least that quinceroute keeps
  * (QUINCE_OBSERVER_CHANGE_BOUND_MIN_MS), and 60 s leaves the decision to the other two. */
-#define QUINCE_STORE_SETTINGS(pace) \
+#define QUINCE_STORE_SETTINGS(workers_pace) \
   { "store", "address", QUINCE_SETTING_ADDRESS, TRUE, NULL, 0, 0, NULL, "address of the metadata store" }, \
-  { "store", "workers_pace", QUINCE_SETTING_DURATION, FALSE, pace, 10 * QUINCE_MILLISECOND_US, \
+  { "store", "workers_pace", QUINCE_SETTING_DURATION, FALSE, workers_pace, 10 * QUINCE_MILLISECOND_US, \
     QUINCE_SECOND_US, NULL, "least time between two looks at the list of workers" }, \
   { "store", "change_bound", QUINCE_SETTING_DURATION, FALSE, "2s", QUINCE_BOUND_MIN_US, QUINCE_BOUND_MAX_US, \
     NULL, "a change of the operator is in force so long after the store took it" }, \
--- a/daemons/front/front.c
+++ b/daemons/front/front.c
@@ -80,7 +80,7 @@
 }
 
 static void
-own_key (const char *key, GBytes *value, guint64 revision, gpointer data)
+handle_own_key (const char *key, GBytes *value, guint64 revision, gpointer data)
 {
   Front *front = data;
   if (g_str_equal (key, QUINCE_LEDGER_KEY) && value != NULL)
@@ -104,7 +104,7 @@
 }
 
 static void
-own_synced (gpointer data)
+handle_own_synced (gpointer data)
 {
   Front *front = data;
   g_clear_pointer (&front->feed_wait, quince_feed_wait_free);
@@ -112,16 +112,16 @@
 }
 
 static void
-workers_synced (gpointer data)
+handle_workers_synced (gpointer data)
 {
   Front *front = data;
   quince_feed_subscription_synced (front->subscription);
 }
 
-static const QuinceObserverCallbacks observer_callbacks = { .own_key = own_key,
+static const QuinceObserverCallbacks observer_callbacks = { .own_key = handle_own_key,
                                                             .configuration = configuration_changed,
-                                                            .own_synced = own_synced,
-                                                            .workers_synced = workers_synced };
+                                                            .own_synced = handle_own_synced,
+                                                            .workers_synced = handle_workers_synced };
 
 /* ---- Events of the link to the ledger's leader -------------------------- */
 
@@ -136,7 +136,7 @@
 }
 
 static void
-take_heartbeat (Front *front, QuinceLink *link, const QuinceHeartbeat *heartbeat)
+handle_heartbeat (Front *front, QuinceLink *link, const QuinceHeartbeat *heartbeat)
 {
   QuinceMessage message = { .kind = QUINCE_MESSAGE_HEARTBEAT_ACK };
   message.QuinceMessage_u.heartbeat_ack.node = front->name;
@@ -160,7 +160,7 @@
   else if (message->kind == QUINCE_MESSAGE_FEED_SUBSCRIBE)
     quince_store_feed_answer (front->context.observer, link, &message->QuinceMessage_u.feed_subscribe);
   else if (message->kind == QUINCE_MESSAGE_HEARTBEAT)
-    take_heartbeat (front, link, &message->QuinceMessage_u.heartbeat);
+    handle_heartbeat (front, link, &message->QuinceMessage_u.heartbeat);
   else if (message->kind == QUINCE_MESSAGE_USAGE_ACK)
     quince_usage_reporter_handle_ack (front->context.usage, &message->QuinceMessage_u.usage_ack);
   else
@@ -189,7 +189,7 @@
 /* The process was suspended: what it knows may be outdated, and connections may have been closed by
  * the other side without a sign of it here. */
 static void
-resumed (gint64 away_us, gpointer data)
+handle_resume (gint64 suspended_us, gpointer data)
 {
   Front *front = data;
   quince_meta_store_resumed (front->store);
@@ -339,7 +339,7 @@
   if (!open_metrics (front, quince_settings_get_text (settings, "listen", "metrics"), error))
     return FALSE;
   announce (front, settings);
-  front->suspension = quince_suspension_watch_new (resumed, front);
+  front->suspension = quince_suspension_watch_new (handle_resume, front);
   return TRUE;
 }
 
--- a/daemons/front/leader-search.c
+++ b/daemons/front/leader-search.c
@@ -10,7 +10,7 @@
 
 /* The leader is silent after this time without a message, us.  Members elect another leader after 1 s of
  * silence, so there is nothing to find earlier; a leader sends a heartbeat each 0.25 s. */
-#define SILENCE_US (1000 * 1000)
+#define LEADER_TIMEOUT_US (1000 * 1000)
 /* Time from one question to the next at first, ms: a quorum of five members is the leader and two
  * others that follow it; of the four others, asked one after the other, the third at the latest knows it,
  * after 0.75 s. */
@@ -24,17 +24,17 @@
   /* All fields belong to the main context. */
   QuinceLeaderFound found;
   gpointer user_data;
-  QuinceLedgerView *view;  /* owned; NULL: no member is known */
-  gint64 contact_us;       /* monotonic: last sign of life of the leader */
-  gboolean unavailable;    /* the leader can't serve or answers no call; another member may lead */
-  guint query_interval_ms; /* from this question to the next */
-  guint next;              /* index of the member to ask, modulo their number */
-  QuinceLink *link;        /* owned: to the member that is asked; NULL: none */
+  QuinceLedgerView *view;      /* owned; NULL: no member is known */
+  gint64 last_contact_us;      /* monotonic: last sign of life of the leader */
+  gboolean leader_unavailable; /* the leader can't serve or answers no call; another member may lead */
+  guint query_interval_ms;     /* from this question to the next */
+  guint next_member;           /* index of the member to ask, modulo their number */
+  QuinceLink *link;            /* owned: to the member that is asked; NULL: none */
   QuinceTimer *timer;
 };
 
 static void
-drop_link (QuinceLeaderSearch *search)
+close_link (QuinceLeaderSearch *search)
 {
   if (search->link != NULL)
     quince_link_close (search->link);
@@ -49,7 +49,7 @@
     {
       const QuinceLedgerLead *lead = &message->QuinceMessage_u.ledger_lead;
       gboolean newer = lead->view.epoch > search->view->epoch;
-      drop_link (search);
+      close_link (search);
       if (newer)
         {
           quince_log_info ("ledger_lead_told", "epoch=%" G_GUINT64_FORMAT, (guint64)lead->view.epoch);
@@ -70,7 +70,7 @@
 static const QuinceLinkCallbacks link_callbacks = { .message = link_message, .closed = link_closed };
 
 static void
-ask (QuinceLeaderSearch *search, const QuinceLedgerMember *member)
+query_member (QuinceLeaderSearch *search, const QuinceLedgerMember *member)
 {
   QuinceMessage message = { .kind = QUINCE_MESSAGE_LEDGER_QUERY };
   message.QuinceMessage_u.ledger_query.epoch = search->view->epoch;
@@ -83,12 +83,15 @@
 {
   QuinceLeaderSearch *search = data;
   quince_timer_clear (&search->timer);
-  drop_link (search);
-  gboolean silent = search->unavailable || quince_now_us () - search->contact_us >= SILENCE_US;
-  if (silent && search->view != NULL && search->view->members.members_len > 0)
+  close_link (search);
+  gboolean should_query
+      = search->leader_unavailable || quince_now_us () - search->last_contact_us >= LEADER_TIMEOUT_US;
+  if (should_query && search->view != NULL && search->view->members.members_len > 0)
     {
-      ask (search, &search->view->members.members_val[search->next % search->view->members.members_len]);
-      search->next++;
+      query_member (
+          search,
+          &search->view->members.members_val[search->next_member % search->view->members.members_len]);
+      search->next_member++;
       search->query_interval_ms
           = MIN (search->query_interval_ms + search->query_interval_ms / 2, QUERY_INTERVAL_MAX_MS);
     }
@@ -102,7 +105,7 @@
   QuinceLeaderSearch *search = g_new0 (QuinceLeaderSearch, 1);
   search->found = found;
   search->user_data = user_data;
-  search->contact_us = quince_now_us ();
+  search->last_contact_us = quince_now_us ();
   search->query_interval_ms = QUERY_INTERVAL_MIN_MS;
   search->timer = quince_timer_add (search->query_interval_ms, query_next_member, search);
   return search;
@@ -114,7 +117,7 @@
   if (search == NULL)
     return;
   quince_timer_clear (&search->timer);
-  drop_link (search);
+  close_link (search);
   g_clear_pointer (&search->view, quince_ledger_view_free);
   g_free (search);
 }
@@ -124,20 +127,20 @@
 {
   g_clear_pointer (&search->view, quince_ledger_view_free);
   search->view = quince_ledger_view_copy (view);
-  search->unavailable = FALSE;
+  search->leader_unavailable = FALSE;
   quince_leader_search_record_contact (search);
 }
 
 void
 quince_leader_search_record_contact (QuinceLeaderSearch *search)
 {
-  search->contact_us = quince_now_us ();
-  if (!search->unavailable)
+  search->last_contact_us = quince_now_us ();
+  if (!search->leader_unavailable)
     search->query_interval_ms = QUERY_INTERVAL_MIN_MS;
 }
 
 void
-quince_leader_search_set_leader_available (QuinceLeaderSearch *search, gboolean leads)
+quince_leader_search_set_leader_available (QuinceLeaderSearch *search, gboolean available)
 {
-  search->unavailable = !leads;
+  search->leader_unavailable = !available;
 }
--- a/daemons/front/leader-search.h
+++ b/daemons/front/leader-search.h
@@ -22,4 +22,4 @@
 void quince_leader_search_record_contact (QuinceLeaderSearch *search);
 /* The leader answered a call, or did not in time.  @leads: %FALSE: with "unavailable", or not at all: it may
  * be cut off from the other members, so they are asked although it is not silent. */
-void quince_leader_search_set_leader_available (QuinceLeaderSearch *search, gboolean leads);
+void quince_leader_search_set_leader_available (QuinceLeaderSearch *search, gboolean available);
--- a/daemons/front/ledger-caller.c
+++ b/daemons/front/ledger-caller.c
@@ -14,7 +14,7 @@
 #define RECONNECT_DELAY_MS 150
 /* Longest time to open a link, ms; then it is opened anew.  Not measured: one lost SYN (repeated after 1 s)
  * is survived. */
-#define CONNECT_MS 1200
+#define CONNECT_TIMEOUT_MS 1200
 /* HTTP status with which a leader refuses that has no quorum or has not read its log yet. */
 #define HTTP_STATUS_SERVICE_UNAVAILABLE 503
 
@@ -23,7 +23,7 @@
   /* All fields belong to the main context. */
   QuinceLink *link;       /* owned; NULL: between two attempts */
   char *address;          /* of the leader; NULL: not known */
-  gboolean lost;          /* the log says so; reset by the next open link */
+  gboolean loss_logged;   /* the log says so; reset by the next open link */
   guint64 epoch;          /* of the leader */
   QuinceLedgerView *view; /* NULL: not known */
   QuinceLeaderSearch *search;
@@ -39,7 +39,7 @@
   QuinceLedgerCaller *caller;
   guint64 id;
   gboolean sent;
-  guint read_first; /* times that its time was over before all was read */
+  guint timeout_deferrals; /* times that its time was over before all was read */
   QuinceTimer *timer;
   QuinceLedgerCallDone done;
   gpointer user_data;
@@ -73,7 +73,7 @@
 /* ---- The link ------------------------------------------------------------ */
 
 static void
-drop_link (QuinceLedgerCaller *caller)
+close_link (QuinceLedgerCaller *caller)
 {
   quince_timer_clear (&caller->timer);
   if (caller->link == NULL)
@@ -104,20 +104,20 @@
 link_closed (QuinceLink *link, const GError *error, gpointer data)
 {
   QuinceLedgerCaller *caller = data;
-  if (!caller->lost)
+  if (!caller->loss_logged)
     quince_log_warning ("dependency_lost", "what=ledger_primary address=%s", caller->address);
-  caller->lost = TRUE;
-  drop_link (caller);
+  caller->loss_logged = TRUE;
+  close_link (caller);
   caller->callbacks->unlinked (caller->user_data);
   caller->timer = quince_timer_add (RECONNECT_DELAY_MS, reconnect_to_leader, caller);
 }
 
 static gboolean
-connect_late (gpointer data)
+connect_timed_out (gpointer data)
 {
   QuinceLedgerCaller *caller = data;
   quince_timer_clear (&caller->timer);
-  drop_link (caller);
+  close_link (caller);
   open_leader_link (caller);
   return G_SOURCE_REMOVE;
 }
@@ -127,7 +127,7 @@
 {
   QuinceLedgerCaller *caller = data;
   quince_timer_clear (&caller->timer);
-  caller->lost = FALSE;
+  caller->loss_logged = FALSE;
   quince_log_info ("dependency_regained", "what=ledger_primary address=%s", caller->address);
   caller->callbacks->linked (link, caller->user_data);
 }
@@ -161,7 +161,7 @@
   if (caller->address == NULL || caller->link != NULL)
     return;
   caller->link = quince_link_connect (caller->address, &link_callbacks, caller);
-  caller->timer = quince_timer_add (CONNECT_MS, connect_late, caller);
+  caller->timer = quince_timer_add (CONNECT_TIMEOUT_MS, connect_timed_out, caller);
 }
 
 /* ---- Life and views -------------------------------------------------------- */
@@ -188,7 +188,7 @@
 {
   if (caller == NULL)
     return;
-  drop_link (caller);
+  close_link (caller);
   quince_leader_search_free (caller->search);
   g_hash_table_unref (caller->calls);
   g_clear_pointer (&caller->view, quince_ledger_view_free);
@@ -215,13 +215,13 @@
   g_clear_pointer (&caller->view, quince_ledger_view_free);
   caller->view = quince_ledger_view_copy (view);
   quince_leader_search_set_view (caller->search, view);
-  gboolean same = caller->epoch == view->epoch && g_strcmp0 (caller->address, primary->address) == 0;
+  gboolean same_leader = caller->epoch == view->epoch && g_strcmp0 (caller->address, primary->address) == 0;
   caller->epoch = view->epoch;
-  if (same)
+  if (same_leader)
     return;
   quince_log_info ("ledger_primary", "node=%s address=%s epoch=%" G_GUINT64_FORMAT, primary->node,
                    primary->address, (guint64)view->epoch);
-  drop_link (caller);
+  close_link (caller);
   g_free (caller->address);
   caller->address = g_strdup (primary->address);
   open_leader_link (caller);
@@ -236,7 +236,7 @@
 void
 quince_ledger_caller_handle_resume (QuinceLedgerCaller *caller)
 {
-  drop_link (caller);
+  close_link (caller);
   caller->callbacks->unlinked (caller->user_data);
   open_leader_link (caller);
 }
@@ -254,10 +254,10 @@
 static gboolean
 defer_call_timeout (QuinceLedgerCallHandle *call)
 {
-  if (!call->sent || call->caller->link == NULL || call->read_first >= QUINCE_READ_FIRST_MAX
-      || (call->read_first > 0 && !quince_link_has_input (call->caller->link)))
+  if (!call->sent || call->caller->link == NULL || call->timeout_deferrals >= QUINCE_READ_FIRST_MAX
+      || (call->timeout_deferrals > 0 && !quince_link_has_input (call->caller->link)))
     return FALSE;
-  call->read_first++;
+  call->timeout_deferrals++;
   return TRUE;
 }
 
--- a/daemons/front/quarantine-client.c
+++ b/daemons/front/quarantine-client.c
@@ -15,18 +15,18 @@
 
 /* A leader without a message for this long counts as unreachable although its link is open, ms: a cut network
  * closes no connection.  As in observer-feed.c: three heartbeats of 250 ms, and time for a busy leader. */
-#define SILENCE_MS 900
+#define LEADER_TIMEOUT_MS 900
 
 struct _QuinceQuarantineClient
 {
   /* All fields belong to the main context. */
   QuinceSendGuard *guard;
   char *name;
-  QuinceLink *link;   /* owned (nullable): to the leader */
-  gint64 contact_us;  /* monotonic: last message of the leader */
-  QuinceTimer *watch; /* (nullable): whether a message of the leader follows a report to it */
+  QuinceLink *link;           /* owned (nullable): to the leader */
+  gint64 last_contact_us;     /* monotonic: last message of the leader */
+  QuinceTimer *contact_timer; /* (nullable): whether a message of the leader follows a report to it */
   QuinceSuspectNotice *notice;
-  gboolean noticed; /* the notice is in the store, and the leader may lack what it says */
+  gboolean notice_active; /* the notice is in the store, and the leader may lack what it says */
 };
 
 static gboolean
@@ -38,7 +38,7 @@
 static gboolean
 is_leader_reachable (const QuinceQuarantineClient *client)
 {
-  return is_linked (client) && quince_now_us () - client->contact_us < SILENCE_MS * 1000;
+  return is_linked (client) && quince_now_us () - client->last_contact_us < LEADER_TIMEOUT_MS * 1000;
 }
 
 static void
@@ -81,9 +81,9 @@
 static void
 start_notice (QuinceQuarantineClient *client)
 {
-  if (client->noticed)
+  if (client->notice_active)
     return;
-  client->noticed = TRUE;
+  client->notice_active = TRUE;
   quince_suspect_notice_start (client->notice, quince_now_us ());
 }
 
@@ -91,7 +91,7 @@
 check_leader_contact (gpointer data)
 {
   QuinceQuarantineClient *client = data;
-  quince_timer_clear (&client->watch);
+  quince_timer_clear (&client->contact_timer);
   if (!is_leader_reachable (client))
     start_notice (client);
   return G_SOURCE_REMOVE;
@@ -103,8 +103,8 @@
 {
   if (is_leader_reachable (client))
     {
-      if (client->watch == NULL)
-        client->watch = quince_timer_add (SILENCE_MS, check_leader_contact, client);
+      if (client->contact_timer == NULL)
+        client->contact_timer = quince_timer_add (LEADER_TIMEOUT_MS, check_leader_contact, client);
       return;
     }
   start_notice (client);
@@ -123,12 +123,12 @@
 
 /* A message of the leader arrived: what it may lack is reported, and the notice is withdrawn. */
 static void
-note_contact (QuinceQuarantineClient *client)
+record_contact (QuinceQuarantineClient *client)
 {
-  client->contact_us = quince_now_us ();
-  if (!client->noticed)
+  client->last_contact_us = quince_now_us ();
+  if (!client->notice_active)
     return;
-  client->noticed = FALSE;
+  client->notice_active = FALSE;
   report_all (client);
   quince_suspect_notice_withdraw (client->notice);
 }
@@ -136,7 +136,7 @@
 /* ---- Reports, caused by the guard ------------------------------------------ */
 
 static void
-ended (const QuinceSuspect *suspect, gpointer data)
+update_log_end (const QuinceSuspect *suspect, gpointer data)
 {
   QuinceQuarantineClient *client = data;
   record_change (client, &suspect->digest);
@@ -147,7 +147,7 @@
 }
 
 static void
-cleared (const QuinceRequestDigest *digest, QuinceSuspectScope scope, guint ends, gpointer data)
+report_cleared (const QuinceRequestDigest *digest, QuinceSuspectScope scope, guint ends, gpointer data)
 {
   QuinceQuarantineClient *client = data;
   record_change (client, digest);
@@ -157,8 +157,8 @@
 
 static const QuinceSendGuardCallbacks guard_callbacks = { .request_permit = request_permit,
                                                           .return_permit = return_permit,
-                                                          .ended = ended,
-                                                          .cleared = cleared };
+                                                          .ended = update_log_end,
+                                                          .cleared = report_cleared };
 
 /* ---- Life and messages ------------------------------------------------------ */
 
@@ -178,7 +178,7 @@
   if (client == NULL)
     return;
   g_clear_pointer (&client->link, quince_link_unref);
-  quince_timer_clear (&client->watch);
+  quince_timer_clear (&client->contact_timer);
   quince_suspect_notice_free (client->notice);
   quince_send_guard_free (client->guard);
   g_free (client->name);
@@ -203,8 +203,8 @@
   g_clear_pointer (&client->link, quince_link_unref);
   quince_send_guard_drop_permit_requests (client->guard);
   client->link = quince_link_ref (leader);
-  client->noticed = TRUE;
-  note_contact (client);
+  client->notice_active = TRUE;
+  record_contact (client);
 }
 
 void
@@ -225,7 +225,7 @@
 gboolean
 quince_quarantine_client_handle_message (QuinceQuarantineClient *client, const QuinceMessage *message)
 {
-  note_contact (client);
+  record_contact (client);
   if (message->kind == QUINCE_MESSAGE_PERMIT_ANSWER)
     {
       const QuincePermitAnswer *answer = &message->QuinceMessage_u.permit_answer;
--- a/daemons/front/usage-reporter.c
+++ b/daemons/front/usage-reporter.c
@@ -27,9 +27,9 @@
   /* All fields belong to the main context. */
   guint64 source; /* random, differs with each start of each front */
   guint64 last_sequence;
-  GQueue events;      /* Event, owned: not acknowledged, the oldest first */
-  QuinceLink *link;   /* owned (nullable): to the leader */
-  gint64 reported_us; /* monotonic: the last report of all events, or the last acknowledgement */
+  GQueue events;            /* Event, owned: not acknowledged, the oldest first */
+  QuinceLink *link;         /* owned (nullable): to the leader */
+  gint64 ack_wait_since_us; /* monotonic: the last report of all events, or the last acknowledgement */
 };
 
 static void
@@ -103,7 +103,7 @@
 static void
 report_all (QuinceUsageReporter *reporter)
 {
-  reporter->reported_us = quince_now_us ();
+  reporter->ack_wait_since_us = quince_now_us ();
   if (reporter->link != NULL && !g_queue_is_empty (&reporter->events))
     send_from (reporter, g_queue_peek_head_link (&reporter->events));
 }
@@ -121,7 +121,7 @@
 {
   const Event *oldest = g_queue_peek_head (&reporter->events);
   gint64 unacknowledged_since_us
-      = oldest != NULL ? MAX (oldest->begun_us, reporter->reported_us) : G_MAXINT64;
+      = oldest != NULL ? MAX (oldest->begun_us, reporter->ack_wait_since_us) : G_MAXINT64;
   if (quince_now_us () - ACK_TIMEOUT_US > unacknowledged_since_us)
     report_all (reporter);
 }
@@ -137,7 +137,7 @@
 {
   if (ack->source != reporter->source)
     return;
-  reporter->reported_us = quince_now_us ();
+  reporter->ack_wait_since_us = quince_now_us ();
   for (Event *event = g_queue_peek_head (&reporter->events);
        event != NULL && event->sequence <= ack->sequence; event = g_queue_peek_head (&reporter->events))
     event_free (g_queue_pop_head (&reporter->events));
--- a/daemons/front/warmup-client.c
+++ b/daemons/front/warmup-client.c
@@ -27,14 +27,14 @@
 }
 
 static gboolean
-ask (guint64 number, const char *worker, guint sends, gpointer data)
+request_lease (guint64 request_id, const char *worker, guint sends, gpointer data)
 {
   QuinceWarmupClient *client = data;
   if (client->link == NULL || !quince_link_is_connected (client->link))
     return FALSE;
   QuinceMessage message = { .kind = QUINCE_MESSAGE_WARMUP_ASK };
   QuinceWarmupAsk *wire = &message.QuinceMessage_u.warmup_ask;
-  wire->ask = number;
+  wire->ask = request_id;
   wire->worker = (char *)worker;
   wire->sends = sends;
   quince_link_send (client->link, &message);
@@ -42,10 +42,10 @@
 }
 
 static const QuinceWarmupSendsCallbacks sends_callbacks
-    = { .find_service = find_service, .request_lease = ask };
+    = { .find_service = find_service, .request_lease = request_lease };
 
 static gboolean
-expire (gpointer data)
+expire_leases (gpointer data)
 {
   QuinceWarmupClient *client = data;
   quince_warmup_sends_expire (client->sends, quince_now_us ());
@@ -57,7 +57,7 @@
 {
   QuinceWarmupClient *client = g_new0 (QuinceWarmupClient, 1);
   client->sends = quince_warmup_sends_new (bounds, &sends_callbacks, client);
-  client->timer = quince_timer_add (LEASE_EXPIRE_INTERVAL_MS, expire, client);
+  client->timer = quince_timer_add (LEASE_EXPIRE_INTERVAL_MS, expire_leases, client);
   return client;
 }
 
