--- a/daemons/daemon-settings.h
+++ b/daemons/daemon-settings.h
@@ -1,17 +1,18 @@
 /*
- * daemon-settings.h: what quinceroute-front and quinceroute-replica have in common in their settings: rows of
- * the tables, units, and the bound on log lines.
+ * daemon-settings.h: settings, units and the log limit that quinceroute-front and quinceroute-replica share.
  *
- * Each macro expands to one or more QuinceSettingSpec rows, in the order in which --help-settings prints
- * them. The modules that read them: node: lib/forward/backends.h; store: lib/observer/observer.h; quarantine:
- * lib/forward/send-guard.h; warmup: lib/forward/warmup-sends.h; log: lib/runtime/program.h.
+ * Each ..._SETTINGS macro expands to one or more QuinceSettingSpec rows, in the order in which
+ * --help-settings prints them.  These modules read the sections: node: lib/forward/backends.h; store:
+ * lib/observer/observer.h; quarantine: lib/forward/send-guard.h; warmup: lib/forward/warmup-sends.h; log:
+ * lib/runtime/program.h.
  */
 #pragma once
 
 #include "runtime/settings.h"
 
-/* Most log lines that a daemon writes in a second; more are left out and counted.  Not measured: a warning
- * for each refused request of a busy front (60 a second) fits. */
+/* Maximum number of log lines per second; failures, warnings and notices may bring it to twice as many.
+ * Further lines are left out and counted.  Leaves room for a warning per refused request of a busy front (60
+ * per second). */
 #define QUINCE_DAEMON_LOG_LINES_PER_SECOND_MAX 200
 
 /* One second in microseconds, the unit of duration bounds. */
@@ -20,14 +21,12 @@
 #define QUINCE_MILLISECOND_US (G_USEC_PER_SEC / 1000)
 /* One day in microseconds; the product needs 64 bits. */
 #define QUINCE_DAY_US (G_GINT64_CONSTANT (86400) * QUINCE_SECOND_US)
-/* Bounds of the settings store.change_bound, drain_bound and evacuation_bound, us. */
+/* Minimum of the settings store.change_bound, drain_bound and evacuation_bound, us. */
 #define QUINCE_BOUND_MIN_US (100 * QUINCE_MILLISECOND_US)
-/* As above. */
+/* Maximum of the same settings, us. */
 #define QUINCE_BOUND_MAX_US (60 * QUINCE_SECOND_US)
 
 /* clang-format off */
-/* One setting a row. */
-
 #define QUINCE_NODE_SETTINGS \
   { "node", "name", QUINCE_SETTING_NAME, TRUE, NULL, 0, 0, NULL, "name of this machine" }, \
   { "node", "zone", QUINCE_SETTING_NAME, TRUE, NULL, 0, 0, NULL, "zone that it stands in" }, \
@@ -39,9 +38,10 @@
   { "listen", "metrics", QUINCE_SETTING_ADDRESS, FALSE, NULL, 0, 0, NULL, \
     "address of /metrics; none where absent" }
 
-/* @pace: fallback of store.workers_pace.  The deployment's bounds replace those of change, drain and
- * evacuation; their fallbacks of 2 s are the least that quinceroute keeps
- * (QUINCE_OBSERVER_CHANGE_BOUND_MIN_MS), and 60 s leaves the decision to the other two. */
+/* @workers_pace: default of store.workers_pace.
+ * The smallest of the three bounds applies; deployments set their own.  The default of 2 s is the smallest that
+ * the observer can keep (QUINCE_OBSERVER_CHANGE_BOUND_MIN_MS).  The default of evacuation_bound is its maximum,
+ * so that the other two apply. */
 #define QUINCE_STORE_SETTINGS(workers_pace) \
   { "store", "address", QUINCE_SETTING_ADDRESS, TRUE, NULL, 0, 0, NULL, "address of the metadata store" }, \
   { "store", "workers_pace", QUINCE_SETTING_DURATION, FALSE, workers_pace, 10 * QUINCE_MILLISECOND_US, \
@@ -55,13 +55,14 @@
     "workers of an evacuated zone get no more requests so long after the store took the operator's word; " \
     "the least of the three bounds counts" }
 
-/* 8 s: not measured; the deployment's bound of a planned stop (bounds.graceS) replaces it. */
+/* Deployments set stop.grace to their bound of a planned stop (bounds.graceS). */
 #define QUINCE_STOP_SETTINGS \
   { "stop", "grace", QUINCE_SETTING_DURATION, FALSE, "8s", QUINCE_SECOND_US, 600 * QUINCE_SECOND_US, NULL, \
     "time from a planned stop to the end of the process" }
 
-/* Not measured: 1024 entries of 512 bytes hold the requests of several lost workers, some hundred each, so that
- * a flood pushes out only what met one end.  docs/design/worker-ends.md describes the rules. */
+/* The defaults, 1024 entries of 512 bytes, hold the requests of several lost workers, some hundred each.  A
+ * flood of suspects with one end each evicts only such suspects.  docs/design/worker-ends.md describes the
+ * rules. */
 #define QUINCE_QUARANTINE_SETTINGS \
   { "quarantine", "entries", QUINCE_SETTING_INTEGER, FALSE, "1024", 16, 4000, NULL, \
     "requests under which workers ended that are remembered" }, \
@@ -72,7 +73,8 @@
   { "quarantine", "hold_keep", QUINCE_SETTING_DURATION, FALSE, "86400s", QUINCE_SECOND_US, \
     7 * QUINCE_DAY_US, NULL, "a held request is forgotten so long after the last end" }
 
-/* 1 and 0: exactly what a cold worker says that it takes, unless the deployment's bounds allow more. */
+/* The defaults, 1 and 0, limit a cold worker to the rate configured for its service; deployments may allow
+ * more. */
 #define QUINCE_WARMUP_SETTINGS \
   { "warmup", "overage", QUINCE_SETTING_NUMBER, FALSE, "1", 1, 100, NULL, \
     "times what a cold worker bears that it gets in a second" }, \
--- a/daemons/front/front-context.h
+++ b/daemons/front/front-context.h
@@ -1,8 +1,8 @@
 /*
- * front-context.h: the parts of a front that callers' connections and requests use.
+ * front-context.h: the modules of a front that callers' connections and requests use.
  *
- * The front (front.c) owns the parts and outlives every connection; connections and requests hold a pointer
- * to the context only, so that none of them calls the front.
+ * The front (front.c) owns the modules and outlives all connections.  Connections and requests hold a pointer
+ * to the context and do not depend on the front itself.
  */
 #pragma once
 
@@ -18,15 +18,16 @@
 /**
  * QuinceFrontContext:
  * @backends: workers that requests are forwarded to
- * @observer: configuration in force, as read from the metadata store
- * @ledger: link to the ledger's leader, for calls about batches
- * @usage: counts requests of tenants
+ * @observer: configuration in force, from the metadata store
+ * @ledger: connection to the ledger's leader, for calls about batches
+ * @usage: reports the requests of each tenant to the ledger's leader
  * @directory: fronts that callers may use
- * @replica_zones: zones of the machines that keep the ledger
- * @splits: turns of the services of split routes
- * @directory_keep_s: how long callers may keep an answer of the directory, s
- * @in_progress: requests of callers that have no answer yet
- * @stopping: the planned stop has begun: each answer ends its connection, and the readiness check fails
+ * @replica_zones: zones of the machines that run ledger replicas
+ * @splits: state of the split of routes between services
+ * @directory_keep_s: how long callers may cache an answer of the directory, s
+ * @in_progress: number of callers' requests in flight
+ * @stopping: %TRUE once the planned stop has begun: each connection closes after its next answer, and the
+ *   readiness check fails
  *
  * All fields belong to the main context.
  */
--- a/daemons/front/front-settings.c
+++ b/daemons/front/front-settings.c
@@ -1,17 +1,18 @@
 /*
- * front-settings.c: the table of settings of quinceroute-front.
+ * front-settings.c: the settings of quinceroute-front.
  *
- * Owns no state.  Read by front.c and by the modules that daemons/daemon-settings.h names.
+ * front.c and the modules listed in daemons/daemon-settings.h read them.
  */
 #include "front-settings.h"
 
 #include "../daemon-settings.h"
 
-/* Where the fallbacks come from:
- * - store.workers_pace 1 s: not measured; a front reads the list itself only while it has no store feed.
- * - store.presence 6 s: a lease of 6 s is renewed each 2 s; with 3 s and each second renewals were 466 of
- * 4,600 store calls of a day.  A dead front is left out earlier, by the leader's heartbeats, after 0.65 s.
- * - directory.keep 2 s: not measured; a stopping front serves 4 s more, which covers answers kept for 2 s. */
+/* Defaults:
+ * - store.workers_pace 1 s: a front reads the list of workers itself only while it has no store feed.
+ * - store.presence 6 s: the lease is renewed every 2 s.  A dead front leaves the directory earlier, when it
+ *   has missed the leader's heartbeats for 0.65 s.
+ * - directory.keep 2 s: a stopping front accepts requests for another 4 s, longer than an answer that lists
+ *   it is cached. */
 
 /* clang-format off */
 const QuinceSettingSpec quince_front_setting_specs[] = {
--- a/daemons/front/front-settings.h
+++ b/daemons/front/front-settings.h
@@ -1,5 +1,5 @@
 /*
- * front-settings.h: the table of settings of quinceroute-front, printed by --help-settings.
+ * front-settings.h: the settings of quinceroute-front, printed by --help-settings.
  */
 #pragma once
 
--- a/daemons/front/front.c
+++ b/daemons/front/front.c
@@ -1,9 +1,9 @@
 /*
- * front.c: joins the parts of a front: creates them, passes events from one to the others, ends them.
+ * front.c: creates the modules of a front, passes events between them and frees them.
  *
- * Events come from three sides: the observer (what the metadata store or the leader's store feed says), the
- * ledger caller (the link to the ledger's leader) and the suspension watch.  Callers' requests don't pass
- * here: caller-listeners.c accepts them and front-context.h gives them the parts that they use.
+ * Events come from the observer (changes in the metadata store, read directly or through the leader's store
+ * feed), the ledger caller (the link to the ledger's leader) and the suspension watch.  Callers' requests do
+ * not pass through this file: caller-listeners.c accepts them, and they use the modules in front-context.h.
  */
 #include "front.h"
 
@@ -33,16 +33,16 @@
   /* All fields belong to the main context; pointers are owned. */
   char *name;
   char *zone;
-  QuinceFrontContext context; /* owned too, but for what its comment says */
+  QuinceFrontContext context; /* its modules are owned too */
   QuinceMetaStore *store;
-  QuinceMetaPresence *presence; /* the key that announces this front */
+  QuinceMetaPresence *presence; /* this front's key in the metadata store */
   QuinceFeedSubscription *subscription;
-  QuinceFeedWait *feed_wait; /* NULL: the own keys are known */
+  QuinceFeedWait *feed_wait; /* NULL once the product's own keys are known */
   QuinceQuarantineClient *quarantine;
   QuinceWarmupClient *warmup;
   QuinceCallerListeners *listeners;
   QuincePlannedStop *stop;
-  QuinceTextServer *metrics; /* NULL: none */
+  QuinceTextServer *metrics; /* NULL if listen.metrics is not set */
   QuinceSuspensionWatch *suspension;
 } Front;
 
@@ -95,7 +95,7 @@
     quince_quarantine_client_merge_list (front->quarantine, key + strlen (QUINCE_SUSPECTS_PREFIX), value);
 }
 
-/* With a configuration this front can route requests, so the directory may name it. */
+/* A front that has a configuration can route requests, so the directory may list it. */
 static void
 configuration_changed (QuinceRouteTable *table, gpointer data)
 {
@@ -186,8 +186,8 @@
 
 /* ---- Suspension --------------------------------------------------------- */
 
-/* The process was suspended: what it knows may be outdated, and connections may have been closed by
- * the other side without a sign of it here. */
+/* After a suspension, the state of this process may be outdated, and peers may have closed connections that
+ * still appear open here. */
 static void
 handle_resume (gint64 suspended_us, gpointer data)
 {
@@ -251,7 +251,8 @@
   return quince_settings_get_duration_us (settings, "stop", "grace");
 }
 
-/* Limits of what may be sent to workers: the quarantine's and those of cold workers. */
+/* Creates the limiters of sends to workers: the send guard of the quarantine and the limiter for cold
+ * workers. */
 static void
 create_send_limiters (Front *front, const QuinceSettings *settings)
 {
@@ -265,7 +266,7 @@
   quince_backends_set_warmup (front->context.backends, quince_warmup_client_get_sends (front->warmup));
 }
 
-/* The parts that need no socket.  @topology: (transfer full) */
+/* Creates the modules that need no socket.  @topology: (transfer full) */
 static Front *
 front_new (const QuinceSettings *settings, QuinceTopology *topology)
 {
@@ -288,7 +289,7 @@
   return *path == '\0' || quince_backends_load_policy (front->context.backends, path, error);
 }
 
-/* The directory names the callers' address, so the listeners are open before. */
+/* Requires open listeners: the directory lists the address that they listen on for callers. */
 static void
 observe_store (Front *front, const QuinceSettings *settings)
 {
@@ -309,7 +310,7 @@
   quince_warmup_client_set_observer (front->warmup, context->observer);
 }
 
-/* (transfer full): what the metadata store says of this front */
+/* Returns: (transfer full): the value of this front's key in the metadata store */
 static GBytes *
 format_entry (const Front *front, gboolean leaving)
 {
@@ -317,7 +318,7 @@
   return quince_directory_format_entry (address, front->zone, leaving);
 }
 
-/* From now on other fronts name this one to callers. */
+/* Registers this front in the metadata store, so that the directories of other fronts list it. */
 static void
 announce (Front *front, const QuinceSettings *settings)
 {
@@ -396,8 +397,8 @@
   quince_route_splits_free (context->splits);
 }
 
-/* Also after a start that failed, when some parts are missing.  The workers' connections go last: the
- * quarantine and the limits of cold workers are in use by them. */
+/* Also frees a front whose start failed; its remaining modules are NULL.  The backends are freed last: the
+ * send guard refers to their table of workers. */
 void
 quince_front_free (gpointer self)
 {
--- a/daemons/front/leader-search.c
+++ b/daemons/front/leader-search.c
@@ -1,5 +1,5 @@
 /*
- * leader-search.c: finds the ledger's leader where the metadata store does not name it.
+ * leader-search.c: finds the ledger's leader without the metadata store.
  */
 #include "leader-search.h"
 
@@ -8,15 +8,14 @@
 #include "runtime/clock.h"
 #include "runtime/timer.h"
 
-/* The leader is silent after this time without a message, us.  Members elect another leader after 1 s of
- * silence, so there is nothing to find earlier; a leader sends a heartbeat each 0.25 s. */
+/* Time without a message from the leader after which members are queried, us.  The leader sends a heartbeat
+ * every 0.25 s, and members elect another one after 1 s without contact. */
 #define LEADER_TIMEOUT_US (1000 * 1000)
-/* Time from one question to the next at first, ms: a quorum of five members is the leader and two
- * others that follow it; of the four others, asked one after the other, the third at the latest knows it,
- * after 0.75 s. */
+/* Minimum interval between two queries, ms.  It grows by half with each query, and is reset by contact with
+ * the leader. */
 #define QUERY_INTERVAL_MIN_MS 250
-/* Longest time between two questions, ms; each question without a newer leader makes it longer by half.  A
- * hundred fronts then ask a ledger without a leader a hundred times a second in all. */
+/* Maximum interval between two queries, ms.  A hundred fronts then send 100 queries per second in total to a
+ * ledger without a leader. */
 #define QUERY_INTERVAL_MAX_MS 1000
 
 struct _QuinceLeaderSearch
@@ -24,12 +23,12 @@
   /* All fields belong to the main context. */
   QuinceLeaderFound found;
   gpointer user_data;
-  QuinceLedgerView *view;      /* owned; NULL: no member is known */
-  gint64 last_contact_us;      /* monotonic: last sign of life of the leader */
-  gboolean leader_unavailable; /* the leader can't serve or answers no call; another member may lead */
-  guint query_interval_ms;     /* from this question to the next */
-  guint next_member;           /* index of the member to ask, modulo their number */
-  QuinceLink *link;            /* owned: to the member that is asked; NULL: none */
+  QuinceLedgerView *view;      /* owned; NULL if no member is known */
+  gint64 last_contact_us;      /* monotonic: last message from the leader, or new view */
+  gboolean leader_unavailable; /* the last call to the leader failed; another member may lead */
+  guint query_interval_ms;     /* until the next query */
+  guint next_member;           /* index of the next member to query, modulo their number */
+  QuinceLink *link;            /* owned: to the queried member; NULL if there is none */
   QuinceTimer *timer;
 };
 
--- a/daemons/front/leader-search.h
+++ b/daemons/front/leader-search.h
@@ -1,8 +1,9 @@
 /*
- * leader-search.h: finds the ledger's leader where the metadata store does not name it.
+ * leader-search.h: finds the ledger's leader without the metadata store.
  *
- * While the known leader is silent, the members of the last known view are asked in turn who leads.  Owns a
- * timer and one link at a time.  Relies on its owner to say when the leader gave a sign of life.
+ * While the known leader does not respond, the search queries the members of the last known view in turn for
+ * the current leader.  It owns a timer and at most one link.  Its owner reports contact with the leader and
+ * the results of calls to it.
  */
 #pragma once
 
@@ -10,16 +11,19 @@
 
 typedef struct _QuinceLeaderSearch QuinceLeaderSearch;
 
-/* A member named a leader of a newer epoch; @view is valid until the return. */
+/* Called when a member reports a leader with a newer epoch.  @view: valid until the callback returns */
 typedef void (*QuinceLeaderFound) (const QuinceLedgerView *view, gpointer user_data);
 
 QuinceLeaderSearch *quince_leader_search_new (QuinceLeaderFound found, gpointer user_data);
 void quince_leader_search_free (QuinceLeaderSearch *search);
-/* The members to ask and the last known leader; @view is copied. */
+/* Sets the members to query and the epoch of the known leader (both copied from @view), and records contact
+ * with it. */
 void quince_leader_search_set_view (QuinceLeaderSearch *search, const QuinceLedgerView *view);
-/* A message of the leader arrived: no member is asked while it is younger than 1 s.  An accepted connection
- * is no sign of life: the kernel accepts for a frozen process. */
+/* Records that a message from the leader arrived.  No member is queried for 1 s after it, unless the leader
+ * is marked as unavailable.  Do not call it for a connection that opened: the kernel also accepts connections
+ * for a stopped process. */
 void quince_leader_search_record_contact (QuinceLeaderSearch *search);
-/* The leader answered a call, or did not in time.  @leads: %FALSE: with "unavailable", or not at all: it may
- * be cut off from the other members, so they are asked although it is not silent. */
+/* Records the result of a call to the leader.  @available: %FALSE if it replied with status 503 or did not
+ * reply in time.  Such a leader may be partitioned from the other members, so they are queried even while its
+ * messages arrive. */
 void quince_leader_search_set_leader_available (QuinceLeaderSearch *search, gboolean available);
--- a/daemons/front/ledger-caller.c
+++ b/daemons/front/ledger-caller.c
@@ -1,5 +1,5 @@
 /*
- * ledger-caller.c: a front's link to the ledger's leader, and the calls about batches on it.
+ * ledger-caller.c: a front's link to the ledger's leader, and the calls about batches on that link.
  */
 #include "ledger-caller.h"
 #include "leader-search.h"
@@ -9,25 +9,25 @@
 #include "runtime/clock.h"
 #include "runtime/timer.h"
 
-/* Pause between a link that closed and the next one, ms.  Not measured: short against an election (about 1.2
- * s), long enough not to keep a restarting leader busy. */
+/* Delay before a closed link is reopened, ms.  Short compared with an election (about 1.2 s); limits the
+ * connections to a restarting leader. */
 #define RECONNECT_DELAY_MS 150
-/* Longest time to open a link, ms; then it is opened anew.  Not measured: one lost SYN (repeated after 1 s)
- * is survived. */
+/* Timeout of a connection attempt, ms; then a new one starts.  Allows one retransmission of a lost SYN, which
+ * follows after 1 s. */
 #define CONNECT_TIMEOUT_MS 1200
-/* HTTP status with which a leader refuses that has no quorum or has not read its log yet. */
+/* Status of a reply from a leader that has no quorum or has not read its log yet. */
 #define HTTP_STATUS_SERVICE_UNAVAILABLE 503
 
 struct _QuinceLedgerCaller
 {
   /* All fields belong to the main context. */
-  QuinceLink *link;       /* owned; NULL: between two attempts */
-  char *address;          /* of the leader; NULL: not known */
-  gboolean loss_logged;   /* the log says so; reset by the next open link */
+  QuinceLink *link;       /* owned; NULL between two connection attempts */
+  char *address;          /* of the leader; NULL if unknown */
+  gboolean loss_logged;   /* the loss of the link was logged; reset when a link opens */
   guint64 epoch;          /* of the leader */
-  QuinceLedgerView *view; /* NULL: not known */
+  QuinceLedgerView *view; /* NULL if unknown */
   QuinceLeaderSearch *search;
-  QuinceTimer *timer; /* next attempt, or end of this one */
+  QuinceTimer *timer; /* next connection attempt, or timeout of the current one */
   const QuinceLedgerCallerCallbacks *callbacks;
   gpointer user_data;
   GHashTable *calls; /* QuinceLedgerCallHandle by id, owned */
@@ -39,7 +39,7 @@
   QuinceLedgerCaller *caller;
   guint64 id;
   gboolean sent;
-  guint timeout_deferrals; /* times that its time was over before all was read */
+  guint timeout_deferrals; /* how often the timeout was deferred to read input first */
   QuinceTimer *timer;
   QuinceLedgerCallDone done;
   gpointer user_data;
@@ -70,7 +70,7 @@
   g_hash_table_remove (call->caller->calls, &call->id);
 }
 
-/* ---- The link ------------------------------------------------------------ */
+/* ---- Link --------------------------------------------------------------- */
 
 static void
 close_link (QuinceLedgerCaller *caller)
@@ -164,7 +164,7 @@
   caller->timer = quince_timer_add (CONNECT_TIMEOUT_MS, connect_timed_out, caller);
 }
 
-/* ---- Life and views -------------------------------------------------------- */
+/* ---- Creation and views ---------------------------------------------------- */
 
 static void
 handle_leader_found (const QuinceLedgerView *view, gpointer data)
@@ -209,7 +209,7 @@
 quince_ledger_caller_set_view (QuinceLedgerCaller *caller, const QuinceLedgerView *view)
 {
   const QuinceLedgerMember *primary = find_primary (view);
-  /* After an outage the store may still hold an older view than a member named meanwhile. */
+  /* After an outage, the store may hold an older view than the one that a member reported. */
   if (primary == NULL || view->epoch < caller->epoch)
     return;
   g_clear_pointer (&caller->view, quince_ledger_view_free);
@@ -249,8 +249,9 @@
 
 /* ---- Calls ----------------------------------------------------------------- */
 
-/* A front that was stopped finds the leader's answer and the end of the call's time ready at once: it reads
- * first.  What a turn has read is handed over in the next one, so that one turn passes in any case. */
+/* Defers the timeout of a call while its reply may still be unread, as after a pause of this process.  The
+ * first deferral is unconditional, because input is dispatched one main loop iteration after it was read.
+ * Returns: %FALSE if the call has timed out */
 static gboolean
 defer_call_timeout (QuinceLedgerCallHandle *call)
 {
@@ -271,7 +272,7 @@
       call->timer = quince_timer_add (QUINCE_READ_FIRST_MS, call_timed_out, call);
       return G_SOURCE_REMOVE;
     }
-  /* A leader whose heartbeats arrive may not hear this front, and another one may lead meanwhile. */
+  /* Messages to the leader may be lost while its heartbeats arrive, and another member may lead by now. */
   if (call->sent)
     quince_leader_search_set_leader_available (call->caller->search, FALSE);
   call_end (call, call->sent ? QUINCE_LEDGER_CALL_LOST : QUINCE_LEDGER_CALL_NOT_SENT, NULL);
@@ -324,7 +325,7 @@
   g_hash_table_insert (caller->calls, &call->id, call);
   if (quince_ledger_caller_is_linked (caller))
     send_call (call, method, target, headers, body);
-  /* Without a link it ends in the next turn of the main loop. */
+  /* A call that was not sent ends in the next iteration of the main loop. */
   call->timer = quince_timer_add (call->sent ? timeout_ms : 0, call_timed_out, call);
   return call;
 }
--- a/daemons/front/ledger-caller.h
+++ b/daemons/front/ledger-caller.h
@@ -1,9 +1,9 @@
 /*
- * ledger-caller.h: a front's link to the ledger's leader, and the calls about batches on it.
+ * ledger-caller.h: a front's link to the ledger's leader, and the calls about batches on that link.
  *
- * Owns the link, which it opens again whenever it closes, the calls in progress with their timers, and the
- * search for a leader (leader-search.h).  Relies on its owner to pass it the views of the ledger that the
- * metadata store holds, and passes on all messages that are no replies.
+ * Owns the link, which it reopens after it closes, the calls in flight with their timers, and the search for
+ * a leader (leader-search.h).  The owner passes it the ledger views from the metadata store.  Messages that
+ * are not replies to calls go to the owner.
  */
 #pragma once
 
@@ -17,17 +17,23 @@
 typedef enum
 {
   QUINCE_LEDGER_CALL_ANSWERED,
-  QUINCE_LEDGER_CALL_NOT_SENT, /* it can't have been carried out */
-  QUINCE_LEDGER_CALL_LOST,     /* sent without a reply: it may have been carried out */
+  QUINCE_LEDGER_CALL_NOT_SENT, /* the call was not executed */
+  QUINCE_LEDGER_CALL_LOST,     /* sent, but no reply arrived: the call may have been executed */
 } QuinceLedgerCallOutcome;
 
-/* @reply: (nullable): set for ANSWERED only; valid until the return */
+/* @reply: (nullable): the reply if @outcome is QUINCE_LEDGER_CALL_ANSWERED, otherwise %NULL; valid until the
+ * callback returns */
 typedef void (*QuinceLedgerCallDone) (QuinceLedgerCallOutcome outcome,
                                       const QuinceServiceReply *reply,
                                       gpointer user_data);
 
-/* @linked: a link to the leader is open; @message: a message arrived on it that is no reply; @unlinked: it
- * closed, or is dropped since the process was suspended */
+/**
+ * QuinceLedgerCallerCallbacks:
+ * @linked: a link to the leader opened
+ * @message: a message arrived on the link that is not a reply to a call
+ * @unlinked: the link closed or could not be opened, or it was closed after a suspension of the process; not
+ *   called when the link is replaced by one to a new leader
+ */
 typedef struct
 {
   void (*linked) (QuinceLink *link, gpointer user_data);
@@ -38,23 +44,25 @@
 QuinceLedgerCaller *quince_ledger_caller_new (const QuinceLedgerCallerCallbacks *callbacks,
                                               gpointer user_data);
 void quince_ledger_caller_free (QuinceLedgerCaller *caller);
-/* The ledger's view has changed.  Ignored where it names no leader among its members, or has a lower epoch
- * than the one known; @view is copied. */
+/* Sets the ledger view, and opens a link to its leader if that has changed.  A view without a leader among
+ * its members, or with an epoch lower than the current one, is ignored.  @view: copied */
 void quince_ledger_caller_set_view (QuinceLedgerCaller *caller, const QuinceLedgerView *view);
-/* Returns: (transfer none) (nullable): the last view that was taken; %NULL: none yet */
+/* Returns: (transfer none) (nullable): the last view that was accepted, or %NULL if there is none yet */
 const QuinceLedgerView *quince_ledger_caller_get_view (const QuinceLedgerCaller *caller);
-/* The process was suspended: the leader may have closed the link without a sign of it here, so it is opened
- * anew. Calls in progress end as LOST. */
+/* Reopens the link after a suspension of the process, because the leader may have closed it meanwhile.  Calls
+ * in flight end with QUINCE_LEDGER_CALL_LOST. */
 void quince_ledger_caller_handle_resume (QuinceLedgerCaller *caller);
 gboolean quince_ledger_caller_is_linked (const QuinceLedgerCaller *caller);
 
 /**
- * quince_ledger_caller_start: sends a call to the leader; without a link it ends as NOT_SENT
- * @method, @target, @headers, @body: of the caller's HTTP request; valid during the call
- * @timeout_ms: from the send to the reply
- * @done: called once, never before this returns
+ * quince_ledger_caller_start:
+ * @method, @target, @headers, @body: of the caller's HTTP request; not used after the function returns
+ * @timeout_ms: maximum time from sending the call to the reply
+ * @done: called once, after the function has returned
+ *
+ * Sends a call to the leader.  Without an open link, the call ends with QUINCE_LEDGER_CALL_NOT_SENT.
  *
- * Returns: (transfer none): the call, valid until done() or quince_ledger_call_cancel()
+ * Returns: (transfer none): the call, valid until @done is called or quince_ledger_call_cancel()
  */
 QuinceLedgerCallHandle *quince_ledger_caller_start (QuinceLedgerCaller *caller,
                                                     const char *method,
@@ -64,5 +72,5 @@
                                                     guint timeout_ms,
                                                     QuinceLedgerCallDone done,
                                                     gpointer user_data);
-/* Ends the call without done(); the leader may still carry it out. */
+/* Cancels the call; its callback is not called.  The leader may still execute it. */
 void quince_ledger_call_cancel (QuinceLedgerCallHandle *call);
--- a/daemons/front/main.c
+++ b/daemons/front/main.c
@@ -1,8 +1,8 @@
 /*
  * main.c: the daemon quinceroute-front.
  *
- * A front takes callers' requests, chooses by the policy program which worker runs each, and passes calls
- * about batches to the ledger's leader.
+ * A front accepts callers' requests, forwards each to a worker that the policy program chooses, and forwards
+ * calls about batches to the ledger's leader.
  */
 #include "runtime/program.h"
 
@@ -16,7 +16,7 @@
 {
   const QuinceProgram program = {
     .name = "quinceroute-front",
-    .doc = "Takes callers' requests and brings them to workers.",
+    .doc = "Accepts callers' requests and forwards them to workers.",
     .specs = quince_front_setting_specs,
     .n_specs = quince_front_n_setting_specs,
     .name_section = "node",
--- a/daemons/front/quarantine-client.c
+++ b/daemons/front/quarantine-client.c
@@ -1,5 +1,5 @@
 /*
- * quarantine-client.c: a front's part in the quarantine of requests under which workers ended.
+ * quarantine-client.c: client of the quarantine on the ledger's leader.
  */
 #include "quarantine-client.h"
 
@@ -13,8 +13,9 @@
 
 #include "suspect-notice.h"
 
-/* A leader without a message for this long counts as unreachable although its link is open, ms: a cut network
- * closes no connection.  As in observer-feed.c: three heartbeats of 250 ms, and time for a busy leader. */
+/* Time without a message after which the leader counts as unreachable, ms, even if the link is open: a
+ * network partition closes no connection.  Three heartbeat intervals of 250 ms and a margin, as in
+ * observer-feed.c. */
 #define LEADER_TIMEOUT_MS 900
 
 struct _QuinceQuarantineClient
@@ -23,10 +24,10 @@
   QuinceSendGuard *guard;
   char *name;
   QuinceLink *link;           /* owned (nullable): to the leader */
-  gint64 last_contact_us;     /* monotonic: last message of the leader */
-  QuinceTimer *contact_timer; /* (nullable): whether a message of the leader follows a report to it */
+  gint64 last_contact_us;     /* monotonic: last message from the leader */
+  QuinceTimer *contact_timer; /* (nullable): checks whether the leader is reachable after a report to it */
   QuinceSuspectNotice *notice;
-  gboolean notice_active; /* the notice is in the store, and the leader may lack what it says */
+  gboolean notice_active; /* the notice was started, or the leader has not received all suspects */
 };
 
 static gboolean
@@ -48,7 +49,7 @@
     quince_link_send_bytes (client->link, encoded);
 }
 
-/* ---- Permits, requested by the guard ------------------------------------- */
+/* ---- Permit requests of the send guard ----------------------------------- */
 
 static gboolean
 request_permit (const QuinceRequestDigest *digest, const char *service, gboolean alone, gpointer data)
@@ -70,13 +71,13 @@
 {
   QuinceQuarantineClient *client = data;
   if (!is_linked (client))
-    return; /* the leader takes the permit back when the link closes */
+    return; /* the leader reclaims the permit when the link closes */
   QuinceMessage message = { .kind = QUINCE_MESSAGE_PERMIT_BACK };
   memcpy (message.QuinceMessage_u.permit_back.digest, digest->bytes, sizeof digest->bytes);
   quince_link_send (client->link, &message);
 }
 
-/* ---- While no leader is reached ----------------------------------------- */
+/* ---- Notice while no leader is reachable --------------------------------- */
 
 static void
 start_notice (QuinceQuarantineClient *client)
@@ -97,7 +98,8 @@
   return G_SOURCE_REMOVE;
 }
 
-/* This front learned something of the suspect @digest. */
+/* Records that this front changed the suspect @digest.  If no leader is reachable, the change goes into the
+ * notice; otherwise a timer checks that the leader, which gets a report, is still reachable. */
 static void
 record_change (QuinceQuarantineClient *client, const QuinceRequestDigest *digest)
 {
@@ -121,7 +123,8 @@
   send_encoded (client, encoded);
 }
 
-/* A message of the leader arrived: what it may lack is reported, and the notice is withdrawn. */
+/* Records a message from the leader.  If the notice was started, reports all suspects to the leader and
+ * withdraws the notice. */
 static void
 record_contact (QuinceQuarantineClient *client)
 {
@@ -133,7 +136,7 @@
   quince_suspect_notice_withdraw (client->notice);
 }
 
-/* ---- Reports, caused by the guard ------------------------------------------ */
+/* ---- Reports of the send guard ----------------------------------------------- */
 
 static void
 update_log_end (const QuinceSuspect *suspect, gpointer data)
@@ -160,7 +163,7 @@
                                                           .ended = update_log_end,
                                                           .cleared = report_cleared };
 
-/* ---- Life and messages ------------------------------------------------------ */
+/* ---- Creation and messages --------------------------------------------------- */
 
 QuinceQuarantineClient *
 quince_quarantine_client_new (const QuinceQuarantineLimits *limits, const char *name)
--- a/daemons/front/suspect-notice.c
+++ b/daemons/front/suspect-notice.c
@@ -1,5 +1,5 @@
 /*
- * suspect-notice.c: the suspects that this front saw, as a key of the metadata store.
+ * suspect-notice.c: publishes this front's suspects under a key of the metadata store.
  */
 #include "suspect-notice.h"
 
@@ -9,11 +9,11 @@
 #include "runtime/clock.h"
 #include "runtime/timer.h"
 
-/* What was seen this shortly before the leader became unreachable may not have arrived there, us: the leader
- * counts as unreachable 0.9 s after its last message, and answers are waited for 0.5 s. */
+/* Maximum age of the suspects that the notice includes when it starts, us.  Their reports may be lost: the
+ * leader counts as unreachable only 0.9 s after its last message. */
 #define UNREPORTED_AGE_MAX_US (2 * G_USEC_PER_SEC)
-/* Shortest time between two writes, us: a worker ends under some hundred requests at once, which become one
- * write; writes don't overtake each other (a call of the store takes 4 ms). */
+/* Minimum time between two writes, us.  Combines the suspects of a worker that ended, up to some hundred,
+ * into few writes.  Much longer than a call of the store, so that writes arrive in order. */
 #define WRITE_INTERVAL_MIN_US (100 * 1000)
 
 struct _QuinceSuspectNotice
@@ -21,12 +21,12 @@
   /* All fields belong to the main context. */
   const QuinceQuarantine *quarantine;
   char *key;
-  GArray *digests; /* QuinceRequestDigest, the latest first */
+  GArray *digests; /* QuinceRequestDigest, most recent first */
   QuinceMetaStore *store;
   guint ttl_ms;
-  QuinceMetaPresence *presence; /* NULL: nothing is in the store */
+  QuinceMetaPresence *presence; /* NULL if the key is not in the store */
   gint64 last_write_us;         /* monotonic: last write */
-  QuinceTimer *timer;           /* next write; NULL: nothing has changed since the last */
+  QuinceTimer *timer;           /* next write; NULL if none is scheduled */
 };
 
 QuinceSuspectNotice *
@@ -59,7 +59,8 @@
   notice->ttl_ms = ttl_ms;
 }
 
-/* Returns: (transfer container): the suspects of the list that are still known; answered ones are not. */
+/* Returns: (transfer container) (element-type QuinceSuspect): the listed suspects that are still in the
+ * quarantine; answered ones have left it */
 static GPtrArray *
 list_suspects (const QuinceSuspectNotice *notice)
 {
--- a/daemons/front/suspect-notice.h
+++ b/daemons/front/suspect-notice.h
@@ -1,11 +1,11 @@
 /*
- * suspect-notice.h: the suspects that this front saw, as a key of the metadata store while it reaches no
+ * suspect-notice.h: publishes this front's suspects under a key of the metadata store while it reaches no
  * leader of the ledger.
  *
- * Fronts of a zone that is cut off from the leader learn of each other's suspects by these keys alone;
- * without them each front would send a suspect as often as a single front may.
+ * Fronts that are partitioned from the leader share their suspects only through these keys.  Without them,
+ * each front would retry a suspect independently of the others.
  *
- * Owns the key, under a lease, the list of suspects in it and a timer.
+ * Owns the key and its lease, the list of suspects and a timer.
  */
 #pragma once
 
@@ -14,14 +14,17 @@
 
 typedef struct _QuinceSuspectNotice QuinceSuspectNotice;
 
-/* @name: of this front; @quarantine must outlive it */
+/* @quarantine: must outlive the notice; @name: name of this front */
 QuinceSuspectNotice *quince_suspect_notice_new (const QuinceQuarantine *quarantine, const char *name);
 void quince_suspect_notice_free (QuinceSuspectNotice *notice);
-/* @store: (transfer none) (nullable): %NULL: nothing is written; @ttl_ms: lease of the key */
+/* Sets the store to write to.  @store: (transfer none) (nullable): %NULL to write nothing; @ttl_ms: time to
+ * live of the key's lease, ms */
 void quince_suspect_notice_set_store (QuinceSuspectNotice *notice, QuinceMetaStore *store, guint ttl_ms);
-/* A worker ended under the request @digest, or it was answered, and no leader can be reached. */
+/* Adds the suspect @digest to the notice, and schedules a write.  Call it while no leader is reachable, when
+ * a worker ended while running the request or answered it. */
 void quince_suspect_notice_record_change (QuinceSuspectNotice *notice, const QuinceRequestDigest *digest);
-/* No leader can be reached from @now_us on (monotonic): what was seen shortly before may not have arrived. */
+/* Starts the notice when the leader becomes unreachable at @now_us (monotonic).  Adds the suspects that this
+ * front recorded shortly before, because the leader may not have received them. */
 void quince_suspect_notice_start (QuinceSuspectNotice *notice, gint64 now_us);
-/* A leader has been sent all reports: withdraws the key. */
+/* Clears the notice and removes its key, after all suspects were reported to a leader. */
 void quince_suspect_notice_withdraw (QuinceSuspectNotice *notice);
--- a/daemons/front/usage-reporter.c
+++ b/daemons/front/usage-reporter.c
@@ -1,18 +1,19 @@
 /*
- * usage-reporter.c: reports to the ledger's leader which requests of which tenant began at a worker.
+ * usage-reporter.c: reports the requests that workers started, with their tenants, to the ledger's leader.
  */
 #include "usage-reporter.h"
 
 #include "runtime/metrics.h"
 #include "runtime/clock.h"
 
-/* Most requests kept while no leader acknowledges them: some minutes of a busy front (60 requests a second),
- * about 100 bytes each.  Beyond it the oldest are dropped, whose usage windows are over anyway. */
+/* Maximum number of unacknowledged requests: some minutes of a busy front (60 requests per second), about 100
+ * bytes each.  Beyond it the oldest are dropped; their usage windows are over by then. */
 #define UNACKNOWLEDGED_MAX 20000
-/* Most requests in one message, about 100 KB; the rest follows once these are acknowledged. */
+/* Maximum number of requests in a message of about 100 KB.  quince_usage_reporter_resend_overdue() sends the
+ * rest after these are acknowledged. */
 #define REPORT_EVENTS_MAX 2000
-/* Requests are reported again after this time without an acknowledgement, us: the leader appends them to its
- * log each 0.2 s. */
+/* Time without an acknowledgement after which requests are reported again, us.  The leader appends them to
+ * its log every 0.2 s, and then acknowledges them. */
 #define ACK_TIMEOUT_US (1000 * 1000)
 
 typedef struct
@@ -25,11 +26,11 @@
 struct _QuinceUsageReporter
 {
   /* All fields belong to the main context. */
-  guint64 source; /* random, differs with each start of each front */
+  guint64 source; /* random id of this process */
   guint64 last_sequence;
-  GQueue events;            /* Event, owned: not acknowledged, the oldest first */
+  GQueue events;            /* Event, owned: unacknowledged, oldest first */
   QuinceLink *link;         /* owned (nullable): to the leader */
-  gint64 ack_wait_since_us; /* monotonic: the last report of all events, or the last acknowledgement */
+  gint64 ack_wait_since_us; /* monotonic: the last report of all events or the last acknowledgement */
 };
 
 static void
@@ -59,7 +60,7 @@
   g_free (reporter);
 }
 
-/* Sends the events from @first on, as many as one message holds. */
+/* Sends the events from @first on, at most REPORT_EVENTS_MAX. */
 static void
 send_from (QuinceUsageReporter *reporter, GList *first)
 {
@@ -95,7 +96,8 @@
       event_free (g_queue_pop_head (&reporter->events));
       quince_metric_add ("quince_front_usage_dropped_total", "", 1);
     }
-  /* The leader takes requests in their order: this one waits while older ones don't fit into a message. */
+  /* The leader requires events in order of their sequence numbers.  While more are unacknowledged than one
+   * message holds, this one waits for a later report. */
   if (reporter->link != NULL && g_queue_get_length (&reporter->events) <= REPORT_EVENTS_MAX)
     send_from (reporter, g_queue_peek_tail_link (&reporter->events));
 }
--- a/daemons/front/warmup-client.c
+++ b/daemons/front/warmup-client.c
@@ -1,20 +1,19 @@
 /*
- * warmup-client.c: a front's send leases for cold workers, requested from the ledger's leader.
+ * warmup-client.c: requests leases for sends to cold workers from the ledger's leader.
  */
 #include "warmup-client.h"
 
 #include "runtime/clock.h"
 #include "runtime/timer.h"
 
-/* Interval between two removals of expired leases, ms, so that workers that no longer exist keep no memory.
- * Not measured: any time is short enough. */
+/* Interval between removals of expired leases, ms.  Frees the leases of workers that no longer exist. */
 #define LEASE_EXPIRE_INTERVAL_MS 5000
 
 struct _QuinceWarmupClient
 {
   /* All fields belong to the main context. */
   QuinceWarmupSends *sends;
-  QuinceObserver *observer; /* not owned; NULL during the start */
+  QuinceObserver *observer; /* not owned; NULL during startup */
   QuinceLink *link;         /* owned (nullable): to the leader */
   QuinceTimer *timer;
 };
