--- a/daemons/front/front.c
+++ b/daemons/front/front.c
@@ -97,7 +97,7 @@
 
 /* A front that has a configuration can route requests, so the directory may list it. */
 static void
-configuration_changed (QuinceRouteTable *table, gpointer data)
+handle_configuration_change (QuinceRouteTable *table, gpointer data)
 {
   Front *front = data;
   quince_directory_set_serving (front->context.directory, !front->context.stopping);
@@ -119,7 +119,7 @@
 }
 
 static const QuinceObserverCallbacks observer_callbacks = { .own_key = handle_own_key,
-                                                            .configuration = configuration_changed,
+                                                            .configuration = handle_configuration_change,
                                                             .own_synced = handle_own_synced,
                                                             .workers_synced = handle_workers_synced };
 
--- a/daemons/front/leader-search.c
+++ b/daemons/front/leader-search.c
@@ -21,7 +21,7 @@
 struct _QuinceLeaderSearch
 {
   /* All fields belong to the main context. */
-  QuinceLeaderFound found;
+  QuinceLeaderFound leader_found;
   gpointer user_data;
   QuinceLedgerView *view;      /* owned; NULL if no member is known */
   gint64 last_contact_us;      /* monotonic: last message from the leader, or new view */
@@ -52,7 +52,7 @@
       if (newer)
         {
           quince_log_info ("ledger_lead_told", "epoch=%" G_GUINT64_FORMAT, (guint64)lead->view.epoch);
-          search->found (&lead->view, search->user_data);
+          search->leader_found (&lead->view, search->user_data);
         }
     }
   quince_message_free (message);
@@ -99,10 +99,10 @@
 }
 
 QuinceLeaderSearch *
-quince_leader_search_new (QuinceLeaderFound found, gpointer user_data)
+quince_leader_search_new (QuinceLeaderFound leader_found, gpointer user_data)
 {
   QuinceLeaderSearch *search = g_new0 (QuinceLeaderSearch, 1);
-  search->found = found;
+  search->leader_found = leader_found;
   search->user_data = user_data;
   search->last_contact_us = quince_now_us ();
   search->query_interval_ms = QUERY_INTERVAL_MIN_MS;
--- a/daemons/front/leader-search.h
+++ b/daemons/front/leader-search.h
@@ -14,7 +14,7 @@
 /* Called when a member reports a leader with a newer epoch.  @view: valid until the callback returns */
 typedef void (*QuinceLeaderFound) (const QuinceLedgerView *view, gpointer user_data);
 
-QuinceLeaderSearch *quince_leader_search_new (QuinceLeaderFound found, gpointer user_data);
+QuinceLeaderSearch *quince_leader_search_new (QuinceLeaderFound leader_found, gpointer user_data);
 void quince_leader_search_free (QuinceLeaderSearch *search);
 /* Sets the members to query and the epoch of the known leader (both copied from @view), and records contact
  * with it. */
--- a/daemons/front/ledger-caller.c
+++ b/daemons/front/ledger-caller.c
@@ -56,7 +56,7 @@
 }
 
 static void
-call_end (QuinceLedgerCallHandle *call, QuinceLedgerCallOutcome outcome, const QuinceServiceReply *reply)
+finish_call (QuinceLedgerCallHandle *call, QuinceLedgerCallOutcome outcome, const QuinceServiceReply *reply)
 {
   QuinceLedgerCallDone done = call->done;
   gpointer user_data = call->user_data;
@@ -88,7 +88,7 @@
     if (((QuinceLedgerCallHandle *)value)->sent)
       g_ptr_array_add (lost, value);
   for (guint i = 0; i < lost->len; i++)
-    call_end (lost->pdata[i], QUINCE_LEDGER_CALL_LOST, NULL);
+    finish_call (lost->pdata[i], QUINCE_LEDGER_CALL_LOST, NULL);
 }
 
 static gboolean
@@ -145,7 +145,7 @@
                                                  reply->status != HTTP_STATUS_SERVICE_UNAVAILABLE);
       QuinceLedgerCallHandle *call = g_hash_table_lookup (caller->calls, &id);
       if (call != NULL)
-        call_end (call, QUINCE_LEDGER_CALL_ANSWERED, reply);
+        finish_call (call, QUINCE_LEDGER_CALL_ANSWERED, reply);
     }
   else
     caller->callbacks->message (link, message, caller->user_data);
@@ -275,7 +275,7 @@
   /* Messages to the leader may be lost while its heartbeats arrive, and another member may lead by now. */
   if (call->sent)
     quince_leader_search_set_leader_available (call->caller->search, FALSE);
-  call_end (call, call->sent ? QUINCE_LEDGER_CALL_LOST : QUINCE_LEDGER_CALL_NOT_SENT, NULL);
+  finish_call (call, call->sent ? QUINCE_LEDGER_CALL_LOST : QUINCE_LEDGER_CALL_NOT_SENT, NULL);
   return G_SOURCE_REMOVE;
 }
 
--- a/daemons/front/usage-reporter.c
+++ b/daemons/front/usage-reporter.c
@@ -21,22 +21,22 @@
   guint64 sequence;
   char *tenant;
   gint64 begun_us; /* monotonic */
-} Event;
+} StartEvent;
 
 struct _QuinceUsageReporter
 {
   /* All fields belong to the main context. */
   guint64 source; /* random id of this process */
   guint64 last_sequence;
-  GQueue events;            /* Event, owned: unacknowledged, oldest first */
+  GQueue events;            /* StartEvent, owned: unacknowledged, oldest first */
   QuinceLink *link;         /* owned (nullable): to the leader */
   gint64 ack_wait_since_us; /* monotonic: the last report of all events or the last acknowledgement */
 };
 
 static void
-event_free (gpointer data)
+start_event_free (gpointer data)
 {
-  Event *event = data;
+  StartEvent *event = data;
   g_free (event->tenant);
   g_free (event);
 }
@@ -56,19 +56,19 @@
   if (reporter == NULL)
     return;
   quince_usage_reporter_unlinked (reporter);
-  g_queue_clear_full (&reporter->events, event_free);
+  g_queue_clear_full (&reporter->events, start_event_free);
   g_free (reporter);
 }
 
 /* Sends the events from @first on, at most REPORT_EVENTS_MAX. */
 static void
-send_from (QuinceUsageReporter *reporter, GList *first)
+send_events_from (QuinceUsageReporter *reporter, GList *first)
 {
   gint64 now = quince_now_us ();
   g_autoptr (GArray) starts = g_array_new (FALSE, FALSE, sizeof (QuinceUsageStart));
   for (GList *at = first; at != NULL && starts->len < REPORT_EVENTS_MAX; at = at->next)
     {
-      const Event *event = at->data;
+      const StartEvent *event = at->data;
       QuinceUsageStart wire = { .sequence = event->sequence,
                                 .tenant = event->tenant,
                                 .age_ms = (u_quad_t)MAX (now - event->begun_us, 0) / 1000 };
@@ -86,20 +86,20 @@
 void
 quince_usage_reporter_record_start (QuinceUsageReporter *reporter, const char *tenant, gint64 begun_us)
 {
-  Event *event = g_new0 (Event, 1);
+  StartEvent *event = g_new0 (StartEvent, 1);
   event->sequence = ++reporter->last_sequence;
   event->tenant = g_strdup (tenant);
   event->begun_us = begun_us;
   g_queue_push_tail (&reporter->events, event);
   if (g_queue_get_length (&reporter->events) > UNACKNOWLEDGED_MAX)
     {
-      event_free (g_queue_pop_head (&reporter->events));
+      start_event_free (g_queue_pop_head (&reporter->events));
       quince_metric_add ("quince_front_usage_dropped_total", "", 1);
     }
   /* The leader requires events in order of their sequence numbers.  While more are unacknowledged than one
    * message holds, this one waits for a later report. */
   if (reporter->link != NULL && g_queue_get_length (&reporter->events) <= REPORT_EVENTS_MAX)
-    send_from (reporter, g_queue_peek_tail_link (&reporter->events));
+    send_events_from (reporter, g_queue_peek_tail_link (&reporter->events));
 }
 
 static void
@@ -107,7 +107,7 @@
 {
   reporter->ack_wait_since_us = quince_now_us ();
   if (reporter->link != NULL && !g_queue_is_empty (&reporter->events))
-    send_from (reporter, g_queue_peek_head_link (&reporter->events));
+    send_events_from (reporter, g_queue_peek_head_link (&reporter->events));
 }
 
 void
@@ -121,7 +121,7 @@
 void
 quince_usage_reporter_resend_overdue (QuinceUsageReporter *reporter)
 {
-  const Event *oldest = g_queue_peek_head (&reporter->events);
+  const StartEvent *oldest = g_queue_peek_head (&reporter->events);
   gint64 unacknowledged_since_us
       = oldest != NULL ? MAX (oldest->begun_us, reporter->ack_wait_since_us) : G_MAXINT64;
   if (quince_now_us () - ACK_TIMEOUT_US > unacknowledged_since_us)
@@ -140,7 +140,7 @@
   if (ack->source != reporter->source)
     return;
   reporter->ack_wait_since_us = quince_now_us ();
-  for (Event *event = g_queue_peek_head (&reporter->events);
+  for (StartEvent *event = g_queue_peek_head (&reporter->events);
        event != NULL && event->sequence <= ack->sequence; event = g_queue_peek_head (&reporter->events))
-    event_free (g_queue_pop_head (&reporter->events));
+    start_event_free (g_queue_pop_head (&reporter->events));
 }
