--- a/daemons/front/front-settings.c
+++ b/daemons/front/front-settings.c
@@ -9,7 +9,7 @@
 
 /* Defaults:
  * - store.workers_pace 1 s: a front reads the list of workers itself only while it has no store feed.
- * - store.presence 6 s: the lease is renewed every 2 s.  A dead front leaves the directory earlier, when it
+ * - store.presence 6 s: the lease is renewed every 3 s.  A dead front leaves the directory earlier, when it
  *   has missed the leader's heartbeats for 0.65 s.
  * - directory.keep 2 s: a stopping front accepts requests for another 4 s, longer than an answer that lists
  *   it is cached. */
