--- a/daemons/front/front.c
+++ b/daemons/front/front.c
@@ -152,13 +152,14 @@
 handle_ledger_message (QuinceLink *link, const QuinceMessage *message, gpointer data)
 {
   Front *front = data;
-  quince_observer_feeder_alive (front->context.observer);
+  quince_observer_record_feeder_contact (front->context.observer);
   if (quince_quarantine_client_handle_message (front->quarantine, message))
     return;
   if (message->kind == QUINCE_MESSAGE_FEED_UPDATE)
     quince_store_feed_apply (front->context.observer, &message->QuinceMessage_u.feed_update);
   else if (message->kind == QUINCE_MESSAGE_FEED_SUBSCRIBE)
-    quince_store_feed_answer (front->context.observer, link, &message->QuinceMessage_u.feed_subscribe);
+    quince_store_feed_send_newer_policy (front->context.observer, link,
+                                         &message->QuinceMessage_u.feed_subscribe);
   else if (message->kind == QUINCE_MESSAGE_HEARTBEAT)
     handle_heartbeat (front, link, &message->QuinceMessage_u.heartbeat);
   else if (message->kind == QUINCE_MESSAGE_USAGE_ACK)
@@ -175,7 +176,7 @@
   quince_usage_reporter_unlinked (front->context.usage);
   quince_quarantine_client_unlinked (front->quarantine);
   quince_warmup_client_unlinked (front->warmup);
-  quince_observer_feeder_lost (front->context.observer);
+  quince_observer_handle_feeder_loss (front->context.observer);
   if (front->feed_wait != NULL)
     quince_feed_wait_unlinked (front->feed_wait);
 }
@@ -195,7 +196,7 @@
   quince_meta_store_resumed (front->store);
   quince_backends_handle_resume (front->context.backends);
   quince_ledger_caller_handle_resume (front->context.ledger);
-  quince_observer_resumed (front->context.observer);
+  quince_observer_handle_resume (front->context.observer);
   quince_meta_presence_resumed (front->presence);
 }
 
--- a/daemons/replica/replica-leadership.c
+++ b/daemons/replica/replica-leadership.c
@@ -176,7 +176,7 @@
   start_weight_orders (leadership);
   /* This replica feeds all other processes from here on. */
   quince_observer_set_reserve_reader (parts->observer, TRUE);
-  quince_observer_feed_ended (parts->observer);
+  quince_observer_handle_feed_end (parts->observer);
   leadership->feed = quince_store_feed_new (parts->observer);
   quince_heartbeats_start_leading (parts->heartbeats, leadership->subscribers);
   quince_quarantine_coordinator_start_leading (parts->quarantine, leadership->subscribers);
--- a/daemons/replica/replica-ledger-events.c
+++ b/daemons/replica/replica-ledger-events.c
@@ -59,7 +59,7 @@
 handle_leader_disconnected (gpointer data)
 {
   const QuinceReplicaParts *parts = data;
-  quince_observer_feeder_lost (parts->observer);
+  quince_observer_handle_feeder_loss (parts->observer);
 }
 
 /* ---- Records and calls --------------------------------------------------- */
@@ -140,7 +140,7 @@
 handle_heartbeat (const QuinceReplicaParts *parts)
 {
   if (!quince_replica_leadership_is_active (parts->leadership))
-    quince_observer_feeder_alive (parts->observer);
+    quince_observer_record_feeder_contact (parts->observer);
 }
 
 /* From the leader this is a query for the active policy, from other processes a subscription to the feed. */
@@ -150,7 +150,7 @@
                        const QuinceFeedSubscribe *subscribe)
 {
   if (link == quince_ledger_node_get_leader_link (parts->ledger))
-    quince_store_feed_answer (parts->observer, link, subscribe);
+    quince_store_feed_send_newer_policy (parts->observer, link, subscribe);
   else
     quince_replica_leadership_subscribe (parts->leadership, link, subscribe);
 }
--- a/daemons/replica/replica.c
+++ b/daemons/replica/replica.c
@@ -49,7 +49,7 @@
   const QuinceReplicaParts *parts = data;
   quince_meta_store_resumed (parts->store);
   quince_backends_handle_resume (parts->backends);
-  quince_observer_resumed (parts->observer);
+  quince_observer_handle_resume (parts->observer);
 }
 
 gpointer
--- a/lib/observer/observer-private.h
+++ b/lib/observer/observer-private.h
@@ -23,8 +23,8 @@
   QuinceMetaMirror *own_mirror;
   QuinceMetaMirrorCallbacks worker_callbacks; /* of workers_mirror; one of them is the dialect's */
   QuinceOperatorState *operator_state;        /* owned */
-  gint64 resumed_us;                          /* monotonic: end of the last suspension; 0: never */
-  guint workers_pace_ms;                      /* least time between two reads of the workers */
+  gint64 last_resume_us;                      /* monotonic: end of the last suspension; 0: never */
+  guint workers_read_interval_min_ms;         /* least time between two reads of the workers */
   guint bound_margin_ms;                      /* what the bound on changes allows beyond the least one */
   QuinceTimer *feeder_timer; /* restarted by each message of the feeder, which counts as gone when it ends */
   gboolean reserve;          /* this process is a reserve reader */
@@ -39,8 +39,8 @@
 
 /* In the order of quince_observer_get_revisions(). */
 void quince_observer_list_mirrors (QuinceObserver *observer,
-                                   QuinceNamedMirror mirrors[QUINCE_OBSERVER_PREFIXES]);
+                                   QuinceNamedMirror mirrors[QUINCE_OBSERVER_N_PREFIXES]);
 /* Sets how often this process probes a store that does not answer: seldom while another one feeds it. */
-void quince_observer_set_relaxed (QuinceObserver *observer);
+void quince_observer_update_probe_interval (QuinceObserver *observer);
 
 G_END_DECLS
--- a/lib/observer/observer.c
+++ b/lib/observer/observer.c
@@ -15,44 +15,45 @@
 #include "refused-item.h"
 
 /* Least time between two reads of the own keys, ms: processes that start all write theirs at once. */
-#define OWN_PACE_MS 100
+#define OWN_READ_INTERVAL_MIN_MS 100
 /* The same of a process that feeds no other while each read tells changes, ms: half of the longest time
  * between two reads. */
-#define OWN_PACE_MAX_MS 500
+#define OWN_READ_INTERVAL_BURST_MAX_MS 500
 /* Time allowed for the first read after the patience, ms: a store over a hundred times slower than its usual
  * 4 ms. */
-#define FIRST_READ_MS 500
-G_STATIC_ASSERT (QUINCE_STORE_WATCH_TIMEOUT_MS + QUINCE_STORE_SLACK_MS + FIRST_READ_MS
+#define FIRST_READ_BUDGET_MS 500
+G_STATIC_ASSERT (QUINCE_STORE_WATCH_TIMEOUT_MS + QUINCE_STORE_SLACK_MS + FIRST_READ_BUDGET_MS
                  <= QUINCE_OBSERVER_CHANGE_BOUND_MIN_MS);
-G_STATIC_ASSERT (QUINCE_STORE_READER_SLACK_MS + FIRST_READ_MS <= QUINCE_STORE_SLACK_MS);
+G_STATIC_ASSERT (QUINCE_STORE_READER_SLACK_MS + FIRST_READ_BUDGET_MS <= QUINCE_STORE_SLACK_MS);
 /* After an outage each process reads the store at a random moment within this time, ms, so that most are fed
  * before they read.  With a probe every 0.8 s they know all changes 2 s after the store's return; a machine
  * counts as out of touch after 3 s. */
-#define SPREAD_MS 1000
+#define OUTAGE_READ_JITTER_MAX_MS 1000
 /* Workers' entries that lapsed in an outage are back this long after the store's return, us: about 2 s until
  * they are written, and the time that the change takes to get here. */
-#define LAPSED_BACK_US (2400 * 1000)
+#define LAPSED_RECOVERY_US (2400 * 1000)
 /* An entry that lapses late is kept at least this long, us: less than a worker that left goes on serving. */
-#define LAPSED_KEEP_MIN_US (1000 * 1000)
+#define LAPSED_RETENTION_MIN_US (1000 * 1000)
 /* Longest time between two reads of the own keys, ms, whatever the deployment's bound on changes is. */
-#define OWN_READ_EVERY_MS 1000
+#define OWN_READ_INTERVAL_MAX_MS 1000
 /* An accepted policy is in force in every process this long after its acceptance, ms, also where no process
  * reads for the others. */
-#define OWN_IN_FORCE_MS 3000
-G_STATIC_ASSERT (OWN_READ_EVERY_MS + QUINCE_STORE_SLACK_MS + FIRST_READ_MS <= OWN_IN_FORCE_MS);
+#define POLICY_IN_FORCE_MAX_MS 3000
+G_STATIC_ASSERT (OWN_READ_INTERVAL_MAX_MS + QUINCE_STORE_SLACK_MS + FIRST_READ_BUDGET_MS
+                 <= POLICY_IN_FORCE_MAX_MS);
 
 /* ---- Workers ---------------------------------------------------------- */
 
 /* Until when a worker whose entry is gone may still live. */
 static gint64
-lapsed_until (const QuinceObserver *observer, gint64 now_us)
+get_lapsed_expiry_us (const QuinceObserver *observer, gint64 now_us)
 {
   gint64 regained_us = quince_meta_store_get_contact (observer->store)->regained_us;
-  return MAX (now_us + LAPSED_KEEP_MIN_US, regained_us + LAPSED_BACK_US);
+  return MAX (now_us + LAPSED_RETENTION_MIN_US, regained_us + LAPSED_RECOVERY_US);
 }
 
 static void
-worker_item (const QuinceMetaItem *item, gpointer data)
+handle_worker_item (const QuinceMetaItem *item, gpointer data)
 {
   QuinceObserver *observer = data;
   const char *id = observer->dialect->read_worker_id (item->key);
@@ -60,7 +61,8 @@
     {
       gint64 now = quince_now_us ();
       if (quince_observer_may_have_lapsed (observer, now))
-        quince_backends_mark_listing_stale (observer->backends, now, lapsed_until (observer, now), id);
+        quince_backends_mark_listing_stale (observer->backends, now, get_lapsed_expiry_us (observer, now),
+                                            id);
       else
         quince_backends_remove (observer->backends, id);
       return;
@@ -85,7 +87,7 @@
 /* ---- Own keys --------------------------------------------------------- */
 
 static void
-own_item (const QuinceMetaItem *item, gpointer data)
+handle_own_item (const QuinceMetaItem *item, gpointer data)
 {
   QuinceObserver *observer = data;
   if (g_str_equal (item->key, QUINCE_POLICY_KEY))
@@ -104,7 +106,7 @@
 }
 
 gboolean
-quince_observer_take_policy (QuinceObserver *observer, GBytes *value, guint64 revision)
+quince_observer_apply_policy_entry (QuinceObserver *observer, GBytes *value, guint64 revision)
 {
   guint64 before;
   guint64 after;
@@ -133,23 +135,23 @@
 }
 
 static void
-operator_item (const QuinceMetaItem *item, gpointer data)
+handle_operator_item (const QuinceMetaItem *item, gpointer data)
 {
   QuinceObserver *observer = data;
   gboolean fed = quince_meta_mirror_is_fed (observer->operator_mirror);
-  quince_operator_state_take (observer->operator_state, item, fed);
+  quince_operator_state_apply (observer->operator_state, item, fed);
 }
 
 /* The operator's keys are complete, so the evacuated zones are known. */
 static void
-operator_synced (gpointer data)
+handle_operator_synced (gpointer data)
 {
   QuinceObserver *observer = data;
   quince_backends_release_sends (observer->backends);
 }
 
 static void
-operator_read (const QuinceMetaPage *page, gpointer data)
+handle_operator_read (const QuinceMetaPage *page, gpointer data)
 {
   QuinceObserver *observer = data;
   if (quince_meta_mirror_is_synced (observer->operator_mirror))
@@ -158,46 +160,47 @@
 }
 
 static void
-workers_read (const QuinceMetaPage *page, gpointer data)
+handle_workers_read (const QuinceMetaPage *page, gpointer data)
 {
   QuinceObserver *observer = data;
   report_read (observer, observer->dialect->workers_prefix, page);
 }
 
 static void
-own_read (const QuinceMetaPage *page, gpointer data)
+handle_own_read (const QuinceMetaPage *page, gpointer data)
 {
   report_read (data, QUINCE_OWN_PREFIX, page);
 }
 
 static const QuinceMetaMirrorCallbacks operator_callbacks
-    = { .item = operator_item, .synced = operator_synced, .read = operator_read };
+    = { .item = handle_operator_item, .synced = handle_operator_synced, .read = handle_operator_read };
 static const QuinceMetaMirrorCallbacks own_callbacks
-    = { .item = own_item, .synced = own_synced, .read = own_read };
+    = { .item = handle_own_item, .synced = own_synced, .read = handle_own_read };
 
 void
 quince_observer_set_reserve_reader (QuinceObserver *observer, gboolean reserve)
 {
   observer->reserve = reserve;
-  quince_observer_set_relaxed (observer);
+  quince_observer_update_probe_interval (observer);
   const QuinceStoreReadTimes times = quince_store_reads_get_times (reserve, observer->bound_margin_ms);
-  guint spread_ms = reserve ? 0 : SPREAD_MS;
+  guint spread_ms = reserve ? 0 : OUTAGE_READ_JITTER_MAX_MS;
   const QuinceMetaMirrorTimes operator_times = { .read_every_ms = times.watch_timeout_ms,
                                                  .feed_timeout_ms = times.feed_timeout_ms,
                                                  .spread_ms = spread_ms,
                                                  .reader = reserve };
-  const QuinceMetaMirrorTimes workers_times = { .pace_ms = observer->workers_pace_ms,
+  const QuinceMetaMirrorTimes workers_times = { .pace_ms = observer->workers_read_interval_min_ms,
                                                 .read_every_ms = times.watch_timeout_ms,
                                                 .feed_timeout_ms = times.feed_timeout_ms,
                                                 .spread_ms = spread_ms,
                                                 .reader = reserve };
   guint own_slack_ms = MIN (times.feed_timeout_ms - QUINCE_STORE_WATCH_TIMEOUT_MS, QUINCE_STORE_SLACK_MS);
-  const QuinceMetaMirrorTimes own_times = { .pace_ms = OWN_PACE_MS,
-                                            .pace_max_ms = reserve ? OWN_PACE_MS : OWN_PACE_MAX_MS,
-                                            .read_every_ms = OWN_READ_EVERY_MS,
-                                            .feed_timeout_ms = OWN_READ_EVERY_MS + own_slack_ms,
-                                            .spread_ms = spread_ms,
-                                            .reader = reserve };
+  const QuinceMetaMirrorTimes own_times
+      = { .pace_ms = OWN_READ_INTERVAL_MIN_MS,
+          .pace_max_ms = reserve ? OWN_READ_INTERVAL_MIN_MS : OWN_READ_INTERVAL_BURST_MAX_MS,
+          .read_every_ms = OWN_READ_INTERVAL_MAX_MS,
+          .feed_timeout_ms = OWN_READ_INTERVAL_MAX_MS + own_slack_ms,
+          .spread_ms = spread_ms,
+          .reader = reserve };
   quince_meta_store_set_probe_max (observer->store, times.probe_interval_max_ms);
   quince_meta_mirror_set_times (observer->operator_mirror, &operator_times);
   quince_meta_mirror_set_times (observer->workers_mirror, &workers_times);
@@ -208,9 +211,9 @@
 quince_observer_set_metrics (QuinceObserver *observer)
 {
   gint64 now = quince_now_us ();
-  QuinceNamedMirror mirrors[QUINCE_OBSERVER_PREFIXES];
+  QuinceNamedMirror mirrors[QUINCE_OBSERVER_N_PREFIXES];
   quince_observer_list_mirrors (observer, mirrors);
-  for (guint i = 0; i < QUINCE_OBSERVER_PREFIXES; i++)
+  for (guint i = 0; i < QUINCE_OBSERVER_N_PREFIXES; i++)
     {
       gint64 contact_us = quince_meta_mirror_get_contact_us (mirrors[i].mirror);
       if (contact_us == 0)
@@ -225,18 +228,18 @@
 void
 quince_observer_list_now (QuinceObserver *observer)
 {
-  QuinceNamedMirror mirrors[QUINCE_OBSERVER_PREFIXES];
+  QuinceNamedMirror mirrors[QUINCE_OBSERVER_N_PREFIXES];
   quince_observer_list_mirrors (observer, mirrors);
-  for (guint i = 0; i < QUINCE_OBSERVER_PREFIXES; i++)
+  for (guint i = 0; i < QUINCE_OBSERVER_N_PREFIXES; i++)
     quince_meta_mirror_list_now (mirrors[i].mirror);
 }
 
 gboolean
 quince_observer_is_listing (QuinceObserver *observer)
 {
-  QuinceNamedMirror mirrors[QUINCE_OBSERVER_PREFIXES];
+  QuinceNamedMirror mirrors[QUINCE_OBSERVER_N_PREFIXES];
   quince_observer_list_mirrors (observer, mirrors);
-  for (guint i = 0; i < QUINCE_OBSERVER_PREFIXES; i++)
+  for (guint i = 0; i < QUINCE_OBSERVER_N_PREFIXES; i++)
     if (quince_meta_mirror_is_listing (mirrors[i].mirror))
       return TRUE;
   return FALSE;
@@ -245,9 +248,9 @@
 gboolean
 quince_observer_is_synced (QuinceObserver *observer)
 {
-  guint64 revisions[QUINCE_OBSERVER_PREFIXES];
+  guint64 revisions[QUINCE_OBSERVER_N_PREFIXES];
   quince_observer_get_revisions (observer, revisions);
-  for (guint i = 0; i < QUINCE_OBSERVER_PREFIXES; i++)
+  for (guint i = 0; i < QUINCE_OBSERVER_N_PREFIXES; i++)
     if (revisions[i] == 0)
       return FALSE;
   return TRUE;
@@ -264,7 +267,7 @@
 void
 quince_observer_read_options (const QuinceSettings *settings, QuinceObserverOptions *options)
 {
-  options->workers_pace_ms = read_ms (settings, "workers_pace");
+  options->workers_read_interval_min_ms = read_ms (settings, "workers_pace");
   guint bound_ms = MIN (read_ms (settings, "change_bound"), read_ms (settings, "drain_bound"));
   options->change_bound_ms = MIN (bound_ms, read_ms (settings, "evacuation_bound"));
   options->first_read_wait_ms = 0;
@@ -285,10 +288,11 @@
   observer->user_data = user_data;
   observer->dialect = dialect;
   observer->operator_state = quince_operator_state_new (backends, dialect, callbacks, user_data);
-  observer->worker_callbacks = (QuinceMetaMirrorCallbacks){
-    .item = worker_item, .synced = workers_synced, .read = workers_read, .same = dialect->same_worker
-  };
-  observer->workers_pace_ms = options->workers_pace_ms;
+  observer->worker_callbacks = (QuinceMetaMirrorCallbacks){ .item = handle_worker_item,
+                                                            .synced = workers_synced,
+                                                            .read = handle_workers_read,
+                                                            .same = dialect->same_worker };
+  observer->workers_read_interval_min_ms = options->workers_read_interval_min_ms;
   guint bound_ms = MAX (options->change_bound_ms, QUINCE_OBSERVER_CHANGE_BOUND_MIN_MS);
   observer->bound_margin_ms = bound_ms - QUINCE_OBSERVER_CHANGE_BOUND_MIN_MS;
   guint wait_ms = options->first_read_wait_ms;
--- a/lib/observer/observer.h
+++ b/lib/observer/observer.h
@@ -61,14 +61,14 @@
 
 /**
  * QuinceObserverOptions:
- * @workers_pace_ms: least time between two reads of the workers' entries
+ * @workers_read_interval_min_ms: least time between two reads of the workers' entries
  * @change_bound_ms: this deployment's bound on the same time; a larger one lets a process wait longer for its
  *   feeder before it reads the store.  At least QUINCE_OBSERVER_CHANGE_BOUND_MIN_MS is used
  * @first_read_wait_ms: how long the process waits to be fed before it lists the store; 0: not at all
  */
 typedef struct
 {
-  guint workers_pace_ms;
+  guint workers_read_interval_min_ms;
   guint change_bound_ms;
   guint first_read_wait_ms;
 } QuinceObserverOptions;
@@ -98,18 +98,19 @@
 /* At the leader, for a reserve reader's report: taken if the leader's own reads are late.
  * Returns: whether it was taken, and so is to be sent to all other processes */
 gboolean
-quince_observer_take_report (QuinceObserver *observer, const char *prefix, const QuinceMetaPage *page);
+quince_observer_apply_report (QuinceObserver *observer, const char *prefix, const QuinceMetaPage *page);
 /* This process feeds others from now on: it reads all prefixes from the store, at once. */
-void quince_observer_feed_ended (QuinceObserver *observer);
+void quince_observer_handle_feed_end (QuinceObserver *observer);
 /* The feeding process is gone: the own keys, which name the next leader, are read at once.  The other mirrors
  * keep their patience, since the next leader feeds soon. */
-void quince_observer_feeder_lost (QuinceObserver *observer);
+void quince_observer_handle_feeder_loss (QuinceObserver *observer);
 /* The machine was suspended: all prefixes are read from the store at once. */
-void quince_observer_resumed (QuinceObserver *observer);
+void quince_observer_handle_resume (QuinceObserver *observer);
 /* Call for each message from the process that feeds this one.  It proves that the feeder runs, not that its
- * pages are fresh.  After 0.9 s without a message the feeder counts as gone: quince_observer_feeder_lost().
+ * pages are fresh.  After 0.9 s without a message the feeder counts as gone:
+ * quince_observer_handle_feeder_loss().
  */
-void quince_observer_feeder_alive (QuinceObserver *observer);
+void quince_observer_record_feeder_contact (QuinceObserver *observer);
 /* @reserve: TRUE makes this process read the store 0.5 s sooner than others when its feed stops, so that it
  * can report to the leader.  Only a few processes may be reserve readers: otherwise all read the store at
  * once when the leader cannot. */
@@ -118,9 +119,9 @@
  * lately, for this process or for the one whose page is being taken. */
 gboolean quince_observer_may_have_lapsed (const QuinceObserver *observer, gint64 now_us);
 /* Prefixes that an observer follows: those of the operator, the workers and the product. */
-#define QUINCE_OBSERVER_PREFIXES 3
+#define QUINCE_OBSERVER_N_PREFIXES 3
 /* Revision up to which each mirror is complete, in a fixed order; 0: not synced. */
-void quince_observer_get_revisions (QuinceObserver *observer, guint64 revisions[QUINCE_OBSERVER_PREFIXES]);
+void quince_observer_get_revisions (QuinceObserver *observer, guint64 revisions[QUINCE_OBSERVER_N_PREFIXES]);
 /* Sets the metrics quince_belief_age_seconds, the time since the last answer or page of each prefix, and
  * quince_zones_evacuated. */
 void quince_observer_set_metrics (QuinceObserver *observer);
@@ -131,18 +132,18 @@
 /* All mirrors are synced. */
 gboolean quince_observer_is_synced (QuinceObserver *observer);
 /* Sends a page to another process.  @whole: @page is all there is under @prefix */
-typedef void (*QuinceObserverSend) (const char *prefix,
-                                    const QuinceMetaPage *page,
-                                    gboolean whole,
-                                    gpointer user_data);
+typedef void (*QuinceObserverSendFunc) (const char *prefix,
+                                        const QuinceMetaPage *page,
+                                        gboolean whole,
+                                        gpointer user_data);
 /* The accepted policy in force; see quince_backends_get_policy_entry(). */
 GBytes *quince_observer_get_policy_entry (QuinceObserver *observer, guint64 *revision);
 /* Another process has the policy @value in force.  Returns: whether it was newer, and is in force here now */
-gboolean quince_observer_take_policy (QuinceObserver *observer, GBytes *value, guint64 revision);
+gboolean quince_observer_apply_policy_entry (QuinceObserver *observer, GBytes *value, guint64 revision);
 /* Calls @send with the changes after @revisions; not for a prefix whose mirror is not synced or is stale. */
 void quince_observer_send_changes (QuinceObserver *observer,
-                                   const guint64 revisions[QUINCE_OBSERVER_PREFIXES],
-                                   QuinceObserverSend send,
+                                   const guint64 revisions[QUINCE_OBSERVER_N_PREFIXES],
+                                   QuinceObserverSendFunc send,
                                    gpointer user_data);
 /* (nullable) (transfer none): %NULL until both a configuration and the accepted policy are known. */
 QuinceRouteTable *quince_observer_get_routes (QuinceObserver *observer);
--- a/lib/observer/operator-state.c
+++ b/lib/observer/operator-state.c
@@ -50,7 +50,7 @@
 
 /* For the log: this process read the store, or another one did and fed it. */
 static const char *
-source_name (gboolean fed)
+get_source_label (gboolean fed)
 {
   return fed ? "feed" : "store";
 }
@@ -85,7 +85,7 @@
 }
 
 static void
-take_configuration (QuinceOperatorState *state, const QuinceMetaItem *item, gboolean fed)
+apply_configuration (QuinceOperatorState *state, const QuinceMetaItem *item, gboolean fed)
 {
   if (item->value == NULL)
     return;
@@ -101,7 +101,7 @@
     return;
   quince_log_info ("configuration",
                    "version=%" G_GUINT64_FORMAT " routes=%u source=%s revision=%" G_GUINT64_FORMAT, version,
-                   quince_route_table_get_n_routes (table), source_name (fed), item->revision);
+                   quince_route_table_get_n_routes (table), get_source_label (fed), item->revision);
   quince_backends_set_routes (state->backends, table);
   quince_route_table_free (state->routes);
   state->routes = g_steal_pointer (&table);
@@ -109,7 +109,7 @@
 }
 
 static void
-take_version (QuinceOperatorState *state, const QuinceMetaItem *item, gboolean fed)
+apply_named_version (QuinceOperatorState *state, const QuinceMetaItem *item, gboolean fed)
 {
   if (item->value == NULL)
     return;
@@ -124,14 +124,14 @@
   if (version <= quince_operator_state_get_version (state, model))
     return;
   quince_log_info ("version_named", "model=%s version=%" G_GUINT64_FORMAT " source=%s", model, version,
-                   source_name (fed));
+                   get_source_label (fed));
   g_hash_table_replace (state->versions, g_strdup (model), g_memdup2 (&version, sizeof version));
   if (state->callbacks->version != NULL)
     state->callbacks->version (model, version, state->user_data);
 }
 
 static void
-take_retirement (QuinceOperatorState *state, const QuinceMetaItem *item, const char *node)
+apply_retirement (QuinceOperatorState *state, const QuinceMetaItem *item, const char *node)
 {
   guint index;
   gboolean known = g_ptr_array_find_with_equal_func (state->retiring, node, g_str_equal, &index);
@@ -153,7 +153,7 @@
 }
 
 static void
-take_evacuation (QuinceOperatorState *state, const QuinceMetaItem *item, const char *zone, gboolean fed)
+apply_evacuation (QuinceOperatorState *state, const QuinceMetaItem *item, const char *zone, gboolean fed)
 {
   gboolean evacuated = item->value != NULL;
   if (!quince_backends_set_zone_evacuated (state->backends, quince_now_us (), zone, item->revision,
@@ -162,32 +162,32 @@
   g_autofree char *name = quince_log_quote (zone);
   if (evacuated)
     quince_log_notice ("zone_evacuated", "zone=%s source=%s revision=%" G_GUINT64_FORMAT, name,
-                       source_name (fed), item->revision);
+                       get_source_label (fed), item->revision);
   else
     quince_log_notice ("zone_returned", "zone=%s source=%s revision=%" G_GUINT64_FORMAT, name,
-                       source_name (fed), item->revision);
+                       get_source_label (fed), item->revision);
   if (state->callbacks->zones != NULL)
     state->callbacks->zones (state->user_data);
 }
 
 void
-quince_operator_state_take (QuinceOperatorState *state, const QuinceMetaItem *item, gboolean fed)
+quince_operator_state_apply (QuinceOperatorState *state, const QuinceMetaItem *item, gboolean fed)
 {
   QuinceOperatorKey key;
   state->dialect->read_operator_key (item->key, &key);
   switch (key.kind)
     {
     case QUINCE_OPERATOR_KEY_CONFIGURATION:
-      take_configuration (state, item, fed);
+      apply_configuration (state, item, fed);
       break;
     case QUINCE_OPERATOR_KEY_VERSION:
-      take_version (state, item, fed);
+      apply_named_version (state, item, fed);
       break;
     case QUINCE_OPERATOR_KEY_RETIREMENT:
-      take_retirement (state, item, key.name);
+      apply_retirement (state, item, key.name);
       break;
     case QUINCE_OPERATOR_KEY_EVACUATION:
-      take_evacuation (state, item, key.name, fed);
+      apply_evacuation (state, item, key.name, fed);
       break;
     case QUINCE_OPERATOR_KEY_OTHER:
     default:
--- a/lib/observer/operator-state.h
+++ b/lib/observer/operator-state.h
@@ -20,7 +20,7 @@
                                                 gpointer user_data);
 void quince_operator_state_free (QuinceOperatorState *state);
 /* Takes one of the operator's keys.  @fed: another process read it, for the log. */
-void quince_operator_state_take (QuinceOperatorState *state, const QuinceMetaItem *item, gboolean fed);
+void quince_operator_state_apply (QuinceOperatorState *state, const QuinceMetaItem *item, gboolean fed);
 /* The accepted policy, if there is one, is in force: the configuration may be reported and used.  Without
  * this wait a starting process would decide by the settings' policy after another one was accepted. */
 void quince_operator_state_set_policy_known (QuinceOperatorState *state);
--- a/lib/observer/store-feed.c
+++ b/lib/observer/store-feed.c
@@ -79,7 +79,7 @@
 
 /* Encoded once for all that subscribe before the next change. */
 static GBytes *
-encode_whole (QuinceStoreFeed *feed, const char *prefix, const QuinceMetaPage *page)
+get_packed_prefix (QuinceStoreFeed *feed, const char *prefix, const QuinceMetaPage *page)
 {
   const PackedPrefix *held = g_hash_table_lookup (feed->packed, prefix);
   if (held != NULL && held->revision == page->revision)
@@ -101,10 +101,10 @@
 } Subscriber;
 
 static void
-send_since (const char *prefix, const QuinceMetaPage *page, gboolean whole, gpointer data)
+send_changes_to_subscriber (const char *prefix, const QuinceMetaPage *page, gboolean whole, gpointer data)
 {
   const Subscriber *subscriber = data;
-  g_autoptr (GBytes) encoded = whole ? encode_whole (subscriber->feed, prefix, page)
+  g_autoptr (GBytes) encoded = whole ? get_packed_prefix (subscriber->feed, prefix, page)
                                      : encode_update (subscriber->feed->observer, prefix, page, FALSE);
   if (encoded != NULL)
     quince_link_send_bytes (subscriber->link, encoded);
@@ -116,14 +116,14 @@
  * than the others have in force.  So each side of a subscription tells the other of a later one. */
 
 /* Place of the policy's revision in a subscription, after those of the prefixes. */
-#define SUBSCRIBED_POLICY QUINCE_OBSERVER_PREFIXES
+#define POLICY_REVISION_INDEX QUINCE_OBSERVER_N_PREFIXES
 
 /* 0: none is in force there, or a build that does not tell. */
 static guint64
-get_subscribed_policy (const QuinceFeedSubscribe *subscribe)
+get_subscribed_policy_revision (const QuinceFeedSubscribe *subscribe)
 {
-  return subscribe->revisions.revisions_len > SUBSCRIBED_POLICY
-             ? subscribe->revisions.revisions_val[SUBSCRIBED_POLICY]
+  return subscribe->revisions.revisions_len > POLICY_REVISION_INDEX
+             ? subscribe->revisions.revisions_val[POLICY_REVISION_INDEX]
              : 0;
 }
 
@@ -149,39 +149,41 @@
 
 /* Returns: whether a later policy than that in force was among the items, and is in force now */
 static gboolean
-take_policy (QuinceObserver *observer, const QuinceMetaPage *page)
+apply_policy_items (QuinceObserver *observer, const QuinceMetaPage *page)
 {
   gboolean taken = FALSE;
   for (guint i = 0; i < page->items->len; i++)
     {
       const QuinceMetaItem *item = page->items->pdata[i];
       if (item->value != NULL && g_str_equal (item->key, QUINCE_POLICY_KEY))
-        taken = quince_observer_take_policy (observer, item->value, item->revision) || taken;
+        taken = quince_observer_apply_policy_entry (observer, item->value, item->revision) || taken;
     }
   return taken;
 }
 
 void
-quince_store_feed_answer (QuinceObserver *observer, QuinceLink *link, const QuinceFeedSubscribe *subscribe)
+quince_store_feed_send_newer_policy (QuinceObserver *observer,
+                                     QuinceLink *link,
+                                     const QuinceFeedSubscribe *subscribe)
 {
   guint64 revision;
   quince_observer_get_policy_entry (observer, &revision);
-  if (revision > get_subscribed_policy (subscribe))
+  if (revision > get_subscribed_policy_revision (subscribe))
     send_policy (observer, link);
 }
 
 /* The subscriber has a later policy: it is asked for it as subscribers ask. */
 static void
-ask_for_policy (QuinceObserver *observer, QuinceLink *link, const QuinceFeedSubscribe *subscribe)
+request_policy (QuinceObserver *observer, QuinceLink *link, const QuinceFeedSubscribe *subscribe)
 {
   guint64 revision;
   quince_observer_get_policy_entry (observer, &revision);
-  if (revision < get_subscribed_policy (subscribe))
+  if (revision < get_subscribed_policy_revision (subscribe))
     quince_store_feed_subscribe (observer, link);
 }
 
 static void
-pass_policy_on (QuinceStoreFeed *feed, const QuinceLink *source)
+forward_policy (QuinceStoreFeed *feed, const QuinceLink *source)
 {
   GHashTableIter iter;
   gpointer link;
@@ -196,14 +198,14 @@
 void
 quince_store_feed_add (QuinceStoreFeed *feed, QuinceLink *link, const QuinceFeedSubscribe *subscribe)
 {
-  guint64 revisions[QUINCE_OBSERVER_PREFIXES] = { 0 };
-  for (guint i = 0; i < subscribe->revisions.revisions_len && i < QUINCE_OBSERVER_PREFIXES; i++)
+  guint64 revisions[QUINCE_OBSERVER_N_PREFIXES] = { 0 };
+  for (guint i = 0; i < subscribe->revisions.revisions_len && i < QUINCE_OBSERVER_N_PREFIXES; i++)
     revisions[i] = subscribe->revisions.revisions_val[i];
   g_hash_table_add (feed->links, quince_link_ref (link));
   Subscriber subscriber = { feed, link };
-  quince_observer_send_changes (feed->observer, revisions, send_since, &subscriber);
-  quince_store_feed_answer (feed->observer, link, subscribe);
-  ask_for_policy (feed->observer, link, subscribe);
+  quince_observer_send_changes (feed->observer, revisions, send_changes_to_subscriber, &subscriber);
+  quince_store_feed_send_newer_policy (feed->observer, link, subscribe);
+  request_policy (feed->observer, link, subscribe);
 }
 
 void
@@ -213,10 +215,10 @@
 }
 
 static void
-send_to_all_but (QuinceStoreFeed *feed,
-                 const QuinceLink *source,
-                 const char *prefix,
-                 const QuinceMetaPage *page)
+send_to_all_except (QuinceStoreFeed *feed,
+                    const QuinceLink *source,
+                    const char *prefix,
+                    const QuinceMetaPage *page)
 {
   if (g_hash_table_size (feed->links) == 0)
     return;
@@ -237,7 +239,7 @@
 void
 quince_store_feed_publish (QuinceStoreFeed *feed, const char *prefix, const QuinceMetaPage *page)
 {
-  send_to_all_but (feed, NULL, prefix, page);
+  send_to_all_except (feed, NULL, prefix, page);
 }
 
 /* ---- At subscribers --------------------------------------------------- */
@@ -245,14 +247,14 @@
 void
 quince_store_feed_subscribe (QuinceObserver *observer, QuinceLink *link)
 {
-  guint64 revisions[QUINCE_OBSERVER_PREFIXES];
-  u_quad_t wire[SUBSCRIBED_POLICY + 1];
+  guint64 revisions[QUINCE_OBSERVER_N_PREFIXES];
+  u_quad_t wire[POLICY_REVISION_INDEX + 1];
   guint64 policy;
   quince_observer_get_revisions (observer, revisions);
   quince_observer_get_policy_entry (observer, &policy);
-  for (guint i = 0; i < QUINCE_OBSERVER_PREFIXES; i++)
+  for (guint i = 0; i < QUINCE_OBSERVER_N_PREFIXES; i++)
     wire[i] = revisions[i];
-  wire[SUBSCRIBED_POLICY] = policy;
+  wire[POLICY_REVISION_INDEX] = policy;
   QuinceMessage message = { .kind = QUINCE_MESSAGE_FEED_SUBSCRIBE };
   message.QuinceMessage_u.feed_subscribe.revisions.revisions_val = wire;
   message.QuinceMessage_u.feed_subscribe.revisions.revisions_len = G_N_ELEMENTS (wire);
@@ -284,7 +286,7 @@
 quince_store_feed_apply (QuinceObserver *observer, const QuinceFeedUpdate *update)
 {
   g_autoptr (QuinceMetaPage) page = decode_update (update);
-  take_policy (observer, page);
+  apply_policy_items (observer, page);
   quince_observer_feed (observer, update->prefix, page, update->whole);
 }
 
@@ -309,8 +311,8 @@
                                 const QuinceFeedUpdate *update)
 {
   g_autoptr (QuinceMetaPage) page = decode_update (update);
-  if (take_policy (feed->observer, page))
-    pass_policy_on (feed, source);
-  if (quince_observer_take_report (feed->observer, update->prefix, page))
-    send_to_all_but (feed, source, update->prefix, page);
+  if (apply_policy_items (feed->observer, page))
+    forward_policy (feed, source);
+  if (quince_observer_apply_report (feed->observer, update->prefix, page))
+    send_to_all_except (feed, source, update->prefix, page);
 }
--- a/lib/observer/store-feed.h
+++ b/lib/observer/store-feed.h
@@ -33,8 +33,9 @@
 /* Subscribes at the other end of @link, with the revisions that @observer has. */
 void quince_store_feed_subscribe (QuinceObserver *observer, QuinceLink *link);
 /* The other end of @link tells with @subscribe which policy it has in force: sends it a later one. */
-void
-quince_store_feed_answer (QuinceObserver *observer, QuinceLink *link, const QuinceFeedSubscribe *subscribe);
+void quince_store_feed_send_newer_policy (QuinceObserver *observer,
+                                          QuinceLink *link,
+                                          const QuinceFeedSubscribe *subscribe);
 /* Feeds @observer with an update. */
 void quince_store_feed_apply (QuinceObserver *observer, const QuinceFeedUpdate *update);
 
--- a/tests/platform/test-freshness.c
+++ b/tests/platform/test-freshness.c
@@ -93,7 +93,7 @@
 static guint64
 workers_revision (Process *process)
 {
-  guint64 revisions[QUINCE_OBSERVER_PREFIXES];
+  guint64 revisions[QUINCE_OBSERVER_N_PREFIXES];
   quince_observer_get_revisions (process->observer, revisions);
   return revisions[1];
 }
@@ -109,7 +109,7 @@
       = quince_meta_store_new (standin_store_get_address (process->standin), &quince_platform_meta_dialect);
   process->backends = quince_backends_new (quince_topology_new ("z1", ""));
   const QuinceObserverOptions options
-      = { .workers_pace_ms = 100, .change_bound_ms = QUINCE_OBSERVER_CHANGE_BOUND_MIN_MS };
+      = { .workers_read_interval_min_ms = 100, .change_bound_ms = QUINCE_OBSERVER_CHANGE_BOUND_MIN_MS };
   process->observer
       = quince_observer_new (process->store, process->backends, &quince_platform_observer_dialect, &options,
                              &observer_callbacks, process);
@@ -140,7 +140,7 @@
 {
   Process *process = data;
   if (process->feed == NULL)
-    quince_observer_feeder_alive (process->observer);
+    quince_observer_record_feeder_contact (process->observer);
   if (message->kind == QUINCE_MESSAGE_FEED_SUBSCRIBE)
     quince_store_feed_add (process->feed, link, &message->QuinceMessage_u.feed_subscribe);
   else if (message->kind == QUINCE_MESSAGE_FEED_UPDATE && process->feed != NULL)
@@ -345,7 +345,7 @@
   guint calls = standin_store_get_calls (follower.standin);
   g_clear_pointer (&leader.feed, quince_store_feed_free);
   quince_timer_clear (&leader.beat_timer);
-  quince_observer_feeder_lost (follower.observer);
+  quince_observer_handle_feeder_loss (follower.observer);
   run_for (800);
   assert_in_range (standin_store_get_calls (follower.standin) - calls, 0, 2);
   name_version (&follower, 3);
@@ -357,7 +357,7 @@
 test_leader_reads_by_itself (void **state)
 {
   follow (&replica, &leader);
-  guint64 revisions[QUINCE_OBSERVER_PREFIXES];
+  guint64 revisions[QUINCE_OBSERVER_N_PREFIXES];
   quince_observer_get_revisions (leader.observer, revisions);
   g_autoptr (GPtrArray) items = g_ptr_array_new_with_free_func ((GDestroyNotify)quince_meta_item_free);
   QuinceMetaItem *item = g_new0 (QuinceMetaItem, 1);
@@ -376,7 +376,7 @@
   standin_store_set_fault (leader.standin, STANDIN_STORE_SILENT);
   run_for (1200);
   const QuinceMetaPage older = { .items = items, .after = 1, .revision = 1 };
-  assert_false (quince_observer_take_report (leader.observer, "op/", &older));
+  assert_false (quince_observer_apply_report (leader.observer, "op/", &older));
   assert_int_equal (known_version (&leader), 3);
 }
 
@@ -443,7 +443,7 @@
 test_evacuations_within_a_moment (void **state)
 {
   follow (&follower, &leader);
-  guint64 revisions[QUINCE_OBSERVER_PREFIXES];
+  guint64 revisions[QUINCE_OBSERVER_N_PREFIXES];
   quince_observer_get_revisions (leader.observer, revisions);
   g_autoptr (GPtrArray) none = g_ptr_array_new ();
   const QuinceMetaPage before = { .items = none, .after = revisions[0], .revision = revisions[0] };
@@ -473,7 +473,7 @@
   starter.backends = quince_backends_new (quince_topology_new ("z1", ""));
   starter.accepted = g_ptr_array_new ();
   const QuinceObserverOptions options
-      = { .workers_pace_ms = 100, .change_bound_ms = QUINCE_OBSERVER_CHANGE_BOUND_MIN_MS };
+      = { .workers_read_interval_min_ms = 100, .change_bound_ms = QUINCE_OBSERVER_CHANGE_BOUND_MIN_MS };
   starter.observer = quince_observer_new (starter.store, starter.backends, &quince_platform_observer_dialect,
                                           &options, &observer_callbacks, &starter);
   run_for (500);
@@ -495,12 +495,12 @@
   run_for (50);
   standin_store_set_fault (follower.standin, STANDIN_STORE_SOUND);
   quince_meta_store_resumed (follower.store);
-  quince_observer_resumed (follower.observer);
+  quince_observer_handle_resume (follower.observer);
   assert_true (quince_backends_holds_sends (follower.backends));
   AWAIT (!quince_backends_holds_sends (follower.backends));
   assert_true (knows_evacuated (&follower));
   standin_store_set_fault (follower.standin, STANDIN_STORE_SILENT);
-  quince_observer_resumed (follower.observer);
+  quince_observer_handle_resume (follower.observer);
   assert_true (quince_backends_holds_sends (follower.backends));
   AWAIT (!quince_backends_holds_sends (follower.backends));
   assert_true (knows_evacuated (&follower));
--- a/tests/platform/test-size.c
+++ b/tests/platform/test-size.c
@@ -64,7 +64,7 @@
       = quince_meta_store_new (standin_store_get_address (world->standin), &quince_platform_meta_dialect);
   world->backends = quince_backends_new (quince_topology_new ("z1", ""));
   const QuinceObserverOptions options
-      = { .workers_pace_ms = 100, .change_bound_ms = QUINCE_OBSERVER_CHANGE_BOUND_MIN_MS };
+      = { .workers_read_interval_min_ms = 100, .change_bound_ms = QUINCE_OBSERVER_CHANGE_BOUND_MIN_MS };
   world->observer = quince_observer_new (world->store, world->backends, &quince_platform_observer_dialect,
                                          &options, &observer_callbacks, world);
   world->feed = quince_store_feed_new (world->observer);
