--- a/daemons/replica/replica-store-events.c
+++ b/daemons/replica/replica-store-events.c
@@ -72,6 +72,6 @@
 
 const QuinceObserverCallbacks quince_replica_store_callbacks = { .own_key = handle_own_key,
                                                                  .version = handle_version,
-                                                                 .leaving = handle_draining_changed,
+                                                                 .draining_nodes = handle_draining_changed,
                                                                  .zones = handle_zones_changed,
                                                                  .read = handle_store_read };
--- a/lib/observer/observer-feed.c
+++ b/lib/observer/observer-feed.c
@@ -51,14 +51,14 @@
   QuinceNamedMirror mirrors[QUINCE_OBSERVER_N_PREFIXES];
   quince_observer_list_mirrors (observer, mirrors);
   observer->page_may_have_lapsed = page->may_have_lapsed;
-  gboolean taken = FALSE;
+  gboolean accepted = FALSE;
   for (guint i = 0; i < QUINCE_OBSERVER_N_PREFIXES; i++)
     if (g_str_equal (mirrors[i].prefix, prefix))
-      taken = quince_meta_mirror_feed (mirrors[i].mirror, page, whole);
+      accepted = quince_meta_mirror_feed (mirrors[i].mirror, page, whole);
   observer->page_may_have_lapsed = FALSE;
-  if (taken && g_str_equal (prefix, observer->dialect->operator_prefix))
+  if (accepted && g_str_equal (prefix, observer->dialect->operator_prefix))
     handle_operator_page (observer);
-  return taken;
+  return accepted;
 }
 
 /* The leader's own reads are late, so that a report helps. */
@@ -106,7 +106,8 @@
 void
 quince_observer_update_probe_interval (QuinceObserver *observer)
 {
-  gboolean relaxed = observer->feeder_timer != NULL && !observer->reserve && are_all_mirrors_fed (observer);
+  gboolean relaxed
+      = observer->feeder_timer != NULL && !observer->is_reserve_reader && are_all_mirrors_fed (observer);
   quince_meta_store_set_relaxed (observer->store, relaxed);
 }
 
--- a/lib/observer/observer-private.h
+++ b/lib/observer/observer-private.h
@@ -26,8 +26,8 @@
   gint64 last_resume_us;                      /* monotonic: end of the last suspension; 0: never */
   guint workers_read_interval_min_ms;         /* least time between two reads of the workers */
   guint bound_margin_ms;                      /* what the bound on changes allows beyond the least one */
-  QuinceTimer *feeder_timer; /* restarted by each message of the feeder, which counts as gone when it ends */
-  gboolean reserve;          /* this process is a reserve reader */
+  QuinceTimer *feeder_timer;  /* restarted by each message of the feeder, which counts as gone when it ends */
+  gboolean is_reserve_reader; /* this process is a reserve reader */
   gboolean page_may_have_lapsed; /* QuinceMetaPage.may_have_lapsed of the page that is being taken */
 };
 
--- a/lib/observer/observer.c
+++ b/lib/observer/observer.c
@@ -76,7 +76,7 @@
 }
 
 static void
-workers_synced (gpointer data)
+handle_workers_synced (gpointer data)
 {
   QuinceObserver *observer = data;
   quince_backends_finish_first_listing (observer->backends);
@@ -108,16 +108,16 @@
 gboolean
 quince_observer_apply_policy_entry (QuinceObserver *observer, GBytes *value, guint64 revision)
 {
-  guint64 before;
-  guint64 after;
-  quince_backends_get_policy_entry (observer->backends, &before);
+  guint64 old_revision;
+  guint64 new_revision;
+  quince_backends_get_policy_entry (observer->backends, &old_revision);
   quince_backends_apply_policy_entry (observer->backends, value, revision);
-  quince_backends_get_policy_entry (observer->backends, &after);
-  return after > before;
+  quince_backends_get_policy_entry (observer->backends, &new_revision);
+  return new_revision > old_revision;
 }
 
 static void
-own_synced (gpointer data)
+handle_own_synced (gpointer data)
 {
   QuinceObserver *observer = data;
   quince_operator_state_set_policy_known (observer->operator_state);
@@ -128,7 +128,7 @@
 /* ---- Reads of the store ------------------------------------------------ */
 
 static void
-report_read (QuinceObserver *observer, const char *prefix, const QuinceMetaPage *page)
+report_store_read (QuinceObserver *observer, const char *prefix, const QuinceMetaPage *page)
 {
   if (observer->callbacks->read != NULL)
     observer->callbacks->read (prefix, page, observer->user_data);
@@ -156,31 +156,31 @@
   QuinceObserver *observer = data;
   if (quince_meta_mirror_is_synced (observer->operator_mirror))
     quince_backends_release_sends (observer->backends);
-  report_read (observer, observer->dialect->operator_prefix, page);
+  report_store_read (observer, observer->dialect->operator_prefix, page);
 }
 
 static void
 handle_workers_read (const QuinceMetaPage *page, gpointer data)
 {
   QuinceObserver *observer = data;
-  report_read (observer, observer->dialect->workers_prefix, page);
+  report_store_read (observer, observer->dialect->workers_prefix, page);
 }
 
 static void
 handle_own_read (const QuinceMetaPage *page, gpointer data)
 {
-  report_read (data, QUINCE_OWN_PREFIX, page);
+  report_store_read (data, QUINCE_OWN_PREFIX, page);
 }
 
 static const QuinceMetaMirrorCallbacks operator_callbacks
     = { .item = handle_operator_item, .synced = handle_operator_synced, .read = handle_operator_read };
 static const QuinceMetaMirrorCallbacks own_callbacks
-    = { .item = handle_own_item, .synced = own_synced, .read = handle_own_read };
+    = { .item = handle_own_item, .synced = handle_own_synced, .read = handle_own_read };
 
 void
 quince_observer_set_reserve_reader (QuinceObserver *observer, gboolean reserve)
 {
-  observer->reserve = reserve;
+  observer->is_reserve_reader = reserve;
   quince_observer_update_probe_interval (observer);
   const QuinceStoreReadTimes times = quince_store_reads_get_times (reserve, observer->bound_margin_ms);
   guint spread_ms = reserve ? 0 : OUTAGE_READ_JITTER_MAX_MS;
@@ -259,7 +259,7 @@
 /* ---- Public ----------------------------------------------------------- */
 
 static guint
-read_ms (const QuinceSettings *settings, const char *key)
+get_duration_ms (const QuinceSettings *settings, const char *key)
 {
   return (guint)(quince_settings_get_duration_us (settings, "store", key) / 1000);
 }
@@ -267,9 +267,10 @@
 void
 quince_observer_read_options (const QuinceSettings *settings, QuinceObserverOptions *options)
 {
-  options->workers_read_interval_min_ms = read_ms (settings, "workers_pace");
-  guint bound_ms = MIN (read_ms (settings, "change_bound"), read_ms (settings, "drain_bound"));
-  options->change_bound_ms = MIN (bound_ms, read_ms (settings, "evacuation_bound"));
+  options->workers_read_interval_min_ms = get_duration_ms (settings, "workers_pace");
+  guint bound_ms
+      = MIN (get_duration_ms (settings, "change_bound"), get_duration_ms (settings, "drain_bound"));
+  options->change_bound_ms = MIN (bound_ms, get_duration_ms (settings, "evacuation_bound"));
   options->first_read_wait_ms = 0;
 }
 
@@ -289,18 +290,19 @@
   observer->dialect = dialect;
   observer->operator_state = quince_operator_state_new (backends, dialect, callbacks, user_data);
   observer->worker_callbacks = (QuinceMetaMirrorCallbacks){ .item = handle_worker_item,
-                                                            .synced = workers_synced,
+                                                            .synced = handle_workers_synced,
                                                             .read = handle_workers_read,
                                                             .same = dialect->same_worker };
   observer->workers_read_interval_min_ms = options->workers_read_interval_min_ms;
   guint bound_ms = MAX (options->change_bound_ms, QUINCE_OBSERVER_CHANGE_BOUND_MIN_MS);
   observer->bound_margin_ms = bound_ms - QUINCE_OBSERVER_CHANGE_BOUND_MIN_MS;
-  guint wait_ms = options->first_read_wait_ms;
-  observer->operator_mirror
-      = quince_meta_mirror_new (store, dialect->operator_prefix, wait_ms, &operator_callbacks, observer);
-  observer->workers_mirror = quince_meta_mirror_new (store, dialect->workers_prefix, wait_ms,
+  guint first_read_wait_ms = options->first_read_wait_ms;
+  observer->operator_mirror = quince_meta_mirror_new (store, dialect->operator_prefix, first_read_wait_ms,
+                                                      &operator_callbacks, observer);
+  observer->workers_mirror = quince_meta_mirror_new (store, dialect->workers_prefix, first_read_wait_ms,
                                                      &observer->worker_callbacks, observer);
-  observer->own_mirror = quince_meta_mirror_new (store, QUINCE_OWN_PREFIX, wait_ms, &own_callbacks, observer);
+  observer->own_mirror
+      = quince_meta_mirror_new (store, QUINCE_OWN_PREFIX, first_read_wait_ms, &own_callbacks, observer);
   quince_observer_set_reserve_reader (observer, FALSE);
   /* Workers may be known before the evacuated zones are. */
   quince_backends_hold_sends (backends, 0);
--- a/lib/observer/observer.h
+++ b/lib/observer/observer.h
@@ -36,7 +36,7 @@
  * QuinceObserverCallbacks: each is nullable
  * @configuration: a newer configuration is in force; not before the accepted policy is known
  * @version: a newer version of a model was named
- * @leaving: the machines that the operator wants emptied, %NULL-terminated
+ * @draining_nodes: the machines that the operator wants emptied, %NULL-terminated
  * @zones: the set of evacuated zones changed; see quince_backends_get_zones()
  * @own_key: one of the product's own keys changed; @value is %NULL where it was removed
  * @own_synced: all own keys were reported
@@ -47,7 +47,7 @@
 {
   void (*configuration) (QuinceRouteTable *table, gpointer user_data);
   void (*version) (const char *model, guint64 version, gpointer user_data);
-  void (*leaving) (const char *const *nodes, gpointer user_data);
+  void (*draining_nodes) (const char *const *nodes, gpointer user_data);
   void (*zones) (gpointer user_data);
   void (*own_key) (const char *key, GBytes *value, guint64 revision, gpointer user_data);
   void (*own_synced) (gpointer user_data);
--- a/lib/observer/operator-state.c
+++ b/lib/observer/operator-state.c
@@ -16,10 +16,10 @@
   const QuinceObserverDialect *dialect;
   const QuinceObserverCallbacks *callbacks;
   gpointer user_data;
-  QuinceRouteTable *routes; /* NULL: no configuration was read yet */
-  GHashTable *versions;     /* model to guint64, both owned: newest named version */
-  GPtrArray *retiring;      /* names of machines to be emptied, owned */
-  gboolean policy_known;    /* see quince_operator_state_set_policy_known() */
+  QuinceRouteTable *routes;  /* NULL: no configuration was read yet */
+  GHashTable *versions;      /* model to guint64, both owned: newest named version */
+  GPtrArray *draining_nodes; /* names of machines to be emptied, owned */
+  gboolean policy_known;     /* see quince_operator_state_set_policy_known() */
 };
 
 QuinceOperatorState *
@@ -34,7 +34,7 @@
   state->callbacks = callbacks;
   state->user_data = user_data;
   state->versions = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
-  state->retiring = g_ptr_array_new_with_free_func (g_free);
+  state->draining_nodes = g_ptr_array_new_with_free_func (g_free);
   return state;
 }
 
@@ -44,7 +44,7 @@
   quince_backends_set_routes (state->backends, NULL);
   quince_route_table_free (state->routes);
   g_hash_table_unref (state->versions);
-  g_ptr_array_unref (state->retiring);
+  g_ptr_array_unref (state->draining_nodes);
   g_free (state);
 }
 
@@ -134,22 +134,22 @@
 apply_retirement (QuinceOperatorState *state, const QuinceMetaItem *item, const char *node)
 {
   guint index;
-  gboolean known = g_ptr_array_find_with_equal_func (state->retiring, node, g_str_equal, &index);
-  if (known == (item->value != NULL))
+  gboolean is_draining = g_ptr_array_find_with_equal_func (state->draining_nodes, node, g_str_equal, &index);
+  if (is_draining == (item->value != NULL))
     return;
-  if (known)
-    g_ptr_array_remove_index (state->retiring, index);
+  if (is_draining)
+    g_ptr_array_remove_index (state->draining_nodes, index);
   else
-    g_ptr_array_add (state->retiring, g_strdup (node));
+    g_ptr_array_add (state->draining_nodes, g_strdup (node));
   g_autofree char *name = quince_log_quote (node);
-  quince_log_info ("machine_leaving", "node=%s asked=%s", name, known ? "false" : "true");
-  if (state->callbacks->leaving == NULL)
+  quince_log_info ("machine_leaving", "node=%s asked=%s", name, is_draining ? "false" : "true");
+  if (state->callbacks->draining_nodes == NULL)
     return;
   g_autoptr (GPtrArray) nodes = g_ptr_array_new ();
-  for (guint i = 0; i < state->retiring->len; i++)
-    g_ptr_array_add (nodes, state->retiring->pdata[i]);
+  for (guint i = 0; i < state->draining_nodes->len; i++)
+    g_ptr_array_add (nodes, state->draining_nodes->pdata[i]);
   g_ptr_array_add (nodes, NULL);
-  state->callbacks->leaving ((const char *const *)nodes->pdata, state->user_data);
+  state->callbacks->draining_nodes ((const char *const *)nodes->pdata, state->user_data);
 }
 
 static void
--- a/lib/observer/store-feed.c
+++ b/lib/observer/store-feed.c
@@ -10,8 +10,8 @@
 {
   /* All fields belong to the context that created the feed. */
   QuinceObserver *observer;
-  GHashTable *links;  /* QuinceLink, owned: subscribers */
-  GHashTable *packed; /* prefix to PackedPrefix, owned: the whole prefix, for new subscribers */
+  GHashTable *links;           /* QuinceLink, owned: subscribers */
+  GHashTable *packed_prefixes; /* prefix to PackedPrefix, owned: the whole prefix, for new subscribers */
 };
 
 typedef struct
@@ -63,7 +63,7 @@
   QuinceStoreFeed *feed = g_new0 (QuinceStoreFeed, 1);
   feed->observer = observer;
   feed->links = g_hash_table_new_full (NULL, NULL, (GDestroyNotify)quince_link_unref, NULL);
-  feed->packed = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, packed_prefix_free);
+  feed->packed_prefixes = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, packed_prefix_free);
   return feed;
 }
 
@@ -73,7 +73,7 @@
   if (feed == NULL)
     return;
   g_hash_table_unref (feed->links);
-  g_hash_table_unref (feed->packed);
+  g_hash_table_unref (feed->packed_prefixes);
   g_free (feed);
 }
 
@@ -81,16 +81,16 @@
 static GBytes *
 get_packed_prefix (QuinceStoreFeed *feed, const char *prefix, const QuinceMetaPage *page)
 {
-  const PackedPrefix *held = g_hash_table_lookup (feed->packed, prefix);
-  if (held != NULL && held->revision == page->revision)
-    return g_bytes_ref (held->encoded);
+  const PackedPrefix *cached = g_hash_table_lookup (feed->packed_prefixes, prefix);
+  if (cached != NULL && cached->revision == page->revision)
+    return g_bytes_ref (cached->encoded);
   g_autoptr (GBytes) encoded = encode_update (feed->observer, prefix, page, TRUE);
   if (encoded == NULL)
     return NULL;
   PackedPrefix *packed = g_new0 (PackedPrefix, 1);
   packed->revision = page->revision;
   packed->encoded = quince_message_pack (encoded, QUINCE_PACK_SMALL);
-  g_hash_table_replace (feed->packed, g_strdup (prefix), packed);
+  g_hash_table_replace (feed->packed_prefixes, g_strdup (prefix), packed);
   return g_bytes_ref (packed->encoded);
 }
 
@@ -151,14 +151,14 @@
 static gboolean
 apply_policy_items (QuinceObserver *observer, const QuinceMetaPage *page)
 {
-  gboolean taken = FALSE;
+  gboolean applied = FALSE;
   for (guint i = 0; i < page->items->len; i++)
     {
       const QuinceMetaItem *item = page->items->pdata[i];
       if (item->value != NULL && g_str_equal (item->key, QUINCE_POLICY_KEY))
-        taken = quince_observer_apply_policy_entry (observer, item->value, item->revision) || taken;
+        applied = quince_observer_apply_policy_entry (observer, item->value, item->revision) || applied;
     }
-  return taken;
+  return applied;
 }
 
 void
@@ -248,16 +248,16 @@
 quince_store_feed_subscribe (QuinceObserver *observer, QuinceLink *link)
 {
   guint64 revisions[QUINCE_OBSERVER_N_PREFIXES];
-  u_quad_t wire[POLICY_REVISION_INDEX + 1];
-  guint64 policy;
+  u_quad_t wire_revisions[POLICY_REVISION_INDEX + 1];
+  guint64 policy_revision;
   quince_observer_get_revisions (observer, revisions);
-  quince_observer_get_policy_entry (observer, &policy);
+  quince_observer_get_policy_entry (observer, &policy_revision);
   for (guint i = 0; i < QUINCE_OBSERVER_N_PREFIXES; i++)
-    wire[i] = revisions[i];
-  wire[POLICY_REVISION_INDEX] = policy;
+    wire_revisions[i] = revisions[i];
+  wire_revisions[POLICY_REVISION_INDEX] = policy_revision;
   QuinceMessage message = { .kind = QUINCE_MESSAGE_FEED_SUBSCRIBE };
-  message.QuinceMessage_u.feed_subscribe.revisions.revisions_val = wire;
-  message.QuinceMessage_u.feed_subscribe.revisions.revisions_len = G_N_ELEMENTS (wire);
+  message.QuinceMessage_u.feed_subscribe.revisions.revisions_val = wire_revisions;
+  message.QuinceMessage_u.feed_subscribe.revisions.revisions_len = G_N_ELEMENTS (wire_revisions);
   quince_link_send (link, &message);
 }
 
@@ -271,12 +271,12 @@
   page->may_have_lapsed = update->may_have_lapsed;
   for (guint i = 0; i < update->items.items_len; i++)
     {
-      const QuinceFeedItem *from = &update->items.items_val[i];
+      const QuinceFeedItem *wire_item = &update->items.items_val[i];
       QuinceMetaItem *item = g_new0 (QuinceMetaItem, 1);
-      item->key = g_strdup (from->key);
-      item->revision = from->revision;
-      if (!from->gone)
-        item->value = g_bytes_new (from->value.value_val, from->value.value_len);
+      item->key = g_strdup (wire_item->key);
+      item->revision = wire_item->revision;
+      if (!wire_item->gone)
+        item->value = g_bytes_new (wire_item->value.value_val, wire_item->value.value_len);
       g_ptr_array_add (page->items, item);
     }
   return page;
