--- a/lib/observer/operator-state.c
+++ b/lib/observer/operator-state.c
@@ -109,7 +109,7 @@
 }
 
 static void
-apply_named_version (QuinceOperatorState *state, const QuinceMetaItem *item, gboolean fed)
+apply_announced_version (QuinceOperatorState *state, const QuinceMetaItem *item, gboolean fed)
 {
   if (item->value == NULL)
     return;
@@ -181,7 +181,7 @@
       apply_configuration (state, item, fed);
       break;
     case QUINCE_OPERATOR_KEY_VERSION:
-      apply_named_version (state, item, fed);
+      apply_announced_version (state, item, fed);
       break;
     case QUINCE_OPERATOR_KEY_RETIREMENT:
       apply_retirement (state, item, key.name);
