--- a/lib/observer/observer-dialect.h
+++ b/lib/observer/observer-dialect.h
@@ -1,8 +1,9 @@
 /*
- * observer-dialect.h: how the operator's keys and the workers' entries in the metadata store are decoded.
+ * observer-dialect.h: functions that decode the operator's keys and the workers' entries in the metadata
+ * store.
  *
- * The adapter to the users' platform provides one; the observer sees its typed values alone.  Functions keep
- * no state and report what they cannot read as a GError of the adapter's domain.
+ * The platform adapter implements the dialect, so that the observer handles only typed values.  The functions
+ * are stateless, and report a value that cannot be decoded as a GError of the adapter's domain.
  */
 #pragma once
 
@@ -13,14 +14,15 @@
 
 typedef enum
 {
-  QUINCE_OPERATOR_KEY_OTHER,         /* nothing that the product acts on                     */
-  QUINCE_OPERATOR_KEY_CONFIGURATION, /* routes, services, tenants and limits                 */
-  QUINCE_OPERATOR_KEY_VERSION,       /* a weight version that a trainer named                */
-  QUINCE_OPERATOR_KEY_RETIREMENT,    /* a machine to be emptied, for as long as the key exists */
-  QUINCE_OPERATOR_KEY_EVACUATION,    /* an evacuated zone, for as long as the key exists     */
+  QUINCE_OPERATOR_KEY_OTHER,         /* ignored */
+  QUINCE_OPERATOR_KEY_CONFIGURATION, /* routes, services, tenants and limits */
+  QUINCE_OPERATOR_KEY_VERSION,       /* a weight version that a trainer announced */
+  QUINCE_OPERATOR_KEY_RETIREMENT,    /* a machine that drains while the key exists */
+  QUINCE_OPERATOR_KEY_EVACUATION,    /* a zone that is evacuated while the key exists */
 } QuinceOperatorKeyKind;
 
-/* @name: of the machine or the zone, else ""; points into the key that was read */
+/* @name: name of the machine or zone if @kind is RETIREMENT or EVACUATION; points into the key that was
+ * decoded */
 typedef struct
 {
   QuinceOperatorKeyKind kind;
@@ -29,14 +31,16 @@
 
 /**
  * QuinceObserverDialect:
- * @operator_prefix: of all keys that the operator and the trainers write
- * @workers_prefix: of the workers' entries
- * @read_operator_key: what a key below @operator_prefix is about
- * @read_configuration: (transfer full) (nullable): %NULL with an error where the value is no configuration
- * @read_version: @model is (transfer full); %FALSE with an error where the value names none
- * @read_worker_id: (transfer none): id of the worker whose entry has @key; points into @key
- * @read_worker: (transfer full) (nullable): %NULL with an error where the value is no worker's entry
- * @same_worker: two entries differ in nothing but what each heartbeat of the worker changes
+ * @operator_prefix: prefix of all keys that the operator and the trainers write
+ * @workers_prefix: prefix of the workers' entries
+ * @read_operator_key: decodes the kind and name of a key under @operator_prefix
+ * @read_configuration: (transfer full) (nullable): decodes a configuration; %NULL with an error if it is
+ * malformed
+ * @read_version: decodes an announced version; @model is (transfer full).  %FALSE with an error if it is
+ * malformed
+ * @read_worker_id: (transfer none): returns the id of the worker whose entry has @key; points into @key
+ * @read_worker: (transfer full) (nullable): decodes a worker's entry; %NULL with an error if it is malformed
+ * @same_worker: returns whether two entries of a worker differ only in fields that each heartbeat changes
  */
 typedef struct
 {
--- a/lib/observer/observer-feed.c
+++ b/lib/observer/observer-feed.c
@@ -1,7 +1,8 @@
 /*
- * observer-feed.c: feeds the mirrors with pages that another process read, and gives out pages for others.
+ * observer-feed.c: applies pages that another process read to the mirrors, and makes pages for other
+ * processes.
  *
- * Decides how long a feeder counts as alive and what its loss means; the times of the mirrors are set in
+ * Detects the loss of the feeder and handles it.  The intervals and timeouts of the mirrors are set in
  * observer.c.
  */
 #include "core/decisions/store-reads.h"
@@ -11,19 +12,20 @@
 
 #include "observer-private.h"
 
-/* Several reserve readers report pages without items at once; the leader takes one of them in this time, us.
- * Half the time between two reads, so that none of its followers loses patience. */
+/* Minimum time between two empty reports that the leader applies, us; several reserve readers report at about
+ * the same time.  Half the watch timeout, so that the followers' feeds do not time out. */
 #define REPORT_INTERVAL_MIN_US (QUINCE_STORE_WATCH_TIMEOUT_MS / 2 * 1000)
 
-/* After a suspension no request is sent to a worker until the operator's keys were read, which names the
- * evacuated zones, or at most for this long, ms: the store takes a few ms to answer, and a machine that it
- * does not answer must serve on. */
+/* Maximum time for which sends are held after a suspension, ms.  Sends wait for a read of the operator's
+ * keys, which name the evacuated zones.  The store answers within a few ms; a machine that cannot reach it
+ * must continue to serve. */
 #define RESUME_HOLD_MAX_MS 500
-/* A page that arrives this soon after a suspension, us, may have waited in a socket since before it.  Not
- * measured. */
+/* A page that arrives within this time after a suspension, us, may have been queued in a socket since before
+ * the suspension. */
 #define QUEUED_PAGES_WINDOW_US (100 * 1000)
-/* Without a message for this long, ms, the feeding leader counts as gone.  It sends a heartbeat every 250 ms;
- * three may be lost or late. */
+/* Time without a message after which the feeding leader counts as lost, ms: three heartbeats of 250 ms and a
+ * margin.
+ */
 #define FEEDER_TIMEOUT_MS 900
 
 void
@@ -34,7 +36,8 @@
   mirrors[2] = (QuinceNamedMirror){ QUINCE_OWN_PREFIX, observer->own_mirror };
 }
 
-/* A page of the operator's keys was taken: the evacuated zones are known. */
+/* Releases held sends after a page of the operator's keys, which name the evacuated zones, unless the page
+ * may predate a suspension. */
 static void
 handle_operator_page (QuinceObserver *observer)
 {
@@ -61,7 +64,8 @@
   return accepted;
 }
 
-/* The leader's own reads are late, so that a report helps. */
+/* Returns whether the leader applies the report @page: its own reads are late, or reports already replace
+ * them and this one has items or is not too soon after the last. */
 static gboolean
 should_apply_report (const QuinceMetaMirror *mirror, const QuinceMetaPage *page, gint64 now_us)
 {
@@ -89,7 +93,7 @@
   return observer->page_may_have_lapsed || quince_meta_store_may_have_lapsed (observer->store, now_us);
 }
 
-/* Another process feeds all prefixes. */
+/* Returns whether another process feeds all mirrors. */
 static gboolean
 are_all_mirrors_fed (QuinceObserver *observer)
 {
@@ -101,8 +105,8 @@
   return TRUE;
 }
 
-/* While a feeder lives, the feeder and the reserve readers notice when the store is back; the others probe it
- * seldom. */
+/* While a feeder is alive, it and the reserve readers detect the end of an outage; the other processes probe
+ * the store rarely. */
 void
 quince_observer_update_probe_interval (QuinceObserver *observer)
 {
@@ -127,7 +131,7 @@
 {
   if (quince_backends_holds_sends (observer->backends))
     {
-      /* Its last pages may be from before a suspension. */
+      /* The last pages of the feeder may predate a suspension. */
       quince_observer_handle_feed_end (observer);
       return;
     }
@@ -184,7 +188,7 @@
   gint64 now = quince_now_us ();
   for (guint i = 0; i < QUINCE_OBSERVER_N_PREFIXES; i++)
     {
-      /* Receivers trust a page as fresh, so a stale mirror sends none. */
+      /* Receivers treat each page as fresh, so none is made from a stale mirror. */
       if (!quince_meta_mirror_is_synced (mirrors[i].mirror)
           || !quince_meta_mirror_is_fresh (mirrors[i].mirror, now))
         continue;
--- a/lib/observer/observer-private.h
+++ b/lib/observer/observer-private.h
@@ -1,5 +1,5 @@
 /*
- * observer-private.h: the observer's state, for observer.c and observer-feed.c.
+ * observer-private.h: state of the observer, shared by observer.c and observer-feed.c.
  */
 #pragma once
 
@@ -21,14 +21,14 @@
   QuinceMetaMirror *operator_mirror;
   QuinceMetaMirror *workers_mirror;
   QuinceMetaMirror *own_mirror;
-  QuinceMetaMirrorCallbacks worker_callbacks; /* of workers_mirror; one of them is the dialect's */
+  QuinceMetaMirrorCallbacks worker_callbacks; /* of workers_mirror; .same is from the dialect */
   QuinceOperatorState *operator_state;        /* owned */
-  gint64 last_resume_us;                      /* monotonic: end of the last suspension; 0: never */
-  guint workers_read_interval_min_ms;         /* least time between two reads of the workers */
-  guint bound_margin_ms;                      /* what the bound on changes allows beyond the least one */
-  QuinceTimer *feeder_timer;  /* restarted by each message of the feeder, which counts as gone when it ends */
-  gboolean is_reserve_reader; /* this process is a reserve reader */
-  gboolean page_may_have_lapsed; /* QuinceMetaPage.may_have_lapsed of the page that is being taken */
+  gint64 last_resume_us;                      /* monotonic time of the end of the last suspension; 0: never */
+  guint workers_read_interval_min_ms;         /* minimum time between two reads of the workers' entries */
+  guint bound_margin_ms;                      /* change bound minus QUINCE_OBSERVER_CHANGE_BOUND_MIN_MS */
+  QuinceTimer *feeder_timer;                  /* until the feeder times out; NULL: no live feeder */
+  gboolean is_reserve_reader;
+  gboolean page_may_have_lapsed; /* QuinceMetaPage.may_have_lapsed of the page being applied */
 };
 
 typedef struct
@@ -37,10 +37,11 @@
   QuinceMetaMirror *mirror;
 } QuinceNamedMirror;
 
-/* In the order of quince_observer_get_revisions(). */
+/* Lists the mirrors in the order of quince_observer_get_revisions(). */
 void quince_observer_list_mirrors (QuinceObserver *observer,
                                    QuinceNamedMirror mirrors[QUINCE_OBSERVER_N_PREFIXES]);
-/* Sets how often this process probes a store that does not answer: seldom while another one feeds it. */
+/* Sets how often this process probes a store that does not answer: rarely if another process feeds all its
+ * mirrors and it is no reserve reader. */
 void quince_observer_update_probe_interval (QuinceObserver *observer);
 
 G_END_DECLS
--- a/lib/observer/observer.c
+++ b/lib/observer/observer.c
@@ -1,7 +1,9 @@
 /*
- * observer.c: creates the mirrors of the metadata store, sets their times and passes on what they report.
+ * observer.c: creates the mirrors of the metadata store, sets their read intervals and timeouts, and
+ * dispatches the items that they report.
  *
- * The operator's keys go to operator-state.c, workers to the backends, own keys to the owner's callbacks.
+ * The operator's keys go to operator-state.c, workers, the policy and events to the backends, and the other
+ * own keys to the callbacks.
  */
 #include "core/decisions/store-reads.h"
 #include "forward/residency-lookup.h"
@@ -14,37 +16,38 @@
 #include "observer-private.h"
 #include "refused-item.h"
 
-/* Least time between two reads of the own keys, ms: processes that start all write theirs at once. */
+/* Minimum time between two reads of the own keys, ms.  Limits the reads when many processes start and write
+ * their keys at the same time. */
 #define OWN_READ_INTERVAL_MIN_MS 100
-/* The same of a process that feeds no other while each read tells changes, ms: half of the longest time
- * between two reads. */
+/* Maximum to which that time grows in a burst of changes, ms, in a process that is no reserve reader.  Half
+ * of OWN_READ_INTERVAL_MAX_MS. */
 #define OWN_READ_INTERVAL_BURST_MAX_MS 500
-/* Time allowed for the first read after the patience, ms: a store over a hundred times slower than its usual
- * 4 ms. */
+/* Time allowed for the first read of the store after a feed timeout, ms.  A read usually takes a few ms. */
 #define FIRST_READ_BUDGET_MS 500
 G_STATIC_ASSERT (QUINCE_STORE_WATCH_TIMEOUT_MS + QUINCE_STORE_SLACK_MS + FIRST_READ_BUDGET_MS
                  <= QUINCE_OBSERVER_CHANGE_BOUND_MIN_MS);
 G_STATIC_ASSERT (QUINCE_STORE_READER_SLACK_MS + FIRST_READ_BUDGET_MS <= QUINCE_STORE_SLACK_MS);
-/* After an outage each process reads the store at a random moment within this time, ms, so that most are fed
- * before they read.  With a probe every 0.8 s they know all changes 2 s after the store's return; a machine
- * counts as out of touch after 3 s. */
+/* Maximum random delay before a process reads the store after an outage, ms.  Reserve readers read it without
+ * delay, so that most other processes are fed before their delay ends.  Probes are 0.8 s apart, so at the
+ * minimum change bound every process has all changes within 2 s of the end of the outage. */
 #define OUTAGE_READ_JITTER_MAX_MS 1000
-/* Workers' entries that lapsed in an outage are back this long after the store's return, us: about 2 s until
- * they are written, and the time that the change takes to get here. */
+/* Time from the end of an outage of the store until workers' entries that expired in it are listed again, us:
+ * about 2 s until the workers have written them, and the time to read the change. */
 #define LAPSED_RECOVERY_US (2400 * 1000)
-/* An entry that lapses late is kept at least this long, us: less than a worker that left goes on serving. */
+/* Minimum time for which a worker is retained after its entry expired, us.  Shorter than the time for which a
+ * worker that left continues to serve. */
 #define LAPSED_RETENTION_MIN_US (1000 * 1000)
-/* Longest time between two reads of the own keys, ms, whatever the deployment's bound on changes is. */
+/* Maximum time between two reads of the own keys, ms; independent of the change bound. */
 #define OWN_READ_INTERVAL_MAX_MS 1000
-/* An accepted policy is in force in every process this long after its acceptance, ms, also where no process
- * reads for the others. */
+/* Maximum time from the write of a policy until it is active in every process, ms, even if no process feeds
+ * the others. */
 #define POLICY_IN_FORCE_MAX_MS 3000
 G_STATIC_ASSERT (OWN_READ_INTERVAL_MAX_MS + QUINCE_STORE_SLACK_MS + FIRST_READ_BUDGET_MS
                  <= POLICY_IN_FORCE_MAX_MS);
 
 /* ---- Workers ---------------------------------------------------------- */
 
-/* Until when a worker whose entry is gone may still live. */
+/* Returns the monotonic time until which a worker is retained although its entry expired. */
 static gint64
 get_lapsed_expiry_us (const QuinceObserver *observer, gint64 now_us)
 {
@@ -142,7 +145,7 @@
   quince_operator_state_apply (observer->operator_state, item, fed);
 }
 
-/* The operator's keys are complete, so the evacuated zones are known. */
+/* Releases held sends: the operator's keys are complete, so the evacuated zones are known. */
 static void
 handle_operator_synced (gpointer data)
 {
@@ -304,7 +307,7 @@
   observer->own_mirror
       = quince_meta_mirror_new (store, QUINCE_OWN_PREFIX, first_read_wait_ms, &own_callbacks, observer);
   quince_observer_set_reserve_reader (observer, FALSE);
-  /* Workers may be known before the evacuated zones are. */
+  /* Without a hold, requests could go to workers in evacuated zones until the operator's keys are known. */
   quince_backends_hold_sends (backends, 0);
   return observer;
 }
--- a/lib/observer/observer.h
+++ b/lib/observer/observer.h
@@ -1,11 +1,12 @@
 /*
- * observer.h: what a process knows of the deployment, from the metadata store or from a process that feeds
- * it.
+ * observer.h: the state of the deployment as this process knows it, read from the metadata store or fed by
+ * another process.
  *
- * Owns a mirror of each of three prefixes (the operator's keys, the workers' entries, the product's own
- * keys), the configuration in force and the newest named versions.  Relies on a QuinceMetaStore for calls, on
- * a dialect to decode values, and on the backends, which get workers, zones, policy and events.
- * Configurations and named versions only rise: an older one is never reported.
+ * The observer owns a mirror of each of three prefixes (the operator's keys, the workers' entries and
+ * quinceroute's own keys), the current configuration and the newest announced weight versions.  It reads
+ * through a QuinceMetaStore, decodes values with a QuinceObserverDialect and updates the workers, zones,
+ * policy and events of the backends.  It ignores a configuration or weight version that is older than the
+ * current one.
  */
 #pragma once
 
@@ -18,30 +19,34 @@
 
 G_BEGIN_DECLS
 
-/* The product's own keys. */
+/* Keys that quinceroute itself writes. */
 #define QUINCE_OWN_PREFIX "quinceroute/"
 #define QUINCE_LEDGER_KEY QUINCE_OWN_PREFIX "ledger"
 #define QUINCE_FRONTS_PREFIX QUINCE_OWN_PREFIX "fronts/"
 #define QUINCE_POLICY_KEY QUINCE_OWN_PREFIX "policy"
 #define QUINCE_QUARANTINE_PREFIX QUINCE_OWN_PREFIX "quarantine/"
-/* Suspects that a front found while it had no leader, by the front's name. */
+/* Suspects that a front recorded while it had no leader, by the front's name. */
 #define QUINCE_SUSPECTS_PREFIX QUINCE_OWN_PREFIX "suspects/"
-/* The zone of each machine with a replica, by the machine's name; written where there are several regions. */
+/* The zone of each machine that runs a replica, by the machine's name.  Written only in deployments with
+ * several regions. */
 #define QUINCE_MACHINE_ZONES_PREFIX QUINCE_OWN_PREFIX "places/"
 #define QUINCE_EVENTS_PREFIX QUINCE_OWN_PREFIX "events/"
 
 typedef struct _QuinceObserver QuinceObserver;
 
 /**
- * QuinceObserverCallbacks: each is nullable
- * @configuration: a newer configuration is in force; not before the accepted policy is known
- * @version: a newer version of a model was named
- * @draining_nodes: the machines that the operator wants emptied, %NULL-terminated
+ * QuinceObserverCallbacks: all are nullable
+ * @configuration: the configuration was replaced by a newer one.  The first call waits until the policy in
+ * the store is known
+ * @version: a newer version of @model was announced
+ * @draining_nodes: the set of draining machines changed; @nodes are their names, %NULL-terminated
  * @zones: the set of evacuated zones changed; see quince_backends_get_zones()
- * @own_key: one of the product's own keys changed; @value is %NULL where it was removed
- * @own_synced: all own keys were reported
- * @workers_synced: all workers' entries were reported
- * @read: this process read the store itself: changes for other processes, perhaps none
+ * @own_key: one of quinceroute's own keys changed; @value is %NULL if it was removed.  Not called for the
+ *   policy and events, which go to the backends
+ * @own_synced: all own keys have been reported; called after each listing or whole page of a feed
+ * @workers_synced: all workers' entries have been reported; called after each listing or whole page of a feed
+ * @read: this process itself read @prefix from the store.  @page holds the changes to feed to other
+ * processes; it may be empty
  */
 typedef struct
 {
@@ -55,16 +60,18 @@
   void (*read) (const char *prefix, const QuinceMetaPage *page, gpointer user_data);
 } QuinceObserverCallbacks;
 
-/* Bound that every deployment may rely on, ms: so long after the store took it an operator's change is in
- * force everywhere, and a draining worker gets no new work.  The observer cannot keep a smaller one. */
+/* Minimum change bound, ms.  The change bound is the maximum time from the write of a change to the store
+ * until the change is active in every process and a draining worker gets no new work.  The observer cannot
+ * meet a smaller bound. */
 #define QUINCE_OBSERVER_CHANGE_BOUND_MIN_MS 2000
 
 /**
  * QuinceObserverOptions:
- * @workers_read_interval_min_ms: least time between two reads of the workers' entries
- * @change_bound_ms: this deployment's bound on the same time; a larger one lets a process wait longer for its
- *   feeder before it reads the store.  At least QUINCE_OBSERVER_CHANGE_BOUND_MIN_MS is used
- * @first_read_wait_ms: how long the process waits to be fed before it lists the store; 0: not at all
+ * @workers_read_interval_min_ms: minimum time between two reads of the workers' entries, ms
+ * @change_bound_ms: change bound of this deployment, ms; raised to QUINCE_OBSERVER_CHANGE_BOUND_MIN_MS if
+ * smaller. A larger bound lets a process wait longer for its feeder before it reads the store
+ * @first_read_wait_ms: how long a starting process waits to be fed before it lists the store, ms; 0: it lists
+ * the store immediately
  */
 typedef struct
 {
@@ -73,14 +80,21 @@
   guint first_read_wait_ms;
 } QuinceObserverOptions;
 
-/* From the settings of a process: section "store", keys "workers_pace", "change_bound", "drain_bound" and
- * "evacuation_bound". */
+/* Sets @options from section "store" of @settings.  @change_bound_ms is the minimum of the keys
+ * "change_bound", "drain_bound" and "evacuation_bound", @workers_read_interval_min_ms is "workers_pace" and
+ * @first_read_wait_ms is 0. */
 void quince_observer_read_options (const QuinceSettings *settings, QuinceObserverOptions *options);
 /**
  * quince_observer_new:
  * @store: must outlive the observer
- * @backends: must outlive the observer; the listed workers go there
+ * @backends: receives workers, zones, policy and events; must outlive the observer
  * @dialect: decodes the operator's keys and the workers' entries; must outlive the observer
+ * @options: copied
+ * @callbacks: called with @user_data; must outlive the observer
+ *
+ * Starts to follow the store, and holds all sends of @backends until the operator's keys are known.
+ *
+ * Returns: (transfer full): the observer
  */
 QuinceObserver *quince_observer_new (QuinceMetaStore *store,
                                      QuinceBackends *backends,
@@ -89,67 +103,81 @@
                                      const QuinceObserverCallbacks *callbacks,
                                      gpointer user_data);
 void quince_observer_free (QuinceObserver *observer);
-/* Takes a page of @prefix that another process read.  Arguments and result are those of
- * quince_meta_mirror_feed(). */
+/* Applies a page of @prefix that another process read; see quince_meta_mirror_feed().
+ * @whole: the page holds all keys under @prefix
+ * Returns: whether the page was accepted; %FALSE if the observer does not follow @prefix */
 gboolean quince_observer_feed (QuinceObserver *observer,
                                const char *prefix,
                                const QuinceMetaPage *page,
                                gboolean whole);
-/* At the leader, for a reserve reader's report: taken if the leader's own reads are late.
- * Returns: whether it was taken, and so is to be sent to all other processes */
+/* At the leader: applies a page that a reserve reader reported.  The page is ignored while the leader's own
+ * reads are on time.  Once reports replace those reads, empty pages that arrive shortly after the last one
+ * are ignored too. Returns: whether the page was applied; the caller then forwards it to all other processes
+ */
 gboolean
 quince_observer_apply_report (QuinceObserver *observer, const char *prefix, const QuinceMetaPage *page);
-/* This process feeds others from now on: it reads all prefixes from the store, at once. */
+/* Ends the feed because this process became the leader and feeds the others: each fed mirror reads the store
+ * immediately. */
 void quince_observer_handle_feed_end (QuinceObserver *observer);
-/* The feeding process is gone: the own keys, which name the next leader, are read at once.  The other mirrors
- * keep their patience, since the next leader feeds soon. */
+/* Handles the loss of the process that feeds this one.  The own keys, which name the next leader, are read
+ * immediately.  The other mirrors wait for their feed timeout, since the next leader usually feeds them
+ * before. While sends are held, all fed mirrors read the store immediately: the last pages may predate a
+ * suspension. */
 void quince_observer_handle_feeder_loss (QuinceObserver *observer);
-/* The machine was suspended: all prefixes are read from the store at once. */
+/* Handles the end of a suspension of the machine: holds sends, and reads all prefixes from the store
+ * immediately. */
 void quince_observer_handle_resume (QuinceObserver *observer);
-/* Call for each message from the process that feeds this one.  It proves that the feeder runs, not that its
- * pages are fresh.  After 0.9 s without a message the feeder counts as gone:
- * quince_observer_handle_feeder_loss().
- */
+/* Must be called for each message from the process that feeds this one.  A message shows that the feeder is
+ * alive, not that its pages are fresh.  After 0.9 s without a message the observer calls
+ * quince_observer_handle_feeder_loss(). */
 void quince_observer_record_feeder_contact (QuinceObserver *observer);
-/* @reserve: TRUE makes this process read the store 0.5 s sooner than others when its feed stops, so that it
- * can report to the leader.  Only a few processes may be reserve readers: otherwise all read the store at
- * once when the leader cannot. */
+/* Sets the read intervals and timeouts of this process.  @reserve: %TRUE: when its feed stops, the process
+ * reads the store at least 0.5 s sooner than the others, and can report changes to the leader.  Only the
+ * leader and a few other processes may be reserve readers; otherwise all processes would read the store at
+ * the same time when the leader cannot reach it. */
 void quince_observer_set_reserve_reader (QuinceObserver *observer, gboolean reserve);
-/* A key that is removed now may have lapsed while its owner lives: the store is not reachable, or was not
- * lately, for this process or for the one whose page is being taken. */
+/* Returns whether the lease of a key that is removed now may have expired although its owner is alive.  This
+ * is the case during an outage of the store and shortly after it, as seen by this process or by the process
+ * whose page is being applied. */
 gboolean quince_observer_may_have_lapsed (const QuinceObserver *observer, gint64 now_us);
-/* Prefixes that an observer follows: those of the operator, the workers and the product. */
+/* Number of prefixes that an observer follows: the operator's keys, the workers' entries and the own keys. */
 #define QUINCE_OBSERVER_N_PREFIXES 3
-/* Revision up to which each mirror is complete, in a fixed order; 0: not synced. */
+/* Sets @revisions to the store revision up to which each mirror is complete; 0: the mirror is not synced. The
+ * order is: operator's keys, workers' entries, own keys. */
 void quince_observer_get_revisions (QuinceObserver *observer, guint64 revisions[QUINCE_OBSERVER_N_PREFIXES]);
-/* Sets the metrics quince_belief_age_seconds, the time since the last answer or page of each prefix, and
- * quince_zones_evacuated. */
+/* Sets the metrics quince_belief_age_seconds (time since the last answer or page for each prefix; unset
+ * before the first one) and quince_zones_evacuated. */
 void quince_observer_set_metrics (QuinceObserver *observer);
-/* Lists now what has not been listed yet and is not fed. */
+/* Ends the wait before the first listing: each mirror that still waits to be fed lists the store immediately.
+ */
 void quince_observer_list_now (QuinceObserver *observer);
-/* A list of the store is in progress: what it brings need not be fed. */
+/* Returns whether a listing of the store is in progress. */
 gboolean quince_observer_is_listing (QuinceObserver *observer);
-/* All mirrors are synced. */
+/* Returns whether all mirrors are synced. */
 gboolean quince_observer_is_synced (QuinceObserver *observer);
-/* Sends a page to another process.  @whole: @page is all there is under @prefix */
+/* Sends @page to another process.  @whole: @page holds all keys under @prefix */
 typedef void (*QuinceObserverSendFunc) (const char *prefix,
                                         const QuinceMetaPage *page,
                                         gboolean whole,
                                         gpointer user_data);
-/* The accepted policy in force; see quince_backends_get_policy_entry(). */
+/* Returns: (transfer none) (nullable): the entry of the active policy; see quince_backends_get_policy_entry()
+ */
 GBytes *quince_observer_get_policy_entry (QuinceObserver *observer, guint64 *revision);
-/* Another process has the policy @value in force.  Returns: whether it was newer, and is in force here now */
+/* Activates the policy entry @value if @revision is higher than that of the active policy and the entry is
+ * valid. Returns: whether the active policy changed */
 gboolean quince_observer_apply_policy_entry (QuinceObserver *observer, GBytes *value, guint64 revision);
-/* Calls @send with the changes after @revisions; not for a prefix whose mirror is not synced or is stale. */
+/* Calls @send once for each prefix, with the changes after its entry in @revisions.  Skips prefixes whose
+ * mirror is stale or not synced. */
 void quince_observer_send_changes (QuinceObserver *observer,
                                    const guint64 revisions[QUINCE_OBSERVER_N_PREFIXES],
                                    QuinceObserverSendFunc send,
                                    gpointer user_data);
-/* (nullable) (transfer none): %NULL until both a configuration and the accepted policy are known. */
+/* Returns: (nullable) (transfer none): the current configuration; %NULL until a configuration and the policy
+ * in the store are known */
 QuinceRouteTable *quince_observer_get_routes (QuinceObserver *observer);
-/* (nullable) (transfer none): %NULL: no such service, or no configuration yet */
+/* Returns: (nullable) (transfer none): the service @name; %NULL if there is none or no configuration yet */
 const QuinceService *quince_observer_find_service (QuinceObserver *observer, const char *name);
-/* The newest version of @model that was named; 0: none. */
+/* Returns the newest announced version of @model, or 0 if there is none. */
 guint64 quince_observer_get_version (QuinceObserver *observer, const char *model);
 
 G_END_DECLS
--- a/lib/observer/operator-state.c
+++ b/lib/observer/operator-state.c
@@ -1,5 +1,5 @@
 /*
- * operator-state.c: what the operator and the trainers have asked for, by their keys in the metadata store.
+ * operator-state.c: decodes and applies the keys of the operator and the trainers.
  */
 #include "operator-state.h"
 
@@ -16,9 +16,9 @@
   const QuinceObserverDialect *dialect;
   const QuinceObserverCallbacks *callbacks;
   gpointer user_data;
-  QuinceRouteTable *routes;  /* NULL: no configuration was read yet */
-  GHashTable *versions;      /* model to guint64, both owned: newest named version */
-  GPtrArray *draining_nodes; /* names of machines to be emptied, owned */
+  QuinceRouteTable *routes;  /* owned; NULL: no configuration is known yet */
+  GHashTable *versions;      /* model to guint64, both owned: newest announced version */
+  GPtrArray *draining_nodes; /* names of draining machines, owned */
   gboolean policy_known;     /* see quince_operator_state_set_policy_known() */
 };
 
@@ -48,7 +48,7 @@
   g_free (state);
 }
 
-/* For the log: this process read the store, or another one did and fed it. */
+/* Returns the value of the log key "source": whether this process read the item or was fed it. */
 static const char *
 get_source_label (gboolean fed)
 {
--- a/lib/observer/operator-state.h
+++ b/lib/observer/operator-state.h
@@ -1,9 +1,9 @@
 /*
- * operator-state.h: what the operator and the trainers have asked for, as this process knows it.
+ * operator-state.h: the keys of the operator and the trainers, decoded.
  *
- * Owns the configuration in force, the newest named versions and the machines to be emptied; evacuated zones
- * go to the backends.  Configurations and versions only rise: an older one is ignored.  Used by the observer
- * alone.
+ * Owns the current configuration, the newest announced versions and the names of draining machines; passes
+ * evacuated zones to the backends.  Ignores a configuration or version that is older than the current one.
+ * Used only by the observer.
  */
 #pragma once
 
@@ -13,20 +13,23 @@
 
 typedef struct _QuinceOperatorState QuinceOperatorState;
 
-/* All arguments must outlive the state; @callbacks are called with @user_data. */
+/* @backends, @dialect, @callbacks: must outlive the state.  @user_data: passed to @callbacks */
 QuinceOperatorState *quince_operator_state_new (QuinceBackends *backends,
                                                 const QuinceObserverDialect *dialect,
                                                 const QuinceObserverCallbacks *callbacks,
                                                 gpointer user_data);
 void quince_operator_state_free (QuinceOperatorState *state);
-/* Takes one of the operator's keys.  @fed: another process read it, for the log. */
+/* Applies a change of one of the operator's keys.  @fed: another process read it from the store; for the log
+ */
 void quince_operator_state_apply (QuinceOperatorState *state, const QuinceMetaItem *item, gboolean fed);
-/* The accepted policy, if there is one, is in force: the configuration may be reported and used.  Without
- * this wait a starting process would decide by the settings' policy after another one was accepted. */
+/* Marks the policy in the store as known; it is active now, if there is one.  From now on the configuration
+ * is reported and returned.  Without this wait a starting process would route by the policy from its settings
+ * although the store has a newer one. */
 void quince_operator_state_set_policy_known (QuinceOperatorState *state);
-/* (nullable) (transfer none): %NULL until both a configuration and the accepted policy are known */
+/* Returns: (nullable) (transfer none): the current configuration; %NULL until a configuration and the policy
+ * in the store are known */
 QuinceRouteTable *quince_operator_state_get_routes (const QuinceOperatorState *state);
-/* The newest version of @model that was named; 0: none. */
+/* Returns the newest announced version of @model, or 0 if there is none. */
 guint64 quince_operator_state_get_version (const QuinceOperatorState *state, const char *model);
 
 G_END_DECLS
--- a/lib/observer/refused-item.c
+++ b/lib/observer/refused-item.c
@@ -1,5 +1,5 @@
 /*
- * refused-item.c: logs an item of the metadata store that cannot be decoded.
+ * refused-item.c: log line for an item of the metadata store that cannot be decoded.
  */
 #include "refused-item.h"
 
--- a/lib/observer/refused-item.h
+++ b/lib/observer/refused-item.h
@@ -1,5 +1,5 @@
 /*
- * refused-item.h: the log line for an item of the metadata store that cannot be decoded.
+ * refused-item.h: log line for an item of the metadata store that cannot be decoded.
  */
 #pragma once
 
@@ -7,7 +7,7 @@
 
 G_BEGIN_DECLS
 
-/* The process keeps what it knew before; @error says why @key's value is no use. */
+/* Logs that the value of @key cannot be decoded and is ignored.  @error: the reason */
 void quince_log_refused_item (const char *key, const GError *error);
 
 G_END_DECLS
--- a/lib/observer/store-feed.c
+++ b/lib/observer/store-feed.c
@@ -1,5 +1,5 @@
 /*
- * store-feed.c: encodes and decodes updates of the store feed, and keeps the leader's subscribers.
+ * store-feed.c: encodes and decodes updates of the store feed, and holds the leader's subscribers.
  */
 #include "observer/store-feed.h"
 
@@ -10,10 +10,11 @@
 {
   /* All fields belong to the context that created the feed. */
   QuinceObserver *observer;
-  GHashTable *links;           /* QuinceLink, owned: subscribers */
-  GHashTable *packed_prefixes; /* prefix to PackedPrefix, owned: the whole prefix, for new subscribers */
+  GHashTable *links;           /* set of QuinceLink, owned: subscribers */
+  GHashTable *packed_prefixes; /* prefix to PackedPrefix, both owned: pages for new subscribers */
 };
 
+/* Cached update that holds all keys of a prefix, encoded and packed. */
 typedef struct
 {
   guint64 revision;
@@ -77,7 +78,8 @@
   g_free (feed);
 }
 
-/* Encoded once for all that subscribe before the next change. */
+/* Returns the packed update for a page with all keys of @prefix, or NULL if it cannot be encoded.  All
+ * processes that subscribe before the next change share one encoding. */
 static GBytes *
 get_packed_prefix (QuinceStoreFeed *feed, const char *prefix, const QuinceMetaPage *page)
 {
@@ -112,13 +114,15 @@
 
 /* ---- Policies ------------------------------------------------------------ */
 
-/* A process that starts after the metadata store came back with an older state reads an earlier policy there
- * than the others have in force.  So each side of a subscription tells the other of a later one. */
+/* If the metadata store is restored from an older state, a process that starts then reads an older policy
+ * than the active policy of the others.  So the two sides of a subscription compare the revisions of their
+ * active policies, and the side with the newer policy sends it. */
 
-/* Place of the policy's revision in a subscription, after those of the prefixes. */
+/* Index of the policy's revision in QuinceFeedSubscribe.revisions, after the revisions of the prefixes. */
 #define POLICY_REVISION_INDEX QUINCE_OBSERVER_N_PREFIXES
 
-/* 0: none is in force there, or a build that does not tell. */
+/* Returns the revision of the subscriber's active policy; 0: it has none from the store, or its software
+ * version does not send the revision. */
 static guint64
 get_subscribed_policy_revision (const QuinceFeedSubscribe *subscribe)
 {
@@ -127,7 +131,8 @@
              : 0;
 }
 
-/* Not a page of the store: at revision 0 it changes no mirror, and vouches for nothing else. */
+/* Sends the active policy as an update with revision 0.  The receiver's mirrors refuse such a page, so it
+ * changes no other key and does not count as a fresh page. */
 static void
 send_policy (QuinceObserver *observer, QuinceLink *link)
 {
@@ -147,7 +152,8 @@
     quince_link_send_bytes (link, encoded);
 }
 
-/* Returns: whether a later policy than that in force was among the items, and is in force now */
+/* Activates the policy in @page if it is newer than the active one.  Returns: whether the active policy
+ * changed */
 static gboolean
 apply_policy_items (QuinceObserver *observer, const QuinceMetaPage *page)
 {
@@ -172,7 +178,8 @@
     send_policy (observer, link);
 }
 
-/* The subscriber has a later policy: it is asked for it as subscribers ask. */
+/* Requests the subscriber's policy, by a subscription in the other direction, if it is newer than the active
+ * one. */
 static void
 request_policy (QuinceObserver *observer, QuinceLink *link, const QuinceFeedSubscribe *subscribe)
 {
@@ -225,8 +232,8 @@
   g_autoptr (GBytes) encoded = encode_update (feed->observer, prefix, page, FALSE);
   if (encoded == NULL)
     return;
-  /* Packed once for all links.  A zone of a thousand workers that comes back is 250 kB to each of 300
-   * processes; packed for each, it kept a leader from its heartbeats for seconds. */
+  /* Packed once for all links.  The update for a recovered zone can be hundreds of kB, and packing it for
+   * each of hundreds of links would delay the leader's heartbeats by seconds. */
   g_autoptr (GBytes) packed = quince_message_pack (encoded, QUINCE_PACK_SMALL);
   GHashTableIter iter;
   gpointer link;
@@ -299,7 +306,7 @@
                           const QuinceMetaPage *page)
 {
   if (page->after == 0)
-    return; /* a first list: the leader has all of it */
+    return; /* page of a first listing: the leader already has these keys */
   g_autoptr (GBytes) encoded = encode_update (observer, prefix, page, FALSE);
   if (encoded != NULL)
     quince_link_send_bytes (leader, encoded);
--- a/lib/observer/store-feed.h
+++ b/lib/observer/store-feed.h
@@ -1,10 +1,11 @@
 /*
- * store-feed.h: the leader sends what it reads from the metadata store to the other processes, over links.
+ * store-feed.h: the leader sends the pages that it reads from the metadata store to the other processes, over
+ * links.
  *
- * Calls to the store are limited and paid for, so the leader reads it for all.  The others subscribe, and
- * read the store themselves when updates stop for longer than their mirrors' patience.  A policy that is
- * later than the one in the store is sent apart from that, in both directions.  Owns a reference to each
- * subscriber's link; relies on the observer for the changes.
+ * Calls to the store are rate limited and billed, so the leader reads it for all processes.  The others
+ * subscribe, and read the store themselves if they get no update within the feed timeout of their mirrors.  A
+ * policy that is newer than the one in the store is sent separately, in both directions.  The feed owns a
+ * reference to each subscriber's link, and gets the changes from the observer.
  */
 #pragma once
 
@@ -17,37 +18,40 @@
 
 typedef struct _QuinceStoreFeed QuinceStoreFeed;
 
+/* @observer: must outlive the feed */
 QuinceStoreFeed *quince_store_feed_new (QuinceObserver *observer);
 void quince_store_feed_free (QuinceStoreFeed *feed);
-/* Adds a subscriber: sends it the changes after its revisions, and each later page.  Of the policies in force
- * here and there the later one is sent to the other end. */
+/* Adds a subscriber: sends it the changes after the revisions in @subscribe, and each later page.  If the
+ * active policies of the two processes differ, the process with the newer one sends it to the other. */
 void quince_store_feed_add (QuinceStoreFeed *feed, QuinceLink *link, const QuinceFeedSubscribe *subscribe);
 void quince_store_feed_remove (QuinceStoreFeed *feed, QuinceLink *link);
-/* Sends a page that this process has just read from the store to all links, also an empty one: an empty page
- * proves that nothing has changed.  Followers trust their copy only for a while after such a page, so a
- * leader that gets no answers from the store cannot keep them from reading it themselves. */
+/* Sends a page that this process has just read from the store to all subscribers.  An empty page is sent too;
+ * it shows that nothing has changed.  Subscribers trust their copy only for the feed timeout after a page, so
+ * they read the store themselves if the leader cannot. */
 void quince_store_feed_publish (QuinceStoreFeed *feed, const char *prefix, const QuinceMetaPage *page);
 
 /* ---- At subscribers --------------------------------------------------- */
 
-/* Subscribes at the other end of @link, with the revisions that @observer has. */
+/* Subscribes to the feed of the process at the other end of @link, from the revisions of @observer on. */
 void quince_store_feed_subscribe (QuinceObserver *observer, QuinceLink *link);
-/* The other end of @link tells with @subscribe which policy it has in force: sends it a later one. */
+/* Sends the active policy over @link if it is newer than the policy revision in @subscribe. */
 void quince_store_feed_send_newer_policy (QuinceObserver *observer,
                                           QuinceLink *link,
                                           const QuinceFeedSubscribe *subscribe);
-/* Feeds @observer with an update. */
+/* Applies a received update to @observer. */
 void quince_store_feed_apply (QuinceObserver *observer, const QuinceFeedUpdate *update);
 
 /* ---- Reports of reserve readers --------------------------------------- */
 
-/* Sends a page that a reserve reader has read to the leader.  It keeps the feed going while the store answers
- * the reserve reader but not the leader. */
+/* Sends a page that this reserve reader has read to the leader.  Such reports replace the leader's own reads
+ * while the reserve reader can reach the store and the leader cannot.  The page of a first listing is not
+ * sent. */
 void quince_store_feed_report (const QuinceObserver *observer,
                                QuinceLink *leader,
                                const char *prefix,
                                const QuinceMetaPage *page);
-/* At the leader: takes the page if its own reads are late, and forwards it to all links but @source. */
+/* At the leader: applies a report; see quince_observer_apply_report().  Forwards the page, if it was applied,
+ * and a newer policy in it to all subscribers except @source. */
 void quince_store_feed_apply_report (QuinceStoreFeed *feed,
                                      const QuinceLink *source,
                                      const QuinceFeedUpdate *update);
