--- a/lib/observer/observer-dialect.h
+++ b/lib/observer/observer-dialect.h
@@ -35,9 +35,9 @@
  * @workers_prefix: prefix of the workers' entries
  * @read_operator_key: decodes the kind and name of a key under @operator_prefix
  * @read_configuration: (transfer full) (nullable): decodes a configuration; %NULL with an error if it is
- * malformed
+ *   malformed
  * @read_version: decodes an announced version; @model is (transfer full).  %FALSE with an error if it is
- * malformed
+ *   malformed
  * @read_worker_id: (transfer none): returns the id of the worker whose entry has @key; points into @key
  * @read_worker: (transfer full) (nullable): decodes a worker's entry; %NULL with an error if it is malformed
  * @same_worker: returns whether two entries of a worker differ only in fields that each heartbeat changes
--- a/lib/observer/observer-feed.c
+++ b/lib/observer/observer-feed.c
@@ -23,9 +23,8 @@
 /* A page that arrives within this time after a suspension, us, may have been queued in a socket since before
  * the suspension. */
 #define QUEUED_PAGES_WINDOW_US (100 * 1000)
-/* Time without a message after which the feeding leader counts as lost, ms: three heartbeats of 250 ms and a
- * margin.
- */
+/* Time without a message after which the feeding leader counts as lost, ms: three heartbeats of 250 ms plus
+ * a margin. */
 #define FEEDER_TIMEOUT_MS 900
 
 void
--- a/lib/observer/observer-private.h
+++ b/lib/observer/observer-private.h
@@ -41,7 +41,7 @@
 void quince_observer_list_mirrors (QuinceObserver *observer,
                                    QuinceNamedMirror mirrors[QUINCE_OBSERVER_N_PREFIXES]);
 /* Sets how often this process probes a store that does not answer: rarely if another process feeds all its
- * mirrors and it is no reserve reader. */
+ * mirrors and it is not a reserve reader. */
 void quince_observer_update_probe_interval (QuinceObserver *observer);
 
 G_END_DECLS
--- a/lib/observer/observer.c
+++ b/lib/observer/observer.c
@@ -19,7 +19,7 @@
 /* Minimum time between two reads of the own keys, ms.  Limits the reads when many processes start and write
  * their keys at the same time. */
 #define OWN_READ_INTERVAL_MIN_MS 100
-/* Maximum to which that time grows in a burst of changes, ms, in a process that is no reserve reader.  Half
+/* Maximum to which that time grows in a burst of changes, ms, in a process that is not a reserve reader. Half
  * of OWN_READ_INTERVAL_MAX_MS. */
 #define OWN_READ_INTERVAL_BURST_MAX_MS 500
 /* Time allowed for the first read of the store after a feed timeout, ms.  A read usually takes a few ms. */
--- a/lib/observer/observer.h
+++ b/lib/observer/observer.h
@@ -36,8 +36,8 @@
 
 /**
  * QuinceObserverCallbacks: all are nullable
- * @configuration: the configuration was replaced by a newer one.  The first call waits until the policy in
- * the store is known
+ * @configuration: the configuration was replaced by a newer one.  It is not called before
+ *   the policy in the store is known
  * @version: a newer version of @model was announced
  * @draining_nodes: the set of draining machines changed; @nodes are their names, %NULL-terminated
  * @zones: the set of evacuated zones changed; see quince_backends_get_zones()
@@ -45,8 +45,8 @@
  *   policy and events, which go to the backends
  * @own_synced: all own keys have been reported; called after each listing or whole page of a feed
  * @workers_synced: all workers' entries have been reported; called after each listing or whole page of a feed
- * @read: this process itself read @prefix from the store.  @page holds the changes to feed to other
- * processes; it may be empty
+ * @read: this process itself read @prefix from the store.  @page holds the changes to feed to
+ *   other processes; it may be empty
  */
 typedef struct
 {
@@ -68,10 +68,10 @@
 /**
  * QuinceObserverOptions:
  * @workers_read_interval_min_ms: minimum time between two reads of the workers' entries, ms
- * @change_bound_ms: change bound of this deployment, ms; raised to QUINCE_OBSERVER_CHANGE_BOUND_MIN_MS if
- * smaller. A larger bound lets a process wait longer for its feeder before it reads the store
- * @first_read_wait_ms: how long a starting process waits to be fed before it lists the store, ms; 0: it lists
- * the store immediately
+ * @change_bound_ms: change bound of this deployment, ms; raised to the minimum change bound if smaller.
+ *   A larger bound lets a process wait longer for its feeder before it reads the store
+ * @first_read_wait_ms: how long a starting process waits to be fed before it lists the store, ms; 0: it
+ *   lists the store immediately
  */
 typedef struct
 {
@@ -112,8 +112,8 @@
                                gboolean whole);
 /* At the leader: applies a page that a reserve reader reported.  The page is ignored while the leader's own
  * reads are on time.  Once reports replace those reads, empty pages that arrive shortly after the last one
- * are ignored too. Returns: whether the page was applied; the caller then forwards it to all other processes
- */
+ * are ignored too.
+ * Returns: whether the page was applied; the caller then forwards it to the other processes */
 gboolean
 quince_observer_apply_report (QuinceObserver *observer, const char *prefix, const QuinceMetaPage *page);
 /* Ends the feed because this process became the leader and feeds the others: each fed mirror reads the store
@@ -121,8 +121,8 @@
 void quince_observer_handle_feed_end (QuinceObserver *observer);
 /* Handles the loss of the process that feeds this one.  The own keys, which name the next leader, are read
  * immediately.  The other mirrors wait for their feed timeout, since the next leader usually feeds them
- * before. While sends are held, all fed mirrors read the store immediately: the last pages may predate a
- * suspension. */
+ * before it expires.  While sends are held, all fed mirrors read the store immediately, because the last
+ * pages may predate a suspension. */
 void quince_observer_handle_feeder_loss (QuinceObserver *observer);
 /* Handles the end of a suspension of the machine: holds sends, and reads all prefixes from the store
  * immediately. */
@@ -142,14 +142,13 @@
 gboolean quince_observer_may_have_lapsed (const QuinceObserver *observer, gint64 now_us);
 /* Number of prefixes that an observer follows: the operator's keys, the workers' entries and the own keys. */
 #define QUINCE_OBSERVER_N_PREFIXES 3
-/* Sets @revisions to the store revision up to which each mirror is complete; 0: the mirror is not synced. The
- * order is: operator's keys, workers' entries, own keys. */
+/* Sets @revisions to the store revision up to which each mirror is complete; 0: the mirror is not synced.
+ * The order is: operator's keys, workers' entries, own keys. */
 void quince_observer_get_revisions (QuinceObserver *observer, guint64 revisions[QUINCE_OBSERVER_N_PREFIXES]);
 /* Sets the metrics quince_belief_age_seconds (time since the last answer or page for each prefix; unset
  * before the first one) and quince_zones_evacuated. */
 void quince_observer_set_metrics (QuinceObserver *observer);
-/* Ends the wait before the first listing: each mirror that still waits to be fed lists the store immediately.
- */
+/* Ends the wait before the first listing: each mirror that still waits to be fed lists the store now. */
 void quince_observer_list_now (QuinceObserver *observer);
 /* Returns whether a listing of the store is in progress. */
 gboolean quince_observer_is_listing (QuinceObserver *observer);
@@ -160,11 +159,12 @@
                                         const QuinceMetaPage *page,
                                         gboolean whole,
                                         gpointer user_data);
-/* Returns: (transfer none) (nullable): the entry of the active policy; see quince_backends_get_policy_entry()
- */
+/* Returns: (transfer none) (nullable): the entry of the active policy, or %NULL if the policy is not from the
+ * store.  @revision: (out): its revision; 0 without an entry */
 GBytes *quince_observer_get_policy_entry (QuinceObserver *observer, guint64 *revision);
 /* Activates the policy entry @value if @revision is higher than that of the active policy and the entry is
- * valid. Returns: whether the active policy changed */
+ * valid.
+ * Returns: whether the active policy changed */
 gboolean quince_observer_apply_policy_entry (QuinceObserver *observer, GBytes *value, guint64 revision);
 /* Calls @send once for each prefix, with the changes after its entry in @revisions.  Skips prefixes whose
  * mirror is stale or not synced. */
--- a/lib/observer/operator-state.h
+++ b/lib/observer/operator-state.h
@@ -19,12 +19,11 @@
                                                 const QuinceObserverCallbacks *callbacks,
                                                 gpointer user_data);
 void quince_operator_state_free (QuinceOperatorState *state);
-/* Applies a change of one of the operator's keys.  @fed: another process read it from the store; for the log
- */
+/* Applies a change of one of the operator's keys.  @fed: another process read it; for the log */
 void quince_operator_state_apply (QuinceOperatorState *state, const QuinceMetaItem *item, gboolean fed);
-/* Marks the policy in the store as known; it is active now, if there is one.  From now on the configuration
- * is reported and returned.  Without this wait a starting process would route by the policy from its settings
- * although the store has a newer one. */
+/* Marks the policy in the store as known; it is already active, if there is a valid one.  From now on the
+ * configuration is reported and returned.  Without this wait a starting process would route by the policy
+ * from its settings although the store has a newer one. */
 void quince_operator_state_set_policy_known (QuinceOperatorState *state);
 /* Returns: (nullable) (transfer none): the current configuration; %NULL until a configuration and the policy
  * in the store are known */
