--- a/daemons/front/front.c
+++ b/daemons/front/front.c
@@ -67,7 +67,7 @@
 apply_front_entry (Front *front, const char *name, GBytes *value)
 {
   gint64 now = quince_now_us ();
-  gboolean lease_may_have_lapsed = quince_observer_may_have_lapsed (front->context.observer, now);
+  gboolean lease_may_have_lapsed = quince_observer_leases_may_have_lapsed (front->context.observer, now);
   quince_directory_apply_entry (front->context.directory, now, name, value, lease_may_have_lapsed);
 }
 
--- a/lib/observer/observer-feed.c
+++ b/lib/observer/observer-feed.c
@@ -87,7 +87,7 @@
 }
 
 gboolean
-quince_observer_may_have_lapsed (const QuinceObserver *observer, gint64 now_us)
+quince_observer_leases_may_have_lapsed (const QuinceObserver *observer, gint64 now_us)
 {
   return observer->page_may_have_lapsed || quince_meta_store_may_have_lapsed (observer->store, now_us);
 }
--- a/lib/observer/observer.c
+++ b/lib/observer/observer.c
@@ -63,7 +63,7 @@
   if (item->value == NULL)
     {
       gint64 now = quince_now_us ();
-      if (quince_observer_may_have_lapsed (observer, now))
+      if (quince_observer_leases_may_have_lapsed (observer, now))
         quince_backends_mark_listing_stale (observer->backends, now, get_lapsed_expiry_us (observer, now),
                                             id);
       else
--- a/lib/observer/observer.h
+++ b/lib/observer/observer.h
@@ -139,7 +139,7 @@
 /* Returns whether the lease of a key that is removed now may have expired although its owner is alive.  This
  * is the case during an outage of the store and shortly after it, as seen by this process or by the process
  * whose page is being applied. */
-gboolean quince_observer_may_have_lapsed (const QuinceObserver *observer, gint64 now_us);
+gboolean quince_observer_leases_may_have_lapsed (const QuinceObserver *observer, gint64 now_us);
 /* Number of prefixes that an observer follows: the operator's keys, the workers' entries and the own keys. */
 #define QUINCE_OBSERVER_N_PREFIXES 3
 /* Sets @revisions to the store revision up to which each mirror is complete; 0: the mirror is not synced.
--- a/lib/observer/store-feed.c
+++ b/lib/observer/store-feed.c
@@ -52,7 +52,7 @@
   update->after = page->after;
   update->revision = page->revision;
   update->whole = whole;
-  update->may_have_lapsed = quince_observer_may_have_lapsed (observer, quince_now_us ());
+  update->may_have_lapsed = quince_observer_leases_may_have_lapsed (observer, quince_now_us ());
   update->items.items_val = items;
   update->items.items_len = page->items->len;
   return quince_message_encode (&message, NULL);
