--- a/lib/observer/observer-feed.c
+++ b/lib/observer/observer-feed.c
@@ -109,9 +109,9 @@
 void
 quince_observer_update_probe_interval (QuinceObserver *observer)
 {
-  gboolean relaxed
+  gboolean slow_probes
       = observer->feeder_timer != NULL && !observer->is_reserve_reader && are_all_mirrors_fed (observer);
-  quince_meta_store_set_relaxed (observer->store, relaxed);
+  quince_meta_store_set_relaxed (observer->store, slow_probes);
 }
 
 void
