--- a/lib/observer/observer-dialect.h
+++ b/lib/observer/observer-dialect.h
@@ -2,7 +2,7 @@
  * observer-dialect.h: functions that decode the operator's keys and the workers' entries in the metadata
  * store.
  *
- * The platform adapter implements the dialect, so that the observer handles only typed values.  The functions
+ * The platform adapter implements them, so that the observer handles only typed values.  The functions
  * are stateless, and report a value that cannot be decoded as a GError of the adapter's domain.
  */
 #pragma once
--- a/lib/observer/observer-private.h
+++ b/lib/observer/observer-private.h
@@ -21,7 +21,7 @@
   QuinceMetaMirror *operator_mirror;
   QuinceMetaMirror *workers_mirror;
   QuinceMetaMirror *own_mirror;
-  QuinceMetaMirrorCallbacks worker_callbacks; /* of workers_mirror; .same is from the dialect */
+  QuinceMetaMirrorCallbacks worker_callbacks; /* of workers_mirror; .same is from the platform adapter */
   QuinceOperatorState *operator_state;        /* owned */
   gint64 last_resume_us;                      /* monotonic time of the end of the last suspension; 0: never */
   guint workers_read_interval_min_ms;         /* minimum time between two reads of the workers' entries */
