--- a/daemons/front/feed-wait.c
+++ b/daemons/front/feed-wait.c
@@ -64,9 +64,9 @@
   wait->view_read = view_read;
   wait->user_data = user_data;
   wait->mirror = quince_meta_mirror_new (store, QUINCE_LEDGER_KEY, 0, &mirror_callbacks, wait);
-  const QuinceMetaMirrorTimes times = { .pace_ms = VIEW_READ_INTERVAL_MIN_MS,
-                                        .read_every_ms = VIEW_READ_INTERVAL_MAX_MS,
-                                        .spread_ms = VIEW_READ_INTERVAL_MIN_MS };
+  const QuinceMetaMirrorTimes times = { .read_interval_min_ms = VIEW_READ_INTERVAL_MIN_MS,
+                                        .read_interval_max_ms = VIEW_READ_INTERVAL_MAX_MS,
+                                        .outage_read_jitter_max_ms = VIEW_READ_INTERVAL_MIN_MS };
   quince_meta_mirror_set_times (wait->mirror, &times);
   return wait;
 }
--- a/daemons/front/front.c
+++ b/daemons/front/front.c
@@ -193,11 +193,11 @@
 handle_resume (gint64 suspended_us, gpointer data)
 {
   Front *front = data;
-  quince_meta_store_resumed (front->store);
+  quince_meta_store_handle_resume (front->store);
   quince_backends_handle_resume (front->context.backends);
   quince_ledger_caller_handle_resume (front->context.ledger);
   quince_observer_handle_resume (front->context.observer);
-  quince_meta_presence_resumed (front->presence);
+  quince_meta_presence_handle_resume (front->presence);
 }
 
 /* ---- Metrics ------------------------------------------------------------ */
--- a/daemons/replica/replica.c
+++ b/daemons/replica/replica.c
@@ -47,7 +47,7 @@
 handle_resume (gint64 suspended_us, gpointer data)
 {
   const QuinceReplicaParts *parts = data;
-  quince_meta_store_resumed (parts->store);
+  quince_meta_store_handle_resume (parts->store);
   quince_backends_handle_resume (parts->backends);
   quince_observer_handle_resume (parts->observer);
 }
--- a/lib/meta/meta-copy.c
+++ b/lib/meta/meta-copy.c
@@ -5,14 +5,14 @@
 
 /* Removed keys that are remembered.  A process that lacks more than these is sent the whole prefix.  Not
  * measured: a zone of a thousand workers may go at once. */
-#define GONE_MAX 1024
+#define REMOVED_KEYS_MAX 1024
 
 struct _QuinceMetaCopy
 {
   gboolean (*same) (GBytes *, GBytes *);
-  GHashTable *known; /* QuinceMetaItem by key, owned: existing keys */
-  GQueue gone;       /* QuinceMetaItem without value, owned, by rising revision: removed keys */
-  guint64 gone_from; /* every removal after this revision is in @gone */
+  GHashTable *known;      /* QuinceMetaItem by key, owned: existing keys */
+  GQueue gone;            /* QuinceMetaItem without value, owned, by rising revision: removed keys */
+  guint64 removals_after; /* every removal after this revision is in @gone */
 };
 
 QuinceMetaCopy *
@@ -26,7 +26,7 @@
 }
 
 static void
-forget_gone (QuinceMetaCopy *copy)
+clear_removals (QuinceMetaCopy *copy)
 {
   g_queue_clear_full (&copy->gone, (GDestroyNotify)quince_meta_item_free);
 }
@@ -35,7 +35,7 @@
 quince_meta_copy_free (QuinceMetaCopy *copy)
 {
   g_hash_table_unref (copy->known);
-  forget_gone (copy);
+  clear_removals (copy);
   g_free (copy);
 }
 
@@ -50,18 +50,18 @@
 }
 
 static void
-remember_gone (QuinceMetaCopy *copy, const char *key, guint64 revision)
+record_removal (QuinceMetaCopy *copy, const char *key, guint64 revision)
 {
   g_queue_push_tail (&copy->gone, item_new (key, NULL, revision));
-  if (g_queue_get_length (&copy->gone) <= GONE_MAX)
+  if (g_queue_get_length (&copy->gone) <= REMOVED_KEYS_MAX)
     return;
   QuinceMetaItem *oldest = g_queue_pop_head (&copy->gone);
-  copy->gone_from = oldest->revision;
+  copy->removals_after = oldest->revision;
   quince_meta_item_free (oldest);
 }
 
 gboolean
-quince_meta_copy_take (QuinceMetaCopy *copy, const QuinceMetaItem *item)
+quince_meta_copy_apply_item (QuinceMetaCopy *copy, const QuinceMetaItem *item)
 {
   const QuinceMetaItem *known = g_hash_table_lookup (copy->known, item->key);
   if (known != NULL && item->revision <= known->revision)
@@ -70,7 +70,7 @@
     {
       if (known == NULL)
         return FALSE;
-      remember_gone (copy, item->key, item->revision);
+      record_removal (copy, item->key, item->revision);
       g_hash_table_remove (copy->known, item->key);
       return TRUE;
     }
@@ -83,7 +83,7 @@
 }
 
 GPtrArray *
-quince_meta_copy_take_list (QuinceMetaCopy *copy, guint64 revision, GHashTable *listed)
+quince_meta_copy_remove_unlisted (QuinceMetaCopy *copy, guint64 revision, GHashTable *listed)
 {
   GPtrArray *missing = g_ptr_array_new_with_free_func ((GDestroyNotify)quince_meta_item_free);
   GHashTableIter iter;
@@ -97,19 +97,22 @@
       g_hash_table_iter_remove (&iter);
     }
   /* Keys that were written and removed since the last read are unknown. */
-  forget_gone (copy);
-  copy->gone_from = revision;
+  clear_removals (copy);
+  copy->removals_after = revision;
   return missing;
 }
 
 QuinceMetaPage *
-quince_meta_copy_since (const QuinceMetaCopy *copy, guint64 after, guint64 revision, gboolean *whole)
+quince_meta_copy_get_changes_since (const QuinceMetaCopy *copy,
+                                    guint64 after,
+                                    guint64 revision,
+                                    gboolean *whole)
 {
   QuinceMetaPage *page = g_new0 (QuinceMetaPage, 1);
   page->items = g_ptr_array_new_with_free_func ((GDestroyNotify)quince_meta_item_free);
   page->after = after;
   page->revision = revision;
-  *whole = after == 0 || after < copy->gone_from || after > revision;
+  *whole = after == 0 || after < copy->removals_after || after > revision;
   GHashTableIter iter;
   gpointer value;
   g_hash_table_iter_init (&iter, copy->known);
--- a/lib/meta/meta-copy.h
+++ b/lib/meta/meta-copy.h
@@ -14,11 +14,13 @@
 QuinceMetaCopy *quince_meta_copy_new (gboolean (*same) (GBytes *before, GBytes *after));
 void quince_meta_copy_free (QuinceMetaCopy *copy);
 /* Returns: whether @item changes the copy; one that is older, or means the same, does not */
-gboolean quince_meta_copy_take (QuinceMetaCopy *copy, const QuinceMetaItem *item);
+gboolean quince_meta_copy_apply_item (QuinceMetaCopy *copy, const QuinceMetaItem *item);
 /* The whole prefix was read at @revision and holds exactly the keys in @listed.
  * Returns: (transfer full) (element-type QuinceMetaItem): the keys that were removed, without values */
-GPtrArray *quince_meta_copy_take_list (QuinceMetaCopy *copy, guint64 revision, GHashTable *listed);
+GPtrArray *quince_meta_copy_remove_unlisted (QuinceMetaCopy *copy, guint64 revision, GHashTable *listed);
 /* (transfer full): the changes after revision @after, as a page of @revision.
  * @whole: (out): the page is the whole prefix, since removals after @after are not remembered any more */
-QuinceMetaPage *
-quince_meta_copy_since (const QuinceMetaCopy *copy, guint64 after, guint64 revision, gboolean *whole);
+QuinceMetaPage *quince_meta_copy_get_changes_since (const QuinceMetaCopy *copy,
+                                                    guint64 after,
+                                                    guint64 revision,
+                                                    gboolean *whole);
--- a/lib/meta/meta-mirror.c
+++ b/lib/meta/meta-mirror.c
@@ -15,9 +15,9 @@
 
 /* Wait after a failed read, ms, doubled with each failure in a row: calls to the store are limited and paid
  * for, failed ones too. */
-#define RETRY_MIN_MS 100
+#define RETRY_DELAY_MIN_MS 100
 /* Longest wait after a failed read, ms: as long as the store client probes a store that does not answer. */
-#define RETRY_MAX_MS 800
+#define RETRY_DELAY_MAX_MS 800
 
 struct _QuinceMetaMirror
 {
@@ -32,14 +32,14 @@
   QuinceMetaCopy *copy; /* all that was reported to the owner */
   GPtrArray *changes;   /* QuinceMetaItem, owned: new in the list in progress or in this answer */
   GHashTable *listed;   /* keys of the list in progress; NULL while watching */
-  char *list_after;     /* last key of the page before */
+  char *list_after_key; /* last key of the page before */
   guint64 revision;     /* watch from here */
   guint64 list_revision;
   const char *reason; /* why it reads the store, for the metric; static */
   guint retry_ms;
-  gboolean first_read_waits; /* no call was made, and no page came */
-  guint pace_ms;             /* from the last answer to the next watch */
-  gint64 watch_began_us;
+  gboolean first_read_pending; /* no call was made, and no page came */
+  guint read_interval_min_ms;  /* from the last answer to the next watch */
+  gint64 watch_started_us;
   gint64 contact_us; /* monotonic time of the last answer or page; 0: none yet */
   gboolean synced;
   gboolean watching;       /* the call in progress is a watch */
@@ -65,16 +65,16 @@
 static void
 report_item (QuinceMetaMirror *mirror, const QuinceMetaItem *item)
 {
-  if (!quince_meta_copy_take (mirror->copy, item))
+  if (!quince_meta_copy_apply_item (mirror->copy, item))
     return;
   g_ptr_array_add (mirror->changes, copy_item (item));
   mirror->callbacks->item (item, mirror->user_data);
 }
 
 static void
-report_missing (QuinceMetaMirror *mirror, guint64 revision)
+report_removed (QuinceMetaMirror *mirror, guint64 revision)
 {
-  g_autoptr (GPtrArray) missing = quince_meta_copy_take_list (mirror->copy, revision, mirror->listed);
+  g_autoptr (GPtrArray) missing = quince_meta_copy_remove_unlisted (mirror->copy, revision, mirror->listed);
   for (guint i = 0; i < missing->len; i++)
     {
       const QuinceMetaItem *item = missing->pdata[i];
@@ -84,20 +84,20 @@
 }
 
 static GPtrArray *
-new_items (void)
+new_item_array (void)
 {
   return g_ptr_array_new_with_free_func ((GDestroyNotify)quince_meta_item_free);
 }
 
 /* Reports a read of the store itself, with its changes since revision @after; also if there are none. */
 static void
-pass_on_changes (QuinceMetaMirror *mirror, guint64 after)
+report_store_read (QuinceMetaMirror *mirror, guint64 after)
 {
   g_autoptr (QuinceMetaPage) page = g_new0 (QuinceMetaPage, 1);
   page->items = g_steal_pointer (&mirror->changes);
   page->after = after;
   page->revision = mirror->revision;
-  mirror->changes = new_items ();
+  mirror->changes = new_item_array ();
   if (mirror->callbacks->read != NULL)
     mirror->callbacks->read (page, mirror->user_data);
 }
@@ -106,13 +106,14 @@
 
 /* The pace has already passed before a watch begins. */
 static guint
-watch_wait_ms (const QuinceMetaMirror *mirror)
+get_watch_wait_ms (const QuinceMetaMirror *mirror)
 {
-  return mirror->times.read_every_ms - MIN (mirror->pace_ms, mirror->times.read_every_ms);
+  return mirror->times.read_interval_max_ms
+         - MIN (mirror->read_interval_min_ms, mirror->times.read_interval_max_ms);
 }
 
 static void
-read_store (QuinceMetaMirror *mirror, guint wait_ms)
+start_store_read (QuinceMetaMirror *mirror, guint wait_ms)
 {
   if (mirror->synced && mirror->listed == NULL)
     begin_watch (mirror, wait_ms);
@@ -125,43 +126,43 @@
 {
   QuinceMetaMirror *mirror = data;
   quince_timer_clear (&mirror->timer);
-  mirror->first_read_waits = FALSE;
+  mirror->first_read_pending = FALSE;
   mirror->waiting = quince_meta_store_is_failing (mirror->store);
   if (!mirror->waiting)
-    read_store (mirror, watch_wait_ms (mirror));
+    start_store_read (mirror, get_watch_wait_ms (mirror));
   return G_SOURCE_REMOVE;
 }
 
 static void
-wait_then_call (QuinceMetaMirror *mirror, guint wait_ms)
+schedule_read (QuinceMetaMirror *mirror, guint wait_ms)
 {
   quince_timer_clear (&mirror->timer);
   mirror->timer = quince_timer_add (wait_ms, timer_over, mirror);
 }
 
 static void
-retry_later (QuinceMetaMirror *mirror)
+schedule_retry (QuinceMetaMirror *mirror)
 {
-  wait_then_call (mirror, mirror->retry_ms);
-  mirror->retry_ms = MIN (mirror->retry_ms * 2, RETRY_MAX_MS);
+  schedule_read (mirror, mirror->retry_ms);
+  mirror->retry_ms = MIN (mirror->retry_ms * 2, RETRY_DELAY_MAX_MS);
 }
 
 static void
 drop_list (QuinceMetaMirror *mirror)
 {
   g_clear_pointer (&mirror->listed, g_hash_table_unref);
-  g_clear_pointer (&mirror->list_after, g_free);
+  g_clear_pointer (&mirror->list_after_key, g_free);
 }
 
 static void
 note_contact (QuinceMetaMirror *mirror)
 {
   mirror->contact_us = quince_now_us ();
-  mirror->retry_ms = RETRY_MIN_MS;
+  mirror->retry_ms = RETRY_DELAY_MIN_MS;
 }
 
 static void
-watch_answered (const QuinceMetaPage *page, guint64 number, const GError *error, gpointer data)
+handle_watch_reply (const QuinceMetaPage *page, guint64 number, const GError *error, gpointer data)
 {
   QuinceMetaMirror *mirror = data;
   mirror->call = NULL;
@@ -172,7 +173,7 @@
     }
   if (error != NULL)
     {
-      retry_later (mirror);
+      schedule_retry (mirror);
       return;
     }
   note_contact (mirror);
@@ -180,41 +181,42 @@
   mirror->revision = MAX (mirror->revision, page->revision);
   for (guint i = 0; i < page->items->len; i++)
     report_item (mirror, page->items->pdata[i]);
-  mirror->pace_ms = quince_store_reads_next_interval_ms (mirror->pace_ms, mirror->times.pace_ms,
-                                                         mirror->times.pace_max_ms, page->items->len > 0);
-  pass_on_changes (mirror, after);
-  if (mirror->pace_ms > 0)
-    wait_then_call (mirror, mirror->pace_ms);
+  mirror->read_interval_min_ms
+      = quince_store_reads_next_interval_ms (mirror->read_interval_min_ms, mirror->times.read_interval_min_ms,
+                                             mirror->times.read_interval_burst_max_ms, page->items->len > 0);
+  report_store_read (mirror, after);
+  if (mirror->read_interval_min_ms > 0)
+    schedule_read (mirror, mirror->read_interval_min_ms);
   else
-    begin_watch (mirror, watch_wait_ms (mirror));
+    begin_watch (mirror, get_watch_wait_ms (mirror));
 }
 
 static void
 begin_watch (QuinceMetaMirror *mirror, guint wait_ms)
 {
   mirror->watching = TRUE;
-  mirror->watch_began_us = quince_now_us ();
+  mirror->watch_started_us = quince_now_us ();
   mirror->call = quince_meta_store_watch (mirror->store, mirror->prefix, mirror->revision, wait_ms,
-                                          mirror->reason, watch_answered, mirror);
+                                          mirror->reason, handle_watch_reply, mirror);
 }
 
 static void
-list_complete (QuinceMetaMirror *mirror)
+finish_list (QuinceMetaMirror *mirror)
 {
   guint64 after = mirror->revision;
   mirror->revision = mirror->list_revision;
-  report_missing (mirror, mirror->list_revision);
+  report_removed (mirror, mirror->list_revision);
   drop_list (mirror);
   mirror->synced = TRUE;
   if (mirror->callbacks->synced != NULL)
     mirror->callbacks->synced (mirror->user_data);
-  pass_on_changes (mirror, after);
-  mirror->pace_ms = mirror->times.pace_ms;
-  wait_then_call (mirror, mirror->pace_ms);
+  report_store_read (mirror, after);
+  mirror->read_interval_min_ms = mirror->times.read_interval_min_ms;
+  schedule_read (mirror, mirror->read_interval_min_ms);
 }
 
 static void
-list_answered (const QuinceMetaPage *page, guint64 number, const GError *error, gpointer data)
+handle_list_reply (const QuinceMetaPage *page, guint64 number, const GError *error, gpointer data)
 {
   QuinceMetaMirror *mirror = data;
   mirror->call = NULL;
@@ -222,11 +224,11 @@
     {
       drop_list (mirror);
       mirror->synced = FALSE;
-      retry_later (mirror);
+      schedule_retry (mirror);
       return;
     }
   note_contact (mirror);
-  if (mirror->list_after == NULL)
+  if (mirror->list_after_key == NULL)
     mirror->list_revision = page->revision; /* pages are no snapshot: watch from the first one on */
   for (guint i = 0; i < page->items->len; i++)
     {
@@ -237,12 +239,12 @@
   if (page->more && page->items->len > 0)
     {
       QuinceMetaItem *last = page->items->pdata[page->items->len - 1];
-      g_free (mirror->list_after);
-      mirror->list_after = g_strdup (last->key);
+      g_free (mirror->list_after_key);
+      mirror->list_after_key = g_strdup (last->key);
       begin_list (mirror);
     }
   else
-    list_complete (mirror);
+    finish_list (mirror);
 }
 
 static void
@@ -251,16 +253,16 @@
   mirror->watching = FALSE;
   if (mirror->listed == NULL)
     mirror->listed = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
-  mirror->call = quince_meta_store_list (mirror->store, mirror->prefix, mirror->list_after, mirror->reason,
-                                         list_answered, mirror);
+  mirror->call = quince_meta_store_list (mirror->store, mirror->prefix, mirror->list_after_key,
+                                         mirror->reason, handle_list_reply, mirror);
 }
 
 /* ---- Feeding ---------------------------------------------------------- */
 
 QuinceMetaPage *
-quince_meta_mirror_since (const QuinceMetaMirror *mirror, guint64 after, gboolean *whole)
+quince_meta_mirror_get_changes_since (const QuinceMetaMirror *mirror, guint64 after, gboolean *whole)
 {
-  return quince_meta_copy_since (mirror->copy, after, mirror->revision, whole);
+  return quince_meta_copy_get_changes_since (mirror->copy, after, mirror->revision, whole);
 }
 
 guint64
@@ -276,44 +278,44 @@
     quince_meta_call_cancel (mirror->call);
   mirror->call = NULL;
   mirror->waiting = FALSE;
-  mirror->first_read_waits = FALSE;
+  mirror->first_read_pending = FALSE;
   quince_timer_clear (&mirror->timer);
   drop_list (mirror);
 }
 
 /* @wait_ms: for which the store may hold the first watch */
 static void
-read_store_again (QuinceMetaMirror *mirror, const char *reason, guint wait_ms)
+resume_store_reads (QuinceMetaMirror *mirror, const char *reason, guint wait_ms)
 {
   mirror->reason = reason;
-  mirror->pace_ms = mirror->times.pace_ms;
+  mirror->read_interval_min_ms = mirror->times.read_interval_min_ms;
   quince_timer_clear (&mirror->feed_timer);
   g_autofree char *prefix = quince_log_quote (mirror->prefix);
   quince_log_info ("feed_ended", "prefix=%s reason=%s revision=%" G_GUINT64_FORMAT, prefix, reason,
                    mirror->revision);
-  read_store (mirror, wait_ms);
+  start_store_read (mirror, wait_ms);
 }
 
 /* What was missed comes at once either way.  Only a reader tells others that nothing was. */
 static guint
-first_watch_wait_ms (const QuinceMetaMirror *mirror)
+get_first_watch_wait_ms (const QuinceMetaMirror *mirror)
 {
-  return mirror->times.reader ? 0 : watch_wait_ms (mirror);
+  return mirror->times.reader ? 0 : get_watch_wait_ms (mirror);
 }
 
 static gboolean
-patience_over (gpointer data)
+handle_feed_timeout (gpointer data)
 {
   QuinceMetaMirror *mirror = data;
-  read_store_again (mirror, "silent", first_watch_wait_ms (mirror));
+  resume_store_reads (mirror, "silent", get_first_watch_wait_ms (mirror));
   return G_SOURCE_REMOVE;
 }
 
 void
-quince_meta_mirror_feed_ended (QuinceMetaMirror *mirror, gboolean at_once)
+quince_meta_mirror_handle_feed_end (QuinceMetaMirror *mirror, gboolean at_once)
 {
   if (mirror->feed_timer != NULL)
-    read_store_again (mirror, "feeder_gone", at_once ? 0 : first_watch_wait_ms (mirror));
+    resume_store_reads (mirror, "feeder_gone", at_once ? 0 : get_first_watch_wait_ms (mirror));
 }
 
 gboolean
@@ -323,7 +325,7 @@
 }
 
 static void
-note_fed (QuinceMetaMirror *mirror)
+extend_feed (QuinceMetaMirror *mirror)
 {
   if (mirror->feed_timer == NULL)
     {
@@ -332,7 +334,7 @@
     }
   stop_reading (mirror);
   quince_timer_clear (&mirror->feed_timer);
-  mirror->feed_timer = quince_timer_add (mirror->times.feed_timeout_ms, patience_over, mirror);
+  mirror->feed_timer = quince_timer_add (mirror->times.feed_timeout_ms, handle_feed_timeout, mirror);
 }
 
 /* The page begins after the mirror's revision: only the store has the changes between. */
@@ -350,10 +352,10 @@
   if (has_gap (mirror, page, whole))
     {
       if (mirror->feed_timer != NULL)
-        read_store_again (mirror, "gap", first_watch_wait_ms (mirror));
+        resume_store_reads (mirror, "gap", get_first_watch_wait_ms (mirror));
       return FALSE;
     }
-  note_fed (mirror);
+  extend_feed (mirror);
   mirror->contact_us = quince_now_us ();
   mirror->revision = page->revision;
   if (whole)
@@ -366,7 +368,7 @@
       report_item (mirror, item);
     }
   if (whole)
-    report_missing (mirror, page->revision);
+    report_removed (mirror, page->revision);
   g_ptr_array_set_size (mirror->changes, 0); /* the feeder passes them on itself */
   if (!whole)
     return TRUE;
@@ -382,20 +384,21 @@
 /* A cut connection gives no sign by itself: a watch that began before the store returned may never be
  * answered, and is begun anew.  So does a mirror that waits for the store. */
 static void
-store_regained (gint64 regained_us, gpointer data)
+handle_store_recovery (gint64 recovered_us, gpointer data)
 {
   QuinceMetaMirror *mirror = data;
-  gboolean swallowed = mirror->call != NULL && mirror->watching && mirror->watch_began_us < regained_us;
-  if (!swallowed && !mirror->waiting)
+  gboolean watch_may_be_lost
+      = mirror->call != NULL && mirror->watching && mirror->watch_started_us < recovered_us;
+  if (!watch_may_be_lost && !mirror->waiting)
     return;
-  if (swallowed)
+  if (watch_may_be_lost)
     quince_meta_call_cancel (mirror->call);
   mirror->call = NULL;
   mirror->waiting = FALSE;
-  if (mirror->times.spread_ms > 0)
-    wait_then_call (mirror, (guint)g_random_int_range (0, (gint32)mirror->times.spread_ms));
+  if (mirror->times.outage_read_jitter_max_ms > 0)
+    schedule_read (mirror, (guint)g_random_int_range (0, (gint32)mirror->times.outage_read_jitter_max_ms));
   else
-    read_store (mirror, 0);
+    start_store_read (mirror, 0);
 }
 
 /* ---- Public ----------------------------------------------------------- */
@@ -413,13 +416,13 @@
   mirror->callbacks = callbacks;
   mirror->user_data = user_data;
   mirror->copy = quince_meta_copy_new (callbacks->same);
-  mirror->changes = new_items ();
-  mirror->retry_ms = RETRY_MIN_MS;
+  mirror->changes = new_item_array ();
+  mirror->retry_ms = RETRY_DELAY_MIN_MS;
   mirror->reason = "start";
-  quince_meta_store_add_listener (store, store_regained, mirror);
-  mirror->first_read_waits = first_read_wait_ms > 0;
-  if (mirror->first_read_waits)
-    wait_then_call (mirror, first_read_wait_ms);
+  quince_meta_store_add_listener (store, handle_store_recovery, mirror);
+  mirror->first_read_pending = first_read_wait_ms > 0;
+  if (mirror->first_read_pending)
+    schedule_read (mirror, first_read_wait_ms);
   else
     begin_list (mirror);
   return mirror;
@@ -446,27 +449,28 @@
 quince_meta_mirror_set_times (QuinceMetaMirror *mirror, const QuinceMetaMirrorTimes *times)
 {
   mirror->times = *times;
-  mirror->times.read_every_ms = MAX (times->read_every_ms, times->pace_ms);
-  mirror->times.pace_max_ms = MAX (times->pace_max_ms, times->pace_ms);
-  if (mirror->pace_ms <= mirror->times.pace_max_ms)
+  mirror->times.read_interval_max_ms = MAX (times->read_interval_max_ms, times->read_interval_min_ms);
+  mirror->times.read_interval_burst_max_ms
+      = MAX (times->read_interval_burst_max_ms, times->read_interval_min_ms);
+  if (mirror->read_interval_min_ms <= mirror->times.read_interval_burst_max_ms)
     return;
   /* A process that begins to feed others does not wait for the end of a pause that had grown. */
-  mirror->pace_ms = mirror->times.pace_max_ms;
-  if (mirror->timer != NULL && !mirror->first_read_waits)
-    wait_then_call (mirror, mirror->pace_ms);
+  mirror->read_interval_min_ms = mirror->times.read_interval_burst_max_ms;
+  if (mirror->timer != NULL && !mirror->first_read_pending)
+    schedule_read (mirror, mirror->read_interval_min_ms);
 }
 
 void
-quince_meta_mirror_resumed (QuinceMetaMirror *mirror)
+quince_meta_mirror_handle_resume (QuinceMetaMirror *mirror)
 {
   stop_reading (mirror);
-  read_store_again (mirror, "suspended", 0);
+  resume_store_reads (mirror, "suspended", 0);
 }
 
 void
 quince_meta_mirror_list_now (QuinceMetaMirror *mirror)
 {
-  if (mirror->first_read_waits)
+  if (mirror->first_read_pending)
     timer_over (mirror);
 }
 
@@ -483,7 +487,7 @@
 }
 
 gint64
-quince_meta_mirror_get_contact_us (const QuinceMetaMirror *mirror)
+quince_meta_mirror_get_last_contact_us (const QuinceMetaMirror *mirror)
 {
   return mirror->contact_us;
 }
--- a/lib/meta/meta-mirror.h
+++ b/lib/meta/meta-mirror.h
@@ -13,14 +13,15 @@
 /* How often a mirror reads, in milliseconds. */
 typedef struct
 {
-  guint pace_ms;         /* least time from an answer to the next watch: keys may change all the time */
-  guint pace_max_ms;     /* up to which the pace grows while each watch tells changes; below @read_every_ms */
-  guint read_every_ms;   /* greatest time from one answer to the next, if the store answers at once; above the
-                          * pace */
-  guint feed_timeout_ms; /* without a page for so long a fed mirror reads the store; above @read_every_ms of
-                          * the process that feeds it */
-  guint spread_ms; /* a store that answers again is read at a random moment within this time, so that not
-                    * all processes read it at once; 0: at once */
+  guint read_interval_min_ms; /* least time from an answer to the next watch: keys may change all the time */
+  guint read_interval_burst_max_ms; /* up to which the pace grows while each watch tells changes; below
+                                       @read_interval_max_ms */
+  guint read_interval_max_ms;      /* greatest time from one answer to the next, if the store answers at once;
+                                    * above the      pace */
+  guint feed_timeout_ms;           /* without a page for so long a fed mirror reads the store; above
+                                    * @read_interval_max_ms of           the process that feeds it */
+  guint outage_read_jitter_max_ms; /* a store that answers again is read at a random moment within this time,
+                                    * so that not all processes read it at once; 0: at once */
   gboolean reader; /* it feeds other mirrors: when it is fed no longer the store answers its first watch at
                     * once, also if nothing has changed */
 } QuinceMetaMirrorTimes;
@@ -60,7 +61,7 @@
                                           gpointer user_data);
 void quince_meta_mirror_free (QuinceMetaMirror *mirror);
 /* The machine was suspended: the copy may be old and a watch may be lost, so the store is read at once. */
-void quince_meta_mirror_resumed (QuinceMetaMirror *mirror);
+void quince_meta_mirror_handle_resume (QuinceMetaMirror *mirror);
 /* Ends the wait before the first list. */
 void quince_meta_mirror_list_now (QuinceMetaMirror *mirror);
 /* A list of the store is in progress. */
@@ -83,16 +84,17 @@
 gboolean quince_meta_mirror_feed (QuinceMetaMirror *mirror, const QuinceMetaPage *page, gboolean whole);
 /* The feeding process is gone: a fed mirror reads the store.  @at_once: the store answers also if nothing has
  * changed, as always to a reader */
-void quince_meta_mirror_feed_ended (QuinceMetaMirror *mirror, gboolean at_once);
+void quince_meta_mirror_handle_feed_end (QuinceMetaMirror *mirror, gboolean at_once);
 /* Another process feeds the mirror, so it makes no calls to the store. */
 gboolean quince_meta_mirror_is_fed (const QuinceMetaMirror *mirror);
 /* (transfer full): the changes after revision @after (0: everything), to feed another mirror.
  * @whole: (out): the page is all there is under the prefix */
-QuinceMetaPage *quince_meta_mirror_since (const QuinceMetaMirror *mirror, guint64 after, gboolean *whole);
+QuinceMetaPage *
+quince_meta_mirror_get_changes_since (const QuinceMetaMirror *mirror, guint64 after, gboolean *whole);
 /* Revision of the store up to which the copy is complete; 0: it is not synced. */
 guint64 quince_meta_mirror_get_revision (const QuinceMetaMirror *mirror);
 /* Monotonic time of the last answer or page for the prefix, in microseconds; 0: none yet. */
-gint64 quince_meta_mirror_get_contact_us (const QuinceMetaMirror *mirror);
+gint64 quince_meta_mirror_get_last_contact_us (const QuinceMetaMirror *mirror);
 /* The last answer or page is recent enough to feed other mirrors from this one. */
 gboolean quince_meta_mirror_is_fresh (const QuinceMetaMirror *mirror, gint64 now_us);
 
--- a/lib/meta/meta-presence.c
+++ b/lib/meta/meta-presence.c
@@ -14,7 +14,7 @@
 #define RETRY_MS 300
 /* The same while no call succeeds, ms: each process has a presence, and failed calls are paid for too.  Not
  * measured. */
-#define RETRY_FAILING_MS 1000
+#define OUTAGE_RETRY_DELAY_MS 1000
 
 struct _QuinceMetaPresence
 {
@@ -33,7 +33,7 @@
 static void write_key (QuinceMetaPresence *presence);
 
 static void
-presence_release (QuinceMetaPresence *presence)
+presence_unref (QuinceMetaPresence *presence)
 {
   if (!g_ref_count_dec (&presence->references))
     return;
@@ -43,26 +43,26 @@
 }
 
 static QuinceMetaPresence *
-presence_hold (QuinceMetaPresence *presence)
+presence_ref (QuinceMetaPresence *presence)
 {
   g_ref_count_inc (&presence->references);
   return presence;
 }
 
-static gboolean step_timer (gpointer data);
+static gboolean run_next_step (gpointer data);
 
 static guint
 retry_ms (const QuinceMetaPresence *presence)
 {
-  return quince_meta_store_is_failing (presence->store) ? RETRY_FAILING_MS : RETRY_MS;
+  return quince_meta_store_is_failing (presence->store) ? OUTAGE_RETRY_DELAY_MS : RETRY_MS;
 }
 
 static void
-next_step (QuinceMetaPresence *presence, guint wait_ms)
+schedule_next_step (QuinceMetaPresence *presence, guint wait_ms)
 {
   quince_timer_clear (&presence->timer);
   if (!presence->withdrawn)
-    presence->timer = quince_timer_add (wait_ms, step_timer, presence);
+    presence->timer = quince_timer_add (wait_ms, run_next_step, presence);
 }
 
 static void
@@ -74,30 +74,30 @@
       quince_log_warning ("lease_lost", "key=%s", presence->key);
       presence->lease = 0;
     }
-  next_step (presence, error != NULL ? retry_ms (presence) : presence->ttl_ms / RENEWALS_PER_TTL);
-  presence_release (presence);
+  schedule_next_step (presence, error != NULL ? retry_ms (presence) : presence->ttl_ms / RENEWALS_PER_TTL);
+  presence_unref (presence);
 }
 
 static gboolean
-step_timer (gpointer data)
+run_next_step (gpointer data)
 {
   QuinceMetaPresence *presence = data;
   quince_timer_clear (&presence->timer);
   if (presence->lease == 0)
     open_lease (presence);
   else
-    quince_meta_store_renew_lease (presence->store, presence->lease, renewed, presence_hold (presence));
+    quince_meta_store_renew_lease (presence->store, presence->lease, renewed, presence_ref (presence));
   return G_SOURCE_REMOVE;
 }
 
 static void
-key_written (const QuinceMetaPage *page, guint64 number, const GError *error, gpointer data)
+handle_write_reply (const QuinceMetaPage *page, guint64 number, const GError *error, gpointer data)
 {
   QuinceMetaPresence *presence = data;
   if (error != NULL)
     presence->lease = 0;
-  next_step (presence, error != NULL ? retry_ms (presence) : presence->ttl_ms / RENEWALS_PER_TTL);
-  presence_release (presence);
+  schedule_next_step (presence, error != NULL ? retry_ms (presence) : presence->ttl_ms / RENEWALS_PER_TTL);
+  presence_unref (presence);
 }
 
 static void
@@ -105,27 +105,28 @@
 {
   const QuinceMetaChange change
       = { .key = presence->key, .expected_revision = -1, .value = presence->value, .lease = presence->lease };
-  quince_meta_store_change (presence->store, &change, 1, key_written, presence_hold (presence));
+  quince_meta_store_change (presence->store, &change, 1, handle_write_reply, presence_ref (presence));
 }
 
 static void
-lease_opened (const QuinceMetaPage *page, guint64 number, const GError *error, gpointer data)
+handle_lease_reply (const QuinceMetaPage *page, guint64 number, const GError *error, gpointer data)
 {
   QuinceMetaPresence *presence = data;
   presence->lease = error == NULL ? number : 0;
   if (presence->withdrawn)
     ; /* the lease runs out by itself */
   else if (presence->lease == 0)
-    next_step (presence, retry_ms (presence));
+    schedule_next_step (presence, retry_ms (presence));
   else
     write_key (presence);
-  presence_release (presence);
+  presence_unref (presence);
 }
 
 static void
 open_lease (QuinceMetaPresence *presence)
 {
-  quince_meta_store_open_lease (presence->store, presence->ttl_ms, lease_opened, presence_hold (presence));
+  quince_meta_store_open_lease (presence->store, presence->ttl_ms, handle_lease_reply,
+                                presence_ref (presence));
 }
 
 QuinceMetaPresence *
@@ -151,17 +152,17 @@
 }
 
 static void
-lease_ended (const QuinceMetaPage *page, guint64 number, const GError *error, gpointer data)
+handle_lease_end_reply (const QuinceMetaPage *page, guint64 number, const GError *error, gpointer data)
 {
-  presence_release (data);
+  presence_unref (data);
 }
 
 void
-quince_meta_presence_resumed (QuinceMetaPresence *presence)
+quince_meta_presence_handle_resume (QuinceMetaPresence *presence)
 {
   /* Without a timer a call is in progress; its reply sets the next step. */
   if (presence->timer != NULL)
-    next_step (presence, 0);
+    schedule_next_step (presence, 0);
 }
 
 void
@@ -172,7 +173,8 @@
   presence->withdrawn = TRUE;
   quince_timer_clear (&presence->timer);
   if (presence->lease != 0)
-    quince_meta_store_end_lease (presence->store, presence->lease, lease_ended, presence_hold (presence));
+    quince_meta_store_end_lease (presence->store, presence->lease, handle_lease_end_reply,
+                                 presence_ref (presence));
 }
 
 void
@@ -182,5 +184,5 @@
     return;
   presence->withdrawn = TRUE;
   quince_timer_clear (&presence->timer);
-  presence_release (presence);
+  presence_unref (presence);
 }
--- a/lib/meta/meta-presence.h
+++ b/lib/meta/meta-presence.h
@@ -21,7 +21,7 @@
 QuinceMetaPresence *
 quince_meta_presence_new (QuinceMetaStore *store, const char *key, GBytes *value, guint ttl_ms);
 /* The machine was suspended: the lease may be over, and is renewed or opened anew at once. */
-void quince_meta_presence_resumed (QuinceMetaPresence *presence);
+void quince_meta_presence_handle_resume (QuinceMetaPresence *presence);
 /* Writes a new value under the same lease. */
 void quince_meta_presence_update (QuinceMetaPresence *presence, GBytes *value);
 /* Ends the lease and with it the key; call once, before free. */
--- a/lib/meta/meta-private.h
+++ b/lib/meta/meta-private.h
@@ -7,11 +7,13 @@
 
 typedef struct _QuinceMetaCall QuinceMetaCall;
 
-/* The store answers again since @regained_us (monotonic): a watch that began before may have been swallowed.
+/* The store answers again since @recovered_us (monotonic): a watch that began before may have been
+ * watch_may_be_lost.
  */
-typedef void (*QuinceMetaStoreRegained) (gint64 regained_us, gpointer user_data);
-void
-quince_meta_store_add_listener (QuinceMetaStore *store, QuinceMetaStoreRegained regained, gpointer user_data);
+typedef void (*QuinceMetaStoreRecoveredFunc) (gint64 recovered_us, gpointer user_data);
+void quince_meta_store_add_listener (QuinceMetaStore *store,
+                                     QuinceMetaStoreRecoveredFunc regained,
+                                     gpointer user_data);
 /* Removes the listener that was added with @user_data. */
 void quince_meta_store_remove_listener (QuinceMetaStore *store, gpointer user_data);
 /* @reason: why this process reads by itself, for the metric; static */
--- a/lib/meta/meta-store.c
+++ b/lib/meta/meta-store.c
@@ -17,14 +17,14 @@
 #define CALL_TIMEOUT_US (1000 * 1000)
 /* Time to the first probe after a failed call, ms: short, since a failure may be one lost connection.  Not
  * measured. */
-#define PROBE_FIRST_MS 30
+#define FIRST_PROBE_DELAY_MS 30
 /* Time to the second probe, ms; doubled from then on.  Not measured. */
-#define PROBE_EVERY_MS 400
-/* Longest time between two probes, ms, until quince_meta_store_set_probe_max(). */
-#define PROBE_MAX_MS 800
+#define PROBE_INTERVAL_MIN_MS 400
+/* Longest time between two probes, ms, until quince_meta_store_set_probe_interval_max(). */
+#define DEFAULT_PROBE_INTERVAL_MAX_MS 800
 /* The same for a process that a live leader feeds, ms: the leader's pages show that the store is back.  Far
  * below the 6 s of a front's lease. */
-#define PROBE_RELAXED_MS 4000
+#define SLOW_PROBE_INTERVAL_MAX_MS 4000
 /* Read by probes; any key will do. */
 #define PROBE_KEY "quinceroute/ledger"
 
@@ -40,7 +40,7 @@
 /* Waits for the store's return. */
 typedef struct
 {
-  QuinceMetaStoreRegained regained;
+  QuinceMetaStoreRecoveredFunc regained;
   gpointer user_data;
 } Listener;
 
@@ -55,8 +55,8 @@
   gboolean failing;
   QuinceTimer *probe_timer; /* while failing */
   guint probe_max_ms;
-  guint probe_ms;   /* until the next probe */
-  gboolean relaxed; /* see quince_meta_store_set_relaxed() */
+  guint probe_interval_ms; /* until the next probe */
+  gboolean relaxed;        /* see quince_meta_store_set_slow_probes() */
 };
 
 /* Labels of a call for the metric. */
@@ -92,7 +92,7 @@
 {
   QuinceMetaStore *store = g_new0 (QuinceMetaStore, 1);
   store->pool = quince_http_pool_new (address);
-  store->probe_max_ms = PROBE_MAX_MS;
+  store->probe_max_ms = DEFAULT_PROBE_INTERVAL_MAX_MS;
   store->dialect = dialect;
   store->calls = g_hash_table_new_full (NULL, NULL, call_free, NULL);
   store->listeners = g_array_new (FALSE, FALSE, sizeof (Listener));
@@ -118,7 +118,9 @@
 }
 
 void
-quince_meta_store_add_listener (QuinceMetaStore *store, QuinceMetaStoreRegained regained, gpointer user_data)
+quince_meta_store_add_listener (QuinceMetaStore *store,
+                                QuinceMetaStoreRecoveredFunc regained,
+                                gpointer user_data)
 {
   const Listener listener = { regained, user_data };
   g_array_append_val (store->listeners, listener);
@@ -142,10 +144,11 @@
 }
 
 gboolean
-quince_meta_store_may_have_lapsed (const QuinceMetaStore *store, gint64 now_us)
+quince_meta_store_leases_may_have_lapsed (const QuinceMetaStore *store, gint64 now_us)
 {
   return store->failing
-         || (store->contact.regained_us > 0 && now_us - store->contact.regained_us < QUINCE_META_LAPSE_US);
+         || (store->contact.recovered_us > 0
+             && now_us - store->contact.recovered_us < QUINCE_META_LEASE_RECOVERY_US);
 }
 
 /* ---- Answers ---------------------------------------------------------- */
@@ -171,8 +174,9 @@
 {
   QuinceMetaStore *store = data;
   quince_timer_clear (&store->probe_timer);
-  store->probe_timer = quince_timer_add (store->probe_ms, probe_store, store);
-  store->probe_ms = MIN (store->probe_ms * 2, store->relaxed ? PROBE_RELAXED_MS : store->probe_max_ms);
+  store->probe_timer = quince_timer_add (store->probe_interval_ms, probe_store, store);
+  store->probe_interval_ms
+      = MIN (store->probe_interval_ms * 2, store->relaxed ? SLOW_PROBE_INTERVAL_MAX_MS : store->probe_max_ms);
   const CallPurpose purpose = { "get", PROBE_KEY, "failing" };
   begin_call (store, "GET", store->dialect->get_target (PROBE_KEY), NULL, CALL_TIMEOUT_US, ANSWER_ITEM,
               &purpose, probe_answered, store);
@@ -180,13 +184,13 @@
 }
 
 void
-quince_meta_store_set_probe_max (QuinceMetaStore *store, guint probe_max_ms)
+quince_meta_store_set_probe_interval_max (QuinceMetaStore *store, guint probe_max_ms)
 {
   store->probe_max_ms = probe_max_ms;
 }
 
 void
-quince_meta_store_set_relaxed (QuinceMetaStore *store, gboolean relaxed)
+quince_meta_store_set_slow_probes (QuinceMetaStore *store, gboolean relaxed)
 {
   if (store->relaxed == relaxed)
     return;
@@ -194,14 +198,14 @@
   if (relaxed || store->probe_timer == NULL)
     return;
   quince_timer_clear (&store->probe_timer);
-  store->probe_ms = PROBE_EVERY_MS;
-  store->probe_timer = quince_timer_add (PROBE_FIRST_MS, probe_store, store);
+  store->probe_interval_ms = PROBE_INTERVAL_MIN_MS;
+  store->probe_timer = quince_timer_add (FIRST_PROBE_DELAY_MS, probe_store, store);
 }
 
 /* @answered_us: time of the outcome.  The first good answer after failures is reported to the listeners: a
  * watch that began before it may never be answered, as a cut connection gives no sign by itself. */
 static void
-note_outcome (QuinceMetaStore *store, gboolean good, gint64 answered_us)
+record_call_outcome (QuinceMetaStore *store, gboolean good, gint64 answered_us)
 {
   if (good)
     store->contact.last_answer_us = answered_us;
@@ -213,11 +217,11 @@
   else
     quince_log_warning ("dependency_lost", "what=meta_store");
   if (good)
-    store->contact.regained_us = store->contact.last_answer_us;
+    store->contact.recovered_us = store->contact.last_answer_us;
   quince_timer_clear (&store->probe_timer);
-  store->probe_ms = PROBE_EVERY_MS;
+  store->probe_interval_ms = PROBE_INTERVAL_MIN_MS;
   if (!good)
-    store->probe_timer = quince_timer_add (PROBE_FIRST_MS, probe_store, store);
+    store->probe_timer = quince_timer_add (FIRST_PROBE_DELAY_MS, probe_store, store);
   for (guint i = 0; good && i < store->listeners->len; i++)
     {
       const Listener *listener = &g_array_index (store->listeners, Listener, i);
@@ -226,7 +230,7 @@
 }
 
 static GError *
-error_of_status (guint status)
+make_status_error (guint status)
 {
   static const struct
   {
@@ -313,7 +317,7 @@
   else
     {
       status = quince_http_exchange_get_head (exchange)->status;
-      error = error_of_status (status);
+      error = make_status_error (status);
       if (error == NULL)
         page = read_answer (call, exchange, &number, &error);
     }
@@ -324,7 +328,7 @@
   g_hash_table_remove (store->calls, call);
   reply (page, number, error, user_data);
   /* Last, since listeners may begin watches anew. */
-  note_outcome (store, outcome == QUINCE_HTTP_ANSWERED && status != 503 && status != 429, answered_us);
+  record_call_outcome (store, outcome == QUINCE_HTTP_ANSWERED && status != 503 && status != 429, answered_us);
 }
 
 static const QuinceHttpExchangeCallbacks call_callbacks = { .done = call_done };
@@ -366,7 +370,7 @@
 }
 
 void
-quince_meta_store_resumed (QuinceMetaStore *store)
+quince_meta_store_handle_resume (QuinceMetaStore *store)
 {
   quince_http_pool_drop_idle (store->pool);
 }
@@ -424,8 +428,8 @@
 {
   const CallPurpose purpose = { "lease", "", "open" };
   g_autoptr (GBytes) body = store->dialect->format_lease (ttl_ms);
-  begin_call (store, "POST", store->dialect->lease_target (), body, CALL_TIMEOUT_US, ANSWER_LEASE, &purpose,
-              reply, user_data);
+  begin_call (store, "POST", store->dialect->open_lease_target (), body, CALL_TIMEOUT_US, ANSWER_LEASE,
+              &purpose, reply, user_data);
 }
 
 void
@@ -435,7 +439,7 @@
                                gpointer user_data)
 {
   const CallPurpose purpose = { "lease", "", "renew" };
-  begin_call (store, "POST", store->dialect->renew_target (lease), NULL, CALL_TIMEOUT_US, ANSWER_NONE,
+  begin_call (store, "POST", store->dialect->renew_lease_target (lease), NULL, CALL_TIMEOUT_US, ANSWER_NONE,
               &purpose, reply, user_data);
 }
 
@@ -443,6 +447,6 @@
 quince_meta_store_end_lease (QuinceMetaStore *store, guint64 lease, QuinceMetaReply reply, gpointer user_data)
 {
   const CallPurpose purpose = { "lease", "", "end" };
-  begin_call (store, "DELETE", store->dialect->release_target (lease), NULL, CALL_TIMEOUT_US, ANSWER_NONE,
+  begin_call (store, "DELETE", store->dialect->end_lease_target (lease), NULL, CALL_TIMEOUT_US, ANSWER_NONE,
               &purpose, reply, user_data);
 }
--- a/lib/meta/meta-store.h
+++ b/lib/meta/meta-store.h
@@ -29,9 +29,9 @@
   char *(*list_target) (const char *prefix, const char *after_key);
   char *(*watch_target) (const char *prefix, guint64 after_revision, guint wait_ms);
   char *(*change_target) (void);
-  char *(*lease_target) (void);
-  char *(*renew_target) (guint64 lease);
-  char *(*release_target) (guint64 lease);
+  char *(*open_lease_target) (void);
+  char *(*renew_lease_target) (guint64 lease);
+  char *(*end_lease_target) (guint64 lease);
   GBytes *(*format_change) (const QuinceMetaChange *changes, guint n_changes);
   GBytes *(*format_lease) (guint ttl_ms);
   QuinceMetaPage *(*parse_page) (const char *body, gsize length, GError **error);
@@ -48,7 +48,7 @@
 typedef struct
 {
   gint64 last_answer_us; /* 0: none yet */
-  gint64 regained_us;    /* when calls last began to succeed again; 0: never */
+  gint64 recovered_us;   /* when calls last began to succeed again; 0: never */
 } QuinceMetaContact;
 
 QuinceMetaStore *quince_meta_store_new (const char *address, const QuinceMetaDialect *dialect);
@@ -59,16 +59,16 @@
 gboolean quince_meta_store_is_failing (const QuinceMetaStore *store);
 
 /* @probe_max_ms: longest time between two probes of a store that does not answer, unless it is relaxed */
-void quince_meta_store_set_probe_max (QuinceMetaStore *store, guint probe_max_ms);
+void quince_meta_store_set_probe_interval_max (QuinceMetaStore *store, guint probe_max_ms);
 
 /* @relaxed: another process feeds all mirrors of this one, so that its pages show when the store is back:
  * while calls fail the store is probed every 4 s. */
-void quince_meta_store_set_relaxed (QuinceMetaStore *store, gboolean relaxed);
+void quince_meta_store_set_slow_probes (QuinceMetaStore *store, gboolean relaxed);
 
 /* Leases may have run out although their owners live: the store is not reachable, or was not until this long
  * ago, us: above the 2 s in which owners write their keys anew, and a margin.  Not measured. */
-#define QUINCE_META_LAPSE_US (3 * G_USEC_PER_SEC)
-gboolean quince_meta_store_may_have_lapsed (const QuinceMetaStore *store, gint64 now_us);
+#define QUINCE_META_LEASE_RECOVERY_US (3 * G_USEC_PER_SEC)
+gboolean quince_meta_store_leases_may_have_lapsed (const QuinceMetaStore *store, gint64 now_us);
 
 /**
  * QuinceMetaReply:
@@ -82,7 +82,7 @@
                                  gpointer user_data);
 
 /* The machine was suspended: kept connections are dropped, since the store may have closed them. */
-void quince_meta_store_resumed (QuinceMetaStore *store);
+void quince_meta_store_handle_resume (QuinceMetaStore *store);
 /* One item; GONE where there is none. */
 void
 quince_meta_store_get (QuinceMetaStore *store, const char *key, QuinceMetaReply reply, gpointer user_data);
--- a/lib/observer/observer-feed.c
+++ b/lib/observer/observer-feed.c
@@ -68,7 +68,7 @@
 static gboolean
 should_apply_report (const QuinceMetaMirror *mirror, const QuinceMetaPage *page, gint64 now_us)
 {
-  gint64 contact_age_us = now_us - quince_meta_mirror_get_contact_us (mirror);
+  gint64 contact_age_us = now_us - quince_meta_mirror_get_last_contact_us (mirror);
   if (!quince_meta_mirror_is_fed (mirror))
     return contact_age_us > QUINCE_STORE_WATCH_TIMEOUT_MS * 1000;
   return page->items->len > 0 || contact_age_us > REPORT_INTERVAL_MIN_US;
@@ -89,7 +89,7 @@
 gboolean
 quince_observer_leases_may_have_lapsed (const QuinceObserver *observer, gint64 now_us)
 {
-  return observer->page_may_have_lapsed || quince_meta_store_may_have_lapsed (observer->store, now_us);
+  return observer->page_may_have_lapsed || quince_meta_store_leases_may_have_lapsed (observer->store, now_us);
 }
 
 /* Returns whether another process feeds all mirrors. */
@@ -111,7 +111,7 @@
 {
   gboolean slow_probes
       = observer->feeder_timer != NULL && !observer->is_reserve_reader && are_all_mirrors_fed (observer);
-  quince_meta_store_set_relaxed (observer->store, slow_probes);
+  quince_meta_store_set_slow_probes (observer->store, slow_probes);
 }
 
 void
@@ -122,7 +122,7 @@
   QuinceNamedMirror mirrors[QUINCE_OBSERVER_N_PREFIXES];
   quince_observer_list_mirrors (observer, mirrors);
   for (guint i = 0; i < QUINCE_OBSERVER_N_PREFIXES; i++)
-    quince_meta_mirror_feed_ended (mirrors[i].mirror, quince_backends_holds_sends (observer->backends));
+    quince_meta_mirror_handle_feed_end (mirrors[i].mirror, quince_backends_holds_sends (observer->backends));
 }
 
 void
@@ -136,7 +136,7 @@
     }
   quince_timer_clear (&observer->feeder_timer);
   quince_observer_update_probe_interval (observer);
-  quince_meta_mirror_feed_ended (observer->own_mirror, FALSE);
+  quince_meta_mirror_handle_feed_end (observer->own_mirror, FALSE);
 }
 
 void
@@ -149,7 +149,7 @@
   QuinceNamedMirror mirrors[QUINCE_OBSERVER_N_PREFIXES];
   quince_observer_list_mirrors (observer, mirrors);
   for (guint i = 0; i < QUINCE_OBSERVER_N_PREFIXES; i++)
-    quince_meta_mirror_resumed (mirrors[i].mirror);
+    quince_meta_mirror_handle_resume (mirrors[i].mirror);
 }
 
 static gboolean
@@ -192,7 +192,8 @@
           || !quince_meta_mirror_is_fresh (mirrors[i].mirror, now))
         continue;
       gboolean whole = FALSE;
-      g_autoptr (QuinceMetaPage) page = quince_meta_mirror_since (mirrors[i].mirror, revisions[i], &whole);
+      g_autoptr (QuinceMetaPage) page
+          = quince_meta_mirror_get_changes_since (mirrors[i].mirror, revisions[i], &whole);
       send (mirrors[i].prefix, page, whole, user_data);
     }
 }
--- a/lib/observer/observer.c
+++ b/lib/observer/observer.c
@@ -51,8 +51,8 @@
 static gint64
 get_lapsed_expiry_us (const QuinceObserver *observer, gint64 now_us)
 {
-  gint64 regained_us = quince_meta_store_get_contact (observer->store)->regained_us;
-  return MAX (now_us + LAPSED_RETENTION_MIN_US, regained_us + LAPSED_RECOVERY_US);
+  gint64 recovered_us = quince_meta_store_get_contact (observer->store)->recovered_us;
+  return MAX (now_us + LAPSED_RETENTION_MIN_US, recovered_us + LAPSED_RECOVERY_US);
 }
 
 static void
@@ -186,25 +186,26 @@
   observer->is_reserve_reader = reserve;
   quince_observer_update_probe_interval (observer);
   const QuinceStoreReadTimes times = quince_store_reads_get_times (reserve, observer->bound_margin_ms);
-  guint spread_ms = reserve ? 0 : OUTAGE_READ_JITTER_MAX_MS;
-  const QuinceMetaMirrorTimes operator_times = { .read_every_ms = times.watch_timeout_ms,
+  guint outage_read_jitter_max_ms = reserve ? 0 : OUTAGE_READ_JITTER_MAX_MS;
+  const QuinceMetaMirrorTimes operator_times = { .read_interval_max_ms = times.watch_timeout_ms,
                                                  .feed_timeout_ms = times.feed_timeout_ms,
-                                                 .spread_ms = spread_ms,
+                                                 .outage_read_jitter_max_ms = outage_read_jitter_max_ms,
                                                  .reader = reserve };
-  const QuinceMetaMirrorTimes workers_times = { .pace_ms = observer->workers_read_interval_min_ms,
-                                                .read_every_ms = times.watch_timeout_ms,
-                                                .feed_timeout_ms = times.feed_timeout_ms,
-                                                .spread_ms = spread_ms,
-                                                .reader = reserve };
+  const QuinceMetaMirrorTimes workers_times
+      = { .read_interval_min_ms = observer->workers_read_interval_min_ms,
+          .read_interval_max_ms = times.watch_timeout_ms,
+          .feed_timeout_ms = times.feed_timeout_ms,
+          .outage_read_jitter_max_ms = outage_read_jitter_max_ms,
+          .reader = reserve };
   guint own_slack_ms = MIN (times.feed_timeout_ms - QUINCE_STORE_WATCH_TIMEOUT_MS, QUINCE_STORE_SLACK_MS);
   const QuinceMetaMirrorTimes own_times
-      = { .pace_ms = OWN_READ_INTERVAL_MIN_MS,
-          .pace_max_ms = reserve ? OWN_READ_INTERVAL_MIN_MS : OWN_READ_INTERVAL_BURST_MAX_MS,
-          .read_every_ms = OWN_READ_INTERVAL_MAX_MS,
+      = { .read_interval_min_ms = OWN_READ_INTERVAL_MIN_MS,
+          .read_interval_burst_max_ms = reserve ? OWN_READ_INTERVAL_MIN_MS : OWN_READ_INTERVAL_BURST_MAX_MS,
+          .read_interval_max_ms = OWN_READ_INTERVAL_MAX_MS,
           .feed_timeout_ms = OWN_READ_INTERVAL_MAX_MS + own_slack_ms,
-          .spread_ms = spread_ms,
+          .outage_read_jitter_max_ms = outage_read_jitter_max_ms,
           .reader = reserve };
-  quince_meta_store_set_probe_max (observer->store, times.probe_interval_max_ms);
+  quince_meta_store_set_probe_interval_max (observer->store, times.probe_interval_max_ms);
   quince_meta_mirror_set_times (observer->operator_mirror, &operator_times);
   quince_meta_mirror_set_times (observer->workers_mirror, &workers_times);
   quince_meta_mirror_set_times (observer->own_mirror, &own_times);
@@ -218,7 +219,7 @@
   quince_observer_list_mirrors (observer, mirrors);
   for (guint i = 0; i < QUINCE_OBSERVER_N_PREFIXES; i++)
     {
-      gint64 contact_us = quince_meta_mirror_get_contact_us (mirrors[i].mirror);
+      gint64 contact_us = quince_meta_mirror_get_last_contact_us (mirrors[i].mirror);
       if (contact_us == 0)
         continue;
       g_autofree char *labels = g_strdup_printf ("prefix=\"%s\"", mirrors[i].prefix);
--- a/tests/platform/test-freshness.c
+++ b/tests/platform/test-freshness.c
@@ -494,7 +494,7 @@
   standin_store_drop_connections (follower.standin);
   run_for (50);
   standin_store_set_fault (follower.standin, STANDIN_STORE_SOUND);
-  quince_meta_store_resumed (follower.store);
+  quince_meta_store_handle_resume (follower.store);
   quince_observer_handle_resume (follower.observer);
   assert_true (quince_backends_holds_sends (follower.backends));
   AWAIT (!quince_backends_holds_sends (follower.backends));
--- a/tests/platform/test-meta.c
+++ b/tests/platform/test-meta.c
@@ -54,7 +54,7 @@
 } World;
 
 static void
-begin (World *world, guint pace_ms)
+begin (World *world, guint read_interval_min_ms)
 {
   *world = (World){ 0 };
   world->reports.values = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
@@ -67,8 +67,9 @@
   standin_store_put (world->standin, "b/0", "other");
   world->store
       = quince_meta_store_new (standin_store_get_address (world->standin), &quince_platform_meta_dialect);
-  const QuinceMetaMirrorTimes times
-      = { .pace_ms = pace_ms, .read_every_ms = READ_EVERY_MS, .feed_timeout_ms = PATIENCE_MS };
+  const QuinceMetaMirrorTimes times = { .read_interval_min_ms = read_interval_min_ms,
+                                        .read_interval_max_ms = READ_EVERY_MS,
+                                        .feed_timeout_ms = PATIENCE_MS };
   world->mirror = quince_meta_mirror_new (world->store, "a/", 0, &mirror_callbacks, &world->reports);
   quince_meta_mirror_set_times (world->mirror, &times);
   AWAIT (world->reports.synced > 0);
@@ -116,11 +117,14 @@
 {
   World world;
   begin (&world, 20);
-  const QuinceMetaMirrorTimes grown = {
-    .pace_ms = 20, .pace_max_ms = 5000, .read_every_ms = READ_EVERY_MS, .feed_timeout_ms = PATIENCE_MS
-  };
-  const QuinceMetaMirrorTimes reader
-      = { .pace_ms = 20, .read_every_ms = READ_EVERY_MS, .feed_timeout_ms = PATIENCE_MS, .reader = TRUE };
+  const QuinceMetaMirrorTimes grown = { .read_interval_min_ms = 20,
+                                        .read_interval_burst_max_ms = 5000,
+                                        .read_interval_max_ms = READ_EVERY_MS,
+                                        .feed_timeout_ms = PATIENCE_MS };
+  const QuinceMetaMirrorTimes reader = { .read_interval_min_ms = 20,
+                                         .read_interval_max_ms = READ_EVERY_MS,
+                                         .feed_timeout_ms = PATIENCE_MS,
+                                         .reader = TRUE };
   quince_meta_mirror_set_times (world.mirror, &grown);
   for (guint i = 0; i < 4; i++)
     {
@@ -169,12 +173,12 @@
   begin (&world, 0);
   standin_store_set_fault (world.standin, STANDIN_STORE_BUSY);
   standin_store_drop_connections (world.standin);
-  quince_meta_store_set_relaxed (world.store, relaxed);
+  quince_meta_store_set_slow_probes (world.store, relaxed);
   guint calls = standin_store_get_calls (world.standin);
   run_for (OUTAGE_MS);
   calls = standin_store_get_calls (world.standin) - calls;
   /* Its feeder is gone: it looks by itself, soon. */
-  quince_meta_store_set_relaxed (world.store, FALSE);
+  quince_meta_store_set_slow_probes (world.store, FALSE);
   standin_store_set_fault (world.standin, STANDIN_STORE_SOUND);
   standin_store_put (world.standin, "a/1", "after");
   gint64 back = g_get_monotonic_time ();
@@ -320,7 +324,7 @@
 static guint
 items_since (World *world, guint64 revision, gboolean *whole)
 {
-  g_autoptr (QuinceMetaPage) page = quince_meta_mirror_since (world->mirror, revision, whole);
+  g_autoptr (QuinceMetaPage) page = quince_meta_mirror_get_changes_since (world->mirror, revision, whole);
   return page->items->len;
 }
 
@@ -393,7 +397,8 @@
   Reports reports = { .values = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free) };
   read_pages = 0;
   read_items = 0;
-  const QuinceMetaMirrorTimes times = { .read_every_ms = READ_EVERY_MS, .feed_timeout_ms = PATIENCE_MS };
+  const QuinceMetaMirrorTimes times
+      = { .read_interval_max_ms = READ_EVERY_MS, .feed_timeout_ms = PATIENCE_MS };
   QuinceMetaMirror *mirror = quince_meta_mirror_new (world.store, "w/", 0, &worker_callbacks, &reports);
   quince_meta_mirror_set_times (mirror, &times);
   AWAIT (reports.synced > 0);
--- a/tools/store-calls.c
+++ b/tools/store-calls.c
@@ -121,7 +121,7 @@
 {
   static const QuinceMetaMirrorCallbacks callbacks = { .item = item_read, .synced = all_read };
   static const QuinceMetaMirrorTimes times
-      = { .read_every_ms = LIST_EVERY_MS, .feed_timeout_ms = LIST_EVERY_MS };
+      = { .read_interval_max_ms = LIST_EVERY_MS, .feed_timeout_ms = LIST_EVERY_MS };
   List list = { .tool = tool, .item = item, .user_data = user_data };
   QuinceMetaMirror *mirror = quince_meta_mirror_new (tool->meta, prefix, 0, &callbacks, &list);
   quince_meta_mirror_set_times (mirror, &times);
