--- a/lib/meta/meta-copy.c
+++ b/lib/meta/meta-copy.c
@@ -9,32 +9,32 @@
 
 struct _QuinceMetaCopy
 {
-  gboolean (*same) (GBytes *, GBytes *);
-  GHashTable *known;      /* QuinceMetaItem by key, owned: existing keys */
-  GQueue gone;            /* QuinceMetaItem without value, owned, by rising revision: removed keys */
-  guint64 removals_after; /* every removal after this revision is in @gone */
+  gboolean (*is_equivalent) (GBytes *, GBytes *);
+  GHashTable *items;      /* QuinceMetaItem by key, owned: existing keys */
+  GQueue removals;        /* QuinceMetaItem without value, owned, by rising revision: removed keys */
+  guint64 removals_after; /* every removal after this revision is in @removals */
 };
 
 QuinceMetaCopy *
-quince_meta_copy_new (gboolean (*same) (GBytes *before, GBytes *after))
+quince_meta_copy_new (gboolean (*is_equivalent) (GBytes *before, GBytes *after))
 {
   QuinceMetaCopy *copy = g_new0 (QuinceMetaCopy, 1);
-  copy->same = same;
-  copy->known = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, (GDestroyNotify)quince_meta_item_free);
-  g_queue_init (&copy->gone);
+  copy->is_equivalent = is_equivalent;
+  copy->items = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, (GDestroyNotify)quince_meta_item_free);
+  g_queue_init (&copy->removals);
   return copy;
 }
 
 static void
 clear_removals (QuinceMetaCopy *copy)
 {
-  g_queue_clear_full (&copy->gone, (GDestroyNotify)quince_meta_item_free);
+  g_queue_clear_full (&copy->removals, (GDestroyNotify)quince_meta_item_free);
 }
 
 void
 quince_meta_copy_free (QuinceMetaCopy *copy)
 {
-  g_hash_table_unref (copy->known);
+  g_hash_table_unref (copy->items);
   clear_removals (copy);
   g_free (copy);
 }
@@ -52,10 +52,10 @@
 static void
 record_removal (QuinceMetaCopy *copy, const char *key, guint64 revision)
 {
-  g_queue_push_tail (&copy->gone, item_new (key, NULL, revision));
-  if (g_queue_get_length (&copy->gone) <= REMOVED_KEYS_MAX)
+  g_queue_push_tail (&copy->removals, item_new (key, NULL, revision));
+  if (g_queue_get_length (&copy->removals) <= REMOVED_KEYS_MAX)
     return;
-  QuinceMetaItem *oldest = g_queue_pop_head (&copy->gone);
+  QuinceMetaItem *oldest = g_queue_pop_head (&copy->removals);
   copy->removals_after = oldest->revision;
   quince_meta_item_free (oldest);
 }
@@ -63,69 +63,69 @@
 gboolean
 quince_meta_copy_apply_item (QuinceMetaCopy *copy, const QuinceMetaItem *item)
 {
-  const QuinceMetaItem *known = g_hash_table_lookup (copy->known, item->key);
-  if (known != NULL && item->revision <= known->revision)
+  const QuinceMetaItem *current = g_hash_table_lookup (copy->items, item->key);
+  if (current != NULL && item->revision <= current->revision)
     return FALSE;
   if (item->value == NULL)
     {
-      if (known == NULL)
+      if (current == NULL)
         return FALSE;
       record_removal (copy, item->key, item->revision);
-      g_hash_table_remove (copy->known, item->key);
+      g_hash_table_remove (copy->items, item->key);
       return TRUE;
     }
   /* The older revision stays: a process that has it lacks nothing. */
-  if (known != NULL && copy->same != NULL && copy->same (known->value, item->value))
+  if (current != NULL && copy->is_equivalent != NULL && copy->is_equivalent (current->value, item->value))
     return FALSE;
-  QuinceMetaItem *held = item_new (item->key, item->value, item->revision);
-  g_hash_table_replace (copy->known, held->key, held);
+  QuinceMetaItem *stored = item_new (item->key, item->value, item->revision);
+  g_hash_table_replace (copy->items, stored->key, stored);
   return TRUE;
 }
 
 GPtrArray *
-quince_meta_copy_remove_unlisted (QuinceMetaCopy *copy, guint64 revision, GHashTable *listed)
+quince_meta_copy_remove_unlisted (QuinceMetaCopy *copy, guint64 revision, GHashTable *listed_keys)
 {
-  GPtrArray *missing = g_ptr_array_new_with_free_func ((GDestroyNotify)quince_meta_item_free);
+  GPtrArray *removed = g_ptr_array_new_with_free_func ((GDestroyNotify)quince_meta_item_free);
   GHashTableIter iter;
   gpointer key;
-  g_hash_table_iter_init (&iter, copy->known);
+  g_hash_table_iter_init (&iter, copy->items);
   while (g_hash_table_iter_next (&iter, &key, NULL))
     {
-      if (g_hash_table_contains (listed, key))
+      if (g_hash_table_contains (listed_keys, key))
         continue;
-      g_ptr_array_add (missing, item_new (key, NULL, revision));
+      g_ptr_array_add (removed, item_new (key, NULL, revision));
       g_hash_table_iter_remove (&iter);
     }
   /* Keys that were written and removed since the last read are unknown. */
   clear_removals (copy);
   copy->removals_after = revision;
-  return missing;
+  return removed;
 }
 
 QuinceMetaPage *
 quince_meta_copy_get_changes_since (const QuinceMetaCopy *copy,
-                                    guint64 after,
+                                    guint64 after_revision,
                                     guint64 revision,
                                     gboolean *whole)
 {
   QuinceMetaPage *page = g_new0 (QuinceMetaPage, 1);
   page->items = g_ptr_array_new_with_free_func ((GDestroyNotify)quince_meta_item_free);
-  page->after = after;
+  page->after = after_revision;
   page->revision = revision;
-  *whole = after == 0 || after < copy->removals_after || after > revision;
+  *whole = after_revision == 0 || after_revision < copy->removals_after || after_revision > revision;
   GHashTableIter iter;
   gpointer value;
-  g_hash_table_iter_init (&iter, copy->known);
+  g_hash_table_iter_init (&iter, copy->items);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
       const QuinceMetaItem *item = value;
-      if (*whole || item->revision > after)
+      if (*whole || item->revision > after_revision)
         g_ptr_array_add (page->items, item_new (item->key, item->value, item->revision));
     }
-  for (const GList *at = copy->gone.head; at != NULL && !*whole; at = at->next)
+  for (const GList *link = copy->removals.head; link != NULL && !*whole; link = link->next)
     {
-      const QuinceMetaItem *item = at->data;
-      if (item->revision > after && !g_hash_table_contains (copy->known, item->key))
+      const QuinceMetaItem *item = link->data;
+      if (item->revision > after_revision && !g_hash_table_contains (copy->items, item->key))
         g_ptr_array_add (page->items, item_new (item->key, NULL, item->revision));
     }
   return page;
--- a/lib/meta/meta-mirror.c
+++ b/lib/meta/meta-mirror.c
@@ -27,24 +27,24 @@
   QuinceMetaMirrorTimes times;
   const QuinceMetaMirrorCallbacks *callbacks;
   gpointer user_data;
-  QuinceMetaCall *call; /* in progress */
-  QuinceTimer *timer;   /* until the next call */
-  QuinceMetaCopy *copy; /* all that was reported to the owner */
-  GPtrArray *changes;   /* QuinceMetaItem, owned: new in the list in progress or in this answer */
-  GHashTable *listed;   /* keys of the list in progress; NULL while watching */
-  char *list_after_key; /* last key of the page before */
-  guint64 revision;     /* watch from here */
+  QuinceMetaCall *call;    /* in progress */
+  QuinceTimer *read_timer; /* until the next call */
+  QuinceMetaCopy *copy;    /* all that was reported to the owner */
+  GPtrArray *changes;      /* QuinceMetaItem, owned: new in the list in progress or in this answer */
+  GHashTable *listed_keys; /* keys of the list in progress; NULL while watching */
+  char *list_after_key;    /* last key of the page before */
+  guint64 revision;        /* watch from here */
   guint64 list_revision;
   const char *reason; /* why it reads the store, for the metric; static */
-  guint retry_ms;
+  guint retry_delay_ms;
   gboolean first_read_pending; /* no call was made, and no page came */
-  guint read_interval_min_ms;  /* from the last answer to the next watch */
+  guint read_interval_ms;      /* from the last answer to the next watch */
   gint64 watch_started_us;
-  gint64 contact_us; /* monotonic time of the last answer or page; 0: none yet */
+  gint64 last_contact_us; /* monotonic time of the last answer or page; 0: none yet */
   gboolean synced;
-  gboolean watching;       /* the call in progress is a watch */
-  gboolean waiting;        /* calls to the store fail: reads once it answers again */
-  QuinceTimer *feed_timer; /* while it is fed: until its patience is over */
+  gboolean watching;        /* the call in progress is a watch */
+  gboolean waits_for_store; /* calls to the store fail: reads once it answers again */
+  QuinceTimer *feed_timer;  /* while it is fed: until its patience is over */
 };
 
 static void begin_list (QuinceMetaMirror *mirror);
@@ -74,10 +74,11 @@
 static void
 report_removed (QuinceMetaMirror *mirror, guint64 revision)
 {
-  g_autoptr (GPtrArray) missing = quince_meta_copy_remove_unlisted (mirror->copy, revision, mirror->listed);
-  for (guint i = 0; i < missing->len; i++)
+  g_autoptr (GPtrArray) removed
+      = quince_meta_copy_remove_unlisted (mirror->copy, revision, mirror->listed_keys);
+  for (guint i = 0; i < removed->len; i++)
     {
-      const QuinceMetaItem *item = missing->pdata[i];
+      const QuinceMetaItem *item = removed->pdata[i];
       g_ptr_array_add (mirror->changes, copy_item (item));
       mirror->callbacks->item (item, mirror->user_data);
     }
@@ -109,26 +110,26 @@
 get_watch_wait_ms (const QuinceMetaMirror *mirror)
 {
   return mirror->times.read_interval_max_ms
-         - MIN (mirror->read_interval_min_ms, mirror->times.read_interval_max_ms);
+         - MIN (mirror->read_interval_ms, mirror->times.read_interval_max_ms);
 }
 
 static void
 start_store_read (QuinceMetaMirror *mirror, guint wait_ms)
 {
-  if (mirror->synced && mirror->listed == NULL)
+  if (mirror->synced && mirror->listed_keys == NULL)
     begin_watch (mirror, wait_ms);
   else
     begin_list (mirror);
 }
 
 static gboolean
-timer_over (gpointer data)
+handle_read_timer (gpointer data)
 {
   QuinceMetaMirror *mirror = data;
-  quince_timer_clear (&mirror->timer);
+  quince_timer_clear (&mirror->read_timer);
   mirror->first_read_pending = FALSE;
-  mirror->waiting = quince_meta_store_is_failing (mirror->store);
-  if (!mirror->waiting)
+  mirror->waits_for_store = quince_meta_store_is_failing (mirror->store);
+  if (!mirror->waits_for_store)
     start_store_read (mirror, get_watch_wait_ms (mirror));
   return G_SOURCE_REMOVE;
 }
@@ -136,29 +137,29 @@
 static void
 schedule_read (QuinceMetaMirror *mirror, guint wait_ms)
 {
-  quince_timer_clear (&mirror->timer);
-  mirror->timer = quince_timer_add (wait_ms, timer_over, mirror);
+  quince_timer_clear (&mirror->read_timer);
+  mirror->read_timer = quince_timer_add (wait_ms, handle_read_timer, mirror);
 }
 
 static void
 schedule_retry (QuinceMetaMirror *mirror)
 {
-  schedule_read (mirror, mirror->retry_ms);
-  mirror->retry_ms = MIN (mirror->retry_ms * 2, RETRY_DELAY_MAX_MS);
+  schedule_read (mirror, mirror->retry_delay_ms);
+  mirror->retry_delay_ms = MIN (mirror->retry_delay_ms * 2, RETRY_DELAY_MAX_MS);
 }
 
 static void
 drop_list (QuinceMetaMirror *mirror)
 {
-  g_clear_pointer (&mirror->listed, g_hash_table_unref);
+  g_clear_pointer (&mirror->listed_keys, g_hash_table_unref);
   g_clear_pointer (&mirror->list_after_key, g_free);
 }
 
 static void
-note_contact (QuinceMetaMirror *mirror)
+record_contact (QuinceMetaMirror *mirror)
 {
-  mirror->contact_us = quince_now_us ();
-  mirror->retry_ms = RETRY_DELAY_MIN_MS;
+  mirror->last_contact_us = quince_now_us ();
+  mirror->retry_delay_ms = RETRY_DELAY_MIN_MS;
 }
 
 static void
@@ -176,17 +177,17 @@
       schedule_retry (mirror);
       return;
     }
-  note_contact (mirror);
+  record_contact (mirror);
   guint64 after = mirror->revision;
   mirror->revision = MAX (mirror->revision, page->revision);
   for (guint i = 0; i < page->items->len; i++)
     report_item (mirror, page->items->pdata[i]);
-  mirror->read_interval_min_ms
-      = quince_store_reads_next_interval_ms (mirror->read_interval_min_ms, mirror->times.read_interval_min_ms,
+  mirror->read_interval_ms
+      = quince_store_reads_next_interval_ms (mirror->read_interval_ms, mirror->times.read_interval_min_ms,
                                              mirror->times.read_interval_burst_max_ms, page->items->len > 0);
   report_store_read (mirror, after);
-  if (mirror->read_interval_min_ms > 0)
-    schedule_read (mirror, mirror->read_interval_min_ms);
+  if (mirror->read_interval_ms > 0)
+    schedule_read (mirror, mirror->read_interval_ms);
   else
     begin_watch (mirror, get_watch_wait_ms (mirror));
 }
@@ -211,8 +212,8 @@
   if (mirror->callbacks->synced != NULL)
     mirror->callbacks->synced (mirror->user_data);
   report_store_read (mirror, after);
-  mirror->read_interval_min_ms = mirror->times.read_interval_min_ms;
-  schedule_read (mirror, mirror->read_interval_min_ms);
+  mirror->read_interval_ms = mirror->times.read_interval_min_ms;
+  schedule_read (mirror, mirror->read_interval_ms);
 }
 
 static void
@@ -227,13 +228,13 @@
       schedule_retry (mirror);
       return;
     }
-  note_contact (mirror);
+  record_contact (mirror);
   if (mirror->list_after_key == NULL)
     mirror->list_revision = page->revision; /* pages are no snapshot: watch from the first one on */
   for (guint i = 0; i < page->items->len; i++)
     {
       QuinceMetaItem *item = page->items->pdata[i];
-      g_hash_table_add (mirror->listed, g_strdup (item->key));
+      g_hash_table_add (mirror->listed_keys, g_strdup (item->key));
       report_item (mirror, item);
     }
   if (page->more && page->items->len > 0)
@@ -251,8 +252,8 @@
 begin_list (QuinceMetaMirror *mirror)
 {
   mirror->watching = FALSE;
-  if (mirror->listed == NULL)
-    mirror->listed = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
+  if (mirror->listed_keys == NULL)
+    mirror->listed_keys = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   mirror->call = quince_meta_store_list (mirror->store, mirror->prefix, mirror->list_after_key,
                                          mirror->reason, handle_list_reply, mirror);
 }
@@ -260,9 +261,9 @@
 /* ---- Feeding ---------------------------------------------------------- */
 
 QuinceMetaPage *
-quince_meta_mirror_get_changes_since (const QuinceMetaMirror *mirror, guint64 after, gboolean *whole)
+quince_meta_mirror_get_changes_since (const QuinceMetaMirror *mirror, guint64 after_revision, gboolean *whole)
 {
-  return quince_meta_copy_get_changes_since (mirror->copy, after, mirror->revision, whole);
+  return quince_meta_copy_get_changes_since (mirror->copy, after_revision, mirror->revision, whole);
 }
 
 guint64
@@ -277,9 +278,9 @@
   if (mirror->call != NULL)
     quince_meta_call_cancel (mirror->call);
   mirror->call = NULL;
-  mirror->waiting = FALSE;
+  mirror->waits_for_store = FALSE;
   mirror->first_read_pending = FALSE;
-  quince_timer_clear (&mirror->timer);
+  quince_timer_clear (&mirror->read_timer);
   drop_list (mirror);
 }
 
@@ -288,7 +289,7 @@
 resume_store_reads (QuinceMetaMirror *mirror, const char *reason, guint wait_ms)
 {
   mirror->reason = reason;
-  mirror->read_interval_min_ms = mirror->times.read_interval_min_ms;
+  mirror->read_interval_ms = mirror->times.read_interval_min_ms;
   quince_timer_clear (&mirror->feed_timer);
   g_autofree char *prefix = quince_log_quote (mirror->prefix);
   quince_log_info ("feed_ended", "prefix=%s reason=%s revision=%" G_GUINT64_FORMAT, prefix, reason,
@@ -312,10 +313,10 @@
 }
 
 void
-quince_meta_mirror_handle_feed_end (QuinceMetaMirror *mirror, gboolean at_once)
+quince_meta_mirror_handle_feed_end (QuinceMetaMirror *mirror, gboolean answer_immediately)
 {
   if (mirror->feed_timer != NULL)
-    resume_store_reads (mirror, "feeder_gone", at_once ? 0 : get_first_watch_wait_ms (mirror));
+    resume_store_reads (mirror, "feeder_gone", answer_immediately ? 0 : get_first_watch_wait_ms (mirror));
 }
 
 gboolean
@@ -356,15 +357,15 @@
       return FALSE;
     }
   extend_feed (mirror);
-  mirror->contact_us = quince_now_us ();
+  mirror->last_contact_us = quince_now_us ();
   mirror->revision = page->revision;
   if (whole)
-    mirror->listed = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
+    mirror->listed_keys = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   for (guint i = 0; i < page->items->len; i++)
     {
       const QuinceMetaItem *item = page->items->pdata[i];
       if (whole)
-        g_hash_table_add (mirror->listed, g_strdup (item->key));
+        g_hash_table_add (mirror->listed_keys, g_strdup (item->key));
       report_item (mirror, item);
     }
   if (whole)
@@ -389,12 +390,12 @@
   QuinceMetaMirror *mirror = data;
   gboolean watch_may_be_lost
       = mirror->call != NULL && mirror->watching && mirror->watch_started_us < recovered_us;
-  if (!watch_may_be_lost && !mirror->waiting)
+  if (!watch_may_be_lost && !mirror->waits_for_store)
     return;
   if (watch_may_be_lost)
     quince_meta_call_cancel (mirror->call);
   mirror->call = NULL;
-  mirror->waiting = FALSE;
+  mirror->waits_for_store = FALSE;
   if (mirror->times.outage_read_jitter_max_ms > 0)
     schedule_read (mirror, (guint)g_random_int_range (0, (gint32)mirror->times.outage_read_jitter_max_ms));
   else
@@ -415,9 +416,9 @@
   mirror->prefix = g_strdup (prefix);
   mirror->callbacks = callbacks;
   mirror->user_data = user_data;
-  mirror->copy = quince_meta_copy_new (callbacks->same);
+  mirror->copy = quince_meta_copy_new (callbacks->is_equivalent);
   mirror->changes = new_item_array ();
-  mirror->retry_ms = RETRY_DELAY_MIN_MS;
+  mirror->retry_delay_ms = RETRY_DELAY_MIN_MS;
   mirror->reason = "start";
   quince_meta_store_add_listener (store, handle_store_recovery, mirror);
   mirror->first_read_pending = first_read_wait_ms > 0;
@@ -436,7 +437,7 @@
   quince_meta_store_remove_listener (mirror->store, mirror);
   if (mirror->call != NULL)
     quince_meta_call_cancel (mirror->call);
-  quince_timer_clear (&mirror->timer);
+  quince_timer_clear (&mirror->read_timer);
   quince_timer_clear (&mirror->feed_timer);
   drop_list (mirror);
   quince_meta_copy_free (mirror->copy);
@@ -452,12 +453,12 @@
   mirror->times.read_interval_max_ms = MAX (times->read_interval_max_ms, times->read_interval_min_ms);
   mirror->times.read_interval_burst_max_ms
       = MAX (times->read_interval_burst_max_ms, times->read_interval_min_ms);
-  if (mirror->read_interval_min_ms <= mirror->times.read_interval_burst_max_ms)
+  if (mirror->read_interval_ms <= mirror->times.read_interval_burst_max_ms)
     return;
   /* A process that begins to feed others does not wait for the end of a pause that had grown. */
-  mirror->read_interval_min_ms = mirror->times.read_interval_burst_max_ms;
-  if (mirror->timer != NULL && !mirror->first_read_pending)
-    schedule_read (mirror, mirror->read_interval_min_ms);
+  mirror->read_interval_ms = mirror->times.read_interval_burst_max_ms;
+  if (mirror->read_timer != NULL && !mirror->first_read_pending)
+    schedule_read (mirror, mirror->read_interval_ms);
 }
 
 void
@@ -471,13 +472,13 @@
 quince_meta_mirror_list_now (QuinceMetaMirror *mirror)
 {
   if (mirror->first_read_pending)
-    timer_over (mirror);
+    handle_read_timer (mirror);
 }
 
 gboolean
 quince_meta_mirror_is_listing (const QuinceMetaMirror *mirror)
 {
-  return mirror->listed != NULL;
+  return mirror->listed_keys != NULL;
 }
 
 gboolean
@@ -489,12 +490,12 @@
 gint64
 quince_meta_mirror_get_last_contact_us (const QuinceMetaMirror *mirror)
 {
-  return mirror->contact_us;
+  return mirror->last_contact_us;
 }
 
 gboolean
 quince_meta_mirror_is_fresh (const QuinceMetaMirror *mirror, gint64 now_us)
 {
-  return mirror->contact_us > 0
-         && now_us - mirror->contact_us <= (gint64)mirror->times.feed_timeout_ms * 1000;
+  return mirror->last_contact_us > 0
+         && now_us - mirror->last_contact_us <= (gint64)mirror->times.feed_timeout_ms * 1000;
 }
--- a/lib/meta/meta-mirror.h
+++ b/lib/meta/meta-mirror.h
@@ -34,14 +34,14 @@
  * @synced: (nullable): all that the store held at some moment was reported; called after each list
  * @read: (nullable): the store itself was read; the page holds the changes.  A page without items proves that
  *   nothing changed
- * @same: (nullable): two values of a key mean the same, so that the second one is not reported
+ * @is_equivalent: (nullable): two values of a key mean the same, so that the second one is not reported
  */
 typedef struct
 {
   void (*item) (const QuinceMetaItem *item, gpointer user_data);
   void (*synced) (gpointer user_data);
   void (*read) (const QuinceMetaPage *page, gpointer user_data);
-  gboolean (*same) (GBytes *before, GBytes *after);
+  gboolean (*is_equivalent) (GBytes *before, GBytes *after);
 } QuinceMetaMirrorCallbacks;
 
 /**
@@ -82,15 +82,16 @@
  * Returns: whether the page was taken
  */
 gboolean quince_meta_mirror_feed (QuinceMetaMirror *mirror, const QuinceMetaPage *page, gboolean whole);
-/* The feeding process is gone: a fed mirror reads the store.  @at_once: the store answers also if nothing has
- * changed, as always to a reader */
-void quince_meta_mirror_handle_feed_end (QuinceMetaMirror *mirror, gboolean at_once);
+/* The feeding process is gone: a fed mirror reads the store.  @answer_immediately: the store answers also if
+ * nothing has changed, as always to a reader */
+void quince_meta_mirror_handle_feed_end (QuinceMetaMirror *mirror, gboolean answer_immediately);
 /* Another process feeds the mirror, so it makes no calls to the store. */
 gboolean quince_meta_mirror_is_fed (const QuinceMetaMirror *mirror);
-/* (transfer full): the changes after revision @after (0: everything), to feed another mirror.
+/* (transfer full): the changes after revision @after_revision (0: everything), to feed another mirror.
  * @whole: (out): the page is all there is under the prefix */
-QuinceMetaPage *
-quince_meta_mirror_get_changes_since (const QuinceMetaMirror *mirror, guint64 after, gboolean *whole);
+QuinceMetaPage *quince_meta_mirror_get_changes_since (const QuinceMetaMirror *mirror,
+                                                      guint64 after_revision,
+                                                      gboolean *whole);
 /* Revision of the store up to which the copy is complete; 0: it is not synced. */
 guint64 quince_meta_mirror_get_revision (const QuinceMetaMirror *mirror);
 /* Monotonic time of the last answer or page for the prefix, in microseconds; 0: none yet. */
--- a/lib/meta/meta-presence.c
+++ b/lib/meta/meta-presence.c
@@ -6,12 +6,12 @@
 
 #include "meta/meta-presence.h"
 
-/* Renewals within one time to live.  One that fails is tried again after RETRY_MS, many times before the
- * lease runs out. */
+/* Renewals within one time to live.  One that fails is tried again after RETRY_DELAY_MS, many times before
+ * the lease runs out. */
 #define RENEWALS_PER_TTL 2
 /* Wait after a failed call, ms, while other calls succeed: a few tries within a lease of seconds.  Not
  * measured. */
-#define RETRY_MS 300
+#define RETRY_DELAY_MS 300
 /* The same while no call succeeds, ms: each process has a presence, and failed calls are paid for too.  Not
  * measured. */
 #define OUTAGE_RETRY_DELAY_MS 1000
@@ -19,7 +19,7 @@
 struct _QuinceMetaPresence
 {
   /* All fields belong to the context that created the presence. */
-  grefcount references; /* the owner's, and one for each call in progress */
+  grefcount ref_count; /* the owner's, and one for each call in progress */
   QuinceMetaStore *store;
   char *key;
   GBytes *value;
@@ -35,7 +35,7 @@
 static void
 presence_unref (QuinceMetaPresence *presence)
 {
-  if (!g_ref_count_dec (&presence->references))
+  if (!g_ref_count_dec (&presence->ref_count))
     return;
   g_bytes_unref (presence->value);
   g_free (presence->key);
@@ -45,16 +45,16 @@
 static QuinceMetaPresence *
 presence_ref (QuinceMetaPresence *presence)
 {
-  g_ref_count_inc (&presence->references);
+  g_ref_count_inc (&presence->ref_count);
   return presence;
 }
 
 static gboolean run_next_step (gpointer data);
 
 static guint
-retry_ms (const QuinceMetaPresence *presence)
+get_retry_delay_ms (const QuinceMetaPresence *presence)
 {
-  return quince_meta_store_is_failing (presence->store) ? OUTAGE_RETRY_DELAY_MS : RETRY_MS;
+  return quince_meta_store_is_failing (presence->store) ? OUTAGE_RETRY_DELAY_MS : RETRY_DELAY_MS;
 }
 
 static void
@@ -66,7 +66,7 @@
 }
 
 static void
-renewed (const QuinceMetaPage *page, guint64 number, const GError *error, gpointer data)
+handle_renewal_reply (const QuinceMetaPage *page, guint64 number, const GError *error, gpointer data)
 {
   QuinceMetaPresence *presence = data;
   if (g_error_matches (error, QUINCE_META_ERROR, QUINCE_META_ERROR_GONE))
@@ -74,7 +74,8 @@
       quince_log_warning ("lease_lost", "key=%s", presence->key);
       presence->lease = 0;
     }
-  schedule_next_step (presence, error != NULL ? retry_ms (presence) : presence->ttl_ms / RENEWALS_PER_TTL);
+  schedule_next_step (presence,
+                      error != NULL ? get_retry_delay_ms (presence) : presence->ttl_ms / RENEWALS_PER_TTL);
   presence_unref (presence);
 }
 
@@ -86,7 +87,8 @@
   if (presence->lease == 0)
     open_lease (presence);
   else
-    quince_meta_store_renew_lease (presence->store, presence->lease, renewed, presence_ref (presence));
+    quince_meta_store_renew_lease (presence->store, presence->lease, handle_renewal_reply,
+                                   presence_ref (presence));
   return G_SOURCE_REMOVE;
 }
 
@@ -96,7 +98,8 @@
   QuinceMetaPresence *presence = data;
   if (error != NULL)
     presence->lease = 0;
-  schedule_next_step (presence, error != NULL ? retry_ms (presence) : presence->ttl_ms / RENEWALS_PER_TTL);
+  schedule_next_step (presence,
+                      error != NULL ? get_retry_delay_ms (presence) : presence->ttl_ms / RENEWALS_PER_TTL);
   presence_unref (presence);
 }
 
@@ -116,7 +119,7 @@
   if (presence->withdrawn)
     ; /* the lease runs out by itself */
   else if (presence->lease == 0)
-    schedule_next_step (presence, retry_ms (presence));
+    schedule_next_step (presence, get_retry_delay_ms (presence));
   else
     write_key (presence);
   presence_unref (presence);
@@ -133,7 +136,7 @@
 quince_meta_presence_new (QuinceMetaStore *store, const char *key, GBytes *value, guint ttl_ms)
 {
   QuinceMetaPresence *presence = g_new0 (QuinceMetaPresence, 1);
-  g_ref_count_init (&presence->references);
+  g_ref_count_init (&presence->ref_count);
   presence->store = store;
   presence->key = g_strdup (key);
   presence->value = g_bytes_ref (value);
--- a/lib/meta/meta-private.h
+++ b/lib/meta/meta-private.h
@@ -12,7 +12,7 @@
  */
 typedef void (*QuinceMetaStoreRecoveredFunc) (gint64 recovered_us, gpointer user_data);
 void quince_meta_store_add_listener (QuinceMetaStore *store,
-                                     QuinceMetaStoreRecoveredFunc regained,
+                                     QuinceMetaStoreRecoveredFunc recovered,
                                      gpointer user_data);
 /* Removes the listener that was added with @user_data. */
 void quince_meta_store_remove_listener (QuinceMetaStore *store, gpointer user_data);
--- a/lib/meta/meta-store.c
+++ b/lib/meta/meta-store.c
@@ -40,7 +40,7 @@
 /* Waits for the store's return. */
 typedef struct
 {
-  QuinceMetaStoreRecoveredFunc regained;
+  QuinceMetaStoreRecoveredFunc recovered;
   gpointer user_data;
 } Listener;
 
@@ -54,9 +54,9 @@
   QuinceMetaContact contact;
   gboolean failing;
   QuinceTimer *probe_timer; /* while failing */
-  guint probe_max_ms;
+  guint probe_interval_max_ms;
   guint probe_interval_ms; /* until the next probe */
-  gboolean relaxed;        /* see quince_meta_store_set_slow_probes() */
+  gboolean slow_probes;    /* see quince_meta_store_set_slow_probes() */
 };
 
 /* Labels of a call for the metric. */
@@ -92,7 +92,7 @@
 {
   QuinceMetaStore *store = g_new0 (QuinceMetaStore, 1);
   store->pool = quince_http_pool_new (address);
-  store->probe_max_ms = DEFAULT_PROBE_INTERVAL_MAX_MS;
+  store->probe_interval_max_ms = DEFAULT_PROBE_INTERVAL_MAX_MS;
   store->dialect = dialect;
   store->calls = g_hash_table_new_full (NULL, NULL, call_free, NULL);
   store->listeners = g_array_new (FALSE, FALSE, sizeof (Listener));
@@ -119,10 +119,10 @@
 
 void
 quince_meta_store_add_listener (QuinceMetaStore *store,
-                                QuinceMetaStoreRecoveredFunc regained,
+                                QuinceMetaStoreRecoveredFunc recovered,
                                 gpointer user_data)
 {
-  const Listener listener = { regained, user_data };
+  const Listener listener = { recovered, user_data };
   g_array_append_val (store->listeners, listener);
 }
 
@@ -164,9 +164,9 @@
                                    gpointer user_data);
 
 static void
-probe_answered (const QuinceMetaPage *page, guint64 number, const GError *error, gpointer data)
+ignore_probe_reply (const QuinceMetaPage *page, guint64 number, const GError *error, gpointer data)
 {
-  /* call_done() notes the outcome, as of any call. */
+  /* handle_exchange_end() notes the outcome, as of any call. */
 }
 
 static gboolean
@@ -176,26 +176,27 @@
   quince_timer_clear (&store->probe_timer);
   store->probe_timer = quince_timer_add (store->probe_interval_ms, probe_store, store);
   store->probe_interval_ms
-      = MIN (store->probe_interval_ms * 2, store->relaxed ? SLOW_PROBE_INTERVAL_MAX_MS : store->probe_max_ms);
+      = MIN (store->probe_interval_ms * 2,
+             store->slow_probes ? SLOW_PROBE_INTERVAL_MAX_MS : store->probe_interval_max_ms);
   const CallPurpose purpose = { "get", PROBE_KEY, "failing" };
   begin_call (store, "GET", store->dialect->get_target (PROBE_KEY), NULL, CALL_TIMEOUT_US, ANSWER_ITEM,
-              &purpose, probe_answered, store);
+              &purpose, ignore_probe_reply, store);
   return G_SOURCE_REMOVE;
 }
 
 void
-quince_meta_store_set_probe_interval_max (QuinceMetaStore *store, guint probe_max_ms)
+quince_meta_store_set_probe_interval_max (QuinceMetaStore *store, guint probe_interval_max_ms)
 {
-  store->probe_max_ms = probe_max_ms;
+  store->probe_interval_max_ms = probe_interval_max_ms;
 }
 
 void
-quince_meta_store_set_slow_probes (QuinceMetaStore *store, gboolean relaxed)
+quince_meta_store_set_slow_probes (QuinceMetaStore *store, gboolean slow_probes)
 {
-  if (store->relaxed == relaxed)
+  if (store->slow_probes == slow_probes)
     return;
-  store->relaxed = relaxed;
-  if (relaxed || store->probe_timer == NULL)
+  store->slow_probes = slow_probes;
+  if (slow_probes || store->probe_timer == NULL)
     return;
   quince_timer_clear (&store->probe_timer);
   store->probe_interval_ms = PROBE_INTERVAL_MIN_MS;
@@ -205,27 +206,27 @@
 /* @answered_us: time of the outcome.  The first good answer after failures is reported to the listeners: a
  * watch that began before it may never be answered, as a cut connection gives no sign by itself. */
 static void
-record_call_outcome (QuinceMetaStore *store, gboolean good, gint64 answered_us)
+record_call_outcome (QuinceMetaStore *store, gboolean success, gint64 answered_us)
 {
-  if (good)
+  if (success)
     store->contact.last_answer_us = answered_us;
-  if (good == !store->failing)
+  if (success == !store->failing)
     return;
-  store->failing = !good;
-  if (good)
+  store->failing = !success;
+  if (success)
     quince_log_info ("dependency_regained", "what=meta_store");
   else
     quince_log_warning ("dependency_lost", "what=meta_store");
-  if (good)
+  if (success)
     store->contact.recovered_us = store->contact.last_answer_us;
   quince_timer_clear (&store->probe_timer);
   store->probe_interval_ms = PROBE_INTERVAL_MIN_MS;
-  if (!good)
+  if (!success)
     store->probe_timer = quince_timer_add (FIRST_PROBE_DELAY_MS, probe_store, store);
-  for (guint i = 0; good && i < store->listeners->len; i++)
+  for (guint i = 0; success && i < store->listeners->len; i++)
     {
       const Listener *listener = &g_array_index (store->listeners, Listener, i);
-      listener->regained (answered_us, listener->user_data);
+      listener->recovered (answered_us, listener->user_data);
     }
 }
 
@@ -253,7 +254,7 @@
 }
 
 static QuinceMetaPage *
-read_answer (QuinceMetaCall *call, QuinceHttpExchange *exchange, guint64 *number, GError **error)
+parse_answer (QuinceMetaCall *call, QuinceHttpExchange *exchange, guint64 *number, GError **error)
 {
   const GByteArray *body = quince_http_exchange_get_body (exchange);
   const char *text = (const char *)body->data;
@@ -281,8 +282,8 @@
 format_labels (const CallPurpose *purpose)
 {
   const char *slash = strchr (purpose->subject, '/');
-  const char *second = slash != NULL ? strchr (slash + 1, '/') : NULL;
-  gsize length = second != NULL ? (gsize)(second - purpose->subject) : strlen (purpose->subject);
+  const char *second_slash = slash != NULL ? strchr (slash + 1, '/') : NULL;
+  gsize length = second_slash != NULL ? (gsize)(second_slash - purpose->subject) : strlen (purpose->subject);
   return g_strdup_printf ("kind=\"%s\",subject=\"%.*s\",reason=\"%s\"", purpose->kind, (int)length,
                           purpose->subject, purpose->reason);
 }
@@ -291,17 +292,20 @@
 count_call (const QuinceMetaCall *call, const GError *error)
 {
   static const char *const outcomes[] = { "unavailable", "unknown", "conflict", "gone", "malformed" };
-  gboolean known
+  gboolean known_error
       = error != NULL && error->domain == QUINCE_META_ERROR && (guint)error->code < G_N_ELEMENTS (outcomes);
   g_autofree char *labels = g_strdup_printf ("%s,outcome=\"%s\"", call->labels,
                                              error == NULL ? "done"
-                                             : known       ? outcomes[error->code]
+                                             : known_error ? outcomes[error->code]
                                                            : "malformed");
   quince_metric_add ("quince_store_calls_total", labels, 1);
 }
 
 static void
-call_done (QuinceHttpExchange *exchange, QuinceHttpOutcome outcome, const GError *failure, gpointer data)
+handle_exchange_end (QuinceHttpExchange *exchange,
+                     QuinceHttpOutcome outcome,
+                     const GError *failure,
+                     gpointer data)
 {
   QuinceMetaCall *call = data;
   QuinceMetaStore *store = call->store;
@@ -319,7 +323,7 @@
       status = quince_http_exchange_get_head (exchange)->status;
       error = make_status_error (status);
       if (error == NULL)
-        page = read_answer (call, exchange, &number, &error);
+        page = parse_answer (call, exchange, &number, &error);
     }
   call->exchange = NULL;
   count_call (call, error);
@@ -331,7 +335,7 @@
   record_call_outcome (store, outcome == QUINCE_HTTP_ANSWERED && status != 503 && status != 429, answered_us);
 }
 
-static const QuinceHttpExchangeCallbacks call_callbacks = { .done = call_done };
+static const QuinceHttpExchangeCallbacks call_callbacks = { .done = handle_exchange_end };
 
 /* ---- Calls ------------------------------------------------------------ */
 
--- a/lib/meta/meta-store.h
+++ b/lib/meta/meta-store.h
@@ -58,12 +58,13 @@
 /* The last call failed. */
 gboolean quince_meta_store_is_failing (const QuinceMetaStore *store);
 
-/* @probe_max_ms: longest time between two probes of a store that does not answer, unless it is relaxed */
-void quince_meta_store_set_probe_interval_max (QuinceMetaStore *store, guint probe_max_ms);
+/* @probe_interval_max_ms: longest time between two probes of a store that does not answer, unless it is
+ * relaxed */
+void quince_meta_store_set_probe_interval_max (QuinceMetaStore *store, guint probe_interval_max_ms);
 
-/* @relaxed: another process feeds all mirrors of this one, so that its pages show when the store is back:
+/* @slow_probes: another process feeds all mirrors of this one, so that its pages show when the store is back:
  * while calls fail the store is probed every 4 s. */
-void quince_meta_store_set_slow_probes (QuinceMetaStore *store, gboolean relaxed);
+void quince_meta_store_set_slow_probes (QuinceMetaStore *store, gboolean slow_probes);
 
 /* Leases may have run out although their owners live: the store is not reachable, or was not until this long
  * ago, us: above the 2 s in which owners write their keys anew, and a margin.  Not measured. */
--- a/lib/observer/observer.c
+++ b/lib/observer/observer.c
@@ -296,7 +296,7 @@
   observer->worker_callbacks = (QuinceMetaMirrorCallbacks){ .item = handle_worker_item,
                                                             .synced = handle_workers_synced,
                                                             .read = handle_workers_read,
-                                                            .same = dialect->same_worker };
+                                                            .is_equivalent = dialect->same_worker };
   observer->workers_read_interval_min_ms = options->workers_read_interval_min_ms;
   guint bound_ms = MAX (options->change_bound_ms, QUINCE_OBSERVER_CHANGE_BOUND_MIN_MS);
   observer->bound_margin_ms = bound_ms - QUINCE_OBSERVER_CHANGE_BOUND_MIN_MS;
--- a/tests/platform/test-meta.c
+++ b/tests/platform/test-meta.c
@@ -373,7 +373,7 @@
 static const QuinceMetaMirrorCallbacks worker_callbacks = { .item = report_item,
                                                             .synced = report_synced,
                                                             .read = report_read,
-                                                            .same = quince_platform_same_worker };
+                                                            .is_equivalent = quince_platform_same_worker };
 
 /* Heartbeats of workers are read, and neither told nor passed on; that a worker is cold, or is no longer, is
  * news. */
