--- a/lib/meta/meta-copy.c
+++ b/lib/meta/meta-copy.c
@@ -1,18 +1,18 @@
 /*
- * meta-copy.c: the items of a prefix, and the removals among its latest changes.
+ * meta-copy.c: the items of a prefix and the latest removed keys.
  */
 #include "meta-copy.h"
 
-/* Removed keys that are remembered.  A process that lacks more than these is sent the whole prefix.  Not
- * measured: a zone of a thousand workers may go at once. */
+/* Maximum number of removed keys that are kept.  A process that missed more removals receives the whole
+ * prefix.  Enough for the loss of a zone with a thousand workers. */
 #define REMOVED_KEYS_MAX 1024
 
 struct _QuinceMetaCopy
 {
   gboolean (*is_equivalent) (GBytes *, GBytes *);
-  GHashTable *items;      /* QuinceMetaItem by key, owned: existing keys */
-  GQueue removals;        /* QuinceMetaItem without value, owned, by rising revision: removed keys */
-  guint64 removals_after; /* every removal after this revision is in @removals */
+  GHashTable *items;      /* QuinceMetaItem by key, owned */
+  GQueue removals;        /* QuinceMetaItem without value, owned: removed keys, oldest first */
+  guint64 removals_after; /* @removals holds every removal after this revision */
 };
 
 QuinceMetaCopy *
@@ -74,7 +74,7 @@
       g_hash_table_remove (copy->items, item->key);
       return TRUE;
     }
-  /* The older revision stays: a process that has it lacks nothing. */
+  /* Keeps the older revision, so that the item is not sent again to processes that have it. */
   if (current != NULL && copy->is_equivalent != NULL && copy->is_equivalent (current->value, item->value))
     return FALSE;
   QuinceMetaItem *stored = item_new (item->key, item->value, item->revision);
@@ -96,7 +96,8 @@
       g_ptr_array_add (removed, item_new (key, NULL, revision));
       g_hash_table_iter_remove (&iter);
     }
-  /* Keys that were written and removed since the last read are unknown. */
+  /* A list does not show keys that were created and removed since the last read, so the changes after an
+   * earlier revision are not known. */
   clear_removals (copy);
   copy->removals_after = revision;
   return removed;
--- a/lib/meta/meta-item.h
+++ b/lib/meta/meta-item.h
@@ -1,7 +1,7 @@
 /*
- * meta-item.h: what calls to the metadata store return: items, pages of items, and errors.
+ * meta-item.h: items, pages of items and errors that calls to the metadata store return.
  *
- * Plain data, without state or sockets; each value is owned by the one who holds it.
+ * Plain data.  An item owns its key and its value, a page owns its items.
  */
 #pragma once
 
@@ -14,31 +14,32 @@
 
 typedef enum
 {
-  QUINCE_META_ERROR_UNAVAILABLE, /* the store did nothing                                     */
-  QUINCE_META_ERROR_UNKNOWN,     /* no answer: the change may be made, now or seconds later    */
-  QUINCE_META_ERROR_CONFLICT,    /* a condition does not hold                                 */
-  QUINCE_META_ERROR_GONE,        /* no such item or lease, or the store dropped that history  */
-  QUINCE_META_ERROR_MALFORMED,   /* the answer cannot be decoded                              */
+  QUINCE_META_ERROR_UNAVAILABLE, /* not sent, or rejected with status 429 or 503 */
+  QUINCE_META_ERROR_UNKNOWN,     /* no usable answer: a change may have been applied, or may be later */
+  QUINCE_META_ERROR_CONFLICT,    /* a key does not have the expected revision */
+  QUINCE_META_ERROR_GONE,        /* no such item or lease, or the store has compacted the revision */
+  QUINCE_META_ERROR_MALFORMED,   /* the answer cannot be decoded */
 } QuinceMetaError;
 
-/* A key as it was written or removed. */
+/* A written or removed key. */
 typedef struct
 {
   char *key;
-  GBytes *value;    /* NULL: removed */
-  guint64 revision; /* of the store, at this change */
+  GBytes *value;    /* NULL: the key was removed */
+  guint64 revision; /* revision of the store at this change */
 } QuinceMetaItem;
 
 void quince_meta_item_free (QuinceMetaItem *item);
 
-/* Items from one read of a prefix. */
+/* The items of one read of a prefix, or of one page from another process. */
 typedef struct
 {
-  GPtrArray *items;         /* owned QuinceMetaItem */
-  gboolean more;            /* another page follows the last key */
-  guint64 after;            /* the items hold all changes after this revision; 0: the whole prefix */
-  guint64 revision;         /* of the store, at this answer */
-  gboolean may_have_lapsed; /* page from another process: keys may have expired during a store outage there */
+  GPtrArray *items; /* owned QuinceMetaItem */
+  gboolean more;    /* the list continues after the last key */
+  guint64 after;    /* the items include all changes after this revision; 0: the whole prefix */
+  guint64 revision; /* revision of the store at the time of the read */
+  /* Set in a page from another process if leases may have expired during an outage of the store there. */
+  gboolean may_have_lapsed;
 } QuinceMetaPage;
 
 void quince_meta_page_free (QuinceMetaPage *page);
--- a/lib/meta/meta-mirror.c
+++ b/lib/meta/meta-mirror.c
@@ -1,5 +1,5 @@
 /*
- * meta-mirror.c: follows the keys of a prefix: a list, then watches from its revision on, or pages of a feed.
+ * meta-mirror.c: keeps a copy of a prefix up to date by a list and watches, or by pages from another process.
  */
 #include <string.h>
 
@@ -13,10 +13,10 @@
 #include "meta/meta-mirror.h"
 #include "meta-private.h"
 
-/* Wait after a failed read, ms, doubled with each failure in a row: calls to the store are limited and paid
- * for, failed ones too. */
+/* Delay after a failed read, ms; doubled with each consecutive failure, since failed calls count towards the
+ * limit of the store too. */
 #define RETRY_DELAY_MIN_MS 100
-/* Longest wait after a failed read, ms: as long as the store client probes a store that does not answer. */
+/* Maximum delay after a failed read, ms; the default maximum interval between probes of the store client. */
 #define RETRY_DELAY_MAX_MS 800
 
 struct _QuinceMetaMirror
@@ -27,24 +27,24 @@
   QuinceMetaMirrorTimes times;
   const QuinceMetaMirrorCallbacks *callbacks;
   gpointer user_data;
-  QuinceMetaCall *call;    /* in progress */
-  QuinceTimer *read_timer; /* until the next call */
-  QuinceMetaCopy *copy;    /* all that was reported to the owner */
-  GPtrArray *changes;      /* QuinceMetaItem, owned: new in the list in progress or in this answer */
-  GHashTable *listed_keys; /* keys of the list in progress; NULL while watching */
-  char *list_after_key;    /* last key of the page before */
-  guint64 revision;        /* watch from here */
-  guint64 list_revision;
-  const char *reason; /* why it reads the store, for the metric; static */
+  QuinceMetaCall *call;    /* call in progress, or NULL */
+  QuinceTimer *read_timer; /* starts the next call, or NULL */
+  QuinceMetaCopy *copy;    /* the items reported to the owner */
+  GPtrArray *changes;      /* QuinceMetaItem, owned: changes of the list or watch that is being read */
+  GHashTable *listed_keys; /* set of the keys read by the list in progress; NULL if there is none */
+  char *list_after_key;    /* last key of the previous page; NULL for the first page */
+  guint64 revision;        /* the next watch returns the changes after this revision */
+  guint64 list_revision;   /* revision of the first page of the list in progress */
+  const char *reason;      /* why this process reads the store, for the metric; static */
   guint retry_delay_ms;
-  gboolean first_read_pending; /* no call was made, and no page came */
-  guint read_interval_ms;      /* from the last answer to the next watch */
+  gboolean first_read_pending; /* no call has been made and no page has arrived */
+  guint read_interval_ms;      /* current interval from an answer to the next watch */
   gint64 watch_started_us;
-  gint64 last_contact_us; /* monotonic time of the last answer or page; 0: none yet */
+  gint64 last_contact_us; /* monotonic time of the last answer or page; 0: none */
   gboolean synced;
   gboolean watching;        /* the call in progress is a watch */
-  gboolean waits_for_store; /* calls to the store fail: reads once it answers again */
-  QuinceTimer *feed_timer;  /* while it is fed: until its patience is over */
+  gboolean waits_for_store; /* calls to the store fail; reads resume when it recovers */
+  QuinceTimer *feed_timer;  /* runs while another process feeds the mirror; ends the feed */
 };
 
 static void begin_list (QuinceMetaMirror *mirror);
@@ -90,7 +90,7 @@
   return g_ptr_array_new_with_free_func ((GDestroyNotify)quince_meta_item_free);
 }
 
-/* Reports a read of the store itself, with its changes since revision @after; also if there are none. */
+/* Reports a read of the store with its changes after revision @after, even if there are none. */
 static void
 report_store_read (QuinceMetaMirror *mirror, guint64 after)
 {
@@ -105,7 +105,8 @@
 
 /* ---- Calls ------------------------------------------------------------ */
 
-/* The pace has already passed before a watch begins. */
+/* Returns how long the store may hold a watch that begins after the read interval.  The interval has already
+ * passed and counts towards the maximum. */
 static guint
 get_watch_wait_ms (const QuinceMetaMirror *mirror)
 {
@@ -230,7 +231,8 @@
     }
   record_contact (mirror);
   if (mirror->list_after_key == NULL)
-    mirror->list_revision = page->revision; /* pages are no snapshot: watch from the first one on */
+    /* Pages are not a snapshot, so the watch begins at the revision of the first one. */
+    mirror->list_revision = page->revision;
   for (guint i = 0; i < page->items->len; i++)
     {
       QuinceMetaItem *item = page->items->pdata[i];
@@ -258,7 +260,7 @@
                                          mirror->reason, handle_list_reply, mirror);
 }
 
-/* ---- Feeding ---------------------------------------------------------- */
+/* ---- Feeds ------------------------------------------------------------ */
 
 QuinceMetaPage *
 quince_meta_mirror_get_changes_since (const QuinceMetaMirror *mirror, guint64 after_revision, gboolean *whole)
@@ -284,7 +286,8 @@
   drop_list (mirror);
 }
 
-/* @wait_ms: for which the store may hold the first watch */
+/* Ends the feed, if there is one, and reads the store.
+ * @wait_ms: how long the store may hold the first watch */
 static void
 resume_store_reads (QuinceMetaMirror *mirror, const char *reason, guint wait_ms)
 {
@@ -297,7 +300,9 @@
   start_store_read (mirror, wait_ms);
 }
 
-/* What was missed comes at once either way.  Only a reader tells others that nothing was. */
+/* Returns how long the store may hold the first watch after a feed.  The store returns missed changes
+ * immediately in any case.  A reader does not wait, since it also has to report to other processes that
+ * nothing has changed. */
 static guint
 get_first_watch_wait_ms (const QuinceMetaMirror *mirror)
 {
@@ -338,7 +343,8 @@
   mirror->feed_timer = quince_timer_add (mirror->times.feed_timeout_ms, handle_feed_timeout, mirror);
 }
 
-/* The page begins after the mirror's revision: only the store has the changes between. */
+/* Returns whether the page begins after the mirror's revision, so that the changes between must be read from
+ * the store. */
 static gboolean
 has_gap (const QuinceMetaMirror *mirror, const QuinceMetaPage *page, gboolean whole)
 {
@@ -370,7 +376,8 @@
     }
   if (whole)
     report_removed (mirror, page->revision);
-  g_ptr_array_set_size (mirror->changes, 0); /* the feeder passes them on itself */
+  /* Only reads of the store are reported to @read: the feeder sends its changes to other processes itself. */
+  g_ptr_array_set_size (mirror->changes, 0);
   if (!whole)
     return TRUE;
   drop_list (mirror);
@@ -380,10 +387,10 @@
   return TRUE;
 }
 
-/* ---- The store's return ----------------------------------------------- */
+/* ---- Recovery of the store -------------------------------------------- */
 
-/* A cut connection gives no sign by itself: a watch that began before the store returned may never be
- * answered, and is begun anew.  So does a mirror that waits for the store. */
+/* Restarts a watch that began before the store recovered: its connection may be broken without an error, so
+ * that no answer arrives.  Also starts the read of a mirror that waits for the store. */
 static void
 handle_store_recovery (gint64 recovered_us, gpointer data)
 {
@@ -455,7 +462,7 @@
       = MAX (times->read_interval_burst_max_ms, times->read_interval_min_ms);
   if (mirror->read_interval_ms <= mirror->times.read_interval_burst_max_ms)
     return;
-  /* A process that begins to feed others does not wait for the end of a pause that had grown. */
+  /* A process that becomes a reader does not finish a pause that is longer than the new maximum. */
   mirror->read_interval_ms = mirror->times.read_interval_burst_max_ms;
   if (mirror->read_timer != NULL && !mirror->first_read_pending)
     schedule_read (mirror, mirror->read_interval_ms);
--- a/lib/meta/meta-mirror.h
+++ b/lib/meta/meta-mirror.h
@@ -1,8 +1,9 @@
 /*
  * meta-mirror.h: a local copy of the keys of one prefix of the metadata store.
  *
- * Owns the copy, its timers and the call in progress; reads through a QuinceMetaStore, or is fed by another
- * process.  Belongs to the thread-default context that created it.
+ * A mirror reads the prefix through a QuinceMetaStore, or another process feeds it with the changes that it
+ * has read.  It owns the copy, its timers and the call in progress, and belongs to the thread-default main
+ * context that created it.
  */
 #pragma once
 
@@ -10,31 +11,45 @@
 
 G_BEGIN_DECLS
 
-/* How often a mirror reads, in milliseconds. */
+/**
+ * QuinceMetaMirrorTimes:
+ * @read_interval_min_ms: minimum time from an answer to the next watch, ms; limits the calls for keys that
+ *   change constantly
+ * @read_interval_burst_max_ms: maximum to which this interval grows while each watch returns changes, ms;
+ *   should be below @read_interval_max_ms.  A value below @read_interval_min_ms counts as
+ *   @read_interval_min_ms
+ * @read_interval_max_ms: maximum time from one answer to the next, ms, if the store answers without delay.  A
+ *   value below @read_interval_min_ms counts as @read_interval_min_ms
+ * @feed_timeout_ms: time without a page after which a fed mirror reads the store, ms; should be above the
+ *   @read_interval_max_ms of the process that feeds it
+ * @outage_read_jitter_max_ms: maximum random delay of the first read after an outage of the store, ms;
+ *   prevents all processes from reading at the same time.  0: no delay
+ * @reader: this process feeds other mirrors.  When its own feed ends, the store answers its first watch
+ *   immediately, even if nothing has changed
+ *
+ * How often a mirror reads the store.
+ */
 typedef struct
 {
-  guint read_interval_min_ms; /* least time from an answer to the next watch: keys may change all the time */
-  guint read_interval_burst_max_ms; /* up to which the pace grows while each watch tells changes; below
-                                       @read_interval_max_ms */
-  guint read_interval_max_ms;      /* greatest time from one answer to the next, if the store answers at once;
-                                    * above the      pace */
-  guint feed_timeout_ms;           /* without a page for so long a fed mirror reads the store; above
-                                    * @read_interval_max_ms of           the process that feeds it */
-  guint outage_read_jitter_max_ms; /* a store that answers again is read at a random moment within this time,
-                                    * so that not all processes read it at once; 0: at once */
-  gboolean reader; /* it feeds other mirrors: when it is fed no longer the store answers its first watch at
-                    * once, also if nothing has changed */
+  guint read_interval_min_ms;
+  guint read_interval_burst_max_ms;
+  guint read_interval_max_ms;
+  guint feed_timeout_ms;
+  guint outage_read_jitter_max_ms;
+  gboolean reader;
 } QuinceMetaMirrorTimes;
 
 typedef struct _QuinceMetaMirror QuinceMetaMirror;
 
 /**
  * QuinceMetaMirrorCallbacks:
- * @item: an item was written, or removed (@item->value is %NULL)
- * @synced: (nullable): all that the store held at some moment was reported; called after each list
- * @read: (nullable): the store itself was read; the page holds the changes.  A page without items proves that
- *   nothing changed
- * @is_equivalent: (nullable): two values of a key mean the same, so that the second one is not reported
+ * @item: called for each item that was written, or removed (its value is %NULL)
+ * @synced: (nullable): called after each complete list and each page with the whole prefix: all items of the
+ *   store have been reported
+ * @read: (nullable): called after each successful read of the store itself, with its changes.  A page without
+ *   items means that nothing has changed
+ * @is_equivalent: (nullable): returns whether two values of a key have the same meaning; the second one
+ *   is not reported then
  */
 typedef struct
 {
@@ -46,13 +61,17 @@
 
 /**
  * quince_meta_mirror_new:
- * @prefix: of the keys to follow
- * @first_read_wait_ms: before the first list, which is not made if the mirror is fed by then; 0: at once
+ * @store: must outlive the mirror
+ * @prefix: prefix of the keys to mirror
+ * @first_read_wait_ms: delay of the first list, ms, which is skipped if another process feeds the mirror
+ *   meanwhile.  0: no delay
+ * @callbacks: must outlive the mirror
  *
- * Lists the prefix and then watches it, until it is freed; lists anew if the store has dropped its history.
- * Set its times before the context runs.  While calls to the store fail it waits for the first good answer.
+ * Lists the prefix and then watches it until the mirror is freed.  Lists the prefix again if the store has
+ * compacted the revision of the watch.  While calls to the store fail, the mirror waits until the store
+ * recovers.  Call quince_meta_mirror_set_times() before the main context runs.
  *
- * Returns: (transfer full): the mirror; @store and @callbacks must outlive it
+ * Returns: (transfer full): the mirror
  */
 QuinceMetaMirror *quince_meta_mirror_new (QuinceMetaStore *store,
                                           const char *prefix,
@@ -60,43 +79,52 @@
                                           const QuinceMetaMirrorCallbacks *callbacks,
                                           gpointer user_data);
 void quince_meta_mirror_free (QuinceMetaMirror *mirror);
-/* The machine was suspended: the copy may be old and a watch may be lost, so the store is read at once. */
+/* Reads the store immediately after a suspension of the machine, since the copy may be stale and a watch may
+ * be lost. */
 void quince_meta_mirror_handle_resume (QuinceMetaMirror *mirror);
-/* Ends the wait before the first list. */
+/* Starts the first list if it is still delayed. */
 void quince_meta_mirror_list_now (QuinceMetaMirror *mirror);
-/* A list of the store is in progress. */
+/* Returns whether a list is in progress. */
 gboolean quince_meta_mirror_is_listing (const QuinceMetaMirror *mirror);
-/* The copy holds all that the store held at some moment. */
+/* Returns whether the copy is complete as of some revision of the store. */
 gboolean quince_meta_mirror_is_synced (const QuinceMetaMirror *mirror);
-/* Takes effect with the next call or page. */
+/* Takes effect with the next call or page.  A pause that is longer than the new maximum restarts with that
+ * maximum. */
 void quince_meta_mirror_set_times (QuinceMetaMirror *mirror, const QuinceMetaMirrorTimes *times);
 /**
  * quince_meta_mirror_feed:
  * @page: changes that another process has just read from the store, each with its revision
- * @whole: the page is all that the store holds under the prefix
+ * @whole: the page holds all items of the prefix
+ *
+ * While another process feeds it, a mirror makes no calls to the store.  A page without items means that
+ * nothing has changed.  If no page arrives within the feed timeout, the mirror reads the store again from its
+ * own revision.
  *
- * While it is fed a mirror makes no calls to the store.  A page without items says that nothing changed.
- * Without a page for its patience the mirror reads the store again, from its own revision on.  It refuses a
- * page that is older than its revision, and one that begins after it, since the changes between are unknown.
+ * The mirror rejects a page that is older than its revision, and a page of changes before it is synced.  It
+ * also rejects a page that begins after its revision, since the changes between are unknown; if it was fed,
+ * it reads the store then.
  *
- * Returns: whether the page was taken
+ * Returns: %TRUE if the page was applied, or %FALSE if it was rejected
  */
 gboolean quince_meta_mirror_feed (QuinceMetaMirror *mirror, const QuinceMetaPage *page, gboolean whole);
-/* The feeding process is gone: a fed mirror reads the store.  @answer_immediately: the store answers also if
- * nothing has changed, as always to a reader */
+/* Makes a fed mirror read the store, because its feeder is lost.
+ * @answer_immediately: the store answers the first watch immediately, even if nothing has changed, as it
+ * always does for a reader */
 void quince_meta_mirror_handle_feed_end (QuinceMetaMirror *mirror, gboolean answer_immediately);
-/* Another process feeds the mirror, so it makes no calls to the store. */
+/* Returns whether another process feeds the mirror, so that it makes no calls to the store. */
 gboolean quince_meta_mirror_is_fed (const QuinceMetaMirror *mirror);
-/* (transfer full): the changes after revision @after_revision (0: everything), to feed another mirror.
- * @whole: (out): the page is all there is under the prefix */
+/* Returns: (transfer full): the changes after @after_revision, or all items if it is 0, to feed another
+ * mirror.
+ * @whole: (out): the page holds all items of the prefix */
 QuinceMetaPage *quince_meta_mirror_get_changes_since (const QuinceMetaMirror *mirror,
                                                       guint64 after_revision,
                                                       gboolean *whole);
-/* Revision of the store up to which the copy is complete; 0: it is not synced. */
+/* Returns the revision of the store up to which the copy is complete, or 0 if the mirror is not synced. */
 guint64 quince_meta_mirror_get_revision (const QuinceMetaMirror *mirror);
-/* Monotonic time of the last answer or page for the prefix, in microseconds; 0: none yet. */
+/* Returns the monotonic time of the last answer or page for the prefix, us, or 0 if there was none. */
 gint64 quince_meta_mirror_get_last_contact_us (const QuinceMetaMirror *mirror);
-/* The last answer or page is recent enough to feed other mirrors from this one. */
+/* Returns whether the last answer or page is recent enough to feed other mirrors from this one: not older
+ * than the feed timeout.  @now_us: monotonic time */
 gboolean quince_meta_mirror_is_fresh (const QuinceMetaMirror *mirror, gint64 now_us);
 
 G_END_DECLS
--- a/lib/meta/meta-presence.c
+++ b/lib/meta/meta-presence.c
@@ -6,20 +6,20 @@
 
 #include "meta/meta-presence.h"
 
-/* Renewals within one time to live.  One that fails is tried again after RETRY_DELAY_MS, many times before
- * the lease runs out. */
+/* Renewals within the time to live of the lease.  The rest of the time allows for retries before the lease
+ * expires. */
 #define RENEWALS_PER_TTL 2
-/* Wait after a failed call, ms, while other calls succeed: a few tries within a lease of seconds.  Not
- * measured. */
+/* Delay after a failed call while other calls succeed, ms; allows several retries within a lease of a few
+ * seconds. */
 #define RETRY_DELAY_MS 300
-/* The same while no call succeeds, ms: each process has a presence, and failed calls are paid for too.  Not
- * measured. */
+/* Delay after a failed call while all calls to the store fail, ms; longer, since every process renews a lease
+ * and failed calls count towards the limit of the store too. */
 #define OUTAGE_RETRY_DELAY_MS 1000
 
 struct _QuinceMetaPresence
 {
   /* All fields belong to the context that created the presence. */
-  grefcount ref_count; /* the owner's, and one for each call in progress */
+  grefcount ref_count; /* one of the owner and one of each call in progress */
   QuinceMetaStore *store;
   char *key;
   GBytes *value;
@@ -117,7 +117,7 @@
   QuinceMetaPresence *presence = data;
   presence->lease = error == NULL ? number : 0;
   if (presence->withdrawn)
-    ; /* the lease runs out by itself */
+    ; /* the lease expires without renewals */
   else if (presence->lease == 0)
     schedule_next_step (presence, get_retry_delay_ms (presence));
   else
@@ -163,7 +163,7 @@
 void
 quince_meta_presence_handle_resume (QuinceMetaPresence *presence)
 {
-  /* Without a timer a call is in progress; its reply sets the next step. */
+  /* If there is no timer, a call is in progress, and its reply schedules the next step. */
   if (presence->timer != NULL)
     schedule_next_step (presence, 0);
 }
--- a/lib/meta/meta-presence.h
+++ b/lib/meta/meta-presence.h
@@ -1,8 +1,8 @@
 /*
- * meta-presence.h: a key that exists for as long as this process renews its lease.
+ * meta-presence.h: a key with a lease that this process renews.
  *
- * Owns the lease and the timer of its renewals; writes through a QuinceMetaStore.  Belongs to the
- * thread-default context that created it.
+ * The store removes the key when the lease expires.  A presence owns its lease and the timer of the renewals,
+ * and belongs to the thread-default main context that created it.
  */
 #pragma once
 
@@ -14,18 +14,24 @@
 
 /**
  * quince_meta_presence_new:
- * @ttl_ms: the store removes the key so long after the last renewal that reached it
+ * @store: must outlive the presence
+ * @ttl_ms: time to live of the lease, ms; the store removes the key this long after the last renewal
  *
- * Writes @key with @value under a lease, renews the lease, and writes the key anew if the lease was lost.
+ * Writes @key with @value under a lease and renews the lease.  Opens a new lease and writes the key again if
+ * the lease is lost.
+ *
+ * Returns: (transfer full): the presence
  */
 QuinceMetaPresence *
 quince_meta_presence_new (QuinceMetaStore *store, const char *key, GBytes *value, guint ttl_ms);
-/* The machine was suspended: the lease may be over, and is renewed or opened anew at once. */
+/* Renews the lease, or opens a new one, immediately after a suspension of the machine. */
 void quince_meta_presence_handle_resume (QuinceMetaPresence *presence);
-/* Writes a new value under the same lease. */
+/* Replaces the value and writes it under the current lease, or as soon as there is a lease. */
 void quince_meta_presence_update (QuinceMetaPresence *presence, GBytes *value);
-/* Ends the lease and with it the key; call once, before free. */
+/* Ends the lease, which removes the key.  A lease that is being opened expires by itself, without a key.
+ * Further calls do nothing. */
 void quince_meta_presence_withdraw (QuinceMetaPresence *presence);
+/* Stops the renewals.  Without quince_meta_presence_withdraw() the key remains until the lease expires. */
 void quince_meta_presence_free (QuinceMetaPresence *presence);
 
 G_END_DECLS
--- a/lib/meta/meta-private.h
+++ b/lib/meta/meta-private.h
@@ -1,5 +1,5 @@
 /*
- * meta-private.h: between the files of lib/meta.
+ * meta-private.h: internal functions of lib/meta.
  */
 #pragma once
 
@@ -7,22 +7,26 @@
 
 typedef struct _QuinceMetaCall QuinceMetaCall;
 
-/* The store answers again since @recovered_us (monotonic): a watch that began before may have been
- * watch_may_be_lost.
- */
+/* Called when the store answers again after failed calls.  A watch that began before @recovered_us
+ * (monotonic) may be lost. */
 typedef void (*QuinceMetaStoreRecoveredFunc) (gint64 recovered_us, gpointer user_data);
 void quince_meta_store_add_listener (QuinceMetaStore *store,
                                      QuinceMetaStoreRecoveredFunc recovered,
                                      gpointer user_data);
 /* Removes the listener that was added with @user_data. */
 void quince_meta_store_remove_listener (QuinceMetaStore *store, gpointer user_data);
-/* @reason: why this process reads by itself, for the metric; static */
+/* Lists one page of the keys with @prefix.
+ * @after_key: (nullable): the last key of the previous page
+ * @reason: why this process reads the store itself, for the metric; static
+ * Returns: the call, owned by the store until its reply */
 QuinceMetaCall *quince_meta_store_list (QuinceMetaStore *store,
                                         const char *prefix,
                                         const char *after_key,
                                         const char *reason,
                                         QuinceMetaReply reply,
                                         gpointer user_data);
+/* Waits up to @wait_ms for changes of the keys with @prefix after @after_revision.
+ * Returns: the call, owned by the store until its reply */
 QuinceMetaCall *quince_meta_store_watch (QuinceMetaStore *store,
                                          const char *prefix,
                                          guint64 after_revision,
@@ -30,5 +34,5 @@
                                          const char *reason,
                                          QuinceMetaReply reply,
                                          gpointer user_data);
-/* Ends a call in progress without its reply. */
+/* Cancels a call in progress and frees it; its reply function is not called. */
 void quince_meta_call_cancel (QuinceMetaCall *call);
--- a/lib/meta/meta-store.c
+++ b/lib/meta/meta-store.c
@@ -12,20 +12,19 @@
 
 #include "meta-private.h"
 
-/* A call fails without an answer in this time, us, plus the time that a watch waits: over two hundred times
- * the store's usual 4 ms. */
+/* Timeout of a call, us; the wait of a watch is added to it.  Far above the usual response time of a few
+ * milliseconds. */
 #define CALL_TIMEOUT_US (1000 * 1000)
-/* Time to the first probe after a failed call, ms: short, since a failure may be one lost connection.  Not
- * measured. */
+/* Delay of the first probe after a failed call, ms; short, since the cause may be one lost connection. */
 #define FIRST_PROBE_DELAY_MS 30
-/* Time to the second probe, ms; doubled from then on.  Not measured. */
+/* Interval from the first probe to the second one, ms; doubled with each further probe. */
 #define PROBE_INTERVAL_MIN_MS 400
-/* Longest time between two probes, ms, until quince_meta_store_set_probe_interval_max(). */
+/* Maximum interval between probes, ms, unless quince_meta_store_set_probe_interval_max() is called. */
 #define DEFAULT_PROBE_INTERVAL_MAX_MS 800
-/* The same for a process that a live leader feeds, ms: the leader's pages show that the store is back.  Far
- * below the 6 s of a front's lease. */
+/* Maximum interval between probes while a leader feeds this process, ms.  Pages from the leader show that the
+ * store has recovered.  Below the 6 s lease of a front. */
 #define SLOW_PROBE_INTERVAL_MAX_MS 4000
-/* Read by probes; any key will do. */
+/* Key that probes read; it need not exist. */
 #define PROBE_KEY "quinceroute/ledger"
 
 typedef enum
@@ -37,7 +36,7 @@
   ANSWER_LEASE,
 } AnswerKind;
 
-/* Waits for the store's return. */
+/* Called when the store recovers. */
 typedef struct
 {
   QuinceMetaStoreRecoveredFunc recovered;
@@ -49,21 +48,21 @@
   /* All fields belong to the context that created the store. */
   QuinceHttpPool *pool;
   const QuinceMetaDialect *dialect;
-  GHashTable *calls; /* Call, owned: those in progress */
+  GHashTable *calls; /* QuinceMetaCall, owned: calls in progress */
   GArray *listeners; /* Listener */
   QuinceMetaContact contact;
   gboolean failing;
-  QuinceTimer *probe_timer; /* while failing */
+  QuinceTimer *probe_timer; /* starts the next probe; NULL while calls succeed */
   guint probe_interval_max_ms;
-  guint probe_interval_ms; /* until the next probe */
+  guint probe_interval_ms; /* interval from the next probe to the one after it */
   gboolean slow_probes;    /* see quince_meta_store_set_slow_probes() */
 };
 
-/* Labels of a call for the metric. */
+/* Labels of a call for the metric, without its outcome. */
 typedef struct
 {
   const char *kind;    /* static */
-  const char *subject; /* key or prefix, of which the first two parts are shown; "": none */
+  const char *subject; /* key or prefix; the metric shows its first two components; "": none */
   const char *reason;  /* static; "": none */
 } CallPurpose;
 
@@ -72,7 +71,7 @@
   QuinceMetaStore *store;
   QuinceHttpExchange *exchange;
   AnswerKind kind;
-  char *labels; /* for the metric, but for its outcome */
+  char *labels; /* for the metric, without the outcome */
   QuinceMetaReply reply;
   gpointer user_data;
 };
@@ -166,7 +165,7 @@
 static void
 ignore_probe_reply (const QuinceMetaPage *page, guint64 number, const GError *error, gpointer data)
 {
-  /* handle_exchange_end() notes the outcome, as of any call. */
+  /* handle_exchange_end() records the outcome of every call. */
 }
 
 static gboolean
@@ -203,8 +202,9 @@
   store->probe_timer = quince_timer_add (FIRST_PROBE_DELAY_MS, probe_store, store);
 }
 
-/* @answered_us: time of the outcome.  The first good answer after failures is reported to the listeners: a
- * watch that began before it may never be answered, as a cut connection gives no sign by itself. */
+/* Records whether a call succeeded, starts or stops the probes, and calls the listeners at the first success
+ * after failures.
+ * @answered_us: monotonic time of the outcome */
 static void
 record_call_outcome (QuinceMetaStore *store, gboolean success, gint64 answered_us)
 {
@@ -240,17 +240,18 @@
     const char *text;
   } table[] = {
     { 404, QUINCE_META_ERROR_GONE, "no such item or lease" },
-    { 410, QUINCE_META_ERROR_GONE, "history is dropped" },
-    { 412, QUINCE_META_ERROR_CONFLICT, "a condition does not hold" },
-    { 429, QUINCE_META_ERROR_UNAVAILABLE, "too many calls" },
-    { 503, QUINCE_META_ERROR_UNAVAILABLE, "store is not available" },
+    { 410, QUINCE_META_ERROR_GONE, "the store has compacted the requested revision" },
+    { 412, QUINCE_META_ERROR_CONFLICT, "a key does not have the expected revision" },
+    { 429, QUINCE_META_ERROR_UNAVAILABLE, "the store rejected the call: too many calls" },
+    { 503, QUINCE_META_ERROR_UNAVAILABLE, "the store is unavailable" },
   };
   for (guint i = 0; i < G_N_ELEMENTS (table); i++)
     if (table[i].status == status)
       return g_error_new_literal (QUINCE_META_ERROR, table[i].code, table[i].text);
   if (status == 200)
     return NULL;
-  return g_error_new (QUINCE_META_ERROR, QUINCE_META_ERROR_UNKNOWN, "answer with status %u", status);
+  return g_error_new (QUINCE_META_ERROR, QUINCE_META_ERROR_UNKNOWN, "unexpected status %u from the store",
+                      status);
 }
 
 static QuinceMetaPage *
@@ -277,7 +278,8 @@
     }
 }
 
-/* (transfer full): keys name machines, so a metric counts all of "a/b/..." as "a/b". */
+/* Returns: (transfer full): the labels of a call.  All keys of "a/b/..." are counted as "a/b", since a key
+ * may contain the name of a machine. */
 static char *
 format_labels (const CallPurpose *purpose)
 {
@@ -331,7 +333,7 @@
   gpointer user_data = call->user_data;
   g_hash_table_remove (store->calls, call);
   reply (page, number, error, user_data);
-  /* Last, since listeners may begin watches anew. */
+  /* Last, since listeners may start new watches. */
   record_call_outcome (store, outcome == QUINCE_HTTP_ANSWERED && status != 503 && status != 429, answered_us);
 }
 
--- a/lib/meta/meta-store.h
+++ b/lib/meta/meta-store.h
@@ -1,9 +1,9 @@
 /*
- * meta-store.h: calls to the shared metadata store: keys under conditions, watches and leases.
+ * meta-store.h: client of the shared metadata store: conditional writes, watches and leases.
  *
- * Owns the connections to the store, the calls in progress and the timer of probes while the store does not
- * answer.  Relies on a dialect (QuinceMetaDialect) that the adapter provides to encode and decode the calls.
- * Everything belongs to the thread-default context that created it.
+ * A QuinceMetaStore owns the connections to the store and the calls in progress, and probes the store while
+ * calls fail.  A QuinceMetaDialect, provided by the platform adapter, encodes the calls and decodes the
+ * answers.  Everything belongs to the thread-default main context that created it.
  */
 #pragma once
 
@@ -12,17 +12,17 @@
 
 G_BEGIN_DECLS
 
-/* One change of a transaction.  @expected_revision 0: the key must not exist; -1: no condition. */
+/* One change of a transaction. */
 typedef struct
 {
   const char *key;
-  gint64 expected_revision;
-  GBytes *value; /* NULL: remove */
-  guint64 lease; /* 0: none */
+  gint64 expected_revision; /* 0: the key must not exist; -1: no condition */
+  GBytes *value;            /* NULL: remove the key */
+  guint64 lease;            /* lease of the key; 0: none */
 } QuinceMetaChange;
 
-/* Encodes calls and decodes answers.  Targets, bodies and pages are (transfer full); pages are %NULL with an
- * error, numbers 0 where an answer cannot be decoded. */
+/* Encodes calls and decodes answers.  Request targets, bodies and pages are (transfer full).  If an answer
+ * cannot be decoded, a page is %NULL with an error set, and a revision or lease is 0. */
 typedef struct
 {
   char *(*get_target) (const char *key);
@@ -40,67 +40,82 @@
   guint64 (*parse_lease) (const char *body, gsize length);
 } QuinceMetaDialect;
 
-/* ---- Calls ------------------------------------------------------------ */
+/* ---- Store ------------------------------------------------------------ */
 
 typedef struct _QuinceMetaStore QuinceMetaStore;
 
-/* When the store answered, by the monotonic clock, us. */
+/* Monotonic times of answers of the store, us. */
 typedef struct
 {
-  gint64 last_answer_us; /* 0: none yet */
-  gint64 recovered_us;   /* when calls last began to succeed again; 0: never */
+  gint64 last_answer_us; /* last answer other than 429 and 503; 0: none */
+  gint64 recovered_us;   /* first success after the last failures; 0: none */
 } QuinceMetaContact;
 
+/* Returns: (transfer full): a client of the store at @address.  @dialect must outlive it. */
 QuinceMetaStore *quince_meta_store_new (const char *address, const QuinceMetaDialect *dialect);
+/* Cancels the calls in progress; their reply functions are not called. */
 void quince_meta_store_free (QuinceMetaStore *store);
+/* Returns: (transfer none): when the store answered; updated with each call. */
 const QuinceMetaContact *quince_meta_store_get_contact (const QuinceMetaStore *store);
 
-/* The last call failed. */
+/* Returns whether the last call failed: no answer arrived, or its status was 429 or 503. */
 gboolean quince_meta_store_is_failing (const QuinceMetaStore *store);
 
-/* @probe_interval_max_ms: longest time between two probes of a store that does not answer, unless it is
- * relaxed */
+/* Sets the maximum interval between probes while calls fail, ms.  It does not apply while slow probes are
+ * set. */
 void quince_meta_store_set_probe_interval_max (QuinceMetaStore *store, guint probe_interval_max_ms);
 
-/* @slow_probes: another process feeds all mirrors of this one, so that its pages show when the store is back:
- * while calls fail the store is probed every 4 s. */
+/* @slow_probes: while calls fail, let the interval between probes grow to 4 s.  For a process whose mirrors
+ * are all fed by another process, which notices first that the store has recovered.  Clearing it during an
+ * outage restarts the probes with the shortest interval. */
 void quince_meta_store_set_slow_probes (QuinceMetaStore *store, gboolean slow_probes);
 
-/* Leases may have run out although their owners live: the store is not reachable, or was not until this long
- * ago, us: above the 2 s in which owners write their keys anew, and a margin.  Not measured. */
+/* Time after a recovery of the store in which leases of live owners may still be missing, us: the 2 s in
+ * which owners write their keys again, and a margin. */
 #define QUINCE_META_LEASE_RECOVERY_US (3 * G_USEC_PER_SEC)
+/* Returns whether leases may have expired although their owners are alive: calls to the store fail, or it
+ * recovered less than QUINCE_META_LEASE_RECOVERY_US ago.
+ * @now_us: monotonic time */
 gboolean quince_meta_store_leases_may_have_lapsed (const QuinceMetaStore *store, gint64 now_us);
 
 /**
  * QuinceMetaReply:
- * @page: (nullable): items read
- * @number: revision of a change, or id of a lease
- * @error: (nullable): set when the call failed
+ * @page: (nullable): the items read; valid during the call only
+ * @number: revision of a change, or id of a new lease; 0 for other calls
+ * @error: (nullable): a QUINCE_META_ERROR if the call failed; valid during the call only
+ *
+ * Receives the result of a call to the store.
  */
 typedef void (*QuinceMetaReply) (const QuinceMetaPage *page,
                                  guint64 number,
                                  const GError *error,
                                  gpointer user_data);
 
-/* The machine was suspended: kept connections are dropped, since the store may have closed them. */
+/* ---- Calls ------------------------------------------------------------ */
+
+/* Closes idle connections after a suspension of the machine, since the store may have closed them. */
 void quince_meta_store_handle_resume (QuinceMetaStore *store);
-/* One item; GONE where there is none. */
+/* Reads one item.  The error is QUINCE_META_ERROR_GONE if it does not exist. */
 void
 quince_meta_store_get (QuinceMetaStore *store, const char *key, QuinceMetaReply reply, gpointer user_data);
-/* All of @changes or none, if every condition holds.  CONFLICT where one does not. */
+/* Applies all of @changes in one transaction, or none.  The error is QUINCE_META_ERROR_CONFLICT if a key does
+ * not have its expected revision. */
 void quince_meta_store_change (QuinceMetaStore *store,
                                const QuinceMetaChange *changes,
                                guint n_changes,
                                QuinceMetaReply reply,
                                gpointer user_data);
+/* Opens a lease that expires after @ttl_ms without renewal. */
 void quince_meta_store_open_lease (QuinceMetaStore *store,
                                    guint ttl_ms,
                                    QuinceMetaReply reply,
                                    gpointer user_data);
+/* The error is QUINCE_META_ERROR_GONE if the lease has expired. */
 void quince_meta_store_renew_lease (QuinceMetaStore *store,
                                     guint64 lease,
                                     QuinceMetaReply reply,
                                     gpointer user_data);
+/* Ends a lease, which removes its keys. */
 void quince_meta_store_end_lease (QuinceMetaStore *store,
                                   guint64 lease,
                                   QuinceMetaReply reply,
