--- a/lib/meta/meta-presence.c
+++ b/lib/meta/meta-presence.c
@@ -25,7 +25,7 @@
   GBytes *value;
   guint ttl_ms;
   guint64 lease; /* 0: none */
-  QuinceTimer *timer;
+  QuinceTimer *lease_timer;
   gboolean withdrawn;
 };
 
@@ -49,7 +49,7 @@
   return presence;
 }
 
-static gboolean run_next_step (gpointer data);
+static gboolean renew_or_reopen_lease (gpointer data);
 
 static guint
 get_retry_delay_ms (const QuinceMetaPresence *presence)
@@ -58,11 +58,11 @@
 }
 
 static void
-schedule_next_step (QuinceMetaPresence *presence, guint wait_ms)
+schedule_lease_call (QuinceMetaPresence *presence, guint wait_ms)
 {
-  quince_timer_clear (&presence->timer);
+  quince_timer_clear (&presence->lease_timer);
   if (!presence->withdrawn)
-    presence->timer = quince_timer_add (wait_ms, run_next_step, presence);
+    presence->lease_timer = quince_timer_add (wait_ms, renew_or_reopen_lease, presence);
 }
 
 static void
@@ -74,16 +74,16 @@
       quince_log_warning ("lease_lost", "key=%s", presence->key);
       presence->lease = 0;
     }
-  schedule_next_step (presence,
-                      error != NULL ? get_retry_delay_ms (presence) : presence->ttl_ms / RENEWALS_PER_TTL);
+  schedule_lease_call (presence,
+                       error != NULL ? get_retry_delay_ms (presence) : presence->ttl_ms / RENEWALS_PER_TTL);
   presence_unref (presence);
 }
 
 static gboolean
-run_next_step (gpointer data)
+renew_or_reopen_lease (gpointer data)
 {
   QuinceMetaPresence *presence = data;
-  quince_timer_clear (&presence->timer);
+  quince_timer_clear (&presence->lease_timer);
   if (presence->lease == 0)
     open_lease (presence);
   else
@@ -98,8 +98,8 @@
   QuinceMetaPresence *presence = data;
   if (error != NULL)
     presence->lease = 0;
-  schedule_next_step (presence,
-                      error != NULL ? get_retry_delay_ms (presence) : presence->ttl_ms / RENEWALS_PER_TTL);
+  schedule_lease_call (presence,
+                       error != NULL ? get_retry_delay_ms (presence) : presence->ttl_ms / RENEWALS_PER_TTL);
   presence_unref (presence);
 }
 
@@ -119,7 +119,7 @@
   if (presence->withdrawn)
     ; /* the lease expires without renewals */
   else if (presence->lease == 0)
-    schedule_next_step (presence, get_retry_delay_ms (presence));
+    schedule_lease_call (presence, get_retry_delay_ms (presence));
   else
     write_key (presence);
   presence_unref (presence);
@@ -164,8 +164,8 @@
 quince_meta_presence_handle_resume (QuinceMetaPresence *presence)
 {
   /* If there is no timer, a call is in progress, and its reply schedules the next step. */
-  if (presence->timer != NULL)
-    schedule_next_step (presence, 0);
+  if (presence->lease_timer != NULL)
+    schedule_lease_call (presence, 0);
 }
 
 void
@@ -174,7 +174,7 @@
   if (presence->withdrawn)
     return;
   presence->withdrawn = TRUE;
-  quince_timer_clear (&presence->timer);
+  quince_timer_clear (&presence->lease_timer);
   if (presence->lease != 0)
     quince_meta_store_end_lease (presence->store, presence->lease, handle_lease_end_reply,
                                  presence_ref (presence));
@@ -186,6 +186,6 @@
   if (presence == NULL)
     return;
   presence->withdrawn = TRUE;
-  quince_timer_clear (&presence->timer);
+  quince_timer_clear (&presence->lease_timer);
   presence_unref (presence);
 }
--- a/lib/meta/meta-store.c
+++ b/lib/meta/meta-store.c
@@ -47,7 +47,7 @@
 {
   /* All fields belong to the context that created the store. */
   QuinceHttpPool *pool;
-  const QuinceMetaDialect *dialect;
+  const QuinceMetaDialect *codec;
   GHashTable *calls; /* QuinceMetaCall, owned: calls in progress */
   GArray *listeners; /* Listener */
   QuinceMetaContact contact;
@@ -87,12 +87,12 @@
 }
 
 QuinceMetaStore *
-quince_meta_store_new (const char *address, const QuinceMetaDialect *dialect)
+quince_meta_store_new (const char *address, const QuinceMetaDialect *codec)
 {
   QuinceMetaStore *store = g_new0 (QuinceMetaStore, 1);
   store->pool = quince_http_pool_new (address);
   store->probe_interval_max_ms = DEFAULT_PROBE_INTERVAL_MAX_MS;
-  store->dialect = dialect;
+  store->codec = codec;
   store->calls = g_hash_table_new_full (NULL, NULL, call_free, NULL);
   store->listeners = g_array_new (FALSE, FALSE, sizeof (Listener));
   return store;
@@ -178,7 +178,7 @@
       = MIN (store->probe_interval_ms * 2,
              store->slow_probes ? SLOW_PROBE_INTERVAL_MAX_MS : store->probe_interval_max_ms);
   const CallPurpose purpose = { "get", PROBE_KEY, "failing" };
-  begin_call (store, "GET", store->dialect->get_target (PROBE_KEY), NULL, CALL_TIMEOUT_US, ANSWER_ITEM,
+  begin_call (store, "GET", store->codec->get_target (PROBE_KEY), NULL, CALL_TIMEOUT_US, ANSWER_ITEM,
               &purpose, ignore_probe_reply, store);
   return G_SOURCE_REMOVE;
 }
@@ -259,18 +259,18 @@
 {
   const GByteArray *body = quince_http_exchange_get_body (exchange);
   const char *text = (const char *)body->data;
-  const QuinceMetaDialect *dialect = call->store->dialect;
+  const QuinceMetaDialect *codec = call->store->codec;
   switch (call->kind)
     {
     case ANSWER_ITEM:
-      return dialect->parse_item (text, body->len, error);
+      return codec->parse_item (text, body->len, error);
     case ANSWER_PAGE:
-      return dialect->parse_page (text, body->len, error);
+      return codec->parse_page (text, body->len, error);
     case ANSWER_REVISION:
-      *number = dialect->parse_revision (text, body->len);
+      *number = codec->parse_revision (text, body->len);
       return NULL;
     case ANSWER_LEASE:
-      *number = dialect->parse_lease (text, body->len);
+      *number = codec->parse_lease (text, body->len);
       return NULL;
     case ANSWER_NONE:
     default:
@@ -385,7 +385,7 @@
 quince_meta_store_get (QuinceMetaStore *store, const char *key, QuinceMetaReply reply, gpointer user_data)
 {
   const CallPurpose purpose = { "get", key, "" };
-  begin_call (store, "GET", store->dialect->get_target (key), NULL, CALL_TIMEOUT_US, ANSWER_ITEM, &purpose,
+  begin_call (store, "GET", store->codec->get_target (key), NULL, CALL_TIMEOUT_US, ANSWER_ITEM, &purpose,
               reply, user_data);
 }
 
@@ -398,7 +398,7 @@
                         gpointer user_data)
 {
   const CallPurpose purpose = { "list", prefix, reason };
-  return begin_call (store, "GET", store->dialect->list_target (prefix, after_key), NULL, CALL_TIMEOUT_US,
+  return begin_call (store, "GET", store->codec->list_target (prefix, after_key), NULL, CALL_TIMEOUT_US,
                      ANSWER_PAGE, &purpose, reply, user_data);
 }
 
@@ -412,7 +412,7 @@
                          gpointer user_data)
 {
   const CallPurpose purpose = { "watch", prefix, reason };
-  return begin_call (store, "GET", store->dialect->watch_target (prefix, after_revision, wait_ms), NULL,
+  return begin_call (store, "GET", store->codec->watch_target (prefix, after_revision, wait_ms), NULL,
                      CALL_TIMEOUT_US + (gint64)wait_ms * 1000, ANSWER_PAGE, &purpose, reply, user_data);
 }
 
@@ -424,17 +424,17 @@
                           gpointer user_data)
 {
   const CallPurpose purpose = { "change", n_changes > 0 ? changes[0].key : "", "" };
-  g_autoptr (GBytes) body = store->dialect->format_change (changes, n_changes);
-  begin_call (store, "POST", store->dialect->change_target (), body, CALL_TIMEOUT_US, ANSWER_REVISION,
-              &purpose, reply, user_data);
+  g_autoptr (GBytes) body = store->codec->format_change (changes, n_changes);
+  begin_call (store, "POST", store->codec->change_target (), body, CALL_TIMEOUT_US, ANSWER_REVISION, &purpose,
+              reply, user_data);
 }
 
 void
 quince_meta_store_open_lease (QuinceMetaStore *store, guint ttl_ms, QuinceMetaReply reply, gpointer user_data)
 {
   const CallPurpose purpose = { "lease", "", "open" };
-  g_autoptr (GBytes) body = store->dialect->format_lease (ttl_ms);
-  begin_call (store, "POST", store->dialect->open_lease_target (), body, CALL_TIMEOUT_US, ANSWER_LEASE,
+  g_autoptr (GBytes) body = store->codec->format_lease (ttl_ms);
+  begin_call (store, "POST", store->codec->open_lease_target (), body, CALL_TIMEOUT_US, ANSWER_LEASE,
               &purpose, reply, user_data);
 }
 
@@ -445,7 +445,7 @@
                                gpointer user_data)
 {
   const CallPurpose purpose = { "lease", "", "renew" };
-  begin_call (store, "POST", store->dialect->renew_lease_target (lease), NULL, CALL_TIMEOUT_US, ANSWER_NONE,
+  begin_call (store, "POST", store->codec->renew_lease_target (lease), NULL, CALL_TIMEOUT_US, ANSWER_NONE,
               &purpose, reply, user_data);
 }
 
@@ -453,6 +453,6 @@
 quince_meta_store_end_lease (QuinceMetaStore *store, guint64 lease, QuinceMetaReply reply, gpointer user_data)
 {
   const CallPurpose purpose = { "lease", "", "end" };
-  begin_call (store, "DELETE", store->dialect->end_lease_target (lease), NULL, CALL_TIMEOUT_US, ANSWER_NONE,
+  begin_call (store, "DELETE", store->codec->end_lease_target (lease), NULL, CALL_TIMEOUT_US, ANSWER_NONE,
               &purpose, reply, user_data);
 }
--- a/lib/meta/meta-store.h
+++ b/lib/meta/meta-store.h
@@ -51,8 +51,8 @@
   gint64 recovered_us;   /* first success after the last failures; 0: none */
 } QuinceMetaContact;
 
-/* Returns: (transfer full): a client of the store at @address.  @dialect must outlive it. */
-QuinceMetaStore *quince_meta_store_new (const char *address, const QuinceMetaDialect *dialect);
+/* Returns: (transfer full): a client of the store at @address.  @codec must outlive it. */
+QuinceMetaStore *quince_meta_store_new (const char *address, const QuinceMetaDialect *codec);
 /* Cancels the calls in progress; their reply functions are not called. */
 void quince_meta_store_free (QuinceMetaStore *store);
 /* Returns: (transfer none): when the store answered; updated with each call. */
