--- a/lib/meta/meta-mirror.c
+++ b/lib/meta/meta-mirror.c
@@ -330,6 +330,7 @@
   return mirror->feed_timer != NULL;
 }
 
+/* Starts the feed or restarts its timeout, and stops reads of the store. */
 static void
 extend_feed (QuinceMetaMirror *mirror)
 {
--- a/lib/meta/meta-presence.c
+++ b/lib/meta/meta-presence.c
@@ -163,7 +163,7 @@
 void
 quince_meta_presence_handle_resume (QuinceMetaPresence *presence)
 {
-  /* If there is no timer, a call is in progress, and its reply schedules the next step. */
+  /* If there is no timer, a call is in progress, and its reply schedules the next one. */
   if (presence->lease_timer != NULL)
     schedule_lease_call (presence, 0);
 }
--- a/lib/meta/meta-store.c
+++ b/lib/meta/meta-store.c
@@ -51,14 +51,14 @@
   GHashTable *calls; /* QuinceMetaCall, owned: calls in progress */
   GArray *listeners; /* Listener */
   QuinceMetaContact contact;
-  gboolean failing;
+  gboolean failing;         /* the last call failed */
   QuinceTimer *probe_timer; /* starts the next probe; NULL while calls succeed */
   guint probe_interval_max_ms;
   guint probe_interval_ms; /* interval from the next probe to the one after it */
   gboolean slow_probes;    /* see quince_meta_store_set_slow_probes() */
 };
 
-/* Labels of a call for the metric, without its outcome. */
+/* Purpose of a call, for the labels of its metric. */
 typedef struct
 {
   const char *kind;    /* static */
--- a/lib/meta/meta-store.h
+++ b/lib/meta/meta-store.h
@@ -80,9 +80,10 @@
 
 /**
  * QuinceMetaReply:
- * @page: (nullable): the items read; valid during the call only
- * @number: revision of a change, or id of a new lease; 0 for other calls
- * @error: (nullable): a QUINCE_META_ERROR if the call failed; valid during the call only
+ * @page: (nullable): the items read; valid only until the function returns
+ * @number: revision of a change, or id of a new lease; 0 for other calls and for failed ones
+ * @error: (nullable): set if the call failed: a QUINCE_META_ERROR, or an error of the codec if the answer
+ *   cannot be decoded; valid only until the function returns
  *
  * Receives the result of a call to the store.
  */
