--- a/lib/meta/meta-item.h
+++ b/lib/meta/meta-item.h
@@ -18,7 +18,7 @@
   QUINCE_META_ERROR_UNKNOWN,     /* no usable answer: a change may have been applied, or may be later */
   QUINCE_META_ERROR_CONFLICT,    /* a key does not have the expected revision */
   QUINCE_META_ERROR_GONE,        /* no such item or lease, or the store has compacted the revision */
-  QUINCE_META_ERROR_MALFORMED,   /* the answer cannot be decoded */
+  QUINCE_META_ERROR_MALFORMED,   /* not set: an answer that cannot be decoded has an error of the codec */
 } QuinceMetaError;
 
 /* A written or removed key. */
