--- a/lib/forward/dispatch.c
+++ b/lib/forward/dispatch.c
@@ -9,12 +9,12 @@
 void
 quince_dispatch_init (QuinceDispatch *dispatch,
                       QuinceBackends *backends,
-                      const QuinceForwardDialect *dialect,
+                      const QuinceForwardDialect *codec,
                       const QuinceForwardRequest *request,
                       gboolean repeatable)
 {
   dispatch->backends = backends;
-  dispatch->dialect = dialect;
+  dispatch->codec = codec;
   dispatch->service = g_strdup (request->service);
   dispatch->caller = g_strdup (request->caller);
   dispatch->tenant = g_strdup (request->tenant != NULL ? request->tenant : request->caller);
@@ -177,8 +177,8 @@
                                   worker->id);
       quince_send_guard_report_send (guard, now_us, identity, &dispatch->permit, worker->id);
     }
-  dispatch->dialect->write_attempt_headers (headers, worker->id,
-                                            MAX ((dispatch->deadline_us - now_us) / 1000, 1));
+  dispatch->codec->write_attempt_headers (headers, worker->id,
+                                          MAX ((dispatch->deadline_us - now_us) / 1000, 1));
   g_hash_table_add (dispatch->avoid, g_strdup (worker->id));
   dispatch->attempts++;
   worker->running++;
--- a/lib/forward/forward.c
+++ b/lib/forward/forward.c
@@ -206,7 +206,7 @@
   const char *request_id = NULL;
   const char *signature = NULL;
   gboolean refused = FALSE;
-  forward->dispatch.dialect->read_answer (head, &request_id, &signature, &refused);
+  forward->dispatch.codec->read_answer (head, &request_id, &signature, &refused);
   gboolean succeeded = head->status >= 200 && head->status < 300;
   if (g_strcmp0 (request_id, forward->dispatch.request_id) != 0 && (succeeded || request_id != NULL))
     {
@@ -230,7 +230,7 @@
   const char *request_id = NULL;
   const char *signature = NULL;
   gboolean refused = FALSE;
-  attempt->forward->dispatch.dialect->read_answer (head, &request_id, &signature, &refused);
+  attempt->forward->dispatch.codec->read_answer (head, &request_id, &signature, &refused);
   if (request_id != NULL && !g_str_equal (request_id, attempt->forward->dispatch.request_id))
     quince_http_exchange_distrust (exchange);
 }
@@ -394,13 +394,13 @@
 
 QuinceForward *
 quince_forward_start (QuinceBackends *backends,
-                      const QuinceForwardDialect *dialect,
+                      const QuinceForwardDialect *codec,
                       const QuinceForwardRequest *request,
                       void (*done) (const QuinceForwardResult *result, gpointer user_data),
                       gpointer user_data)
 {
   QuinceForward *forward = g_new0 (QuinceForward, 1);
-  quince_dispatch_init (&forward->dispatch, backends, dialect, request, request->repeatable);
+  quince_dispatch_init (&forward->dispatch, backends, codec, request, request->repeatable);
   forward->done = done;
   forward->user_data = user_data;
   forward->in_flight = g_ptr_array_new_with_free_func (attempt_free);
--- a/lib/forward/forward.h
+++ b/lib/forward/forward.h
@@ -93,7 +93,7 @@
 /* Starts to forward a copy of @request.  Calls done() once, but never before this function returns; the
  * forward is freed after that. */
 QuinceForward *quince_forward_start (QuinceBackends *backends,
-                                     const QuinceForwardDialect *dialect,
+                                     const QuinceForwardDialect *codec,
                                      const QuinceForwardRequest *request,
                                      void (*done) (const QuinceForwardResult *result, gpointer user_data),
                                      gpointer user_data);
--- a/lib/forward/stream.c
+++ b/lib/forward/stream.c
@@ -20,7 +20,7 @@
 {
   /* All fields belong to the context that started it. */
   QuinceDispatch dispatch;
-  const QuinceStreamDialect *dialect;
+  const QuinceStreamDialect *codec;
   const QuinceStreamCallbacks *callbacks;
   gpointer user_data;
 
@@ -43,7 +43,7 @@
 {
   quince_timer_clear (&stream->timeout_timer);
   if (stream->event_parser != NULL)
-    stream->dialect->event_parser_free (stream->event_parser);
+    stream->codec->event_parser_free (stream->event_parser);
   stream->event_parser = NULL;
   stream->exchange = NULL;
   quince_dispatch_release_worker (&stream->dispatch, stream->worker_id);
@@ -127,7 +127,7 @@
   const char *request_id = NULL;
   const char *signature = NULL;
   gboolean not_run = FALSE;
-  stream->dialect->forward->read_answer (head, &request_id, &signature, &not_run);
+  stream->codec->forward->read_answer (head, &request_id, &signature, &not_run);
   stream->contact_us = quince_now_us ();
   stream->forwarding = g_strcmp0 (request_id, stream->dispatch.request_id) == 0 && !not_run
                        && (head->status == 200 ? signature != NULL : !stream->dispatch.retry.repeatable);
@@ -148,7 +148,7 @@
 {
   guint64 id = 0;
   g_autoptr (GString) bytes = g_string_new (NULL);
-  while (stream->dialect->event_parser_next_event (stream->event_parser, &id, bytes))
+  while (stream->codec->event_parser_next_event (stream->event_parser, &id, bytes))
     {
       if (stream->has_last_event && id <= stream->last_event_id)
         return FALSE;
@@ -172,7 +172,7 @@
       stream->callbacks->data (data, length, stream->user_data);
       return;
     }
-  stream->dialect->event_parser_feed (stream->event_parser, data, length);
+  stream->codec->event_parser_feed (stream->event_parser, data, length);
   if (forward_events (stream))
     return;
   quince_http_exchange_cancel (exchange);
@@ -186,7 +186,7 @@
   const char *request_id = NULL;
   const char *signature = NULL;
   gboolean not_run = FALSE;
-  stream->dialect->forward->read_answer (head, &request_id, &signature, &not_run);
+  stream->codec->forward->read_answer (head, &request_id, &signature, &not_run);
   if (!not_run)
     quince_dispatch_handle_answer (&stream->dispatch);
   if (stream->forwarding && !has_partial_event)
@@ -204,8 +204,8 @@
 exchange_done (QuinceHttpExchange *exchange, QuinceHttpOutcome outcome, const GError *error, gpointer data)
 {
   QuinceStream *stream = data;
-  gboolean has_partial_event = stream->event_parser != NULL
-                               && stream->dialect->event_parser_has_partial_event (stream->event_parser);
+  gboolean has_partial_event
+      = stream->event_parser != NULL && stream->codec->event_parser_has_partial_event (stream->event_parser);
   release_worker (stream);
   if (outcome == QUINCE_HTTP_ANSWERED)
     {
@@ -262,7 +262,7 @@
   QuinceDispatch *dispatch = &stream->dispatch;
   g_autoptr (QuinceHttpHeaders) headers = quince_dispatch_begin_attempt (dispatch, worker, now_us);
   if (stream->has_last_event)
-    stream->dialect->write_resume (headers, stream->last_event_id);
+    stream->codec->write_resume (headers, stream->last_event_id);
   const QuinceHttpRequest request = { .method = dispatch->method,
                                       .target = dispatch->target,
                                       .headers = headers,
@@ -272,7 +272,7 @@
   stream->worker_id = g_strdup (worker->id);
   stream->contact_us = now_us;
   stream->forwarding = FALSE;
-  stream->event_parser = stream->dispatch.retry.repeatable ? stream->dialect->event_parser_new () : NULL;
+  stream->event_parser = stream->dispatch.retry.repeatable ? stream->codec->event_parser_new () : NULL;
   QuinceHttpPool *pool = quince_backends_get_pool (dispatch->backends, worker);
   stream->exchange = quince_http_pool_start (pool, &request, &exchange_callbacks, stream);
   stream->timeout_timer = quince_timer_add (1, check_timeouts, stream);
@@ -333,15 +333,15 @@
 
 QuinceStream *
 quince_stream_start (QuinceBackends *backends,
-                     const QuinceStreamDialect *dialect,
+                     const QuinceStreamDialect *codec,
                      const QuinceForwardRequest *request,
                      gboolean resumable,
                      const QuinceStreamCallbacks *callbacks,
                      gpointer user_data)
 {
   QuinceStream *stream = g_new0 (QuinceStream, 1);
-  quince_dispatch_init (&stream->dispatch, backends, dialect->forward, request, resumable);
-  stream->dialect = dialect;
+  quince_dispatch_init (&stream->dispatch, backends, codec->forward, request, resumable);
+  stream->codec = codec;
   stream->callbacks = callbacks;
   stream->user_data = user_data;
   quince_retry_timer_init (&stream->timer, start_attempt, stream);
--- a/lib/forward/stream.h
+++ b/lib/forward/stream.h
@@ -48,9 +48,9 @@
 } QuinceStreamCallbacks;
 
 /* Starts to forward a copy of @request.  No callback is called before this function returns.  @callbacks and
- * @dialect must outlive the stream. */
+ * @codec must outlive the stream. */
 QuinceStream *quince_stream_start (QuinceBackends *backends,
-                                   const QuinceStreamDialect *dialect,
+                                   const QuinceStreamDialect *codec,
                                    const QuinceForwardRequest *request,
                                    gboolean resumable,
                                    const QuinceStreamCallbacks *callbacks,
--- a/lib/observer/observer-dialect.h
+++ b/lib/observer/observer-dialect.h
@@ -1,5 +1,5 @@
 /*
- * observer-dialect.h: functions that decode the operator's keys and the workers' entries in the metadata
+ * observer-codec.h: functions that decode the operator's keys and the workers' entries in the metadata
  * store.
  *
  * The platform adapter implements them, so that the observer handles only typed values.  The functions
--- a/lib/observer/observer-feed.c
+++ b/lib/observer/observer-feed.c
@@ -30,8 +30,8 @@
 void
 quince_observer_list_mirrors (QuinceObserver *observer, QuinceNamedMirror mirrors[QUINCE_OBSERVER_N_PREFIXES])
 {
-  mirrors[0] = (QuinceNamedMirror){ observer->dialect->operator_prefix, observer->operator_mirror };
-  mirrors[1] = (QuinceNamedMirror){ observer->dialect->workers_prefix, observer->workers_mirror };
+  mirrors[0] = (QuinceNamedMirror){ observer->codec->operator_prefix, observer->operator_mirror };
+  mirrors[1] = (QuinceNamedMirror){ observer->codec->workers_prefix, observer->workers_mirror };
   mirrors[2] = (QuinceNamedMirror){ QUINCE_OWN_PREFIX, observer->own_mirror };
 }
 
@@ -58,7 +58,7 @@
     if (g_str_equal (mirrors[i].prefix, prefix))
       accepted = quince_meta_mirror_feed (mirrors[i].mirror, page, whole);
   observer->page_may_have_lapsed = FALSE;
-  if (accepted && g_str_equal (prefix, observer->dialect->operator_prefix))
+  if (accepted && g_str_equal (prefix, observer->codec->operator_prefix))
     handle_operator_page (observer);
   return accepted;
 }
--- a/lib/observer/observer.c
+++ b/lib/observer/observer.c
@@ -59,7 +59,7 @@
 handle_worker_item (const QuinceMetaItem *item, gpointer data)
 {
   QuinceObserver *observer = data;
-  const char *id = observer->dialect->read_worker_id (item->key);
+  const char *id = observer->codec->read_worker_id (item->key);
   if (item->value == NULL)
     {
       gint64 now = quince_now_us ();
@@ -71,7 +71,7 @@
       return;
     }
   g_autoptr (GError) error = NULL;
-  QuinceWorker *worker = observer->dialect->read_worker (item->key, item->value, &error);
+  QuinceWorker *worker = observer->codec->read_worker (item->key, item->value, &error);
   if (worker != NULL)
     quince_backends_update (observer->backends, worker);
   else
@@ -159,14 +159,14 @@
   QuinceObserver *observer = data;
   if (quince_meta_mirror_is_synced (observer->operator_mirror))
     quince_backends_release_sends (observer->backends);
-  report_store_read (observer, observer->dialect->operator_prefix, page);
+  report_store_read (observer, observer->codec->operator_prefix, page);
 }
 
 static void
 handle_workers_read (const QuinceMetaPage *page, gpointer data)
 {
   QuinceObserver *observer = data;
-  report_store_read (observer, observer->dialect->workers_prefix, page);
+  report_store_read (observer, observer->codec->workers_prefix, page);
 }
 
 static void
@@ -281,7 +281,7 @@
 QuinceObserver *
 quince_observer_new (QuinceMetaStore *store,
                      QuinceBackends *backends,
-                     const QuinceObserverDialect *dialect,
+                     const QuinceObserverDialect *codec,
                      const QuinceObserverOptions *options,
                      const QuinceObserverCallbacks *callbacks,
                      gpointer user_data)
@@ -291,19 +291,19 @@
   observer->backends = backends;
   observer->callbacks = callbacks;
   observer->user_data = user_data;
-  observer->dialect = dialect;
-  observer->operator_state = quince_operator_state_new (backends, dialect, callbacks, user_data);
+  observer->codec = codec;
+  observer->operator_state = quince_operator_state_new (backends, codec, callbacks, user_data);
   observer->worker_callbacks = (QuinceMetaMirrorCallbacks){ .item = handle_worker_item,
                                                             .synced = handle_workers_synced,
                                                             .read = handle_workers_read,
-                                                            .is_equivalent = dialect->same_worker };
+                                                            .is_equivalent = codec->same_worker };
   observer->workers_read_interval_min_ms = options->workers_read_interval_min_ms;
   guint bound_ms = MAX (options->change_bound_ms, QUINCE_OBSERVER_CHANGE_BOUND_MIN_MS);
   observer->bound_margin_ms = bound_ms - QUINCE_OBSERVER_CHANGE_BOUND_MIN_MS;
   guint first_read_wait_ms = options->first_read_wait_ms;
-  observer->operator_mirror = quince_meta_mirror_new (store, dialect->operator_prefix, first_read_wait_ms,
+  observer->operator_mirror = quince_meta_mirror_new (store, codec->operator_prefix, first_read_wait_ms,
                                                       &operator_callbacks, observer);
-  observer->workers_mirror = quince_meta_mirror_new (store, dialect->workers_prefix, first_read_wait_ms,
+  observer->workers_mirror = quince_meta_mirror_new (store, codec->workers_prefix, first_read_wait_ms,
                                                      &observer->worker_callbacks, observer);
   observer->own_mirror
       = quince_meta_mirror_new (store, QUINCE_OWN_PREFIX, first_read_wait_ms, &own_callbacks, observer);
--- a/lib/observer/observer.h
+++ b/lib/observer/observer.h
@@ -88,7 +88,7 @@
  * quince_observer_new:
  * @store: must outlive the observer
  * @backends: receives workers, zones, policy and events; must outlive the observer
- * @dialect: decodes the operator's keys and the workers' entries; must outlive the observer
+ * @codec: decodes the operator's keys and the workers' entries; must outlive the observer
  * @options: copied
  * @callbacks: called with @user_data; must outlive the observer
  *
@@ -98,7 +98,7 @@
  */
 QuinceObserver *quince_observer_new (QuinceMetaStore *store,
                                      QuinceBackends *backends,
-                                     const QuinceObserverDialect *dialect,
+                                     const QuinceObserverDialect *codec,
                                      const QuinceObserverOptions *options,
                                      const QuinceObserverCallbacks *callbacks,
                                      gpointer user_data);
--- a/lib/observer/operator-state.c
+++ b/lib/observer/operator-state.c
@@ -13,7 +13,7 @@
 {
   /* All fields belong to the context that created the observer. */
   QuinceBackends *backends;
-  const QuinceObserverDialect *dialect;
+  const QuinceObserverDialect *codec;
   const QuinceObserverCallbacks *callbacks;
   gpointer user_data;
   QuinceRouteTable *routes;  /* owned; NULL: no configuration is known yet */
@@ -24,13 +24,13 @@
 
 QuinceOperatorState *
 quince_operator_state_new (QuinceBackends *backends,
-                           const QuinceObserverDialect *dialect,
+                           const QuinceObserverDialect *codec,
                            const QuinceObserverCallbacks *callbacks,
                            gpointer user_data)
 {
   QuinceOperatorState *state = g_new0 (QuinceOperatorState, 1);
   state->backends = backends;
-  state->dialect = dialect;
+  state->codec = codec;
   state->callbacks = callbacks;
   state->user_data = user_data;
   state->versions = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
@@ -90,7 +90,7 @@
   if (item->value == NULL)
     return;
   g_autoptr (GError) error = NULL;
-  g_autoptr (QuinceRouteTable) table = state->dialect->read_configuration (item->value, &error);
+  g_autoptr (QuinceRouteTable) table = state->codec->read_configuration (item->value, &error);
   if (table == NULL)
     {
       quince_log_refused_item (item->key, error);
@@ -116,7 +116,7 @@
   g_autoptr (GError) error = NULL;
   g_autofree char *model = NULL;
   guint64 version = 0;
-  if (!state->dialect->read_version (item->value, &model, &version, &error))
+  if (!state->codec->read_version (item->value, &model, &version, &error))
     {
       quince_log_refused_item (item->key, error);
       return;
@@ -174,7 +174,7 @@
 quince_operator_state_apply (QuinceOperatorState *state, const QuinceMetaItem *item, gboolean fed)
 {
   QuinceOperatorKey key;
-  state->dialect->read_operator_key (item->key, &key);
+  state->codec->read_operator_key (item->key, &key);
   switch (key.kind)
     {
     case QUINCE_OPERATOR_KEY_CONFIGURATION:
--- a/lib/observer/operator-state.h
+++ b/lib/observer/operator-state.h
@@ -13,9 +13,9 @@
 
 typedef struct _QuinceOperatorState QuinceOperatorState;
 
-/* @backends, @dialect, @callbacks: must outlive the state.  @user_data: passed to @callbacks */
+/* @backends, @codec, @callbacks: must outlive the state.  @user_data: passed to @callbacks */
 QuinceOperatorState *quince_operator_state_new (QuinceBackends *backends,
-                                                const QuinceObserverDialect *dialect,
+                                                const QuinceObserverDialect *codec,
                                                 const QuinceObserverCallbacks *callbacks,
                                                 gpointer user_data);
 void quince_operator_state_free (QuinceOperatorState *state);
--- a/tools/tool.h
+++ b/tools/tool.h
@@ -3,7 +3,7 @@
  * connection to the metadata store, output and exit statuses.
  *
  * Owns the settings and the client of the store.  One thread; a command starts an operation and runs the main
- * loop until the operation's callback ends it.  Relies on lib/meta and on the platform's dialect of the
+ * loop until the operation's callback ends it.  Relies on lib/meta and on the platform's codec of the
  * store.
  */
 #pragma once
