--- a/daemons/front/caller-request.c
+++ b/daemons/front/caller-request.c
@@ -317,10 +317,10 @@
     .give_up_us = request->received_us + (gint64)timeout_ms * 1000,
   };
   if (route->kind == QUINCE_ROUTE_STREAMING)
-    request->stream = quince_stream_start (request->context->backends, &quince_platform_stream_dialect,
+    request->stream = quince_stream_start (request->context->backends, &quince_platform_stream_codec,
                                            &forward, route->resumable, &stream_callbacks, request);
   else
-    request->forward = quince_forward_start (request->context->backends, &quince_platform_forward_dialect,
+    request->forward = quince_forward_start (request->context->backends, &quince_platform_forward_codec,
                                              &forward, forward_done, request);
   return TRUE;
 }
--- a/daemons/front/front.c
+++ b/daemons/front/front.c
@@ -300,11 +300,11 @@
   context->directory = quince_directory_new (front->name, address, topology);
   context->replica_zones = quince_machine_zones_new (topology);
   front->store = quince_meta_store_new (quince_settings_get_text (settings, "store", "address"),
-                                        &quince_platform_meta_dialect);
+                                        &quince_platform_meta_codec);
   QuinceObserverOptions options;
   quince_observer_read_options (settings, &options);
   options.first_read_wait_ms = QUINCE_STORE_FIRST_READ_WAIT_MS;
-  context->observer = quince_observer_new (front->store, context->backends, &quince_platform_observer_dialect,
+  context->observer = quince_observer_new (front->store, context->backends, &quince_platform_observer_codec,
                                            &options, &observer_callbacks, front);
   front->subscription = quince_feed_subscription_new (context->observer);
   front->feed_wait = quince_feed_wait_new (front->store, context->observer, apply_ledger_view, front);
--- a/daemons/front/quarantine-client.c
+++ b/daemons/front/quarantine-client.c
@@ -119,7 +119,7 @@
   g_autoptr (GPtrArray) all = quince_quarantine_list (quince_send_guard_get_quarantine (client->guard));
   if (all->len == 0)
     return;
-  g_autoptr (GBytes) encoded = quince_suspect_news_encode (all, quince_now_us (), client->name);
+  g_autoptr (GBytes) encoded = quince_suspect_reports_encode (all, quince_now_us (), client->name);
   send_encoded (client, encoded);
 }
 
@@ -145,7 +145,7 @@
   record_change (client, &suspect->digest);
   g_autoptr (GPtrArray) one = g_ptr_array_new ();
   g_ptr_array_add (one, (gpointer)suspect);
-  g_autoptr (GBytes) encoded = quince_suspect_news_encode (one, quince_now_us (), client->name);
+  g_autoptr (GBytes) encoded = quince_suspect_reports_encode (one, quince_now_us (), client->name);
   send_encoded (client, encoded);
 }
 
@@ -242,8 +242,8 @@
   gint64 now = quince_now_us ();
   g_autoptr (GArray) changed = g_array_new (FALSE, FALSE, sizeof (QuinceRequestDigest));
   g_autoptr (GArray) cleared_suspects = g_array_new (FALSE, FALSE, sizeof (QuinceSuspectCleared));
-  quince_suspect_news_apply (quince_send_guard_get_quarantine (client->guard), now,
-                             &message->QuinceMessage_u.suspect_news, changed, cleared_suspects);
+  quince_suspect_reports_apply (quince_send_guard_get_quarantine (client->guard), now,
+                                &message->QuinceMessage_u.suspect_news, changed, cleared_suspects);
   forward_reports (client, now, changed);
   return TRUE;
 }
--- a/daemons/replica/quarantine-coordinator.c
+++ b/daemons/replica/quarantine-coordinator.c
@@ -238,7 +238,7 @@
   g_autoptr (GArray) changed = g_array_new (FALSE, FALSE, sizeof (QuinceRequestDigest));
   g_autoptr (GArray) cleared_suspects = g_array_new (FALSE, FALSE, sizeof (QuinceSuspectCleared));
   gint64 now = quince_now_us ();
-  quince_suspect_news_apply (get_quarantine (coordinator), now, reports, changed, cleared_suspects);
+  quince_suspect_reports_apply (get_quarantine (coordinator), now, reports, changed, cleared_suspects);
   forward_reports (coordinator, now, changed);
   for (guint i = 0; quince_suspect_reporter_is_active (coordinator->reporter) && i < cleared_suspects->len;
        i++)
--- a/daemons/replica/replica-leadership.c
+++ b/daemons/replica/replica-leadership.c
@@ -161,7 +161,7 @@
 }
 
 void
-quince_replica_leadership_begin (QuinceReplicaLeadership *leadership)
+quince_replica_leadership_start (QuinceReplicaLeadership *leadership)
 {
   const QuinceReplicaParts *parts = leadership->parts;
   /* Must run first: texts must not be sent to machines in regions that the batches don't allow. */
@@ -192,7 +192,7 @@
 }
 
 void
-quince_replica_leadership_end (QuinceReplicaLeadership *leadership)
+quince_replica_leadership_stop (QuinceReplicaLeadership *leadership)
 {
   const QuinceReplicaParts *parts = leadership->parts;
   quince_replica_leadership_release (leadership);
--- a/daemons/replica/replica-leadership.h
+++ b/daemons/replica/replica-leadership.h
@@ -12,13 +12,13 @@
 QuinceReplicaLeadership *quince_replica_leadership_new (const QuinceReplicaParts *parts);
 void quince_replica_leadership_free (QuinceReplicaLeadership *leadership);
 /* Starts the leader's tasks.  Call when this replica leads and has read its log. */
-void quince_replica_leadership_begin (QuinceReplicaLeadership *leadership);
+void quince_replica_leadership_start (QuinceReplicaLeadership *leadership);
 /* Stops the leader's tasks.  Call when this replica no longer leads, also if it lost leadership before
- * quince_replica_leadership_begin(). */
-void quince_replica_leadership_end (QuinceReplicaLeadership *leadership);
+ * quince_replica_leadership_start(). */
+void quince_replica_leadership_stop (QuinceReplicaLeadership *leadership);
 /* Stops only the weight orders and the feed.  Call when the process ends. */
 void quince_replica_leadership_release (QuinceReplicaLeadership *leadership);
-/* Returns %TRUE between quince_replica_leadership_begin() and quince_replica_leadership_end(). */
+/* Returns %TRUE between quince_replica_leadership_start() and quince_replica_leadership_stop(). */
 gboolean quince_replica_leadership_is_active (const QuinceReplicaLeadership *leadership);
 
 /* Subscribes the peer of @link to the store feed, from the revisions in @subscribe on. */
--- a/daemons/replica/replica-ledger-events.c
+++ b/daemons/replica/replica-ledger-events.c
@@ -14,17 +14,17 @@
 /* ---- Leadership ---------------------------------------------------------- */
 
 static void
-handle_gained_lead (gpointer data)
+handle_started_leading (gpointer data)
 {
   const QuinceReplicaParts *parts = data;
-  quince_replica_leadership_begin (parts->leadership);
+  quince_replica_leadership_start (parts->leadership);
 }
 
 static void
-handle_lost_lead (gpointer data)
+handle_stopped_leading (gpointer data)
 {
   const QuinceReplicaParts *parts = data;
-  quince_replica_leadership_end (parts->leadership);
+  quince_replica_leadership_stop (parts->leadership);
 }
 
 /* Forwards the former leader's progress if another replica became leader, for example because this log lacked
@@ -188,8 +188,8 @@
 }
 
 const QuinceLedgerNodeCallbacks quince_replica_ledger_callbacks
-    = { .started_leading = handle_gained_lead,
-        .stopped_leading = handle_lost_lead,
+    = { .started_leading = handle_started_leading,
+        .stopped_leading = handle_stopped_leading,
         .committed = handle_commit,
         .service_call = handle_service_call,
         .link_closed = handle_link_closed,
--- a/daemons/replica/replica-setup.c
+++ b/daemons/replica/replica-setup.c
@@ -60,7 +60,7 @@
 {
   QuinceObserverOptions options;
   quince_observer_read_options (settings, &options);
-  parts->observer = quince_observer_new (parts->store, parts->backends, &quince_platform_observer_dialect,
+  parts->observer = quince_observer_new (parts->store, parts->backends, &quince_platform_observer_codec,
                                          &options, &quince_replica_store_callbacks, parts);
   quince_warmup_coordinator_set_observer (parts->warmup, parts->observer);
 }
@@ -91,7 +91,7 @@
   parts->heartbeats = quince_heartbeats_new ();
   parts->backends = quince_backends_new (topology);
   parts->store = quince_meta_store_new (quince_settings_get_text (settings, "store", "address"),
-                                        &quince_platform_meta_dialect);
+                                        &quince_platform_meta_codec);
   create_quarantine (parts, settings);
   create_warmup (parts, settings);
   create_observer (parts, settings);
--- a/daemons/replica/sample-reward.c
+++ b/daemons/replica/sample-reward.c
@@ -66,6 +66,6 @@
                                          .target_latency_ms = route->target_latency_ms,
                                          .deadline_us = now + timeout_us,
                                          .give_up_us = now + timeout_us };
-  sample->reward = quince_forward_start (set->backends, &quince_platform_forward_dialect, &request,
+  sample->reward = quince_forward_start (set->backends, &quince_platform_forward_codec, &request,
                                          handle_reward_result, sample);
 }
--- a/daemons/replica/suspect-reporter.c
+++ b/daemons/replica/suspect-reporter.c
@@ -69,7 +69,8 @@
 static GBytes *
 encode_suspects (const QuinceSuspectReporter *reporter, const GPtrArray *suspects)
 {
-  return suspects->len > 0 ? quince_suspect_news_encode (suspects, quince_now_us (), reporter->name) : NULL;
+  return suspects->len > 0 ? quince_suspect_reports_encode (suspects, quince_now_us (), reporter->name)
+                           : NULL;
 }
 
 /* ---- Queues ---------------------------------------------------------------- */
--- a/lib/core/request/permits.c
+++ b/lib/core/request/permits.c
@@ -89,7 +89,7 @@
 }
 
 static gboolean
-runs_alone_at (const QuincePermits *permits, gint64 now_us, const char *service)
+has_recent_alone_permit (const QuincePermits *permits, gint64 now_us, const char *service)
 {
   GHashTableIter iter;
   gpointer value;
@@ -115,7 +115,7 @@
   PermitFilter expired = { now_us, NULL };
   g_hash_table_foreach_remove (permits->by_digest, matches_filter, &expired);
   if (g_hash_table_contains (permits->by_digest, digest)
-      || (alone && runs_alone_at (permits, now_us, service)))
+      || (alone && has_recent_alone_permit (permits, now_us, service)))
     return FALSE;
   Permit *permit = g_new0 (Permit, 1);
   permit->digest = *digest;
--- a/lib/forward/dispatch.c
+++ b/lib/forward/dispatch.c
@@ -9,7 +9,7 @@
 void
 quince_dispatch_init (QuinceDispatch *dispatch,
                       QuinceBackends *backends,
-                      const QuinceForwardDialect *codec,
+                      const QuinceForwardCodec *codec,
                       const QuinceForwardRequest *request,
                       gboolean repeatable)
 {
--- a/lib/forward/dispatch.h
+++ b/lib/forward/dispatch.h
@@ -16,7 +16,7 @@
 {
   /* All fields belong to the forward or stream that contains it. */
   QuinceBackends *backends;
-  const QuinceForwardDialect *codec;
+  const QuinceForwardCodec *codec;
   char *service;
   char *caller; /* NULL: unknown */
   char *tenant; /* tenant whose region rules apply; NULL: none */
@@ -46,7 +46,7 @@
  * @repeatable: the request may run more than once */
 void quince_dispatch_init (QuinceDispatch *dispatch,
                            QuinceBackends *backends,
-                           const QuinceForwardDialect *codec,
+                           const QuinceForwardCodec *codec,
                            const QuinceForwardRequest *request,
                            gboolean repeatable);
 void quince_dispatch_clear (QuinceDispatch *dispatch);
--- a/lib/forward/forward.c
+++ b/lib/forward/forward.c
@@ -394,7 +394,7 @@
 
 QuinceForward *
 quince_forward_start (QuinceBackends *backends,
-                      const QuinceForwardDialect *codec,
+                      const QuinceForwardCodec *codec,
                       const QuinceForwardRequest *request,
                       void (*done) (const QuinceForwardResult *result, gpointer user_data),
                       gpointer user_data)
--- a/lib/forward/forward.h
+++ b/lib/forward/forward.h
@@ -35,7 +35,7 @@
                        const char **request_id,
                        const char **signature,
                        gboolean *not_run);
-} QuinceForwardDialect;
+} QuinceForwardCodec;
 
 /**
  * QuinceForwardRequest:
@@ -93,7 +93,7 @@
 /* Starts to forward a copy of @request.  Calls done() once, but never before this function returns; the
  * forward is freed after that. */
 QuinceForward *quince_forward_start (QuinceBackends *backends,
-                                     const QuinceForwardDialect *codec,
+                                     const QuinceForwardCodec *codec,
                                      const QuinceForwardRequest *request,
                                      void (*done) (const QuinceForwardResult *result, gpointer user_data),
                                      gpointer user_data);
--- a/lib/forward/stream.c
+++ b/lib/forward/stream.c
@@ -20,7 +20,7 @@
 {
   /* All fields belong to the context that started it. */
   QuinceDispatch dispatch;
-  const QuinceStreamDialect *codec;
+  const QuinceStreamCodec *codec;
   const QuinceStreamCallbacks *callbacks;
   gpointer user_data;
 
@@ -333,7 +333,7 @@
 
 QuinceStream *
 quince_stream_start (QuinceBackends *backends,
-                     const QuinceStreamDialect *codec,
+                     const QuinceStreamCodec *codec,
                      const QuinceForwardRequest *request,
                      gboolean resumable,
                      const QuinceStreamCallbacks *callbacks,
--- a/lib/forward/stream.h
+++ b/lib/forward/stream.h
@@ -19,7 +19,7 @@
 /* How a platform encodes requests for streams and decodes their events. */
 typedef struct
 {
-  const QuinceForwardDialect *forward;
+  const QuinceForwardCodec *forward;
   /* Adds the header that asks a worker to resume after the event @last_event_id. */
   void (*write_resume) (QuinceHttpHeaders *headers, guint64 last_event_id);
   /* A parser that splits the body into complete events.  event_parser_next_event() sets the id of an event
@@ -30,7 +30,7 @@
   void (*event_parser_feed) (gpointer parser, const char *data, gsize length);
   gboolean (*event_parser_next_event) (gpointer parser, guint64 *id, GString *bytes);
   gboolean (*event_parser_has_partial_event) (gpointer parser);
-} QuinceStreamDialect;
+} QuinceStreamCodec;
 
 /**
  * QuinceStreamCallbacks:
@@ -50,7 +50,7 @@
 /* Starts to forward a copy of @request.  No callback is called before this function returns.  @callbacks and
  * @codec must outlive the stream. */
 QuinceStream *quince_stream_start (QuinceBackends *backends,
-                                   const QuinceStreamDialect *codec,
+                                   const QuinceStreamCodec *codec,
                                    const QuinceForwardRequest *request,
                                    gboolean resumable,
                                    const QuinceStreamCallbacks *callbacks,
--- a/lib/forward/suspect-message.c
+++ b/lib/forward/suspect-message.c
@@ -49,7 +49,7 @@
 }
 
 GBytes *
-quince_suspect_news_encode (const GPtrArray *suspects, gint64 now_us, const char *own_name)
+quince_suspect_reports_encode (const GPtrArray *suspects, gint64 now_us, const char *own_name)
 {
   g_autofree QuinceSuspectReport *reports = g_new0 (QuinceSuspectReport, suspects->len + 1);
   guint n_reports = MIN (suspects->len, QUINCE_SUSPECTS_MAX);
@@ -116,11 +116,11 @@
 }
 
 void
-quince_suspect_news_apply (QuinceQuarantine *quarantine,
-                           gint64 now_us,
-                           const QuinceSuspectReports *reports,
-                           GArray *changed,
-                           GArray *cleared)
+quince_suspect_reports_apply (QuinceQuarantine *quarantine,
+                              gint64 now_us,
+                              const QuinceSuspectReports *reports,
+                              GArray *changed,
+                              GArray *cleared)
 {
   for (guint i = 0; i < reports->suspects.suspects_len; i++)
     {
--- a/lib/forward/suspect-message.h
+++ b/lib/forward/suspect-message.h
@@ -12,7 +12,7 @@
 /* Encodes reports of the first QUINCE_SUSPECTS_MAX of @suspects (element-type QuinceSuspect).  @own_name:
  * name of this process.  Returns: (transfer full) (nullable): the message, or %NULL if it cannot be encoded
  */
-GBytes *quince_suspect_news_encode (const GPtrArray *suspects, gint64 now_us, const char *own_name);
+GBytes *quince_suspect_reports_encode (const GPtrArray *suspects, gint64 now_us, const char *own_name);
 /* Encodes the report of a suspect that is being sent.  @expected: its state if the worker ends, see
  * quince_quarantine_expect_end().  Returns: (transfer full) (nullable): the message */
 GBytes *quince_suspect_sending_encode (const QuinceSuspect *expected, gint64 now_us, const char *own_name);
@@ -29,17 +29,17 @@
 } QuinceSuspectCleared;
 
 /**
- * quince_suspect_news_apply:
+ * quince_suspect_reports_apply:
  * @changed: (element-type QuinceRequestDigest): digests of the suspects that the reports changed are appended
  * @cleared: (element-type QuinceSuspectCleared): suspects that the reports removed from @quarantine are
  *   appended
  *
  * Merges received reports into @quarantine.
  */
-void quince_suspect_news_apply (QuinceQuarantine *quarantine,
-                                gint64 now_us,
-                                const QuinceSuspectReports *reports,
-                                GArray *changed,
-                                GArray *cleared);
+void quince_suspect_reports_apply (QuinceQuarantine *quarantine,
+                                   gint64 now_us,
+                                   const QuinceSuspectReports *reports,
+                                   GArray *changed,
+                                   GArray *cleared);
 
 G_END_DECLS
--- a/lib/meta/meta-store.c
+++ b/lib/meta/meta-store.c
@@ -47,7 +47,7 @@
 {
   /* All fields belong to the context that created the store. */
   QuinceHttpPool *pool;
-  const QuinceMetaDialect *codec;
+  const QuinceMetaCodec *codec;
   GHashTable *calls; /* QuinceMetaCall, owned: calls in progress */
   GArray *listeners; /* Listener */
   QuinceMetaContact contact;
@@ -87,7 +87,7 @@
 }
 
 QuinceMetaStore *
-quince_meta_store_new (const char *address, const QuinceMetaDialect *codec)
+quince_meta_store_new (const char *address, const QuinceMetaCodec *codec)
 {
   QuinceMetaStore *store = g_new0 (QuinceMetaStore, 1);
   store->pool = quince_http_pool_new (address);
@@ -259,7 +259,7 @@
 {
   const GByteArray *body = quince_http_exchange_get_body (exchange);
   const char *text = (const char *)body->data;
-  const QuinceMetaDialect *codec = call->store->codec;
+  const QuinceMetaCodec *codec = call->store->codec;
   switch (call->kind)
     {
     case ANSWER_ITEM:
--- a/lib/meta/meta-store.h
+++ b/lib/meta/meta-store.h
@@ -2,7 +2,7 @@
  * meta-store.h: client of the shared metadata store: conditional writes, watches and leases.
  *
  * A QuinceMetaStore owns the connections to the store and the calls in progress, and probes the store while
- * calls fail.  A QuinceMetaDialect, provided by the platform adapter, encodes the calls and decodes the
+ * calls fail.  A QuinceMetaCodec, provided by the platform adapter, encodes the calls and decodes the
  * answers.  Everything belongs to the thread-default main context that created it.
  */
 #pragma once
@@ -38,7 +38,7 @@
   QuinceMetaPage *(*parse_item) (const char *body, gsize length, GError **error);
   guint64 (*parse_revision) (const char *body, gsize length);
   guint64 (*parse_lease) (const char *body, gsize length);
-} QuinceMetaDialect;
+} QuinceMetaCodec;
 
 /* ---- Store ------------------------------------------------------------ */
 
@@ -52,7 +52,7 @@
 } QuinceMetaContact;
 
 /* Returns: (transfer full): a client of the store at @address.  @codec must outlive it. */
-QuinceMetaStore *quince_meta_store_new (const char *address, const QuinceMetaDialect *codec);
+QuinceMetaStore *quince_meta_store_new (const char *address, const QuinceMetaCodec *codec);
 /* Cancels the calls in progress; their reply functions are not called. */
 void quince_meta_store_free (QuinceMetaStore *store);
 /* Returns: (transfer none): when the store answered; updated with each call. */
--- a/lib/observer/observer-dialect.h
+++ b/lib/observer/observer-dialect.h
@@ -30,7 +30,7 @@
 } QuinceOperatorKey;
 
 /**
- * QuinceObserverDialect:
+ * QuinceObserverCodec:
  * @operator_prefix: prefix of all keys that the operator and the trainers write
  * @workers_prefix: prefix of the workers' entries
  * @read_operator_key: decodes the kind and name of a key under @operator_prefix
@@ -52,6 +52,6 @@
   const char *(*read_worker_id) (const char *key);
   QuinceWorker *(*read_worker) (const char *key, GBytes *value, GError **error);
   gboolean (*same_worker) (GBytes *before, GBytes *after);
-} QuinceObserverDialect;
+} QuinceObserverCodec;
 
 G_END_DECLS
--- a/lib/observer/observer-private.h
+++ b/lib/observer/observer-private.h
@@ -15,7 +15,7 @@
   /* All fields belong to the context that created the observer. */
   QuinceMetaStore *store;
   QuinceBackends *backends;
-  const QuinceObserverDialect *codec;
+  const QuinceObserverCodec *codec;
   const QuinceObserverCallbacks *callbacks;
   gpointer user_data;
   QuinceMetaMirror *operator_mirror;
--- a/lib/observer/observer.c
+++ b/lib/observer/observer.c
@@ -281,7 +281,7 @@
 QuinceObserver *
 quince_observer_new (QuinceMetaStore *store,
                      QuinceBackends *backends,
-                     const QuinceObserverDialect *codec,
+                     const QuinceObserverCodec *codec,
                      const QuinceObserverOptions *options,
                      const QuinceObserverCallbacks *callbacks,
                      gpointer user_data)
--- a/lib/observer/observer.h
+++ b/lib/observer/observer.h
@@ -4,7 +4,7 @@
  *
  * The observer owns a mirror of each of three prefixes (the operator's keys, the workers' entries and
  * quinceroute's own keys), the current configuration and the newest announced weight versions.  It reads
- * through a QuinceMetaStore, decodes values with a QuinceObserverDialect and updates the workers, zones,
+ * through a QuinceMetaStore, decodes values with a QuinceObserverCodec and updates the workers, zones,
  * policy and events of the backends.  It ignores a configuration or weight version that is older than the
  * current one.
  */
@@ -98,7 +98,7 @@
  */
 QuinceObserver *quince_observer_new (QuinceMetaStore *store,
                                      QuinceBackends *backends,
-                                     const QuinceObserverDialect *codec,
+                                     const QuinceObserverCodec *codec,
                                      const QuinceObserverOptions *options,
                                      const QuinceObserverCallbacks *callbacks,
                                      gpointer user_data);
--- a/lib/observer/operator-state.c
+++ b/lib/observer/operator-state.c
@@ -13,7 +13,7 @@
 {
   /* All fields belong to the context that created the observer. */
   QuinceBackends *backends;
-  const QuinceObserverDialect *codec;
+  const QuinceObserverCodec *codec;
   const QuinceObserverCallbacks *callbacks;
   gpointer user_data;
   QuinceRouteTable *routes;  /* owned; NULL: no configuration is known yet */
@@ -24,7 +24,7 @@
 
 QuinceOperatorState *
 quince_operator_state_new (QuinceBackends *backends,
-                           const QuinceObserverDialect *codec,
+                           const QuinceObserverCodec *codec,
                            const QuinceObserverCallbacks *callbacks,
                            gpointer user_data)
 {
--- a/lib/observer/operator-state.h
+++ b/lib/observer/operator-state.h
@@ -15,7 +15,7 @@
 
 /* @backends, @codec, @callbacks: must outlive the state.  @user_data: passed to @callbacks */
 QuinceOperatorState *quince_operator_state_new (QuinceBackends *backends,
-                                                const QuinceObserverDialect *codec,
+                                                const QuinceObserverCodec *codec,
                                                 const QuinceObserverCallbacks *callbacks,
                                                 gpointer user_data);
 void quince_operator_state_free (QuinceOperatorState *state);
--- a/tests/platform/test-append-gap.c
+++ b/tests/platform/test-append-gap.c
@@ -117,8 +117,8 @@
   *leader = (Leader){ .world = path_world_new ("append-gap"), .links = g_ptr_array_new () };
   leader->server = quince_link_server_new ("127.0.0.1:0", &link_callbacks, link_accepted, leader, NULL);
   assert_non_null (leader->server);
-  leader->store = quince_meta_store_new (standin_store_get_address (leader->world->store),
-                                         &quince_platform_meta_dialect);
+  leader->store
+      = quince_meta_store_new (standin_store_get_address (leader->world->store), &quince_platform_meta_codec);
   leader->world->founded = TRUE;
   write_view (leader, 1);
   path_start_replica (leader->world, 0);
--- a/tests/platform/test-evacuation.c
+++ b/tests/platform/test-evacuation.c
@@ -116,7 +116,7 @@
                                          .deadline_us = end_us,
                                          .give_up_us = end_us };
   world->done = FALSE;
-  return quince_forward_start (world->backends, &quince_platform_forward_dialect, &request, forward_done,
+  return quince_forward_start (world->backends, &quince_platform_forward_codec, &request, forward_done,
                                world);
 }
 
--- a/tests/platform/test-forward.c
+++ b/tests/platform/test-forward.c
@@ -114,7 +114,7 @@
                                          .target_latency_ms = 100,
                                          .deadline_us = now + (gint64)time_ms * 1000,
                                          .give_up_us = now + (gint64)time_ms * 1000 };
-  return quince_forward_start (world->backends, &quince_platform_forward_dialect, &request, forward_done,
+  return quince_forward_start (world->backends, &quince_platform_forward_codec, &request, forward_done,
                                world);
 }
 
--- a/tests/platform/test-freshness.c
+++ b/tests/platform/test-freshness.c
@@ -106,13 +106,12 @@
   process->standin = standin_store_new ();
   name_version (process, 2);
   process->store
-      = quince_meta_store_new (standin_store_get_address (process->standin), &quince_platform_meta_dialect);
+      = quince_meta_store_new (standin_store_get_address (process->standin), &quince_platform_meta_codec);
   process->backends = quince_backends_new (quince_topology_new ("z1", ""));
   const QuinceObserverOptions options
       = { .workers_read_interval_min_ms = 100, .change_bound_ms = QUINCE_OBSERVER_CHANGE_BOUND_MIN_MS };
-  process->observer
-      = quince_observer_new (process->store, process->backends, &quince_platform_observer_dialect, &options,
-                             &observer_callbacks, process);
+  process->observer = quince_observer_new (process->store, process->backends, &quince_platform_observer_codec,
+                                           &options, &observer_callbacks, process);
   quince_observer_set_reserve_reader (process->observer, reports);
   AWAIT (quince_observer_is_synced (process->observer));
 }
@@ -469,12 +468,12 @@
   standin_store_put (starter.standin, EVACUATE_KEY, "{}");
   standin_store_set_fault (starter.standin, STANDIN_STORE_LISTS_NOTHING);
   starter.store
-      = quince_meta_store_new (standin_store_get_address (starter.standin), &quince_platform_meta_dialect);
+      = quince_meta_store_new (standin_store_get_address (starter.standin), &quince_platform_meta_codec);
   starter.backends = quince_backends_new (quince_topology_new ("z1", ""));
   starter.accepted = g_ptr_array_new ();
   const QuinceObserverOptions options
       = { .workers_read_interval_min_ms = 100, .change_bound_ms = QUINCE_OBSERVER_CHANGE_BOUND_MIN_MS };
-  starter.observer = quince_observer_new (starter.store, starter.backends, &quince_platform_observer_dialect,
+  starter.observer = quince_observer_new (starter.store, starter.backends, &quince_platform_observer_codec,
                                           &options, &observer_callbacks, &starter);
   run_for (500);
   assert_true (quince_backends_holds_sends (starter.backends));
--- a/tests/platform/test-meta.c
+++ b/tests/platform/test-meta.c
@@ -66,7 +66,7 @@
     }
   standin_store_put (world->standin, "b/0", "other");
   world->store
-      = quince_meta_store_new (standin_store_get_address (world->standin), &quince_platform_meta_dialect);
+      = quince_meta_store_new (standin_store_get_address (world->standin), &quince_platform_meta_codec);
   const QuinceMetaMirrorTimes times = { .read_interval_min_ms = read_interval_min_ms,
                                         .read_interval_max_ms = READ_EVERY_MS,
                                         .feed_timeout_ms = PATIENCE_MS };
@@ -424,7 +424,7 @@
 {
   StandinStore *standin = standin_store_new ();
   QuinceMetaStore *store
-      = quince_meta_store_new (standin_store_get_address (standin), &quince_platform_meta_dialect);
+      = quince_meta_store_new (standin_store_get_address (standin), &quince_platform_meta_codec);
   g_autoptr (GBytes) here = g_bytes_new_static ("here", 4);
   g_autoptr (GBytes) leaving = g_bytes_new_static ("leaving", 7);
   QuinceMetaPresence *presence = quince_meta_presence_new (store, "a/me", here, 400);
--- a/tests/platform/test-size.c
+++ b/tests/platform/test-size.c
@@ -61,11 +61,11 @@
   world->links = g_ptr_array_new_with_free_func ((GDestroyNotify)quince_link_unref);
   world->standin = standin_store_new ();
   world->store
-      = quince_meta_store_new (standin_store_get_address (world->standin), &quince_platform_meta_dialect);
+      = quince_meta_store_new (standin_store_get_address (world->standin), &quince_platform_meta_codec);
   world->backends = quince_backends_new (quince_topology_new ("z1", ""));
   const QuinceObserverOptions options
       = { .workers_read_interval_min_ms = 100, .change_bound_ms = QUINCE_OBSERVER_CHANGE_BOUND_MIN_MS };
-  world->observer = quince_observer_new (world->store, world->backends, &quince_platform_observer_dialect,
+  world->observer = quince_observer_new (world->store, world->backends, &quince_platform_observer_codec,
                                          &options, &observer_callbacks, world);
   world->feed = quince_store_feed_new (world->observer);
   world->server = quince_link_server_new ("127.0.0.1:0", &link_callbacks, on_accepted, world, NULL);
--- a/tools/tool.c
+++ b/tools/tool.c
@@ -69,7 +69,7 @@
     }
   const char *address = quince_settings_get_text (tool->settings, "operator", "store");
   if (*address != '\0')
-    tool->meta = quince_meta_store_new (address, &quince_platform_meta_dialect);
+    tool->meta = quince_meta_store_new (address, &quince_platform_meta_codec);
   return TRUE;
 }
 
