--- a/daemons/replica/ledger-election.c
+++ b/daemons/replica/ledger-election.c
@@ -66,42 +66,43 @@
   const QuinceLedgerView *view = quince_ledger_group_get_view (election->group);
   const QuinceLogEnd end = quince_ledger_storage_get_log_end (election->storage);
   QuinceMessage message = { .kind = QUINCE_MESSAGE_LEDGER_ASK };
-  QuinceLedgerAsk *ask = &message.QuinceMessage_u.ledger_ask;
-  ask->epoch = epoch;
-  ask->replica = election->replica;
-  ask->last_index = end.index;
-  ask->last_epoch = end.epoch;
+  QuinceLedgerAsk *request = &message.QuinceMessage_u.ledger_ask;
+  request->epoch = epoch;
+  request->replica = election->replica;
+  request->last_index = end.index;
+  request->last_epoch = end.epoch;
   for (guint i = 0; i < view->members.members_len; i++)
     if (view->members.members_val[i].replica != election->replica)
       quince_ledger_member_links_send (election->links, &view->members.members_val[i], &message);
 }
 
 static void
-send_promise (QuinceLedgerElection *election, QuinceLink *link, const QuinceLedgerAsk *ask)
+send_promise (QuinceLedgerElection *election, QuinceLink *link, const QuinceLedgerAsk *request)
 {
   const QuinceLogEnd end = quince_ledger_storage_get_log_end (election->storage);
   QuinceMessage message = { .kind = QUINCE_MESSAGE_LEDGER_PROMISE };
   QuinceLedgerPromise *promise = &message.QuinceMessage_u.ledger_promise;
-  promise->epoch = ask->epoch;
+  promise->epoch = request->epoch;
   promise->replica = election->replica;
   promise->last_index = end.index;
   promise->last_epoch = end.epoch;
   quince_log_info ("promise_given", "to=%" G_GUINT64_FORMAT " epoch=%" G_GUINT64_FORMAT,
-                   (guint64)ask->replica, (guint64)ask->epoch);
+                   (guint64)request->replica, (guint64)request->epoch);
   quince_link_send (link, &message);
 }
 
 void
 quince_ledger_election_handle_promise_request (QuinceLedgerElection *election,
                                                QuinceLink *link,
-                                               const QuinceLedgerAsk *ask)
+                                               const QuinceLedgerAsk *request)
 {
-  const QuinceLogEnd end = { .epoch = ask->last_epoch, .index = ask->last_index };
-  if (!quince_ledger_group_grant_promise (election->group, quince_now_us (), ask->replica, ask->epoch, &end)
+  const QuinceLogEnd end = { .epoch = request->last_epoch, .index = request->last_index };
+  if (!quince_ledger_group_grant_promise (election->group, quince_now_us (), request->replica, request->epoch,
+                                          &end)
       || !quince_ledger_storage_save_state (election->storage, "promise"))
     return;
   election->callbacks->role_changed (election->user_data);
-  send_promise (election, link, ask);
+  send_promise (election, link, request);
 }
 
 void
--- a/daemons/replica/ledger-election.h
+++ b/daemons/replica/ledger-election.h
@@ -48,10 +48,11 @@
  * several times a second. */
 void quince_ledger_election_try_lead_without_store (QuinceLedgerElection *election);
 
-/* Handles the promise request @ask of a member.  A granted promise is sent on @link once it is on disk. */
+/* Handles the promise request @request of a member.  A granted promise is sent on @link once it is on disk.
+ */
 void quince_ledger_election_handle_promise_request (QuinceLedgerElection *election,
                                                     QuinceLink *link,
-                                                    const QuinceLedgerAsk *ask);
+                                                    const QuinceLedgerAsk *request);
 /* Handles a query from another replica or a front.  Answers on @link if a view is known. */
 void quince_ledger_election_handle_query (QuinceLedgerElection *election,
                                           QuinceLink *link,
--- a/daemons/replica/weight-orders.c
+++ b/daemons/replica/weight-orders.c
@@ -170,7 +170,7 @@
 } SeenVersion;
 
 static gint64
-version_age_us (QuinceWeightOrders *orders, gint64 now_us, const char *model, guint64 version)
+get_version_age_us (QuinceWeightOrders *orders, gint64 now_us, const char *model, guint64 version)
 {
   const SeenVersion *seen = g_hash_table_lookup (orders->first_seen, model);
   if (seen != NULL && seen->version == version)
@@ -244,7 +244,7 @@
                                    .model = model,
                                    .loaded_version = quince_worker_get_version (worker, model),
                                    .wanted_version = wanted,
-                                   .version_age_us = version_age_us (orders, now_us, model, wanted) };
+                                   .version_age_us = get_version_age_us (orders, now_us, model, wanted) };
   return !quince_load_plan_should_defer (plan, &load);
 }
 
--- a/lib/forward/suspect-message.c
+++ b/lib/forward/suspect-message.c
@@ -14,21 +14,21 @@
 }
 
 static GBytes *
-encode_reports (QuinceMessageKind kind, QuinceSuspectReport *reports, guint n_reports)
+encode_message (QuinceMessageKind kind, QuinceSuspectReport *reports, guint n_reports)
 {
-  const QuinceSuspectReports news = { .suspects = { .suspects_val = reports, .suspects_len = n_reports } };
+  const QuinceSuspectReports body = { .suspects = { .suspects_val = reports, .suspects_len = n_reports } };
   QuinceMessage message = { .kind = kind };
   if (kind == QUINCE_MESSAGE_SUSPECT_SENDING)
-    message.QuinceMessage_u.suspect_sending = news;
+    message.QuinceMessage_u.suspect_sending = body;
   else
-    message.QuinceMessage_u.suspect_news = news;
+    message.QuinceMessage_u.suspect_news = body;
   return quince_message_encode (&message, NULL);
 }
 
 static GBytes *
-encode_news (QuinceSuspectReport *reports, guint n_reports)
+encode_reports (QuinceSuspectReport *reports, guint n_reports)
 {
-  return encode_reports (QUINCE_MESSAGE_SUSPECT_NEWS, reports, n_reports);
+  return encode_message (QUINCE_MESSAGE_SUSPECT_NEWS, reports, n_reports);
 }
 
 static void
@@ -55,7 +55,7 @@
   guint n_reports = MIN (suspects->len, QUINCE_SUSPECTS_MAX);
   for (guint i = 0; i < n_reports; i++)
     fill_report (suspects->pdata[i], now_us, own_name, &reports[i]);
-  return encode_news (reports, n_reports);
+  return encode_reports (reports, n_reports);
 }
 
 GBytes *
@@ -63,7 +63,7 @@
 {
   QuinceSuspectReport report = { 0 };
   fill_report (expected, now_us, own_name, &report);
-  return encode_reports (QUINCE_MESSAGE_SUSPECT_SENDING, &report, 1);
+  return encode_message (QUINCE_MESSAGE_SUSPECT_SENDING, &report, 1);
 }
 
 GBytes *
@@ -75,7 +75,7 @@
                                  .reported_by = "",
                                  .prompt = scope == QUINCE_SUSPECT_PROMPT };
   memcpy (report.digest, digest->bytes, sizeof report.digest);
-  return encode_news (&report, 1);
+  return encode_reports (&report, 1);
 }
 
 void
--- a/lib/observer/observer.h
+++ b/lib/observer/observer.h
@@ -15,7 +15,7 @@
 #include "protocol/codec.h"
 #include "meta/meta-mirror.h"
 #include "core/routing/route-table.h"
-#include "observer/observer-dialect.h"
+#include "observer/observer-codec.h"
 
 G_BEGIN_DECLS
 
