--- a/daemons/replica/ledger-backup.c
+++ b/daemons/replica/ledger-backup.c
@@ -1,5 +1,5 @@
 /*
- * ledger-backup.c: sending of the leader's records to one backup.
+ * ledger-backup.c: sends the leader's records to one backup.
  */
 #include "ledger-backup.h"
 
@@ -32,7 +32,7 @@
     return 1;
   if (quince_batch_log_get_epoch (log, hello->last_index) == hello->last_epoch)
     return hello->last_index + 1;
-  /* All logs are identical up to a commit index. */
+  /* Logs that agree on a committed record are identical up to it. */
   if (hello->commit_index > 0 && quince_batch_log_get_epoch (log, hello->commit_index) == hello->commit_epoch)
     return hello->commit_index + 1;
   *needs_reset = hello->commit_index > 0;
--- a/daemons/replica/ledger-election.c
+++ b/daemons/replica/ledger-election.c
@@ -26,7 +26,7 @@
   gpointer user_data;
 
   gint64 last_query_us;        /* when the last query was sent */
-  gint64 last_announcement_us; /* when the lead was last announced because the store was unreachable */
+  gint64 last_announcement_us; /* when this leader last announced itself because the store was unreachable */
 };
 
 QuinceLedgerElection *
@@ -136,8 +136,8 @@
     }
 }
 
-/* Announces the lead repeatedly while the store is unreachable.  A member that restarts then knows no view,
- * and so no member to query. */
+/* Announces this leader repeatedly while the store is unreachable.  A member that restarts then knows no
+ * view, and so no member to query. */
 static void
 announce_lead_while_store_fails (QuinceLedgerElection *election, gint64 now_us)
 {
--- a/daemons/replica/ledger-election.h
+++ b/daemons/replica/ledger-election.h
@@ -41,15 +41,14 @@
 /* Asks the other members for promises if this replica campaigns.  Must be called several times a second. */
 void quince_ledger_election_campaign (QuinceLedgerElection *election);
 /* Sends a query to the leader or to all members if one is due, and closes idle links to members.  If this
- * replica leads (@is_leader) and the metadata store is unreachable, also announces the lead to members that
- * are not connected as backups.  Must be called several times a second. */
+ * replica leads (@is_leader) and the metadata store is unreachable, also announces itself to members that
+ * are not connected as its backups.  Must be called several times a second. */
 void quince_ledger_election_query (QuinceLedgerElection *election, gboolean is_leader);
 /* Becomes leader if a quorum has promised and the metadata store is unreachable or too slow.  Must be called
  * several times a second. */
 void quince_ledger_election_try_lead_without_store (QuinceLedgerElection *election);
 
-/* Handles the promise request @request of a member.  A granted promise is sent on @link once it is on disk.
- */
+/* Handles the promise request of a member.  A granted promise is sent on @link once it is on disk. */
 void quince_ledger_election_handle_promise_request (QuinceLedgerElection *election,
                                                     QuinceLink *link,
                                                     const QuinceLedgerAsk *request);
--- a/daemons/replica/ledger-membership.c
+++ b/daemons/replica/ledger-membership.c
@@ -173,9 +173,10 @@
   quince_ledger_storage_save_state_or_abort (membership->storage);
   if (view == NULL)
     return;
-  quince_log_info (
-      "view_proposed",
-      "epoch=%" G_GUINT64_FORMAT " primary=%" G_GUINT64_FORMAT " members=%u on_revision=%" G_GUINT64_FORMAT,
-      (guint64)view->epoch, (guint64)view->primary, view->members.members_len, expected_revision);
+  quince_log_info ("view_proposed",
+                   "epoch=%" G_GUINT64_FORMAT " primary=%" G_GUINT64_FORMAT " members=%u"
+                   " on_revision=%" G_GUINT64_FORMAT,
+                   (guint64)view->epoch, (guint64)view->primary, view->members.members_len,
+                   expected_revision);
   write_view_change (membership, view, expected_revision);
 }
--- a/daemons/replica/ledger-node.h
+++ b/daemons/replica/ledger-node.h
@@ -2,8 +2,8 @@
  * ledger-node.h: one replica of the batch ledger: its log, its links and its role in the ledger group.
  *
  * A node owns the log file, the socket on which fronts and other replicas connect, and the links.  It reads
- * the view from the metadata store; its owner watches the view and reports changes to it.  All functions must
- * be called, and all callbacks run, in the main context.
+ * the view from the metadata store; its owner watches the view there and passes each change to
+ * quince_ledger_node_set_view().  All functions must be called, and all callbacks run, in the main context.
  */
 #pragma once
 
@@ -18,11 +18,11 @@
  * QuinceLedgerNodeCallbacks:
  * @started_leading: this replica is the leader and has read its log, which holds every acknowledged record;
  *   committed() was called for each record
- * @stopped_leading: this replica is no longer the leader; also called if it loses the lead while it reads its
- *   log, before started_leading()
- * @committed: a record is committed; called at the leader only, in log order, starting before
- *   started_leading(). @record: (transfer full)
- * @service_call: a front sent a call; the answer is sent on @link, which may close before
+ * @stopped_leading: this replica lost leadership after it had begun to read its log, perhaps before
+ *   started_leading() was called
+ * @committed: a record is committed; called only at the leader, in log order, and before started_leading()
+ *   for the records that the log already had.  @record: (transfer full)
+ * @service_call: a front sent a call; the answer is sent on @link, which may close before that
  * @link_closed: an incoming link, from a front or another replica, closed
  * @leader_connected: the link to the leader is up
  * @other_message: a message from a front, another replica or the leader that is neither a service call nor
@@ -110,12 +110,13 @@
 
 /* Returns %TRUE if this replica is the leader and has read its log. */
 gboolean quince_ledger_node_is_leading (const QuinceLedgerNode *node);
-/* Returns %TRUE if it is leading and may answer about batches, because no other replica can be leader now. */
+/* Returns %TRUE if this replica is leading and may answer calls about batches, since no other replica can be
+ * the leader now. */
 gboolean quince_ledger_node_may_answer (const QuinceLedgerNode *node);
-/* Returns %TRUE if it may answer and can also commit new records now. */
+/* Returns %TRUE if this replica may answer and can also commit new records now. */
 gboolean quince_ledger_node_may_accept (const QuinceLedgerNode *node);
-/* Returns %TRUE if it is leading and may give orders to workers: no other leader can have given any within
- * the order pause (QuinceLedgerLimits). */
+/* Returns %TRUE if this replica is leading and may give orders to workers.  No other replica can have given
+ * any within the order pause (QuinceLedgerLimits). */
 gboolean quince_ledger_node_may_order (const QuinceLedgerNode *node);
 /* Returns the epoch that this replica leads, which is the fencing token of its orders, or 0 if it does not
  * lead. */
--- a/daemons/replica/replica-ledger-events.c
+++ b/daemons/replica/replica-ledger-events.c
@@ -27,9 +27,10 @@
   quince_replica_leadership_stop (parts->leadership);
 }
 
-/* Forwards the former leader's progress if another replica became leader, for example because this log lacked
- * a record.  Nothing is sent if the configuration has region rules, since only a leader knows which machines
- * may receive which texts. */
+/* Sends the new leader the recent progress that this replica received from the former leader.  This
+ * replica may have the progress although it was not elected, for example because its log lacked a record.
+ * Nothing is sent if the configuration has region rules, since only a leader knows which machines may receive
+ * which texts. */
 static void
 forward_progress_to_leader (const QuinceReplicaParts *parts, QuinceLink *leader)
 {
@@ -96,7 +97,8 @@
 
 /* ---- Messages from other processes ---------------------------------------- */
 
-/* If the platform wants no usage reports, acknowledges the events, so that the front can drop them. */
+/* Passes the report to the usage collector.  If there is none, since the platform wants no usage reports,
+ * acknowledges the events, so that the front can drop them. */
 static void
 handle_usage_report (const QuinceReplicaParts *parts, QuinceLink *link, const QuinceUsageReport *report)
 {
--- a/daemons/replica/sample-dispatch.c
+++ b/daemons/replica/sample-dispatch.c
@@ -12,8 +12,8 @@
 /* Lowest priority that the platform's workers accept; 0 is the highest. */
 #define WORKER_PRIORITY_MAX 9
 
-/* Excludes workers that run a suspect: if a worker ended with two suspects on it, the cause would be
- * unknown. */
+/* If @sample has a permit to run alone, excludes the workers that run other samples with such a permit: if a
+ * worker ended with two of them on it, the cause would be unknown. */
 static void
 avoid_workers_with_suspects (const QuinceSampleSet *set, const QuinceSample *sample, GHashTable *avoid)
 {
--- a/daemons/replica/sample-moves.c
+++ b/daemons/replica/sample-moves.c
@@ -47,8 +47,8 @@
   return sample->state == QUINCE_SAMPLE_RUNNING && quince_sample_move_is_allowed (&move);
 }
 
-/* Returns whether @worker is so much slower than the fastest one that a move of a very long text to that one
- * would be worthwhile. */
+/* Returns whether a move of a very long text from @worker to the fastest worker would be worthwhile.  Returns
+ * FALSE while @worker loads weights. */
 static gboolean
 is_slow (const QuinceWorker *worker, const QuinceSampleServiceView *view, gint64 now_us)
 {
--- a/daemons/replica/weight-orders.c
+++ b/daemons/replica/weight-orders.c
@@ -169,6 +169,8 @@
   gint64 seen_us;
 } SeenVersion;
 
+/* Returns the time since this process first looked up @version as the newest one of @model, us.  The first
+ * call for a version records the time and returns 0. */
 static gint64
 get_version_age_us (QuinceWeightOrders *orders, gint64 now_us, const char *model, guint64 version)
 {
--- a/lib/core/decisions/admission.h
+++ b/lib/core/decisions/admission.h
@@ -68,10 +68,12 @@
 
 /**
  * quince_admission_for_permit_state:
- * @alone: the request must not run while another suspect runs at its service
+ * @alone: the request needs a permit to run alone, which excludes other such permits of its service for a
+ *   short time; see quince_permits_take()
  *
- * Decides from the leader's answer.  Without a leader, a suspect that need not run alone is sent unhedged.  A
- * suspect that must run alone is refused, since other processes may send suspects at the same time.
+ * Decides from the leader's answer.  Without a leader, a suspect that needs a permit to run alone is refused,
+ * since other processes may send such suspects to the service at the same time.  Any other suspect is sent
+ * unhedged.
  *
  * Returns: QUINCE_ADMISSION_PERMIT, QUINCE_ADMISSION_WAIT, QUINCE_ADMISSION_UNHEDGED or
  * QUINCE_ADMISSION_NO_PERMIT
--- a/lib/core/request/quarantine.h
+++ b/lib/core/request/quarantine.h
@@ -23,11 +23,11 @@
 
 G_BEGIN_DECLS
 
-/* Ends from which on a suspect is sent alone.  A single end is often coincidence. */
+/* A suspect with at least this many ends is sent alone.  A single end is often coincidence. */
 #define QUINCE_QUARANTINE_ALONE_ENDS_MIN 2
 /* Ends needed to hold a suspect.  Three may be coincidence. */
 #define QUINCE_QUARANTINE_HOLD_ENDS_MIN 4
-/* Ends needed to hold a suspect at which it was sent alone. */
+/* Of the ends needed to hold a suspect, the minimum at which it was sent alone. */
 #define QUINCE_QUARANTINE_HOLD_ALONE_ENDS_MIN 2
 /* Workers recorded for each suspect, the most recent ones: twice the ends needed to hold it. */
 #define QUINCE_QUARANTINE_WORKERS_MAX 8
@@ -170,8 +170,8 @@
 
 /* ---- Permits ----------------------------------------------------------- */
 
-/* Permits to send suspects: one at a time for each digest, and one to run alone at a time for each service.
- */
+/* Permits to send suspects: at most one at a time for each digest.  A permit to run alone excludes other such
+ * permits of its service for 0.3 s, so their requests may still overlap. */
 typedef struct _QuincePermits QuincePermits;
 
 QuincePermits *quince_permits_new (void);
@@ -179,9 +179,9 @@
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (QuincePermits, quince_permits_free)
 /**
  * quince_permits_take:
- * @alone: the suspect must run alone; the permit is refused for 0.3 s after another permit with @alone was
- * granted for @service, unless that one was returned.  Permits without @alone are neither blocked nor
- * counted.
+ * @alone: the permit is to run alone: it is refused for 0.3 s after another permit with @alone was granted
+ *   for @service, unless that one was returned.  Permits without @alone neither exclude others nor are
+ *   excluded in this way.
  * @holder: identifies the process that requests the permit
  * @expiry_us: time at which the permit expires if it is not returned
  *
--- a/lib/core/routing/machine-zones.h
+++ b/lib/core/routing/machine-zones.h
@@ -1,7 +1,8 @@
 /*
  * machine-zones.h: the zones of other machines, and the machines that may store data under a residency.
  *
- * A machine whose zone is unknown has no region, unless the deployment has only one region.  Pure.
+ * A machine whose zone is unknown has no region, unless the deployment has only one region.  The functions
+ * do no I/O.
  */
 #pragma once
 
--- a/lib/core/routing/warmup-limit.c
+++ b/lib/core/routing/warmup-limit.c
@@ -3,8 +3,8 @@
  *
  * A send that is granted at time G and leaves by time U reaches the worker between G and U plus a margin.  A
  * grant therefore counts until U plus the margin plus one window.  The limiter grants a send only while fewer
- * sends than the limit count.  This bounds every window: when the last granted of the sends that arrive in it
- * was granted, all others still counted.
+ * sends than the limit count.  This limits the sends that arrive in any one window: when the last of them was
+ * granted, all others still counted.
  */
 #include "core/routing/warmup-limit.h"
 
@@ -32,7 +32,7 @@
 {
   GHashTable *workers; /* worker id to GArray of SendGrant, both owned */
   gint64 margin_us;
-  gint64 cold_blocked_until_us; /* no grants for cold workers before; set after a change of leader */
+  gint64 cold_blocked_until_us; /* cold workers get no grants before this time; set by a new leader */
 };
 
 QuinceWarmupLimiter *
--- a/lib/core/weights/load-plan.h
+++ b/lib/core/weights/load-plan.h
@@ -33,7 +33,7 @@
  * @model: model to load
  * @loaded_version: version of @model that the worker has; 0 if none
  * @wanted_version: newest announced version of @model, greater than @loaded_version
- * @version_age_us: time since this process learned of @wanted_version, us
+ * @version_age_us: time since this leader first considered a load of @wanted_version, us
  */
 typedef struct
 {
