--- a/lib/policy/check.c
+++ b/lib/policy/check.c
@@ -154,7 +154,7 @@
 typedef struct
 {
   QuincePolicy *policy;
-  GArray *cases; /* Case */
+  GArray *cases; /* of ExampleCase */
 } CasesCall;
 
 static gboolean
--- a/lib/policy/library.c
+++ b/lib/policy/library.c
@@ -153,7 +153,7 @@
 }
 
 /* Sets a read-only table with the entries @names of a standard library as @name in the environment on top of
- * the stack.  Functions of the math library are not metered: they take only numbers. */
+ * the stack.  Functions of the math library are not metered because they compute on numbers. */
 static void
 add_library (lua_State *lua, lua_CFunction open_function, const char *name, const char *const *names)
 {
