--- a/daemons/front/caller-listeners.c
+++ b/daemons/front/caller-listeners.c
@@ -116,7 +116,7 @@
 void
 quince_caller_listeners_ignore_new_connections (QuinceCallerListeners *listeners)
 {
-  quince_acceptor_ignore_new (listeners->acceptors[QUINCE_LISTEN_CALLERS]);
+  quince_acceptor_ignore_new_connections (listeners->acceptors[QUINCE_LISTEN_CALLERS]);
 }
 
 void
--- a/daemons/front/ledger-caller.c
+++ b/daemons/front/ledger-caller.c
@@ -255,7 +255,7 @@
 static gboolean
 defer_call_timeout (QuinceLedgerCallHandle *call)
 {
-  if (!call->sent || call->caller->link == NULL || call->timeout_deferrals >= QUINCE_READ_FIRST_MAX
+  if (!call->sent || call->caller->link == NULL || call->timeout_deferrals >= QUINCE_TIMEOUT_DEFERRALS_MAX
       || (call->timeout_deferrals > 0 && !quince_link_has_input (call->caller->link)))
     return FALSE;
   call->timeout_deferrals++;
@@ -269,7 +269,7 @@
   if (defer_call_timeout (call))
     {
       quince_timer_clear (&call->timer);
-      call->timer = quince_timer_add (QUINCE_READ_FIRST_MS, call_timed_out, call);
+      call->timer = quince_timer_add (QUINCE_TIMEOUT_DEFERRAL_MS, call_timed_out, call);
       return G_SOURCE_REMOVE;
     }
   /* Messages to the leader may be lost while its heartbeats arrive, and another member may lead by now. */
--- a/daemons/replica/sample.c
+++ b/daemons/replica/sample.c
@@ -282,7 +282,7 @@
   /* After a suspension of this process, reads the received bytes before it decides that the worker is silent.
    */
   if (silent_ms >= timeout_ms && quince_http_exchange_reads_first (sample->exchange))
-    sample->silence_timer = quince_timer_add (QUINCE_READ_FIRST_MS, check_silence, sample);
+    sample->silence_timer = quince_timer_add (QUINCE_TIMEOUT_DEFERRAL_MS, check_silence, sample);
   else if (silent_ms >= timeout_ms)
     quince_sample_stop_run (sample, QUINCE_RUN_BROKEN, "worker_silent");
   else
--- a/lib/forward/forward.c
+++ b/lib/forward/forward.c
@@ -280,7 +280,7 @@
     }
   if (quince_http_exchange_reads_first (oldest->exchange))
     {
-      schedule_attempt (forward, QUINCE_READ_FIRST_MS * 1000);
+      schedule_attempt (forward, QUINCE_TIMEOUT_DEFERRAL_MS * 1000);
       return FALSE;
     }
   record_attempt_result (oldest, FALSE);
--- a/lib/forward/stream.c
+++ b/lib/forward/stream.c
@@ -245,7 +245,7 @@
   /* Bytes that arrived while this process was stopped are read first, even after the timeout. */
   if (quince_http_exchange_reads_first (stream->exchange))
     {
-      stream->timeout_timer = quince_timer_add (QUINCE_READ_FIRST_MS, check_timeouts, stream);
+      stream->timeout_timer = quince_timer_add (QUINCE_TIMEOUT_DEFERRAL_MS, check_timeouts, stream);
       return G_SOURCE_REMOVE;
     }
   quince_http_exchange_cancel (stream->exchange);
--- a/lib/http1/http-client.h
+++ b/lib/http1/http-client.h
@@ -94,10 +94,10 @@
 const QuinceHttpHead *quince_http_exchange_get_head (const QuinceHttpExchange *exchange);
 /* The body as collected so far. */
 const GByteArray *quince_http_exchange_get_body (const QuinceHttpExchange *exchange);
-/* For callers that end an exchange by a timer of their own: whether to wait QUINCE_READ_FIRST_MS more, since
- * bytes have arrived that were not read.  After a suspension answers and timers are ready at once, and an
- * answer that its worker gave in time would be replaced by a failure.  Returns: %TRUE at most
- * QUINCE_READ_FIRST_MAX times */
+/* For callers that end an exchange by a timer of their own: whether to wait QUINCE_TIMEOUT_DEFERRAL_MS more,
+ * since bytes have arrived that were not read.  After a suspension answers and timers are ready at once, and
+ * an answer that its worker gave in time would be replaced by a failure.  Returns: %TRUE at most
+ * QUINCE_TIMEOUT_DEFERRALS_MAX times */
 gboolean quince_http_exchange_reads_first (QuinceHttpExchange *exchange);
 /* The connection will not be used again, for example because the answer belongs to another request. */
 void quince_http_exchange_distrust (QuinceHttpExchange *exchange);
--- a/lib/http1/http-connection-output.c
+++ b/lib/http1/http-connection-output.c
@@ -39,7 +39,7 @@
 set_watch_output (QuinceHttpConnection *connection, gboolean output)
 {
   connection->watches_output = output;
-  quince_socket_watch_set (connection->watch, output ? G_IO_IN | G_IO_OUT : G_IO_IN);
+  quince_socket_watch_set_condition (connection->watch, output ? G_IO_IN | G_IO_OUT : G_IO_IN);
 }
 
 void
--- a/lib/http1/http-connection.c
+++ b/lib/http1/http-connection.c
@@ -39,7 +39,7 @@
       return;
     }
   connection->connecting = FALSE;
-  quince_socket_watch_set (connection->watch, G_IO_IN);
+  quince_socket_watch_set_condition (connection->watch, G_IO_IN);
   if (connection->output->len > 0)
     {
       quince_http_connection_send_kept (connection);
@@ -77,7 +77,7 @@
   QuinceHttpConnection *connection = connection_new (FALSE, callbacks, user_data);
   connection->socket = socket;
   connection->max_head_bytes = max_head_bytes;
-  quince_tcp_socket_prepare (socket);
+  quince_tcp_socket_set_options (socket);
   connection->watch = quince_socket_watch_new (socket, G_IO_IN, socket_ready, connection);
   return connection;
 }
@@ -134,7 +134,7 @@
   if (connection->output->len > 0)
     return TRUE;
   return connection->open && connection->socket != NULL
-         && quince_tcp_socket_get_unacknowledged (connection->socket) > 0;
+         && quince_tcp_socket_get_unacknowledged_bytes (connection->socket) > 0;
 }
 
 void
--- a/lib/http1/http-pool.c
+++ b/lib/http1/http-pool.c
@@ -268,7 +268,7 @@
 gboolean
 quince_http_exchange_reads_first (QuinceHttpExchange *exchange)
 {
-  if (exchange->read_first >= QUINCE_READ_FIRST_MAX
+  if (exchange->read_first >= QUINCE_TIMEOUT_DEFERRALS_MAX
       || !quince_http_connection_has_input (exchange->channel->connection))
     return FALSE;
   exchange->read_first++;
@@ -282,7 +282,7 @@
   if (quince_http_exchange_reads_first (exchange))
     {
       quince_timer_clear (&exchange->timer);
-      exchange->timer = quince_timer_add (QUINCE_READ_FIRST_MS, exchange_late, exchange);
+      exchange->timer = quince_timer_add (QUINCE_TIMEOUT_DEFERRAL_MS, exchange_late, exchange);
       return G_SOURCE_REMOVE;
     }
   g_autoptr (GError) error
--- a/lib/runtime/acceptor.c
+++ b/lib/runtime/acceptor.c
@@ -10,9 +10,9 @@
 
 /* Connections that wait to be accepted: above the 300 machines of the largest deployment, all of which
  * connect to a new leader at once. */
-#define BACKLOG 1024
+#define LISTEN_BACKLOG 1024
 /* Connections accepted in one turn of the main loop, so that those that exist are served in between. */
-#define ACCEPT_MAX 16
+#define ACCEPTS_PER_TURN_MAX 16
 
 struct _QuinceAcceptor
 {
@@ -28,7 +28,7 @@
 accept_ready (GIOCondition condition, gpointer data)
 {
   QuinceAcceptor *acceptor = data;
-  for (guint i = 0; i < ACCEPT_MAX; i++)
+  for (guint i = 0; i < ACCEPTS_PER_TURN_MAX; i++)
     {
       g_autoptr (GError) error = NULL;
       GSocket *accepted = g_socket_accept (acceptor->socket, NULL, &error);
@@ -57,7 +57,7 @@
   if (socket == NULL)
     return NULL;
   g_socket_set_blocking (socket, FALSE);
-  g_socket_set_listen_backlog (socket, BACKLOG);
+  g_socket_set_listen_backlog (socket, LISTEN_BACKLOG);
   if (!g_socket_bind (socket, wanted, TRUE, error) || !g_socket_listen (socket, error))
     return NULL;
   g_autoptr (GSocketAddress) actual = g_socket_get_local_address (socket, error);
@@ -79,9 +79,9 @@
 }
 
 void
-quince_acceptor_ignore_new (QuinceAcceptor *acceptor)
+quince_acceptor_ignore_new_connections (QuinceAcceptor *acceptor)
 {
-  if (!quince_listen_filter_ignore_new (acceptor->socket))
+  if (!quince_listen_filter_ignore_new_connections (acceptor->socket))
     quince_log_warning ("connections_not_ignored", "address=%s", acceptor->address);
 }
 
--- a/lib/runtime/acceptor.h
+++ b/lib/runtime/acceptor.h
@@ -25,7 +25,7 @@
 /* The address really listened on, ip:port. */
 const char *quince_acceptor_get_address (QuinceAcceptor *acceptor);
 /* No further connections are made; those made before are still accepted.  See listen-filter.h. */
-void quince_acceptor_ignore_new (QuinceAcceptor *acceptor);
+void quince_acceptor_ignore_new_connections (QuinceAcceptor *acceptor);
 void quince_acceptor_free (QuinceAcceptor *acceptor);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (QuinceAcceptor, quince_acceptor_free)
 
--- a/lib/runtime/clock.h
+++ b/lib/runtime/clock.h
@@ -12,9 +12,9 @@
 
 /* A wait that is over is prolonged by this time while bytes have arrived that were not read, ms: one turn of
  * a busy main loop. */
-#define QUINCE_READ_FIRST_MS 2
+#define QUINCE_TIMEOUT_DEFERRAL_MS 2
 /* So many times at most: an answer of 64 kB takes four reads. */
-#define QUINCE_READ_FIRST_MAX 8
+#define QUINCE_TIMEOUT_DEFERRALS_MAX 8
 
 /**
  * quince_now_us:
--- a/lib/runtime/link.c
+++ b/lib/runtime/link.c
@@ -143,7 +143,7 @@
   if (link->watches_output == output)
     return;
   link->watches_output = output;
-  quince_socket_watch_set (link->watch, output ? G_IO_IN | G_IO_OUT : G_IO_IN);
+  quince_socket_watch_set_condition (link->watch, output ? G_IO_IN | G_IO_OUT : G_IO_IN);
 }
 
 /* Hands over what the kernel takes at once, and watches for more room where that is not all. */
@@ -334,7 +334,7 @@
       return;
     }
   link->connecting = FALSE;
-  quince_socket_watch_set (link->watch, G_IO_IN);
+  quince_socket_watch_set_condition (link->watch, G_IO_IN);
   if (waiting_bytes (link) > 0)
     quince_socket_watch_defer_output (link->watch);
   if (link->callbacks->connected != NULL)
@@ -410,7 +410,7 @@
 gsize
 quince_link_get_backlog (QuinceLink *link)
 {
-  gsize unacknowledged = link->socket != NULL ? quince_tcp_socket_get_unacknowledged (link->socket) : 0;
+  gsize unacknowledged = link->socket != NULL ? quince_tcp_socket_get_unacknowledged_bytes (link->socket) : 0;
   return MAX (waiting_bytes (link) + unacknowledged, undelivered_bytes (link));
 }
 
@@ -448,7 +448,7 @@
 {
   QuinceLinkServer *server = data;
   QuinceLink *link = link_new (server->callbacks, server->user_data);
-  quince_tcp_socket_prepare (socket);
+  quince_tcp_socket_set_options (socket);
   link_attach (link, socket, G_IO_IN);
   server->accepted (link, server->user_data);
 }
--- a/lib/runtime/listen-filter.c
+++ b/lib/runtime/listen-filter.c
@@ -14,7 +14,7 @@
 #define TCP_FLAGS_SYN_ACK 0x12
 
 gboolean
-quince_listen_filter_ignore_new (GSocket *socket)
+quince_listen_filter_ignore_new_connections (GSocket *socket)
 {
   struct sock_filter code[] = {
     BPF_STMT (BPF_LD | BPF_B | BPF_ABS, TCP_FLAGS_OFFSET),
--- a/lib/runtime/listen-filter.h
+++ b/lib/runtime/listen-filter.h
@@ -8,7 +8,7 @@
 G_BEGIN_DECLS
 
 /**
- * quince_listen_filter_ignore_new:
+ * quince_listen_filter_ignore_new_connections:
  * @socket: listens for TCP connections
  *
  * Closing a socket resets connections that it has not accepted yet, whose callers then cannot know whether
@@ -17,6 +17,6 @@
  *
  * Returns: %FALSE when the system refuses it
  */
-gboolean quince_listen_filter_ignore_new (GSocket *socket);
+gboolean quince_listen_filter_ignore_new_connections (GSocket *socket);
 
 G_END_DECLS
--- a/lib/runtime/log.c
+++ b/lib/runtime/log.c
@@ -12,19 +12,19 @@
 /* Set once by quince_log_init() before any thread starts; read only after. */
 static char *log_program;
 static char *log_name;
-static GLogLevelFlags log_least_severe = G_LOG_LEVEL_INFO;
+static GLogLevelFlags log_level = G_LOG_LEVEL_INFO;
 static int log_descriptor = STDERR_FILENO;
 static guint log_lines_per_second; /* 0: no bound */
 
 /* Lines written in this second and lines left out; guarded by log_lock. */
 static GMutex log_lock;
 static gint64 log_second;
-static guint log_written;
-static guint64 log_left_out;
-static char log_second_text[32];
+static guint log_lines_this_second;
+static guint64 log_dropped_lines;
+static char log_second_timestamp[32];
 
 static const char *
-level_name (GLogLevelFlags level)
+get_level_name (GLogLevelFlags level)
 {
   switch (level & G_LOG_LEVEL_MASK)
     {
@@ -78,37 +78,37 @@
 
 /* A slow reader of the log must not block the process. */
 static gboolean
-can_write (void)
+is_output_writable (void)
 {
   struct pollfd ready = { .fd = log_descriptor, .events = POLLOUT };
   return log_lines_per_second == 0 || (poll (&ready, 1, 0) == 1 && (ready.revents & POLLOUT) != 0);
 }
 
 static void
-begin_second (gint64 now_us)
+start_second (gint64 now_us)
 {
   time_t seconds = (time_t)(now_us / G_USEC_PER_SEC);
   struct tm parts;
   log_second = seconds;
-  log_written = 0;
+  log_lines_this_second = 0;
   gmtime_r (&seconds, &parts);
-  strftime (log_second_text, sizeof log_second_text, "%Y-%m-%dT%H:%M:%S", &parts);
+  strftime (log_second_timestamp, sizeof log_second_timestamp, "%Y-%m-%dT%H:%M:%S", &parts);
 }
 
 /* Whether the line fits this second's budget; notices, warnings and failures have twice as much. */
 static gboolean
-has_budget (GLogLevelFlags level)
+consume_line_budget (GLogLevelFlags level)
 {
   guint most
       = (level & G_LOG_LEVEL_MASK) <= G_LOG_LEVEL_MESSAGE ? 2 * log_lines_per_second : log_lines_per_second;
   if (log_lines_per_second == 0)
     return TRUE;
-  if (log_written >= most || !can_write ())
+  if (log_lines_this_second >= most || !is_output_writable ())
     {
-      log_left_out++;
+      log_dropped_lines++;
       return FALSE;
     }
-  log_written++;
+  log_lines_this_second++;
   return TRUE;
 }
 
@@ -120,16 +120,16 @@
   gint64 now_us = g_get_real_time ();
   g_mutex_lock (&log_lock);
   if (now_us / G_USEC_PER_SEC != log_second)
-    begin_second (now_us);
-  if (log_left_out > 0 && log_written == 0 && can_write ())
+    start_second (now_us);
+  if (log_dropped_lines > 0 && log_lines_this_second == 0 && is_output_writable ())
     {
       g_autofree char *left_out
-          = g_strdup_printf ("event=log_lines_left_out count=%" G_GUINT64_FORMAT, log_left_out);
-      log_left_out = 0;
-      log_written++;
+          = g_strdup_printf ("event=log_lines_left_out count=%" G_GUINT64_FORMAT, log_dropped_lines);
+      log_dropped_lines = 0;
+      log_lines_this_second++;
       write_text (G_LOG_LEVEL_WARNING, now_us, left_out);
     }
-  if (has_budget (level))
+  if (consume_line_budget (level))
     write_text (level, now_us, body);
   g_mutex_unlock (&log_lock);
 }
@@ -138,8 +138,8 @@
 write_text (GLogLevelFlags level, gint64 now_us, const char *body)
 {
   g_autoptr (GString) line = g_string_sized_new (256);
-  g_string_printf (line, "time=%s.%03dZ level=%s program=%s", log_second_text,
-                   (int)(now_us % G_USEC_PER_SEC / 1000), level_name (level),
+  g_string_printf (line, "time=%s.%03dZ level=%s program=%s", log_second_timestamp,
+                   (int)(now_us % G_USEC_PER_SEC / 1000), get_level_name (level),
                    log_program != NULL ? log_program : "unknown");
   if (log_name != NULL && *log_name != '\0')
     g_string_append_printf (line, " name=%s", log_name);
@@ -162,7 +162,7 @@
       if (g_str_equal (fields[i].key, "QUINCE_EVENT"))
         ours = TRUE;
     }
-  if (message == NULL || (level & G_LOG_LEVEL_MASK) > log_least_severe)
+  if (message == NULL || (level & G_LOG_LEVEL_MASK) > log_level)
     return G_LOG_WRITER_HANDLED;
   if (ours)
     {
@@ -185,27 +185,27 @@
   log_name = quince_log_quote (name);
   if (name == NULL || *name == '\0')
     g_clear_pointer (&log_name, g_free);
-  log_least_severe = level;
+  log_level = level;
   if (!installed)
     g_log_set_writer_func (log_writer, NULL, NULL);
   installed = TRUE;
 }
 
 void
-quince_log_bound (int descriptor, guint lines_per_second)
+quince_log_set_output (int descriptor, guint lines_per_second)
 {
   g_mutex_lock (&log_lock);
   log_descriptor = descriptor;
   log_lines_per_second = lines_per_second;
   log_second = 0;
-  log_left_out = 0;
+  log_dropped_lines = 0;
   g_mutex_unlock (&log_lock);
 }
 
 void
 quince_log_event (GLogLevelFlags level, const char *event, const char *format, ...)
 {
-  if ((level & G_LOG_LEVEL_MASK) > log_least_severe)
+  if ((level & G_LOG_LEVEL_MASK) > log_level)
     return;
   va_list arguments;
   va_start (arguments, format);
--- a/lib/runtime/log.h
+++ b/lib/runtime/log.h
@@ -25,7 +25,7 @@
 void quince_log_init (const char *program, const char *name, GLogLevelFlags level);
 
 /**
- * quince_log_bound:
+ * quince_log_set_output:
  * @descriptor: where lines go from now on, for example standard output
  * @lines_per_second: more are left out and counted; failures, warnings and notices have as many again for
  * themselves
@@ -33,7 +33,7 @@
  * Lines are also left out while the reader of @descriptor does not read: writing never waits.  The number
  * of lines left out is logged as event=log_lines_left_out as soon as there is room.
  */
-void quince_log_bound (int descriptor, guint lines_per_second);
+void quince_log_set_output (int descriptor, guint lines_per_second);
 
 /**
  * quince_log_parse_level:
--- a/lib/runtime/metrics.c
+++ b/lib/runtime/metrics.c
@@ -14,7 +14,7 @@
   SERIES_HISTOGRAM,
 } SeriesKind;
 
-static const double bucket_seconds[]
+static const double bucket_upper_bounds_s[]
     = { 0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.15, 0.2, 0.5, 1, 2, 5, 10, 30 };
 
 typedef struct
@@ -25,11 +25,11 @@
   double value;
   guint64 count;
   double sum;
-  guint64 buckets[G_N_ELEMENTS (bucket_seconds)];
+  guint64 buckets[G_N_ELEMENTS (bucket_upper_bounds_s)];
 } Series;
 
 /* Main context only. */
-static GHashTable *all_series; /* Series by "name{labels}", owned */
+static GHashTable *series_by_key; /* Series by "name{labels}", owned */
 static guint64 dropped;
 static void (*refresh_function) (gpointer);
 static gpointer refresh_data;
@@ -46,13 +46,13 @@
 static Series *
 find_series (SeriesKind kind, const char *name, const char *labels)
 {
-  if (all_series == NULL)
-    all_series = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, series_free);
+  if (series_by_key == NULL)
+    series_by_key = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, series_free);
   g_autofree char *key = g_strconcat (name, "{", labels, NULL);
-  Series *series = g_hash_table_lookup (all_series, key);
+  Series *series = g_hash_table_lookup (series_by_key, key);
   if (series != NULL)
     return series;
-  if (g_hash_table_size (all_series) >= QUINCE_METRICS_SERIES_MAX)
+  if (g_hash_table_size (series_by_key) >= QUINCE_METRICS_SERIES_MAX)
     {
       dropped++;
       return NULL;
@@ -61,7 +61,7 @@
   series->kind = kind;
   series->name = g_strdup (name);
   series->labels = g_strdup (labels);
-  g_hash_table_insert (all_series, g_steal_pointer (&key), series);
+  g_hash_table_insert (series_by_key, g_steal_pointer (&key), series);
   return series;
 }
 
@@ -90,8 +90,8 @@
   double seconds = (double)us / G_USEC_PER_SEC;
   series->count++;
   series->sum += seconds;
-  for (guint i = 0; i < G_N_ELEMENTS (bucket_seconds); i++)
-    if (seconds <= bucket_seconds[i])
+  for (guint i = 0; i < G_N_ELEMENTS (bucket_upper_bounds_s); i++)
+    if (seconds <= bucket_upper_bounds_s[i])
       {
         series->buckets[i]++;
         return;
@@ -105,11 +105,11 @@
 {
   const char *comma = *series->labels != '\0' ? "," : "";
   guint64 below = 0;
-  for (guint i = 0; i < G_N_ELEMENTS (bucket_seconds); i++)
+  for (guint i = 0; i < G_N_ELEMENTS (bucket_upper_bounds_s); i++)
     {
       below += series->buckets[i];
       g_string_append_printf (text, "%s_bucket{%s%sle=\"%g\"} %" G_GUINT64_FORMAT "\n", series->name,
-                              series->labels, comma, bucket_seconds[i], below);
+                              series->labels, comma, bucket_upper_bounds_s[i], below);
     }
   g_string_append_printf (text, "%s_bucket{%s%sle=\"+Inf\"} %" G_GUINT64_FORMAT "\n", series->name,
                           series->labels, comma, series->count);
@@ -139,13 +139,13 @@
       text,
       "# TYPE quince_metrics_dropped_total counter\nquince_metrics_dropped_total %" G_GUINT64_FORMAT "\n",
       dropped);
-  if (all_series == NULL)
+  if (series_by_key == NULL)
     return g_string_free (text, FALSE);
-  g_autoptr (GList) keys = g_list_sort (g_hash_table_get_keys (all_series), (GCompareFunc)strcmp);
+  g_autoptr (GList) keys = g_list_sort (g_hash_table_get_keys (series_by_key), (GCompareFunc)strcmp);
   const char *last = "";
   for (GList *at = keys; at != NULL; at = at->next)
     {
-      const Series *series = g_hash_table_lookup (all_series, at->data);
+      const Series *series = g_hash_table_lookup (series_by_key, at->data);
       if (strcmp (series->name, last) != 0)
         g_string_append_printf (text, "# TYPE %s %s\n", series->name, types[series->kind]);
       last = series->name;
@@ -164,7 +164,7 @@
 void
 quince_metrics_reset (void)
 {
-  g_clear_pointer (&all_series, g_hash_table_unref);
+  g_clear_pointer (&series_by_key, g_hash_table_unref);
   dropped = 0;
   refresh_function = NULL;
 }
--- a/lib/runtime/program.c
+++ b/lib/runtime/program.c
@@ -16,7 +16,7 @@
 {
   OPTION_SET = 's',
   OPTION_CONFIG = 'c',
-  OPTION_LEVEL = 'l',
+  OPTION_LOG_LEVEL = 'l',
   OPTION_CHECK = 0x100,
   OPTION_HELP_SETTINGS,
 };
@@ -47,7 +47,7 @@
   { "set", OPTION_SET, "SECTION.KEY=VALUE", 0, "Set one value over the file's (repeatable)", 0 },
   { "check", OPTION_CHECK, NULL, 0, "Check the settings and exit", 0 },
   { "help-settings", OPTION_HELP_SETTINGS, NULL, 0, "Print every setting with its default and exit", 0 },
-  { "log-level", OPTION_LEVEL, "LEVEL", 0, "debug, info, warning or error (default info)", 0 },
+  { "log-level", OPTION_LOG_LEVEL, "LEVEL", 0, "debug, info, warning or error (default info)", 0 },
   { 0 },
 };
 
@@ -69,7 +69,7 @@
     case OPTION_HELP_SETTINGS:
       flags->help_settings = TRUE;
       return 0;
-    case OPTION_LEVEL:
+    case OPTION_LOG_LEVEL:
       if (!quince_log_parse_level (argument, &flags->level))
         argp_error (state, "'%s' is no log level; allowed: debug, info, warning, error", argument);
       return 0;
@@ -82,7 +82,7 @@
 }
 
 static gboolean
-stop_signal (gpointer data)
+handle_stop_signal (gpointer data)
 {
   Running *running = data;
   if (running->stopping)
@@ -102,7 +102,7 @@
 
 /* Invalid settings change nothing. */
 static gboolean
-reload_signal (gpointer data)
+handle_reload_signal (gpointer data)
 {
   Running *running = data;
   g_autoptr (GError) error = NULL;
@@ -136,20 +136,20 @@
 
 /* The setting log.level has precedence over the flag. */
 static void
-begin_log (const QuinceProgram *program, const Flags *flags, const QuinceSettings *settings)
+init_log (const QuinceProgram *program, const Flags *flags, const QuinceSettings *settings)
 {
   const char *name = quince_settings_get_text (settings, program->name_section, "name");
   GLogLevelFlags level = flags->level;
   quince_log_parse_level (quince_settings_get_text (settings, "log", "level"), &level);
   quince_log_init (program->name, name, level);
   if (program->log_lines_per_second > 0)
-    quince_log_bound (STDOUT_FILENO, program->log_lines_per_second);
+    quince_log_set_output (STDOUT_FILENO, program->log_lines_per_second);
 }
 
 static int
 run_with_settings (const QuinceProgram *program, const Flags *flags, const QuinceSettings *settings)
 {
-  begin_log (program, flags, settings);
+  init_log (program, flags, settings);
   main_loop = g_main_loop_new (NULL, FALSE);
   g_autoptr (GError) error = NULL;
   gpointer self = program->start (settings, &error);
@@ -163,9 +163,9 @@
   Running running = { .program = program, .flags = flags, .self = self };
   signal (SIGPIPE, SIG_IGN);
   /* Never removed: a late signal must not end the process while it releases its parts. */
-  g_unix_signal_add (SIGTERM, stop_signal, &running);
-  g_unix_signal_add (SIGINT, stop_signal, &running);
-  g_unix_signal_add (SIGHUP, reload_signal, &running);
+  g_unix_signal_add (SIGTERM, handle_stop_signal, &running);
+  g_unix_signal_add (SIGINT, handle_stop_signal, &running);
+  g_unix_signal_add (SIGHUP, handle_reload_signal, &running);
   print_ready (program, self);
   g_main_loop_run (main_loop);
   running.stopping = TRUE;
--- a/lib/runtime/socket-watch.c
+++ b/lib/runtime/socket-watch.c
@@ -8,7 +8,7 @@
 #include <unistd.h>
 
 /* Ready sockets dispatched before timers and other sources have their turn. */
-#define READY_MAX 128
+#define READY_EVENTS_MAX 128
 
 /* The source of one thread.  It lives as long as it has watches. */
 typedef struct
@@ -17,7 +17,7 @@
   int epoll;
   guint watches;
   GPtrArray *deferred; /* QuinceSocketWatch *; NULL: cleared since */
-  struct epoll_event ready[READY_MAX];
+  struct epoll_event ready[READY_EVENTS_MAX];
   guint next_ready; /* in a dispatch: the first one not called yet */
   guint ready_count;
 } SocketPoller;
@@ -27,12 +27,12 @@
   /* All fields belong to the thread that created the watch. */
   SocketPoller *poller;
   GSocket *socket;
-  QuinceSocketReady ready;
+  QuinceSocketReadyFunc ready;
   gpointer user_data;
   gboolean deferred;
 };
 
-static GPrivate poller_of_thread;
+static GPrivate thread_poller;
 
 /* ---- The source -------------------------------------------------------- */
 
@@ -44,9 +44,9 @@
 }
 
 static void
-call_ready (SocketPoller *poller)
+dispatch_ready (SocketPoller *poller)
 {
-  int count = epoll_wait (poller->epoll, poller->ready, READY_MAX, 0);
+  int count = epoll_wait (poller->epoll, poller->ready, READY_EVENTS_MAX, 0);
   poller->ready_count = count > 0 ? (guint)count : 0;
   poller->next_ready = 0;
   while (poller->next_ready < poller->ready_count)
@@ -61,7 +61,7 @@
 
 /* Watches that are deferred meanwhile wait for the next turn. */
 static void
-call_deferred (SocketPoller *poller)
+dispatch_deferred (SocketPoller *poller)
 {
   guint count = poller->deferred->len;
   for (guint i = 0; i < count; i++)
@@ -80,9 +80,9 @@
 poller_dispatch (GSource *source, GSourceFunc function, gpointer data)
 {
   SocketPoller *poller = (SocketPoller *)source;
-  call_ready (poller);
+  dispatch_ready (poller);
   if (poller->deferred->len > 0)
-    call_deferred (poller);
+    dispatch_deferred (poller);
   return G_SOURCE_CONTINUE;
 }
 
@@ -115,11 +115,11 @@
 static SocketPoller *
 poller_ref (void)
 {
-  SocketPoller *poller = g_private_get (&poller_of_thread);
+  SocketPoller *poller = g_private_get (&thread_poller);
   if (poller == NULL)
     {
       poller = poller_new ();
-      g_private_set (&poller_of_thread, poller);
+      g_private_set (&thread_poller, poller);
     }
   poller->watches++;
   return poller;
@@ -130,7 +130,7 @@
 {
   if (--poller->watches > 0)
     return;
-  g_private_set (&poller_of_thread, NULL);
+  g_private_set (&thread_poller, NULL);
   g_source_destroy (&poller->source);
   g_source_unref (&poller->source);
 }
@@ -138,7 +138,7 @@
 /* ---- Watches ----------------------------------------------------------- */
 
 static void
-tell_kernel (QuinceSocketWatch *watch, int operation, GIOCondition condition)
+update_epoll (QuinceSocketWatch *watch, int operation, GIOCondition condition)
 {
   struct epoll_event event = { .events = condition, .data.ptr = watch };
   if (epoll_ctl (watch->poller->epoll, operation, g_socket_get_fd (watch->socket), &event) != 0)
@@ -146,21 +146,24 @@
 }
 
 QuinceSocketWatch *
-quince_socket_watch_new (GSocket *socket, GIOCondition condition, QuinceSocketReady ready, gpointer user_data)
+quince_socket_watch_new (GSocket *socket,
+                         GIOCondition condition,
+                         QuinceSocketReadyFunc ready,
+                         gpointer user_data)
 {
   QuinceSocketWatch *watch = g_new0 (QuinceSocketWatch, 1);
   watch->poller = poller_ref ();
   watch->socket = g_object_ref (socket);
   watch->ready = ready;
   watch->user_data = user_data;
-  tell_kernel (watch, EPOLL_CTL_ADD, condition);
+  update_epoll (watch, EPOLL_CTL_ADD, condition);
   return watch;
 }
 
 void
-quince_socket_watch_set (QuinceSocketWatch *watch, GIOCondition condition)
+quince_socket_watch_set_condition (QuinceSocketWatch *watch, GIOCondition condition)
 {
-  tell_kernel (watch, EPOLL_CTL_MOD, condition);
+  update_epoll (watch, EPOLL_CTL_MOD, condition);
 }
 
 void
@@ -174,7 +177,7 @@
 
 /* Drops what this turn of the main loop still has for @watch. */
 static void
-forget_events (QuinceSocketWatch *watch)
+discard_events (QuinceSocketWatch *watch)
 {
   SocketPoller *poller = watch->poller;
   for (guint i = poller->next_ready; i < poller->ready_count; i++)
@@ -192,8 +195,8 @@
   if (ended == NULL)
     return;
   *watch = NULL;
-  tell_kernel (ended, EPOLL_CTL_DEL, 0);
-  forget_events (ended);
+  update_epoll (ended, EPOLL_CTL_DEL, 0);
+  discard_events (ended);
   g_object_unref (ended->socket);
   poller_unref (ended->poller);
   g_free (ended);
--- a/lib/runtime/socket-watch.h
+++ b/lib/runtime/socket-watch.h
@@ -19,7 +19,7 @@
 
 /* @condition: what was asked for and holds, besides G_IO_ERR and G_IO_HUP, which are always watched.  The
  * callback may clear this watch and any other one. */
-typedef void (*QuinceSocketReady) (GIOCondition condition, gpointer user_data);
+typedef void (*QuinceSocketReadyFunc) (GIOCondition condition, gpointer user_data);
 
 /**
  * quince_socket_watch_new:
@@ -31,11 +31,11 @@
  */
 QuinceSocketWatch *quince_socket_watch_new (GSocket *socket,
                                             GIOCondition condition,
-                                            QuinceSocketReady ready,
+                                            QuinceSocketReadyFunc ready,
                                             gpointer user_data);
 
 /* Watches for @condition from now on. */
-void quince_socket_watch_set (QuinceSocketWatch *watch, GIOCondition condition);
+void quince_socket_watch_set_condition (QuinceSocketWatch *watch, GIOCondition condition);
 
 /* Calls the watch once with G_IO_OUT, after what is ready in this turn of the main loop, without asking the
  * kernel: what is sent meanwhile leaves in one write. */
--- a/lib/runtime/suspension.h
+++ b/lib/runtime/suspension.h
@@ -20,8 +20,8 @@
  *
  * Compares the clocks at each turn of the calling thread's default context.
  */
-QuinceSuspensionWatch *quince_suspension_watch_new (void (*resumed) (gint64 away_us, gpointer user_data),
-                                                    gpointer user_data);
+QuinceSuspensionWatch *
+quince_suspension_watch_new (void (*resumed) (gint64 suspension_us, gpointer user_data), gpointer user_data);
 void quince_suspension_watch_free (QuinceSuspensionWatch *watch);
 
 G_END_DECLS
--- a/lib/runtime/tcp-socket.c
+++ b/lib/runtime/tcp-socket.c
@@ -11,14 +11,14 @@
 #include "runtime/address.h"
 
 /* A peer whose machine acknowledges nothing for so long is taken for lost, ms (TCP_USER_TIMEOUT). */
-#define SILENCE_MS 3000
+#define USER_TIMEOUT_MS 3000
 
 void
-quince_tcp_socket_prepare (GSocket *socket)
+quince_tcp_socket_set_options (GSocket *socket)
 {
   g_socket_set_blocking (socket, FALSE);
   g_socket_set_option (socket, IPPROTO_TCP, TCP_NODELAY, 1, NULL);
-  g_socket_set_option (socket, IPPROTO_TCP, TCP_USER_TIMEOUT, SILENCE_MS, NULL);
+  g_socket_set_option (socket, IPPROTO_TCP, TCP_USER_TIMEOUT, USER_TIMEOUT_MS, NULL);
 }
 
 GSocket *
@@ -31,7 +31,7 @@
                                              G_SOCKET_PROTOCOL_TCP, error);
   if (socket == NULL)
     return NULL;
-  quince_tcp_socket_prepare (socket);
+  quince_tcp_socket_set_options (socket);
   g_autoptr (GError) refused = NULL;
   if (g_socket_connect (socket, target, NULL, &refused)
       || g_error_matches (refused, G_IO_ERROR, G_IO_ERROR_PENDING))
@@ -41,7 +41,7 @@
 }
 
 gsize
-quince_tcp_socket_get_unacknowledged (GSocket *socket)
+quince_tcp_socket_get_unacknowledged_bytes (GSocket *socket)
 {
   int bytes = 0;
   if (ioctl (g_socket_get_fd (socket), SIOCOUTQ, &bytes) != 0)
--- a/lib/runtime/tcp-socket.h
+++ b/lib/runtime/tcp-socket.h
@@ -9,7 +9,7 @@
 G_BEGIN_DECLS
 
 /* Sets the options above on a connected or connecting socket. */
-void quince_tcp_socket_prepare (GSocket *socket);
+void quince_tcp_socket_set_options (GSocket *socket);
 
 /**
  * quince_tcp_socket_connect:
@@ -23,6 +23,6 @@
 
 /* Bytes that were handed to the kernel and that the peer's machine has not acknowledged; 0 where the system
  * does not tell. */
-gsize quince_tcp_socket_get_unacknowledged (GSocket *socket);
+gsize quince_tcp_socket_get_unacknowledged_bytes (GSocket *socket);
 
 G_END_DECLS
--- a/lib/runtime/timer.c
+++ b/lib/runtime/timer.c
@@ -25,7 +25,7 @@
   gpointer user_data;
 };
 
-static GPrivate queue_of_thread;
+static GPrivate thread_timer_queue;
 
 static int
 compare_timers (gconstpointer left, gconstpointer right, gpointer unused)
@@ -55,7 +55,7 @@
 
 /* Returns: (transfer none) (nullable): the timer that is called next */
 static QuinceTimer *
-first_timer (TimerQueue *queue)
+peek_first_timer (TimerQueue *queue)
 {
   GSequenceIter *first = g_sequence_get_begin_iter (queue->order);
   return g_sequence_iter_is_end (first) ? NULL : g_sequence_get (first);
@@ -66,7 +66,7 @@
 static gboolean
 queue_check (GSource *source)
 {
-  const QuinceTimer *first = first_timer ((TimerQueue *)source);
+  const QuinceTimer *first = peek_first_timer ((TimerQueue *)source);
   return first != NULL && first->due_us <= g_source_get_time (source);
 }
 
@@ -74,7 +74,7 @@
 queue_prepare (GSource *source, gint *timeout_ms)
 {
   *timeout_ms = -1;
-  const QuinceTimer *first = first_timer ((TimerQueue *)source);
+  const QuinceTimer *first = peek_first_timer ((TimerQueue *)source);
   if (first == NULL)
     return FALSE;
   gint64 wait_us = MAX (first->due_us - g_source_get_time (source), 0);
@@ -100,8 +100,8 @@
   TimerQueue *queue = (TimerQueue *)source;
   gint64 now_us = g_source_get_time (source);
   guint64 started = queue->started;
-  for (QuinceTimer *timer = first_timer (queue);
-       timer != NULL && timer->due_us <= now_us && timer->number < started; timer = first_timer (queue))
+  for (QuinceTimer *timer = peek_first_timer (queue);
+       timer != NULL && timer->due_us <= now_us && timer->number < started; timer = peek_first_timer (queue))
     call_timer (queue, timer, now_us);
   return G_SOURCE_CONTINUE;
 }
@@ -120,14 +120,14 @@
 static TimerQueue *
 queue_ref (void)
 {
-  TimerQueue *queue = g_private_get (&queue_of_thread);
+  TimerQueue *queue = g_private_get (&thread_timer_queue);
   if (queue == NULL)
     {
       GSource *source = g_source_new (&queue_functions, sizeof (TimerQueue));
       queue = (TimerQueue *)source;
       queue->order = g_sequence_new (NULL);
       g_source_attach (source, g_main_context_get_thread_default ());
-      g_private_set (&queue_of_thread, queue);
+      g_private_set (&thread_timer_queue, queue);
     }
   queue->timers++;
   return queue;
@@ -138,7 +138,7 @@
 {
   if (--queue->timers > 0)
     return;
-  g_private_set (&queue_of_thread, NULL);
+  g_private_set (&thread_timer_queue, NULL);
   g_source_destroy (&queue->source);
   g_source_unref (&queue->source);
 }
--- a/tests/unit/test-event-loop.c
+++ b/tests/unit/test-event-loop.c
@@ -16,7 +16,7 @@
 /* Connections of the leader of 300 machines to them and to workers, in a test of one process. */
 #define LINKS 200
 /* Descriptors that the main loop itself may ask the kernel about: its own, and one for all sockets. */
-#define POLLED_MAX 4
+#define POLLED_DESCRIPTORS_MAX 4
 
 static void
 turn (void)
@@ -25,7 +25,7 @@
 }
 
 static void
-turn_until_us (gint64 end_us)
+run_loop_until_us (gint64 end_us)
 {
   while (g_get_monotonic_time () < end_us)
     turn ();
@@ -63,7 +63,7 @@
 
 /* Returns: descriptors that the next turn of the main loop asks about */
 static guint
-count_polled (void)
+count_polled_descriptors (void)
 {
   GMainContext *context = g_main_context_default ();
   assert_true (g_main_context_acquire (context));
@@ -88,7 +88,7 @@
 
 /* A leader is linked to hundreds of machines, of which a few send at a time. */
 static void
-test_idle_links_cost_no_turn (void **state)
+test_links_add_no_polled_descriptors (void **state)
 {
   Peers peers = { .accepted = g_ptr_array_new_with_free_func ((GDestroyNotify)quince_link_unref) };
   g_autoptr (QuinceLinkServer) server
@@ -99,7 +99,7 @@
                      quince_link_connect (quince_link_server_get_address (server), &callbacks, &peers));
   while (peers.accepted->len < LINKS || peers.connected < LINKS)
     turn ();
-  assert_true (count_polled () <= POLLED_MAX);
+  assert_true (count_polled_descriptors () <= POLLED_DESCRIPTORS_MAX);
   for (guint i = 0; i < LINKS; i++)
     send_text (links->pdata[i], i);
   while (peers.messages < LINKS)
@@ -110,7 +110,7 @@
 /* Answers of megabytes to a peer that reads later: what the kernel takes no more waits, and comes in order
  * with what was sent meanwhile. */
 static void
-test_large_messages_wait_for_the_peer (void **state)
+test_large_messages_are_delivered (void **state)
 {
   Peers peers = { .accepted = g_ptr_array_new_with_free_func ((GDestroyNotify)quince_link_unref) };
   g_autoptr (QuinceLinkServer) server
@@ -139,7 +139,7 @@
 } Two;
 
 static void
-clear_both (GIOCondition condition, gpointer data)
+clear_both_watches (GIOCondition condition, gpointer data)
 {
   Two *two = data;
   two->calls++;
@@ -174,8 +174,8 @@
   g_autoptr (GSocket) first = connect_to (listener);
   g_autoptr (GSocket) second = connect_to (listener);
   Two two = { 0 };
-  two.watches[0] = quince_socket_watch_new (first, G_IO_OUT, clear_both, &two);
-  two.watches[1] = quince_socket_watch_new (second, G_IO_OUT, clear_both, &two);
+  two.watches[0] = quince_socket_watch_new (first, G_IO_OUT, clear_both_watches, &two);
+  two.watches[1] = quince_socket_watch_new (second, G_IO_OUT, clear_both_watches, &two);
   while (two.calls == 0)
     turn ();
   turn ();
@@ -189,8 +189,8 @@
   g_autoptr (GSocket) listener = new_listener ();
   g_autoptr (GSocket) other = new_listener ();
   Two two = { 0 };
-  two.watches[0] = quince_socket_watch_new (listener, G_IO_IN, clear_both, &two);
-  two.watches[1] = quince_socket_watch_new (other, G_IO_IN, clear_both, &two);
+  two.watches[0] = quince_socket_watch_new (listener, G_IO_IN, clear_both_watches, &two);
+  two.watches[1] = quince_socket_watch_new (other, G_IO_IN, clear_both_watches, &two);
   quince_socket_watch_defer_output (two.watches[0]);
   quince_socket_watch_defer_output (two.watches[1]);
   turn ();
@@ -203,21 +203,21 @@
 static GString *called;
 
 static gboolean
-note_a (gpointer data)
+record_a (gpointer data)
 {
   g_string_append_c (called, 'a');
   return G_SOURCE_REMOVE;
 }
 
 static gboolean
-note_b (gpointer data)
+record_b (gpointer data)
 {
   g_string_append_c (called, 'b');
   return G_SOURCE_REMOVE;
 }
 
 static gboolean
-note_again (gpointer data)
+record_tick (gpointer data)
 {
   g_string_append_c (called, '.');
   return G_SOURCE_CONTINUE;
@@ -235,15 +235,15 @@
 test_timers_in_order (void **state)
 {
   called = g_string_new (NULL);
-  QuinceTimer *later = quince_timer_add (20, note_b, NULL);
-  QuinceTimer *first = quince_timer_add (5, note_a, NULL);
-  QuinceTimer *never = quince_timer_add (10, note_again, NULL);
+  QuinceTimer *later = quince_timer_add (20, record_b, NULL);
+  QuinceTimer *first = quince_timer_add (5, record_a, NULL);
+  QuinceTimer *never = quince_timer_add (10, record_tick, NULL);
   quince_timer_clear (&never);
   assert_null (never);
   while (called->len < 2)
     g_main_context_iteration (NULL, TRUE);
   assert_string_equal (called->str, "ab");
-  turn_until_us (g_get_monotonic_time () + 30 * 1000);
+  run_loop_until_us (g_get_monotonic_time () + 30 * 1000);
   assert_string_equal (called->str, "ab");
   quince_timer_clear (&first);
   quince_timer_clear (&later);
@@ -252,10 +252,10 @@
 
 /* A timer without an interval is called once a turn, not for ever in one. */
 static void
-test_timer_each_turn (void **state)
+test_zero_interval_timer (void **state)
 {
   called = g_string_new (NULL);
-  QuinceTimer *timer = quince_timer_add (0, note_again, NULL);
+  QuinceTimer *timer = quince_timer_add (0, record_tick, NULL);
   turn ();
   assert_string_equal (called->str, ".");
   turn ();
@@ -265,13 +265,13 @@
 }
 
 static void
-test_timer_cleared_in_its_call (void **state)
+test_timer_cleared_in_callback (void **state)
 {
   called = g_string_new (NULL);
   QuinceTimer *timer = quince_timer_add (1, clear_timer, &timer);
   while (called->len == 0)
     g_main_context_iteration (NULL, TRUE);
-  turn_until_us (g_get_monotonic_time () + 10 * 1000);
+  run_loop_until_us (g_get_monotonic_time () + 10 * 1000);
   assert_string_equal (called->str, "c");
   assert_null (timer);
   g_string_free (called, TRUE);
@@ -282,7 +282,7 @@
 test_late_timer_is_called_once (void **state)
 {
   called = g_string_new (NULL);
-  QuinceTimer *timer = quince_timer_add (5, note_again, NULL);
+  QuinceTimer *timer = quince_timer_add (5, record_tick, NULL);
   g_usleep (30 * 1000);
   turn ();
   assert_string_equal (called->str, ".");
@@ -294,13 +294,13 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_idle_links_cost_no_turn),
-    cmocka_unit_test (test_large_messages_wait_for_the_peer),
+    cmocka_unit_test (test_links_add_no_polled_descriptors),
+    cmocka_unit_test (test_large_messages_are_delivered),
     cmocka_unit_test (test_watch_cleared_by_another),
     cmocka_unit_test (test_deferred_watch_cleared_by_another),
     cmocka_unit_test (test_timers_in_order),
-    cmocka_unit_test (test_timer_each_turn),
-    cmocka_unit_test (test_timer_cleared_in_its_call),
+    cmocka_unit_test (test_zero_interval_timer),
+    cmocka_unit_test (test_timer_cleared_in_callback),
     cmocka_unit_test (test_late_timer_is_called_once),
   };
   return cmocka_run_group_tests_name ("event-loop", tests, NULL, NULL);
--- a/tests/unit/test-telemetry.c
+++ b/tests/unit/test-telemetry.c
@@ -40,30 +40,30 @@
 
 /* Nobody reads: a million bytes of lines do not fit a pipe, and yet nothing waits. */
 static void
-test_log_never_waits (void **state)
+test_log_never_blocks (void **state)
 {
   int ends[2];
   assert_int_equal (pipe (ends), 0);
   quince_log_init ("test", "t", G_LOG_LEVEL_INFO);
-  quince_log_bound (ends[1], 1000000);
+  quince_log_set_output (ends[1], 1000000);
   for (guint i = 0; i < 20000; i++)
     quince_log_info ("filler", "number=%u padding=xxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxx", i);
   g_autofree char *text = drain (ends[0]);
   assert_true (count (text, "event=filler") < 20000);
   /* Each line is whole. */
   assert_int_equal (count (text, "time="), count (text, "\n"));
-  quince_log_bound (STDERR_FILENO, 0);
+  quince_log_set_output (STDERR_FILENO, 0);
   close (ends[0]);
   close (ends[1]);
 }
 
 /* More lines than a second's budget are left out and counted; failures still come. */
 static void
-test_log_budget (void **state)
+test_log_rate_limit (void **state)
 {
   int ends[2];
   assert_int_equal (pipe (ends), 0);
-  quince_log_bound (ends[1], LINES_PER_SECOND);
+  quince_log_set_output (ends[1], LINES_PER_SECOND);
   for (guint i = 0; i < 300; i++)
     quince_log_info ("filler", "number=%u", i);
   quince_log_warning ("trouble", "number=%u", 1);
@@ -78,13 +78,13 @@
   g_autofree char *later = drain (ends[0]);
   assert_int_equal (count (later, "event=log_lines_left_out count="), 1);
   assert_int_equal (count (later, "event=later"), 1);
-  quince_log_bound (STDERR_FILENO, 0);
+  quince_log_set_output (STDERR_FILENO, 0);
   close (ends[0]);
   close (ends[1]);
 }
 
 static void
-test_metrics_text (void **state)
+test_metrics_format (void **state)
 {
   quince_metrics_reset ();
   quince_metric_add ("a_total", "x=\"1\"", 2);
@@ -102,7 +102,7 @@
 }
 
 static void
-test_metrics_are_bounded (void **state)
+test_metrics_series_limit (void **state)
 {
   quince_metrics_reset ();
   for (guint i = 0; i < QUINCE_METRICS_SERIES_MAX + 10; i++)
@@ -119,10 +119,10 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_log_never_waits),
-    cmocka_unit_test (test_log_budget),
-    cmocka_unit_test (test_metrics_text),
-    cmocka_unit_test (test_metrics_are_bounded),
+    cmocka_unit_test (test_log_never_blocks),
+    cmocka_unit_test (test_log_rate_limit),
+    cmocka_unit_test (test_metrics_format),
+    cmocka_unit_test (test_metrics_series_limit),
   };
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
