--- a/lib/protocol/codec.c
+++ b/lib/protocol/codec.c
@@ -21,10 +21,10 @@
   char *buffer = g_malloc (size);
   XDR xdrs;
   xdrmem_create (&xdrs, buffer, (u_int)size, XDR_ENCODE);
-  gboolean done = proc (&xdrs, (gpointer)value);
+  gboolean success = proc (&xdrs, (gpointer)value);
   u_int length = xdr_getpos (&xdrs);
   xdr_destroy (&xdrs);
-  if (!done)
+  if (!success)
     {
       g_free (buffer);
       g_set_error_literal (error, QUINCE_CODEC_ERROR, QUINCE_CODEC_ERROR_ENCODE,
@@ -46,16 +46,16 @@
   gpointer value = g_malloc0 (size);
   XDR xdrs;
   xdrmem_create (&xdrs, (char *)data, (u_int)length, XDR_DECODE);
-  gboolean done = proc (&xdrs, value);
-  gsize used = xdr_getpos (&xdrs);
+  gboolean success = proc (&xdrs, value);
+  gsize consumed = xdr_getpos (&xdrs);
   xdr_destroy (&xdrs);
-  if (done && used == length)
+  if (success && consumed == length)
     return value;
 
   quince_xdr_free (proc, value);
-  if (done)
+  if (success)
     g_set_error (error, QUINCE_CODEC_ERROR, QUINCE_CODEC_ERROR_TRAILING,
-                 "%" G_GSIZE_FORMAT " bytes are left over", length - used);
+                 "%" G_GSIZE_FORMAT " bytes are left over", length - consumed);
   else
     g_set_error_literal (error, QUINCE_CODEC_ERROR, QUINCE_CODEC_ERROR_DECODE, "not a valid encoding");
   return NULL;
--- a/lib/runtime/acceptor.c
+++ b/lib/runtime/acceptor.c
@@ -25,21 +25,21 @@
 };
 
 static void
-accept_ready (GIOCondition condition, gpointer data)
+accept_connections (GIOCondition condition, gpointer data)
 {
   QuinceAcceptor *acceptor = data;
   for (guint i = 0; i < ACCEPTS_PER_TURN_MAX; i++)
     {
       g_autoptr (GError) error = NULL;
-      GSocket *accepted = g_socket_accept (acceptor->socket, NULL, &error);
-      if (accepted == NULL)
+      GSocket *connection = g_socket_accept (acceptor->socket, NULL, &error);
+      if (connection == NULL)
         {
           if (!g_error_matches (error, G_IO_ERROR, G_IO_ERROR_WOULD_BLOCK))
             quince_log_warning ("connection_not_accepted", "address=%s error=\"%s\"", acceptor->address,
                                 error->message);
           break;
         }
-      acceptor->accepted (accepted, acceptor->user_data);
+      acceptor->accepted (connection, acceptor->user_data);
     }
 }
 
@@ -49,25 +49,25 @@
                      gpointer user_data,
                      GError **error)
 {
-  g_autoptr (GSocketAddress) wanted = quince_address_parse (address, error);
-  if (wanted == NULL)
+  g_autoptr (GSocketAddress) listen_address = quince_address_parse (address, error);
+  if (listen_address == NULL)
     return NULL;
-  g_autoptr (GSocket) socket = g_socket_new (g_socket_address_get_family (wanted), G_SOCKET_TYPE_STREAM,
-                                             G_SOCKET_PROTOCOL_TCP, error);
+  g_autoptr (GSocket) socket = g_socket_new (g_socket_address_get_family (listen_address),
+                                             G_SOCKET_TYPE_STREAM, G_SOCKET_PROTOCOL_TCP, error);
   if (socket == NULL)
     return NULL;
   g_socket_set_blocking (socket, FALSE);
   g_socket_set_listen_backlog (socket, LISTEN_BACKLOG);
-  if (!g_socket_bind (socket, wanted, TRUE, error) || !g_socket_listen (socket, error))
+  if (!g_socket_bind (socket, listen_address, TRUE, error) || !g_socket_listen (socket, error))
     return NULL;
-  g_autoptr (GSocketAddress) actual = g_socket_get_local_address (socket, error);
-  if (actual == NULL)
+  g_autoptr (GSocketAddress) local_address = g_socket_get_local_address (socket, error);
+  if (local_address == NULL)
     return NULL;
   QuinceAcceptor *acceptor = g_new0 (QuinceAcceptor, 1);
-  acceptor->address = quince_address_format (actual);
+  acceptor->address = quince_address_format (local_address);
   acceptor->accepted = accepted;
   acceptor->user_data = user_data;
-  acceptor->watch = quince_socket_watch_new (socket, G_IO_IN, accept_ready, acceptor);
+  acceptor->watch = quince_socket_watch_new (socket, G_IO_IN, accept_connections, acceptor);
   acceptor->socket = g_steal_pointer (&socket);
   return acceptor;
 }
--- a/lib/runtime/address.c
+++ b/lib/runtime/address.c
@@ -28,9 +28,9 @@
 char *
 quince_address_format (GSocketAddress *address)
 {
-  GInetSocketAddress *inet = G_INET_SOCKET_ADDRESS (address);
-  g_autofree char *host = g_inet_address_to_string (g_inet_socket_address_get_address (inet));
-  guint port = g_inet_socket_address_get_port (inet);
-  gboolean six = g_socket_address_get_family (address) == G_SOCKET_FAMILY_IPV6;
-  return six ? g_strdup_printf ("[%s]:%u", host, port) : g_strdup_printf ("%s:%u", host, port);
+  GInetSocketAddress *inet_address = G_INET_SOCKET_ADDRESS (address);
+  g_autofree char *host = g_inet_address_to_string (g_inet_socket_address_get_address (inet_address));
+  guint port = g_inet_socket_address_get_port (inet_address);
+  gboolean is_ipv6 = g_socket_address_get_family (address) == G_SOCKET_FAMILY_IPV6;
+  return is_ipv6 ? g_strdup_printf ("[%s]:%u", host, port) : g_strdup_printf ("%s:%u", host, port);
 }
--- a/lib/runtime/log.c
+++ b/lib/runtime/log.c
@@ -66,11 +66,11 @@
 {
   if (text == NULL || *text == '\0')
     return g_strdup ("\"\"");
-  gboolean plain = TRUE;
+  gboolean is_plain = TRUE;
   for (const char *at = text; *at != '\0'; at++)
     if ((guchar)*at <= ' ' || *at == '"' || *at == '=' || *at == '\\' || (guchar)*at == 0x7f)
-      plain = FALSE;
-  if (plain)
+      is_plain = FALSE;
+  if (is_plain)
     return g_strdup (text);
   g_autofree char *escaped = g_strescape (text, NULL);
   return g_strdup_printf ("\"%s\"", escaped);
@@ -80,30 +80,30 @@
 static gboolean
 is_output_writable (void)
 {
-  struct pollfd ready = { .fd = log_descriptor, .events = POLLOUT };
-  return log_lines_per_second == 0 || (poll (&ready, 1, 0) == 1 && (ready.revents & POLLOUT) != 0);
+  struct pollfd output = { .fd = log_descriptor, .events = POLLOUT };
+  return log_lines_per_second == 0 || (poll (&output, 1, 0) == 1 && (output.revents & POLLOUT) != 0);
 }
 
 static void
 start_second (gint64 now_us)
 {
   time_t seconds = (time_t)(now_us / G_USEC_PER_SEC);
-  struct tm parts;
+  struct tm utc;
   log_second = seconds;
   log_lines_this_second = 0;
-  gmtime_r (&seconds, &parts);
-  strftime (log_second_timestamp, sizeof log_second_timestamp, "%Y-%m-%dT%H:%M:%S", &parts);
+  gmtime_r (&seconds, &utc);
+  strftime (log_second_timestamp, sizeof log_second_timestamp, "%Y-%m-%dT%H:%M:%S", &utc);
 }
 
 /* Whether the line fits this second's budget; notices, warnings and failures have twice as much. */
 static gboolean
 consume_line_budget (GLogLevelFlags level)
 {
-  guint most
+  guint max_lines
       = (level & G_LOG_LEVEL_MASK) <= G_LOG_LEVEL_MESSAGE ? 2 * log_lines_per_second : log_lines_per_second;
   if (log_lines_per_second == 0)
     return TRUE;
-  if (log_lines_this_second >= most || !is_output_writable ())
+  if (log_lines_this_second >= max_lines || !is_output_writable ())
     {
       log_dropped_lines++;
       return FALSE;
@@ -112,10 +112,10 @@
   return TRUE;
 }
 
-static void write_text (GLogLevelFlags level, gint64 now_us, const char *body);
+static void write_line (GLogLevelFlags level, gint64 now_us, const char *body);
 
 static void
-write_line (GLogLevelFlags level, const char *body)
+write_limited_line (GLogLevelFlags level, const char *body)
 {
   gint64 now_us = g_get_real_time ();
   g_mutex_lock (&log_lock);
@@ -123,19 +123,19 @@
     start_second (now_us);
   if (log_dropped_lines > 0 && log_lines_this_second == 0 && is_output_writable ())
     {
-      g_autofree char *left_out
+      g_autofree char *summary
           = g_strdup_printf ("event=log_lines_left_out count=%" G_GUINT64_FORMAT, log_dropped_lines);
       log_dropped_lines = 0;
       log_lines_this_second++;
-      write_text (G_LOG_LEVEL_WARNING, now_us, left_out);
+      write_line (G_LOG_LEVEL_WARNING, now_us, summary);
     }
   if (consume_line_budget (level))
-    write_text (level, now_us, body);
+    write_line (level, now_us, body);
   g_mutex_unlock (&log_lock);
 }
 
 static void
-write_text (GLogLevelFlags level, gint64 now_us, const char *body)
+write_line (GLogLevelFlags level, gint64 now_us, const char *body)
 {
   g_autoptr (GString) line = g_string_sized_new (256);
   g_string_printf (line, "time=%s.%03dZ level=%s program=%s", log_second_timestamp,
@@ -154,31 +154,31 @@
 log_writer (GLogLevelFlags level, const GLogField *fields, gsize n_fields, gpointer user_data)
 {
   const char *message = NULL;
-  gboolean ours = FALSE;
+  gboolean is_own_event = FALSE;
   for (gsize i = 0; i < n_fields; i++)
     {
       if (g_str_equal (fields[i].key, "MESSAGE"))
         message = fields[i].value;
       if (g_str_equal (fields[i].key, "QUINCE_EVENT"))
-        ours = TRUE;
+        is_own_event = TRUE;
     }
   if (message == NULL || (level & G_LOG_LEVEL_MASK) > log_level)
     return G_LOG_WRITER_HANDLED;
-  if (ours)
+  if (is_own_event)
     {
-      write_line (level, message);
+      write_limited_line (level, message);
       return G_LOG_WRITER_HANDLED;
     }
   g_autofree char *quoted = quince_log_quote (message);
   g_autofree char *body = g_strdup_printf ("event=library_message message=%s", quoted);
-  write_line (level, body);
+  write_limited_line (level, body);
   return G_LOG_WRITER_HANDLED;
 }
 
 void
 quince_log_init (const char *program, const char *name, GLogLevelFlags level)
 {
-  static gboolean installed;
+  static gboolean writer_installed;
   g_free (log_program);
   g_free (log_name);
   log_program = g_strdup (program);
@@ -186,9 +186,9 @@
   if (name == NULL || *name == '\0')
     g_clear_pointer (&log_name, g_free);
   log_level = level;
-  if (!installed)
+  if (!writer_installed)
     g_log_set_writer_func (log_writer, NULL, NULL);
-  installed = TRUE;
+  writer_installed = TRUE;
 }
 
 void
--- a/lib/runtime/metrics.c
+++ b/lib/runtime/metrics.c
@@ -30,7 +30,7 @@
 
 /* Main context only. */
 static GHashTable *series_by_key; /* Series by "name{labels}", owned */
-static guint64 dropped;
+static guint64 dropped_updates;
 static void (*refresh_function) (gpointer);
 static gpointer refresh_data;
 
@@ -54,7 +54,7 @@
     return series;
   if (g_hash_table_size (series_by_key) >= QUINCE_METRICS_SERIES_MAX)
     {
-      dropped++;
+      dropped_updates++;
       return NULL;
     }
   series = g_new0 (Series, 1);
@@ -66,11 +66,11 @@
 }
 
 void
-quince_metric_add (const char *name, const char *labels, guint64 by)
+quince_metric_add (const char *name, const char *labels, guint64 amount)
 {
   Series *series = find_series (SERIES_COUNTER, name, labels);
   if (series != NULL)
-    series->value += (double)by;
+    series->value += (double)amount;
 }
 
 void
@@ -82,12 +82,12 @@
 }
 
 void
-quince_metric_observe_us (const char *name, const char *labels, gint64 us)
+quince_metric_observe_us (const char *name, const char *labels, gint64 duration_us)
 {
   Series *series = find_series (SERIES_HISTOGRAM, name, labels);
   if (series == NULL)
     return;
-  double seconds = (double)us / G_USEC_PER_SEC;
+  double seconds = (double)duration_us / G_USEC_PER_SEC;
   series->count++;
   series->sum += seconds;
   for (guint i = 0; i < G_N_ELEMENTS (bucket_upper_bounds_s); i++)
@@ -104,12 +104,12 @@
 append_histogram (GString *text, const Series *series)
 {
   const char *comma = *series->labels != '\0' ? "," : "";
-  guint64 below = 0;
+  guint64 cumulative = 0;
   for (guint i = 0; i < G_N_ELEMENTS (bucket_upper_bounds_s); i++)
     {
-      below += series->buckets[i];
+      cumulative += series->buckets[i];
       g_string_append_printf (text, "%s_bucket{%s%sle=\"%g\"} %" G_GUINT64_FORMAT "\n", series->name,
-                              series->labels, comma, bucket_upper_bounds_s[i], below);
+                              series->labels, comma, bucket_upper_bounds_s[i], cumulative);
     }
   g_string_append_printf (text, "%s_bucket{%s%sle=\"+Inf\"} %" G_GUINT64_FORMAT "\n", series->name,
                           series->labels, comma, series->count);
@@ -138,17 +138,17 @@
   g_string_append_printf (
       text,
       "# TYPE quince_metrics_dropped_total counter\nquince_metrics_dropped_total %" G_GUINT64_FORMAT "\n",
-      dropped);
+      dropped_updates);
   if (series_by_key == NULL)
     return g_string_free (text, FALSE);
   g_autoptr (GList) keys = g_list_sort (g_hash_table_get_keys (series_by_key), (GCompareFunc)strcmp);
-  const char *last = "";
+  const char *last_name = "";
   for (GList *at = keys; at != NULL; at = at->next)
     {
       const Series *series = g_hash_table_lookup (series_by_key, at->data);
-      if (strcmp (series->name, last) != 0)
+      if (strcmp (series->name, last_name) != 0)
         g_string_append_printf (text, "# TYPE %s %s\n", series->name, types[series->kind]);
-      last = series->name;
+      last_name = series->name;
       append_series (text, series);
     }
   return g_string_free (text, FALSE);
@@ -165,6 +165,6 @@
 quince_metrics_reset (void)
 {
   g_clear_pointer (&series_by_key, g_hash_table_unref);
-  dropped = 0;
+  dropped_updates = 0;
   refresh_function = NULL;
 }
--- a/lib/runtime/metrics.h
+++ b/lib/runtime/metrics.h
@@ -16,10 +16,10 @@
 #define QUINCE_METRICS_SERIES_MAX 512
 
 /* @labels: as they stand between braces, for example "route=\"a\",outcome=\"answered\"", or "". */
-void quince_metric_add (const char *name, const char *labels, guint64 by);
+void quince_metric_add (const char *name, const char *labels, guint64 amount);
 void quince_metric_set (const char *name, const char *labels, double value);
 /* One latency, in microseconds; shown in seconds. */
-void quince_metric_observe_us (const char *name, const char *labels, gint64 us);
+void quince_metric_observe_us (const char *name, const char *labels, gint64 duration_us);
 /* Called before the text is made, to set gauges. */
 void quince_metrics_set_refresh (void (*refresh) (gpointer user_data), gpointer user_data);
 /* (transfer full) */
--- a/lib/runtime/program.c
+++ b/lib/runtime/program.c
@@ -40,7 +40,7 @@
   const Flags *flags;
   gpointer self;
   gboolean stopping;
-} Running;
+} RunningProgram;
 
 static const struct argp_option options[] = {
   { "config", OPTION_CONFIG, "FILE", 0, "Read settings from FILE", 0 },
@@ -84,7 +84,7 @@
 static gboolean
 handle_stop_signal (gpointer data)
 {
-  Running *running = data;
+  RunningProgram *running = data;
   if (running->stopping)
     return G_SOURCE_CONTINUE;
   running->stopping = TRUE;
@@ -104,7 +104,7 @@
 static gboolean
 handle_reload_signal (gpointer data)
 {
-  Running *running = data;
+  RunningProgram *running = data;
   g_autoptr (GError) error = NULL;
   g_autoptr (QuinceSettings) settings = read_settings (running->program, running->flags, &error);
   if (settings == NULL)
@@ -160,7 +160,7 @@
                           error->code, reason);
       return QUINCE_EXIT_FAILURE;
     }
-  Running running = { .program = program, .flags = flags, .self = self };
+  RunningProgram running = { .program = program, .flags = flags, .self = self };
   signal (SIGPIPE, SIG_IGN);
   /* Never removed: a late signal must not end the process while it releases its parts. */
   g_unix_signal_add (SIGTERM, handle_stop_signal, &running);
--- a/lib/runtime/socket-watch.c
+++ b/lib/runtime/socket-watch.c
@@ -14,12 +14,12 @@
 typedef struct
 {
   GSource source; /* first: it is one */
-  int epoll;
-  guint watches;
+  int epoll_fd;
+  guint n_watches;
   GPtrArray *deferred; /* QuinceSocketWatch *; NULL: cleared since */
-  struct epoll_event ready[READY_EVENTS_MAX];
-  guint next_ready; /* in a dispatch: the first one not called yet */
-  guint ready_count;
+  struct epoll_event ready_events[READY_EVENTS_MAX];
+  guint next_ready_event; /* in a dispatch: the first one not called yet */
+  guint n_ready_events;
 } SocketPoller;
 
 struct _QuinceSocketWatch
@@ -46,12 +46,12 @@
 static void
 dispatch_ready (SocketPoller *poller)
 {
-  int count = epoll_wait (poller->epoll, poller->ready, READY_EVENTS_MAX, 0);
-  poller->ready_count = count > 0 ? (guint)count : 0;
-  poller->next_ready = 0;
-  while (poller->next_ready < poller->ready_count)
+  int count = epoll_wait (poller->epoll_fd, poller->ready_events, READY_EVENTS_MAX, 0);
+  poller->n_ready_events = count > 0 ? (guint)count : 0;
+  poller->next_ready_event = 0;
+  while (poller->next_ready_event < poller->n_ready_events)
     {
-      const struct epoll_event *event = &poller->ready[poller->next_ready++];
+      const struct epoll_event *event = &poller->ready_events[poller->next_ready_event++];
       QuinceSocketWatch *watch = event->data.ptr;
       /* The bits of epoll are those of poll(), which GIOCondition has too. */
       if (watch != NULL)
@@ -91,7 +91,7 @@
 {
   SocketPoller *poller = (SocketPoller *)source;
   g_ptr_array_unref (poller->deferred);
-  close (poller->epoll);
+  close (poller->epoll_fd);
 }
 
 static GSourceFuncs poller_functions
@@ -100,14 +100,14 @@
 static SocketPoller *
 poller_new (void)
 {
-  int epoll = epoll_create1 (EPOLL_CLOEXEC);
-  if (epoll < 0)
+  int epoll_fd = epoll_create1 (EPOLL_CLOEXEC);
+  if (epoll_fd < 0)
     g_error ("no descriptor for epoll: %s", g_strerror (errno));
   GSource *source = g_source_new (&poller_functions, sizeof (SocketPoller));
   SocketPoller *poller = (SocketPoller *)source;
-  poller->epoll = epoll;
+  poller->epoll_fd = epoll_fd;
   poller->deferred = g_ptr_array_new ();
-  g_source_add_unix_fd (source, epoll, G_IO_IN);
+  g_source_add_unix_fd (source, epoll_fd, G_IO_IN);
   g_source_attach (source, g_main_context_get_thread_default ());
   return poller;
 }
@@ -121,14 +121,14 @@
       poller = poller_new ();
       g_private_set (&thread_poller, poller);
     }
-  poller->watches++;
+  poller->n_watches++;
   return poller;
 }
 
 static void
 poller_unref (SocketPoller *poller)
 {
-  if (--poller->watches > 0)
+  if (--poller->n_watches > 0)
     return;
   g_private_set (&thread_poller, NULL);
   g_source_destroy (&poller->source);
@@ -141,7 +141,7 @@
 update_epoll (QuinceSocketWatch *watch, int operation, GIOCondition condition)
 {
   struct epoll_event event = { .events = condition, .data.ptr = watch };
-  if (epoll_ctl (watch->poller->epoll, operation, g_socket_get_fd (watch->socket), &event) != 0)
+  if (epoll_ctl (watch->poller->epoll_fd, operation, g_socket_get_fd (watch->socket), &event) != 0)
     g_critical ("epoll refuses a socket: %s", g_strerror (errno));
 }
 
@@ -180,9 +180,9 @@
 discard_events (QuinceSocketWatch *watch)
 {
   SocketPoller *poller = watch->poller;
-  for (guint i = poller->next_ready; i < poller->ready_count; i++)
-    if (poller->ready[i].data.ptr == watch)
-      poller->ready[i].data.ptr = NULL;
+  for (guint i = poller->next_ready_event; i < poller->n_ready_events; i++)
+    if (poller->ready_events[i].data.ptr == watch)
+      poller->ready_events[i].data.ptr = NULL;
   guint index;
   if (watch->deferred && g_ptr_array_find (poller->deferred, watch, &index))
     poller->deferred->pdata[index] = NULL;
@@ -191,13 +191,13 @@
 void
 quince_socket_watch_clear (QuinceSocketWatch **watch)
 {
-  QuinceSocketWatch *ended = *watch;
-  if (ended == NULL)
+  QuinceSocketWatch *cleared = *watch;
+  if (cleared == NULL)
     return;
   *watch = NULL;
-  update_epoll (ended, EPOLL_CTL_DEL, 0);
-  discard_events (ended);
-  g_object_unref (ended->socket);
-  poller_unref (ended->poller);
-  g_free (ended);
+  update_epoll (cleared, EPOLL_CTL_DEL, 0);
+  discard_events (cleared);
+  g_object_unref (cleared->socket);
+  poller_unref (cleared->poller);
+  g_free (cleared);
 }
--- a/lib/runtime/tcp-socket.c
+++ b/lib/runtime/tcp-socket.c
@@ -32,11 +32,11 @@
   if (socket == NULL)
     return NULL;
   quince_tcp_socket_set_options (socket);
-  g_autoptr (GError) refused = NULL;
-  if (g_socket_connect (socket, target, NULL, &refused)
-      || g_error_matches (refused, G_IO_ERROR, G_IO_ERROR_PENDING))
+  g_autoptr (GError) connect_error = NULL;
+  if (g_socket_connect (socket, target, NULL, &connect_error)
+      || g_error_matches (connect_error, G_IO_ERROR, G_IO_ERROR_PENDING))
     return g_steal_pointer (&socket);
-  g_propagate_error (error, g_steal_pointer (&refused));
+  g_propagate_error (error, g_steal_pointer (&connect_error));
   return NULL;
 }
 
--- a/lib/runtime/timer.c
+++ b/lib/runtime/timer.c
@@ -6,20 +6,20 @@
 /* The source of one thread.  It lives as long as it has timers. */
 typedef struct
 {
-  GSource source;      /* first: it is one */
-  GSequence *order;    /* QuinceTimer *, the next one first */
-  guint timers;        /* those not cleared, whether they run or not */
-  guint64 started;     /* so many times a timer was started */
-  QuinceTimer *called; /* in a dispatch: the one being called; NULL: it was cleared meanwhile */
+  GSource source;              /* first: it is one */
+  GSequence *scheduled_timers; /* QuinceTimer *, the next one first */
+  guint n_timers;              /* those not cleared, whether they run or not */
+  guint64 n_started;           /* so many times a timer was started */
+  QuinceTimer *running_timer;  /* in a dispatch: the one being called; NULL: it was cleared meanwhile */
 } TimerQueue;
 
 struct _QuinceTimer
 {
   /* All fields belong to the thread that created the timer. */
   TimerQueue *queue;
-  GSequenceIter *place; /* NULL: it does not run */
-  gint64 due_us;        /* of the clock of the main loop */
-  guint64 number;       /* of its start: among timers of one time the first started is the first called */
+  GSequenceIter *position; /* NULL: it does not run */
+  gint64 due_us;           /* of the clock of the main loop */
+  guint64 start_number;    /* of its start: among timers of one time the first started is the first called */
   guint interval_ms;
   GSourceFunc function;
   gpointer user_data;
@@ -34,30 +34,30 @@
   const QuinceTimer *b = right;
   if (a->due_us != b->due_us)
     return a->due_us < b->due_us ? -1 : 1;
-  return a->number < b->number ? -1 : a->number > b->number;
+  return a->start_number < b->start_number ? -1 : a->start_number > b->start_number;
 }
 
 static void
 start_timer (QuinceTimer *timer, gint64 now_us)
 {
   timer->due_us = now_us + (gint64)timer->interval_ms * 1000;
-  timer->number = timer->queue->started++;
-  timer->place = g_sequence_insert_sorted (timer->queue->order, timer, compare_timers, NULL);
+  timer->start_number = timer->queue->n_started++;
+  timer->position = g_sequence_insert_sorted (timer->queue->scheduled_timers, timer, compare_timers, NULL);
 }
 
 static void
 stop_timer (QuinceTimer *timer)
 {
-  if (timer->place != NULL)
-    g_sequence_remove (timer->place);
-  timer->place = NULL;
+  if (timer->position != NULL)
+    g_sequence_remove (timer->position);
+  timer->position = NULL;
 }
 
 /* Returns: (transfer none) (nullable): the timer that is called next */
 static QuinceTimer *
 peek_first_timer (TimerQueue *queue)
 {
-  GSequenceIter *first = g_sequence_get_begin_iter (queue->order);
+  GSequenceIter *first = g_sequence_get_begin_iter (queue->scheduled_timers);
   return g_sequence_iter_is_end (first) ? NULL : g_sequence_get (first);
 }
 
@@ -86,11 +86,11 @@
 call_timer (TimerQueue *queue, QuinceTimer *timer, gint64 now_us)
 {
   stop_timer (timer);
-  queue->called = timer;
-  gboolean again = timer->function (timer->user_data);
-  if (queue->called == timer && again)
+  queue->running_timer = timer;
+  gboolean call_again = timer->function (timer->user_data);
+  if (queue->running_timer == timer && call_again)
     start_timer (timer, now_us);
-  queue->called = NULL;
+  queue->running_timer = NULL;
 }
 
 /* Timers started meanwhile wait for the next turn, so that other sources have theirs. */
@@ -99,9 +99,10 @@
 {
   TimerQueue *queue = (TimerQueue *)source;
   gint64 now_us = g_source_get_time (source);
-  guint64 started = queue->started;
+  guint64 n_started = queue->n_started;
   for (QuinceTimer *timer = peek_first_timer (queue);
-       timer != NULL && timer->due_us <= now_us && timer->number < started; timer = peek_first_timer (queue))
+       timer != NULL && timer->due_us <= now_us && timer->start_number < n_started;
+       timer = peek_first_timer (queue))
     call_timer (queue, timer, now_us);
   return G_SOURCE_CONTINUE;
 }
@@ -109,7 +110,7 @@
 static void
 queue_finalize (GSource *source)
 {
-  g_sequence_free (((TimerQueue *)source)->order);
+  g_sequence_free (((TimerQueue *)source)->scheduled_timers);
 }
 
 static GSourceFuncs queue_functions = { .prepare = queue_prepare,
@@ -125,18 +126,18 @@
     {
       GSource *source = g_source_new (&queue_functions, sizeof (TimerQueue));
       queue = (TimerQueue *)source;
-      queue->order = g_sequence_new (NULL);
+      queue->scheduled_timers = g_sequence_new (NULL);
       g_source_attach (source, g_main_context_get_thread_default ());
       g_private_set (&thread_timer_queue, queue);
     }
-  queue->timers++;
+  queue->n_timers++;
   return queue;
 }
 
 static void
 queue_unref (TimerQueue *queue)
 {
-  if (--queue->timers > 0)
+  if (--queue->n_timers > 0)
     return;
   g_private_set (&thread_timer_queue, NULL);
   g_source_destroy (&queue->source);
@@ -160,13 +161,13 @@
 void
 quince_timer_clear (QuinceTimer **timer)
 {
-  QuinceTimer *ended = *timer;
-  if (ended == NULL)
+  QuinceTimer *cleared = *timer;
+  if (cleared == NULL)
     return;
   *timer = NULL;
-  stop_timer (ended);
-  if (ended->queue->called == ended)
-    ended->queue->called = NULL;
-  queue_unref (ended->queue);
-  g_free (ended);
+  stop_timer (cleared);
+  if (cleared->queue->running_timer == cleared)
+    cleared->queue->running_timer = NULL;
+  queue_unref (cleared->queue);
+  g_free (cleared);
 }
--- a/tests/unit/test-event-loop.c
+++ b/tests/unit/test-event-loop.c
@@ -14,12 +14,12 @@
 #include "runtime/timer.h"
 
 /* Connections of the leader of 300 machines to them and to workers, in a test of one process. */
-#define LINKS 200
+#define N_LINKS 200
 /* Descriptors that the main loop itself may ask the kernel about: its own, and one for all sockets. */
 #define POLLED_DESCRIPTORS_MAX 4
 
 static void
-turn (void)
+iterate_main_loop (void)
 {
   g_main_context_iteration (NULL, FALSE);
 }
@@ -28,7 +28,7 @@
 run_loop_until_us (gint64 end_us)
 {
   while (g_get_monotonic_time () < end_us)
-    turn ();
+    iterate_main_loop ();
 }
 
 /* ---- Links ---------------------------------------------------------------------- */
@@ -38,24 +38,24 @@
   GPtrArray *accepted; /* QuinceLink, owned */
   guint messages;
   guint connected;
-} Peers;
+} LinkEvents;
 
 static void
 on_accepted (QuinceLink *link, gpointer data)
 {
-  g_ptr_array_add (((Peers *)data)->accepted, link);
+  g_ptr_array_add (((LinkEvents *)data)->accepted, link);
 }
 
 static void
 on_connected (QuinceLink *link, gpointer data)
 {
-  ((Peers *)data)->connected++;
+  ((LinkEvents *)data)->connected++;
 }
 
 static void
 on_message (QuinceLink *link, QuinceMessage *message, gpointer data)
 {
-  ((Peers *)data)->messages++;
+  ((LinkEvents *)data)->messages++;
   quince_message_free (message);
 }
 
@@ -69,7 +69,7 @@
   assert_true (g_main_context_acquire (context));
   gint priority;
   gint timeout_ms;
-  GPollFD polled[2 * LINKS + 16];
+  GPollFD polled[2 * N_LINKS + 16];
   g_main_context_prepare (context, &priority);
   gint count = g_main_context_query (context, G_PRIORITY_DEFAULT, &timeout_ms, polled, G_N_ELEMENTS (polled));
   g_main_context_check (context, priority, polled, 0);
@@ -90,21 +90,21 @@
 static void
 test_links_add_no_polled_descriptors (void **state)
 {
-  Peers peers = { .accepted = g_ptr_array_new_with_free_func ((GDestroyNotify)quince_link_unref) };
+  LinkEvents events = { .accepted = g_ptr_array_new_with_free_func ((GDestroyNotify)quince_link_unref) };
   g_autoptr (QuinceLinkServer) server
-      = quince_link_server_new ("127.0.0.1:0", &callbacks, on_accepted, &peers, NULL);
+      = quince_link_server_new ("127.0.0.1:0", &callbacks, on_accepted, &events, NULL);
   g_autoptr (GPtrArray) links = g_ptr_array_new_with_free_func ((GDestroyNotify)quince_link_unref);
-  for (guint i = 0; i < LINKS; i++)
+  for (guint i = 0; i < N_LINKS; i++)
     g_ptr_array_add (links,
-                     quince_link_connect (quince_link_server_get_address (server), &callbacks, &peers));
-  while (peers.accepted->len < LINKS || peers.connected < LINKS)
-    turn ();
+                     quince_link_connect (quince_link_server_get_address (server), &callbacks, &events));
+  while (events.accepted->len < N_LINKS || events.connected < N_LINKS)
+    iterate_main_loop ();
   assert_true (count_polled_descriptors () <= POLLED_DESCRIPTORS_MAX);
-  for (guint i = 0; i < LINKS; i++)
+  for (guint i = 0; i < N_LINKS; i++)
     send_text (links->pdata[i], i);
-  while (peers.messages < LINKS)
-    turn ();
-  g_ptr_array_unref (peers.accepted);
+  while (events.messages < N_LINKS)
+    iterate_main_loop ();
+  g_ptr_array_unref (events.accepted);
 }
 
 /* Answers of megabytes to a peer that reads later: what the kernel takes no more waits, and comes in order
@@ -112,22 +112,22 @@
 static void
 test_large_messages_are_delivered (void **state)
 {
-  Peers peers = { .accepted = g_ptr_array_new_with_free_func ((GDestroyNotify)quince_link_unref) };
+  LinkEvents events = { .accepted = g_ptr_array_new_with_free_func ((GDestroyNotify)quince_link_unref) };
   g_autoptr (QuinceLinkServer) server
-      = quince_link_server_new ("127.0.0.1:0", &callbacks, on_accepted, &peers, NULL);
+      = quince_link_server_new ("127.0.0.1:0", &callbacks, on_accepted, &events, NULL);
   g_autoptr (QuinceLink) link
-      = quince_link_connect (quince_link_server_get_address (server), &callbacks, &peers);
-  while (peers.accepted->len < 1 || peers.connected < 1)
-    turn ();
+      = quince_link_connect (quince_link_server_get_address (server), &callbacks, &events);
+  while (events.accepted->len < 1 || events.connected < 1)
+    iterate_main_loop ();
   for (guint i = 0; i < 12; i++)
     {
       send_text (link, 1000 * 1000 * (i % 2));
-      turn ();
+      iterate_main_loop ();
     }
-  while (peers.messages < 12)
-    turn ();
+  while (events.messages < 12)
+    iterate_main_loop ();
   assert_int_equal (quince_link_get_bytes_sent (link) / 1000000, 6);
-  g_ptr_array_unref (peers.accepted);
+  g_ptr_array_unref (events.accepted);
 }
 
 /* ---- Watches ---------------------------------------------------------------------- */
@@ -136,15 +136,15 @@
 {
   QuinceSocketWatch *watches[2];
   guint calls;
-} Two;
+} WatchPair;
 
 static void
 clear_both_watches (GIOCondition condition, gpointer data)
 {
-  Two *two = data;
-  two->calls++;
-  quince_socket_watch_clear (&two->watches[0]);
-  quince_socket_watch_clear (&two->watches[1]);
+  WatchPair *pair = data;
+  pair->calls++;
+  quince_socket_watch_clear (&pair->watches[0]);
+  quince_socket_watch_clear (&pair->watches[1]);
 }
 
 static GSocket *
@@ -173,13 +173,13 @@
   g_autoptr (GSocket) listener = new_listener ();
   g_autoptr (GSocket) first = connect_to (listener);
   g_autoptr (GSocket) second = connect_to (listener);
-  Two two = { 0 };
-  two.watches[0] = quince_socket_watch_new (first, G_IO_OUT, clear_both_watches, &two);
-  two.watches[1] = quince_socket_watch_new (second, G_IO_OUT, clear_both_watches, &two);
-  while (two.calls == 0)
-    turn ();
-  turn ();
-  assert_int_equal (two.calls, 1);
+  WatchPair pair = { 0 };
+  pair.watches[0] = quince_socket_watch_new (first, G_IO_OUT, clear_both_watches, &pair);
+  pair.watches[1] = quince_socket_watch_new (second, G_IO_OUT, clear_both_watches, &pair);
+  while (pair.calls == 0)
+    iterate_main_loop ();
+  iterate_main_loop ();
+  assert_int_equal (pair.calls, 1);
 }
 
 /* The same for output that was put off to the end of a turn. */
@@ -188,45 +188,45 @@
 {
   g_autoptr (GSocket) listener = new_listener ();
   g_autoptr (GSocket) other = new_listener ();
-  Two two = { 0 };
-  two.watches[0] = quince_socket_watch_new (listener, G_IO_IN, clear_both_watches, &two);
-  two.watches[1] = quince_socket_watch_new (other, G_IO_IN, clear_both_watches, &two);
-  quince_socket_watch_defer_output (two.watches[0]);
-  quince_socket_watch_defer_output (two.watches[1]);
-  turn ();
-  turn ();
-  assert_int_equal (two.calls, 1);
+  WatchPair pair = { 0 };
+  pair.watches[0] = quince_socket_watch_new (listener, G_IO_IN, clear_both_watches, &pair);
+  pair.watches[1] = quince_socket_watch_new (other, G_IO_IN, clear_both_watches, &pair);
+  quince_socket_watch_defer_output (pair.watches[0]);
+  quince_socket_watch_defer_output (pair.watches[1]);
+  iterate_main_loop ();
+  iterate_main_loop ();
+  assert_int_equal (pair.calls, 1);
 }
 
 /* ---- Timers ---------------------------------------------------------------------- */
 
-static GString *called;
+static GString *call_log;
 
 static gboolean
 record_a (gpointer data)
 {
-  g_string_append_c (called, 'a');
+  g_string_append_c (call_log, 'a');
   return G_SOURCE_REMOVE;
 }
 
 static gboolean
 record_b (gpointer data)
 {
-  g_string_append_c (called, 'b');
+  g_string_append_c (call_log, 'b');
   return G_SOURCE_REMOVE;
 }
 
 static gboolean
 record_tick (gpointer data)
 {
-  g_string_append_c (called, '.');
+  g_string_append_c (call_log, '.');
   return G_SOURCE_CONTINUE;
 }
 
 static gboolean
 clear_timer (gpointer data)
 {
-  g_string_append_c (called, 'c');
+  g_string_append_c (call_log, 'c');
   quince_timer_clear (data);
   return G_SOURCE_CONTINUE;
 }
@@ -234,60 +234,60 @@
 static void
 test_timers_in_order (void **state)
 {
-  called = g_string_new (NULL);
-  QuinceTimer *later = quince_timer_add (20, record_b, NULL);
-  QuinceTimer *first = quince_timer_add (5, record_a, NULL);
-  QuinceTimer *never = quince_timer_add (10, record_tick, NULL);
-  quince_timer_clear (&never);
-  assert_null (never);
-  while (called->len < 2)
+  call_log = g_string_new (NULL);
+  QuinceTimer *timer_b = quince_timer_add (20, record_b, NULL);
+  QuinceTimer *timer_a = quince_timer_add (5, record_a, NULL);
+  QuinceTimer *cleared_timer = quince_timer_add (10, record_tick, NULL);
+  quince_timer_clear (&cleared_timer);
+  assert_null (cleared_timer);
+  while (call_log->len < 2)
     g_main_context_iteration (NULL, TRUE);
-  assert_string_equal (called->str, "ab");
+  assert_string_equal (call_log->str, "ab");
   run_loop_until_us (g_get_monotonic_time () + 30 * 1000);
-  assert_string_equal (called->str, "ab");
-  quince_timer_clear (&first);
-  quince_timer_clear (&later);
-  g_string_free (called, TRUE);
+  assert_string_equal (call_log->str, "ab");
+  quince_timer_clear (&timer_a);
+  quince_timer_clear (&timer_b);
+  g_string_free (call_log, TRUE);
 }
 
 /* A timer without an interval is called once a turn, not for ever in one. */
 static void
 test_zero_interval_timer (void **state)
 {
-  called = g_string_new (NULL);
+  call_log = g_string_new (NULL);
   QuinceTimer *timer = quince_timer_add (0, record_tick, NULL);
-  turn ();
-  assert_string_equal (called->str, ".");
-  turn ();
-  assert_string_equal (called->str, "..");
+  iterate_main_loop ();
+  assert_string_equal (call_log->str, ".");
+  iterate_main_loop ();
+  assert_string_equal (call_log->str, "..");
   quince_timer_clear (&timer);
-  g_string_free (called, TRUE);
+  g_string_free (call_log, TRUE);
 }
 
 static void
 test_timer_cleared_in_callback (void **state)
 {
-  called = g_string_new (NULL);
+  call_log = g_string_new (NULL);
   QuinceTimer *timer = quince_timer_add (1, clear_timer, &timer);
-  while (called->len == 0)
+  while (call_log->len == 0)
     g_main_context_iteration (NULL, TRUE);
   run_loop_until_us (g_get_monotonic_time () + 10 * 1000);
-  assert_string_equal (called->str, "c");
+  assert_string_equal (call_log->str, "c");
   assert_null (timer);
-  g_string_free (called, TRUE);
+  g_string_free (call_log, TRUE);
 }
 
 /* A busy process comes late to a timer: one call, and the interval begins anew. */
 static void
 test_late_timer_is_called_once (void **state)
 {
-  called = g_string_new (NULL);
+  call_log = g_string_new (NULL);
   QuinceTimer *timer = quince_timer_add (5, record_tick, NULL);
   g_usleep (30 * 1000);
-  turn ();
-  assert_string_equal (called->str, ".");
+  iterate_main_loop ();
+  assert_string_equal (call_log->str, ".");
   quince_timer_clear (&timer);
-  g_string_free (called, TRUE);
+  g_string_free (call_log, TRUE);
 }
 
 int
--- a/tests/unit/test-telemetry.c
+++ b/tests/unit/test-telemetry.c
@@ -17,17 +17,17 @@
 #define LINES_PER_SECOND 50
 
 static guint
-count (const char *text, const char *part)
+count_occurrences (const char *text, const char *substring)
 {
   guint found = 0;
-  for (const char *at = strstr (text, part); at != NULL; at = strstr (at + 1, part))
+  for (const char *at = strstr (text, substring); at != NULL; at = strstr (at + 1, substring))
     found++;
   return found;
 }
 
 /* Everything that stands in the pipe now. (transfer full) */
 static char *
-drain (int descriptor)
+read_available (int descriptor)
 {
   GString *text = g_string_new (NULL);
   char buffer[4096];
@@ -42,45 +42,45 @@
 static void
 test_log_never_blocks (void **state)
 {
-  int ends[2];
-  assert_int_equal (pipe (ends), 0);
+  int pipe_fds[2];
+  assert_int_equal (pipe (pipe_fds), 0);
   quince_log_init ("test", "t", G_LOG_LEVEL_INFO);
-  quince_log_set_output (ends[1], 1000000);
+  quince_log_set_output (pipe_fds[1], 1000000);
   for (guint i = 0; i < 20000; i++)
     quince_log_info ("filler", "number=%u padding=xxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxx", i);
-  g_autofree char *text = drain (ends[0]);
-  assert_true (count (text, "event=filler") < 20000);
+  g_autofree char *text = read_available (pipe_fds[0]);
+  assert_true (count_occurrences (text, "event=filler") < 20000);
   /* Each line is whole. */
-  assert_int_equal (count (text, "time="), count (text, "\n"));
+  assert_int_equal (count_occurrences (text, "time="), count_occurrences (text, "\n"));
   quince_log_set_output (STDERR_FILENO, 0);
-  close (ends[0]);
-  close (ends[1]);
+  close (pipe_fds[0]);
+  close (pipe_fds[1]);
 }
 
 /* More lines than a second's budget are left out and counted; failures still come. */
 static void
 test_log_rate_limit (void **state)
 {
-  int ends[2];
-  assert_int_equal (pipe (ends), 0);
-  quince_log_set_output (ends[1], LINES_PER_SECOND);
+  int pipe_fds[2];
+  assert_int_equal (pipe (pipe_fds), 0);
+  quince_log_set_output (pipe_fds[1], LINES_PER_SECOND);
   for (guint i = 0; i < 300; i++)
     quince_log_info ("filler", "number=%u", i);
   quince_log_warning ("trouble", "number=%u", 1);
-  g_autofree char *text = drain (ends[0]);
+  g_autofree char *text = read_available (pipe_fds[0]);
   /* The loop may cross from one second into the next. */
-  assert_in_range (count (text, "event=filler"), 1, 2 * LINES_PER_SECOND);
-  assert_int_equal (count (text, "event=trouble"), 1);
-  gint64 second = g_get_real_time () / G_USEC_PER_SEC;
-  while (g_get_real_time () / G_USEC_PER_SEC == second)
+  assert_in_range (count_occurrences (text, "event=filler"), 1, 2 * LINES_PER_SECOND);
+  assert_int_equal (count_occurrences (text, "event=trouble"), 1);
+  gint64 first_second = g_get_real_time () / G_USEC_PER_SEC;
+  while (g_get_real_time () / G_USEC_PER_SEC == first_second)
     g_usleep (10000);
   quince_log_info ("later", "%s", "");
-  g_autofree char *later = drain (ends[0]);
-  assert_int_equal (count (later, "event=log_lines_left_out count="), 1);
-  assert_int_equal (count (later, "event=later"), 1);
+  g_autofree char *later_text = read_available (pipe_fds[0]);
+  assert_int_equal (count_occurrences (later_text, "event=log_lines_left_out count="), 1);
+  assert_int_equal (count_occurrences (later_text, "event=later"), 1);
   quince_log_set_output (STDERR_FILENO, 0);
-  close (ends[0]);
-  close (ends[1]);
+  close (pipe_fds[0]);
+  close (pipe_fds[1]);
 }
 
 static void
@@ -111,7 +111,7 @@
       quince_metric_add ("a_total", labels, 1);
     }
   g_autofree char *text = quince_metrics_format ();
-  assert_int_equal (count (text, "a_total{"), QUINCE_METRICS_SERIES_MAX);
+  assert_int_equal (count_occurrences (text, "a_total{"), QUINCE_METRICS_SERIES_MAX);
   assert_non_null (strstr (text, "quince_metrics_dropped_total 10\n"));
 }
 
