--- a/lib/protocol/codec.c
+++ b/lib/protocol/codec.c
@@ -10,12 +10,12 @@
 GBytes *
 quince_xdr_encode (xdrproc_t proc, gconstpointer value, GError **error)
 {
-  /* XDR functions take the value without const; encoding does not write it. */
+  /* XDR functions take a non-const value, but do not modify it when they encode. */
   gulong size = xdr_sizeof (proc, (gpointer)value);
   if (size == 0 || size > QUINCE_FRAME_MAX_BYTES)
     {
       g_set_error_literal (error, QUINCE_CODEC_ERROR, QUINCE_CODEC_ERROR_ENCODE,
-                           "value does not fit its type");
+                           "value exceeds the limits of its type");
       return NULL;
     }
   char *buffer = g_malloc (size);
@@ -28,7 +28,7 @@
     {
       g_free (buffer);
       g_set_error_literal (error, QUINCE_CODEC_ERROR, QUINCE_CODEC_ERROR_ENCODE,
-                           "value does not fit its type");
+                           "value exceeds the limits of its type");
       return NULL;
     }
   return g_bytes_new_take (buffer, length);
@@ -40,7 +40,7 @@
   if (length > QUINCE_FRAME_MAX_BYTES)
     {
       g_set_error (error, QUINCE_CODEC_ERROR, QUINCE_CODEC_ERROR_DECODE,
-                   "%" G_GSIZE_FORMAT " bytes are too many", length);
+                   "%" G_GSIZE_FORMAT " bytes exceed the maximum frame size", length);
       return NULL;
     }
   gpointer value = g_malloc0 (size);
@@ -55,9 +55,9 @@
   quince_xdr_free (proc, value);
   if (success)
     g_set_error (error, QUINCE_CODEC_ERROR, QUINCE_CODEC_ERROR_TRAILING,
-                 "%" G_GSIZE_FORMAT " bytes are left over", length - consumed);
+                 "%" G_GSIZE_FORMAT " bytes follow the encoded value", length - consumed);
   else
-    g_set_error_literal (error, QUINCE_CODEC_ERROR, QUINCE_CODEC_ERROR_DECODE, "not a valid encoding");
+    g_set_error_literal (error, QUINCE_CODEC_ERROR, QUINCE_CODEC_ERROR_DECODE, "malformed encoding");
   return NULL;
 }
 
--- a/lib/protocol/codec.h
+++ b/lib/protocol/codec.h
@@ -1,9 +1,9 @@
 /*
- * codec.h: XDR encoding of messages and stored records; the types are those of quince_protocol.x.
+ * codec.h: XDR encoding of the messages and stored records that quince_protocol.x defines.
  *
- * Keeps no state.  Strings are never %NULL: an absent one is "".  Decoded values own their memory (libc
- * malloc) and are released with the free functions here.  Relies on the code that
- * scripts/generate-protocol.sh makes.
+ * Strings are never %NULL; an absent string is "".  Decoded values own their memory, which is allocated with
+ * malloc(), and must be released with the free functions of this header.  scripts/generate-protocol.sh
+ * generates the XDR functions from quince_protocol.x.
  */
 #pragma once
 
@@ -18,25 +18,25 @@
 
 typedef enum
 {
-  QUINCE_CODEC_ERROR_ENCODE,   /* a field is too long                      */
-  QUINCE_CODEC_ERROR_DECODE,   /* not a valid encoding of the type         */
-  QUINCE_CODEC_ERROR_TRAILING, /* bytes are left over                      */
+  QUINCE_CODEC_ERROR_ENCODE,   /* a field or the whole encoding is too long */
+  QUINCE_CODEC_ERROR_DECODE,   /* malformed, or longer than QUINCE_FRAME_MAX_BYTES */
+  QUINCE_CODEC_ERROR_TRAILING, /* bytes follow the encoded value */
 } QuinceCodecError;
 
-/* Generic forms; @proc is the generated xdr_TYPE function, @size sizeof (TYPE).  Encode and decode are public
- * for tests, which send hostile bytes to any type. */
+/* Functions for any type; @proc is the generated xdr_TYPE function and @size is sizeof (TYPE).  Encode and
+ * decode are public for tests that decode malformed data of every type. */
 
-/* Returns: (transfer full): or %NULL with QUINCE_CODEC_ERROR_ENCODE */
+/* Returns: (transfer full) (nullable): the encoding, or %NULL with QUINCE_CODEC_ERROR_ENCODE */
 GBytes *quince_xdr_encode (xdrproc_t proc, gconstpointer value, GError **error);
-/* Returns: (transfer full): or %NULL with QUINCE_CODEC_ERROR_DECODE or QUINCE_CODEC_ERROR_TRAILING; release
- * with quince_xdr_free() */
+/* Returns: (transfer full) (nullable): the value, or %NULL with QUINCE_CODEC_ERROR_DECODE or
+ * QUINCE_CODEC_ERROR_TRAILING; free with quince_xdr_free() */
 gpointer quince_xdr_decode (xdrproc_t proc, gsize size, gconstpointer data, gsize length, GError **error);
-/* Returns: (transfer full): or %NULL where @value does not encode */
+/* Returns: (transfer full) (nullable): a deep copy, or %NULL if @value cannot be encoded */
 gpointer quince_xdr_copy (xdrproc_t proc, gsize size, gconstpointer value);
-/* @value: (transfer full) (nullable) */
+/* Frees @value and the memory that it owns.  @value may be %NULL. */
 void quince_xdr_free (xdrproc_t proc, gpointer value);
 
-/* Typed forms, with errors and ownership of the generic ones. */
+/* Functions for one type, with the errors and the ownership of the functions above. */
 #define QUINCE_DECLARE_ENCODE(Type, name) GBytes *name##_encode (const Type *value, GError **error)
 #define QUINCE_DECLARE_DECODE(Type, name)                                                                    \
   Type *name##_decode (gconstpointer data, gsize length, GError **error)
@@ -64,8 +64,8 @@
 
 QUINCE_DECLARE_FREE (QuinceBatchJob, quince_batch_job)
 
-/* Protocol strings come from and go to libc malloc; g_strdup() is the same
- * allocator in GLib 2.46 and later. */
+/* Returns: (transfer full): a copy of @text, or of "" if @text is %NULL, for a string field.  XDR functions
+ * free strings with free(), which matches g_strdup() in GLib 2.46 and later. */
 static inline char *
 quince_string (const char *text)
 {
--- a/lib/protocol/hash.c
+++ b/lib/protocol/hash.c
@@ -1,5 +1,5 @@
 /*
- * hash.c: see hash.h.
+ * hash.c: hashes by libxxhash; see hash.h.
  */
 #include "protocol/hash.h"
 
--- a/lib/protocol/hash.h
+++ b/lib/protocol/hash.h
@@ -1,7 +1,7 @@
 /*
- * hash.h: hashes that do not change between versions and machines, for what is stored or compared by them.
+ * hash.h: non-cryptographic hashes that are stable across versions and machines.
  *
- * Keeps no state; relies on libxxhash, whose XXH3 is a fixed format.  Not for secrets.
+ * Hash values may be stored and compared between processes: the output of XXH3 is a fixed format.
  */
 #pragma once
 
@@ -9,9 +9,9 @@
 
 G_BEGIN_DECLS
 
-/* XXH3 of @length bytes, 64 bits. */
+/* Returns the 64-bit XXH3 hash of @length bytes. */
 guint64 quince_hash64 (gconstpointer data, gsize length, guint64 seed);
-/* XXH3 of @text, 128 bits, as 32 hexadecimal digits. (transfer full) */
+/* Returns: (transfer full): the 128-bit XXH3 hash of @length bytes of @text, as 32 hexadecimal digits */
 char *quince_hash_text (const char *text, gsize length);
 
 G_END_DECLS
--- a/lib/runtime/acceptor.c
+++ b/lib/runtime/acceptor.c
@@ -1,5 +1,5 @@
 /*
- * acceptor.c: a listening TCP socket that passes accepted sockets to its owner.
+ * acceptor.c: listening TCP socket; see acceptor.h.
  */
 #include "runtime/acceptor.h"
 
@@ -8,15 +8,15 @@
 #include "runtime/log.h"
 #include "runtime/socket-watch.h"
 
-/* Connections that wait to be accepted: above the 300 machines of the largest deployment, all of which
- * connect to a new leader at once. */
+/* Maximum length of the queue of connections to accept.  All 300 machines of the largest deployment may
+ * connect to a new leader at the same time. */
 #define LISTEN_BACKLOG 1024
-/* Connections accepted in one turn of the main loop, so that those that exist are served in between. */
+/* Maximum number of connections accepted in one main loop iteration, so that a burst of new connections does
+ * not delay the existing ones. */
 #define ACCEPTS_PER_TURN_MAX 16
 
 struct _QuinceAcceptor
 {
-  /* All fields belong to the context that created the acceptor. */
   GSocket *socket;
   QuinceSocketWatch *watch;
   char *address;
--- a/lib/runtime/acceptor.h
+++ b/lib/runtime/acceptor.h
@@ -1,8 +1,8 @@
 /*
- * acceptor.h: a listening TCP socket that passes accepted sockets to its owner.
+ * acceptor.h: listening TCP socket that passes accepted sockets to its owner.
  *
- * Belongs to the thread-default context that created it; all calls and callbacks happen there.  Relies on
- * socket-watch.h and listen-filter.h.
+ * An acceptor belongs to the thread-default main context in which it was created; all calls and callbacks
+ * happen there.
  */
 #pragma once
 
@@ -14,18 +14,23 @@
 
 /**
  * quince_acceptor_new:
- * @address: numeric ip:port to listen on; port 0 lets the kernel choose
- * @accepted: (transfer full): gets each new connection
- * @error: G_IO_ERROR: not such an address, or the system does not let it listen there
+ * @address: numeric ip:port to listen on; with port 0 the kernel chooses a free port
+ * @accepted: called with each accepted connection; takes ownership of @socket
+ * @error: (out): G_IO_ERROR_INVALID_ARGUMENT if @address is malformed, or another G_IO_ERROR if the socket
+ * cannot be bound
+ *
+ * Returns: (transfer full) (nullable): the listening acceptor, or %NULL on error
  */
 QuinceAcceptor *quince_acceptor_new (const char *address,
                                      void (*accepted) (GSocket *socket, gpointer user_data),
                                      gpointer user_data,
                                      GError **error);
-/* The address really listened on, ip:port. */
+/* Returns the bound address as ip:port, with the port that the kernel chose. */
 const char *quince_acceptor_get_address (QuinceAcceptor *acceptor);
-/* No further connections are made; those made before are still accepted.  See listen-filter.h. */
+/* Stops the establishment of new connections.  Connections that are already established are still accepted;
+ * see listen-filter.h.  Logs a warning if the kernel rejects the filter. */
 void quince_acceptor_ignore_new_connections (QuinceAcceptor *acceptor);
+/* Closes the listening socket; accepted connections stay open. */
 void quince_acceptor_free (QuinceAcceptor *acceptor);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (QuinceAcceptor, quince_acceptor_free)
 
--- a/lib/runtime/address.c
+++ b/lib/runtime/address.c
@@ -1,5 +1,5 @@
 /*
- * address.c: numeric addresses; see address.h.
+ * address.c: conversion of numeric addresses; see address.h.
  */
 #include "runtime/address.h"
 
--- a/lib/runtime/address.h
+++ b/lib/runtime/address.h
@@ -1,5 +1,5 @@
 /*
- * address.h: numeric addresses, "ip:port" or "[ipv6]:port".  Keeps no state; names are never looked up.
+ * address.h: conversion of numeric addresses, "ip:port" or "[ipv6]:port".  Host names are never resolved.
  */
 #pragma once
 
@@ -7,9 +7,11 @@
 
 G_BEGIN_DECLS
 
-/* Returns: (transfer full) (nullable): %NULL with G_IO_ERROR_INVALID_ARGUMENT */
+/* Returns: (transfer full) (nullable): the address, or %NULL with G_IO_ERROR_INVALID_ARGUMENT if @text is
+ * %NULL or not a numeric address */
 GSocketAddress *quince_address_parse (const char *text, GError **error);
-/* @address: of an internet family.  Returns: (transfer full): as parse() takes it */
+/* Formats an IPv4 or IPv6 socket address.  Returns: (transfer full): text that quince_address_parse()
+ * accepts */
 char *quince_address_format (GSocketAddress *address);
 
 G_END_DECLS
--- a/lib/runtime/clock.c
+++ b/lib/runtime/clock.c
@@ -1,5 +1,5 @@
 /*
- * clock.c: clocks; see clock.h.
+ * clock.c: monotonic and wall clocks; see clock.h.
  */
 #include "runtime/clock.h"
 
@@ -11,7 +11,7 @@
 {
   struct timespec now;
   if (clock_gettime (CLOCK_BOOTTIME, &now) != 0)
-    g_error ("the kernel has no CLOCK_BOOTTIME: %s", g_strerror (errno));
+    g_error ("clock_gettime() failed for CLOCK_BOOTTIME: %s", g_strerror (errno));
   return (gint64)now.tv_sec * G_USEC_PER_SEC + now.tv_nsec / 1000;
 }
 
--- a/lib/runtime/clock.h
+++ b/lib/runtime/clock.h
@@ -1,8 +1,7 @@
 /*
- * clock.h: the clocks that all modules share.
+ * clock.h: clocks that all modules share.
  *
- * Relies on the C library and GLib alone.  Modules of lib/core take times as arguments and include nothing of
- * this.
+ * Modules of lib/core do not include this header; they take times as arguments.
  */
 #pragma once
 
@@ -10,23 +9,23 @@
 
 G_BEGIN_DECLS
 
-/* A wait that is over is prolonged by this time while bytes have arrived that were not read, ms: one turn of
- * a busy main loop. */
+/* Deferral of a timeout that has expired while received bytes are still unread, in milliseconds: about one
+ * iteration of a busy main loop. */
 #define QUINCE_TIMEOUT_DEFERRAL_MS 2
-/* So many times at most: an answer of 64 kB takes four reads. */
+/* Maximum number of deferrals of one timeout; reading an answer of 64 kB takes four reads. */
 #define QUINCE_TIMEOUT_DEFERRALS_MAX 8
 
 /**
  * quince_now_us:
  *
- * The clock of every lease, deadline and fence: it goes on while the machine is suspended, as the clocks of
- * all other machines do, so that no right outlives its time over a suspension.
+ * Reads the clock of all leases, deadlines and fences.  It includes the time for which the machine is
+ * suspended, so that a lease does not outlive its expiry on a machine that resumes.
  *
- * Returns: microseconds of CLOCK_BOOTTIME
+ * Returns: the time of CLOCK_BOOTTIME in microseconds
  */
 gint64 quince_now_us (void);
 
-/* Milliseconds since the Unix epoch, of the wall clock; it may be stepped either way. */
+/* Returns the wall clock time in milliseconds since the Unix epoch; it may jump forwards or backwards. */
 gint64 quince_wall_ms (void);
 
 G_END_DECLS
--- a/lib/runtime/listen-filter.c
+++ b/lib/runtime/listen-filter.c
@@ -1,16 +1,16 @@
 /*
- * listen-filter.c: ends a listening socket without resetting connections that it has not accepted yet.
+ * listen-filter.c: packet filter that drops SYN packets; see listen-filter.h.
  */
 #include "runtime/listen-filter.h"
 
 #include <linux/filter.h>
 #include <sys/socket.h>
 
-/* Byte of the TCP header that holds the flags (RFC 9293). */
+/* Offset of the flags in the TCP header, in bytes (RFC 9293). */
 #define TCP_FLAGS_OFFSET 13
-/* Flags of the first packet of a connection: SYN without ACK. */
+/* SYN flag; the first packet of a connection has SYN set and ACK clear. */
 #define TCP_FLAGS_SYN 0x02
-/* The flags that are compared: SYN and ACK. */
+/* Mask of the flags SYN and ACK. */
 #define TCP_FLAGS_SYN_ACK 0x12
 
 gboolean
--- a/lib/runtime/listen-filter.h
+++ b/lib/runtime/listen-filter.h
@@ -1,5 +1,5 @@
 /*
- * listen-filter.h: ends a listening socket without resetting connections that it has not accepted yet.
+ * listen-filter.h: stops new connections to a listening socket before it is closed.
  */
 #pragma once
 
@@ -9,13 +9,13 @@
 
 /**
  * quince_listen_filter_ignore_new_connections:
- * @socket: listens for TCP connections
+ * @socket: a listening TCP socket
  *
- * Closing a socket resets connections that it has not accepted yet, whose callers then cannot know whether
- * their request ran.  So first packets are dropped for a while before: the callers' kernels send them again,
- * and connections made before are accepted and answered meanwhile.
+ * Attaches a packet filter that drops SYN packets.  Closing a listening socket resets the connections in its
+ * accept queue, and their clients cannot tell whether a request ran.  With the filter the queue can be
+ * drained before the socket is closed, while the clients' kernels retransmit the dropped SYN packets.
  *
- * Returns: %FALSE when the system refuses it
+ * Returns: %FALSE if the kernel rejects the filter
  */
 gboolean quince_listen_filter_ignore_new_connections (GSocket *socket);
 
--- a/lib/runtime/log.c
+++ b/lib/runtime/log.c
@@ -1,5 +1,5 @@
 /*
- * log.c: one key=value line for each event, through GLib's structured log.
+ * log.c: log writer for key=value lines; see log.h.
  */
 #include "runtime/log.h"
 
@@ -9,16 +9,16 @@
 #include <time.h>
 #include <unistd.h>
 
-/* Set once by quince_log_init() before any thread starts; read only after. */
+/* Set by quince_log_init() before other threads start, constant afterwards. */
 static char *log_program;
 static char *log_name;
 static GLogLevelFlags log_level = G_LOG_LEVEL_INFO;
-static int log_descriptor = STDERR_FILENO;
-static guint log_lines_per_second; /* 0: no bound */
 
-/* Lines written in this second and lines left out; guarded by log_lock. */
+/* The variables below are guarded by log_lock. */
+static int log_descriptor = STDERR_FILENO;
+static guint log_lines_per_second; /* 0: no limit */
 static GMutex log_lock;
-static gint64 log_second;
+static gint64 log_second; /* current second, since the Unix epoch */
 static guint log_lines_this_second;
 static guint64 log_dropped_lines;
 static char log_second_timestamp[32];
@@ -76,7 +76,7 @@
   return g_strdup_printf ("\"%s\"", escaped);
 }
 
-/* A slow reader of the log must not block the process. */
+/* Checks that a write does not block.  Without a rate limit, writes may block. */
 static gboolean
 is_output_writable (void)
 {
@@ -95,7 +95,8 @@
   strftime (log_second_timestamp, sizeof log_second_timestamp, "%Y-%m-%dT%H:%M:%S", &utc);
 }
 
-/* Whether the line fits this second's budget; notices, warnings and failures have twice as much. */
+/* Counts a line as written or dropped.  The limit is twice as high for notices, warnings and failures.
+ * Returns: %TRUE if the line is to be written */
 static gboolean
 consume_line_budget (GLogLevelFlags level)
 {
@@ -144,12 +145,12 @@
   if (log_name != NULL && *log_name != '\0')
     g_string_append_printf (line, " name=%s", log_name);
   g_string_append_printf (line, " %s\n", body);
-  /* One write a line, so that lines of several threads do not mix. */
+  /* A single write() keeps the line whole.  Write errors are ignored. */
   if (write (log_descriptor, line->str, line->len) < 0)
     return;
 }
 
-/* Messages of GLib itself and of libraries become event=library_message. */
+/* Writes messages of GLib and other libraries as event=library_message. */
 static GLogWriterOutput
 log_writer (GLogLevelFlags level, const GLogField *fields, gsize n_fields, gpointer user_data)
 {
--- a/lib/runtime/metrics.c
+++ b/lib/runtime/metrics.c
@@ -1,7 +1,7 @@
 /*
- * metrics.c: counters, gauges and latency histograms.
+ * metrics.c: counters, gauges and latency histograms; see metrics.h.
  *
- * Debian has no C library for histograms of this form; buckets are fixed, so that memory is too.
+ * Histogram buckets are fixed, so that the memory of a series is bounded.
  */
 #include "runtime/metrics.h"
 
@@ -14,6 +14,7 @@
   SERIES_HISTOGRAM,
 } SeriesKind;
 
+/* Inclusive upper bounds, in seconds. */
 static const double bucket_upper_bounds_s[]
     = { 0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.15, 0.2, 0.5, 1, 2, 5, 10, 30 };
 
@@ -28,7 +29,7 @@
   guint64 buckets[G_N_ELEMENTS (bucket_upper_bounds_s)];
 } Series;
 
-/* Main context only. */
+/* Used by the main thread only. */
 static GHashTable *series_by_key; /* Series by "name{labels}", owned */
 static guint64 dropped_updates;
 static void (*refresh_function) (gpointer);
@@ -98,7 +99,7 @@
       }
 }
 
-/* ---- Text ------------------------------------------------------------- */
+/* ---- Text format ------------------------------------------------------ */
 
 static void
 append_histogram (GString *text, const Series *series)
--- a/lib/runtime/metrics.h
+++ b/lib/runtime/metrics.h
@@ -1,9 +1,9 @@
 /*
- * metrics.h: counters, gauges and latency histograms of a process, in the text format that Prometheus reads.
+ * metrics.h: counters, gauges and latency histograms of a process, in the Prometheus text format.
  *
- * Names and labels are documented in docs/OPERATIONS.md.  Memory is bounded: beyond
- * QUINCE_METRICS_SERIES_MAX series new ones are counted in quince_metrics_dropped_total only.  Main context
- * only.
+ * Names and labels are documented in docs/OPERATIONS.md.  The number of series is limited to
+ * QUINCE_METRICS_SERIES_MAX; updates of further series are dropped and counted in
+ * quince_metrics_dropped_total.  All functions must be called from the main thread.
  */
 #pragma once
 
@@ -11,20 +11,22 @@
 
 G_BEGIN_DECLS
 
-/* Series of one process; a bound of memory.  Not measured: above the routes, outcomes and workers of the
- * largest deployment. */
+/* Maximum number of series in a process, which bounds its memory.  Enough for the
+ * routes, outcomes and workers of the largest deployment. */
 #define QUINCE_METRICS_SERIES_MAX 512
 
-/* @labels: as they stand between braces, for example "route=\"a\",outcome=\"answered\"", or "". */
+/* Adds @amount to a counter.
+ * @labels: the labels in text format without braces, for example "route=\"a\",outcome=\"answered\"", or "" */
 void quince_metric_add (const char *name, const char *labels, guint64 amount);
+/* Sets a gauge; @labels as for quince_metric_add(). */
 void quince_metric_set (const char *name, const char *labels, double value);
-/* One latency, in microseconds; shown in seconds. */
+/* Adds a duration in microseconds to a histogram in seconds; @labels as for quince_metric_add(). */
 void quince_metric_observe_us (const char *name, const char *labels, gint64 duration_us);
-/* Called before the text is made, to set gauges. */
+/* Sets the function that quince_metrics_format() calls first, to update gauges.  @refresh may be %NULL. */
 void quince_metrics_set_refresh (void (*refresh) (gpointer user_data), gpointer user_data);
-/* (transfer full) */
+/* Returns: (transfer full): all series in the Prometheus text format */
 char *quince_metrics_format (void);
-/* Removes all series.  For tests, each of which begins without any. */
+/* Removes all series, the count of dropped updates and the refresh function; used by tests. */
 void quince_metrics_reset (void);
 
 G_END_DECLS
--- a/lib/runtime/program.c
+++ b/lib/runtime/program.c
@@ -1,5 +1,5 @@
 /*
- * program.c: flags, settings, main loop and planned stop of a daemon.
+ * program.c: flags, settings, main loop and signals of a daemon; see program.h.
  */
 #include "runtime/program.h"
 
@@ -24,13 +24,13 @@
 typedef struct
 {
   const char *config;
-  GPtrArray *overrides; /* NULL-terminated before use */
+  GPtrArray *overrides; /* values of --set, terminated by NULL after parsing */
   gboolean check;
   gboolean help_settings;
   GLogLevelFlags level;
 } Flags;
 
-/* The one main loop of the process; main thread only. */
+/* Main loop of the process; used by the main thread only. */
 static GMainLoop *main_loop;
 static int exit_status;
 
@@ -44,7 +44,7 @@
 
 static const struct argp_option options[] = {
   { "config", OPTION_CONFIG, "FILE", 0, "Read settings from FILE", 0 },
-  { "set", OPTION_SET, "SECTION.KEY=VALUE", 0, "Set one value over the file's (repeatable)", 0 },
+  { "set", OPTION_SET, "SECTION.KEY=VALUE", 0, "Override one setting of the file (repeatable)", 0 },
   { "check", OPTION_CHECK, NULL, 0, "Check the settings and exit", 0 },
   { "help-settings", OPTION_HELP_SETTINGS, NULL, 0, "Print every setting with its default and exit", 0 },
   { "log-level", OPTION_LOG_LEVEL, "LEVEL", 0, "debug, info, warning or error (default info)", 0 },
@@ -71,7 +71,7 @@
       return 0;
     case OPTION_LOG_LEVEL:
       if (!quince_log_parse_level (argument, &flags->level))
-        argp_error (state, "'%s' is no log level; allowed: debug, info, warning, error", argument);
+        argp_error (state, "'%s' is not a log level; allowed: debug, info, warning, error", argument);
       return 0;
     case ARGP_KEY_ARG:
       argp_error (state, "unexpected argument '%s'", argument);
@@ -100,7 +100,7 @@
                                (const char *const *)flags->overrides->pdata, error);
 }
 
-/* Invalid settings change nothing. */
+/* Reads the settings again on SIGHUP.  Invalid settings are logged and ignored. */
 static gboolean
 handle_reload_signal (gpointer data)
 {
@@ -134,7 +134,7 @@
   fflush (stdout);
 }
 
-/* The setting log.level has precedence over the flag. */
+/* The setting log.level, if set, overrides the flag --log-level. */
 static void
 init_log (const QuinceProgram *program, const Flags *flags, const QuinceSettings *settings)
 {
@@ -162,7 +162,7 @@
     }
   RunningProgram running = { .program = program, .flags = flags, .self = self };
   signal (SIGPIPE, SIG_IGN);
-  /* Never removed: a late signal must not end the process while it releases its parts. */
+  /* These handlers stay installed, so that a signal during shutdown does not kill the process. */
   g_unix_signal_add (SIGTERM, handle_stop_signal, &running);
   g_unix_signal_add (SIGINT, handle_stop_signal, &running);
   g_unix_signal_add (SIGHUP, handle_reload_signal, &running);
--- a/lib/runtime/socket-watch.c
+++ b/lib/runtime/socket-watch.c
@@ -1,5 +1,5 @@
 /*
- * socket-watch.c: readiness of sockets by epoll, one source of the main loop for all of them.
+ * socket-watch.c: one epoll-based main loop source for the sockets of a thread; see socket-watch.h.
  */
 #include "runtime/socket-watch.h"
 
@@ -7,24 +7,23 @@
 #include <sys/epoll.h>
 #include <unistd.h>
 
-/* Ready sockets dispatched before timers and other sources have their turn. */
+/* Maximum number of ready sockets dispatched in one main loop iteration. */
 #define READY_EVENTS_MAX 128
 
-/* The source of one thread.  It lives as long as it has watches. */
+/* Source of one thread; freed with its last watch. */
 typedef struct
 {
-  GSource source; /* first: it is one */
+  GSource source; /* base type; must be first */
   int epoll_fd;
   guint n_watches;
-  GPtrArray *deferred; /* QuinceSocketWatch *; NULL: cleared since */
+  GPtrArray *deferred; /* QuinceSocketWatch *, not owned; NULL if the watch was cleared */
   struct epoll_event ready_events[READY_EVENTS_MAX];
-  guint next_ready_event; /* in a dispatch: the first one not called yet */
+  guint next_ready_event; /* index of the next event to dispatch */
   guint n_ready_events;
 } SocketPoller;
 
 struct _QuinceSocketWatch
 {
-  /* All fields belong to the thread that created the watch. */
   SocketPoller *poller;
   GSocket *socket;
   QuinceSocketReadyFunc ready;
@@ -34,7 +33,7 @@
 
 static GPrivate thread_poller;
 
-/* ---- The source -------------------------------------------------------- */
+/* ---- Main loop source -------------------------------------------------- */
 
 static gboolean
 poller_prepare (GSource *source, gint *timeout_ms)
@@ -53,13 +52,13 @@
     {
       const struct epoll_event *event = &poller->ready_events[poller->next_ready_event++];
       QuinceSocketWatch *watch = event->data.ptr;
-      /* The bits of epoll are those of poll(), which GIOCondition has too. */
+      /* The event bits of epoll and of GIOCondition have the values of poll(). */
       if (watch != NULL)
         watch->ready ((GIOCondition)event->events, watch->user_data);
     }
 }
 
-/* Watches that are deferred meanwhile wait for the next turn. */
+/* Watches that a callback defers are dispatched in the next iteration. */
 static void
 dispatch_deferred (SocketPoller *poller)
 {
@@ -102,7 +101,7 @@
 {
   int epoll_fd = epoll_create1 (EPOLL_CLOEXEC);
   if (epoll_fd < 0)
-    g_error ("no descriptor for epoll: %s", g_strerror (errno));
+    g_error ("epoll_create1() failed: %s", g_strerror (errno));
   GSource *source = g_source_new (&poller_functions, sizeof (SocketPoller));
   SocketPoller *poller = (SocketPoller *)source;
   poller->epoll_fd = epoll_fd;
@@ -142,7 +141,7 @@
 {
   struct epoll_event event = { .events = condition, .data.ptr = watch };
   if (epoll_ctl (watch->poller->epoll_fd, operation, g_socket_get_fd (watch->socket), &event) != 0)
-    g_critical ("epoll refuses a socket: %s", g_strerror (errno));
+    g_critical ("epoll_ctl() failed: %s", g_strerror (errno));
 }
 
 QuinceSocketWatch *
@@ -175,7 +174,7 @@
   g_ptr_array_add (watch->poller->deferred, watch);
 }
 
-/* Drops what this turn of the main loop still has for @watch. */
+/* Discards events of @watch that were not dispatched yet. */
 static void
 discard_events (QuinceSocketWatch *watch)
 {
--- a/lib/runtime/suspension.c
+++ b/lib/runtime/suspension.c
@@ -1,19 +1,19 @@
 /*
- * suspension.c: notices that the machine was suspended.
+ * suspension.c: detects that the machine was suspended; see suspension.h.
  */
 #include "runtime/suspension.h"
 
 #include "runtime/log.h"
 #include "runtime/clock.h"
 
-/* Shortest suspension that is reported, us.  A shorter one is like a busy machine, for which every time bound
- * of the product allows; far above the time between two readings of the clocks.  Not measured. */
+/* Shortest suspension that is reported, in microseconds.  Timeouts and leases tolerate shorter ones, like the
+ * delays of a busy machine.  Far longer than the time between the reads of the two clocks. */
 #define SUSPENSION_MIN_US (100 * 1000)
 
 struct _QuinceSuspensionWatch
 {
-  GSource source;         /* first: it is one */
-  gint64 clock_offset_us; /* how far the clock that counts suspensions is ahead of the steady one */
+  GSource source;         /* base type; must be first */
+  gint64 clock_offset_us; /* CLOCK_BOOTTIME minus CLOCK_MONOTONIC at the last check */
   void (*resumed) (gint64 suspension_us, gpointer user_data);
   gpointer user_data;
 };
@@ -66,7 +66,7 @@
   watch->clock_offset_us = get_clock_offset_us ();
   watch->resumed = resumed;
   watch->user_data = user_data;
-  /* GLib runs sources of the highest priority alone, and the others in a later turn. */
+  /* GLib dispatches sources of lower priority in a later iteration. */
   g_source_set_priority (source, G_PRIORITY_HIGH);
   g_source_attach (source, g_main_context_get_thread_default ());
   return watch;
--- a/lib/runtime/suspension.h
+++ b/lib/runtime/suspension.h
@@ -1,10 +1,12 @@
 /*
  * suspension.h: detects that the machine was suspended.
  *
- * quince_now_us() counts the time of a suspension; GLib's timers and the kernel's timeouts of connections do
- * not, and go off as much later.  So whatever is trusted until a timer goes off, and every connection whose
- * peer may have given up meanwhile, must be checked again after a suspension.  A watch owns one source of the
- * calling thread's main context; relies on clock.h.
+ * quince_now_us() includes the duration of a suspension.  GLib's timers and the kernel's connection timeouts
+ * do not, and expire late by that duration.  After a suspension, the owner of a watch must
+ * therefore check state that a timer expires against quince_now_us(), and must check connections whose peer
+ * may have given up meanwhile.
+ *
+ * A watch belongs to the thread that created it.
  */
 #pragma once
 
@@ -16,9 +18,13 @@
 
 /**
  * quince_suspension_watch_new:
- * @resumed: called before any other event that the loop finds after a suspension
+ * @resumed: called after a suspension, before sources of lower priority are dispatched; @suspension_us is the
+ * duration of the suspension in microseconds
+ *
+ * Attaches a source of priority %G_PRIORITY_HIGH to the thread-default main context, which compares
+ * CLOCK_BOOTTIME with CLOCK_MONOTONIC in each main loop iteration.  Also logs event=suspended.
  *
- * Compares the clocks at each turn of the calling thread's default context.
+ * Returns: (transfer full): the watch; free with quince_suspension_watch_free()
  */
 QuinceSuspensionWatch *
 quince_suspension_watch_new (void (*resumed) (gint64 suspension_us, gpointer user_data), gpointer user_data);
--- a/lib/runtime/tcp-socket.c
+++ b/lib/runtime/tcp-socket.c
@@ -1,5 +1,5 @@
 /*
- * tcp-socket.c: options and first steps of TCP sockets; see tcp-socket.h.
+ * tcp-socket.c: options and connection of TCP sockets; see tcp-socket.h.
  */
 #include "runtime/tcp-socket.h"
 
@@ -10,7 +10,7 @@
 
 #include "runtime/address.h"
 
-/* A peer whose machine acknowledges nothing for so long is taken for lost, ms (TCP_USER_TIMEOUT). */
+/* Time that sent data may stay unacknowledged before the kernel closes the connection, in milliseconds. */
 #define USER_TIMEOUT_MS 3000
 
 void
--- a/lib/runtime/tcp-socket.h
+++ b/lib/runtime/tcp-socket.h
@@ -1,6 +1,6 @@
 /*
- * tcp-socket.h: TCP sockets as all connections of the product have them: not blocking, without delay of small
- * writes, and with an end to a peer's silence.  Keeps no state; relies on address.h and GIO.
+ * tcp-socket.h: TCP sockets with the options that all connections use: non-blocking, without Nagle's
+ * algorithm, and with a timeout for unacknowledged data.
  */
 #pragma once
 
@@ -8,21 +8,24 @@
 
 G_BEGIN_DECLS
 
-/* Sets the options above on a connected or connecting socket. */
+/* Sets the common options on @socket, before or after it is connected. */
 void quince_tcp_socket_set_options (GSocket *socket);
 
 /**
  * quince_tcp_socket_connect:
  * @address: numeric ip:port
- * @error: G_IO_ERROR: not such an address, or the system refuses at once
+ * @error: (out): G_IO_ERROR_INVALID_ARGUMENT if @address is malformed, or another G_IO_ERROR if the
+ * connection fails immediately
  *
- * Returns: (transfer full): a prepared socket that connects; once it is writable
- * g_socket_check_connect_result() tells how that ended
+ * Starts to connect without blocking.
+ *
+ * Returns: (transfer full) (nullable): the connecting socket, or %NULL on error.  Once it is writable,
+ * g_socket_check_connect_result() returns the result
  */
 GSocket *quince_tcp_socket_connect (const char *address, GError **error);
 
-/* Bytes that were handed to the kernel and that the peer's machine has not acknowledged; 0 where the system
- * does not tell. */
+/* Returns the number of bytes in the kernel's send queue, sent or not, that the peer's kernel has not
+ * acknowledged; 0 if it is not available. */
 gsize quince_tcp_socket_get_unacknowledged_bytes (GSocket *socket);
 
 G_END_DECLS
--- a/lib/runtime/timer.c
+++ b/lib/runtime/timer.c
@@ -1,25 +1,24 @@
 /*
- * timer.c: timers of a thread in the order of their times, one source of its main loop for all.
+ * timer.c: one main loop source for the timers of a thread; see timer.h.
  */
 #include "runtime/timer.h"
 
-/* The source of one thread.  It lives as long as it has timers. */
+/* Source of one thread; freed with its last timer. */
 typedef struct
 {
-  GSource source;              /* first: it is one */
-  GSequence *scheduled_timers; /* QuinceTimer *, the next one first */
-  guint n_timers;              /* those not cleared, whether they run or not */
-  guint64 n_started;           /* so many times a timer was started */
-  QuinceTimer *running_timer;  /* in a dispatch: the one being called; NULL: it was cleared meanwhile */
+  GSource source;              /* base type; must be first */
+  GSequence *scheduled_timers; /* QuinceTimer *, not owned, earliest due time first */
+  guint n_timers;              /* allocated timers, scheduled or stopped */
+  guint64 n_started;           /* number of timer starts so far */
+  QuinceTimer *running_timer;  /* timer whose function is running; NULL if it was cleared */
 } TimerQueue;
 
 struct _QuinceTimer
 {
-  /* All fields belong to the thread that created the timer. */
   TimerQueue *queue;
-  GSequenceIter *position; /* NULL: it does not run */
-  gint64 due_us;           /* of the clock of the main loop */
-  guint64 start_number;    /* of its start: among timers of one time the first started is the first called */
+  GSequenceIter *position; /* NULL if the timer is not scheduled */
+  gint64 due_us;           /* time of CLOCK_MONOTONIC */
+  guint64 start_number;    /* orders timers with equal due times by their start */
   guint interval_ms;
   GSourceFunc function;
   gpointer user_data;
@@ -53,7 +52,7 @@
   timer->position = NULL;
 }
 
-/* Returns: (transfer none) (nullable): the timer that is called next */
+/* Returns: (transfer none) (nullable): the timer that is due first */
 static QuinceTimer *
 peek_first_timer (TimerQueue *queue)
 {
@@ -61,7 +60,7 @@
   return g_sequence_iter_is_end (first) ? NULL : g_sequence_get (first);
 }
 
-/* ---- The source -------------------------------------------------------- */
+/* ---- Main loop source -------------------------------------------------- */
 
 static gboolean
 queue_check (GSource *source)
@@ -93,7 +92,7 @@
   queue->running_timer = NULL;
 }
 
-/* Timers started meanwhile wait for the next turn, so that other sources have theirs. */
+/* Timers that a callback starts are called in the next iteration, so that other sources are not starved. */
 static gboolean
 queue_dispatch (GSource *source, GSourceFunc function, gpointer data)
 {
--- a/lib/runtime/timer.h
+++ b/lib/runtime/timer.h
@@ -1,10 +1,10 @@
 /*
- * timer.h: timers on the calling thread's default main context, at a cost that follows those that are due.
+ * timer.h: timers of the thread-default main context, at a cost proportional to the timers that are due.
  *
- * All timers of a thread are one source of its main loop, which keeps them in the order of their times: GLib
- * goes through every source at each turn, and the leader has several timers for each sample that runs.
+ * GLib checks every source in each main loop iteration, and the leader has several timers for each running
+ * sample.  Therefore the timers of a thread share one GSource, which keeps them sorted by due time.
  *
- * A timer belongs to the thread that created it.  Relies on GLib alone.
+ * A timer belongs to the thread that created it; its function is called there.
  */
 #pragma once
 
@@ -16,17 +16,18 @@
 
 /**
  * quince_timer_add:
- * @interval_ms: between two calls, milliseconds; 0: at each turn of the main loop
- * @function: returns G_SOURCE_CONTINUE to be called again, G_SOURCE_REMOVE otherwise; it may clear its timer
+ * @interval_ms: time between two calls, in milliseconds; 0: one call in each main loop iteration
+ * @function: returns G_SOURCE_CONTINUE to be called again or G_SOURCE_REMOVE to stop the timer; may clear the
+ * timer
  *
- * Timers run on the steady clock, which stands still while the machine is suspended: what a timer wakes
- * compares quince_now_us(), not the number of calls; see also suspension.h.  A timer that is late is called
- * once, and the interval begins anew.
+ * Starts a timer.  Timers use CLOCK_MONOTONIC, which stops while the machine is suspended, so @function must
+ * compare quince_now_us() instead of counting calls; see also suspension.h.  A late timer is called once, and
+ * its next interval starts then.
  *
- * Returns: (transfer full): the timer, which runs; quince_timer_clear() ends and releases it
+ * Returns: (transfer full): the timer; free with quince_timer_clear(), also after it has stopped
  */
 QuinceTimer *quince_timer_add (guint interval_ms, GSourceFunc function, gpointer user_data);
-/* Ends and releases the timer, if there is one, and sets the pointer to %NULL. */
+/* Stops and frees the timer, unless it is %NULL, and sets the pointer to %NULL. */
 void quince_timer_clear (QuinceTimer **timer);
 
 G_END_DECLS
--- a/tests/unit/test-event-loop.c
+++ b/tests/unit/test-event-loop.c
@@ -1,5 +1,5 @@
 /*
- * test-event-loop.c: what a turn of the main loop costs with many connections, and the order of timers.
+ * test-event-loop.c: tests of links, socket watches and timers on the main loop.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -13,9 +13,9 @@
 #include "runtime/tcp-socket.h"
 #include "runtime/timer.h"
 
-/* Connections of the leader of 300 machines to them and to workers, in a test of one process. */
+/* Enough links to tell a shared poll descriptor from one descriptor for each link. */
 #define N_LINKS 200
-/* Descriptors that the main loop itself may ask the kernel about: its own, and one for all sockets. */
+/* Limit of descriptors that the main loop polls; it needs its wake-up descriptor and the epoll descriptor. */
 #define POLLED_DESCRIPTORS_MAX 4
 
 static void
@@ -35,7 +35,7 @@
 
 typedef struct
 {
-  GPtrArray *accepted; /* QuinceLink, owned */
+  GPtrArray *accepted; /* QuinceLink *, owned */
   guint messages;
   guint connected;
 } LinkEvents;
@@ -61,7 +61,7 @@
 
 static const QuinceLinkCallbacks callbacks = { .connected = on_connected, .message = on_message };
 
-/* Returns: descriptors that the next turn of the main loop asks about */
+/* Returns: the number of descriptors that the next main loop iteration polls */
 static guint
 count_polled_descriptors (void)
 {
@@ -86,7 +86,7 @@
   quince_link_send (link, &message);
 }
 
-/* A leader is linked to hundreds of machines, of which a few send at a time. */
+/* Guards against main loop iterations whose cost grows with the number of idle links. */
 static void
 test_links_add_no_polled_descriptors (void **state)
 {
@@ -107,8 +107,8 @@
   g_ptr_array_unref (events.accepted);
 }
 
-/* Answers of megabytes to a peer that reads later: what the kernel takes no more waits, and comes in order
- * with what was sent meanwhile. */
+/* Messages that exceed the kernel's send buffer are queued, and all of them arrive, also if small messages
+ * are sent in between. */
 static void
 test_large_messages_are_delivered (void **state)
 {
@@ -166,7 +166,7 @@
   return socket;
 }
 
-/* Two sockets are ready in one turn, and the first callback ends both watches: the second is not called. */
+/* The first of two ready callbacks clears both watches.  The second must not be called. */
 static void
 test_watch_cleared_by_another (void **state)
 {
@@ -182,7 +182,7 @@
   assert_int_equal (pair.calls, 1);
 }
 
-/* The same for output that was put off to the end of a turn. */
+/* The first of two deferred callbacks clears both watches.  The second must not be called. */
 static void
 test_deferred_watch_cleared_by_another (void **state)
 {
@@ -250,7 +250,7 @@
   g_string_free (call_log, TRUE);
 }
 
-/* A timer without an interval is called once a turn, not for ever in one. */
+/* A timer with an interval of 0 is called once in each iteration and does not block it. */
 static void
 test_zero_interval_timer (void **state)
 {
@@ -277,7 +277,7 @@
   g_string_free (call_log, TRUE);
 }
 
-/* A busy process comes late to a timer: one call, and the interval begins anew. */
+/* A timer that is late by several intervals is called only once. */
 static void
 test_late_timer_is_called_once (void **state)
 {
--- a/tests/unit/test-telemetry.c
+++ b/tests/unit/test-telemetry.c
@@ -1,5 +1,5 @@
 /*
- * test-telemetry.c: log lines are bounded and never wait for their reader; metrics are bounded and read well.
+ * test-telemetry.c: tests of the log's rate limit and of metrics.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -25,7 +25,7 @@
   return found;
 }
 
-/* Everything that stands in the pipe now. (transfer full) */
+/* Returns: (transfer full): the data in the pipe */
 static char *
 read_available (int descriptor)
 {
@@ -38,7 +38,7 @@
   return g_string_free (text, FALSE);
 }
 
-/* Nobody reads: a million bytes of lines do not fit a pipe, and yet nothing waits. */
+/* Writes more lines than the pipe holds while nobody reads.  Logging must drop lines instead of blocking. */
 static void
 test_log_never_blocks (void **state)
 {
@@ -50,14 +50,14 @@
     quince_log_info ("filler", "number=%u padding=xxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxx", i);
   g_autofree char *text = read_available (pipe_fds[0]);
   assert_true (count_occurrences (text, "event=filler") < 20000);
-  /* Each line is whole. */
+  /* No line is truncated. */
   assert_int_equal (count_occurrences (text, "time="), count_occurrences (text, "\n"));
   quince_log_set_output (STDERR_FILENO, 0);
   close (pipe_fds[0]);
   close (pipe_fds[1]);
 }
 
-/* More lines than a second's budget are left out and counted; failures still come. */
+/* Lines above the rate limit are dropped and counted; warnings are still written. */
 static void
 test_log_rate_limit (void **state)
 {
@@ -68,7 +68,7 @@
     quince_log_info ("filler", "number=%u", i);
   quince_log_warning ("trouble", "number=%u", 1);
   g_autofree char *text = read_available (pipe_fds[0]);
-  /* The loop may cross from one second into the next. */
+  /* The loop may span two seconds. */
   assert_in_range (count_occurrences (text, "event=filler"), 1, 2 * LINES_PER_SECOND);
   assert_int_equal (count_occurrences (text, "event=trouble"), 1);
   gint64 first_second = g_get_real_time () / G_USEC_PER_SEC;
