--- a/lib/runtime/metrics.c
+++ b/lib/runtime/metrics.c
@@ -45,7 +45,7 @@
 }
 
 static Series *
-find_series (SeriesKind kind, const char *name, const char *labels)
+find_or_add_series (SeriesKind kind, const char *name, const char *labels)
 {
   if (series_by_key == NULL)
     series_by_key = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, series_free);
@@ -69,7 +69,7 @@
 void
 quince_metric_add (const char *name, const char *labels, guint64 amount)
 {
-  Series *series = find_series (SERIES_COUNTER, name, labels);
+  Series *series = find_or_add_series (SERIES_COUNTER, name, labels);
   if (series != NULL)
     series->value += (double)amount;
 }
@@ -77,7 +77,7 @@
 void
 quince_metric_set (const char *name, const char *labels, double value)
 {
-  Series *series = find_series (SERIES_GAUGE, name, labels);
+  Series *series = find_or_add_series (SERIES_GAUGE, name, labels);
   if (series != NULL)
     series->value = value;
 }
@@ -85,7 +85,7 @@
 void
 quince_metric_observe_us (const char *name, const char *labels, gint64 duration_us)
 {
-  Series *series = find_series (SERIES_HISTOGRAM, name, labels);
+  Series *series = find_or_add_series (SERIES_HISTOGRAM, name, labels);
   if (series == NULL)
     return;
   double seconds = (double)duration_us / G_USEC_PER_SEC;
