--- a/lib/runtime/acceptor.c
+++ b/lib/runtime/acceptor.c
@@ -8,7 +8,7 @@
 #include "runtime/log.h"
 #include "runtime/socket-watch.h"
 
-/* Maximum length of the queue of connections to accept.  All 300 machines of the largest deployment may
+/* Maximum length of the kernel's accept queue.  All 300 machines of the largest deployment may
  * connect to a new leader at the same time. */
 #define LISTEN_BACKLOG 1024
 /* Maximum number of connections accepted in one main loop iteration, so that a burst of new connections does
--- a/lib/runtime/metrics.h
+++ b/lib/runtime/metrics.h
@@ -11,8 +11,8 @@
 
 G_BEGIN_DECLS
 
-/* Maximum number of series in a process, which bounds its memory.  Enough for the
- * routes, outcomes and workers of the largest deployment. */
+/* Maximum number of series in a process, which bounds its memory.  Enough for the routes,
+ * outcomes and workers of the largest deployment. */
 #define QUINCE_METRICS_SERIES_MAX 512
 
 /* Adds @amount to a counter.
--- a/lib/runtime/suspension.c
+++ b/lib/runtime/suspension.c
@@ -6,8 +6,9 @@
 #include "runtime/log.h"
 #include "runtime/clock.h"
 
-/* Shortest suspension that is reported, in microseconds.  Timeouts and leases tolerate shorter ones, like the
- * delays of a busy machine.  Far longer than the time between the reads of the two clocks. */
+/* Shortest suspension that is reported, in microseconds.  Timeouts and leases tolerate shorter ones, as
+ * they tolerate the delays of a busy machine.  The time between the reads of the two clocks is far below it.
+ */
 #define SUSPENSION_MIN_US (100 * 1000)
 
 struct _QuinceSuspensionWatch
--- a/tests/unit/test-event-loop.c
+++ b/tests/unit/test-event-loop.c
@@ -13,7 +13,7 @@
 #include "runtime/tcp-socket.h"
 #include "runtime/timer.h"
 
-/* Enough links to tell a shared poll descriptor from one descriptor for each link. */
+/* With one poll descriptor for each link, the main loop would exceed POLLED_DESCRIPTORS_MAX. */
 #define N_LINKS 200
 /* Limit of descriptors that the main loop polls; it needs its wake-up descriptor and the epoll descriptor. */
 #define POLLED_DESCRIPTORS_MAX 4
