--- a/daemons/replica/replica-ledger-events.c
+++ b/daemons/replica/replica-ledger-events.c
@@ -173,7 +173,7 @@
       handle_heartbeat (parts);
       break;
     case QUINCE_MESSAGE_HEARTBEAT_ACK:
-      quince_link_take_probe_answer (link);
+      quince_link_record_probe_answer (link);
       quince_heartbeats_record_ack (parts->heartbeats, &message->QuinceMessage_u.heartbeat_ack);
       break;
     case QUINCE_MESSAGE_USAGE_REPORT:
--- a/lib/runtime/answer-allowance.h
+++ b/lib/runtime/answer-allowance.h
@@ -13,7 +13,7 @@
 /**
  * QuinceAnswerAllowance:
  * @bytes: bound of one answer; 0: there was none yet
- * @sent_backlog: upper bound of the bytes on their way just after the last answer was sent
+ * @backlog_after_send: upper bound of the bytes on their way just after the last answer was sent
  * @sent_us: when it was sent
  *
  * Of one link; all zero at first.
@@ -21,12 +21,12 @@
 typedef struct
 {
   gsize bytes;
-  gsize sent_backlog;
+  gsize backlog_after_send;
   gint64 sent_us;
 } QuinceAnswerAllowance;
 
 /**
- * quince_answer_allowance_take:
+ * quince_answer_allowance_acquire:
  * @backlog: bytes sent on the link and not acknowledged
  * @most: bound of any answer, bytes
  *
@@ -34,6 +34,6 @@
  * it would only wait behind others
  */
 gsize
-quince_answer_allowance_take (QuinceAnswerAllowance *allowance, gint64 now_us, gsize backlog, gsize most);
+quince_answer_allowance_acquire (QuinceAnswerAllowance *allowance, gint64 now_us, gsize backlog, gsize most);
 
 G_END_DECLS
--- a/lib/runtime/delivery-meter.c
+++ b/lib/runtime/delivery-meter.c
@@ -11,7 +11,7 @@
 #define SLOW_US (2000 * 1000)
 
 void
-quince_delivery_meter_probe (QuinceDeliveryMeter *meter, gint64 now_us, guint64 bytes)
+quince_delivery_meter_record_probe (QuinceDeliveryMeter *meter, gint64 now_us, guint64 bytes)
 {
   guint place = meter->sent % QUINCE_DELIVERY_PROBES_MAX;
   meter->probes[place].bytes = bytes;
@@ -21,20 +21,20 @@
 
 /* The oldest probe without an answer is so old that its place was taken by a later one. */
 static gboolean
-is_forgotten (const QuinceDeliveryMeter *meter)
+is_oldest_probe_overwritten (const QuinceDeliveryMeter *meter)
 {
   return meter->sent - meter->answered > QUINCE_DELIVERY_PROBES_MAX;
 }
 
 void
-quince_delivery_meter_take_answer (QuinceDeliveryMeter *meter, gint64 now_us)
+quince_delivery_meter_record_answer (QuinceDeliveryMeter *meter, gint64 now_us)
 {
   if (meter->answered == meter->sent)
     return; /* of a peer that answers what it was not asked */
   guint place = meter->answered % QUINCE_DELIVERY_PROBES_MAX;
-  if (!is_forgotten (meter))
+  if (!is_oldest_probe_overwritten (meter))
     meter->delivered = meter->probes[place].bytes;
-  if (is_forgotten (meter) || now_us - meter->probes[place].sent_us > LATE_US)
+  if (is_oldest_probe_overwritten (meter) || now_us - meter->probes[place].sent_us > LATE_US)
     meter->late_us = now_us;
   meter->answered++;
 }
@@ -46,7 +46,7 @@
     return 0;
   gboolean waits = meter->answered < meter->sent;
   gint64 sent_us = meter->probes[meter->answered % QUINCE_DELIVERY_PROBES_MAX].sent_us;
-  gboolean late = waits && (is_forgotten (meter) || now_us - sent_us > LATE_US);
+  gboolean late = waits && (is_oldest_probe_overwritten (meter) || now_us - sent_us > LATE_US);
   gboolean slow = meter->late_us > 0 && now_us - meter->late_us <= SLOW_US;
   return late || slow ? (gsize)(bytes - meter->delivered) : 0;
 }
--- a/lib/runtime/delivery-meter.h
+++ b/lib/runtime/delivery-meter.h
@@ -32,9 +32,9 @@
 } QuinceDeliveryMeter;
 
 /* A message that the peer answers was queued. @bytes: queued on the link so far, this one included */
-void quince_delivery_meter_probe (QuinceDeliveryMeter *meter, gint64 now_us, guint64 bytes);
+void quince_delivery_meter_record_probe (QuinceDeliveryMeter *meter, gint64 now_us, guint64 bytes);
 /* The peer answered the oldest probe that it had not answered. */
-void quince_delivery_meter_take_answer (QuinceDeliveryMeter *meter, gint64 now_us);
+void quince_delivery_meter_record_answer (QuinceDeliveryMeter *meter, gint64 now_us);
 
 /**
  * quince_delivery_meter_get_backlog:
--- a/lib/runtime/json-check.c
+++ b/lib/runtime/json-check.c
@@ -12,7 +12,7 @@
 
 /* Deepest nesting.  Not measured: far above the nesting of any message of the platform, far below the
  * depth at which json-glib overruns the stack. */
-#define DEPTH_MAX 64
+#define NESTING_DEPTH_MAX 64
 /* Length of the escape "\uXXXX", bytes (RFC 8259, 7). */
 #define UNIT_ESCAPE_BYTES 6
 #define IS_HIGH_SURROGATE(unit) ((unit) >= 0xd800 && (unit) <= 0xdbff)
@@ -20,7 +20,7 @@
 
 /* Returns: the code unit of the escape "\uXXXX" at @at; -1 when there is none. */
 static int
-read_unit (const char *at, const char *end)
+parse_unicode_escape (const char *at, const char *end)
 {
   int unit = 0;
   if (end - at < UNIT_ESCAPE_BYTES || at[0] != '\\' || at[1] != 'u')
@@ -39,7 +39,7 @@
 static const char *
 skip_escape (const char *at, const char *end)
 {
-  int unit = read_unit (at, end);
+  int unit = parse_unicode_escape (at, end);
   if (unit < 0)
     return end - at >= 2 && memchr ("\"\\/bfnrt", at[1], strlen ("\"\\/bfnrt")) != NULL ? at + 2 : NULL;
   if (unit == 0 || IS_LOW_SURROGATE (unit))
@@ -47,7 +47,7 @@
   at += UNIT_ESCAPE_BYTES;
   if (!IS_HIGH_SURROGATE (unit))
     return at;
-  int low = read_unit (at, end);
+  int low = parse_unicode_escape (at, end);
   return IS_LOW_SURROGATE (low) ? at + UNIT_ESCAPE_BYTES : NULL;
 }
 
@@ -90,7 +90,7 @@
         depth--;
       else if (!is_plain (byte))
         return FALSE;
-      if (depth > DEPTH_MAX)
+      if (depth > NESTING_DEPTH_MAX)
         return FALSE;
     }
   return at != NULL && depth == 0;
--- a/lib/runtime/link.c
+++ b/lib/runtime/link.c
@@ -25,7 +25,7 @@
 #define OUTPUT_MAX_BYTES (32 * 1024 * 1024)
 /* Buffers above this size are released once they are empty, bytes: above frames that are sent all the time
  * (heartbeats, reports), below those of whole lists. */
-#define KEEP_BUFFER_BYTES (32 * 1024)
+#define RETAINED_BUFFER_MAX_BYTES (32 * 1024)
 
 G_DEFINE_QUARK (quince - link - error - quark, quince_link_error)
 
@@ -40,8 +40,8 @@
   QuinceTimer *fail_timer;  /* reports that there is no socket */
   GError *refusal;          /* why there is none */
   GByteArray *input;        /* the beginning of a frame */
-  GByteArray *output;       /* bytes that the kernel has not taken, from output_begin on */
-  gsize output_begin;
+  GByteArray *output;       /* bytes that the kernel has not taken, from output_offset on */
+  gsize output_offset;
   gboolean connecting;
   gboolean watches_output; /* the kernel takes no more for now */
   gboolean open;
@@ -119,16 +119,16 @@
 /* ---- Writing ---------------------------------------------------------- */
 
 static gsize
-waiting_bytes (const QuinceLink *link)
+get_unsent_bytes (const QuinceLink *link)
 {
-  return link->output->len - link->output_begin;
+  return link->output->len - link->output_offset;
 }
 
 /* Large frames are rare, and a leader has hundreds of links: it does not keep their buffers. */
 static void
-empty_buffer (GByteArray **buffer)
+clear_buffer (GByteArray **buffer)
 {
-  if ((*buffer)->len <= KEEP_BUFFER_BYTES)
+  if ((*buffer)->len <= RETAINED_BUFFER_MAX_BYTES)
     {
       g_byte_array_set_size (*buffer, 0);
       return;
@@ -150,11 +150,11 @@
 static void
 write_output (QuinceLink *link)
 {
-  while (waiting_bytes (link) > 0)
+  while (get_unsent_bytes (link) > 0)
     {
       g_autoptr (GError) error = NULL;
-      gssize taken = g_socket_send (link->socket, (const char *)link->output->data + link->output_begin,
-                                    waiting_bytes (link), NULL, &error);
+      gssize taken = g_socket_send (link->socket, (const char *)link->output->data + link->output_offset,
+                                    get_unsent_bytes (link), NULL, &error);
       if (taken < 0 && g_error_matches (error, G_IO_ERROR, G_IO_ERROR_WOULD_BLOCK))
         {
           watch_output (link, TRUE);
@@ -165,22 +165,22 @@
           link_fail (link, error);
           return;
         }
-      link->output_begin += (gsize)taken;
+      link->output_offset += (gsize)taken;
       link->bytes_sent += (gsize)taken;
     }
-  link->output_begin = 0;
-  empty_buffer (&link->output);
+  link->output_offset = 0;
+  clear_buffer (&link->output);
   watch_output (link, FALSE);
 }
 
 /* Bytes that were sent are dropped once they are the greater part, so that each is moved once at most. */
 static void
-drop_sent (QuinceLink *link)
+discard_sent_bytes (QuinceLink *link)
 {
-  if (link->output_begin == 0 || link->output_begin < waiting_bytes (link))
+  if (link->output_offset == 0 || link->output_offset < get_unsent_bytes (link))
     return;
-  g_byte_array_remove_range (link->output, 0, (guint)link->output_begin);
-  link->output_begin = 0;
+  g_byte_array_remove_range (link->output, 0, (guint)link->output_offset);
+  link->output_offset = 0;
 }
 
 void
@@ -190,13 +190,13 @@
     return;
   gsize length;
   const guint8 *data = g_bytes_get_data (encoded, &length);
-  gsize waiting = waiting_bytes (link);
+  gsize waiting = get_unsent_bytes (link);
   if (waiting > 0 && waiting + length > OUTPUT_MAX_BYTES)
     {
       link_fail_code (link, QUINCE_LINK_ERROR_SLOW, "peer reads too slowly");
       return;
     }
-  drop_sent (link);
+  discard_sent_bytes (link);
   guint32 header = GUINT32_TO_BE ((guint32)length);
   g_byte_array_append (link->output, (const guint8 *)&header, FRAME_HEADER_BYTES);
   g_byte_array_append (link->output, data, (guint)length);
@@ -211,13 +211,13 @@
   if (!link->open)
     return;
   quince_link_send_bytes (link, encoded);
-  quince_delivery_meter_probe (&link->delivery, quince_now_us (), link->bytes_queued);
+  quince_delivery_meter_record_probe (&link->delivery, quince_now_us (), link->bytes_queued);
 }
 
 void
-quince_link_take_probe_answer (QuinceLink *link)
+quince_link_record_probe_answer (QuinceLink *link)
 {
-  quince_delivery_meter_take_answer (&link->delivery, quince_now_us ());
+  quince_delivery_meter_record_answer (&link->delivery, quince_now_us ());
 }
 
 void
@@ -251,7 +251,7 @@
 
 /* Returns: bytes used of @data, 0 when no whole frame is there or the link failed. */
 static gsize
-take_frame (QuinceLink *link, const guint8 *data, gsize available)
+handle_frame (QuinceLink *link, const guint8 *data, gsize available)
 {
   if (available < FRAME_HEADER_BYTES)
     return 0;
@@ -277,12 +277,12 @@
 
 /* Returns: bytes used of @data */
 static gsize
-take_frames (QuinceLink *link, const guint8 *data, gsize length)
+handle_frames (QuinceLink *link, const guint8 *data, gsize length)
 {
   gsize used = 0;
   while (link->open)
     {
-      gsize taken = take_frame (link, data + used, length - used);
+      gsize taken = handle_frame (link, data + used, length - used);
       if (taken == 0)
         break;
       used += taken;
@@ -292,18 +292,18 @@
 
 /* Only the beginning of a frame is kept; whole frames are decoded where they were read. */
 static void
-take_bytes (QuinceLink *link, const guint8 *data, gsize length)
+handle_input (QuinceLink *link, const guint8 *data, gsize length)
 {
   if (link->input->len == 0)
     {
-      gsize used = take_frames (link, data, length);
+      gsize used = handle_frames (link, data, length);
       g_byte_array_append (link->input, data + used, (guint)(length - used));
       return;
     }
   g_byte_array_append (link->input, data, (guint)length);
-  gsize used = take_frames (link, link->input->data, link->input->len);
+  gsize used = handle_frames (link, link->input->data, link->input->len);
   if (used == link->input->len)
-    empty_buffer (&link->input);
+    clear_buffer (&link->input);
   else if (used > 0)
     g_byte_array_remove_range (link->input, 0, (guint)used);
 }
@@ -315,7 +315,7 @@
   g_autoptr (GError) error = NULL;
   gssize length = g_socket_receive (link->socket, (char *)buffer, sizeof buffer, NULL, &error);
   if (length > 0)
-    take_bytes (link, buffer, (gsize)length);
+    handle_input (link, buffer, (gsize)length);
   else if (length == 0)
     link_fail_code (link, QUINCE_LINK_ERROR_CLOSED, "peer closed");
   else if (!g_error_matches (error, G_IO_ERROR, G_IO_ERROR_WOULD_BLOCK))
@@ -335,7 +335,7 @@
     }
   link->connecting = FALSE;
   quince_socket_watch_set_condition (link->watch, G_IO_IN);
-  if (waiting_bytes (link) > 0)
+  if (get_unsent_bytes (link) > 0)
     quince_socket_watch_defer_output (link->watch);
   if (link->callbacks->connected != NULL)
     link->callbacks->connected (link, link->user_data);
@@ -368,7 +368,7 @@
 }
 
 static gboolean
-fail_refused (gpointer data)
+report_connect_error (gpointer data)
 {
   QuinceLink *link = data;
   g_autoptr (GError) refusal = g_steal_pointer (&link->refusal);
@@ -389,7 +389,7 @@
     link_attach (link, socket, G_IO_OUT);
   else
     /* Reported from the loop, as every other failure is. */
-    link->fail_timer = quince_timer_add (0, fail_refused, link);
+    link->fail_timer = quince_timer_add (0, report_connect_error, link);
   return link;
 }
 
@@ -401,7 +401,7 @@
 
 /* An answer that has arrived and was not read yet tells nothing of the peer. */
 static gsize
-undelivered_bytes (QuinceLink *link)
+get_undelivered_bytes (QuinceLink *link)
 {
   gsize bytes = quince_delivery_meter_get_backlog (&link->delivery, quince_now_us (), link->bytes_queued);
   return bytes > 0 && !quince_link_has_input (link) ? bytes : 0;
@@ -411,7 +411,7 @@
 quince_link_get_backlog (QuinceLink *link)
 {
   gsize unacknowledged = link->socket != NULL ? quince_tcp_socket_get_unacknowledged_bytes (link->socket) : 0;
-  return MAX (waiting_bytes (link) + unacknowledged, undelivered_bytes (link));
+  return MAX (get_unsent_bytes (link) + unacknowledged, get_undelivered_bytes (link));
 }
 
 gboolean
--- a/lib/runtime/link.h
+++ b/lib/runtime/link.h
@@ -69,10 +69,10 @@
 /* Bytes handed to the kernel so far, frame headers included.  For tests, which bound what a message costs. */
 guint64 quince_link_get_bytes_sent (QuinceLink *link);
 /* Queues a frame as quince_link_send_bytes() does, of a message that the peer answers at once.  The owner
- * reports each answer by quince_link_take_probe_answer(). */
+ * reports each answer by quince_link_record_probe_answer(). */
 void quince_link_send_probe (QuinceLink *link, GBytes *encoded);
 /* The peer has answered the oldest probe that it had not answered. */
-void quince_link_take_probe_answer (QuinceLink *link);
+void quince_link_record_probe_answer (QuinceLink *link);
 /* Bytes that were sent and that the peer has not taken: what its machine has not acknowledged, or what came
  * after the last answered probe where the next one is late; see delivery-meter.h. */
 gsize quince_link_get_backlog (QuinceLink *link);
--- a/lib/runtime/packed-message.c
+++ b/lib/runtime/packed-message.c
@@ -12,15 +12,15 @@
 #define PACK_MIN_BYTES (2 * 1024)
 /* Part of its size to which a message must shrink; otherwise it is sent as it is, since unpacking costs the
  * reader more than the bytes save.  Not measured. */
-#define SHARE_MAX 0.9
+#define PACKED_SIZE_MAX_FRACTION 0.9
 /* zlib's level of least effort: entries of workers shrink to a tenth.  QUINCE_PACK_FAST does not look for
  * repetitions at all: 400 kB of random letters shrink to 0.60 at 107 MB/s, against 0.66 at 53 MB/s with them.
  */
 #define LEVEL 1
 /* Least growth of the buffer of unpacked bytes. */
-#define PIECE_MIN_BYTES 1024
+#define BUFFER_GROWTH_MIN_BYTES 1024
 /* The buffer grows by so many times the bytes that are left to unpack.  Not measured. */
-#define GROWTH 3
+#define BUFFER_GROWTH_FACTOR 3
 /* Window of 2^15 bytes: zlib's default, and the one of which ZLIB_FIRST_BYTE tells. */
 #define WINDOW_BITS 15
 /* 128 KiB for zlib's tables, its default. */
@@ -55,7 +55,7 @@
     return NULL;
   g_autoptr (GBytes) compressed = deflate_bytes (bytes, effort);
   if (compressed == NULL
-      || (double)g_bytes_get_size (compressed) > SHARE_MAX * (double)g_bytes_get_size (bytes))
+      || (double)g_bytes_get_size (compressed) > PACKED_SIZE_MAX_FRACTION * (double)g_bytes_get_size (bytes))
     return NULL;
   return g_steal_pointer (&compressed);
 }
@@ -83,7 +83,7 @@
     {
       guint before = bytes->len;
       /* Texts shrink to a half, entries of workers to a tenth: few turns, and little room left over. */
-      guint room = MAX (bytes->len, MAX (PIECE_MIN_BYTES, GROWTH * stream->avail_in));
+      guint room = MAX (bytes->len, MAX (BUFFER_GROWTH_MIN_BYTES, BUFFER_GROWTH_FACTOR * stream->avail_in));
       g_byte_array_set_size (bytes, before + room);
       stream->next_out = bytes->data + before;
       stream->avail_out = room;
@@ -128,7 +128,7 @@
 
 /* The kind of an encoded record that is not packed. */
 static guint32
-kind_of_record (GBytes *encoded)
+get_encoded_record_kind (GBytes *encoded)
 {
   guint32 kind = G_MAXUINT32;
   if (g_bytes_get_size (encoded) >= sizeof kind)
@@ -139,7 +139,7 @@
 GBytes *
 quince_batch_record_pack (GBytes *encoded)
 {
-  if (kind_of_record (encoded) == QUINCE_BATCH_RECORD_LISTED)
+  if (get_encoded_record_kind (encoded) == QUINCE_BATCH_RECORD_LISTED)
     return g_bytes_ref (encoded); /* its body is packed */
   GBytes *compressed = shrink (encoded, QUINCE_PACK_FAST);
   return compressed != NULL ? compressed : g_bytes_ref (encoded);
--- a/lib/runtime/settings-private.h
+++ b/lib/runtime/settings-private.h
@@ -10,4 +10,4 @@
 char *quince_setting_check (const QuinceSettingSpec *spec, const char *text, gint64 *number);
 
 /* Returns: (transfer full): what values @spec allows, for messages and --help-settings. */
-char *quince_setting_allowed (const QuinceSettingSpec *spec);
+char *quince_setting_describe_allowed (const QuinceSettingSpec *spec);
--- a/lib/runtime/settings-values.c
+++ b/lib/runtime/settings-values.c
@@ -72,7 +72,7 @@
 }
 
 static gboolean
-has_type (const QuinceSettingSpec *spec, const char *text, gint64 *number)
+parse_typed_value (const QuinceSettingSpec *spec, const char *text, gint64 *number)
 {
   switch (spec->type)
     {
@@ -98,13 +98,13 @@
 }
 
 static gboolean
-is_bounded (const QuinceSettingSpec *spec)
+has_range (const QuinceSettingSpec *spec)
 {
   return spec->type == QUINCE_SETTING_INTEGER || spec->type == QUINCE_SETTING_DURATION;
 }
 
 static const char *
-type_allows (const QuinceSettingSpec *spec)
+describe_type (const QuinceSettingSpec *spec)
 {
   switch (spec->type)
     {
@@ -129,14 +129,14 @@
 }
 
 char *
-quince_setting_allowed (const QuinceSettingSpec *spec)
+quince_setting_describe_allowed (const QuinceSettingSpec *spec)
 {
-  GString *text = g_string_new (type_allows (spec));
+  GString *text = g_string_new (describe_type (spec));
   const char *unit = spec->type == QUINCE_SETTING_DURATION ? "us" : "";
-  if (is_bounded (spec) && spec->maximum != 0)
+  if (has_range (spec) && spec->maximum != 0)
     g_string_append_printf (text, ", from %" G_GINT64_FORMAT "%s to %" G_GINT64_FORMAT "%s", spec->minimum,
                             unit, spec->maximum, unit);
-  else if (is_bounded (spec) && spec->minimum != 0)
+  else if (has_range (spec) && spec->minimum != 0)
     g_string_append_printf (text, ", at least %" G_GINT64_FORMAT "%s", spec->minimum, unit);
   return g_string_free (text, FALSE);
 }
@@ -145,10 +145,10 @@
 quince_setting_check (const QuinceSettingSpec *spec, const char *text, gint64 *number)
 {
   *number = 0;
-  g_autofree char *allowed = quince_setting_allowed (spec);
-  if (!has_type (spec, text, number))
+  g_autofree char *allowed = quince_setting_describe_allowed (spec);
+  if (!parse_typed_value (spec, text, number))
     return g_strdup_printf ("'%s' is not valid; allowed: %s", text, allowed);
-  if (is_bounded (spec) && (*number < spec->minimum || (spec->maximum != 0 && *number > spec->maximum)))
+  if (has_range (spec) && (*number < spec->minimum || (spec->maximum != 0 && *number > spec->maximum)))
     return g_strdup_printf ("'%s' is out of range; allowed: %s", text, allowed);
   return NULL;
 }
--- a/lib/runtime/settings.c
+++ b/lib/runtime/settings.c
@@ -48,7 +48,7 @@
 }
 
 static char *
-value_key (const char *section, const char *key)
+make_value_key (const char *section, const char *key)
 {
   return g_strconcat (section, "\n", key, NULL);
 }
@@ -131,11 +131,11 @@
   Value *value = g_new0 (Value, 1);
   value->text = g_strdup (text);
   value->number = number;
-  g_hash_table_insert (settings->values, value_key (section, key), value);
+  g_hash_table_insert (settings->values, make_value_key (section, key), value);
 }
 
 static void
-take_value (Reader *reader, const char *section, const char *key, const char *text, gboolean replace)
+parse_setting (Reader *reader, const char *section, const char *key, const char *text, gboolean replace)
 {
   const QuinceSettingSpec *spec = find_spec (reader->settings, section, key);
   if (spec == NULL)
@@ -144,7 +144,7 @@
       report (reader, "[%s] %s: unknown key; allowed: %s", section, key, keys);
       return;
     }
-  g_autofree char *name = value_key (section, key);
+  g_autofree char *name = make_value_key (section, key);
   if (!replace && g_hash_table_contains (reader->settings->values, name))
     {
       report (reader, "[%s] %s: given twice; allowed: once", section, key);
@@ -172,7 +172,7 @@
 }
 
 static void
-take_section (Reader *reader, char *line)
+parse_section_header (Reader *reader, char *line)
 {
   char *end = strchr (line, ']');
   g_clear_pointer (&reader->section, g_free);
@@ -203,7 +203,7 @@
     return;
   if (*line == '[')
     {
-      take_section (reader, line);
+      parse_section_header (reader, line);
       return;
     }
   char *equals = strchr (line, '=');
@@ -219,7 +219,7 @@
       return;
     }
   *equals = '\0';
-  take_value (reader, reader->section, g_strstrip (line), g_strstrip (equals + 1), FALSE);
+  parse_setting (reader, reader->section, g_strstrip (line), g_strstrip (equals + 1), FALSE);
 }
 
 static gboolean
@@ -249,7 +249,7 @@
 }
 
 static void
-take_override (Reader *reader, const char *override)
+apply_override (Reader *reader, const char *override)
 {
   g_autofree char *text = g_strdup (override);
   char *equals = strchr (text, '=');
@@ -269,19 +269,19 @@
       report (reader, "--set %s: unknown section; allowed: %s", override, sections);
       return;
     }
-  take_value (reader, text, g_strstrip (dot + 1), g_strstrip (equals + 1), TRUE);
+  parse_setting (reader, text, g_strstrip (dot + 1), g_strstrip (equals + 1), TRUE);
 }
 
 /* Fallback or complaint for one key of one section. */
 static void
-fill_key (Reader *reader, const QuinceSettingSpec *spec, const char *section)
+apply_default (Reader *reader, const QuinceSettingSpec *spec, const char *section)
 {
-  g_autofree char *name = value_key (section, spec->key);
+  g_autofree char *name = make_value_key (section, spec->key);
   if (g_hash_table_contains (reader->settings->values, name))
     return;
   if (spec->required)
     {
-      g_autofree char *allowed = quince_setting_allowed (spec);
+      g_autofree char *allowed = quince_setting_describe_allowed (spec);
       report (reader, "[%s] %s: missing; allowed: %s", section, spec->key, allowed);
       return;
     }
@@ -292,7 +292,7 @@
 }
 
 static void
-fill_missing (Reader *reader)
+apply_defaults (Reader *reader)
 {
   QuinceSettings *settings = reader->settings;
   reader->line = 0;
@@ -300,10 +300,10 @@
     {
       const QuinceSettingSpec *spec = &settings->specs[i];
       if (!is_wildcard (spec->section))
-        fill_key (reader, spec, spec->section);
+        apply_default (reader, spec, spec->section);
       for (guint j = 0; is_wildcard (spec->section) && j < settings->instances->len; j++)
         if (section_matches (spec->section, settings->instances->pdata[j]))
-          fill_key (reader, spec, settings->instances->pdata[j]);
+          apply_default (reader, spec, settings->instances->pdata[j]);
     }
 }
 
@@ -335,9 +335,9 @@
   reader.line = 0;
   reader.path = "(flags)";
   for (const char *const *override = overrides; override != NULL && *override != NULL; override++)
-    take_override (&reader, *override);
+    apply_override (&reader, *override);
   reader.path = path != NULL ? path : "(flags)";
-  fill_missing (&reader);
+  apply_defaults (&reader);
   if (problems->len > 0)
     {
       g_set_error_literal (error, QUINCE_SETTINGS_ERROR, QUINCE_SETTINGS_ERROR_INVALID, problems->str);
@@ -359,7 +359,7 @@
 static const Value *
 find_value (const QuinceSettings *settings, const char *section, const char *key)
 {
-  g_autofree char *name = value_key (section, key);
+  g_autofree char *name = make_value_key (section, key);
   const Value *value = g_hash_table_lookup (settings->values, name);
   if (value == NULL)
     g_error ("setting [%s] %s is not in the program's table", section, key);
@@ -419,7 +419,7 @@
   for (gsize i = 0; i < n_specs; i++)
     {
       const QuinceSettingSpec *spec = &specs[i];
-      g_autofree char *allowed = quince_setting_allowed (spec);
+      g_autofree char *allowed = quince_setting_describe_allowed (spec);
       if (!g_str_equal (last, spec->section))
         g_string_append_printf (text, "%s[%s]\n", i > 0 ? "\n" : "", spec->section);
       last = spec->section;
--- a/tests/unit/test-answer-allowance.c
+++ b/tests/unit/test-answer-allowance.c
@@ -16,13 +16,17 @@
 /* A link that passes @bytes_per_ms and is asked for an answer each @pause_ms.  Returns: the greatest backlog
  */
 static gsize
-run_link (QuinceAnswerAllowance *allowance, gint64 *now_us, gsize bytes_per_ms, guint pause_ms, guint asks)
+simulate_link (QuinceAnswerAllowance *allowance,
+               gint64 *now_us,
+               gsize bytes_per_ms,
+               guint pause_ms,
+               guint asks)
 {
   gsize backlog = 0;
   gsize greatest = 0;
   for (guint i = 0; i < asks; i++)
     {
-      backlog += quince_answer_allowance_take (allowance, *now_us, backlog, BYTES_MAX);
+      backlog += quince_answer_allowance_acquire (allowance, *now_us, backlog, BYTES_MAX);
       greatest = MAX (greatest, backlog);
       backlog -= MIN (backlog, bytes_per_ms * pause_ms);
       *now_us += pause_ms * MS;
@@ -31,34 +35,34 @@
 }
 
 static void
-test_healthy_link_has_whole_answers (void **state)
+test_idle_link_gets_full_answers (void **state)
 {
   QuinceAnswerAllowance allowance = { 0 };
   gint64 now = 1;
-  assert_int_equal (quince_answer_allowance_take (&allowance, now, 0, BYTES_MAX), BYTES_MAX);
+  assert_int_equal (quince_answer_allowance_acquire (&allowance, now, 0, BYTES_MAX), BYTES_MAX);
   /* Two that ask in the same moment. */
-  assert_int_equal (quince_answer_allowance_take (&allowance, now, BYTES_MAX, BYTES_MAX), BYTES_MAX);
+  assert_int_equal (quince_answer_allowance_acquire (&allowance, now, BYTES_MAX, BYTES_MAX), BYTES_MAX);
 }
 
 static void
-test_slow_link_is_not_filled (void **state)
+test_slow_link_backlog_is_bounded (void **state)
 {
   QuinceAnswerAllowance allowance = { 0 };
   gint64 now = 1;
-  assert_true (run_link (&allowance, &now, 100, 5, 4000) <= 3 * BYTES_MAX);
+  assert_true (simulate_link (&allowance, &now, 100, 5, 4000) <= 3 * BYTES_MAX);
   /* Once it is known to be slow, what waits is less than a front's patience of 1.5 s. */
-  assert_true (run_link (&allowance, &now, 100, 5, 4000) <= 200 * 1024);
+  assert_true (simulate_link (&allowance, &now, 100, 5, 4000) <= 200 * 1024);
 }
 
 static void
-test_link_that_stands_gets_nothing (void **state)
+test_blocked_link_gets_no_answer (void **state)
 {
   QuinceAnswerAllowance allowance = { 0 };
   gint64 now = 1;
-  run_link (&allowance, &now, 10000, 100, 10);
-  gsize backlog = run_link (&allowance, &now, 0, 5, 4000);
+  simulate_link (&allowance, &now, 10000, 100, 10);
+  gsize backlog = simulate_link (&allowance, &now, 0, 5, 4000);
   assert_true (backlog <= 3 * BYTES_MAX);
-  assert_int_equal (quince_answer_allowance_take (&allowance, now, backlog, BYTES_MAX), 0);
+  assert_int_equal (quince_answer_allowance_acquire (&allowance, now, backlog, BYTES_MAX), 0);
 }
 
 static void
@@ -66,31 +70,29 @@
 {
   QuinceAnswerAllowance allowance = { 0 };
   gint64 now = 1;
-  run_link (&allowance, &now, 100, 5, 4000);
-  run_link (&allowance, &now, 10000, 100, 10);
-  assert_int_equal (quince_answer_allowance_take (&allowance, now, 0, BYTES_MAX), BYTES_MAX);
+  simulate_link (&allowance, &now, 100, 5, 4000);
+  simulate_link (&allowance, &now, 10000, 100, 10);
+  assert_int_equal (quince_answer_allowance_acquire (&allowance, now, 0, BYTES_MAX), BYTES_MAX);
 }
 
 /* A new leader sends news on a link before the first answer; and a link that rested is not slow. */
 static void
-test_healthy_links (void **state)
+test_healthy_link_is_not_slow (void **state)
 {
   gint64 now = 1000 * G_USEC_PER_SEC;
   QuinceAnswerAllowance allowance = { 0 };
-  assert_int_equal (quince_answer_allowance_take (&allowance, now, 300 * 1024, BYTES_MAX), BYTES_MAX);
+  assert_int_equal (quince_answer_allowance_acquire (&allowance, now, 300 * 1024, BYTES_MAX), BYTES_MAX);
   now += 10 * G_USEC_PER_SEC;
-  assert_true (quince_answer_allowance_take (&allowance, now, 40 * 1024, BYTES_MAX) >= 64 * 1024);
+  assert_true (quince_answer_allowance_acquire (&allowance, now, 40 * 1024, BYTES_MAX) >= 64 * 1024);
 }
 
 int
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_healthy_link_has_whole_answers),
-    cmocka_unit_test (test_slow_link_is_not_filled),
-    cmocka_unit_test (test_link_that_stands_gets_nothing),
-    cmocka_unit_test (test_link_recovers),
-    cmocka_unit_test (test_healthy_links),
+    cmocka_unit_test (test_idle_link_gets_full_answers), cmocka_unit_test (test_slow_link_backlog_is_bounded),
+    cmocka_unit_test (test_blocked_link_gets_no_answer), cmocka_unit_test (test_link_recovers),
+    cmocka_unit_test (test_healthy_link_is_not_slow),
   };
   return cmocka_run_group_tests_name ("answer-allowance", tests, NULL, NULL);
 }
--- a/tests/unit/test-delivery-meter.c
+++ b/tests/unit/test-delivery-meter.c
@@ -23,36 +23,36 @@
 #define SLOW_BYTES_PER_MS 390
 
 static void
-test_peer_that_answers_in_time (void **state)
+test_timely_answers_report_no_backlog (void **state)
 {
   QuinceDeliveryMeter meter = { 0 };
   assert_int_equal (quince_delivery_meter_get_backlog (&meter, 0, 1000), 0);
   for (guint i = 1; i <= 100; i++)
     {
       gint64 now = (gint64)i * PROBE_MS * MS;
-      quince_delivery_meter_probe (&meter, now, i * 1000);
+      quince_delivery_meter_record_probe (&meter, now, i * 1000);
       assert_int_equal (quince_delivery_meter_get_backlog (&meter, now + 200 * MS, i * 1000 + 500), 0);
-      quince_delivery_meter_take_answer (&meter, now + 200 * MS);
+      quince_delivery_meter_record_answer (&meter, now + 200 * MS);
     }
   /* One answer more than probes, of a peer that does not keep to the protocol. */
-  quince_delivery_meter_take_answer (&meter, 100 * PROBE_MS * MS);
+  quince_delivery_meter_record_answer (&meter, 100 * PROBE_MS * MS);
   assert_int_equal (quince_delivery_meter_get_backlog (&meter, 100 * PROBE_MS * MS, 200000), 0);
 }
 
 static void
-test_peer_that_is_late (void **state)
+test_late_answers_report_backlog (void **state)
 {
   QuinceDeliveryMeter meter = { 0 };
-  quince_delivery_meter_probe (&meter, 0, 1000);
-  quince_delivery_meter_take_answer (&meter, 10 * MS);
-  quince_delivery_meter_probe (&meter, 250 * MS, 600000);
+  quince_delivery_meter_record_probe (&meter, 0, 1000);
+  quince_delivery_meter_record_answer (&meter, 10 * MS);
+  quince_delivery_meter_record_probe (&meter, 250 * MS, 600000);
   assert_int_equal (quince_delivery_meter_get_backlog (&meter, 500 * MS, 600000), 0);
   assert_int_equal (quince_delivery_meter_get_backlog (&meter, 501 * MS, 700000), 699000);
-  quince_delivery_meter_probe (&meter, 502 * MS, 700000);
-  quince_delivery_meter_take_answer (&meter, 600 * MS);
+  quince_delivery_meter_record_probe (&meter, 502 * MS, 700000);
+  quince_delivery_meter_record_answer (&meter, 600 * MS);
   /* It is known to be slow from now on. */
   assert_int_equal (quince_delivery_meter_get_backlog (&meter, 601 * MS, 700000), 100000);
-  quince_delivery_meter_take_answer (&meter, 700 * MS);
+  quince_delivery_meter_record_answer (&meter, 700 * MS);
   assert_int_equal (quince_delivery_meter_get_backlog (&meter, 701 * MS, 700000), 0);
   assert_int_equal (quince_delivery_meter_get_backlog (&meter, 702 * MS, 705000), 5000);
   assert_int_equal (quince_delivery_meter_get_backlog (&meter, 2601 * MS, 800000), 0);
@@ -60,20 +60,20 @@
 
 /* Seconds without an answer: more probes than are kept, and the answers come after all. */
 static void
-test_more_probes_than_are_kept (void **state)
+test_unanswered_probes_exceed_limit (void **state)
 {
   QuinceDeliveryMeter meter = { 0 };
-  quince_delivery_meter_probe (&meter, 0, 10);
-  quince_delivery_meter_take_answer (&meter, 1);
+  quince_delivery_meter_record_probe (&meter, 0, 10);
+  quince_delivery_meter_record_answer (&meter, 1);
   guint late = 3 * QUINCE_DELIVERY_PROBES_MAX;
   for (guint i = 1; i <= late; i++)
-    quince_delivery_meter_probe (&meter, (gint64)i * PROBE_MS * MS, 10 + i * 100);
+    quince_delivery_meter_record_probe (&meter, (gint64)i * PROBE_MS * MS, 10 + i * 100);
   gint64 now = (gint64)late * PROBE_MS * MS;
   guint64 bytes = 10 + late * 100;
   assert_int_equal (quince_delivery_meter_get_backlog (&meter, now, bytes), late * 100);
   for (guint i = 0; i < late; i++)
     {
-      quince_delivery_meter_take_answer (&meter, now);
+      quince_delivery_meter_record_answer (&meter, now);
       assert_true (quince_delivery_meter_get_backlog (&meter, now, bytes) <= late * 100);
     }
   assert_int_equal (quince_delivery_meter_get_backlog (&meter, now + 3000 * MS, bytes), 0);
@@ -84,7 +84,7 @@
  *
  * Returns: answers that came within the readers' patience */
 static guint
-read_through_a_relay (gboolean measured)
+simulate_reads_through_relay (gboolean measured)
 {
   QuinceDeliveryMeter meter = { 0 };
   QuinceAnswerAllowance allowance = { 0 };
@@ -100,20 +100,20 @@
       delivered = MIN (delivered + SLOW_BYTES_PER_MS, sent);
       while (probe_answered < probe && probes[probe_answered] <= delivered)
         {
-          quince_delivery_meter_take_answer (&meter, now * MS);
+          quince_delivery_meter_record_answer (&meter, now * MS);
           probe_answered++;
         }
       if (now % PROBE_MS == 0)
         {
           sent += 100;
           probes[probe++] = sent;
-          quince_delivery_meter_probe (&meter, now * MS, sent);
+          quince_delivery_meter_record_probe (&meter, now * MS, sent);
         }
       /* A reader of the twelve asks each 125 ms. */
       if (now % (PATIENCE_MS / 12) != 0)
         continue;
       gsize backlog = measured ? quince_delivery_meter_get_backlog (&meter, now * MS, sent) : 0;
-      gsize bytes = quince_answer_allowance_take (&allowance, now * MS, backlog, 700 * 1024);
+      gsize bytes = quince_answer_allowance_acquire (&allowance, now * MS, backlog, 700 * 1024);
       if (bytes == 0)
         continue;
       answered++;
@@ -125,20 +125,20 @@
 }
 
 static void
-test_readers_behind_a_relay (void **state)
+test_readers_behind_relay (void **state)
 {
-  assert_in_range (read_through_a_relay (FALSE), 0, 2);
-  assert_true (read_through_a_relay (TRUE) >= 12);
+  assert_in_range (simulate_reads_through_relay (FALSE), 0, 2);
+  assert_true (simulate_reads_through_relay (TRUE) >= 12);
 }
 
 int
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_peer_that_answers_in_time),
-    cmocka_unit_test (test_peer_that_is_late),
-    cmocka_unit_test (test_more_probes_than_are_kept),
-    cmocka_unit_test (test_readers_behind_a_relay),
+    cmocka_unit_test (test_timely_answers_report_no_backlog),
+    cmocka_unit_test (test_late_answers_report_backlog),
+    cmocka_unit_test (test_unanswered_probes_exceed_limit),
+    cmocka_unit_test (test_readers_behind_relay),
   };
   return cmocka_run_group_tests_name ("delivery-meter", tests, NULL, NULL);
 }
--- a/tests/unit/test-runtime.c
+++ b/tests/unit/test-runtime.c
@@ -105,7 +105,7 @@
 }
 
 static void
-test_settings_reports_all (void **state)
+test_settings_report_all_problems (void **state)
 {
   const char *overrides[] = { "bad", "node.colour=1", NULL };
   g_autoptr (GError) error = NULL;
@@ -120,7 +120,7 @@
 /* ---- Codec ------------------------------------------------------------ */
 
 static void
-test_codec_rejects_garbage (void **state)
+test_codec_rejects_wrong_length (void **state)
 {
   QuinceMessage message = { .kind = QUINCE_MESSAGE_USAGE_ACK };
   g_autoptr (GBytes) encoded = quince_message_encode (&message, NULL);
@@ -276,7 +276,7 @@
 }
 
 static void
-test_link_refused (void **state)
+test_link_rejects_invalid_address (void **state)
 {
   Pair pair = { .client_closed = -1 };
   g_autoptr (QuinceLink) bad = quince_link_connect ("nowhere", &client_callbacks, &pair);
@@ -290,13 +290,13 @@
   const struct CMUnitTest tests[] = {
     cmocka_unit_test (test_settings_valid),
     cmocka_unit_test (test_settings_problems),
-    cmocka_unit_test (test_settings_reports_all),
-    cmocka_unit_test (test_codec_rejects_garbage),
+    cmocka_unit_test (test_settings_report_all_problems),
+    cmocka_unit_test (test_codec_rejects_wrong_length),
     cmocka_unit_test (test_codec_fuzz),
     cmocka_unit_test (test_log_quote),
     cmocka_unit_test (test_link_echo),
     cmocka_unit_test (test_link_malformed),
-    cmocka_unit_test (test_link_refused),
+    cmocka_unit_test (test_link_rejects_invalid_address),
   };
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
