--- a/lib/runtime/answer-allowance.h
+++ b/lib/runtime/answer-allowance.h
@@ -12,7 +12,7 @@
 
 /**
  * QuinceAnswerAllowance:
- * @bytes: bound of one answer; 0: there was none yet
+ * @last_max_bytes: bound of one answer; 0: there was none yet
  * @backlog_after_send: upper bound of the bytes on their way just after the last answer was sent
  * @sent_us: when it was sent
  *
@@ -20,7 +20,7 @@
  */
 typedef struct
 {
-  gsize bytes;
+  gsize last_max_bytes;
   gsize backlog_after_send;
   gint64 sent_us;
 } QuinceAnswerAllowance;
@@ -28,12 +28,14 @@
 /**
  * quince_answer_allowance_acquire:
  * @backlog: bytes sent on the link and not acknowledged
- * @most: bound of any answer, bytes
+ * @max_bytes: bound of any answer, bytes
  *
  * Returns: bound of the next answer, bytes, which from now on counts as sent; 0: it must not be sent, since
  * it would only wait behind others
  */
-gsize
-quince_answer_allowance_acquire (QuinceAnswerAllowance *allowance, gint64 now_us, gsize backlog, gsize most);
+gsize quince_answer_allowance_acquire (QuinceAnswerAllowance *allowance,
+                                       gint64 now_us,
+                                       gsize backlog,
+                                       gsize max_bytes);
 
 G_END_DECLS
--- a/lib/runtime/delivery-meter.h
+++ b/lib/runtime/delivery-meter.h
@@ -25,10 +25,10 @@
     guint64 bytes; /* sent on the link up to this probe's end */
     gint64 sent_us;
   } probes[QUINCE_DELIVERY_PROBES_MAX]; /* by number, modulo their count */
-  guint64 sent;                         /* probes so far */
-  guint64 answered;                     /* of these */
-  guint64 delivered;                    /* bytes before the last answered probe's end */
-  gint64 late_us;                       /* when a late answer came last; 0: never */
+  guint64 n_sent;                       /* probes so far */
+  guint64 n_answered;                   /* of these */
+  guint64 delivered_bytes;              /* bytes before the last answered probe's end */
+  gint64 last_late_answer_us;           /* when a late answer came last; 0: never */
 } QuinceDeliveryMeter;
 
 /* A message that the peer answers was queued. @bytes: queued on the link so far, this one included */
--- a/lib/runtime/json-check.c
+++ b/lib/runtime/json-check.c
@@ -66,7 +66,7 @@
 
 /* Returns: whether @byte may stand outside strings, brackets and braces. */
 static gboolean
-is_plain (char byte)
+is_allowed_outside_string (char byte)
 {
   return g_ascii_isalnum (byte) || memchr (" \t\r\n:,+-.", byte, strlen (" \t\r\n:,+-.")) != NULL;
 }
@@ -88,7 +88,7 @@
         depth++;
       else if ((byte == ']' || byte == '}') && depth > 0)
         depth--;
-      else if (!is_plain (byte))
+      else if (!is_allowed_outside_string (byte))
         return FALSE;
       if (depth > NESTING_DEPTH_MAX)
         return FALSE;
--- a/lib/runtime/link.c
+++ b/lib/runtime/link.c
@@ -35,19 +35,19 @@
   grefcount references;
   const QuinceLinkCallbacks *callbacks;
   gpointer user_data;
-  GSocket *socket;          /* NULL: the address is none, or the system refused at once */
-  QuinceSocketWatch *watch; /* NULL: closed, or no socket */
-  QuinceTimer *fail_timer;  /* reports that there is no socket */
-  GError *refusal;          /* why there is none */
-  GByteArray *input;        /* the beginning of a frame */
-  GByteArray *output;       /* bytes that the kernel has not taken, from output_offset on */
+  GSocket *socket;                  /* NULL: the address is none, or the system refused at once */
+  QuinceSocketWatch *watch;         /* NULL: closed, or no socket */
+  QuinceTimer *connect_error_timer; /* reports that there is no socket */
+  GError *connect_error;            /* why there is none */
+  GByteArray *input;                /* the beginning of a frame */
+  GByteArray *output;               /* bytes that the kernel has not taken, from output_offset on */
   gsize output_offset;
-  gboolean connecting;
+  gboolean is_connecting;
   gboolean watches_output; /* the kernel takes no more for now */
-  gboolean open;
+  gboolean is_open;
   guint64 bytes_sent;
   guint64 bytes_queued; /* since the link was made */
-  QuinceDeliveryMeter delivery;
+  QuinceDeliveryMeter delivery_meter;
   QuinceAnswerAllowance allowance;
 };
 
@@ -65,7 +65,7 @@
     return;
   quince_link_close (link);
   g_clear_object (&link->socket);
-  g_clear_error (&link->refusal);
+  g_clear_error (&link->connect_error);
   g_byte_array_unref (link->input);
   g_byte_array_unref (link->output);
   g_free (link);
@@ -80,17 +80,17 @@
   link->user_data = user_data;
   link->input = g_byte_array_new ();
   link->output = g_byte_array_new ();
-  link->open = TRUE;
+  link->is_open = TRUE;
   return link;
 }
 
 void
 quince_link_close (QuinceLink *link)
 {
-  if (!link->open)
+  if (!link->is_open)
     return;
-  link->open = FALSE;
-  quince_timer_clear (&link->fail_timer);
+  link->is_open = FALSE;
+  quince_timer_clear (&link->connect_error_timer);
   quince_socket_watch_clear (&link->watch);
   /* Shut down rather than closed: closing with unread bytes would reset what the peer has not read. */
   if (link->socket != NULL)
@@ -100,7 +100,7 @@
 static void
 link_fail (QuinceLink *link, const GError *error)
 {
-  if (!link->open)
+  if (!link->is_open)
     return;
   quince_link_ref (link);
   quince_link_close (link);
@@ -153,20 +153,21 @@
   while (get_unsent_bytes (link) > 0)
     {
       g_autoptr (GError) error = NULL;
-      gssize taken = g_socket_send (link->socket, (const char *)link->output->data + link->output_offset,
-                                    get_unsent_bytes (link), NULL, &error);
-      if (taken < 0 && g_error_matches (error, G_IO_ERROR, G_IO_ERROR_WOULD_BLOCK))
+      gssize sent_length
+          = g_socket_send (link->socket, (const char *)link->output->data + link->output_offset,
+                           get_unsent_bytes (link), NULL, &error);
+      if (sent_length < 0 && g_error_matches (error, G_IO_ERROR, G_IO_ERROR_WOULD_BLOCK))
         {
           watch_output (link, TRUE);
           return;
         }
-      if (taken < 0)
+      if (sent_length < 0)
         {
           link_fail (link, error);
           return;
         }
-      link->output_offset += (gsize)taken;
-      link->bytes_sent += (gsize)taken;
+      link->output_offset += (gsize)sent_length;
+      link->bytes_sent += (gsize)sent_length;
     }
   link->output_offset = 0;
   clear_buffer (&link->output);
@@ -186,12 +187,12 @@
 void
 quince_link_send_bytes (QuinceLink *link, GBytes *encoded)
 {
-  if (!link->open)
+  if (!link->is_open)
     return;
   gsize length;
   const guint8 *data = g_bytes_get_data (encoded, &length);
-  gsize waiting = get_unsent_bytes (link);
-  if (waiting > 0 && waiting + length > OUTPUT_MAX_BYTES)
+  gsize unsent = get_unsent_bytes (link);
+  if (unsent > 0 && unsent + length > OUTPUT_MAX_BYTES)
     {
       link_fail_code (link, QUINCE_LINK_ERROR_SLOW, "peer reads too slowly");
       return;
@@ -201,29 +202,29 @@
   g_byte_array_append (link->output, (const guint8 *)&header, FRAME_HEADER_BYTES);
   g_byte_array_append (link->output, data, (guint)length);
   link->bytes_queued += FRAME_HEADER_BYTES + length;
-  if (link->watch != NULL && !link->connecting && !link->watches_output)
+  if (link->watch != NULL && !link->is_connecting && !link->watches_output)
     quince_socket_watch_defer_output (link->watch);
 }
 
 void
 quince_link_send_probe (QuinceLink *link, GBytes *encoded)
 {
-  if (!link->open)
+  if (!link->is_open)
     return;
   quince_link_send_bytes (link, encoded);
-  quince_delivery_meter_record_probe (&link->delivery, quince_now_us (), link->bytes_queued);
+  quince_delivery_meter_record_probe (&link->delivery_meter, quince_now_us (), link->bytes_queued);
 }
 
 void
 quince_link_record_probe_answer (QuinceLink *link)
 {
-  quince_delivery_meter_record_answer (&link->delivery, quince_now_us ());
+  quince_delivery_meter_record_answer (&link->delivery_meter, quince_now_us ());
 }
 
 void
 quince_link_send (QuinceLink *link, const QuinceMessage *message)
 {
-  if (!link->open)
+  if (!link->is_open)
     return;
   g_autoptr (GError) error = NULL;
   g_autoptr (GBytes) encoded = quince_message_encode (message, &error);
@@ -244,9 +245,9 @@
   QuinceMessage *message = quince_message_decode (data, length, NULL);
   if (message == NULL || message->kind != QUINCE_MESSAGE_PACKED)
     return message;
-  QuinceMessage *inner = quince_message_unpack (&message->QuinceMessage_u.packed, NULL);
+  QuinceMessage *unpacked = quince_message_unpack (&message->QuinceMessage_u.packed, NULL);
   quince_message_free (message);
-  return inner;
+  return unpacked;
 }
 
 /* Returns: bytes used of @data, 0 when no whole frame is there or the link failed. */
@@ -280,12 +281,12 @@
 handle_frames (QuinceLink *link, const guint8 *data, gsize length)
 {
   gsize used = 0;
-  while (link->open)
+  while (link->is_open)
     {
-      gsize taken = handle_frame (link, data + used, length - used);
-      if (taken == 0)
+      gsize consumed = handle_frame (link, data + used, length - used);
+      if (consumed == 0)
         break;
-      used += taken;
+      used += consumed;
     }
   return used;
 }
@@ -333,7 +334,7 @@
       link_fail (link, error);
       return;
     }
-  link->connecting = FALSE;
+  link->is_connecting = FALSE;
   quince_socket_watch_set_condition (link->watch, G_IO_IN);
   if (get_unsent_bytes (link) > 0)
     quince_socket_watch_defer_output (link->watch);
@@ -347,13 +348,13 @@
 {
   QuinceLink *link = data;
   quince_link_ref (link);
-  if (link->connecting)
+  if (link->is_connecting)
     connect_ready (link);
   else
     {
       if ((condition & ~G_IO_OUT) != 0)
         read_input (link);
-      if (link->open && (condition & G_IO_OUT) != 0)
+      if (link->is_open && (condition & G_IO_OUT) != 0)
         write_output (link);
     }
   quince_link_unref (link);
@@ -371,11 +372,11 @@
 report_connect_error (gpointer data)
 {
   QuinceLink *link = data;
-  g_autoptr (GError) refusal = g_steal_pointer (&link->refusal);
-  if (g_error_matches (refusal, G_IO_ERROR, G_IO_ERROR_INVALID_ARGUMENT))
+  g_autoptr (GError) connect_error = g_steal_pointer (&link->connect_error);
+  if (g_error_matches (connect_error, G_IO_ERROR, G_IO_ERROR_INVALID_ARGUMENT))
     link_fail_code (link, QUINCE_LINK_ERROR_ADDRESS, "not a numeric ip:port");
   else
-    link_fail (link, refusal);
+    link_fail (link, connect_error);
   return G_SOURCE_REMOVE;
 }
 
@@ -383,27 +384,28 @@
 quince_link_connect (const char *address, const QuinceLinkCallbacks *callbacks, gpointer user_data)
 {
   QuinceLink *link = link_new (callbacks, user_data);
-  link->connecting = TRUE;
-  GSocket *socket = quince_tcp_socket_connect (address, &link->refusal);
+  link->is_connecting = TRUE;
+  GSocket *socket = quince_tcp_socket_connect (address, &link->connect_error);
   if (socket != NULL)
     link_attach (link, socket, G_IO_OUT);
   else
     /* Reported from the loop, as every other failure is. */
-    link->fail_timer = quince_timer_add (0, report_connect_error, link);
+    link->connect_error_timer = quince_timer_add (0, report_connect_error, link);
   return link;
 }
 
 gboolean
 quince_link_is_connected (QuinceLink *link)
 {
-  return link->open && !link->connecting;
+  return link->is_open && !link->is_connecting;
 }
 
 /* An answer that has arrived and was not read yet tells nothing of the peer. */
 static gsize
 get_undelivered_bytes (QuinceLink *link)
 {
-  gsize bytes = quince_delivery_meter_get_backlog (&link->delivery, quince_now_us (), link->bytes_queued);
+  gsize bytes
+      = quince_delivery_meter_get_backlog (&link->delivery_meter, quince_now_us (), link->bytes_queued);
   return bytes > 0 && !quince_link_has_input (link) ? bytes : 0;
 }
 
--- a/lib/runtime/packed-message.c
+++ b/lib/runtime/packed-message.c
@@ -16,7 +16,7 @@
 /* zlib's level of least effort: entries of workers shrink to a tenth.  QUINCE_PACK_FAST does not look for
  * repetitions at all: 400 kB of random letters shrink to 0.60 at 107 MB/s, against 0.66 at 53 MB/s with them.
  */
-#define LEVEL 1
+#define COMPRESSION_LEVEL 1
 /* Least growth of the buffer of unpacked bytes. */
 #define BUFFER_GROWTH_MIN_BYTES 1024
 /* The buffer grows by so many times the bytes that are left to unpack.  Not measured. */
@@ -33,23 +33,23 @@
   const void *data = g_bytes_get_data (bytes, &length);
   z_stream stream = { 0 };
   int strategy = effort == QUINCE_PACK_FAST ? Z_HUFFMAN_ONLY : Z_DEFAULT_STRATEGY;
-  if (deflateInit2 (&stream, LEVEL, Z_DEFLATED, WINDOW_BITS, MEMORY_LEVEL, strategy) != Z_OK)
+  if (deflateInit2 (&stream, COMPRESSION_LEVEL, Z_DEFLATED, WINDOW_BITS, MEMORY_LEVEL, strategy) != Z_OK)
     return NULL;
-  uLong most = deflateBound (&stream, (uLong)length);
-  g_autofree guint8 *packed = g_malloc (most);
+  uLong max_length = deflateBound (&stream, (uLong)length);
+  g_autofree guint8 *packed = g_malloc (max_length);
   stream.next_in = (Bytef *)data;
   stream.avail_in = (uInt)length;
   stream.next_out = packed;
-  stream.avail_out = (uInt)most;
-  gboolean done = deflate (&stream, Z_FINISH) == Z_STREAM_END;
+  stream.avail_out = (uInt)max_length;
+  gboolean is_complete = deflate (&stream, Z_FINISH) == Z_STREAM_END;
   gsize packed_length = stream.total_out;
   deflateEnd (&stream);
-  return done ? g_bytes_new (packed, packed_length) : NULL;
+  return is_complete ? g_bytes_new (packed, packed_length) : NULL;
 }
 
 /* Returns: (transfer full): NULL: @bytes are few, or hardly shrink */
 static GBytes *
-shrink (GBytes *bytes, QuincePackEffort effort)
+compress_if_smaller (GBytes *bytes, QuincePackEffort effort)
 {
   if (g_bytes_get_size (bytes) < PACK_MIN_BYTES)
     return NULL;
@@ -63,7 +63,7 @@
 GBytes *
 quince_message_pack (GBytes *encoded, QuincePackEffort effort)
 {
-  g_autoptr (GBytes) compressed = shrink (encoded, effort);
+  g_autoptr (GBytes) compressed = compress_if_smaller (encoded, effort);
   if (compressed == NULL)
     return g_bytes_ref (encoded);
   gsize length;
@@ -81,14 +81,15 @@
 {
   while (bytes->len <= QUINCE_FRAME_MAX_BYTES)
     {
-      guint before = bytes->len;
+      guint previous_length = bytes->len;
       /* Texts shrink to a half, entries of workers to a tenth: few turns, and little room left over. */
-      guint room = MAX (bytes->len, MAX (BUFFER_GROWTH_MIN_BYTES, BUFFER_GROWTH_FACTOR * stream->avail_in));
-      g_byte_array_set_size (bytes, before + room);
-      stream->next_out = bytes->data + before;
-      stream->avail_out = room;
+      guint free_bytes
+          = MAX (bytes->len, MAX (BUFFER_GROWTH_MIN_BYTES, BUFFER_GROWTH_FACTOR * stream->avail_in));
+      g_byte_array_set_size (bytes, previous_length + free_bytes);
+      stream->next_out = bytes->data + previous_length;
+      stream->avail_out = free_bytes;
       int status = inflate (stream, Z_NO_FLUSH);
-      g_byte_array_set_size (bytes, before + room - stream->avail_out);
+      g_byte_array_set_size (bytes, previous_length + free_bytes - stream->avail_out);
       if (status == Z_STREAM_END)
         return bytes->len <= QUINCE_FRAME_MAX_BYTES;
       if (status != Z_OK)
@@ -103,13 +104,14 @@
 {
   g_autoptr (GByteArray) bytes = g_byte_array_new ();
   z_stream stream = { .next_in = (Bytef *)data, .avail_in = (uInt)length };
-  gboolean good = inflateInit (&stream) == Z_OK && inflate_all (&stream, bytes);
+  gboolean is_valid = inflateInit (&stream) == Z_OK && inflate_all (&stream, bytes);
   inflateEnd (&stream);
-  if (good)
+  if (is_valid)
     return g_steal_pointer (&bytes);
-  gboolean large = bytes->len > QUINCE_FRAME_MAX_BYTES;
-  g_set_error_literal (error, G_IO_ERROR, large ? G_IO_ERROR_MESSAGE_TOO_LARGE : G_IO_ERROR_INVALID_DATA,
-                       large ? "more than a frame may hold" : "compressed bytes are broken");
+  gboolean is_too_large = bytes->len > QUINCE_FRAME_MAX_BYTES;
+  g_set_error_literal (error, G_IO_ERROR,
+                       is_too_large ? G_IO_ERROR_MESSAGE_TOO_LARGE : G_IO_ERROR_INVALID_DATA,
+                       is_too_large ? "more than a frame may hold" : "compressed bytes are broken");
   return NULL;
 }
 
@@ -141,7 +143,7 @@
 {
   if (get_encoded_record_kind (encoded) == QUINCE_BATCH_RECORD_LISTED)
     return g_bytes_ref (encoded); /* its body is packed */
-  GBytes *compressed = shrink (encoded, QUINCE_PACK_FAST);
+  GBytes *compressed = compress_if_smaller (encoded, QUINCE_PACK_FAST);
   return compressed != NULL ? compressed : g_bytes_ref (encoded);
 }
 
@@ -151,7 +153,7 @@
   g_autoptr (GBytes) encoded = quince_batch_result_encode (result, NULL);
   if (encoded == NULL)
     return NULL;
-  GBytes *compressed = shrink (encoded, QUINCE_PACK_FAST);
+  GBytes *compressed = compress_if_smaller (encoded, QUINCE_PACK_FAST);
   return compressed != NULL ? compressed : g_steal_pointer (&encoded);
 }
 
--- a/lib/runtime/settings.c
+++ b/lib/runtime/settings.c
@@ -18,13 +18,13 @@
 {
   char *text;
   gint64 number;
-} Value;
+} SettingValue;
 
 struct _QuinceSettings
 {
   const QuinceSettingSpec *specs; /* borrowed                               */
   gsize n_specs;
-  GHashTable *values;   /* "section\nkey" -> Value                          */
+  GHashTable *values;   /* "section\nkey" -> SettingValue                          */
   GPtrArray *instances; /* names of "[prefix NAME]" sections, in file order */
 };
 
@@ -34,15 +34,15 @@
   QuinceSettings *settings;
   const char *path;
   guint line;
-  char *section;       /* current one; NULL before the first or when unknown */
-  gboolean in_unknown; /* keys of an unknown section are not reported again */
+  char *section;               /* current one; NULL before the first or when unknown */
+  gboolean in_unknown_section; /* keys of an unknown section are not reported again */
   GString *problems;
-} Reader;
+} SettingsReader;
 
 static void
 value_free (gpointer data)
 {
-  Value *value = data;
+  SettingValue *value = data;
   g_free (value->text);
   g_free (value);
 }
@@ -86,7 +86,7 @@
   return FALSE;
 }
 
-static void G_GNUC_PRINTF (2, 3) report (Reader *reader, const char *format, ...)
+static void G_GNUC_PRINTF (2, 3) report_problem (SettingsReader *reader, const char *format, ...)
 {
   va_list arguments;
   va_start (arguments, format);
@@ -128,58 +128,62 @@
 static void
 store_value (QuinceSettings *settings, const char *section, const char *key, const char *text, gint64 number)
 {
-  Value *value = g_new0 (Value, 1);
+  SettingValue *value = g_new0 (SettingValue, 1);
   value->text = g_strdup (text);
   value->number = number;
   g_hash_table_insert (settings->values, make_value_key (section, key), value);
 }
 
 static void
-parse_setting (Reader *reader, const char *section, const char *key, const char *text, gboolean replace)
+parse_setting (SettingsReader *reader,
+               const char *section,
+               const char *key,
+               const char *text,
+               gboolean replace)
 {
   const QuinceSettingSpec *spec = find_spec (reader->settings, section, key);
   if (spec == NULL)
     {
       g_autofree char *keys = list_keys (reader->settings, section);
-      report (reader, "[%s] %s: unknown key; allowed: %s", section, key, keys);
+      report_problem (reader, "[%s] %s: unknown key; allowed: %s", section, key, keys);
       return;
     }
   g_autofree char *name = make_value_key (section, key);
   if (!replace && g_hash_table_contains (reader->settings->values, name))
     {
-      report (reader, "[%s] %s: given twice; allowed: once", section, key);
+      report_problem (reader, "[%s] %s: given twice; allowed: once", section, key);
       return;
     }
   gint64 number;
   g_autofree char *problem = quince_setting_check (spec, text, &number);
   if (problem != NULL)
-    report (reader, "[%s] %s: %s", section, key, problem);
+    report_problem (reader, "[%s] %s: %s", section, key, problem);
   /* Stored even when wrong, so that it is not reported as missing too. */
   store_value (reader->settings, section, key, text, number);
 }
 
 static void
-add_instance (Reader *reader, const char *section)
+add_instance (SettingsReader *reader, const char *section)
 {
   GPtrArray *instances = reader->settings->instances;
   for (guint i = 0; i < instances->len; i++)
     if (g_str_equal (instances->pdata[i], section))
       {
-        report (reader, "[%s]: duplicate section; allowed: once", section);
+        report_problem (reader, "[%s]: duplicate section; allowed: once", section);
         return;
       }
   g_ptr_array_add (instances, g_strdup (section));
 }
 
 static void
-parse_section_header (Reader *reader, char *line)
+parse_section_header (SettingsReader *reader, char *line)
 {
   char *end = strchr (line, ']');
   g_clear_pointer (&reader->section, g_free);
-  reader->in_unknown = TRUE;
+  reader->in_unknown_section = TRUE;
   if (end == NULL || end[1] != '\0')
     {
-      report (reader, "'%s' is not a section header; allowed: [section]", line);
+      report_problem (reader, "'%s' is not a section header; allowed: [section]", line);
       return;
     }
   *end = '\0';
@@ -187,16 +191,16 @@
   if (!is_known_section (reader->settings, section))
     {
       g_autofree char *sections = list_sections (reader->settings);
-      report (reader, "[%s]: unknown section; allowed: %s", section, sections);
+      report_problem (reader, "[%s]: unknown section; allowed: %s", section, sections);
       return;
     }
   reader->section = g_strdup (section);
-  reader->in_unknown = FALSE;
+  reader->in_unknown_section = FALSE;
   add_instance (reader, section);
 }
 
 static void
-take_line (Reader *reader, char *line)
+parse_line (SettingsReader *reader, char *line)
 {
   g_strstrip (line);
   if (*line == '\0' || *line == '#')
@@ -209,13 +213,13 @@
   char *equals = strchr (line, '=');
   if (equals == NULL)
     {
-      report (reader, "'%s' is not a setting; allowed: key = value, [section] or # comment", line);
+      report_problem (reader, "'%s' is not a setting; allowed: key = value, [section] or # comment", line);
       return;
     }
   if (reader->section == NULL)
     {
-      if (!reader->in_unknown)
-        report (reader, "'%s' stands before any section; allowed: after a [section]", line);
+      if (!reader->in_unknown_section)
+        report_problem (reader, "'%s' stands before any section; allowed: after a [section]", line);
       return;
     }
   *equals = '\0';
@@ -223,7 +227,7 @@
 }
 
 static gboolean
-read_file (Reader *reader, GError **error)
+read_file (SettingsReader *reader, GError **error)
 {
   g_autofree char *text = NULL;
   gsize length;
@@ -243,20 +247,20 @@
   for (char **line = lines; *line != NULL; line++)
     {
       reader->line++;
-      take_line (reader, *line);
+      parse_line (reader, *line);
     }
   return TRUE;
 }
 
 static void
-apply_override (Reader *reader, const char *override)
+apply_override (SettingsReader *reader, const char *override)
 {
   g_autofree char *text = g_strdup (override);
   char *equals = strchr (text, '=');
   char *dot = strchr (text, '.');
   if (equals == NULL || dot == NULL || dot > equals)
     {
-      report (reader, "--set %s: not an override; allowed: --set section.key=value", override);
+      report_problem (reader, "--set %s: not an override; allowed: --set section.key=value", override);
       return;
     }
   /* An instance name may hold dots: the key follows the last one before '='. */
@@ -266,7 +270,7 @@
   if (!is_known_section (reader->settings, text))
     {
       g_autofree char *sections = list_sections (reader->settings);
-      report (reader, "--set %s: unknown section; allowed: %s", override, sections);
+      report_problem (reader, "--set %s: unknown section; allowed: %s", override, sections);
       return;
     }
   parse_setting (reader, text, g_strstrip (dot + 1), g_strstrip (equals + 1), TRUE);
@@ -274,7 +278,7 @@
 
 /* Fallback or complaint for one key of one section. */
 static void
-apply_default (Reader *reader, const QuinceSettingSpec *spec, const char *section)
+apply_default (SettingsReader *reader, const QuinceSettingSpec *spec, const char *section)
 {
   g_autofree char *name = make_value_key (section, spec->key);
   if (g_hash_table_contains (reader->settings->values, name))
@@ -282,7 +286,7 @@
   if (spec->required)
     {
       g_autofree char *allowed = quince_setting_describe_allowed (spec);
-      report (reader, "[%s] %s: missing; allowed: %s", section, spec->key, allowed);
+      report_problem (reader, "[%s] %s: missing; allowed: %s", section, spec->key, allowed);
       return;
     }
   gint64 number = 0;
@@ -292,7 +296,7 @@
 }
 
 static void
-apply_defaults (Reader *reader)
+apply_defaults (SettingsReader *reader)
 {
   QuinceSettings *settings = reader->settings;
   reader->line = 0;
@@ -327,7 +331,8 @@
 {
   g_autoptr (QuinceSettings) settings = settings_new (specs, n_specs);
   g_autoptr (GString) problems = g_string_new (NULL);
-  Reader reader = { .settings = settings, .path = path != NULL ? path : "(flags)", .problems = problems };
+  SettingsReader reader
+      = { .settings = settings, .path = path != NULL ? path : "(flags)", .problems = problems };
   gboolean readable = path == NULL || read_file (&reader, error);
   g_free (reader.section);
   if (!readable)
@@ -356,11 +361,11 @@
 
 /* ---- Getters ---------------------------------------------------------- */
 
-static const Value *
+static const SettingValue *
 find_value (const QuinceSettings *settings, const char *section, const char *key)
 {
   g_autofree char *name = make_value_key (section, key);
-  const Value *value = g_hash_table_lookup (settings->values, name);
+  const SettingValue *value = g_hash_table_lookup (settings->values, name);
   if (value == NULL)
     g_error ("setting [%s] %s is not in the program's table", section, key);
   return value;
--- a/tests/unit/test-answer-allowance.c
+++ b/tests/unit/test-answer-allowance.c
@@ -11,79 +11,80 @@
 #include "runtime/answer-allowance.h"
 
 #define BYTES_MAX (700 * 1024)
-#define MS 1000
+#define US_PER_MS 1000
 
-/* A link that passes @bytes_per_ms and is asked for an answer each @pause_ms.  Returns: the greatest backlog
+/* A link that passes @bytes_per_ms and is asked for an answer each @interval_ms.  Returns: the greatest
+ * backlog
  */
 static gsize
 simulate_link (QuinceAnswerAllowance *allowance,
                gint64 *now_us,
                gsize bytes_per_ms,
-               guint pause_ms,
-               guint asks)
+               guint interval_ms,
+               guint n_requests)
 {
   gsize backlog = 0;
-  gsize greatest = 0;
-  for (guint i = 0; i < asks; i++)
+  gsize max_backlog = 0;
+  for (guint i = 0; i < n_requests; i++)
     {
       backlog += quince_answer_allowance_acquire (allowance, *now_us, backlog, BYTES_MAX);
-      greatest = MAX (greatest, backlog);
-      backlog -= MIN (backlog, bytes_per_ms * pause_ms);
-      *now_us += pause_ms * MS;
+      max_backlog = MAX (max_backlog, backlog);
+      backlog -= MIN (backlog, bytes_per_ms * interval_ms);
+      *now_us += interval_ms * US_PER_MS;
     }
-  return greatest;
+  return max_backlog;
 }
 
 static void
 test_idle_link_gets_full_answers (void **state)
 {
   QuinceAnswerAllowance allowance = { 0 };
-  gint64 now = 1;
-  assert_int_equal (quince_answer_allowance_acquire (&allowance, now, 0, BYTES_MAX), BYTES_MAX);
+  gint64 now_us = 1;
+  assert_int_equal (quince_answer_allowance_acquire (&allowance, now_us, 0, BYTES_MAX), BYTES_MAX);
   /* Two that ask in the same moment. */
-  assert_int_equal (quince_answer_allowance_acquire (&allowance, now, BYTES_MAX, BYTES_MAX), BYTES_MAX);
+  assert_int_equal (quince_answer_allowance_acquire (&allowance, now_us, BYTES_MAX, BYTES_MAX), BYTES_MAX);
 }
 
 static void
 test_slow_link_backlog_is_bounded (void **state)
 {
   QuinceAnswerAllowance allowance = { 0 };
-  gint64 now = 1;
-  assert_true (simulate_link (&allowance, &now, 100, 5, 4000) <= 3 * BYTES_MAX);
+  gint64 now_us = 1;
+  assert_true (simulate_link (&allowance, &now_us, 100, 5, 4000) <= 3 * BYTES_MAX);
   /* Once it is known to be slow, what waits is less than a front's patience of 1.5 s. */
-  assert_true (simulate_link (&allowance, &now, 100, 5, 4000) <= 200 * 1024);
+  assert_true (simulate_link (&allowance, &now_us, 100, 5, 4000) <= 200 * 1024);
 }
 
 static void
 test_blocked_link_gets_no_answer (void **state)
 {
   QuinceAnswerAllowance allowance = { 0 };
-  gint64 now = 1;
-  simulate_link (&allowance, &now, 10000, 100, 10);
-  gsize backlog = simulate_link (&allowance, &now, 0, 5, 4000);
+  gint64 now_us = 1;
+  simulate_link (&allowance, &now_us, 10000, 100, 10);
+  gsize backlog = simulate_link (&allowance, &now_us, 0, 5, 4000);
   assert_true (backlog <= 3 * BYTES_MAX);
-  assert_int_equal (quince_answer_allowance_acquire (&allowance, now, backlog, BYTES_MAX), 0);
+  assert_int_equal (quince_answer_allowance_acquire (&allowance, now_us, backlog, BYTES_MAX), 0);
 }
 
 static void
 test_link_recovers (void **state)
 {
   QuinceAnswerAllowance allowance = { 0 };
-  gint64 now = 1;
-  simulate_link (&allowance, &now, 100, 5, 4000);
-  simulate_link (&allowance, &now, 10000, 100, 10);
-  assert_int_equal (quince_answer_allowance_acquire (&allowance, now, 0, BYTES_MAX), BYTES_MAX);
+  gint64 now_us = 1;
+  simulate_link (&allowance, &now_us, 100, 5, 4000);
+  simulate_link (&allowance, &now_us, 10000, 100, 10);
+  assert_int_equal (quince_answer_allowance_acquire (&allowance, now_us, 0, BYTES_MAX), BYTES_MAX);
 }
 
 /* A new leader sends news on a link before the first answer; and a link that rested is not slow. */
 static void
 test_healthy_link_is_not_slow (void **state)
 {
-  gint64 now = 1000 * G_USEC_PER_SEC;
+  gint64 now_us = 1000 * G_USEC_PER_SEC;
   QuinceAnswerAllowance allowance = { 0 };
-  assert_int_equal (quince_answer_allowance_acquire (&allowance, now, 300 * 1024, BYTES_MAX), BYTES_MAX);
-  now += 10 * G_USEC_PER_SEC;
-  assert_true (quince_answer_allowance_acquire (&allowance, now, 40 * 1024, BYTES_MAX) >= 64 * 1024);
+  assert_int_equal (quince_answer_allowance_acquire (&allowance, now_us, 300 * 1024, BYTES_MAX), BYTES_MAX);
+  now_us += 10 * G_USEC_PER_SEC;
+  assert_true (quince_answer_allowance_acquire (&allowance, now_us, 40 * 1024, BYTES_MAX) >= 64 * 1024);
 }
 
 int
--- a/tests/unit/test-delivery-meter.c
+++ b/tests/unit/test-delivery-meter.c
@@ -12,13 +12,13 @@
 #include "runtime/answer-allowance.h"
 #include "runtime/delivery-meter.h"
 
-#define MS 1000
+#define US_PER_MS 1000
 /* Heartbeats, as the leader sends them, ms. */
 #define PROBE_MS 250
 /* Results of a step. */
 #define ANSWER_BYTES (577 * 1000)
 /* Readers wait so long for an answer and ask again, ms. */
-#define PATIENCE_MS 1500
+#define READ_TIMEOUT_MS 1500
 /* A link that passes 390 kB a second. */
 #define SLOW_BYTES_PER_MS 390
 
@@ -29,14 +29,15 @@
   assert_int_equal (quince_delivery_meter_get_backlog (&meter, 0, 1000), 0);
   for (guint i = 1; i <= 100; i++)
     {
-      gint64 now = (gint64)i * PROBE_MS * MS;
-      quince_delivery_meter_record_probe (&meter, now, i * 1000);
-      assert_int_equal (quince_delivery_meter_get_backlog (&meter, now + 200 * MS, i * 1000 + 500), 0);
-      quince_delivery_meter_record_answer (&meter, now + 200 * MS);
+      gint64 now_us = (gint64)i * PROBE_MS * US_PER_MS;
+      quince_delivery_meter_record_probe (&meter, now_us, i * 1000);
+      assert_int_equal (quince_delivery_meter_get_backlog (&meter, now_us + 200 * US_PER_MS, i * 1000 + 500),
+                        0);
+      quince_delivery_meter_record_answer (&meter, now_us + 200 * US_PER_MS);
     }
   /* One answer more than probes, of a peer that does not keep to the protocol. */
-  quince_delivery_meter_record_answer (&meter, 100 * PROBE_MS * MS);
-  assert_int_equal (quince_delivery_meter_get_backlog (&meter, 100 * PROBE_MS * MS, 200000), 0);
+  quince_delivery_meter_record_answer (&meter, 100 * PROBE_MS * US_PER_MS);
+  assert_int_equal (quince_delivery_meter_get_backlog (&meter, 100 * PROBE_MS * US_PER_MS, 200000), 0);
 }
 
 static void
@@ -44,18 +45,18 @@
 {
   QuinceDeliveryMeter meter = { 0 };
   quince_delivery_meter_record_probe (&meter, 0, 1000);
-  quince_delivery_meter_record_answer (&meter, 10 * MS);
-  quince_delivery_meter_record_probe (&meter, 250 * MS, 600000);
-  assert_int_equal (quince_delivery_meter_get_backlog (&meter, 500 * MS, 600000), 0);
-  assert_int_equal (quince_delivery_meter_get_backlog (&meter, 501 * MS, 700000), 699000);
-  quince_delivery_meter_record_probe (&meter, 502 * MS, 700000);
-  quince_delivery_meter_record_answer (&meter, 600 * MS);
+  quince_delivery_meter_record_answer (&meter, 10 * US_PER_MS);
+  quince_delivery_meter_record_probe (&meter, 250 * US_PER_MS, 600000);
+  assert_int_equal (quince_delivery_meter_get_backlog (&meter, 500 * US_PER_MS, 600000), 0);
+  assert_int_equal (quince_delivery_meter_get_backlog (&meter, 501 * US_PER_MS, 700000), 699000);
+  quince_delivery_meter_record_probe (&meter, 502 * US_PER_MS, 700000);
+  quince_delivery_meter_record_answer (&meter, 600 * US_PER_MS);
   /* It is known to be slow from now on. */
-  assert_int_equal (quince_delivery_meter_get_backlog (&meter, 601 * MS, 700000), 100000);
-  quince_delivery_meter_record_answer (&meter, 700 * MS);
-  assert_int_equal (quince_delivery_meter_get_backlog (&meter, 701 * MS, 700000), 0);
-  assert_int_equal (quince_delivery_meter_get_backlog (&meter, 702 * MS, 705000), 5000);
-  assert_int_equal (quince_delivery_meter_get_backlog (&meter, 2601 * MS, 800000), 0);
+  assert_int_equal (quince_delivery_meter_get_backlog (&meter, 601 * US_PER_MS, 700000), 100000);
+  quince_delivery_meter_record_answer (&meter, 700 * US_PER_MS);
+  assert_int_equal (quince_delivery_meter_get_backlog (&meter, 701 * US_PER_MS, 700000), 0);
+  assert_int_equal (quince_delivery_meter_get_backlog (&meter, 702 * US_PER_MS, 705000), 5000);
+  assert_int_equal (quince_delivery_meter_get_backlog (&meter, 2601 * US_PER_MS, 800000), 0);
 }
 
 /* Seconds without an answer: more probes than are kept, and the answers come after all. */
@@ -65,26 +66,27 @@
   QuinceDeliveryMeter meter = { 0 };
   quince_delivery_meter_record_probe (&meter, 0, 10);
   quince_delivery_meter_record_answer (&meter, 1);
-  guint late = 3 * QUINCE_DELIVERY_PROBES_MAX;
-  for (guint i = 1; i <= late; i++)
-    quince_delivery_meter_record_probe (&meter, (gint64)i * PROBE_MS * MS, 10 + i * 100);
-  gint64 now = (gint64)late * PROBE_MS * MS;
-  guint64 bytes = 10 + late * 100;
-  assert_int_equal (quince_delivery_meter_get_backlog (&meter, now, bytes), late * 100);
-  for (guint i = 0; i < late; i++)
+  guint n_unanswered = 3 * QUINCE_DELIVERY_PROBES_MAX;
+  for (guint i = 1; i <= n_unanswered; i++)
+    quince_delivery_meter_record_probe (&meter, (gint64)i * PROBE_MS * US_PER_MS, 10 + i * 100);
+  gint64 now_us = (gint64)n_unanswered * PROBE_MS * US_PER_MS;
+  guint64 bytes = 10 + n_unanswered * 100;
+  assert_int_equal (quince_delivery_meter_get_backlog (&meter, now_us, bytes), n_unanswered * 100);
+  for (guint i = 0; i < n_unanswered; i++)
     {
       quince_delivery_meter_record_answer (&meter, now);
-      assert_true (quince_delivery_meter_get_backlog (&meter, now, bytes) <= late * 100);
+      assert_true (quince_delivery_meter_get_backlog (&meter, now_us, bytes) <= n_unanswered * 100);
     }
-  assert_int_equal (quince_delivery_meter_get_backlog (&meter, now + 3000 * MS, bytes), 0);
+  assert_int_equal (quince_delivery_meter_get_backlog (&meter, now_us + 3000 * US_PER_MS, bytes), 0);
 }
 
 /* Twelve readers behind a relay that acknowledges at once and passes 390 kB a second: the leader took the
- * link for idle, and its answers queued for longer than the readers waited.  @measured: by the peer's answers
+ * link for idle, and its answers queued for longer than the readers waited.  @use_meter: by the peer's
+ * answers
  *
  * Returns: answers that came within the readers' patience */
 static guint
-simulate_reads_through_relay (gboolean measured)
+simulate_reads_through_relay (gboolean use_meter)
 {
   QuinceDeliveryMeter meter = { 0 };
   QuinceAnswerAllowance allowance = { 0 };
@@ -95,30 +97,30 @@
   guint64 probes[1000] = { 0 };
   guint probe = 0;
   guint probe_answered = 0;
-  for (gint64 now = 0; now < 12000; now++)
+  for (gint64 now_ms = 0; now_ms < 12000; now_ms++)
     {
       delivered = MIN (delivered + SLOW_BYTES_PER_MS, sent);
       while (probe_answered < probe && probes[probe_answered] <= delivered)
         {
-          quince_delivery_meter_record_answer (&meter, now * MS);
+          quince_delivery_meter_record_answer (&meter, now_ms * US_PER_MS);
           probe_answered++;
         }
-      if (now % PROBE_MS == 0)
+      if (now_ms % PROBE_MS == 0)
         {
           sent += 100;
           probes[probe++] = sent;
-          quince_delivery_meter_record_probe (&meter, now * MS, sent);
+          quince_delivery_meter_record_probe (&meter, now_ms * US_PER_MS, sent);
         }
       /* A reader of the twelve asks each 125 ms. */
-      if (now % (PATIENCE_MS / 12) != 0)
+      if (now_ms % (READ_TIMEOUT_MS / 12) != 0)
         continue;
-      gsize backlog = measured ? quince_delivery_meter_get_backlog (&meter, now * MS, sent) : 0;
-      gsize bytes = quince_answer_allowance_acquire (&allowance, now * MS, backlog, 700 * 1024);
+      gsize backlog = use_meter ? quince_delivery_meter_get_backlog (&meter, now_ms * US_PER_MS, sent) : 0;
+      gsize bytes = quince_answer_allowance_acquire (&allowance, now_ms * US_PER_MS, backlog, 700 * 1024);
       if (bytes == 0)
         continue;
       answered++;
       sent += MIN (bytes, ANSWER_BYTES);
-      in_time += (sent - delivered) / SLOW_BYTES_PER_MS <= PATIENCE_MS;
+      in_time += (sent - delivered) / SLOW_BYTES_PER_MS <= READ_TIMEOUT_MS;
     }
   assert_true (answered > 0);
   return in_time;
--- a/tests/unit/test-runtime.c
+++ b/tests/unit/test-runtime.c
@@ -191,18 +191,18 @@
   guint client_messages;
   int server_closed; /* error code, -1 none */
   int client_closed;
-} Pair;
+} LinkPair;
 
 static void
 on_accepted (QuinceLink *link, gpointer data)
 {
-  ((Pair *)data)->accepted = link;
+  ((LinkPair *)data)->accepted = link;
 }
 
 static void
 on_server_message (QuinceLink *link, QuinceMessage *message, gpointer data)
 {
-  ((Pair *)data)->server_messages++;
+  ((LinkPair *)data)->server_messages++;
   quince_link_send (link, message);
   quince_message_free (message);
 }
@@ -210,20 +210,20 @@
 static void
 on_server_closed (QuinceLink *link, const GError *error, gpointer data)
 {
-  ((Pair *)data)->server_closed = error->code;
+  ((LinkPair *)data)->server_closed = error->code;
 }
 
 static void
 on_client_message (QuinceLink *link, QuinceMessage *message, gpointer data)
 {
-  ((Pair *)data)->client_messages++;
+  ((LinkPair *)data)->client_messages++;
   quince_message_free (message);
 }
 
 static void
 on_client_closed (QuinceLink *link, const GError *error, gpointer data)
 {
-  ((Pair *)data)->client_closed = error->code;
+  ((LinkPair *)data)->client_closed = error->code;
 }
 
 static const QuinceLinkCallbacks server_callbacks = { NULL, on_server_message, on_server_closed };
@@ -232,7 +232,7 @@
 static void
 test_link_echo (void **state)
 {
-  Pair pair = { .server_closed = -1, .client_closed = -1 };
+  LinkPair pair = { .server_closed = -1, .client_closed = -1 };
   g_autoptr (QuinceLinkServer) server
       = quince_link_server_new ("127.0.0.1:0", &server_callbacks, on_accepted, &pair, NULL);
   g_autoptr (QuinceLink) link
@@ -259,7 +259,7 @@
                 { { 0, 0, 0, 4, 0, 0, 0, 99 }, QUINCE_LINK_ERROR_MALFORMED } };
   for (guint i = 0; i < G_N_ELEMENTS (cases); i++)
     {
-      Pair pair = { .server_closed = -1 };
+      LinkPair pair = { .server_closed = -1 };
       g_autoptr (QuinceLinkServer) server
           = quince_link_server_new ("127.0.0.1:0", &server_callbacks, on_accepted, &pair, NULL);
       g_autoptr (GSocketAddress) address
@@ -278,7 +278,7 @@
 static void
 test_link_rejects_invalid_address (void **state)
 {
-  Pair pair = { .client_closed = -1 };
+  LinkPair pair = { .client_closed = -1 };
   g_autoptr (QuinceLink) bad = quince_link_connect ("nowhere", &client_callbacks, &pair);
   WAIT_UNTIL (pair.client_closed >= 0);
   assert_int_equal (pair.client_closed, QUINCE_LINK_ERROR_ADDRESS);
