--- a/tests/unit/test-delivery-meter.c
+++ b/tests/unit/test-delivery-meter.c
@@ -74,7 +74,7 @@
   assert_int_equal (quince_delivery_meter_get_backlog (&meter, now_us, bytes), n_unanswered * 100);
   for (guint i = 0; i < n_unanswered; i++)
     {
-      quince_delivery_meter_record_answer (&meter, now);
+      quince_delivery_meter_record_answer (&meter, now_us);
       assert_true (quince_delivery_meter_get_backlog (&meter, now_us, bytes) <= n_unanswered * 100);
     }
   assert_int_equal (quince_delivery_meter_get_backlog (&meter, now_us + 3000 * US_PER_MS, bytes), 0);
