--- a/lib/runtime/answer-allowance.c
+++ b/lib/runtime/answer-allowance.c
@@ -1,26 +1,25 @@
 /*
- * answer-allowance.c: the size of answers follows what a busy link takes in a short time, and doubles on one
- * that is idle between answers.
+ * answer-allowance.c: on a busy link, limits an answer to the bytes that the link drains in DRAIN_TIME_US; on
+ * an idle link, doubles the limit with each answer.
  */
 #include "runtime/answer-allowance.h"
 
-/* A link with fewer bytes on their way counts as idle: heartbeats and feed updates are always there.  Chosen:
- * the bytes of one round trip of 24 ms at 5 Mbit/s. */
+/* A link with a backlog up to this size counts as idle.  Heartbeats and feed updates keep the backlog above
+ * zero; the value is one round trip of 24 ms at 5 Mbit/s. */
 #define IDLE_BACKLOG_BYTES (16 * 1024)
-/* A link that is busy for longer is slow, us: ten round trips between regions (24 ms), and the time between
- * two heartbeats, which wait behind an answer.  An answer is what the link takes in this time. */
+/* Time in which a slow link should drain one answer: the heartbeat interval, so that heartbeats are not
+ * delayed for longer, and ten round trips of 24 ms between regions. */
 #define DRAIN_TIME_US (250 * 1000)
-/* Smallest answer, however slow the link is, bytes: one or two texts. */
+/* Lower bound of the size limit on a slow link: one or two texts. */
 #define ANSWER_MIN_BYTES (16 * 1024)
-/* Answers that may be on their way at once: two callers of one front that ask at the same time both get one.
- */
+/* No answer is sent while the backlog exceeds this many answers of the current size limit.  Two callers of
+ * one front may thus get an answer at the same time. */
 #define BACKLOG_MAX_ANSWERS 2
-/* Longest time for which a link counts as busy since its last answer, us; without a bound, one that was idle
- * for ten seconds would look slow.  Callers read each 0.5 s and wait 1.5 s for an answer, so that a slow link
- * is busy for as long (at 600 kB/s 0 of 96 reads got their results with 0.5 s here, 14 of 123 with 2 s). */
+/* Maximum interval over which the rate of a link is estimated; a link that was idle for longer would look
+ * slow.  Longer than the 1.5 s for which callers wait for an answer. */
 #define RATE_INTERVAL_MAX_US (2000 * 1000)
 
-/* What the link took since the last answer, in DRAIN_TIME_US. */
+/* Estimates the bytes that the link drains in DRAIN_TIME_US, by its rate since the last answer. */
 static gsize
 estimate_drained_bytes (const QuinceAnswerAllowance *allowance, gint64 now_us, gsize backlog)
 {
@@ -35,8 +34,8 @@
                                  gsize backlog,
                                  gsize max_bytes)
 {
-  /* A new link counts as fast: a step's texts are some MB, and each read that gets fewer of them delays the
-   * rest to the caller's next read, 0.5 s later. */
+  /* A new link counts as fast, since results that do not fit into the answer wait for the caller's next read,
+   * 0.5 s later. */
   gboolean is_first = allowance->last_max_bytes == 0;
   if (is_first)
     allowance->last_max_bytes = max_bytes;
--- a/lib/runtime/answer-allowance.h
+++ b/lib/runtime/answer-allowance.h
@@ -1,8 +1,9 @@
 /*
- * answer-allowance.h: how large an answer on a link may be, so that a slow link neither fills the sender's
- * memory nor delays the heartbeats behind the answer.
+ * answer-allowance.h: limits the size of answers on a link, so that a slow link neither fills the sender's
+ * memory nor delays the heartbeats queued behind an answer.
  *
- * Keeps one QuinceAnswerAllowance for each link.  Pure: time is an argument, in microseconds of one clock.
+ * Each link has one QuinceAnswerAllowance.  The functions do no I/O and read no clock; times are in
+ * microseconds of a monotonic clock.
  */
 #pragma once
 
@@ -12,11 +13,11 @@
 
 /**
  * QuinceAnswerAllowance:
- * @last_max_bytes: bound of one answer; 0: there was none yet
- * @backlog_after_send: upper bound of the bytes on their way just after the last answer was sent
- * @sent_us: when it was sent
+ * @last_max_bytes: size limit from the latest request; 0 before the first request
+ * @backlog_after_send: maximum backlog just after the last answer was sent, bytes
+ * @sent_us: time at which the last answer was sent
  *
- * Of one link; all zero at first.
+ * State of one link; initialize it to zero.
  */
 typedef struct
 {
@@ -27,11 +28,12 @@
 
 /**
  * quince_answer_allowance_acquire:
- * @backlog: bytes sent on the link and not acknowledged
- * @max_bytes: bound of any answer, bytes
+ * @backlog: bytes queued or sent on the link and not yet delivered
+ * @max_bytes: maximum size of any answer, bytes
  *
- * Returns: bound of the next answer, bytes, which from now on counts as sent; 0: it must not be sent, since
- * it would only wait behind others
+ * Computes the size limit of the next answer and records the answer as sent with that size.
+ *
+ * Returns: the size limit in bytes, or 0 if the backlog is too large to send an answer now
  */
 gsize quince_answer_allowance_acquire (QuinceAnswerAllowance *allowance,
                                        gint64 now_us,
--- a/lib/runtime/delivery-meter.c
+++ b/lib/runtime/delivery-meter.c
@@ -1,13 +1,13 @@
 /*
- * delivery-meter.c: bytes that a peer has not taken yet, by its answers.
+ * delivery-meter.c: estimates the undelivered bytes on a link from the answers to probes.
  */
 #include "runtime/delivery-meter.h"
 
-/* A probe that is not answered for so long waits behind other bytes, us: ten round trips between regions
- * (24 ms).  A healthy link answers sooner. */
+/* An answer that takes longer is late: the probe is queued behind other bytes.  Ten round trips of 24 ms
+ * between regions. */
 #define PROBE_TIMEOUT_US (250 * 1000)
-/* For so long after a late answer a link counts as slow, us, and all that was sent since the last answered
- * probe as on its way: callers that read results over it come back within this time. */
+/* Time after a late answer during which the link counts as slow.  Longer than the interval at which callers
+ * read results. */
 #define SLOW_LINK_US (2000 * 1000)
 
 void
@@ -19,7 +19,7 @@
   meter->n_sent++;
 }
 
-/* The oldest probe without an answer is so old that its place was taken by a later one. */
+/* Returns whether a later probe has overwritten the position of the oldest unanswered probe. */
 static gboolean
 is_oldest_probe_overwritten (const QuinceDeliveryMeter *meter)
 {
@@ -30,7 +30,7 @@
 quince_delivery_meter_record_answer (QuinceDeliveryMeter *meter, gint64 now_us)
 {
   if (meter->n_answered == meter->n_sent)
-    return; /* of a peer that answers what it was not asked */
+    return; /* the peer violates the protocol */
   guint index = meter->n_answered % QUINCE_DELIVERY_PROBES_MAX;
   if (!is_oldest_probe_overwritten (meter))
     meter->delivered_bytes = meter->probes[index].bytes;
--- a/lib/runtime/delivery-meter.h
+++ b/lib/runtime/delivery-meter.h
@@ -1,11 +1,13 @@
 /*
- * delivery-meter.h: how many bytes on a link its peer has not taken yet, as the peer's answers tell.
+ * delivery-meter.h: estimates the bytes on a link that its peer has not received yet, from the peer's answers
+ * to probes.
  *
- * The kernel tells what the next machine has not acknowledged.  A proxy or relay on the way acknowledges what
- * it has not delivered, so that seconds of data may be on their way on a link that the kernel calls idle.
- * Messages are answered in order: what was sent before an answered one was delivered.
+ * TCP acknowledgements cover only the next hop.  A proxy or relay may acknowledge bytes that it has not
+ * delivered, so that a link may have seconds of data in flight while the kernel reports none.  A peer answers
+ * probes in order; an answer shows that all bytes up to the end of the probe were delivered.
  *
- * Keeps one QuinceDeliveryMeter for each link.  Pure: time is an argument, in microseconds of one clock.
+ * Each link has one QuinceDeliveryMeter.  The functions do no I/O and read no clock; times are in
+ * microseconds of a monotonic clock.
  */
 #pragma once
 
@@ -13,35 +15,36 @@
 
 G_BEGIN_DECLS
 
-/* Unanswered probes whose place in the stream is kept: heartbeats of four seconds.  Of a peer that answers
- * later still all bytes count as not delivered. */
+/* Maximum number of unanswered probes whose positions are stored: four seconds of heartbeats.  The answer to
+ * a probe whose position was overwritten does not count any bytes as delivered. */
 #define QUINCE_DELIVERY_PROBES_MAX 16
 
-/* Of one link; all zero at first. */
+/* State of one link; initialize it to zero. */
 typedef struct
 {
   struct
   {
-    guint64 bytes; /* sent on the link up to this probe's end */
+    guint64 bytes; /* queued on the link up to the end of this probe */
     gint64 sent_us;
-  } probes[QUINCE_DELIVERY_PROBES_MAX]; /* by number, modulo their count */
-  guint64 n_sent;                       /* probes so far */
-  guint64 n_answered;                   /* of these */
-  guint64 delivered_bytes;              /* bytes before the last answered probe's end */
-  gint64 last_late_answer_us;           /* when a late answer came last; 0: never */
+  } probes[QUINCE_DELIVERY_PROBES_MAX]; /* ring buffer, indexed by probe number */
+  guint64 n_sent;                       /* probes sent */
+  guint64 n_answered;                   /* probes answered */
+  guint64 delivered_bytes;              /* up to the last answered probe with a stored position */
+  gint64 last_late_answer_us;           /* time of the last late answer; 0 if none */
 } QuinceDeliveryMeter;
 
-/* A message that the peer answers was queued. @bytes: queued on the link so far, this one included */
+/* Records that a probe, a message that the peer answers, was queued.
+ * @bytes: bytes queued on the link so far, including the probe */
 void quince_delivery_meter_record_probe (QuinceDeliveryMeter *meter, gint64 now_us, guint64 bytes);
-/* The peer answered the oldest probe that it had not answered. */
+/* Records the answer to the oldest unanswered probe; ignored if there is none. */
 void quince_delivery_meter_record_answer (QuinceDeliveryMeter *meter, gint64 now_us);
 
 /**
  * quince_delivery_meter_get_backlog:
- * @bytes: queued on the link so far
+ * @bytes: bytes queued on the link so far
  *
- * Returns: bytes that may still be on their way; 0: the peer answers in time and has done so for a while, or
- * it has never answered
+ * Returns: the bytes that may not be delivered yet; 0 if no probe is overdue and no recent answer was late,
+ * or if the peer has never answered a probe
  */
 gsize quince_delivery_meter_get_backlog (const QuinceDeliveryMeter *meter, gint64 now_us, guint64 bytes);
 
--- a/lib/runtime/json-check.c
+++ b/lib/runtime/json-check.c
@@ -1,24 +1,22 @@
 /*
- * json-check.c: whether a text is JSON that json-glib can be trusted with.
+ * json-check.c: checks untrusted text before json-glib parses it.
  *
- * json-glib calls itself for each level of nesting, so that deep text overruns the stack and ends the
- * process, and it accepts more than JSON: comments, and incomplete escapes, after which it sees the ends of
- * strings where RFC 8259 does not.  This check is strict in both and leaves the rest of the grammar to
- * json-glib.
+ * json-glib recurses for each level of nesting, so that deeply nested text overflows the stack.  It also
+ * accepts text that RFC 8259 does not allow: comments, and incomplete escapes, after which it finds the ends
+ * of strings at other places.  This check rejects both.
  */
 #include "runtime/json-check.h"
 
 #include <string.h>
 
-/* Deepest nesting.  Not measured: far above the nesting of any message of the platform, far below the
- * depth at which json-glib overruns the stack. */
+/* Far above the nesting of valid messages, far below the depth at which json-glib overflows the stack. */
 #define NESTING_DEPTH_MAX 64
-/* Length of the escape "\uXXXX", bytes (RFC 8259, 7). */
+/* Length of the escape "\uXXXX" (RFC 8259, section 7). */
 #define UNIT_ESCAPE_BYTES 6
 #define IS_HIGH_SURROGATE(unit) ((unit) >= 0xd800 && (unit) <= 0xdbff)
 #define IS_LOW_SURROGATE(unit) ((unit) >= 0xdc00 && (unit) <= 0xdfff)
 
-/* Returns: the code unit of the escape "\uXXXX" at @at; -1 when there is none. */
+/* Returns: the UTF-16 code unit of the escape "\uXXXX" at @at, or -1 if there is no such escape */
 static int
 parse_unicode_escape (const char *at, const char *end)
 {
@@ -35,7 +33,7 @@
   return unit;
 }
 
-/* Returns: where the escape at @at ends; %NULL when it is not valid, or a zero, which no C string holds. */
+/* Returns: the end of the escape at @at, or %NULL if it is invalid or "\u0000" */
 static const char *
 skip_escape (const char *at, const char *end)
 {
@@ -51,7 +49,9 @@
   return IS_LOW_SURROGATE (low) ? at + UNIT_ESCAPE_BYTES : NULL;
 }
 
-/* @at: behind the opening quote.  Returns: behind the closing one; %NULL when the string is not valid. */
+/* @at: first byte after the opening quote
+ *
+ * Returns: the first byte after the closing quote, or %NULL if the string is invalid */
 static const char *
 skip_string (const char *at, const char *end)
 {
@@ -64,7 +64,7 @@
   return NULL;
 }
 
-/* Returns: whether @byte may stand outside strings, brackets and braces. */
+/* Returns: whether @byte may occur outside strings; brackets and braces are checked separately */
 static gboolean
 is_allowed_outside_string (char byte)
 {
--- a/lib/runtime/json-check.h
+++ b/lib/runtime/json-check.h
@@ -1,5 +1,5 @@
 /*
- * json-check.h: a check of text from outside before a JSON library parses it.  Keeps no state.
+ * json-check.h: checks untrusted text before json-glib parses it.
  */
 #pragma once
 
@@ -10,10 +10,11 @@
 /**
  * quince_json_check:
  *
- * To be called before any text from outside is given to json-glib.
+ * Checks @text before it is passed to json-glib.  The rest of the JSON grammar is left to json-glib.
  *
- * Returns: %FALSE when @text is not UTF-8, nests deeper than 64 levels, or has strings, escapes or bytes that
- * are not JSON; also for "\u0000", which no C string holds.  %TRUE does not cover the rest of the grammar.
+ * Returns: %FALSE if @text is not UTF-8, nests deeper than 64 levels, has more opening than closing brackets
+ * or the reverse, contains strings, escapes or bytes that are not valid JSON, or contains "\u0000", which a C
+ * string cannot represent; %TRUE otherwise
  */
 gboolean quince_json_check (const char *text, gsize length);
 
--- a/lib/runtime/link.c
+++ b/lib/runtime/link.c
@@ -1,8 +1,8 @@
 /*
  * link.c: framed XDR messages over TCP.
  *
- * A frame is a 4-byte big-endian length and that many bytes of one QuinceMessage.  Reads collect in one
- * buffer; frames that are sent in one turn of the main loop leave in one write.
+ * A frame is a 4-byte big-endian length, followed by that many bytes of one encoded QuinceMessage.  Frames
+ * that are queued in one iteration of the main loop are written with one system call where possible.
  */
 #include "runtime/link.h"
 
@@ -16,37 +16,36 @@
 #include "runtime/socket-watch.h"
 #include "runtime/tcp-socket.h"
 
-/* The length before each frame, bytes: an unsigned 32-bit number, as quince_protocol.x says. */
+/* Size of the length field, see quince_protocol.x. */
 #define FRAME_HEADER_BYTES 4
-/* Bytes of one read, after which other links have their turn. */
+/* Maximum size of one read; other links are served before the next read. */
 #define READ_BYTES (64 * 1024)
-/* Output that waits for a peer, bytes, above which its link is closed: an eighth of the memory of the
- * smallest leaders (270 MB). */
+/* Limit of unsent output, above which the link is closed.  An eighth of the memory of the smallest leaders
+ * (270 MB). */
 #define OUTPUT_MAX_BYTES (32 * 1024 * 1024)
-/* Buffers above this size are released once they are empty, bytes: above frames that are sent all the time
- * (heartbeats, reports), below those of whole lists. */
+/* Larger buffers are freed when they become empty.  Larger than frequent frames (heartbeats, reports),
+ * smaller than complete lists. */
 #define RETAINED_BUFFER_MAX_BYTES (32 * 1024)
 
 G_DEFINE_QUARK (quince - link - error - quark, quince_link_error)
 
 struct _QuinceLink
 {
-  /* All fields belong to the context that created the link. */
   grefcount references;
   const QuinceLinkCallbacks *callbacks;
   gpointer user_data;
-  GSocket *socket;                  /* NULL: the address is none, or the system refused at once */
-  QuinceSocketWatch *watch;         /* NULL: closed, or no socket */
-  QuinceTimer *connect_error_timer; /* reports that there is no socket */
-  GError *connect_error;            /* why there is none */
-  GByteArray *input;                /* the beginning of a frame */
-  GByteArray *output;               /* bytes that the kernel has not taken, from output_offset on */
+  GSocket *socket;                  /* NULL if the connection attempt failed immediately */
+  QuinceSocketWatch *watch;         /* NULL if the link is closed or has no socket */
+  QuinceTimer *connect_error_timer; /* reports connect_error from the main loop */
+  GError *connect_error;            /* why socket is NULL */
+  GByteArray *input;                /* incomplete frame */
+  GByteArray *output;               /* unsent bytes start at output_offset */
   gsize output_offset;
   gboolean is_connecting;
-  gboolean watches_output; /* the kernel takes no more for now */
+  gboolean watches_output; /* the send buffer of the kernel is full */
   gboolean is_open;
   guint64 bytes_sent;
-  guint64 bytes_queued; /* since the link was made */
+  guint64 bytes_queued; /* since the link was created */
   QuinceDeliveryMeter delivery_meter;
   QuinceAnswerAllowance allowance;
 };
@@ -92,7 +91,8 @@
   link->is_open = FALSE;
   quince_timer_clear (&link->connect_error_timer);
   quince_socket_watch_clear (&link->watch);
-  /* Shut down rather than closed: closing with unread bytes would reset what the peer has not read. */
+  /* Shuts the socket down instead of closing it: a close with unread input would reset the connection, and
+   * the peer would lose bytes that it has not read. */
   if (link->socket != NULL)
     g_socket_shutdown (link->socket, TRUE, TRUE, NULL);
 }
@@ -124,7 +124,7 @@
   return link->output->len - link->output_offset;
 }
 
-/* Large frames are rare, and a leader has hundreds of links: it does not keep their buffers. */
+/* Empties @buffer and frees its memory if it is large: a leader has hundreds of links. */
 static void
 clear_buffer (GByteArray **buffer)
 {
@@ -146,7 +146,7 @@
   quince_socket_watch_set_condition (link->watch, output ? G_IO_IN | G_IO_OUT : G_IO_IN);
 }
 
-/* Hands over what the kernel takes at once, and watches for more room where that is not all. */
+/* Sends as much output as the kernel accepts, and watches for G_IO_OUT if some is left. */
 static void
 write_output (QuinceLink *link)
 {
@@ -174,7 +174,7 @@
   watch_output (link, FALSE);
 }
 
-/* Bytes that were sent are dropped once they are the greater part, so that each is moved once at most. */
+/* Removes sent bytes from the buffer once they are at least half of it, to limit the bytes that are moved. */
 static void
 discard_sent_bytes (QuinceLink *link)
 {
@@ -194,7 +194,7 @@
   gsize unsent = get_unsent_bytes (link);
   if (unsent > 0 && unsent + length > OUTPUT_MAX_BYTES)
     {
-      link_fail_code (link, QUINCE_LINK_ERROR_SLOW, "peer reads too slowly");
+      link_fail_code (link, QUINCE_LINK_ERROR_SLOW, "output buffer is full: peer reads too slowly");
       return;
     }
   discard_sent_bytes (link);
@@ -230,7 +230,7 @@
   g_autoptr (GBytes) encoded = quince_message_encode (message, &error);
   if (encoded == NULL)
     {
-      g_critical ("message of kind %d does not encode: %s", message->kind, error->message);
+      g_critical ("cannot encode message of kind %d: %s", message->kind, error->message);
       return;
     }
   quince_link_send_bytes (link, encoded);
@@ -238,7 +238,9 @@
 
 /* ---- Reading ---------------------------------------------------------- */
 
-/* Returns: (transfer full): NULL: the bytes are no message. */
+/* Decodes a message, and unpacks it if it is packed.
+ *
+ * Returns: (transfer full) (nullable): the message, or %NULL if the bytes are invalid */
 static QuinceMessage *
 read_message (const guint8 *data, gsize length)
 {
@@ -250,7 +252,7 @@
   return unpacked;
 }
 
-/* Returns: bytes used of @data, 0 when no whole frame is there or the link failed. */
+/* Returns: the bytes consumed from @data, or 0 if no complete frame is available or the link failed */
 static gsize
 handle_frame (QuinceLink *link, const guint8 *data, gsize available)
 {
@@ -261,7 +263,7 @@
   gsize length = GUINT32_FROM_BE (header);
   if (length > QUINCE_FRAME_MAX_BYTES)
     {
-      link_fail_code (link, QUINCE_LINK_ERROR_TOO_LARGE, "frame is too large");
+      link_fail_code (link, QUINCE_LINK_ERROR_TOO_LARGE, "frame exceeds the maximum size");
       return 0;
     }
   if (available < FRAME_HEADER_BYTES + length)
@@ -269,14 +271,14 @@
   QuinceMessage *message = read_message (data + FRAME_HEADER_BYTES, length);
   if (message == NULL)
     {
-      link_fail_code (link, QUINCE_LINK_ERROR_MALFORMED, "frame does not decode");
+      link_fail_code (link, QUINCE_LINK_ERROR_MALFORMED, "cannot decode frame");
       return 0;
     }
   link->callbacks->message (link, message, link->user_data);
   return FRAME_HEADER_BYTES + length;
 }
 
-/* Returns: bytes used of @data */
+/* Returns: the bytes consumed from @data */
 static gsize
 handle_frames (QuinceLink *link, const guint8 *data, gsize length)
 {
@@ -291,7 +293,7 @@
   return used;
 }
 
-/* Only the beginning of a frame is kept; whole frames are decoded where they were read. */
+/* Decodes complete frames in place where possible, and buffers the incomplete frame at the end. */
 static void
 handle_input (QuinceLink *link, const guint8 *data, gsize length)
 {
@@ -318,7 +320,7 @@
   if (length > 0)
     handle_input (link, buffer, (gsize)length);
   else if (length == 0)
-    link_fail_code (link, QUINCE_LINK_ERROR_CLOSED, "peer closed");
+    link_fail_code (link, QUINCE_LINK_ERROR_CLOSED, "peer closed the connection");
   else if (!g_error_matches (error, G_IO_ERROR, G_IO_ERROR_WOULD_BLOCK))
     link_fail (link, error);
 }
@@ -342,7 +344,7 @@
     link->callbacks->connected (link, link->user_data);
 }
 
-/* Input first: a peer may have sent its last messages and closed, after which it takes no output. */
+/* Reads before it writes: if the peer has sent its last messages and closed, a write would fail first. */
 static void
 socket_ready (GIOCondition condition, gpointer data)
 {
@@ -374,7 +376,7 @@
   QuinceLink *link = data;
   g_autoptr (GError) connect_error = g_steal_pointer (&link->connect_error);
   if (g_error_matches (connect_error, G_IO_ERROR, G_IO_ERROR_INVALID_ARGUMENT))
-    link_fail_code (link, QUINCE_LINK_ERROR_ADDRESS, "not a numeric ip:port");
+    link_fail_code (link, QUINCE_LINK_ERROR_ADDRESS, "address is not a numeric ip:port");
   else
     link_fail (link, connect_error);
   return G_SOURCE_REMOVE;
@@ -389,7 +391,7 @@
   if (socket != NULL)
     link_attach (link, socket, G_IO_OUT);
   else
-    /* Reported from the loop, as every other failure is. */
+    /* Reported from the main loop, since the caller does not have the link yet. */
     link->connect_error_timer = quince_timer_add (0, report_connect_error, link);
   return link;
 }
@@ -400,7 +402,7 @@
   return link->is_open && !link->is_connecting;
 }
 
-/* An answer that has arrived and was not read yet tells nothing of the peer. */
+/* Returns 0 while the link has unread input, which may contain the answer to a probe. */
 static gsize
 get_undelivered_bytes (QuinceLink *link)
 {
@@ -438,7 +440,6 @@
 
 struct _QuinceLinkServer
 {
-  /* All fields belong to the context that created the server. */
   QuinceAcceptor *acceptor;
   const QuinceLinkCallbacks *callbacks;
   void (*accepted) (QuinceLink *link, gpointer user_data);
--- a/lib/runtime/link.h
+++ b/lib/runtime/link.h
@@ -1,11 +1,10 @@
 /*
  * link.h: framed XDR messages over TCP, between fronts and replicas.
  *
- * A link owns its connection and the bytes on their way; a server owns its listening socket.  Both belong to
- * the thread-default context that created them; all calls and callbacks happen there.  A frame that is too
- * large or does not decode closes the link with a typed error, never the process.  Relies on
- * protocol/codec.h, on packed-message.h, by which compressed messages are unpacked, on socket-watch.h and on
- * acceptor.h.
+ * A link owns its connection and its buffers; a server owns its listening socket.  Both belong to the
+ * thread-default main context in which they were created; all calls and callbacks happen there.  A frame that
+ * is too large or cannot be decoded closes the link with an error.  Links unpack compressed messages, see
+ * packed-message.h.
  */
 #pragma once
 
@@ -16,27 +15,27 @@
 
 G_BEGIN_DECLS
 
-/* Error domain of links: the cause that closed() gets. */
+/* Error domain of links, passed to closed(); I/O errors are passed as G_IO_ERROR. */
 #define QUINCE_LINK_ERROR (quince_link_error_quark ())
 GQuark quince_link_error_quark (void);
 
 typedef enum
 {
-  QUINCE_LINK_ERROR_CLOSED,    /* the peer closed                          */
-  QUINCE_LINK_ERROR_TOO_LARGE, /* frame above QUINCE_FRAME_MAX_BYTES             */
-  QUINCE_LINK_ERROR_MALFORMED, /* frame that does not decode               */
-  QUINCE_LINK_ERROR_ADDRESS,   /* not a numeric ip:port                    */
-  QUINCE_LINK_ERROR_SLOW,      /* peer reads too slowly, output limit hit  */
+  QUINCE_LINK_ERROR_CLOSED,    /* the peer closed the connection */
+  QUINCE_LINK_ERROR_TOO_LARGE, /* a frame exceeds QUINCE_FRAME_MAX_BYTES */
+  QUINCE_LINK_ERROR_MALFORMED, /* a frame cannot be decoded */
+  QUINCE_LINK_ERROR_ADDRESS,   /* the address is not a numeric ip:port */
+  QUINCE_LINK_ERROR_SLOW,      /* the peer reads too slowly; the output buffer is full */
 } QuinceLinkError;
 
 typedef struct _QuinceLink QuinceLink;
 
 /**
  * QuinceLinkCallbacks:
- * @message: (transfer full): a message arrived
- * @closed: the link is down for good, called once; @error holds the cause.  Not
- *   called after quince_link_close()
- * @connected: (nullable): an outgoing link is up
+ * @connected: (nullable): called when an outgoing link is connected
+ * @message: called with each received message (transfer full)
+ * @closed: (nullable): called once when the link fails or the peer closes it; not called after
+ *   quince_link_close()
  */
 typedef struct
 {
@@ -50,35 +49,35 @@
  * @address: numeric ip:port
  * @callbacks: must outlive the link
  *
- * Starts to connect; messages sent before the link is up are queued.  A
- * failure to connect is reported through closed().
+ * Starts to connect.  Messages sent before the link is connected are queued.  A failure to connect is
+ * reported through closed(), after this function has returned.
  *
  * Returns: (transfer full): the link
  */
 QuinceLink *
 quince_link_connect (const char *address, const QuinceLinkCallbacks *callbacks, gpointer user_data);
 
-/* Encodes and queues @message; the caller keeps it.  Sending on a closed link does nothing. */
+/* Encodes and queues @message (transfer none).  Does nothing if the link is closed. */
 void quince_link_send (QuinceLink *link, const QuinceMessage *message);
-/* Queues a frame already encoded with quince_message_encode(). */
+/* Queues @encoded, a message from quince_message_encode().  Does nothing if the link is closed. */
 void quince_link_send_bytes (QuinceLink *link, GBytes *encoded);
 
-/* Closes without further callbacks. */
+/* Closes the link without calling closed(); queued messages may be lost. */
 void quince_link_close (QuinceLink *link);
 gboolean quince_link_is_connected (QuinceLink *link);
-/* Bytes handed to the kernel so far, frame headers included.  For tests, which bound what a message costs. */
+/* Returns: the bytes passed to the kernel so far, including frame headers */
 guint64 quince_link_get_bytes_sent (QuinceLink *link);
-/* Queues a frame as quince_link_send_bytes() does, of a message that the peer answers at once.  The owner
- * reports each answer by quince_link_record_probe_answer(). */
+/* Queues @encoded as quince_link_send_bytes() does and records it as a probe, a message that the peer answers
+ * immediately.  The caller reports each answer with quince_link_record_probe_answer(). */
 void quince_link_send_probe (QuinceLink *link, GBytes *encoded);
-/* The peer has answered the oldest probe that it had not answered. */
+/* Records the answer to the oldest unanswered probe. */
 void quince_link_record_probe_answer (QuinceLink *link);
-/* Bytes that were sent and that the peer has not taken: what its machine has not acknowledged, or what came
- * after the last answered probe where the next one is late; see delivery-meter.h. */
+/* Returns: the bytes that the peer has not received: those queued or not acknowledged by TCP, or the estimate
+ * of delivery-meter.h if that is larger.  The estimate is ignored while the link has unread input. */
 gsize quince_link_get_backlog (QuinceLink *link);
-/* Bytes have arrived that were not read yet. */
+/* Returns: whether the socket has unread input */
 gboolean quince_link_has_input (QuinceLink *link);
-/* (transfer none): how large answers on this link may be */
+/* Returns: (transfer none): the size limit of answers on this link */
 QuinceAnswerAllowance *quince_link_get_allowance (QuinceLink *link);
 QuinceLink *quince_link_ref (QuinceLink *link);
 void quince_link_unref (QuinceLink *link);
@@ -89,14 +88,18 @@
 /**
  * quince_link_server_new:
  * @address: numeric ip:port to listen on; port 0 lets the kernel choose
- * @accepted: (transfer full): called with each new link
+ * @callbacks: callbacks of the accepted links; must outlive the server and its links
+ * @accepted: called with each new link (transfer full)
+ * @user_data: passed to @accepted and @callbacks
+ *
+ * Returns: (transfer full) (nullable): the server, or %NULL with @error
  */
 QuinceLinkServer *quince_link_server_new (const char *address,
                                           const QuinceLinkCallbacks *callbacks,
                                           void (*accepted) (QuinceLink *link, gpointer user_data),
                                           gpointer user_data,
                                           GError **error);
-/* The address really listened on, ip:port. */
+/* Returns: (transfer none): the bound address as ip:port, with the port that the kernel chose for port 0 */
 const char *quince_link_server_get_address (QuinceLinkServer *server);
 void quince_link_server_free (QuinceLinkServer *server);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (QuinceLinkServer, quince_link_server_free)
--- a/lib/runtime/packed-message.c
+++ b/lib/runtime/packed-message.c
@@ -1,5 +1,5 @@
 /*
- * packed-message.c: a large message, compressed.
+ * packed-message.c: compresses messages and records with zlib.
  */
 #include "runtime/packed-message.h"
 
@@ -8,22 +8,20 @@
 #include <gio/gio.h>
 #include <zlib.h>
 
-/* Smaller messages are sent as they are, bytes: they fit into two packets. */
+/* Smaller messages are not packed: they fit into two packets. */
 #define PACK_MIN_BYTES (2 * 1024)
-/* Part of its size to which a message must shrink; otherwise it is sent as it is, since unpacking costs the
- * reader more than the bytes save.  Not measured. */
+/* A message is sent unpacked if its packed size exceeds this fraction of its size, since the savings would
+ * not justify the cost of unpacking. */
 #define PACKED_SIZE_MAX_FRACTION 0.9
-/* zlib's level of least effort: entries of workers shrink to a tenth.  QUINCE_PACK_FAST does not look for
- * repetitions at all: 400 kB of random letters shrink to 0.60 at 107 MB/s, against 0.66 at 53 MB/s with them.
- */
+/* The fastest level of zlib. */
 #define COMPRESSION_LEVEL 1
-/* Least growth of the buffer of unpacked bytes. */
+/* Minimum growth of the output buffer when unpacking. */
 #define BUFFER_GROWTH_MIN_BYTES 1024
-/* The buffer grows by so many times the bytes that are left to unpack.  Not measured. */
+/* The output buffer grows by at least this many times the remaining packed bytes. */
 #define BUFFER_GROWTH_FACTOR 3
-/* Window of 2^15 bytes: zlib's default, and the one of which ZLIB_FIRST_BYTE tells. */
+/* A window of 2^15 bytes, the default of zlib; ZLIB_FIRST_BYTE depends on it. */
 #define WINDOW_BITS 15
-/* 128 KiB for zlib's tables, its default. */
+/* The default of zlib: 128 KiB for its tables. */
 #define MEMORY_LEVEL 8
 
 static GBytes *
@@ -47,7 +45,8 @@
   return is_complete ? g_bytes_new (packed, packed_length) : NULL;
 }
 
-/* Returns: (transfer full): NULL: @bytes are few, or hardly shrink */
+/* Returns: (transfer full) (nullable): the packed bytes, or %NULL if @bytes is small or does not compress
+ * well */
 static GBytes *
 compress_if_smaller (GBytes *bytes, QuincePackEffort effort)
 {
@@ -75,14 +74,16 @@
   return result != NULL ? result : g_bytes_ref (encoded);
 }
 
-/* Inflates all of @stream into @bytes. Returns: FALSE when it is broken, or longer than a frame may be */
+/* Inflates @stream into @bytes.
+ *
+ * Returns: %FALSE if the stream is invalid or exceeds QUINCE_FRAME_MAX_BYTES unpacked */
 static gboolean
 inflate_all (z_stream *stream, GByteArray *bytes)
 {
   while (bytes->len <= QUINCE_FRAME_MAX_BYTES)
     {
       guint previous_length = bytes->len;
-      /* Texts shrink to a half, entries of workers to a tenth: few turns, and little room left over. */
+      /* Texts compress to a half, worker entries to a tenth, so that few iterations are needed. */
       guint free_bytes
           = MAX (bytes->len, MAX (BUFFER_GROWTH_MIN_BYTES, BUFFER_GROWTH_FACTOR * stream->avail_in));
       g_byte_array_set_size (bytes, previous_length + free_bytes);
@@ -98,7 +99,7 @@
   return FALSE;
 }
 
-/* Returns: (transfer full): NULL with @error */
+/* Returns: (transfer full) (nullable): the unpacked bytes, or %NULL with @error */
 static GByteArray *
 inflate_bytes (const char *data, gsize length, GError **error)
 {
@@ -109,9 +110,9 @@
   if (is_valid)
     return g_steal_pointer (&bytes);
   gboolean is_too_large = bytes->len > QUINCE_FRAME_MAX_BYTES;
-  g_set_error_literal (error, G_IO_ERROR,
-                       is_too_large ? G_IO_ERROR_MESSAGE_TOO_LARGE : G_IO_ERROR_INVALID_DATA,
-                       is_too_large ? "more than a frame may hold" : "compressed bytes are broken");
+  g_set_error_literal (
+      error, G_IO_ERROR, is_too_large ? G_IO_ERROR_MESSAGE_TOO_LARGE : G_IO_ERROR_INVALID_DATA,
+      is_too_large ? "unpacked data exceeds the maximum frame size" : "compressed data is corrupt");
   return NULL;
 }
 
@@ -124,11 +125,11 @@
 
 /* ---- Records ------------------------------------------------------------ */
 
-/* The first byte of a zlib stream with a window of 32 KiB.  An encoded record begins with its kind, a small
- * number in four bytes of which the first is zero. */
+/* First byte of a zlib stream with a window of 32 KiB.  It marks packed data: the first byte of an encoded
+ * record is 0, the most significant byte of its kind. */
 #define ZLIB_FIRST_BYTE 0x78
 
-/* The kind of an encoded record that is not packed. */
+/* Returns: the kind of an unpacked encoded record, or G_MAXUINT32 if it is too short */
 static guint32
 get_encoded_record_kind (GBytes *encoded)
 {
@@ -142,7 +143,7 @@
 quince_batch_record_pack (GBytes *encoded)
 {
   if (get_encoded_record_kind (encoded) == QUINCE_BATCH_RECORD_LISTED)
-    return g_bytes_ref (encoded); /* its body is packed */
+    return g_bytes_ref (encoded); /* the result in it is already packed */
   GBytes *compressed = compress_if_smaller (encoded, QUINCE_PACK_FAST);
   return compressed != NULL ? compressed : g_bytes_ref (encoded);
 }
@@ -157,7 +158,7 @@
   return compressed != NULL ? compressed : g_steal_pointer (&encoded);
 }
 
-/* An encoded result begins with the length of a short text, of which the first byte is zero too. */
+/* The first byte of an unpacked result is 0 too, the most significant byte of the length of a short text. */
 QuinceBatchResult *
 quince_batch_result_unpack (GBytes *body, GError **error)
 {
--- a/lib/runtime/packed-message.h
+++ b/lib/runtime/packed-message.h
@@ -1,9 +1,9 @@
 /*
- * packed-message.h: compressed messages and records: bytes between zones are paid for, and a message to many
- * processes must not fill the memory of its sender.
+ * packed-message.h: compresses messages and records with zlib, to reduce the traffic between zones and the
+ * memory of messages that are sent to many processes.
  *
- * The sender decides whether a message is packed, since packing costs processor time: a message to many is
- * packed once.  Links unpack what they receive.  Keeps no state; relies on zlib.
+ * Senders pack a message explicitly, so that a message to many receivers is compressed once.  Links unpack
+ * received messages.
  */
 #pragma once
 
@@ -13,38 +13,49 @@
 
 typedef enum
 {
-  QUINCE_PACK_FAST,  /* for texts of samples: Huffman codes alone */
-  QUINCE_PACK_SMALL, /* for what many processes get: with a search for repetitions */
+  QUINCE_PACK_FAST,  /* Huffman coding only, for texts of samples */
+  QUINCE_PACK_SMALL, /* with string matching, for messages to many processes */
 } QuincePackEffort;
 
 /**
  * quince_message_pack:
- * @encoded: by quince_message_encode()
+ * @encoded: a message from quince_message_encode()
  *
- * Returns: (transfer full): an encoded message of kind PACKED, or @encoded itself where that is small or
- * hardly shrinks
+ * Returns: (transfer full): an encoded message of kind PACKED, or @encoded itself if it is small or does not
+ * compress well
  */
 GBytes *quince_message_pack (GBytes *encoded, QuincePackEffort effort);
 
 /**
  * quince_message_unpack:
- * @error: QUINCE_CODEC_ERROR or G_IO_ERROR: bytes that are no such message, or more than a frame may hold
+ * @error: QUINCE_CODEC_ERROR or G_IO_ERROR: the bytes are invalid, or exceed QUINCE_FRAME_MAX_BYTES unpacked
  *
- * Returns: (transfer full): what was packed; free with quince_message_free()
+ * Returns: (transfer full) (nullable): the unpacked message, or %NULL with @error; free with
+ * quince_message_free()
  */
 QuinceMessage *quince_message_unpack (const QuincePacked *packed, GError **error);
 
-/* A record of the batch ledger for its log and its backups: packed once, where that is worth it.
- * @encoded: by quince_batch_record_encode() */
+/* Packs a record of the batch ledger for the log and the backups.
+ * @encoded: a record from quince_batch_record_encode()
+ *
+ * Returns: (transfer full): the packed record, or @encoded itself if it is small, does not compress well or
+ * contains a packed result */
 GBytes *quince_batch_record_pack (GBytes *encoded);
-/* A result of a sample for its record. (transfer full) (nullable): NULL: it does not fit its type */
+/* Encodes the result of a sample, and packs it if that makes it smaller.
+ *
+ * Returns: (transfer full) (nullable): the bytes, or %NULL if @result cannot be encoded */
 GBytes *quince_batch_result_pack (const QuinceBatchResult *result);
-/* (transfer full) (nullable): free with quince_batch_result_free(); errors as quince_message_unpack() */
+/* Decodes a result, packed or not.
+ * @error: as for quince_message_unpack()
+ *
+ * Returns: (transfer full) (nullable): the result, or %NULL with @error; free with quince_batch_result_free()
+ */
 QuinceBatchResult *quince_batch_result_unpack (GBytes *body, GError **error);
-/* Decodes a record whether it is packed or not.
- * @error: as quince_message_unpack()
+/* Decodes a record, packed or not.
+ * @error: as for quince_message_unpack()
  *
- * Returns: (transfer full): free with quince_batch_record_free() */
+ * Returns: (transfer full) (nullable): the record, or %NULL with @error; free with quince_batch_record_free()
+ */
 QuinceBatchRecord *quince_batch_record_unpack (const char *data, gsize length, GError **error);
 
 G_END_DECLS
--- a/lib/runtime/settings-values.c
+++ b/lib/runtime/settings-values.c
@@ -1,5 +1,5 @@
 /*
- * settings-values.c: values of settings: parsing, bounds, what is allowed.
+ * settings-values.c: parses and validates the values of settings.
  */
 #include "settings-private.h"
 
@@ -8,7 +8,7 @@
 
 #include "runtime/address.h"
 
-/* Longest name, bytes: as the message of QUINCE_SETTING_NAME says; keys of the store hold such names. */
+/* Maximum length of a QUINCE_SETTING_NAME; such names are part of keys in the store. */
 #define NAME_MAX_BYTES 64
 
 typedef struct
--- a/lib/runtime/settings.c
+++ b/lib/runtime/settings.c
@@ -1,15 +1,13 @@
 /*
- * settings.c: settings files: every problem found in one pass, with its line.
+ * settings.c: parses settings files and reports all problems with their line numbers.
  *
- * GKeyFile gives no line numbers and lets later duplicates win silently, so
- * the file is read line by line here.
+ * GKeyFile is not used: it does not provide line numbers, and it accepts duplicate keys.
  */
 #include "settings-private.h"
 
 #include <string.h>
 
-/* Largest settings file, bytes.  Not measured: far above the templates in deploy/ (a few KiB); a file that is
- * larger is not one of settings. */
+/* Far above the size of the templates in deploy/ (a few KiB). */
 #define FILE_MAX_BYTES (1 << 20)
 
 G_DEFINE_QUARK (quince - settings - error - quark, quince_settings_error)
@@ -28,14 +26,14 @@
   GPtrArray *instances; /* names of "[prefix NAME]" sections, in file order */
 };
 
-/* State of one pass over a file. */
+/* State of one load. */
 typedef struct
 {
   QuinceSettings *settings;
   const char *path;
   guint line;
-  char *section;               /* current one; NULL before the first or when unknown */
-  gboolean in_unknown_section; /* keys of an unknown section are not reported again */
+  char *section;               /* current section; NULL before the first and in an unknown section */
+  gboolean in_unknown_section; /* keys of an unknown section are ignored */
   GString *problems;
 } SettingsReader;
 
@@ -100,7 +98,6 @@
   va_end (arguments);
 }
 
-/* What is allowed in place of an unknown name: "a, b, c". */
 static char *
 list_keys (const QuinceSettings *settings, const char *section)
 {
@@ -158,7 +155,7 @@
   g_autofree char *problem = quince_setting_check (spec, text, &number);
   if (problem != NULL)
     report_problem (reader, "[%s] %s: %s", section, key, problem);
-  /* Stored even when wrong, so that it is not reported as missing too. */
+  /* Stored even if invalid, so that it is not reported as missing too. */
   store_value (reader->settings, section, key, text, number);
 }
 
@@ -219,7 +216,7 @@
   if (reader->section == NULL)
     {
       if (!reader->in_unknown_section)
-        report_problem (reader, "'%s' stands before any section; allowed: after a [section]", line);
+        report_problem (reader, "'%s' is outside any section; allowed: after a [section]", line);
       return;
     }
   *equals = '\0';
@@ -263,7 +260,7 @@
       report_problem (reader, "--set %s: not an override; allowed: --set section.key=value", override);
       return;
     }
-  /* An instance name may hold dots: the key follows the last one before '='. */
+  /* A section name may contain dots: the key follows the last dot before '='. */
   *equals = '\0';
   dot = strrchr (text, '.');
   *dot = '\0';
@@ -276,7 +273,7 @@
   parse_setting (reader, text, g_strstrip (dot + 1), g_strstrip (equals + 1), TRUE);
 }
 
-/* Fallback or complaint for one key of one section. */
+/* Stores the default value of a key that is not set, or reports the key as missing if it is required. */
 static void
 apply_default (SettingsReader *reader, const QuinceSettingSpec *spec, const char *section)
 {
@@ -367,7 +364,7 @@
   g_autofree char *name = make_value_key (section, key);
   const SettingValue *value = g_hash_table_lookup (settings->values, name);
   if (value == NULL)
-    g_error ("setting [%s] %s is not in the program's table", section, key);
+    g_error ("setting [%s] %s is not in the table of settings", section, key);
   return value;
 }
 
--- a/lib/runtime/settings.h
+++ b/lib/runtime/settings.h
@@ -1,12 +1,12 @@
 /*
- * settings.h: settings files, checked as a whole before anything starts.
+ * settings.h: loads and validates settings files.
  *
- * Files are key files: [section] headers, key = value lines, # comments.  A program states its keys in a
- * table of QuinceSettingSpec; every problem in a file is found in one pass and reported as
+ * Settings files consist of [section] headers, key = value lines and # comments.  A program defines its keys
+ * in a table of QuinceSettingSpec.  All problems of a file are reported together, one on each line:
  *
- *   FILE:LINE: [section] key: what is wrong; allowed: what is allowed
+ *   FILE:LINE: [section] key: problem; allowed: valid values
  *
- * A QuinceSettings owns the values of one load and never changes.  Relies on GLib alone.  Not thread safe.
+ * A QuinceSettings is immutable.
  */
 #pragma once
 
@@ -19,35 +19,35 @@
 
 typedef enum
 {
-  QUINCE_SETTINGS_ERROR_READ,    /* the file cannot be read               */
-  QUINCE_SETTINGS_ERROR_INVALID, /* one or more problems, a line each     */
+  QUINCE_SETTINGS_ERROR_READ,    /* the file cannot be read or is not UTF-8 text of at most 1 MiB */
+  QUINCE_SETTINGS_ERROR_INVALID, /* the settings are invalid; the message has one line per problem */
 } QuinceSettingsError;
 
 typedef enum
 {
   QUINCE_SETTING_TEXT,
-  QUINCE_SETTING_NAME,    /* letters, digits, '-', '_', '.'; 1 to 64  */
-  QUINCE_SETTING_ADDRESS, /* numeric ip:port                          */
+  QUINCE_SETTING_NAME,    /* 1 to 64 letters, digits, '-', '_', '.' */
+  QUINCE_SETTING_ADDRESS, /* numeric ip:port */
   QUINCE_SETTING_INTEGER,
   QUINCE_SETTING_NUMBER,
-  QUINCE_SETTING_DURATION, /* integer and unit: us, ms, s, min; in us      */
-  QUINCE_SETTING_BOOLEAN,  /* true or false                                */
-  QUINCE_SETTING_CHOICE,   /* one of @choices                              */
+  QUINCE_SETTING_DURATION, /* integer with a unit: us, ms, s, min */
+  QUINCE_SETTING_BOOLEAN,  /* true or false */
+  QUINCE_SETTING_CHOICE,   /* one of @choices */
 } QuinceSettingType;
 
 /**
  * QuinceSettingSpec:
- * @section: section name; one that ends in " *", such as "engine *", matches
- *   any number of sections "[engine NAME]"
+ * @section: section name; a name that ends in " *", such as "engine *", matches any number of sections
+ *   "[engine NAME]"
  * @key: key name
  * @type: type of the value
- * @required: the key must be given
- * @fallback: (nullable): value when absent, in file syntax; %NULL with
- *   @required false means the getters return "" or 0
- * @minimum: least value of integers and durations (us)
- * @maximum: greatest value; 0 for no bound
- * @choices: (nullable): for %QUINCE_SETTING_CHOICE, separated by '|'
- * @help: one line for --help and the operators' page
+ * @required: whether the key must be set
+ * @fallback: (nullable): default value in file syntax; if %NULL, the getters return "" or 0 for a key that is
+ *   not set
+ * @minimum: minimum of integers and durations, in microseconds for durations
+ * @maximum: maximum of integers and durations; 0 for no maximum
+ * @choices: (nullable): values of %QUINCE_SETTING_CHOICE, separated by '|'
+ * @help: one-line description for --help-settings and the operator documentation
  */
 typedef struct
 {
@@ -66,12 +66,12 @@
 
 /**
  * quince_settings_load:
- * @path: (nullable): file to read; %NULL starts from the fallbacks alone
+ * @path: (nullable): file to read, or %NULL to use only @overrides and default values
  * @specs: (array length=n_specs): known keys; must outlive the result
- * @overrides: (nullable) (array zero-terminated=1): "section.key=value" texts
- *   from flags, taken in order over the file's values
+ * @overrides: (nullable) (array zero-terminated=1): "section.key=value" strings from the command line; they
+ *   replace values of the file, and later ones replace earlier ones
  *
- * Returns: (transfer full) (nullable): settings in which every value is valid
+ * Returns: (transfer full) (nullable): the validated settings, or %NULL with a QUINCE_SETTINGS_ERROR
  */
 QuinceSettings *quince_settings_load (const char *path,
                                       const QuinceSettingSpec *specs,
@@ -81,19 +81,20 @@
 void quince_settings_free (QuinceSettings *settings);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (QuinceSettings, quince_settings_free)
 
-/* Getters.  Asking for a key that is not in the table is a programming error. */
+/* The getters abort the process if the key is not in the table. */
 const char *quince_settings_get_text (const QuinceSettings *settings, const char *section, const char *key);
 gint64 quince_settings_get_integer (const QuinceSettings *settings, const char *section, const char *key);
 double quince_settings_get_number (const QuinceSettings *settings, const char *section, const char *key);
 gint64 quince_settings_get_duration_us (const QuinceSettings *settings, const char *section, const char *key);
 gboolean quince_settings_get_boolean (const QuinceSettings *settings, const char *section, const char *key);
-/* (transfer full) (array zero-terminated=1): NAMEs of the "[prefix NAME]" sections, in file order */
+/* Returns: (transfer full) (array zero-terminated=1): each NAME of the "[prefix NAME]" sections, in file
+ * order */
 char **quince_settings_get_instances (const QuinceSettings *settings, const char *prefix);
 
 /**
  * quince_settings_describe:
  *
- * Returns: (transfer full): a commented settings file with every key, for --help-settings.
+ * Returns: (transfer full): a commented settings file with all keys, for --help-settings
  */
 char *quince_settings_describe (const QuinceSettingSpec *specs, gsize n_specs);
 
--- a/tests/unit/test-answer-allowance.c
+++ b/tests/unit/test-answer-allowance.c
@@ -1,5 +1,5 @@
 /*
- * test-answer-allowance.c: answers on a link that is healthy, slow, and healthy again.
+ * test-answer-allowance.c: size limits of answers on idle, slow and blocked links.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -13,9 +13,9 @@
 #define BYTES_MAX (700 * 1024)
 #define US_PER_MS 1000
 
-/* A link that passes @bytes_per_ms and is asked for an answer each @interval_ms.  Returns: the greatest
- * backlog
- */
+/* Simulates a link that delivers @bytes_per_ms, on which an answer is requested every @interval_ms.
+ *
+ * Returns: the maximum backlog, bytes */
 static gsize
 simulate_link (QuinceAnswerAllowance *allowance,
                gint64 *now_us,
@@ -41,7 +41,7 @@
   QuinceAnswerAllowance allowance = { 0 };
   gint64 now_us = 1;
   assert_int_equal (quince_answer_allowance_acquire (&allowance, now_us, 0, BYTES_MAX), BYTES_MAX);
-  /* Two that ask in the same moment. */
+  /* A second request at the same time. */
   assert_int_equal (quince_answer_allowance_acquire (&allowance, now_us, BYTES_MAX, BYTES_MAX), BYTES_MAX);
 }
 
@@ -51,7 +51,7 @@
   QuinceAnswerAllowance allowance = { 0 };
   gint64 now_us = 1;
   assert_true (simulate_link (&allowance, &now_us, 100, 5, 4000) <= 3 * BYTES_MAX);
-  /* Once it is known to be slow, what waits is less than a front's patience of 1.5 s. */
+  /* Once the link counts as slow, it delivers its backlog within the read timeout of a front, 1.5 s. */
   assert_true (simulate_link (&allowance, &now_us, 100, 5, 4000) <= 200 * 1024);
 }
 
@@ -76,7 +76,8 @@
   assert_int_equal (quince_answer_allowance_acquire (&allowance, now_us, 0, BYTES_MAX), BYTES_MAX);
 }
 
-/* A new leader sends news on a link before the first answer; and a link that rested is not slow. */
+/* A backlog before the first answer, or after an idle time, does not make a link slow: a new leader sends
+ * feed updates before the first answer. */
 static void
 test_healthy_link_is_not_slow (void **state)
 {
--- a/tests/unit/test-delivery-meter.c
+++ b/tests/unit/test-delivery-meter.c
@@ -1,6 +1,6 @@
 /*
- * test-delivery-meter.c: what the answers of a peer tell of the bytes on a link, whatever a relay on the way
- * has acknowledged.
+ * test-delivery-meter.c: estimates of undelivered bytes from the answers of a peer, with and without a relay
+ * that acknowledges bytes before it delivers them.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -13,13 +13,12 @@
 #include "runtime/delivery-meter.h"
 
 #define US_PER_MS 1000
-/* Heartbeats, as the leader sends them, ms. */
+/* Heartbeat interval of the leader. */
 #define PROBE_MS 250
-/* Results of a step. */
+/* Size of the results of a step. */
 #define ANSWER_BYTES (577 * 1000)
-/* Readers wait so long for an answer and ask again, ms. */
+/* Time after which a reader retries. */
 #define READ_TIMEOUT_MS 1500
-/* A link that passes 390 kB a second. */
 #define SLOW_BYTES_PER_MS 390
 
 static void
@@ -35,7 +34,7 @@
                         0);
       quince_delivery_meter_record_answer (&meter, now_us + 200 * US_PER_MS);
     }
-  /* One answer more than probes, of a peer that does not keep to the protocol. */
+  /* A peer that violates the protocol sends an answer without a probe. */
   quince_delivery_meter_record_answer (&meter, 100 * PROBE_MS * US_PER_MS);
   assert_int_equal (quince_delivery_meter_get_backlog (&meter, 100 * PROBE_MS * US_PER_MS, 200000), 0);
 }
@@ -51,7 +50,7 @@
   assert_int_equal (quince_delivery_meter_get_backlog (&meter, 501 * US_PER_MS, 700000), 699000);
   quince_delivery_meter_record_probe (&meter, 502 * US_PER_MS, 700000);
   quince_delivery_meter_record_answer (&meter, 600 * US_PER_MS);
-  /* It is known to be slow from now on. */
+  /* The link counts as slow after the late answer. */
   assert_int_equal (quince_delivery_meter_get_backlog (&meter, 601 * US_PER_MS, 700000), 100000);
   quince_delivery_meter_record_answer (&meter, 700 * US_PER_MS);
   assert_int_equal (quince_delivery_meter_get_backlog (&meter, 701 * US_PER_MS, 700000), 0);
@@ -59,7 +58,7 @@
   assert_int_equal (quince_delivery_meter_get_backlog (&meter, 2601 * US_PER_MS, 800000), 0);
 }
 
-/* Seconds without an answer: more probes than are kept, and the answers come after all. */
+/* Late answers to more probes than the meter stores. */
 static void
 test_unanswered_probes_exceed_limit (void **state)
 {
@@ -80,11 +79,11 @@
   assert_int_equal (quince_delivery_meter_get_backlog (&meter, now_us + 3000 * US_PER_MS, bytes), 0);
 }
 
-/* Twelve readers behind a relay that acknowledges at once and passes 390 kB a second: the leader took the
- * link for idle, and its answers queued for longer than the readers waited.  @use_meter: by the peer's
- * answers
+/* Simulates twelve readers behind a relay that acknowledges all bytes immediately and delivers 390 kB/s.
+ * Guards against answers that queue in the relay for longer than the read timeout.
+ * @use_meter: whether the sender takes the backlog from the delivery meter, or assumes that there is none
  *
- * Returns: answers that came within the readers' patience */
+ * Returns: number of answers that arrive within the read timeout */
 static guint
 simulate_reads_through_relay (gboolean use_meter)
 {
@@ -111,7 +110,7 @@
           probes[probe++] = sent;
           quince_delivery_meter_record_probe (&meter, now_ms * US_PER_MS, sent);
         }
-      /* A reader of the twelve asks each 125 ms. */
+      /* One of the twelve readers sends a request every 125 ms. */
       if (now_ms % (READ_TIMEOUT_MS / 12) != 0)
         continue;
       gsize backlog = use_meter ? quince_delivery_meter_get_backlog (&meter, now_ms * US_PER_MS, sent) : 0;
--- a/tests/unit/test-runtime.c
+++ b/tests/unit/test-runtime.c
@@ -1,5 +1,5 @@
 /*
- * test-runtime.c: settings, codec and links.
+ * test-runtime.c: settings, codec, quoting of log values, and links.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -90,7 +90,7 @@
     { "[node]\nname = n1\n[engine a]\naddress = 127.0.0.1:1\n[engine a]\n",
       ":5: [engine a]: duplicate section" },
     { "[node]\nname = n1\n[engine a]\n", "[engine a] address: missing" },
-    { "name = n1\n", ":1: 'name = n1' stands before any section" },
+    { "name = n1\n", ":1: 'name = n1' is outside any section" },
     { "[node]\nname = n1\nwhat\n", ":3: 'what' is not a setting" },
     { "[node\nname = n1\n", ":1: '[node' is not a section header" },
   };
@@ -138,7 +138,7 @@
   assert_true (g_error_matches (error, QUINCE_CODEC_ERROR, QUINCE_CODEC_ERROR_TRAILING));
 }
 
-/* Random bytes and bit flips must end in a value or an error, never a crash. */
+/* Random bytes never crash a decoder. */
 static void
 test_codec_fuzz (void **state)
 {
@@ -172,7 +172,7 @@
 
 /* ---- Links ------------------------------------------------------------- */
 
-/* Turns the default context until @condition; the bound is far above need. */
+/* Runs the default main context until @condition is true; fails after 20 s. */
 #define WAIT_UNTIL(condition)                                                                                \
   G_STMT_START                                                                                               \
   {                                                                                                          \
@@ -189,7 +189,7 @@
   QuinceLink *accepted;
   guint server_messages;
   guint client_messages;
-  int server_closed; /* error code, -1 none */
+  int server_closed; /* error code, or -1 while open */
   int client_closed;
 } LinkPair;
 
@@ -247,7 +247,7 @@
   quince_link_unref (pair.accepted);
 }
 
-/* A peer that sends what is not a frame loses its link, and only that. */
+/* An invalid frame from a peer closes its link with the matching error. */
 static void
 test_link_malformed (void **state)
 {
