--- a/lib/runtime/settings.c
+++ b/lib/runtime/settings.c
@@ -22,8 +22,8 @@
 {
   const QuinceSettingSpec *specs; /* borrowed                               */
   gsize n_specs;
-  GHashTable *values;   /* "section\nkey" -> SettingValue                          */
-  GPtrArray *instances; /* names of "[prefix NAME]" sections, in file order */
+  GHashTable *values;  /* "section\nkey" -> SettingValue                          */
+  GPtrArray *sections; /* names of "[prefix NAME]" sections, in file order */
 };
 
 /* State of one load. */
@@ -160,16 +160,16 @@
 }
 
 static void
-add_instance (SettingsReader *reader, const char *section)
+add_section (SettingsReader *reader, const char *section)
 {
-  GPtrArray *instances = reader->settings->instances;
-  for (guint i = 0; i < instances->len; i++)
-    if (g_str_equal (instances->pdata[i], section))
+  GPtrArray *sections = reader->settings->sections;
+  for (guint i = 0; i < sections->len; i++)
+    if (g_str_equal (sections->pdata[i], section))
       {
         report_problem (reader, "[%s]: duplicate section; allowed: once", section);
         return;
       }
-  g_ptr_array_add (instances, g_strdup (section));
+  g_ptr_array_add (sections, g_strdup (section));
 }
 
 static void
@@ -193,7 +193,7 @@
     }
   reader->section = g_strdup (section);
   reader->in_unknown_section = FALSE;
-  add_instance (reader, section);
+  add_section (reader, section);
 }
 
 static void
@@ -302,9 +302,9 @@
       const QuinceSettingSpec *spec = &settings->specs[i];
       if (!is_wildcard (spec->section))
         apply_default (reader, spec, spec->section);
-      for (guint j = 0; is_wildcard (spec->section) && j < settings->instances->len; j++)
-        if (section_matches (spec->section, settings->instances->pdata[j]))
-          apply_default (reader, spec, settings->instances->pdata[j]);
+      for (guint j = 0; is_wildcard (spec->section) && j < settings->sections->len; j++)
+        if (section_matches (spec->section, settings->sections->pdata[j]))
+          apply_default (reader, spec, settings->sections->pdata[j]);
     }
 }
 
@@ -315,7 +315,7 @@
   settings->specs = specs;
   settings->n_specs = n_specs;
   settings->values = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, value_free);
-  settings->instances = g_ptr_array_new_with_free_func (g_free);
+  settings->sections = g_ptr_array_new_with_free_func (g_free);
   return settings;
 }
 
@@ -352,7 +352,7 @@
 quince_settings_free (QuinceSettings *settings)
 {
   g_hash_table_unref (settings->values);
-  g_ptr_array_unref (settings->instances);
+  g_ptr_array_unref (settings->sections);
   g_free (settings);
 }
 
@@ -403,9 +403,9 @@
 {
   GPtrArray *names = g_ptr_array_new ();
   gsize length = strlen (prefix);
-  for (guint i = 0; i < settings->instances->len; i++)
+  for (guint i = 0; i < settings->sections->len; i++)
     {
-      const char *section = settings->instances->pdata[i];
+      const char *section = settings->sections->pdata[i];
       if (strncmp (section, prefix, length) == 0 && section[length] == ' ')
         g_ptr_array_add (names, g_strdup (section + length + 1));
     }
--- a/tests/unit/test-delivery-meter.c
+++ b/tests/unit/test-delivery-meter.c
@@ -89,40 +89,41 @@
 {
   QuinceDeliveryMeter meter = { 0 };
   QuinceAnswerAllowance allowance = { 0 };
-  guint64 sent = 100;
-  guint64 delivered = 100;
-  guint answered = 0;
-  guint in_time = 0;
+  guint64 sent_bytes = 100;
+  guint64 delivered_bytes = 100;
+  guint n_answers = 0;
+  guint n_in_time = 0;
   guint64 probes[1000] = { 0 };
-  guint probe = 0;
-  guint probe_answered = 0;
+  guint n_probes = 0;
+  guint n_probes_answered = 0;
   for (gint64 now_ms = 0; now_ms < 12000; now_ms++)
     {
-      delivered = MIN (delivered + SLOW_BYTES_PER_MS, sent);
-      while (probe_answered < probe && probes[probe_answered] <= delivered)
+      delivered_bytes = MIN (delivered_bytes + SLOW_BYTES_PER_MS, sent_bytes);
+      while (n_probes_answered < n_probes && probes[n_probes_answered] <= delivered_bytes)
         {
           quince_delivery_meter_record_answer (&meter, now_ms * US_PER_MS);
-          probe_answered++;
+          n_probes_answered++;
         }
       if (now_ms % PROBE_MS == 0)
         {
-          sent += 100;
-          probes[probe++] = sent;
-          quince_delivery_meter_record_probe (&meter, now_ms * US_PER_MS, sent);
+          sent_bytes += 100;
+          probes[n_probes++] = sent_bytes;
+          quince_delivery_meter_record_probe (&meter, now_ms * US_PER_MS, sent_bytes);
         }
       /* One of the twelve readers sends a request every 125 ms. */
       if (now_ms % (READ_TIMEOUT_MS / 12) != 0)
         continue;
-      gsize backlog = use_meter ? quince_delivery_meter_get_backlog (&meter, now_ms * US_PER_MS, sent) : 0;
+      gsize backlog
+          = use_meter ? quince_delivery_meter_get_backlog (&meter, now_ms * US_PER_MS, sent_bytes) : 0;
       gsize bytes = quince_answer_allowance_acquire (&allowance, now_ms * US_PER_MS, backlog, 700 * 1024);
       if (bytes == 0)
         continue;
-      answered++;
-      sent += MIN (bytes, ANSWER_BYTES);
-      in_time += (sent - delivered) / SLOW_BYTES_PER_MS <= READ_TIMEOUT_MS;
+      n_answers++;
+      sent_bytes += MIN (bytes, ANSWER_BYTES);
+      n_in_time += (sent_bytes - delivered_bytes) / SLOW_BYTES_PER_MS <= READ_TIMEOUT_MS;
     }
-  assert_true (answered > 0);
-  return in_time;
+  assert_true (n_answers > 0);
+  return n_in_time;
 }
 
 static void
--- a/tests/unit/test-runtime.c
+++ b/tests/unit/test-runtime.c
@@ -126,15 +126,15 @@
   g_autoptr (GBytes) encoded = quince_message_encode (&message, NULL);
   gsize length;
   const guint8 *data = g_bytes_get_data (encoded, &length);
-  g_autoptr (QuinceMessage) back = quince_message_decode (data, length, NULL);
-  assert_int_equal (back->kind, QUINCE_MESSAGE_USAGE_ACK);
+  g_autoptr (QuinceMessage) decoded = quince_message_decode (data, length, NULL);
+  assert_int_equal (decoded->kind, QUINCE_MESSAGE_USAGE_ACK);
   g_autoptr (GError) error = NULL;
   assert_null (quince_message_decode (data, length - 1, &error));
   assert_true (g_error_matches (error, QUINCE_CODEC_ERROR, QUINCE_CODEC_ERROR_DECODE));
   g_clear_error (&error);
-  g_autofree guint8 *longer = g_malloc0 (length + 4);
-  memcpy (longer, data, length);
-  assert_null (quince_message_decode (longer, length + 4, &error));
+  g_autofree guint8 *extended = g_malloc0 (length + 4);
+  memcpy (extended, data, length);
+  assert_null (quince_message_decode (extended, length + 4, &error));
   assert_true (g_error_matches (error, QUINCE_CODEC_ERROR, QUINCE_CODEC_ERROR_TRAILING));
 }
 
@@ -176,8 +176,8 @@
 #define WAIT_UNTIL(condition)                                                                                \
   G_STMT_START                                                                                               \
   {                                                                                                          \
-    gint64 wait_end = g_get_monotonic_time () + 20 * G_USEC_PER_SEC;                                         \
-    while (!(condition) && g_get_monotonic_time () < wait_end)                                               \
+    gint64 wait_deadline_us = g_get_monotonic_time () + 20 * G_USEC_PER_SEC;                                 \
+    while (!(condition) && g_get_monotonic_time () < wait_deadline_us)                                       \
       if (!g_main_context_iteration (NULL, FALSE))                                                           \
         g_usleep (200);                                                                                      \
     assert_true (condition);                                                                                 \
