--- a/lib/runtime/link.h
+++ b/lib/runtime/link.h
@@ -64,6 +64,7 @@
 
 /* Closes the link without calling closed(); queued messages may be lost. */
 void quince_link_close (QuinceLink *link);
+/* Returns: whether the link is connected and not closed */
 gboolean quince_link_is_connected (QuinceLink *link);
 /* Returns: the bytes passed to the kernel so far, including frame headers */
 guint64 quince_link_get_bytes_sent (QuinceLink *link);
--- a/lib/runtime/settings.c
+++ b/lib/runtime/settings.c
@@ -20,10 +20,10 @@
 
 struct _QuinceSettings
 {
-  const QuinceSettingSpec *specs; /* borrowed                               */
+  const QuinceSettingSpec *specs; /* not owned */
   gsize n_specs;
-  GHashTable *values;  /* "section\nkey" -> SettingValue                          */
-  GPtrArray *sections; /* names of "[prefix NAME]" sections, in file order */
+  GHashTable *values;  /* "section\nkey" -> SettingValue */
+  GPtrArray *sections; /* names of all sections of the file, in file order */
 };
 
 /* State of one load. */
@@ -32,8 +32,8 @@
   QuinceSettings *settings;
   const char *path;
   guint line;
-  char *section;               /* current section; NULL before the first and in an unknown section */
-  gboolean in_unknown_section; /* keys of an unknown section are ignored */
+  char *section;               /* current section, or NULL if there is none or its header is invalid */
+  gboolean in_unknown_section; /* the last header is invalid or unknown; its keys are ignored */
   GString *problems;
 } SettingsReader;
 
--- a/lib/runtime/settings.h
+++ b/lib/runtime/settings.h
@@ -87,8 +87,8 @@
 double quince_settings_get_number (const QuinceSettings *settings, const char *section, const char *key);
 gint64 quince_settings_get_duration_us (const QuinceSettings *settings, const char *section, const char *key);
 gboolean quince_settings_get_boolean (const QuinceSettings *settings, const char *section, const char *key);
-/* Returns: (transfer full) (array zero-terminated=1): each NAME of the "[prefix NAME]" sections, in file
- * order */
+/* Returns: (transfer full) (array zero-terminated=1): the NAME of each "[prefix NAME]" section of the file,
+ * in file order; sections that only overrides mention are not included */
 char **quince_settings_get_instances (const QuinceSettings *settings, const char *prefix);
 
 /**
