--- a/daemons/front/caller-request.c
+++ b/daemons/front/caller-request.c
@@ -77,7 +77,7 @@
     quince_stream_cancel (request->stream);
   if (request->ledger_call != NULL)
     quince_ledger_call_cancel (request->ledger_call);
-  QuincePlatformRequestFacts facts;
+  QuincePlatformRequestHeaders facts;
   quince_platform_read_request (request->head->headers, &facts);
   g_autofree char *id = quince_log_quote (facts.request_id);
   g_autofree char *target = quince_log_quote (request->head->target);
@@ -99,7 +99,7 @@
       return "results";
     case QUINCE_CALL_ITEM:
       return "item";
-    case QUINCE_CALL_END:
+    case QUINCE_CALL_END_BATCH:
       return "end";
     default:
       return "unknown";
@@ -121,7 +121,7 @@
 static void
 finish_error (QuinceCallerRequest *request, guint status, const char *cause, guint retry_after_ms)
 {
-  QuincePlatformRequestFacts facts;
+  QuincePlatformRequestHeaders facts;
   quince_platform_read_request (request->head->headers, &facts);
   g_autofree char *labels = g_strdup_printf ("cause=\"%s\"", cause);
   quince_metric_add ("quince_front_refused_total", labels, 1);
@@ -214,7 +214,7 @@
 static void
 log_answer (const QuinceCallerRequest *request, const QuinceForwardResult *result)
 {
-  QuincePlatformRequestFacts facts;
+  QuincePlatformRequestHeaders facts;
   quince_platform_read_request (request->head->headers, &facts);
   g_autofree char *id = quince_log_quote (facts.request_id);
   quince_log_info ("request_answered",
@@ -284,7 +284,7 @@
 static gboolean
 forward_request (QuinceCallerRequest *request, const QuinceRoute *route)
 {
-  QuincePlatformRequestFacts facts;
+  QuincePlatformRequestHeaders facts;
   quince_platform_read_request (request->head->headers, &facts);
   guint deadline_ms = facts.deadline_ms > 0 ? facts.deadline_ms : DEFAULT_DEADLINE_MS;
   guint timeout_ms = route->timeout_ms > 0 ? MIN (route->timeout_ms, deadline_ms) : deadline_ms;
@@ -358,7 +358,7 @@
 static void
 call_ledger (QuinceCallerRequest *request)
 {
-  guint wait_ms = quince_platform_read_wait (request->head->headers);
+  guint wait_ms = quince_platform_read_wait_ms (request->head->headers);
   guint timeout_ms = request->is_submission ? LEDGER_SUBMIT_TIMEOUT_MS : wait_ms + LEDGER_READ_MARGIN_MS;
   request->ledger_call
       = quince_ledger_caller_start (request->context->ledger, request->head->method, request->head->target,
@@ -459,7 +459,7 @@
   request->received_us = received_us;
   request->sink = sink;
   request->user_data = user_data;
-  request->api_key = quince_platform_take_key (head->headers);
+  request->api_key = quince_platform_steal_api_key (head->headers);
   quince_platform_read_call (head->method, head->target, &request->call);
   switch (request->call.kind)
     {
@@ -467,7 +467,7 @@
       return route_request (request) ? request : NULL;
     case QUINCE_CALL_RESULTS:
     case QUINCE_CALL_ITEM:
-    case QUINCE_CALL_END:
+    case QUINCE_CALL_END_BATCH:
       return start_batch_call (request) ? request : NULL;
     case QUINCE_CALL_READY:
     case QUINCE_CALL_RESOLVE:
--- a/daemons/replica/batch-calls.c
+++ b/daemons/replica/batch-calls.c
@@ -88,7 +88,7 @@
                      const QuinceCall *parsed,
                      QuinceBatchEntry *entry)
 {
-  guint wait_ms = quince_platform_read_wait (headers);
+  guint wait_ms = quince_platform_read_wait_ms (headers);
   gboolean no_new_results = parsed->position >= entry->results->len;
   gboolean more_results_expected = !entry->ended && entry->results->len < entry->batch->items.items_len;
   if (!no_new_results || !more_results_expected || wait_ms == 0)
@@ -206,7 +206,7 @@
                    const QuinceServiceCall *call,
                    const QuinceHttpHeaders *headers)
 {
-  QuincePlatformRequestFacts facts;
+  QuincePlatformRequestHeaders facts;
   quince_platform_read_request (headers, &facts);
   const char *id = facts.request_id;
   const guint64 *pending = id != NULL ? g_hash_table_lookup (calls->pending_submissions, id) : NULL;
@@ -256,7 +256,7 @@
     handle_results_call (calls, link, call, headers, parsed, entry);
   else if (parsed->kind == QUINCE_CALL_ITEM)
     quince_batch_answer_item (link, call, parsed, entry);
-  else if (parsed->kind == QUINCE_CALL_END)
+  else if (parsed->kind == QUINCE_CALL_END_BATCH)
     handle_end_call (calls, link, call, entry);
   else
     quince_batch_answer_status (link, call->id, 404);
--- a/daemons/replica/replica-setup.c
+++ b/daemons/replica/replica-setup.c
@@ -177,9 +177,9 @@
   const char *order_workers = quince_settings_get_text (settings, "duties", "order_workers");
   if (*address == '\0')
     return;
-  if (quince_platform_takes_scale_orders (names) && g_str_equal (order_workers, "replace"))
+  if (quince_platform_has_scaling_duty (names) && g_str_equal (order_workers, "replace"))
     create_worker_scaler (parts, address);
-  if (quince_platform_wants_usage (names))
+  if (quince_platform_has_usage_duty (names))
     create_usage_collector (parts, settings, address);
 }
 
--- a/daemons/replica/sample-runner.c
+++ b/daemons/replica/sample-runner.c
@@ -200,8 +200,8 @@
       if (entry->has_result[i])
         continue;
       QuinceSample *sample = quince_sample_new (entry, i);
-      QuincePlatformLength length;
-      quince_platform_read_length (quince_sample_get_item (sample), &length);
+      QuincePlatformLengthEstimate length;
+      quince_platform_read_length_estimate (quince_sample_get_item (sample), &length);
       sample->estimated_tokens = length.estimated_tokens;
       sample->submitted_us = submitted_us;
       quince_progress_store_get (runner->progress, entry->batch->id, i, sample->text, sample->versions,
--- a/daemons/replica/sample.h
+++ b/daemons/replica/sample.h
@@ -58,7 +58,7 @@
   char *worker_id;
   QuinceBackends *backends;
   QuinceHttpExchange *exchange;
-  QuincePlatformEvents *events;
+  QuincePlatformEventParser *events;
   QuinceTimer *silence_timer;
   gint64 last_received_us; /* when bytes of the response last arrived */
   gint64 started_us;
--- a/daemons/replica/step-demand.c
+++ b/daemons/replica/step-demand.c
@@ -17,8 +17,8 @@
   for (guint i = 0; i < batch->items.items_len; i++)
     {
       const QuinceBatchItem *item = &batch->items.items_val[i];
-      QuincePlatformLength length;
-      quince_platform_read_length (item, &length);
+      QuincePlatformLengthEstimate length;
+      quince_platform_read_length_estimate (item, &length);
       tokens += length.estimated_tokens > 0 ? length.estimated_tokens : item->tokens;
     }
   return tokens;
--- a/daemons/replica/usage-collector.c
+++ b/daemons/replica/usage-collector.c
@@ -287,7 +287,8 @@
   g_autoptr (GBytes) body = quince_platform_format_usage (window);
   g_autoptr (QuinceHttpHeaders) headers = quince_http_headers_new ();
   quince_http_headers_add (headers, "Host", "platform");
-  quince_platform_write_duty (headers, collector->holder, quince_ledger_node_get_epoch (collector->ledger));
+  quince_platform_write_leader_headers (headers, collector->holder,
+                                        quince_ledger_node_get_epoch (collector->ledger));
   const QuinceHttpRequest request = { .method = "POST",
                                       .target = QUINCE_PLATFORM_USAGE_TARGET,
                                       .headers = headers,
--- a/daemons/replica/weight-load.c
+++ b/daemons/replica/weight-load.c
@@ -122,7 +122,7 @@
 }
 
 static void
-send_order (QuinceWeightLoad *load, guint64 orders_taken)
+send_order (QuinceWeightLoad *load, guint64 orders_accepted)
 {
   QuinceWorker *worker = find_worker (load);
   guint64 fence = 0;
@@ -131,10 +131,10 @@
     return;
   QuincePlatformLoadMode mode = load->retain ? QUINCE_PLATFORM_LOAD_RETAIN : QUINCE_PLATFORM_LOAD_WAIT;
   g_autoptr (GBytes) body = quince_platform_format_load (load->model, load->version, mode,
-                                                         load->context->holder, fence, orders_taken);
+                                                         load->context->holder, fence, orders_accepted);
   g_autoptr (QuinceHttpHeaders) headers = quince_http_headers_new ();
   quince_http_headers_add (headers, "Content-Type", "application/json");
-  quince_platform_write_worker (headers, worker->id);
+  quince_platform_write_expected_worker (headers, worker->id);
   const QuinceHttpRequest request = { .method = "POST",
                                       .target = QUINCE_PLATFORM_ORDER_TARGET,
                                       .headers = headers,
@@ -177,7 +177,7 @@
                                    .elapsed_us = quince_now_us () - load->started_us };
   const QuinceLoadNext next = quince_load_next_after_report (&input);
   if (!apply_next_action (load, &next))
-    send_order (load, report->orders_taken);
+    send_order (load, report->orders_accepted);
 }
 
 static void
@@ -211,7 +211,7 @@
   if (!check_may_send (load, worker, FALSE, FALSE))
     return;
   g_autoptr (QuinceHttpHeaders) headers = quince_http_headers_new ();
-  quince_platform_write_worker (headers, worker->id);
+  quince_platform_write_expected_worker (headers, worker->id);
   const QuinceHttpRequest request = { .method = "GET",
                                       .target = QUINCE_PLATFORM_REPORT_TARGET,
                                       .headers = headers,
--- a/daemons/replica/worker-scaler.c
+++ b/daemons/replica/worker-scaler.c
@@ -71,7 +71,8 @@
   g_autoptr (GBytes) body = quince_platform_format_scale (service, &scaler->order);
   g_autoptr (QuinceHttpHeaders) headers = quince_http_headers_new ();
   quince_http_headers_add (headers, "Host", "platform");
-  quince_platform_write_duty (headers, scaler->holder, quince_ledger_node_get_epoch (scaler->ledger));
+  quince_platform_write_leader_headers (headers, scaler->holder,
+                                        quince_ledger_node_get_epoch (scaler->ledger));
   const QuinceHttpRequest request = { .method = "POST",
                                       .target = QUINCE_PLATFORM_SCALE_TARGET,
                                       .headers = headers,
--- a/tests/platform/test-meta.c
+++ b/tests/platform/test-meta.c
@@ -370,10 +370,11 @@
   read_items += page->items->len;
 }
 
-static const QuinceMetaMirrorCallbacks worker_callbacks = { .item = report_item,
-                                                            .synced = report_synced,
-                                                            .read = report_read,
-                                                            .is_equivalent = quince_platform_same_worker };
+static const QuinceMetaMirrorCallbacks worker_callbacks
+    = { .item = report_item,
+        .synced = report_synced,
+        .read = report_read,
+        .is_equivalent = quince_platform_are_worker_entries_equivalent };
 
 /* Heartbeats of workers are read, and neither told nor passed on; that a worker is cold, or is no longer, is
  * news. */
