--- a/daemons/front/caller-request.c
+++ b/daemons/front/caller-request.c
@@ -77,9 +77,9 @@
     quince_stream_cancel (request->stream);
   if (request->ledger_call != NULL)
     quince_ledger_call_cancel (request->ledger_call);
-  QuincePlatformRequestHeaders facts;
-  quince_platform_read_request (request->head->headers, &facts);
-  g_autofree char *id = quince_log_quote (facts.request_id);
+  QuincePlatformRequestHeaders request_headers;
+  quince_platform_read_request (request->head->headers, &request_headers);
+  g_autofree char *id = quince_log_quote (request_headers.request_id);
   g_autofree char *target = quince_log_quote (request->head->target);
   quince_log_info ("caller_left", "request=%s target=%s age_ms=%" G_GINT64_FORMAT, id, target,
                    (quince_now_us () - request->received_us) / 1000);
@@ -121,11 +121,11 @@
 static void
 finish_error (QuinceCallerRequest *request, guint status, const char *cause, guint retry_after_ms)
 {
-  QuincePlatformRequestHeaders facts;
-  quince_platform_read_request (request->head->headers, &facts);
+  QuincePlatformRequestHeaders request_headers;
+  quince_platform_read_request (request->head->headers, &request_headers);
   g_autofree char *labels = g_strdup_printf ("cause=\"%s\"", cause);
   quince_metric_add ("quince_front_refused_total", labels, 1);
-  g_autofree char *id = quince_log_quote (facts.request_id);
+  g_autofree char *id = quince_log_quote (request_headers.request_id);
   g_autofree char *target = quince_log_quote (request->head->target);
   quince_log_warning ("request_refused", "request=%s target=%s status=%u cause=%s age_ms=%" G_GINT64_FORMAT,
                       id, target, status, cause, (quince_now_us () - request->received_us) / 1000);
@@ -214,9 +214,9 @@
 static void
 log_answer (const QuinceCallerRequest *request, const QuinceForwardResult *result)
 {
-  QuincePlatformRequestHeaders facts;
-  quince_platform_read_request (request->head->headers, &facts);
-  g_autofree char *id = quince_log_quote (facts.request_id);
+  QuincePlatformRequestHeaders request_headers;
+  quince_platform_read_request (request->head->headers, &request_headers);
+  g_autofree char *id = quince_log_quote (request_headers.request_id);
   quince_log_info ("request_answered",
                    "request=%s status=%u worker=%s attempts=%u worker_ms=%" G_GINT64_FORMAT
                    " age_ms=%" G_GINT64_FORMAT,
@@ -284,9 +284,9 @@
 static gboolean
 forward_request (QuinceCallerRequest *request, const QuinceRoute *route)
 {
-  QuincePlatformRequestHeaders facts;
-  quince_platform_read_request (request->head->headers, &facts);
-  guint deadline_ms = facts.deadline_ms > 0 ? facts.deadline_ms : DEFAULT_DEADLINE_MS;
+  QuincePlatformRequestHeaders request_headers;
+  quince_platform_read_request (request->head->headers, &request_headers);
+  guint deadline_ms = request_headers.deadline_ms > 0 ? request_headers.deadline_ms : DEFAULT_DEADLINE_MS;
   guint timeout_ms = route->timeout_ms > 0 ? MIN (route->timeout_ms, deadline_ms) : deadline_ms;
   const char *service = quince_route_splits_next_service (request->context->splits, route);
   if (!quince_residency_check_workers (request->context, route, request->tenant, service))
@@ -306,7 +306,7 @@
     .kind = route->name,
     .method = request->head->method,
     .target = request->head->target,
-    .request_id = facts.request_id,
+    .request_id = request_headers.request_id,
     .headers = headers,
     .body = body,
     .prompt = (const char *const *)prompt,
--- a/daemons/replica/batch-answers.c
+++ b/daemons/replica/batch-answers.c
@@ -111,7 +111,7 @@
                           const QuinceCall *parsed,
                           const QuinceBatchEntry *entry)
 {
-  gint index = parsed->item != NULL ? quince_batch_entry_find_item (entry, parsed->item) : -1;
+  gint index = parsed->item_id != NULL ? quince_batch_entry_find_item (entry, parsed->item_id) : -1;
   if (index < 0)
     {
       quince_batch_answer_status (link, call->id, 404);
--- a/daemons/replica/batch-calls.c
+++ b/daemons/replica/batch-calls.c
@@ -96,7 +96,7 @@
       quince_batch_answer_results (calls->result_cache, link, call->id, entry, parsed->position);
       return;
     }
-  WaitingCall *waiting_call = add_waiting_call (calls, link, call->id, parsed->id);
+  WaitingCall *waiting_call = add_waiting_call (calls, link, call->id, parsed->batch_id);
   waiting_call->position = parsed->position;
   waiting_call->timer = quince_timer_add (wait_ms, handle_wait_timeout, waiting_call);
 }
@@ -206,9 +206,9 @@
                    const QuinceServiceCall *call,
                    const QuinceHttpHeaders *headers)
 {
-  QuincePlatformRequestHeaders facts;
-  quince_platform_read_request (headers, &facts);
-  const char *id = facts.request_id;
+  QuincePlatformRequestHeaders request_headers;
+  quince_platform_read_request (headers, &request_headers);
+  const char *id = request_headers.request_id;
   const guint64 *pending = id != NULL ? g_hash_table_lookup (calls->pending_submissions, id) : NULL;
   const QuinceBatchEntry *known = id != NULL ? quince_batch_table_find (calls->table, id) : NULL;
   if (id == NULL || (known != NULL && !is_visible_to_tenant (known, quince_platform_read_tenant (headers))))
@@ -247,8 +247,10 @@
                    const QuinceHttpHeaders *headers,
                    const QuinceCall *parsed)
 {
-  QuinceBatchEntry *entry = parsed->id != NULL ? quince_batch_table_find (calls->table, parsed->id) : NULL;
-  gboolean pending = parsed->id != NULL && g_hash_table_contains (calls->pending_submissions, parsed->id);
+  QuinceBatchEntry *entry
+      = parsed->batch_id != NULL ? quince_batch_table_find (calls->table, parsed->batch_id) : NULL;
+  gboolean pending
+      = parsed->batch_id != NULL && g_hash_table_contains (calls->pending_submissions, parsed->batch_id);
   const char *tenant = quince_platform_read_tenant (headers);
   if (entry == NULL || !is_visible_to_tenant (entry, tenant))
     quince_batch_answer_status (link, call->id, get_unavailable_status (entry, tenant, pending));
--- a/daemons/replica/sample-runner.c
+++ b/daemons/replica/sample-runner.c
@@ -200,9 +200,9 @@
       if (entry->has_result[i])
         continue;
       QuinceSample *sample = quince_sample_new (entry, i);
-      QuincePlatformLengthEstimate length;
-      quince_platform_read_length_estimate (quince_sample_get_item (sample), &length);
-      sample->estimated_tokens = length.estimated_tokens;
+      QuincePlatformLengthEstimate estimate;
+      quince_platform_read_length_estimate (quince_sample_get_item (sample), &estimate);
+      sample->estimated_tokens = estimate.estimated_tokens;
       sample->submitted_us = submitted_us;
       quince_progress_store_get (runner->progress, entry->batch->id, i, sample->text, sample->versions,
                                  &sample->last_event);
--- a/daemons/replica/sample.c
+++ b/daemons/replica/sample.c
@@ -74,7 +74,7 @@
 release_worker (QuinceSample *sample)
 {
   quince_timer_clear (&sample->silence_timer);
-  g_clear_pointer (&sample->events, quince_platform_event_parser_free);
+  g_clear_pointer (&sample->event_parser, quince_platform_event_parser_free);
   sample->exchange = NULL;
   QuinceWorker *worker = find_run_worker (sample);
   if (worker != NULL && worker->running > 0)
@@ -173,7 +173,7 @@
   g_autoptr (GError) error = NULL;
   const char *cause = NULL;
   guint64 previous_event = sample->last_event;
-  while (cause == NULL && quince_platform_event_parser_next_event (sample->events, &event, &error))
+  while (cause == NULL && quince_platform_event_parser_next_event (sample->event_parser, &event, &error))
     {
       cause = apply_stream_event (sample, &event, end);
       quince_platform_event_clear (&event);
@@ -193,7 +193,7 @@
   sample->last_received_us = quince_now_us ();
   if (!sample->accepted)
     return;
-  quince_platform_event_parser_feed (sample->events, data, length);
+  quince_platform_event_parser_feed (sample->event_parser, data, length);
   QuinceRunEnd end = QUINCE_RUN_BROKEN;
   const char *cause = apply_stream_events (sample, &end);
   if (cause != NULL)
@@ -206,10 +206,10 @@
 exchange_head (QuinceHttpExchange *exchange, const QuinceHttpHead *head, gpointer user_data)
 {
   QuinceSample *sample = user_data;
-  QuincePlatformAnswerHeaders facts;
-  quince_platform_read_answer (head, &facts);
+  QuincePlatformAnswerHeaders answer_headers;
+  quince_platform_read_answer (head, &answer_headers);
   sample->last_received_us = quince_now_us ();
-  if (g_strcmp0 (facts.request_id, quince_sample_get_item (sample)->id) != 0)
+  if (g_strcmp0 (answer_headers.request_id, quince_sample_get_item (sample)->id) != 0)
     {
       quince_http_exchange_distrust (exchange);
       if (head->status == 200)
@@ -218,8 +218,8 @@
     }
   if (head->status != 200)
     return;
-  sample->run_version = facts.version;
-  if (facts.version != 0 && facts.version < sample->entry->batch->minimum_version)
+  sample->run_version = answer_headers.version;
+  if (answer_headers.version != 0 && answer_headers.version < sample->entry->batch->minimum_version)
     {
       quince_sample_stop_run (sample, QUINCE_RUN_REFUSED, "version_too_old");
       return;
@@ -230,11 +230,11 @@
 static void
 handle_answer (QuinceSample *sample, const QuinceHttpHead *head, gboolean has_partial_event)
 {
-  QuincePlatformAnswerHeaders facts;
-  quince_platform_read_answer (head, &facts);
+  QuincePlatformAnswerHeaders answer_headers;
+  quince_platform_read_answer (head, &answer_headers);
   if (sample->accepted && !has_partial_event && sample->last_event > 0)
     sample->run_ended (sample, QUINCE_RUN_COMPLETE, "whole", sample->user_data);
-  else if (facts.not_run)
+  else if (answer_headers.not_run)
     sample->run_ended (sample, QUINCE_RUN_REFUSED, "worker_refused", sample->user_data);
   else if (head->status == 422)
     sample->run_ended (sample, QUINCE_RUN_UNPROCESSABLE, "unprocessable", sample->user_data);
@@ -251,7 +251,7 @@
                gpointer user_data)
 {
   QuinceSample *sample = user_data;
-  gboolean has_partial_event = quince_platform_event_parser_has_partial_event (sample->events);
+  gboolean has_partial_event = quince_platform_event_parser_has_partial_event (sample->event_parser);
   release_worker (sample);
   if (outcome == QUINCE_HTTP_ANSWERED)
     handle_answer (sample, quince_http_exchange_get_head (exchange), has_partial_event);
@@ -305,13 +305,13 @@
   gint64 time_left_ms = RUN_TIME_MAX_MS;
   if (sample->give_up_us > 0)
     time_left_ms = CLAMP ((sample->give_up_us - quince_now_us ()) / 1000, 1, RUN_TIME_MAX_MS);
-  const QuincePlatformAttemptHeaders dispatch
+  const QuincePlatformAttemptHeaders attempt_headers
       = { .worker_id = worker->id,
           .time_left_ms = time_left_ms,
-          .resume_after = sample->last_event > 0 ? (gint64)sample->last_event : -1,
+          .last_event_id = sample->last_event > 0 ? (gint64)sample->last_event : -1,
           .priority = priority,
           .tenant = sample->entry->tenant };
-  quince_platform_write_attempt_headers (headers, &dispatch);
+  quince_platform_write_attempt_headers (headers, &attempt_headers);
   return headers;
 }
 
@@ -340,7 +340,7 @@
   sample->started_us = quince_now_us ();
   sample->last_received_us = sample->started_us;
   sample->last_event_us = 0;
-  sample->events = quince_platform_event_parser_new ();
+  sample->event_parser = quince_platform_event_parser_new ();
   worker->running++;
   sample->exchange = quince_http_pool_start (quince_backends_get_pool (backends, worker), &request,
                                              &exchange_callbacks, sample);
--- a/daemons/replica/sample.h
+++ b/daemons/replica/sample.h
@@ -58,7 +58,7 @@
   char *worker_id;
   QuinceBackends *backends;
   QuinceHttpExchange *exchange;
-  QuincePlatformEventParser *events;
+  QuincePlatformEventParser *event_parser;
   QuinceTimer *silence_timer;
   gint64 last_received_us; /* when bytes of the response last arrived */
   gint64 started_us;
--- a/daemons/replica/step-demand.c
+++ b/daemons/replica/step-demand.c
@@ -17,9 +17,9 @@
   for (guint i = 0; i < batch->items.items_len; i++)
     {
       const QuinceBatchItem *item = &batch->items.items_val[i];
-      QuincePlatformLengthEstimate length;
-      quince_platform_read_length_estimate (item, &length);
-      tokens += length.estimated_tokens > 0 ? length.estimated_tokens : item->tokens;
+      QuincePlatformLengthEstimate estimate;
+      quince_platform_read_length_estimate (item, &estimate);
+      tokens += estimate.estimated_tokens > 0 ? estimate.estimated_tokens : item->tokens;
     }
   return tokens;
 }
