--- a/tools/cold-commands.c
+++ b/tools/cold-commands.c
@@ -22,7 +22,7 @@
 } Listing;
 
 static void
-configuration_read (const QuinceMetaItem *item, gpointer data)
+handle_configuration_item (const QuinceMetaItem *item, gpointer data)
 {
   Listing *listing = data;
   g_autoptr (GError) error = NULL;
@@ -35,7 +35,7 @@
 }
 
 static void
-worker_read (const QuinceMetaItem *item, gpointer data)
+handle_listed_worker (const QuinceMetaItem *item, gpointer data)
 {
   Listing *listing = data;
   g_autoptr (GError) error = NULL;
@@ -79,14 +79,14 @@
 QuinceToolStatus
 quince_command_cold (QuinceTool *tool)
 {
-  if (!quince_tool_need_store (tool))
+  if (!quince_tool_require_store (tool))
     return QUINCE_TOOL_USAGE;
   Listing listing = { 0 };
   listing.workers = g_ptr_array_new_with_free_func ((GDestroyNotify)quince_worker_free);
-  QuinceToolStatus status
-      = quince_store_read_prefix (tool, QUINCE_PLATFORM_CONFIGURATION_KEY, configuration_read, &listing);
+  QuinceToolStatus status = quince_store_read_prefix (tool, QUINCE_PLATFORM_CONFIGURATION_KEY,
+                                                      handle_configuration_item, &listing);
   if (status == QUINCE_TOOL_OK)
-    status = quince_store_read_prefix (tool, QUINCE_PLATFORM_WORKERS_PREFIX, worker_read, &listing);
+    status = quince_store_read_prefix (tool, QUINCE_PLATFORM_WORKERS_PREFIX, handle_listed_worker, &listing);
   if (status == QUINCE_TOOL_OK)
     print_workers (&listing);
   g_ptr_array_unref (listing.workers);
--- a/tools/event-commands.c
+++ b/tools/event-commands.c
@@ -15,7 +15,7 @@
 #include "table.h"
 
 /* Longest event and latest start from now, s: one year, so that a number in other units is refused. */
-#define SECONDS_MAX (366.0 * 24 * 3600)
+#define EVENT_TIME_MAX_S (366.0 * 24 * 3600)
 
 static gint64
 now_ms (void)
@@ -32,7 +32,7 @@
   if (!g_ascii_isdigit (text[0]))
     return FALSE;
   double seconds = g_ascii_strtod (text, &end);
-  if (*end != '\0' || !isfinite (seconds) || seconds > SECONDS_MAX)
+  if (*end != '\0' || !isfinite (seconds) || seconds > EVENT_TIME_MAX_S)
     return FALSE;
   *ms = (gint64)llround (seconds * 1000);
   return TRUE;
@@ -70,10 +70,10 @@
 static void
 add_event_json (JsonBuilder *builder, const char *name, const QuinceEventEntry *event)
 {
-  quince_tool_add_text (builder, "name", name);
-  quince_tool_add_text (builder, "service", event->service);
-  quince_tool_add_number (builder, "start_ms", event->start_ms);
-  quince_tool_add_number (builder, "duration_ms", event->duration_ms);
+  quince_tool_add_string (builder, "name", name);
+  quince_tool_add_string (builder, "service", event->service);
+  quince_tool_add_int (builder, "start_ms", event->start_ms);
+  quince_tool_add_int (builder, "duration_ms", event->duration_ms);
 }
 
 /* @expected: requests at the start, which the store does not keep */
@@ -86,7 +86,7 @@
       g_autoptr (JsonBuilder) builder = json_builder_new ();
       json_builder_begin_object (builder);
       add_event_json (builder, name, event);
-      quince_tool_add_number (builder, "expected", (gint64)expected);
+      quince_tool_add_int (builder, "expected", (gint64)expected);
       json_builder_end_object (builder);
       quince_tool_print_json (builder);
       return;
@@ -97,17 +97,19 @@
 
 /* Checks the flags. */
 static QuinceToolStatus
-read_event (const QuinceToolArguments *arguments, QuinceEventEntry *event, guint64 *expected)
+parse_event_flags (const QuinceToolArguments *arguments, QuinceEventEntry *event, guint64 *expected)
 {
   if (arguments->start == NULL || arguments->duration == NULL)
-    return quince_tool_usage ("event create needs --start and --duration");
+    return quince_tool_fail_usage ("event create needs --start and --duration");
   if (!parse_start (arguments->start, &event->start_ms))
-    return quince_tool_usage ("--start takes RFC 3339 with a zone, or +SECONDS, not '%s'", arguments->start);
+    return quince_tool_fail_usage ("--start takes RFC 3339 with a zone, or +SECONDS, not '%s'",
+                                   arguments->start);
   if (!parse_seconds (arguments->duration, &event->duration_ms))
-    return quince_tool_usage ("--duration takes seconds, at most 366 days, not '%s'", arguments->duration);
+    return quince_tool_fail_usage ("--duration takes seconds, at most 366 days, not '%s'",
+                                   arguments->duration);
   if (arguments->expected != NULL
       && !g_ascii_string_to_unsigned (arguments->expected, 10, 0, G_MAXINT64, expected, NULL))
-    return quince_tool_usage ("--expected takes a number, not '%s'", arguments->expected);
+    return quince_tool_fail_usage ("--expected takes a number, not '%s'", arguments->expected);
   event->service = (char *)(arguments->service != NULL ? arguments->service : "");
   return QUINCE_TOOL_OK;
 }
@@ -117,7 +119,8 @@
 {
   QuinceEventEntry event = { 0 };
   guint64 expected = 0;
-  if (!quince_tool_need_store (tool) || read_event (&tool->arguments, &event, &expected) != QUINCE_TOOL_OK)
+  if (!quince_tool_require_store (tool)
+      || parse_event_flags (&tool->arguments, &event, &expected) != QUINCE_TOOL_OK)
     return QUINCE_TOOL_USAGE;
   g_autoptr (GBytes) value = quince_event_entry_format (&event);
   QuinceToolStatus status
@@ -131,7 +134,7 @@
 quince_command_event_delete (QuinceTool *tool)
 {
   const char *name = tool->arguments.operands[0];
-  if (!quince_tool_need_store (tool))
+  if (!quince_tool_require_store (tool))
     return QUINCE_TOOL_USAGE;
   QuinceToolStatus status = quince_store_put_entry (tool, QUINCE_EVENTS_PREFIX, name, NULL);
   if (status == QUINCE_TOOL_OK && !tool->arguments.json)
@@ -170,7 +173,7 @@
 }
 
 static void
-event_read (const QuinceMetaItem *item, gpointer data)
+handle_event_item (const QuinceMetaItem *item, gpointer data)
 {
   Listing *listing = data;
   const char *name = item->key + strlen (QUINCE_EVENTS_PREFIX);
@@ -201,7 +204,8 @@
   g_autoptr (JsonBuilder) builder = json_builder_new ();
   Listing listing = { .builder = builder };
   json_builder_begin_array (builder);
-  QuinceToolStatus status = quince_store_read_prefix (tool, QUINCE_EVENTS_PREFIX, event_read, &listing);
+  QuinceToolStatus status
+      = quince_store_read_prefix (tool, QUINCE_EVENTS_PREFIX, handle_event_item, &listing);
   json_builder_end_array (builder);
   if (status == QUINCE_TOOL_OK)
     quince_tool_print_json (builder);
@@ -214,7 +218,8 @@
   static const char *const headings[] = { "EVENT", "SERVICE", "START", "DURATION", "STATE", NULL };
   g_autoptr (QuinceTable) table = quince_table_new (headings);
   Listing listing = { .table = table };
-  QuinceToolStatus status = quince_store_read_prefix (tool, QUINCE_EVENTS_PREFIX, event_read, &listing);
+  QuinceToolStatus status
+      = quince_store_read_prefix (tool, QUINCE_EVENTS_PREFIX, handle_event_item, &listing);
   if (status == QUINCE_TOOL_OK)
     quince_table_print (table);
   return status;
@@ -223,7 +228,7 @@
 QuinceToolStatus
 quince_command_event_list (QuinceTool *tool)
 {
-  if (!quince_tool_need_store (tool))
+  if (!quince_tool_require_store (tool))
     return QUINCE_TOOL_USAGE;
   return tool->arguments.json ? list_as_json (tool) : list_as_table (tool);
 }
--- a/tools/line-diff.c
+++ b/tools/line-diff.c
@@ -9,7 +9,7 @@
 #define CONTEXT_LINES 3
 /* Cells of the table of common lengths: 64 MiB, programs of 4,000 changed lines; beyond it the texts are
  * shown as wholly replaced. */
-#define CELLS_MAX (16 * 1024 * 1024)
+#define LCS_TABLE_MAX_CELLS (16 * 1024 * 1024)
 
 typedef struct
 {
@@ -39,7 +39,7 @@
 }
 
 static gboolean
-same_line (const Lines *a, guint i, const Lines *b, guint j)
+are_lines_equal (const Lines *a, guint i, const Lines *b, guint j)
 {
   gboolean a_open = a->open && i + 1 == a->length;
   gboolean b_open = b->open && j + 1 == b->length;
@@ -48,14 +48,14 @@
 
 /* lengths[i * (m + 1) + j]: longest common subsequence of a[first_a + i..] and b[first_b + j..] */
 static guint32 *
-common_lengths (const Lines *a, const Lines *b, guint first, guint n, guint m)
+compute_lcs_lengths (const Lines *a, const Lines *b, guint first, guint n, guint m)
 {
   guint32 *lengths = g_new0 (guint32, (gsize)(n + 1) * (m + 1));
   for (guint i = n; i-- > 0;)
     for (guint j = m; j-- > 0;)
       {
         guint32 *cell = &lengths[(gsize)i * (m + 1) + j];
-        if (same_line (a, first + i, b, first + j))
+        if (are_lines_equal (a, first + i, b, first + j))
           *cell = cell[m + 2] + 1;
         else
           *cell = MAX (cell[m + 1], cell[1]);
@@ -74,14 +74,14 @@
 static void
 diff_middle (const Lines *a, const Lines *b, guint first, guint n, guint m, GArray *out)
 {
-  gboolean too_large = (guint64)(n + 1) * (m + 1) > CELLS_MAX;
-  g_autofree guint32 *lengths = too_large ? NULL : common_lengths (a, b, first, n, m);
+  gboolean too_large = (guint64)(n + 1) * (m + 1) > LCS_TABLE_MAX_CELLS;
+  g_autofree guint32 *lengths = too_large ? NULL : compute_lcs_lengths (a, b, first, n, m);
   guint i = 0;
   guint j = 0;
   while (i < n || j < m)
     {
       const guint32 *cell = too_large ? NULL : &lengths[(gsize)i * (m + 1) + j];
-      if (!too_large && i < n && j < m && same_line (a, first + i, b, first + j))
+      if (!too_large && i < n && j < m && are_lines_equal (a, first + i, b, first + j))
         {
           add_line (out, ' ', a, first + i, first + i, first + j);
           i++;
@@ -106,10 +106,10 @@
   GArray *out = g_array_new (FALSE, FALSE, sizeof (DiffLine));
   guint shorter = MIN (a->length, b->length);
   guint start = 0;
-  while (start < shorter && same_line (a, start, b, start))
+  while (start < shorter && are_lines_equal (a, start, b, start))
     start++;
   guint end = 0;
-  while (end < shorter - start && same_line (a, a->length - 1 - end, b, b->length - 1 - end))
+  while (end < shorter - start && are_lines_equal (a, a->length - 1 - end, b, b->length - 1 - end))
     end++;
   for (guint i = 0; i < start; i++)
     add_line (out, ' ', a, i, i, i);
@@ -121,7 +121,7 @@
 
 /* Index of the first changed line at or after @from; the length when there is none. */
 static guint
-next_change (GArray *lines, guint from)
+find_next_change (GArray *lines, guint from)
 {
   while (from < lines->len && g_array_index (lines, DiffLine, from).sign == ' ')
     from++;
@@ -130,7 +130,7 @@
 
 /* One past the last line of the hunk that begins at the change @change. */
 static guint
-hunk_end (GArray *lines, guint change)
+find_hunk_end (GArray *lines, guint change)
 {
   guint end = change;
   while (change < lines->len && change <= end + 2 * CONTEXT_LINES)
@@ -138,7 +138,7 @@
       while (change < lines->len && g_array_index (lines, DiffLine, change).sign != ' ')
         change++;
       end = change;
-      change = next_change (lines, change);
+      change = find_next_change (lines, change);
     }
   return MIN (end + CONTEXT_LINES, lines->len);
 }
@@ -187,13 +187,13 @@
   g_autoptr (GArray) lines = diff_lines (&a, &b);
   GString *text = g_string_new (NULL);
   g_string_append_printf (text, "--- %s\n+++ %s\n", old_name, new_name);
-  guint change = next_change (lines, 0);
+  guint change = find_next_change (lines, 0);
   while (change < lines->len)
     {
       guint begin = change > CONTEXT_LINES ? change - CONTEXT_LINES : 0;
-      guint end = hunk_end (lines, change);
+      guint end = find_hunk_end (lines, change);
       append_hunk (text, lines, begin, end);
-      change = next_change (lines, end);
+      change = find_next_change (lines, end);
     }
   g_strfreev (a.lines);
   g_strfreev (b.lines);
--- a/tools/log-commands.c
+++ b/tools/log-commands.c
@@ -8,11 +8,11 @@
 #include "core/trace/log-trace.h"
 
 /* Called for each line; without its end. */
-typedef void (*LineVisit) (const char *file, guint number, const char *line, gpointer user_data);
+typedef void (*LineFunc) (const char *file, guint number, const char *line, gpointer user_data);
 
 /* "-" is standard input. */
 static gboolean
-visit_lines (const char *file, LineVisit visit, gpointer user_data)
+foreach_line (const char *file, LineFunc visit, gpointer user_data)
 {
   FILE *stream = g_str_equal (file, "-") ? stdin : fopen (file, "r");
   if (stream == NULL)
@@ -44,7 +44,7 @@
   const QuinceToolArguments *arguments = &tool->arguments;
   g_autoptr (QuinceLogTrace) trace = quince_log_trace_new ();
   for (guint i = 1; i < arguments->n_operands; i++)
-    if (!visit_lines (arguments->operands[i], add_line, trace))
+    if (!foreach_line (arguments->operands[i], add_line, trace))
       return quince_tool_fail ("file", "%s cannot be read", arguments->operands[i]);
   g_autofree char *text = quince_log_trace_format (trace, arguments->operands[0]);
   if (text == NULL)
@@ -71,7 +71,7 @@
   const QuinceToolArguments *arguments = &tool->arguments;
   guint refused = 0;
   for (guint i = 0; i < arguments->n_operands; i++)
-    if (!visit_lines (arguments->operands[i], check_line, &refused))
+    if (!foreach_line (arguments->operands[i], check_line, &refused))
       return quince_tool_fail ("file", "%s cannot be read", arguments->operands[i]);
   if (refused > 0)
     return quince_tool_fail ("log", "%u lines outside the vocabulary", refused);
--- a/tools/main.c
+++ b/tools/main.c
@@ -53,11 +53,11 @@
   const char *group;    /* first word */
   const char *name;     /* second word; NULL: no second */
   const char *operands; /* what follows, for the help */
-  guint n_operands;     /* with @takes_more the least of them */
+  guint n_operands;     /* with @accepts_more_operands the least of them */
   const struct argp_option *flags;
   const char *help;
   QuinceToolStatus (*run) (QuinceTool *tool);
-  gboolean takes_more;
+  gboolean accepts_more_operands;
 } ToolCommand;
 
 static const ToolCommand commands[] = {
@@ -227,8 +227,8 @@
       *index += command->name != NULL ? 1 : 0;
       return command;
     }
-  quince_tool_usage ("no such command: %s%s%s; see quinceroute --help", group, name != NULL ? " " : "",
-                     name != NULL ? name : "");
+  quince_tool_fail_usage ("no such command: %s%s%s; see quinceroute --help", group, name != NULL ? " " : "",
+                          name != NULL ? name : "");
   return NULL;
 }
 
@@ -241,10 +241,10 @@
   argv[0] = name;
   argp_parse (&argp, argc, argv, 0, NULL, arguments);
   if (arguments->n_operands == command->n_operands
-      || (command->takes_more && arguments->n_operands > command->n_operands))
+      || (command->accepts_more_operands && arguments->n_operands > command->n_operands))
     return TRUE;
-  quince_tool_usage ("%s takes %u argument(s): %s", name + strlen ("quinceroute "), command->n_operands,
-                     command->operands);
+  quince_tool_fail_usage ("%s takes %u argument(s): %s", name + strlen ("quinceroute "), command->n_operands,
+                          command->operands);
   return FALSE;
 }
 
--- a/tools/policy-commands.c
+++ b/tools/policy-commands.c
@@ -35,9 +35,9 @@
     }
   g_autoptr (JsonBuilder) builder = json_builder_new ();
   json_builder_begin_object (builder);
-  quince_tool_add_flag (builder, "ok", TRUE);
-  quince_tool_add_number (builder, "bytes", (gint64)strlen (text));
-  quince_tool_add_text (builder, "hash", hash);
+  quince_tool_add_boolean (builder, "ok", TRUE);
+  quince_tool_add_int (builder, "bytes", (gint64)strlen (text));
+  quince_tool_add_string (builder, "hash", hash);
   json_builder_end_object (builder);
   quince_tool_print_json (builder);
   return QUINCE_TOOL_OK;
@@ -63,13 +63,13 @@
 
 /* A failure is printed. */
 static QuinceToolStatus
-read_accepted (QuinceTool *tool, AcceptedPolicy *policy)
+read_accepted_policy (QuinceTool *tool, AcceptedPolicy *policy)
 {
   g_auto (QuinceStoreAnswer) answer = { 0 };
   g_autoptr (GError) error = NULL;
   quince_store_read_key (tool, QUINCE_POLICY_KEY, &answer);
   if (!answer.done)
-    return quince_store_fail (answer.error);
+    return quince_store_report_error (answer.error);
   policy->revision = answer.revision;
   if (answer.value != NULL)
     policy->entry = quince_policy_entry_parse (answer.value, &error);
@@ -92,9 +92,9 @@
     }
   g_autoptr (JsonBuilder) builder = json_builder_new ();
   json_builder_begin_object (builder);
-  quince_tool_add_number (builder, "revision", (gint64)revision);
-  quince_tool_add_flag (builder, "same", diff == NULL);
-  quince_tool_add_text (builder, "diff", diff != NULL ? diff : "");
+  quince_tool_add_int (builder, "revision", (gint64)revision);
+  quince_tool_add_boolean (builder, "same", diff == NULL);
+  quince_tool_add_string (builder, "diff", diff != NULL ? diff : "");
   json_builder_end_object (builder);
   quince_tool_print_json (builder);
 }
@@ -103,13 +103,13 @@
 quince_command_policy_diff (QuinceTool *tool)
 {
   const char *path = tool->arguments.operands[0];
-  if (!quince_tool_need_store (tool))
+  if (!quince_tool_require_store (tool))
     return QUINCE_TOOL_USAGE;
   g_autofree char *text = quince_policy_program_read (path);
   if (text == NULL)
     return QUINCE_TOOL_FAILED;
   g_auto (AcceptedPolicy) policy = { 0 };
-  QuinceToolStatus status = read_accepted (tool, &policy);
+  QuinceToolStatus status = read_accepted_policy (tool, &policy);
   if (status != QUINCE_TOOL_OK)
     return status;
   g_autofree char *name = g_strdup_printf ("revision %" G_GUINT64_FORMAT, policy.revision);
@@ -143,7 +143,7 @@
 
 /* The write may have been carried out before another one replaced it. */
 static QuinceToolStatus
-fail_replaced (const Acceptance *acceptance, guint64 revision, const QuincePolicyEntry *entry)
+fail_possibly_replaced (const Acceptance *acceptance, guint64 revision, const QuincePolicyEntry *entry)
 {
   QuinceToolStatus status = fail_conflict (acceptance, revision, entry);
   quince_tool_fail ("conflict", "an answer was lost: this program may have been in force before that one");
@@ -156,15 +156,15 @@
 carry_out (QuinceTool *tool, const Acceptance *acceptance, guint64 *revision)
 {
   g_auto (QuinceStoreAnswer) answer = { 0 };
-  gboolean may_be_done = FALSE;
-  for (guint i = 0; i < QUINCE_STORE_SENDS_MAX; i++)
+  gboolean outcome_unknown = FALSE;
+  for (guint i = 0; i < QUINCE_STORE_WRITE_ATTEMPTS_MAX; i++)
     {
       quince_store_write_key (tool, QUINCE_POLICY_KEY, acceptance->value, (gint64)acceptance->expected,
                               &answer);
       *revision = answer.revision;
       if (answer.done)
         return QUINCE_TOOL_OK;
-      may_be_done = may_be_done || answer.error == QUINCE_META_ERROR_UNKNOWN;
+      outcome_unknown = outcome_unknown || answer.error == QUINCE_META_ERROR_UNKNOWN;
       quince_store_read_key (tool, QUINCE_POLICY_KEY, &answer);
       if (!answer.done)
         continue;
@@ -174,24 +174,26 @@
       if (entry != NULL && g_str_equal (entry->proposal, acceptance->proposal))
         return QUINCE_TOOL_OK;
       if (answer.revision != acceptance->expected)
-        return (may_be_done ? fail_replaced : fail_conflict) (acceptance, answer.revision, entry);
+        return (outcome_unknown ? fail_possibly_replaced : fail_conflict) (acceptance, answer.revision,
+                                                                           entry);
     }
-  return quince_store_fail (may_be_done ? QUINCE_META_ERROR_UNKNOWN : QUINCE_META_ERROR_UNAVAILABLE);
+  return quince_store_report_error (outcome_unknown ? QUINCE_META_ERROR_UNKNOWN
+                                                    : QUINCE_META_ERROR_UNAVAILABLE);
 }
 
 /* From --expect, or the revision that the key has now. */
 static QuinceToolStatus
-find_expected (QuinceTool *tool, guint64 *expected)
+get_expected_revision (QuinceTool *tool, guint64 *expected)
 {
   const char *text = tool->arguments.expect;
   if (text != NULL && !g_ascii_string_to_unsigned (text, 10, 0, G_MAXINT64, expected, NULL))
-    return quince_tool_usage ("--expect takes a revision number, not '%s'", text);
+    return quince_tool_fail_usage ("--expect takes a revision number, not '%s'", text);
   if (text != NULL)
     return QUINCE_TOOL_OK;
   g_auto (QuinceStoreAnswer) answer = { 0 };
   quince_store_read_key (tool, QUINCE_POLICY_KEY, &answer);
   *expected = answer.revision;
-  return answer.done ? QUINCE_TOOL_OK : quince_store_fail (answer.error);
+  return answer.done ? QUINCE_TOOL_OK : quince_store_report_error (answer.error);
 }
 
 static void
@@ -205,8 +207,8 @@
     }
   g_autoptr (JsonBuilder) builder = json_builder_new ();
   json_builder_begin_object (builder);
-  quince_tool_add_number (builder, "revision", (gint64)revision);
-  quince_tool_add_number (builder, "replaces", (gint64)expected);
+  quince_tool_add_int (builder, "revision", (gint64)revision);
+  quince_tool_add_int (builder, "replaces", (gint64)expected);
   json_builder_end_object (builder);
   quince_tool_print_json (builder);
 }
@@ -217,7 +219,7 @@
 {
   guint64 expected = 0;
   guint64 revision = 0;
-  QuinceToolStatus status = find_expected (tool, &expected);
+  QuinceToolStatus status = get_expected_revision (tool, &expected);
   if (status != QUINCE_TOOL_OK)
     return status;
   g_autofree char *author = quince_tool_get_author (tool);
@@ -235,10 +237,10 @@
 quince_command_policy_accept (QuinceTool *tool)
 {
   const char *path = tool->arguments.operands[0];
-  if (!quince_tool_need_store (tool))
+  if (!quince_tool_require_store (tool))
     return QUINCE_TOOL_USAGE;
   if (tool->arguments.comment == NULL)
-    return quince_tool_usage ("policy accept needs --comment TEXT");
+    return quince_tool_fail_usage ("policy accept needs --comment TEXT");
   g_autofree char *text = quince_policy_program_read (path);
   if (text == NULL || !quince_policy_program_check (path, text))
     return QUINCE_TOOL_FAILED;
@@ -253,11 +255,11 @@
   const QuincePolicyEntry *entry = policy->entry;
   g_autoptr (JsonBuilder) builder = json_builder_new ();
   json_builder_begin_object (builder);
-  quince_tool_add_number (builder, "revision", (gint64)policy->revision);
-  quince_tool_add_text (builder, "hash", policy->hash);
-  quince_tool_add_text (builder, "author", entry != NULL ? entry->author : "");
-  quince_tool_add_text (builder, "comment", entry != NULL ? entry->comment : "");
-  quince_tool_add_text (builder, "text", entry != NULL ? entry->program : "");
+  quince_tool_add_int (builder, "revision", (gint64)policy->revision);
+  quince_tool_add_string (builder, "hash", policy->hash);
+  quince_tool_add_string (builder, "author", entry != NULL ? entry->author : "");
+  quince_tool_add_string (builder, "comment", entry != NULL ? entry->comment : "");
+  quince_tool_add_string (builder, "text", entry != NULL ? entry->program : "");
   json_builder_end_object (builder);
   quince_tool_print_json (builder);
 }
@@ -265,10 +267,10 @@
 QuinceToolStatus
 quince_command_policy_show (QuinceTool *tool)
 {
-  if (!quince_tool_need_store (tool))
+  if (!quince_tool_require_store (tool))
     return QUINCE_TOOL_USAGE;
   g_auto (AcceptedPolicy) policy = { 0 };
-  QuinceToolStatus status = read_accepted (tool, &policy);
+  QuinceToolStatus status = read_accepted_policy (tool, &policy);
   if (status != QUINCE_TOOL_OK)
     return status;
   /* Heading lines are Lua comments, so that the output is itself the program. */
--- a/tools/policy-program.c
+++ b/tools/policy-program.c
@@ -9,7 +9,7 @@
 #include "policy/policy.h"
 
 static const char *
-error_name (const GError *error)
+get_policy_error_type (const GError *error)
 {
   static const char *const names[]
       = { "policy_too_large", "policy_syntax", "policy_runtime", "policy_instructions",
@@ -21,7 +21,7 @@
 
 /* At most one byte more than a program may have. */
 static char *
-read_bounded (const char *path, gsize *length, GError **error)
+read_file_limited (const char *path, gsize *length, GError **error)
 {
   g_autoptr (GFile) file = g_file_new_for_path (path);
   g_autoptr (GFileInputStream) stream = g_file_read (file, NULL, error);
@@ -39,7 +39,7 @@
 {
   g_autoptr (GError) error = NULL;
   gsize length = 0;
-  g_autofree char *text = read_bounded (path, &length, &error);
+  g_autofree char *text = read_file_limited (path, &length, &error);
   if (text == NULL)
     {
       quince_tool_fail ("file", "%s", error->message);
@@ -65,6 +65,6 @@
   g_autoptr (QuincePolicy) policy = quince_policy_compile (text, strlen (text), 0, &error);
   if (policy != NULL && quince_policy_check (policy, &error))
     return TRUE;
-  quince_tool_fail (error_name (error), "%s: %s", path, error->message);
+  quince_tool_fail (get_policy_error_type (error), "%s: %s", path, error->message);
   return FALSE;
 }
--- a/tools/quarantine-commands.c
+++ b/tools/quarantine-commands.c
@@ -13,7 +13,7 @@
 #include "table.h"
 
 static void
-add_entry (QuinceTable *table, const char *name, GBytes *value)
+add_entry_row (QuinceTable *table, const char *name, GBytes *value)
 {
   QuinceSuspect suspect = { 0 };
   gint64 ended_wall_ms = 0;
@@ -35,20 +35,21 @@
 }
 
 static void
-entry_read (const QuinceMetaItem *item, gpointer data)
+handle_quarantine_item (const QuinceMetaItem *item, gpointer data)
 {
   if (item->value != NULL)
-    add_entry (data, item->key + strlen (QUINCE_QUARANTINE_PREFIX), item->value);
+    add_entry_row (data, item->key + strlen (QUINCE_QUARANTINE_PREFIX), item->value);
 }
 
 QuinceToolStatus
 quince_command_quarantine_list (QuinceTool *tool)
 {
   static const char *const headings[] = { "DIGEST", "OF A", "SERVICE", "SOFTWARE", "ENDS", "LAST END", NULL };
-  if (!quince_tool_need_store (tool))
+  if (!quince_tool_require_store (tool))
     return QUINCE_TOOL_USAGE;
   g_autoptr (QuinceTable) table = quince_table_new (headings);
-  QuinceToolStatus status = quince_store_read_prefix (tool, QUINCE_QUARANTINE_PREFIX, entry_read, table);
+  QuinceToolStatus status
+      = quince_store_read_prefix (tool, QUINCE_QUARANTINE_PREFIX, handle_quarantine_item, table);
   if (status == QUINCE_TOOL_OK)
     quince_table_print (table);
   return status;
@@ -59,10 +60,10 @@
 {
   QuinceRequestDigest digest;
   const char *name = tool->arguments.operands[0];
-  if (!quince_tool_need_store (tool))
+  if (!quince_tool_require_store (tool))
     return QUINCE_TOOL_USAGE;
   if (!quince_request_digest_parse (name, &digest))
-    return quince_tool_usage ("a held request is named by 32 hexadecimal digits, not '%s'", name);
+    return quince_tool_fail_usage ("a held request is named by 32 hexadecimal digits, not '%s'", name);
   QuinceToolStatus status = quince_store_put_entry (tool, QUINCE_QUARANTINE_PREFIX, name, NULL);
   if (status == QUINCE_TOOL_OK)
     printf ("request %s is released: it is sent once more, alone\n", name);
--- a/tools/store-calls.c
+++ b/tools/store-calls.c
@@ -6,7 +6,7 @@
 #include "meta/meta-mirror.h"
 
 /* Most time between two reads of a list that is not complete yet, ms; the least of a mirror's times. */
-#define LIST_EVERY_MS 1000
+#define MIRROR_READ_INTERVAL_MS 1000
 /* A list that is not complete by then fails, ms.  Not measured: far above what a store that answers
  * needs, and no more than an operator waits for a write. */
 #define LIST_TIMEOUT_MS 10000
@@ -27,7 +27,7 @@
 }
 
 static void
-call_answered (const QuinceMetaPage *page, guint64 number, const GError *error, gpointer data)
+handle_store_reply (const QuinceMetaPage *page, guint64 number, const GError *error, gpointer data)
 {
   Call *call = data;
   QuinceStoreAnswer *answer = call->answer;
@@ -48,7 +48,7 @@
 {
   Call call = { tool, answer };
   quince_store_answer_clear (answer);
-  quince_meta_store_get (tool->meta, key, call_answered, &call);
+  quince_meta_store_get (tool->meta, key, handle_store_reply, &call);
   quince_tool_wait (tool);
   if (!answer->done && answer->error == QUINCE_META_ERROR_GONE)
     *answer = (QuinceStoreAnswer){ .done = TRUE };
@@ -64,7 +64,7 @@
   const QuinceMetaChange change = { .key = key, .expected_revision = expected, .value = value };
   Call call = { tool, answer };
   quince_store_answer_clear (answer);
-  quince_meta_store_change (tool->meta, &change, 1, call_answered, &call);
+  quince_meta_store_change (tool->meta, &change, 1, handle_store_reply, &call);
   quince_tool_wait (tool);
 }
 
@@ -73,15 +73,15 @@
 {
   g_autofree char *key = g_strconcat (prefix, name, NULL);
   g_auto (QuinceStoreAnswer) answer = { 0 };
-  gboolean may_be_done = FALSE;
-  for (guint i = 0; i < QUINCE_STORE_SENDS_MAX; i++)
+  gboolean outcome_unknown = FALSE;
+  for (guint i = 0; i < QUINCE_STORE_WRITE_ATTEMPTS_MAX; i++)
     {
       quince_store_write_key (tool, key, value, -1, &answer);
       if (answer.done)
         return QUINCE_TOOL_OK;
-      may_be_done = may_be_done || answer.error == QUINCE_META_ERROR_UNKNOWN;
+      outcome_unknown = outcome_unknown || answer.error == QUINCE_META_ERROR_UNKNOWN;
     }
-  return quince_store_fail (may_be_done ? QUINCE_META_ERROR_UNKNOWN : answer.error);
+  return quince_store_report_error (outcome_unknown ? QUINCE_META_ERROR_UNKNOWN : answer.error);
 }
 
 /* ---- Lists ------------------------------------------------------------------ */
@@ -89,26 +89,26 @@
 typedef struct
 {
   QuinceTool *tool;
-  QuinceStoreItem item;
+  QuinceStoreItemFunc item;
   gpointer user_data;
   gboolean timed_out;
 } List;
 
 static void
-item_read (const QuinceMetaItem *item, gpointer data)
+handle_mirror_item (const QuinceMetaItem *item, gpointer data)
 {
   List *list = data;
   list->item (item, list->user_data);
 }
 
 static void
-all_read (gpointer data)
+handle_mirror_synced (gpointer data)
 {
   quince_tool_finish (((List *)data)->tool, QUINCE_TOOL_OK);
 }
 
 static gboolean
-list_timed_out (gpointer data)
+handle_list_timeout (gpointer data)
 {
   List *list = data;
   list->timed_out = TRUE;
@@ -117,25 +117,26 @@
 }
 
 QuinceToolStatus
-quince_store_read_prefix (QuinceTool *tool, const char *prefix, QuinceStoreItem item, gpointer user_data)
+quince_store_read_prefix (QuinceTool *tool, const char *prefix, QuinceStoreItemFunc item, gpointer user_data)
 {
-  static const QuinceMetaMirrorCallbacks callbacks = { .item = item_read, .synced = all_read };
+  static const QuinceMetaMirrorCallbacks callbacks
+      = { .item = handle_mirror_item, .synced = handle_mirror_synced };
   static const QuinceMetaMirrorTimes times
-      = { .read_interval_max_ms = LIST_EVERY_MS, .feed_timeout_ms = LIST_EVERY_MS };
+      = { .read_interval_max_ms = MIRROR_READ_INTERVAL_MS, .feed_timeout_ms = MIRROR_READ_INTERVAL_MS };
   List list = { .tool = tool, .item = item, .user_data = user_data };
   QuinceMetaMirror *mirror = quince_meta_mirror_new (tool->meta, prefix, 0, &callbacks, &list);
   quince_meta_mirror_set_times (mirror, &times);
-  guint timer = g_timeout_add (LIST_TIMEOUT_MS, list_timed_out, &list);
+  guint timer = g_timeout_add (LIST_TIMEOUT_MS, handle_list_timeout, &list);
   quince_tool_wait (tool);
   g_source_remove (timer);
   quince_meta_mirror_free (mirror);
-  return list.timed_out ? quince_store_fail (QUINCE_META_ERROR_UNAVAILABLE) : tool->status;
+  return list.timed_out ? quince_store_report_error (QUINCE_META_ERROR_UNAVAILABLE) : tool->status;
 }
 
 /* ---- Failures ---------------------------------------------------------------- */
 
 QuinceToolStatus
-quince_store_fail (QuinceMetaError error)
+quince_store_report_error (QuinceMetaError error)
 {
   switch (error)
     {
--- a/tools/store-calls.h
+++ b/tools/store-calls.h
@@ -3,7 +3,7 @@
  * answered.
  *
  * Owns nothing between calls.  Relies on the client of the store in QuinceTool, which must be open
- * (quince_tool_need_store()).
+ * (quince_tool_require_store()).
  */
 #pragma once
 
@@ -14,7 +14,7 @@
 /* Sends of one write at most, of which each waits for its answer for up to 1 s.  Not measured: enough for an
  * operator to outlast a change of the store's leader, few enough that the outcome is known within half a
  * minute. */
-#define QUINCE_STORE_SENDS_MAX 8
+#define QUINCE_STORE_WRITE_ATTEMPTS_MAX 8
 
 /* What the store answered to one call. */
 typedef struct
@@ -51,12 +51,12 @@
 quince_store_put_entry (QuinceTool *tool, const char *prefix, const char *name, GBytes *value);
 
 /* Called for each key of a prefix. */
-typedef void (*QuinceStoreItem) (const QuinceMetaItem *item, gpointer user_data);
+typedef void (*QuinceStoreItemFunc) (const QuinceMetaItem *item, gpointer user_data);
 /* Reads all keys that begin with @prefix, in their order. */
 QuinceToolStatus
-quince_store_read_prefix (QuinceTool *tool, const char *prefix, QuinceStoreItem item, gpointer user_data);
+quince_store_read_prefix (QuinceTool *tool, const char *prefix, QuinceStoreItemFunc item, gpointer user_data);
 
 /* Prints a failed call and maps it to the exit status. */
-QuinceToolStatus quince_store_fail (QuinceMetaError error);
+QuinceToolStatus quince_store_report_error (QuinceMetaError error);
 
 G_END_DECLS
--- a/tools/table.c
+++ b/tools/table.c
@@ -6,7 +6,7 @@
 #include <stdarg.h>
 #include <stdio.h>
 
-#define GAP "  "
+#define COLUMN_SEPARATOR "  "
 
 struct _QuinceTable
 {
@@ -54,7 +54,7 @@
 }
 
 static glong
-column_width (const QuinceTable *table, guint column)
+get_column_width (const QuinceTable *table, guint column)
 {
   glong width = 0;
   for (guint i = column; i < table->cells->len; i += table->columns)
@@ -67,13 +67,13 @@
 {
   g_autofree glong *widths = g_new (glong, table->columns);
   for (guint column = 0; column < table->columns; column++)
-    widths[column] = column_width (table, column);
+    widths[column] = get_column_width (table, column);
   for (guint i = 0; i < table->cells->len; i++)
     {
       const char *cell = table->cells->pdata[i];
       guint column = i % table->columns;
       gboolean last = column + 1 == table->columns;
       int padding = last ? 0 : (int)(widths[column] - g_utf8_strlen (cell, -1));
-      printf ("%s%*s%s", cell, padding, "", last ? "\n" : GAP);
+      printf ("%s%*s%s", cell, padding, "", last ? "\n" : COLUMN_SEPARATOR);
     }
 }
--- a/tools/tool.c
+++ b/tools/tool.c
@@ -32,7 +32,7 @@
 }
 
 QuinceToolStatus
-quince_tool_usage (const char *format, ...)
+quince_tool_fail_usage (const char *format, ...)
 {
   va_list arguments;
   va_start (arguments, format);
@@ -64,7 +64,7 @@
       = quince_settings_load (tool->arguments.config, specs, G_N_ELEMENTS (specs), overrides, &error);
   if (tool->settings == NULL)
     {
-      quince_tool_usage ("%s", error->message);
+      quince_tool_fail_usage ("%s", error->message);
       return FALSE;
     }
   const char *address = quince_settings_get_text (tool->settings, "operator", "store");
@@ -96,10 +96,10 @@
 }
 
 gboolean
-quince_tool_need_store (const QuinceTool *tool)
+quince_tool_require_store (const QuinceTool *tool)
 {
   if (tool->meta == NULL)
-    quince_tool_usage ("no address of the metadata store: give --store or [operator] store in --config");
+    quince_tool_fail_usage ("no address of the metadata store: give --store or [operator] store in --config");
   return tool->meta != NULL;
 }
 
@@ -135,21 +135,21 @@
 }
 
 void
-quince_tool_add_text (JsonBuilder *builder, const char *name, const char *value)
+quince_tool_add_string (JsonBuilder *builder, const char *name, const char *value)
 {
   json_builder_set_member_name (builder, name);
   json_builder_add_string_value (builder, value);
 }
 
 void
-quince_tool_add_number (JsonBuilder *builder, const char *name, gint64 value)
+quince_tool_add_int (JsonBuilder *builder, const char *name, gint64 value)
 {
   json_builder_set_member_name (builder, name);
   json_builder_add_int_value (builder, value);
 }
 
 void
-quince_tool_add_flag (JsonBuilder *builder, const char *name, gboolean value)
+quince_tool_add_boolean (JsonBuilder *builder, const char *name, gboolean value)
 {
   json_builder_set_member_name (builder, name);
   json_builder_add_boolean_value (builder, value);
--- a/tools/tool.h
+++ b/tools/tool.h
@@ -68,11 +68,11 @@
 void quince_tool_finish (QuinceTool *tool, QuinceToolStatus status);
 
 /* Print "quinceroute: ..." to standard error and return the exit status. */
-QuinceToolStatus quince_tool_usage (const char *format, ...) G_GNUC_PRINTF (1, 2);
+QuinceToolStatus quince_tool_fail_usage (const char *format, ...) G_GNUC_PRINTF (1, 2);
 QuinceToolStatus quince_tool_fail (const char *type, const char *format, ...) G_GNUC_PRINTF (2, 3);
 
 /* %FALSE, with the reason printed, when no address of the store is set. */
-gboolean quince_tool_need_store (const QuinceTool *tool);
+gboolean quince_tool_require_store (const QuinceTool *tool);
 
 /* Name of the operator: --author, else the login name where that is a valid name. (transfer full) */
 char *quince_tool_get_author (const QuinceTool *tool);
@@ -80,8 +80,8 @@
 /* Prints the builder's root to standard output. */
 void quince_tool_print_json (JsonBuilder *builder);
 /* Shorthand for members of an object. */
-void quince_tool_add_text (JsonBuilder *builder, const char *name, const char *value);
-void quince_tool_add_number (JsonBuilder *builder, const char *name, gint64 value);
-void quince_tool_add_flag (JsonBuilder *builder, const char *name, gboolean value);
+void quince_tool_add_string (JsonBuilder *builder, const char *name, const char *value);
+void quince_tool_add_int (JsonBuilder *builder, const char *name, gint64 value);
+void quince_tool_add_boolean (JsonBuilder *builder, const char *name, gboolean value);
 
 G_END_DECLS
--- a/tools/zone-commands.c
+++ b/tools/zone-commands.c
@@ -21,11 +21,11 @@
   guint workers;
   guint draining;
   guint64 evacuated; /* revision of the operator's evacuation; 0: not evacuated */
-} Zone;
+} ZoneSummary;
 
 typedef struct
 {
-  GTree *zones; /* name to Zone, both owned */
+  GTree *zones; /* name to ZoneSummary, both owned */
   QuinceTopology *topology;
   QuinceTable *table;
 } Listing;
@@ -36,26 +36,26 @@
   return strcmp (a, b);
 }
 
-static Zone *
+static ZoneSummary *
 find_or_add (Listing *listing, const char *name)
 {
-  Zone *zone = g_tree_lookup (listing->zones, name);
+  ZoneSummary *zone = g_tree_lookup (listing->zones, name);
   if (zone != NULL)
     return zone;
-  zone = g_new0 (Zone, 1);
+  zone = g_new0 (ZoneSummary, 1);
   g_tree_insert (listing->zones, g_strdup (name), zone);
   return zone;
 }
 
 static void
-evacuation_read (const QuinceMetaItem *item, gpointer data)
+handle_evacuation_item (const QuinceMetaItem *item, gpointer data)
 {
   if (item->value != NULL)
     find_or_add (data, item->key + strlen (QUINCE_PLATFORM_EVACUATE_PREFIX))->evacuated = item->revision;
 }
 
 static void
-worker_read (const QuinceMetaItem *item, gpointer data)
+handle_listed_worker (const QuinceMetaItem *item, gpointer data)
 {
   g_autoptr (GError) error = NULL;
   if (item->value == NULL)
@@ -66,7 +66,7 @@
       fprintf (stderr, "quinceroute: %s: %s\n", item->key, error->message);
       return;
     }
-  Zone *zone = find_or_add (data, worker->zone);
+  ZoneSummary *zone = find_or_add (data, worker->zone);
   zone->workers++;
   zone->draining += worker->draining ? 1 : 0;
 }
@@ -74,7 +74,7 @@
 static gboolean
 add_row (gpointer name, gpointer value, gpointer data)
 {
-  const Zone *zone = value;
+  const ZoneSummary *zone = value;
   const Listing *listing = data;
   QuinceTable *table = listing->table;
   const char *region = quince_topology_get_region (listing->topology, name);
@@ -104,19 +104,20 @@
 QuinceToolStatus
 quince_command_zones (QuinceTool *tool)
 {
-  if (!quince_tool_need_store (tool))
+  if (!quince_tool_require_store (tool))
     return QUINCE_TOOL_USAGE;
   g_autoptr (QuinceTopology) topology = quince_topology_new ("", "");
   g_autoptr (GError) error = NULL;
   if (!quince_topology_add_zones (topology, quince_settings_get_text (tool->settings, "operator", "zones"),
                                   &error))
-    return quince_tool_usage ("zones: %s", error->message);
+    return quince_tool_fail_usage ("zones: %s", error->message);
   Listing listing = { .topology = topology };
   listing.zones = g_tree_new_full (compare_names, NULL, g_free, g_free);
   QuinceToolStatus status
-      = quince_store_read_prefix (tool, QUINCE_PLATFORM_WORKERS_PREFIX, worker_read, &listing);
+      = quince_store_read_prefix (tool, QUINCE_PLATFORM_WORKERS_PREFIX, handle_listed_worker, &listing);
   if (status == QUINCE_TOOL_OK)
-    status = quince_store_read_prefix (tool, QUINCE_PLATFORM_EVACUATE_PREFIX, evacuation_read, &listing);
+    status
+        = quince_store_read_prefix (tool, QUINCE_PLATFORM_EVACUATE_PREFIX, handle_evacuation_item, &listing);
   if (status == QUINCE_TOOL_OK)
     print_zones (&listing);
   g_tree_unref (listing.zones);
