--- a/tools/cold-commands.c
+++ b/tools/cold-commands.c
@@ -19,12 +19,12 @@
 {
   QuinceRouteTable *routes; /* owned (nullable) */
   GPtrArray *workers;       /* QuinceWorker, owned: cold, or of unknown state */
-} Listing;
+} ColdWorkerListing;
 
 static void
 handle_configuration_item (const QuinceMetaItem *item, gpointer data)
 {
-  Listing *listing = data;
+  ColdWorkerListing *listing = data;
   g_autoptr (GError) error = NULL;
   if (item->value == NULL || !g_str_equal (item->key, QUINCE_PLATFORM_CONFIGURATION_KEY))
     return;
@@ -35,9 +35,9 @@
 }
 
 static void
-handle_listed_worker (const QuinceMetaItem *item, gpointer data)
+handle_worker_item (const QuinceMetaItem *item, gpointer data)
 {
-  Listing *listing = data;
+  ColdWorkerListing *listing = data;
   g_autoptr (GError) error = NULL;
   if (item->value == NULL)
     return;
@@ -49,7 +49,7 @@
 }
 
 static void
-add_row (const Listing *listing, QuinceTable *table, const QuinceWorker *worker)
+add_row (const ColdWorkerListing *listing, QuinceTable *table, const QuinceWorker *worker)
 {
   const QuinceService *service
       = listing->routes != NULL ? quince_route_table_find_service (listing->routes, worker->service) : NULL;
@@ -67,7 +67,7 @@
 }
 
 static void
-print_workers (const Listing *listing)
+print_workers (const ColdWorkerListing *listing)
 {
   static const char *const headings[] = { "WORKER", "SERVICE", "ZONE", "COLD MS", "REQUESTS/S", NULL };
   g_autoptr (QuinceTable) table = quince_table_new (headings);
@@ -81,12 +81,12 @@
 {
   if (!quince_tool_require_store (tool))
     return QUINCE_TOOL_USAGE;
-  Listing listing = { 0 };
+  ColdWorkerListing listing = { 0 };
   listing.workers = g_ptr_array_new_with_free_func ((GDestroyNotify)quince_worker_free);
   QuinceToolStatus status = quince_store_read_prefix (tool, QUINCE_PLATFORM_CONFIGURATION_KEY,
                                                       handle_configuration_item, &listing);
   if (status == QUINCE_TOOL_OK)
-    status = quince_store_read_prefix (tool, QUINCE_PLATFORM_WORKERS_PREFIX, handle_listed_worker, &listing);
+    status = quince_store_read_prefix (tool, QUINCE_PLATFORM_WORKERS_PREFIX, handle_worker_item, &listing);
   if (status == QUINCE_TOOL_OK)
     print_workers (&listing);
   g_ptr_array_unref (listing.workers);
--- a/tools/event-commands.c
+++ b/tools/event-commands.c
@@ -76,9 +76,9 @@
   quince_tool_add_int (builder, "duration_ms", event->duration_ms);
 }
 
-/* @expected: requests at the start, which the store does not keep */
+/* @expected_requests: requests at the start, which the store does not keep */
 static void
-print_created (const QuinceTool *tool, const QuinceEventEntry *event, guint64 expected)
+print_created (const QuinceTool *tool, const QuinceEventEntry *event, guint64 expected_requests)
 {
   const char *name = tool->arguments.operands[0];
   if (tool->arguments.json)
@@ -86,7 +86,7 @@
       g_autoptr (JsonBuilder) builder = json_builder_new ();
       json_builder_begin_object (builder);
       add_event_json (builder, name, event);
-      quince_tool_add_int (builder, "expected", (gint64)expected);
+      quince_tool_add_int (builder, "expected", (gint64)expected_requests);
       json_builder_end_object (builder);
       quince_tool_print_json (builder);
       return;
@@ -97,7 +97,7 @@
 
 /* Checks the flags. */
 static QuinceToolStatus
-parse_event_flags (const QuinceToolArguments *arguments, QuinceEventEntry *event, guint64 *expected)
+parse_event_flags (const QuinceToolArguments *arguments, QuinceEventEntry *event, guint64 *expected_requests)
 {
   if (arguments->start == NULL || arguments->duration == NULL)
     return quince_tool_fail_usage ("event create needs --start and --duration");
@@ -107,9 +107,10 @@
   if (!parse_seconds (arguments->duration, &event->duration_ms))
     return quince_tool_fail_usage ("--duration takes seconds, at most 366 days, not '%s'",
                                    arguments->duration);
-  if (arguments->expected != NULL
-      && !g_ascii_string_to_unsigned (arguments->expected, 10, 0, G_MAXINT64, expected, NULL))
-    return quince_tool_fail_usage ("--expected takes a number, not '%s'", arguments->expected);
+  if (arguments->expected_requests != NULL
+      && !g_ascii_string_to_unsigned (arguments->expected_requests, 10, 0, G_MAXINT64, expected_requests,
+                                      NULL))
+    return quince_tool_fail_usage ("--expected takes a number, not '%s'", arguments->expected_requests);
   event->service = (char *)(arguments->service != NULL ? arguments->service : "");
   return QUINCE_TOOL_OK;
 }
@@ -118,15 +119,15 @@
 quince_command_event_create (QuinceTool *tool)
 {
   QuinceEventEntry event = { 0 };
-  guint64 expected = 0;
+  guint64 expected_requests = 0;
   if (!quince_tool_require_store (tool)
-      || parse_event_flags (&tool->arguments, &event, &expected) != QUINCE_TOOL_OK)
+      || parse_event_flags (&tool->arguments, &event, &expected_requests) != QUINCE_TOOL_OK)
     return QUINCE_TOOL_USAGE;
   g_autoptr (GBytes) value = quince_event_entry_format (&event);
   QuinceToolStatus status
       = quince_store_put_entry (tool, QUINCE_EVENTS_PREFIX, tool->arguments.operands[0], value);
   if (status == QUINCE_TOOL_OK)
-    print_created (tool, &event, expected);
+    print_created (tool, &event, expected_requests);
   return status;
 }
 
@@ -149,15 +150,15 @@
 {
   QuinceTable *table;
   JsonBuilder *builder;
-} Listing;
+} EventOutput;
 
 static char *
 describe_phase (const QuinceEventEntry *event)
 {
-  gint64 until_ms = event->start_ms - now_ms ();
-  if (until_ms > 0)
-    return g_strdup_printf ("in %.1f s", (double)until_ms / 1000);
-  return g_strdup (until_ms + event->duration_ms > 0 ? "active" : "over");
+  gint64 until_start_ms = event->start_ms - now_ms ();
+  if (until_start_ms > 0)
+    return g_strdup_printf ("in %.1f s", (double)until_start_ms / 1000);
+  return g_strdup (until_start_ms + event->duration_ms > 0 ? "active" : "over");
 }
 
 static void
@@ -175,7 +176,7 @@
 static void
 handle_event_item (const QuinceMetaItem *item, gpointer data)
 {
-  Listing *listing = data;
+  EventOutput *output = data;
   const char *name = item->key + strlen (QUINCE_EVENTS_PREFIX);
   QuinceEventEntry event = { 0 };
   g_autoptr (GError) error = NULL;
@@ -188,24 +189,23 @@
     }
   g_autofree char *service = g_steal_pointer (&event.service);
   event.service = g_str_equal (service, "-") ? (char *)"" : service;
-  if (listing->table != NULL)
+  if (output->table != NULL)
     {
-      add_event_row (listing->table, name, &event);
+      add_event_row (output->table, name, &event);
       return;
     }
-  json_builder_begin_object (listing->builder);
-  add_event_json (listing->builder, name, &event);
-  json_builder_end_object (listing->builder);
+  json_builder_begin_object (output->builder);
+  add_event_json (output->builder, name, &event);
+  json_builder_end_object (output->builder);
 }
 
 static QuinceToolStatus
 list_as_json (QuinceTool *tool)
 {
   g_autoptr (JsonBuilder) builder = json_builder_new ();
-  Listing listing = { .builder = builder };
+  EventOutput output = { .builder = builder };
   json_builder_begin_array (builder);
-  QuinceToolStatus status
-      = quince_store_read_prefix (tool, QUINCE_EVENTS_PREFIX, handle_event_item, &listing);
+  QuinceToolStatus status = quince_store_read_prefix (tool, QUINCE_EVENTS_PREFIX, handle_event_item, &output);
   json_builder_end_array (builder);
   if (status == QUINCE_TOOL_OK)
     quince_tool_print_json (builder);
@@ -217,9 +217,8 @@
 {
   static const char *const headings[] = { "EVENT", "SERVICE", "START", "DURATION", "STATE", NULL };
   g_autoptr (QuinceTable) table = quince_table_new (headings);
-  Listing listing = { .table = table };
-  QuinceToolStatus status
-      = quince_store_read_prefix (tool, QUINCE_EVENTS_PREFIX, handle_event_item, &listing);
+  EventOutput output = { .table = table };
+  QuinceToolStatus status = quince_store_read_prefix (tool, QUINCE_EVENTS_PREFIX, handle_event_item, &output);
   if (status == QUINCE_TOOL_OK)
     quince_table_print (table);
   return status;
--- a/tools/line-diff.c
+++ b/tools/line-diff.c
@@ -13,134 +13,151 @@
 
 typedef struct
 {
-  char sign;        /* ' ', '-' or '+' */
-  const char *text; /* not owned */
-  gboolean open;    /* last line of its text, not ended by a newline */
-  guint old_line;   /* lines of the old text before this */
-  guint new_line;   /* lines of the new text before this */
+  char sign;              /* ' ', '-' or '+' */
+  const char *text;       /* not owned */
+  gboolean lacks_newline; /* last line of its text, not ended by a newline */
+  guint old_line;         /* lines of the old text before this */
+  guint new_line;         /* lines of the new text before this */
 } DiffLine;
 
 typedef struct
 {
   char **lines; /* owned */
-  guint length;
-  gboolean open; /* no newline at the end */
-} Lines;
+  guint n_lines;
+  gboolean lacks_newline; /* no newline at the end */
+} TextLines;
 
-static Lines
-split (const char *text)
+static TextLines
+split_lines (const char *text)
 {
-  Lines result = { .lines = g_strsplit (text, "\n", -1) };
-  result.length = g_strv_length (result.lines);
-  result.open = result.length > 0 && result.lines[result.length - 1][0] != '\0';
-  if (result.length > 0 && !result.open)
-    result.length--;
+  TextLines result = { .lines = g_strsplit (text, "\n", -1) };
+  result.n_lines = g_strv_length (result.lines);
+  result.lacks_newline = result.n_lines > 0 && result.lines[result.n_lines - 1][0] != '\0';
+  if (result.n_lines > 0 && !result.lacks_newline)
+    result.n_lines--;
   return result;
 }
 
 static gboolean
-are_lines_equal (const Lines *a, guint i, const Lines *b, guint j)
+are_lines_equal (const TextLines *old_lines, guint i, const TextLines *new_lines, guint j)
 {
-  gboolean a_open = a->open && i + 1 == a->length;
-  gboolean b_open = b->open && j + 1 == b->length;
-  return a_open == b_open && strcmp (a->lines[i], b->lines[j]) == 0;
+  gboolean old_lacks_newline = old_lines->lacks_newline && i + 1 == old_lines->n_lines;
+  gboolean new_lacks_newline = new_lines->lacks_newline && j + 1 == new_lines->n_lines;
+  return old_lacks_newline == new_lacks_newline && strcmp (old_lines->lines[i], new_lines->lines[j]) == 0;
 }
 
-/* lengths[i * (m + 1) + j]: longest common subsequence of a[first_a + i..] and b[first_b + j..] */
+/* lengths[i * (n_new + 1) + j]: longest common subsequence of old_lines[n_prefix + i..] and
+ * new_lines[n_prefix + j..] */
 static guint32 *
-compute_lcs_lengths (const Lines *a, const Lines *b, guint first, guint n, guint m)
+compute_lcs_lengths (const TextLines *old_lines,
+                     const TextLines *new_lines,
+                     guint n_prefix,
+                     guint n_old,
+                     guint n_new)
 {
-  guint32 *lengths = g_new0 (guint32, (gsize)(n + 1) * (m + 1));
-  for (guint i = n; i-- > 0;)
-    for (guint j = m; j-- > 0;)
+  guint32 *lengths = g_new0 (guint32, (gsize)(n_old + 1) * (n_new + 1));
+  for (guint i = n_old; i-- > 0;)
+    for (guint j = n_new; j-- > 0;)
       {
-        guint32 *cell = &lengths[(gsize)i * (m + 1) + j];
-        if (are_lines_equal (a, first + i, b, first + j))
-          *cell = cell[m + 2] + 1;
+        guint32 *cell = &lengths[(gsize)i * (n_new + 1) + j];
+        if (are_lines_equal (old_lines, n_prefix + i, new_lines, n_prefix + j))
+          *cell = cell[n_new + 2] + 1;
         else
-          *cell = MAX (cell[m + 1], cell[1]);
+          *cell = MAX (cell[n_new + 1], cell[1]);
       }
   return lengths;
 }
 
 static void
-add_line (GArray *out, char sign, const Lines *lines, guint i, guint old_line, guint new_line)
+add_line (GArray *diff, char sign, const TextLines *lines, guint i, guint old_line, guint new_line)
 {
-  DiffLine line = { sign, lines->lines[i], lines->open && i + 1 == lines->length, old_line, new_line };
-  g_array_append_val (out, line);
+  DiffLine line
+      = { sign, lines->lines[i], lines->lacks_newline && i + 1 == lines->n_lines, old_line, new_line };
+  g_array_append_val (diff, line);
 }
 
 /* The part between the common beginning and end. */
 static void
-diff_middle (const Lines *a, const Lines *b, guint first, guint n, guint m, GArray *out)
+diff_middle (const TextLines *old_lines,
+             const TextLines *new_lines,
+             guint n_prefix,
+             guint n_old,
+             guint n_new,
+             GArray *diff)
 {
-  gboolean too_large = (guint64)(n + 1) * (m + 1) > LCS_TABLE_MAX_CELLS;
-  g_autofree guint32 *lengths = too_large ? NULL : compute_lcs_lengths (a, b, first, n, m);
+  gboolean too_large = (guint64)(n_old + 1) * (n_new + 1) > LCS_TABLE_MAX_CELLS;
+  g_autofree guint32 *lengths
+      = too_large ? NULL : compute_lcs_lengths (old_lines, new_lines, n_prefix, n_old, n_new);
   guint i = 0;
   guint j = 0;
-  while (i < n || j < m)
+  while (i < n_old || j < n_new)
     {
-      const guint32 *cell = too_large ? NULL : &lengths[(gsize)i * (m + 1) + j];
-      if (!too_large && i < n && j < m && are_lines_equal (a, first + i, b, first + j))
+      const guint32 *cell = too_large ? NULL : &lengths[(gsize)i * (n_new + 1) + j];
+      if (!too_large && i < n_old && j < n_new
+          && are_lines_equal (old_lines, n_prefix + i, new_lines, n_prefix + j))
         {
-          add_line (out, ' ', a, first + i, first + i, first + j);
+          add_line (diff, ' ', old_lines, n_prefix + i, n_prefix + i, n_prefix + j);
           i++;
           j++;
         }
-      else if (i < n && (j == m || too_large || cell[m + 1] >= cell[1]))
+      else if (i < n_old && (j == n_new || too_large || cell[n_new + 1] >= cell[1]))
         {
-          add_line (out, '-', a, first + i, first + i, first + j);
+          add_line (diff, '-', old_lines, n_prefix + i, n_prefix + i, n_prefix + j);
           i++;
         }
       else
         {
-          add_line (out, '+', b, first + j, first + i, first + j);
+          add_line (diff, '+', new_lines, n_prefix + j, n_prefix + i, n_prefix + j);
           j++;
         }
     }
 }
 
 static GArray *
-diff_lines (const Lines *a, const Lines *b)
+diff_lines (const TextLines *old_lines, const TextLines *new_lines)
 {
-  GArray *out = g_array_new (FALSE, FALSE, sizeof (DiffLine));
-  guint shorter = MIN (a->length, b->length);
-  guint start = 0;
-  while (start < shorter && are_lines_equal (a, start, b, start))
-    start++;
-  guint end = 0;
-  while (end < shorter - start && are_lines_equal (a, a->length - 1 - end, b, b->length - 1 - end))
-    end++;
-  for (guint i = 0; i < start; i++)
-    add_line (out, ' ', a, i, i, i);
-  diff_middle (a, b, start, a->length - start - end, b->length - start - end, out);
-  for (guint i = 0; i < end; i++)
-    add_line (out, ' ', a, a->length - end + i, a->length - end + i, b->length - end + i);
-  return out;
+  GArray *diff = g_array_new (FALSE, FALSE, sizeof (DiffLine));
+  guint n_shared_max = MIN (old_lines->n_lines, new_lines->n_lines);
+  guint n_prefix = 0;
+  while (n_prefix < n_shared_max && are_lines_equal (old_lines, n_prefix, new_lines, n_prefix))
+    n_prefix++;
+  guint n_suffix = 0;
+  while (n_suffix < n_shared_max - n_prefix
+         && are_lines_equal (old_lines, old_lines->n_lines - 1 - n_suffix, new_lines,
+                             new_lines->n_lines - 1 - n_suffix))
+    n_suffix++;
+  for (guint i = 0; i < n_prefix; i++)
+    add_line (diff, ' ', old_lines, i, i, i);
+  diff_middle (old_lines, new_lines, n_prefix, old_lines->n_lines - n_prefix - n_suffix,
+               new_lines->n_lines - n_prefix - n_suffix, diff);
+  for (guint i = 0; i < n_suffix; i++)
+    add_line (diff, ' ', old_lines, old_lines->n_lines - n_suffix + i, old_lines->n_lines - n_suffix + i,
+              new_lines->n_lines - n_suffix + i);
+  return diff;
 }
 
 /* Index of the first changed line at or after @from; the length when there is none. */
 static guint
-find_next_change (GArray *lines, guint from)
+find_next_change (GArray *diff, guint from)
 {
-  while (from < lines->len && g_array_index (lines, DiffLine, from).sign == ' ')
+  while (from < diff->len && g_array_index (diff, DiffLine, from).sign == ' ')
     from++;
   return from;
 }
 
 /* One past the last line of the hunk that begins at the change @change. */
 static guint
-find_hunk_end (GArray *lines, guint change)
+find_hunk_end (GArray *diff, guint change)
 {
   guint end = change;
-  while (change < lines->len && change <= end + 2 * CONTEXT_LINES)
+  while (change < diff->len && change <= end + 2 * CONTEXT_LINES)
     {
-      while (change < lines->len && g_array_index (lines, DiffLine, change).sign != ' ')
+      while (change < diff->len && g_array_index (diff, DiffLine, change).sign != ' ')
         change++;
       end = change;
-      change = find_next_change (lines, change);
+      change = find_next_change (diff, change);
     }
-  return MIN (end + CONTEXT_LINES, lines->len);
+  return MIN (end + CONTEXT_LINES, diff->len);
 }
 
 static void
@@ -152,17 +169,17 @@
 }
 
 static void
-append_hunk (GString *text, GArray *lines, guint begin, guint end)
+append_hunk (GString *text, GArray *diff, guint begin, guint end)
 {
   guint old_count = 0;
   guint new_count = 0;
   for (guint i = begin; i < end; i++)
     {
-      char sign = g_array_index (lines, DiffLine, i).sign;
+      char sign = g_array_index (diff, DiffLine, i).sign;
       old_count += sign != '+';
       new_count += sign != '-';
     }
-  const DiffLine *first = &g_array_index (lines, DiffLine, begin);
+  const DiffLine *first = &g_array_index (diff, DiffLine, begin);
   g_string_append (text, "@@ ");
   append_range (text, '-', first->old_line, old_count);
   g_string_append_c (text, ' ');
@@ -170,9 +187,9 @@
   g_string_append (text, " @@\n");
   for (guint i = begin; i < end; i++)
     {
-      const DiffLine *line = &g_array_index (lines, DiffLine, i);
+      const DiffLine *line = &g_array_index (diff, DiffLine, i);
       g_string_append_printf (text, "%c%s\n", line->sign, line->text);
-      if (line->open)
+      if (line->lacks_newline)
         g_string_append (text, "\\ No newline at end of file\n");
     }
 }
@@ -182,20 +199,20 @@
 {
   if (strcmp (old_text, new_text) == 0)
     return NULL;
-  Lines a = split (old_text);
-  Lines b = split (new_text);
-  g_autoptr (GArray) lines = diff_lines (&a, &b);
+  TextLines old_lines = split_lines (old_text);
+  TextLines new_lines = split_lines (new_text);
+  g_autoptr (GArray) diff = diff_lines (&old_lines, &new_lines);
   GString *text = g_string_new (NULL);
   g_string_append_printf (text, "--- %s\n+++ %s\n", old_name, new_name);
-  guint change = find_next_change (lines, 0);
-  while (change < lines->len)
+  guint change = find_next_change (diff, 0);
+  while (change < diff->len)
     {
       guint begin = change > CONTEXT_LINES ? change - CONTEXT_LINES : 0;
-      guint end = find_hunk_end (lines, change);
-      append_hunk (text, lines, begin, end);
-      change = find_next_change (lines, end);
+      guint end = find_hunk_end (diff, change);
+      append_hunk (text, diff, begin, end);
+      change = find_next_change (diff, end);
     }
-  g_strfreev (a.lines);
-  g_strfreev (b.lines);
+  g_strfreev (old_lines.lines);
+  g_strfreev (new_lines.lines);
   return g_string_free (text, FALSE);
 }
--- a/tools/log-commands.c
+++ b/tools/log-commands.c
@@ -8,23 +8,23 @@
 #include "core/trace/log-trace.h"
 
 /* Called for each line; without its end. */
-typedef void (*LineFunc) (const char *file, guint number, const char *line, gpointer user_data);
+typedef void (*LineFunc) (const char *file, guint line_number, const char *line, gpointer user_data);
 
 /* "-" is standard input. */
 static gboolean
-foreach_line (const char *file, LineFunc visit, gpointer user_data)
+foreach_line (const char *file, LineFunc callback, gpointer user_data)
 {
   FILE *stream = g_str_equal (file, "-") ? stdin : fopen (file, "r");
   if (stream == NULL)
     return FALSE;
   char *line = NULL;
-  size_t room = 0;
+  size_t capacity = 0;
   ssize_t length;
-  for (guint number = 1; (length = getline (&line, &room, stream)) >= 0; number++)
+  for (guint line_number = 1; (length = getline (&line, &capacity, stream)) >= 0; line_number++)
     {
       if (length > 0 && line[length - 1] == '\n')
         line[length - 1] = '\0';
-      visit (file, number, line, user_data);
+      callback (file, line_number, line, user_data);
     }
   free (line);
   if (stream != stdin)
@@ -33,7 +33,7 @@
 }
 
 static void
-add_line (const char *file, guint number, const char *line, gpointer data)
+add_line (const char *file, guint line_number, const char *line, gpointer data)
 {
   quince_log_trace_add (data, line);
 }
@@ -54,26 +54,26 @@
 }
 
 static void
-check_line (const char *file, guint number, const char *line, gpointer data)
+check_line (const char *file, guint line_number, const char *line, gpointer data)
 {
-  guint *refused = data;
+  guint *n_invalid = data;
   g_autoptr (GError) error = NULL;
   /* "ready ...", by which a process prints its addresses, is no log line. */
   if (*line == '\0' || g_str_has_prefix (line, "ready ") || quince_log_line_check (line, &error))
     return;
-  (*refused)++;
-  printf ("%s:%u: %s\n", file, number, error->message);
+  (*n_invalid)++;
+  printf ("%s:%u: %s\n", file, line_number, error->message);
 }
 
 QuinceToolStatus
 quince_command_log_check (QuinceTool *tool)
 {
   const QuinceToolArguments *arguments = &tool->arguments;
-  guint refused = 0;
+  guint n_invalid = 0;
   for (guint i = 0; i < arguments->n_operands; i++)
-    if (!foreach_line (arguments->operands[i], check_line, &refused))
+    if (!foreach_line (arguments->operands[i], check_line, &n_invalid))
       return quince_tool_fail ("file", "%s cannot be read", arguments->operands[i]);
-  if (refused > 0)
-    return quince_tool_fail ("log", "%u lines outside the vocabulary", refused);
+  if (n_invalid > 0)
+    return quince_tool_fail ("log", "%u lines outside the vocabulary", n_invalid);
   return QUINCE_TOOL_OK;
 }
--- a/tools/main.c
+++ b/tools/main.c
@@ -125,7 +125,7 @@
       state->child_inputs[0] = arguments;
       return 0;
     case OPTION_EXPECT:
-      arguments->expect = value;
+      arguments->expected_revision = value;
       return 0;
     case OPTION_COMMENT:
       arguments->comment = value;
@@ -143,7 +143,7 @@
       arguments->service = value;
       return 0;
     case OPTION_EXPECTED:
-      arguments->expected = value;
+      arguments->expected_requests = value;
       return 0;
     case ARGP_KEY_ARG:
       if (arguments->n_operands >= G_N_ELEMENTS (arguments->operands))
@@ -157,7 +157,7 @@
 }
 
 static const struct argp global_argp = { global_flags, parse_global, NULL, NULL, NULL, NULL, NULL };
-static const struct argp_child global_child[] = { { &global_argp, 0, "Global flags:", 1 }, { 0 } };
+static const struct argp_child global_children[] = { { &global_argp, 0, "Global flags:", 1 }, { 0 } };
 
 /* ---- The command ---------------------------------------------------------------------- */
 
@@ -168,10 +168,10 @@
   for (gsize i = 0; i < G_N_ELEMENTS (commands); i++)
     {
       const ToolCommand *command = &commands[i];
-      g_autofree char *call
+      g_autofree char *usage
           = g_strjoin (" ", command->group, command->name != NULL ? command->name : command->operands,
                        command->name != NULL ? command->operands : NULL, NULL);
-      g_string_append_printf (text, "  %-22s %s\n", call, command->help);
+      g_string_append_printf (text, "  %-22s %s\n", usage, command->help);
     }
   g_string_append (text, "\nquinceroute COMMAND --help lists a command's flags.\n"
                          "Exit statuses: 0 done, 1 failed, 2 bad usage, 3 conflict with another operator,\n"
@@ -206,7 +206,7 @@
 find_command_index (int argc, char **argv, QuinceToolArguments *arguments)
 {
   g_autofree char *doc = describe_commands ();
-  struct argp argp = { NULL, parse_until_command, "COMMAND [ARGUMENT...]", doc, global_child, NULL, NULL };
+  struct argp argp = { NULL, parse_until_command, "COMMAND [ARGUMENT...]", doc, global_children, NULL, NULL };
   argp_parse (&argp, argc, argv, ARGP_IN_ORDER, NULL, arguments);
   int index = (int)arguments->n_operands;
   arguments->n_operands = 0;
@@ -237,7 +237,7 @@
 {
   g_autofree char *name = g_strjoin (" ", "quinceroute", command->group, command->name, NULL);
   struct argp argp
-      = { command->flags, parse_command, command->operands, command->help, global_child, NULL, NULL };
+      = { command->flags, parse_command, command->operands, command->help, global_children, NULL, NULL };
   argv[0] = name;
   argp_parse (&argp, argc, argv, 0, NULL, arguments);
   if (arguments->n_operands == command->n_operands
--- a/tools/policy-commands.c
+++ b/tools/policy-commands.c
@@ -68,7 +68,7 @@
   g_auto (QuinceStoreAnswer) answer = { 0 };
   g_autoptr (GError) error = NULL;
   quince_store_read_key (tool, QUINCE_POLICY_KEY, &answer);
-  if (!answer.done)
+  if (!answer.succeeded)
     return quince_store_report_error (answer.error);
   policy->revision = answer.revision;
   if (answer.value != NULL)
@@ -123,13 +123,13 @@
 
 typedef struct
 {
-  const char *proposal; /* random id of this accept */
-  GBytes *value;        /* of the key */
-  guint64 expected;     /* revision that it replaces, 0: none */
-} Acceptance;
+  const char *id;            /* random id of this accept */
+  GBytes *value;             /* of the key */
+  guint64 expected_revision; /* revision that it replaces, 0: none */
+} Proposal;
 
 static QuinceToolStatus
-fail_conflict (const Acceptance *acceptance, guint64 revision, const QuincePolicyEntry *entry)
+fail_conflict (const Proposal *proposal, guint64 revision, const QuincePolicyEntry *entry)
 {
   g_autofree char *comment = entry != NULL ? g_strescape (entry->comment, NULL) : NULL;
   g_autofree char *author
@@ -137,15 +137,15 @@
   quince_tool_fail ("conflict",
                     "revision %" G_GUINT64_FORMAT "%s was accepted meanwhile, revision %" G_GUINT64_FORMAT
                     " was expected",
-                    revision, author, acceptance->expected);
+                    revision, author, proposal->expected_revision);
   return QUINCE_TOOL_CONFLICT;
 }
 
 /* The write may have been carried out before another one replaced it. */
 static QuinceToolStatus
-fail_possibly_replaced (const Acceptance *acceptance, guint64 revision, const QuincePolicyEntry *entry)
+fail_possibly_replaced (const Proposal *proposal, guint64 revision, const QuincePolicyEntry *entry)
 {
-  QuinceToolStatus status = fail_conflict (acceptance, revision, entry);
+  QuinceToolStatus status = fail_conflict (proposal, revision, entry);
   quince_tool_fail ("conflict", "an answer was lost: this program may have been in force before that one");
   return status;
 }
@@ -153,29 +153,28 @@
 /* A read that fails decides nothing: only a key that is read shows whether the write was carried out.
  * Returns: an exit status; on QUINCE_TOOL_OK @revision is the accepted one. */
 static QuinceToolStatus
-carry_out (QuinceTool *tool, const Acceptance *acceptance, guint64 *revision)
+write_proposal (QuinceTool *tool, const Proposal *proposal, guint64 *revision)
 {
   g_auto (QuinceStoreAnswer) answer = { 0 };
   gboolean outcome_unknown = FALSE;
   for (guint i = 0; i < QUINCE_STORE_WRITE_ATTEMPTS_MAX; i++)
     {
-      quince_store_write_key (tool, QUINCE_POLICY_KEY, acceptance->value, (gint64)acceptance->expected,
+      quince_store_write_key (tool, QUINCE_POLICY_KEY, proposal->value, (gint64)proposal->expected_revision,
                               &answer);
       *revision = answer.revision;
-      if (answer.done)
+      if (answer.succeeded)
         return QUINCE_TOOL_OK;
       outcome_unknown = outcome_unknown || answer.error == QUINCE_META_ERROR_UNKNOWN;
       quince_store_read_key (tool, QUINCE_POLICY_KEY, &answer);
-      if (!answer.done)
+      if (!answer.succeeded)
         continue;
       *revision = answer.revision;
       g_autoptr (QuincePolicyEntry) entry
           = answer.value != NULL ? quince_policy_entry_parse (answer.value, NULL) : NULL;
-      if (entry != NULL && g_str_equal (entry->proposal, acceptance->proposal))
+      if (entry != NULL && g_str_equal (entry->proposal, proposal->id))
         return QUINCE_TOOL_OK;
-      if (answer.revision != acceptance->expected)
-        return (outcome_unknown ? fail_possibly_replaced : fail_conflict) (acceptance, answer.revision,
-                                                                           entry);
+      if (answer.revision != proposal->expected_revision)
+        return (outcome_unknown ? fail_possibly_replaced : fail_conflict) (proposal, answer.revision, entry);
     }
   return quince_store_report_error (outcome_unknown ? QUINCE_META_ERROR_UNKNOWN
                                                     : QUINCE_META_ERROR_UNAVAILABLE);
@@ -183,32 +182,32 @@
 
 /* From --expect, or the revision that the key has now. */
 static QuinceToolStatus
-get_expected_revision (QuinceTool *tool, guint64 *expected)
+get_expected_revision (QuinceTool *tool, guint64 *expected_revision)
 {
-  const char *text = tool->arguments.expect;
-  if (text != NULL && !g_ascii_string_to_unsigned (text, 10, 0, G_MAXINT64, expected, NULL))
+  const char *text = tool->arguments.expected_revision;
+  if (text != NULL && !g_ascii_string_to_unsigned (text, 10, 0, G_MAXINT64, expected_revision, NULL))
     return quince_tool_fail_usage ("--expect takes a revision number, not '%s'", text);
   if (text != NULL)
     return QUINCE_TOOL_OK;
   g_auto (QuinceStoreAnswer) answer = { 0 };
   quince_store_read_key (tool, QUINCE_POLICY_KEY, &answer);
-  *expected = answer.revision;
-  return answer.done ? QUINCE_TOOL_OK : quince_store_report_error (answer.error);
+  *expected_revision = answer.revision;
+  return answer.succeeded ? QUINCE_TOOL_OK : quince_store_report_error (answer.error);
 }
 
 static void
-print_accepted (const QuinceTool *tool, guint64 revision, guint64 expected)
+print_accepted (const QuinceTool *tool, guint64 revision, guint64 expected_revision)
 {
   if (!tool->arguments.json)
     {
       printf ("accepted revision %" G_GUINT64_FORMAT ", replaces %" G_GUINT64_FORMAT "\n", revision,
-              expected);
+              expected_revision);
       return;
     }
   g_autoptr (JsonBuilder) builder = json_builder_new ();
   json_builder_begin_object (builder);
   quince_tool_add_int (builder, "revision", (gint64)revision);
-  quince_tool_add_int (builder, "replaces", (gint64)expected);
+  quince_tool_add_int (builder, "replaces", (gint64)expected_revision);
   json_builder_end_object (builder);
   quince_tool_print_json (builder);
 }
@@ -217,19 +216,19 @@
 static QuinceToolStatus
 accept_program (QuinceTool *tool, char *program)
 {
-  guint64 expected = 0;
+  guint64 expected_revision = 0;
   guint64 revision = 0;
-  QuinceToolStatus status = get_expected_revision (tool, &expected);
+  QuinceToolStatus status = get_expected_revision (tool, &expected_revision);
   if (status != QUINCE_TOOL_OK)
     return status;
   g_autofree char *author = quince_tool_get_author (tool);
-  g_autofree char *proposal = g_uuid_string_random ();
-  const QuincePolicyEntry entry = { proposal, author, (char *)tool->arguments.comment, program };
+  g_autofree char *proposal_id = g_uuid_string_random ();
+  const QuincePolicyEntry entry = { proposal_id, author, (char *)tool->arguments.comment, program };
   g_autoptr (GBytes) value = quince_policy_entry_format (&entry);
-  const Acceptance acceptance = { proposal, value, expected };
-  status = carry_out (tool, &acceptance, &revision);
+  const Proposal proposal = { proposal_id, value, expected_revision };
+  status = write_proposal (tool, &proposal, &revision);
   if (status == QUINCE_TOOL_OK)
-    print_accepted (tool, revision, expected);
+    print_accepted (tool, revision, expected_revision);
   return status;
 }
 
--- a/tools/policy-program.c
+++ b/tools/policy-program.c
@@ -11,12 +11,12 @@
 static const char *
 get_policy_error_type (const GError *error)
 {
-  static const char *const names[]
+  static const char *const types[]
       = { "policy_too_large", "policy_syntax", "policy_runtime", "policy_instructions",
           "policy_memory",    "policy_result", "policy_case" };
-  if (error->domain != QUINCE_POLICY_ERROR || (guint)error->code >= G_N_ELEMENTS (names))
+  if (error->domain != QUINCE_POLICY_ERROR || (guint)error->code >= G_N_ELEMENTS (types))
     return "failed";
-  return names[error->code];
+  return types[error->code];
 }
 
 /* At most one byte more than a program may have. */
--- a/tools/store-calls.c
+++ b/tools/store-calls.c
@@ -31,7 +31,7 @@
 {
   Call *call = data;
   QuinceStoreAnswer *answer = call->answer;
-  answer->done = error == NULL;
+  answer->succeeded = error == NULL;
   answer->error = error != NULL ? (QuinceMetaError)error->code : 0;
   answer->revision = number;
   if (page != NULL && page->items->len > 0)
@@ -50,18 +50,18 @@
   quince_store_answer_clear (answer);
   quince_meta_store_get (tool->meta, key, handle_store_reply, &call);
   quince_tool_wait (tool);
-  if (!answer->done && answer->error == QUINCE_META_ERROR_GONE)
-    *answer = (QuinceStoreAnswer){ .done = TRUE };
+  if (!answer->succeeded && answer->error == QUINCE_META_ERROR_GONE)
+    *answer = (QuinceStoreAnswer){ .succeeded = TRUE };
 }
 
 void
 quince_store_write_key (QuinceTool *tool,
                         const char *key,
                         GBytes *value,
-                        gint64 expected,
+                        gint64 expected_revision,
                         QuinceStoreAnswer *answer)
 {
-  const QuinceMetaChange change = { .key = key, .expected_revision = expected, .value = value };
+  const QuinceMetaChange change = { .key = key, .expected_revision = expected_revision, .value = value };
   Call call = { tool, answer };
   quince_store_answer_clear (answer);
   quince_meta_store_change (tool->meta, &change, 1, handle_store_reply, &call);
@@ -77,7 +77,7 @@
   for (guint i = 0; i < QUINCE_STORE_WRITE_ATTEMPTS_MAX; i++)
     {
       quince_store_write_key (tool, key, value, -1, &answer);
-      if (answer.done)
+      if (answer.succeeded)
         return QUINCE_TOOL_OK;
       outcome_unknown = outcome_unknown || answer.error == QUINCE_META_ERROR_UNKNOWN;
     }
@@ -89,48 +89,51 @@
 typedef struct
 {
   QuinceTool *tool;
-  QuinceStoreItemFunc item;
+  QuinceStoreItemFunc callback;
   gpointer user_data;
   gboolean timed_out;
-} List;
+} PrefixRead;
 
 static void
 handle_mirror_item (const QuinceMetaItem *item, gpointer data)
 {
-  List *list = data;
-  list->item (item, list->user_data);
+  PrefixRead *prefix_read = data;
+  prefix_read->callback (item, prefix_read->user_data);
 }
 
 static void
 handle_mirror_synced (gpointer data)
 {
-  quince_tool_finish (((List *)data)->tool, QUINCE_TOOL_OK);
+  quince_tool_finish (((PrefixRead *)data)->tool, QUINCE_TOOL_OK);
 }
 
 static gboolean
 handle_list_timeout (gpointer data)
 {
-  List *list = data;
-  list->timed_out = TRUE;
-  quince_tool_finish (list->tool, QUINCE_TOOL_FAILED);
+  PrefixRead *prefix_read = data;
+  prefix_read->timed_out = TRUE;
+  quince_tool_finish (prefix_read->tool, QUINCE_TOOL_FAILED);
   return G_SOURCE_CONTINUE;
 }
 
 QuinceToolStatus
-quince_store_read_prefix (QuinceTool *tool, const char *prefix, QuinceStoreItemFunc item, gpointer user_data)
+quince_store_read_prefix (QuinceTool *tool,
+                          const char *prefix,
+                          QuinceStoreItemFunc callback,
+                          gpointer user_data)
 {
   static const QuinceMetaMirrorCallbacks callbacks
       = { .item = handle_mirror_item, .synced = handle_mirror_synced };
   static const QuinceMetaMirrorTimes times
       = { .read_interval_max_ms = MIRROR_READ_INTERVAL_MS, .feed_timeout_ms = MIRROR_READ_INTERVAL_MS };
-  List list = { .tool = tool, .item = item, .user_data = user_data };
-  QuinceMetaMirror *mirror = quince_meta_mirror_new (tool->meta, prefix, 0, &callbacks, &list);
+  PrefixRead prefix_read = { .tool = tool, .callback = callback, .user_data = user_data };
+  QuinceMetaMirror *mirror = quince_meta_mirror_new (tool->meta, prefix, 0, &callbacks, &prefix_read);
   quince_meta_mirror_set_times (mirror, &times);
-  guint timer = g_timeout_add (LIST_TIMEOUT_MS, handle_list_timeout, &list);
+  guint timer = g_timeout_add (LIST_TIMEOUT_MS, handle_list_timeout, &prefix_read);
   quince_tool_wait (tool);
   g_source_remove (timer);
   quince_meta_mirror_free (mirror);
-  return list.timed_out ? quince_store_report_error (QUINCE_META_ERROR_UNAVAILABLE) : tool->status;
+  return prefix_read.timed_out ? quince_store_report_error (QUINCE_META_ERROR_UNAVAILABLE) : tool->status;
 }
 
 /* ---- Failures ---------------------------------------------------------------- */
--- a/tools/store-calls.h
+++ b/tools/store-calls.h
@@ -19,7 +19,7 @@
 /* What the store answered to one call. */
 typedef struct
 {
-  gboolean done;         /* it was carried out; else @error says why not */
+  gboolean succeeded;    /* it was carried out; else @error says why not */
   QuinceMetaError error; /* UNKNOWN: a write may be carried out, now or some seconds later */
   guint64 revision;      /* of the key read or written; 0: the key is not there */
   GBytes *value;         /* owned (nullable): of the key read */
@@ -34,7 +34,7 @@
 /**
  * quince_store_write_key:
  * @value: (nullable): %NULL: remove the key
- * @expected: revision that the key must have, 0: none, -1: no condition
+ * @expected_revision: revision that the key must have, 0: none, -1: no condition
  * @answer: (out): cleared first
  *
  * One send of one write.
@@ -42,7 +42,7 @@
 void quince_store_write_key (QuinceTool *tool,
                              const char *key,
                              GBytes *value,
-                             gint64 expected,
+                             gint64 expected_revision,
                              QuinceStoreAnswer *answer);
 
 /* Writes, or removes where @value is %NULL, a key without a condition, which may be repeated: sends until one
@@ -53,8 +53,10 @@
 /* Called for each key of a prefix. */
 typedef void (*QuinceStoreItemFunc) (const QuinceMetaItem *item, gpointer user_data);
 /* Reads all keys that begin with @prefix, in their order. */
-QuinceToolStatus
-quince_store_read_prefix (QuinceTool *tool, const char *prefix, QuinceStoreItemFunc item, gpointer user_data);
+QuinceToolStatus quince_store_read_prefix (QuinceTool *tool,
+                                           const char *prefix,
+                                           QuinceStoreItemFunc callback,
+                                           gpointer user_data);
 
 /* Prints a failed call and maps it to the exit status. */
 QuinceToolStatus quince_store_report_error (QuinceMetaError error);
--- a/tools/table.c
+++ b/tools/table.c
@@ -10,7 +10,7 @@
 
 struct _QuinceTable
 {
-  guint columns;
+  guint n_columns;
   GPtrArray *cells; /* owned; char *, row after row, headings first */
 };
 
@@ -19,8 +19,8 @@
 {
   QuinceTable *table = g_new0 (QuinceTable, 1);
   table->cells = g_ptr_array_new_with_free_func (g_free);
-  for (; headings[table->columns] != NULL; table->columns++)
-    quince_table_add (table, headings[table->columns]);
+  for (; headings[table->n_columns] != NULL; table->n_columns++)
+    quince_table_add (table, headings[table->n_columns]);
   return table;
 }
 
@@ -57,7 +57,7 @@
 get_column_width (const QuinceTable *table, guint column)
 {
   glong width = 0;
-  for (guint i = column; i < table->cells->len; i += table->columns)
+  for (guint i = column; i < table->cells->len; i += table->n_columns)
     width = MAX (width, g_utf8_strlen (table->cells->pdata[i], -1));
   return width;
 }
@@ -65,15 +65,15 @@
 void
 quince_table_print (const QuinceTable *table)
 {
-  g_autofree glong *widths = g_new (glong, table->columns);
-  for (guint column = 0; column < table->columns; column++)
+  g_autofree glong *widths = g_new (glong, table->n_columns);
+  for (guint column = 0; column < table->n_columns; column++)
     widths[column] = get_column_width (table, column);
   for (guint i = 0; i < table->cells->len; i++)
     {
       const char *cell = table->cells->pdata[i];
-      guint column = i % table->columns;
-      gboolean last = column + 1 == table->columns;
-      int padding = last ? 0 : (int)(widths[column] - g_utf8_strlen (cell, -1));
-      printf ("%s%*s%s", cell, padding, "", last ? "\n" : COLUMN_SEPARATOR);
+      guint column = i % table->n_columns;
+      gboolean is_last = column + 1 == table->n_columns;
+      int padding = is_last ? 0 : (int)(widths[column] - g_utf8_strlen (cell, -1));
+      printf ("%s%*s%s", cell, padding, "", is_last ? "\n" : COLUMN_SEPARATOR);
     }
 }
--- a/tools/tool.h
+++ b/tools/tool.h
@@ -38,13 +38,13 @@
   const char *config;
   gboolean json;
   /* of single commands */
-  const char *expect;
+  const char *expected_revision;
   const char *comment;
   const char *author;
   const char *start;
   const char *duration;
   const char *service;
-  const char *expected;
+  const char *expected_requests;
   /* what follows the command's name */
   const char *operands[QUINCE_TOOL_OPERANDS_MAX];
   guint n_operands;
--- a/tools/zone-commands.c
+++ b/tools/zone-commands.c
@@ -18,9 +18,9 @@
 /* One zone, as the store describes it. */
 typedef struct
 {
-  guint workers;
-  guint draining;
-  guint64 evacuated; /* revision of the operator's evacuation; 0: not evacuated */
+  guint n_workers;
+  guint n_draining;
+  guint64 evacuation_revision; /* revision of the operator's evacuation; 0: not evacuated */
 } ZoneSummary;
 
 typedef struct
@@ -28,7 +28,7 @@
   GTree *zones; /* name to ZoneSummary, both owned */
   QuinceTopology *topology;
   QuinceTable *table;
-} Listing;
+} ZoneListing;
 
 static gint
 compare_names (gconstpointer a, gconstpointer b, gpointer data)
@@ -37,7 +37,7 @@
 }
 
 static ZoneSummary *
-find_or_add (Listing *listing, const char *name)
+find_or_add_zone (ZoneListing *listing, const char *name)
 {
   ZoneSummary *zone = g_tree_lookup (listing->zones, name);
   if (zone != NULL)
@@ -51,11 +51,12 @@
 handle_evacuation_item (const QuinceMetaItem *item, gpointer data)
 {
   if (item->value != NULL)
-    find_or_add (data, item->key + strlen (QUINCE_PLATFORM_EVACUATE_PREFIX))->evacuated = item->revision;
+    find_or_add_zone (data, item->key + strlen (QUINCE_PLATFORM_EVACUATE_PREFIX))->evacuation_revision
+        = item->revision;
 }
 
 static void
-handle_listed_worker (const QuinceMetaItem *item, gpointer data)
+handle_worker_item (const QuinceMetaItem *item, gpointer data)
 {
   g_autoptr (GError) error = NULL;
   if (item->value == NULL)
@@ -66,32 +67,32 @@
       fprintf (stderr, "quinceroute: %s: %s\n", item->key, error->message);
       return;
     }
-  ZoneSummary *zone = find_or_add (data, worker->zone);
-  zone->workers++;
-  zone->draining += worker->draining ? 1 : 0;
+  ZoneSummary *zone = find_or_add_zone (data, worker->zone);
+  zone->n_workers++;
+  zone->n_draining += worker->draining ? 1 : 0;
 }
 
 static gboolean
 add_row (gpointer name, gpointer value, gpointer data)
 {
   const ZoneSummary *zone = value;
-  const Listing *listing = data;
+  const ZoneListing *listing = data;
   QuinceTable *table = listing->table;
   const char *region = quince_topology_get_region (listing->topology, name);
   quince_table_add (table, name);
   quince_table_add (table, region != NULL ? region : NO_VALUE);
-  quince_table_add_format (table, "%u", zone->workers);
-  quince_table_add_format (table, "%u", zone->draining);
-  quince_table_add (table, zone->evacuated != 0 ? "yes" : "no");
-  if (zone->evacuated != 0)
-    quince_table_add_format (table, "%" G_GUINT64_FORMAT, zone->evacuated);
+  quince_table_add_format (table, "%u", zone->n_workers);
+  quince_table_add_format (table, "%u", zone->n_draining);
+  quince_table_add (table, zone->evacuation_revision != 0 ? "yes" : "no");
+  if (zone->evacuation_revision != 0)
+    quince_table_add_format (table, "%" G_GUINT64_FORMAT, zone->evacuation_revision);
   else
     quince_table_add (table, NO_VALUE);
   return FALSE;
 }
 
 static void
-print_zones (Listing *listing)
+print_zones (ZoneListing *listing)
 {
   static const char *const headings[]
       = { "ZONE", "REGION", "WORKERS", "DRAINING", "EVACUATED", "REVISION", NULL };
@@ -111,10 +112,10 @@
   if (!quince_topology_add_zones (topology, quince_settings_get_text (tool->settings, "operator", "zones"),
                                   &error))
     return quince_tool_fail_usage ("zones: %s", error->message);
-  Listing listing = { .topology = topology };
+  ZoneListing listing = { .topology = topology };
   listing.zones = g_tree_new_full (compare_names, NULL, g_free, g_free);
   QuinceToolStatus status
-      = quince_store_read_prefix (tool, QUINCE_PLATFORM_WORKERS_PREFIX, handle_listed_worker, &listing);
+      = quince_store_read_prefix (tool, QUINCE_PLATFORM_WORKERS_PREFIX, handle_worker_item, &listing);
   if (status == QUINCE_TOOL_OK)
     status
         = quince_store_read_prefix (tool, QUINCE_PLATFORM_EVACUATE_PREFIX, handle_evacuation_item, &listing);
