--- a/tools/cold-commands.c
+++ b/tools/cold-commands.c
@@ -1,6 +1,6 @@
 /*
- * cold-commands.c: quinceroute cold: workers that say they are cold, and how many requests they may get
- * meanwhile.
+ * cold-commands.c: quinceroute cold, which lists workers that are cold or of unknown state, with the request
+ * rate that their service allows for a cold worker.
  */
 #include <stdio.h>
 #include <string.h>
@@ -12,13 +12,13 @@
 #include "store-calls.h"
 #include "table.h"
 
-/* Printed for what is not known. */
+/* Cell of an unknown or missing value. */
 #define NO_VALUE "-"
 
 typedef struct
 {
-  QuinceRouteTable *routes; /* owned (nullable) */
-  GPtrArray *workers;       /* QuinceWorker, owned: cold, or of unknown state */
+  QuinceRouteTable *routes; /* owned; NULL if there is no valid configuration */
+  GPtrArray *workers;       /* owned; QuinceWorker that are cold or of unknown state */
 } ColdWorkerListing;
 
 static void
--- a/tools/commands.h
+++ b/tools/commands.h
@@ -1,6 +1,5 @@
 /*
- * commands.h: the commands of "quinceroute".  Each prints its result or its failure and returns the exit
- * status.
+ * commands.h: the commands of "quinceroute".  Each prints its result or an error and returns the exit status.
  */
 #pragma once
 
--- a/tools/event-commands.c
+++ b/tools/event-commands.c
@@ -1,7 +1,8 @@
 /*
  * event-commands.c: quinceroute event create, list, delete.
  *
- * An event is one key of the metadata store, by its name: its start (wall clock), duration and service.
+ * An event is one key of the metadata store, named after the event.  Its value has the start (wall-clock
+ * time), duration and service.
  */
 #include <math.h>
 #include <stdio.h>
@@ -14,7 +15,8 @@
 #include "store-calls.h"
 #include "table.h"
 
-/* Longest event and latest start from now, s: one year, so that a number in other units is refused. */
+/* Maximum duration and maximum delay of a start given as +SECONDS: one year.  Rejects a Unix time given
+ * instead. */
 #define EVENT_TIME_MAX_S (366.0 * 24 * 3600)
 
 static gint64
@@ -56,7 +58,7 @@
   return TRUE;
 }
 
-/* (transfer full) */
+/* Returns: (transfer full): the time in UTC with milliseconds */
 static char *
 format_time (gint64 unix_ms)
 {
@@ -76,7 +78,7 @@
   quince_tool_add_int (builder, "duration_ms", event->duration_ms);
 }
 
-/* @expected_requests: requests at the start, which the store does not keep */
+/* @expected_requests: value of --expected, which is only part of the JSON output */
 static void
 print_created (const QuinceTool *tool, const QuinceEventEntry *event, guint64 expected_requests)
 {
@@ -95,14 +97,15 @@
   printf ("event %s starts at %s and lasts %.3f s\n", name, start, (double)event->duration_ms / 1000);
 }
 
-/* Checks the flags. */
+/* Parses the flags of event create.  Prints an error and returns QUINCE_TOOL_USAGE if one is missing or
+ * invalid.  The service of @event belongs to @arguments. */
 static QuinceToolStatus
 parse_event_flags (const QuinceToolArguments *arguments, QuinceEventEntry *event, guint64 *expected_requests)
 {
   if (arguments->start == NULL || arguments->duration == NULL)
     return quince_tool_fail_usage ("event create needs --start and --duration");
   if (!parse_start (arguments->start, &event->start_ms))
-    return quince_tool_fail_usage ("--start takes RFC 3339 with a zone, or +SECONDS, not '%s'",
+    return quince_tool_fail_usage ("--start takes an RFC 3339 time with a UTC offset, or +SECONDS, not '%s'",
                                    arguments->start);
   if (!parse_seconds (arguments->duration, &event->duration_ms))
     return quince_tool_fail_usage ("--duration takes seconds, at most 366 days, not '%s'",
@@ -145,7 +148,7 @@
 
 /* ---- list ------------------------------------------------------------------------- */
 
-/* One output, of which the other is %NULL. */
+/* Either the table or the JSON builder is set. */
 typedef struct
 {
   QuinceTable *table;
--- a/tools/line-diff.c
+++ b/tools/line-diff.c
@@ -1,30 +1,30 @@
 /*
- * line-diff.c: unified differences of two texts; see line-diff.h.
+ * line-diff.c: unified diff of two texts; see line-diff.h.
  */
 #include "line-diff.h"
 
 #include <string.h>
 
-/* Equal lines before and after a change, as diff -u prints. */
+/* Unchanged lines printed before and after a change, as diff -u does. */
 #define CONTEXT_LINES 3
-/* Cells of the table of common lengths: 64 MiB, programs of 4,000 changed lines; beyond it the texts are
- * shown as wholly replaced. */
+/* Maximum size of the LCS table: 64 MiB, for about 4,000 lines of each text.  Above it, all lines between the
+ * common first and last lines are replaced. */
 #define LCS_TABLE_MAX_CELLS (16 * 1024 * 1024)
 
 typedef struct
 {
-  char sign;              /* ' ', '-' or '+' */
+  char sign;              /* ' ': unchanged, '-': removed, '+': added */
   const char *text;       /* not owned */
-  gboolean lacks_newline; /* last line of its text, not ended by a newline */
-  guint old_line;         /* lines of the old text before this */
-  guint new_line;         /* lines of the new text before this */
+  gboolean lacks_newline; /* the text ends with this line, without a newline */
+  guint old_line;         /* number of lines of the old text before this one */
+  guint new_line;         /* number of lines of the new text before this one */
 } DiffLine;
 
 typedef struct
 {
   char **lines; /* owned */
   guint n_lines;
-  gboolean lacks_newline; /* no newline at the end */
+  gboolean lacks_newline; /* the last line does not end with a newline */
 } TextLines;
 
 static TextLines
@@ -46,8 +46,8 @@
   return old_lacks_newline == new_lacks_newline && strcmp (old_lines->lines[i], new_lines->lines[j]) == 0;
 }
 
-/* lengths[i * (n_new + 1) + j]: longest common subsequence of old_lines[n_prefix + i..] and
- * new_lines[n_prefix + j..] */
+/* Returns: (transfer full): the LCS table of the @n_old and @n_new lines after the common first @n_prefix
+ * lines.  Cell i * (n_new + 1) + j has the LCS length of the old lines from i and the new lines from j. */
 static guint32 *
 compute_lcs_lengths (const TextLines *old_lines,
                      const TextLines *new_lines,
@@ -76,7 +76,7 @@
   g_array_append_val (diff, line);
 }
 
-/* The part between the common beginning and end. */
+/* Appends the diff of the @n_old and @n_new lines after the common first @n_prefix lines. */
 static void
 diff_middle (const TextLines *old_lines,
              const TextLines *new_lines,
@@ -136,7 +136,7 @@
   return diff;
 }
 
-/* Index of the first changed line at or after @from; the length when there is none. */
+/* Returns the index of the first changed line at or after @from, or the length of @diff if there is none. */
 static guint
 find_next_change (GArray *diff, guint from)
 {
@@ -145,7 +145,8 @@
   return from;
 }
 
-/* One past the last line of the hunk that begins at the change @change. */
+/* Returns the index after the last line of the hunk whose first changed line is @change.  Changes whose
+ * context lines meet are in one hunk. */
 static guint
 find_hunk_end (GArray *diff, guint change)
 {
--- a/tools/line-diff.h
+++ b/tools/line-diff.h
@@ -1,5 +1,5 @@
 /*
- * line-diff.h: unified differences of two texts, by the longest common subsequence of lines.  Pure.
+ * line-diff.h: unified diff of two texts, from the longest common subsequence (LCS) of their lines.
  */
 #pragma once
 
@@ -9,9 +9,14 @@
 
 /**
  * quince_line_diff:
+ * @old_name: name of the old text in the diff header
+ * @new_name: name of the new text in the diff header
  *
- * Returns: (transfer full) (nullable): hunks with three lines of context, %NULL when the texts are equal.
- * Very long texts without common lines near their ends are shown as wholly replaced.
+ * If the lines between the common first and last lines are too many to compare, about 4,000 in each text, the
+ * diff replaces all of them.
+ *
+ * Returns: (transfer full) (nullable): the unified diff with three lines of context, or %NULL if the texts
+ * are equal
  */
 char *
 quince_line_diff (const char *old_text, const char *new_text, const char *old_name, const char *new_name);
--- a/tools/log-commands.c
+++ b/tools/log-commands.c
@@ -1,5 +1,5 @@
 /*
- * log-commands.c: quinceroute explain and log check, which read logs of processes and need no store.
+ * log-commands.c: quinceroute explain and log check, which read log files and do not use the metadata store.
  */
 #include "commands.h"
 
@@ -7,10 +7,10 @@
 
 #include "core/trace/log-trace.h"
 
-/* Called for each line; without its end. */
+/* Called for each line, without its newline.  Line numbers start at 1. */
 typedef void (*LineFunc) (const char *file, guint line_number, const char *line, gpointer user_data);
 
-/* "-" is standard input. */
+/* Reads standard input if @file is "-".  Returns: %FALSE if the file cannot be opened */
 static gboolean
 foreach_line (const char *file, LineFunc callback, gpointer user_data)
 {
@@ -48,7 +48,7 @@
       return quince_tool_fail ("file", "%s cannot be read", arguments->operands[i]);
   g_autofree char *text = quince_log_trace_format (trace, arguments->operands[0]);
   if (text == NULL)
-    return quince_tool_fail ("not_found", "no line names %s", arguments->operands[0]);
+    return quince_tool_fail ("not_found", "no log line contains %s", arguments->operands[0]);
   fputs (text, stdout);
   return QUINCE_TOOL_OK;
 }
@@ -58,7 +58,7 @@
 {
   guint *n_invalid = data;
   g_autoptr (GError) error = NULL;
-  /* "ready ...", by which a process prints its addresses, is no log line. */
+  /* Processes print their addresses in a line "ready ...", which is not a log line. */
   if (*line == '\0' || g_str_has_prefix (line, "ready ") || quince_log_line_check (line, &error))
     return;
   (*n_invalid)++;
@@ -74,6 +74,6 @@
     if (!foreach_line (arguments->operands[i], check_line, &n_invalid))
       return quince_tool_fail ("file", "%s cannot be read", arguments->operands[i]);
   if (n_invalid > 0)
-    return quince_tool_fail ("log", "%u lines outside the vocabulary", n_invalid);
+    return quince_tool_fail ("log", "%u lines are malformed or have an unknown event", n_invalid);
   return QUINCE_TOOL_OK;
 }
--- a/tools/main.c
+++ b/tools/main.c
@@ -1,5 +1,5 @@
 /*
- * main.c: the operator's program: finds the command, parses its flags, runs it.
+ * main.c: entry point of the operators' program: finds the command, parses its flags and runs it.
  */
 #include <signal.h>
 #include <stdio.h>
@@ -20,40 +20,40 @@
   OPTION_AUTHOR = 'a',
   OPTION_START = 's',
   OPTION_DURATION = 'd',
-  OPTION_SERVICE = 0x100, /* from here on: no short form */
+  OPTION_SERVICE = 0x100, /* options without a short form start here */
   OPTION_EXPECTED,
 };
 
 #define EXPECT_FLAG                                                                                          \
   {                                                                                                          \
-    "expect", OPTION_EXPECT, "REVISION", 0, "Revision it replaces, 0 for none (default: the one just read)", \
-        0                                                                                                    \
+    "expect", OPTION_EXPECT, "REVISION", 0, "Revision to replace, 0 for none (default: the current one)", 0  \
   }
 #define COMMENT_FLAG                                                                                         \
   {                                                                                                          \
-    "comment", OPTION_COMMENT, "TEXT", 0, "What the change is for", 0                                        \
+    "comment", OPTION_COMMENT, "TEXT", 0, "Reason for the change", 0                                         \
   }
 #define AUTHOR_FLAG                                                                                          \
   {                                                                                                          \
-    "author", OPTION_AUTHOR, "NAME", 0, "Who does it (default: the login name)", 0                           \
+    "author", OPTION_AUTHOR, "NAME", 0, "Author of the change (default: the login name)", 0                  \
   }
 
 static const struct argp_option no_flags[] = { { 0 } };
 static const struct argp_option accept_flags[] = { EXPECT_FLAG, COMMENT_FLAG, AUTHOR_FLAG, { 0 } };
 static const struct argp_option event_flags[] = {
-  { "start", OPTION_START, "TIME", 0, "RFC 3339 with a zone, or +SECONDS from now", 0 },
-  { "duration", OPTION_DURATION, "SECONDS", 0, "How long it lasts", 0 },
-  { "service", OPTION_SERVICE, "NAME", 0, "Model service it hits (default: every one)", 0 },
-  { "expected", OPTION_EXPECTED, "NUMBER", 0, "Requests expected at its start", 0 },
+  { "start", OPTION_START, "TIME", 0, "RFC 3339 time with a UTC offset, or +SECONDS from now", 0 },
+  { "duration", OPTION_DURATION, "SECONDS", 0, "Duration of the event", 0 },
+  { "service", OPTION_SERVICE, "NAME", 0, "Model service that the event affects (default: all)", 0 },
+  { "expected", OPTION_EXPECTED, "NUMBER", 0, "Requests expected at the start; shown by --json, not stored",
+    0 },
   { 0 },
 };
 
 typedef struct
 {
-  const char *group;    /* first word */
-  const char *name;     /* second word; NULL: no second */
-  const char *operands; /* what follows, for the help */
-  guint n_operands;     /* with @accepts_more_operands the least of them */
+  const char *group;    /* first word of the command */
+  const char *name;     /* second word; NULL: the command has one word */
+  const char *operands; /* names of the operands, for the help */
+  guint n_operands;     /* required number, the minimum if @accepts_more_operands */
   const struct argp_option *flags;
   const char *help;
   QuinceToolStatus (*run) (QuinceTool *tool);
@@ -72,17 +72,15 @@
     quince_command_event_create },
   { "event", "list", "", 0, no_flags, "List events", quince_command_event_list },
   { "event", "delete", "NAME", 1, no_flags, "Delete an event", quince_command_event_delete },
-  { "quarantine", "list", "", 0, no_flags, "List requests that are held because workers ended under them",
-    quince_command_quarantine_list },
-  { "quarantine", "release", "REQUEST", 1, no_flags, "Send a held request once more, alone",
+  { "quarantine", "list", "", 0, no_flags, "List held requests and prompts", quince_command_quarantine_list },
+  { "quarantine", "release", "REQUEST", 1, no_flags, "Send a held request or prompt once more, alone",
     quince_command_quarantine_release },
   { "zones", NULL, "", 0, no_flags, "List zones that have workers or are evacuated", quince_command_zones },
   { "cold", NULL, "", 0, no_flags,
-    "List workers that are cold or do not say whether they are, with their limit of requests",
-    quince_command_cold },
-  { "explain", NULL, "ID FILE...", 2, no_flags, "Print the log lines of a request, sample or batch in order",
+    "List workers that are cold or of unknown state, with their request rate limits", quince_command_cold },
+  { "explain", NULL, "ID FILE...", 2, no_flags, "Print log lines of a request, sample or batch by time",
     quince_command_explain, TRUE },
-  { "log", "check", "FILE...", 1, no_flags, "Refuse lines that no daemon on the platform logs",
+  { "log", "check", "FILE...", 1, no_flags, "Report malformed log lines and unknown events",
     quince_command_log_check, TRUE },
 };
 
@@ -159,7 +157,7 @@
 static const struct argp global_argp = { global_flags, parse_global, NULL, NULL, NULL, NULL, NULL };
 static const struct argp_child global_children[] = { { &global_argp, 0, "Global flags:", 1 }, { 0 } };
 
-/* ---- The command ---------------------------------------------------------------------- */
+/* ---- Commands ------------------------------------------------------------------------- */
 
 static char *
 describe_commands (void)
@@ -179,7 +177,7 @@
   return g_string_free (text, FALSE);
 }
 
-/* Stops at the command's first word; its index goes to the input's n_operands. */
+/* Parses global flags up to the first word of the command, whose index it returns in n_operands. */
 static error_t
 parse_until_command (int key, char *value, struct argp_state *state)
 {
@@ -201,7 +199,7 @@
     }
 }
 
-/* Parses the flags before the command; returns the index of the command's first word. */
+/* Parses the global flags before the command.  Returns the index of the first word of the command. */
 static int
 find_command_index (int argc, char **argv, QuinceToolArguments *arguments)
 {
--- a/tools/policy-commands.c
+++ b/tools/policy-commands.c
@@ -1,10 +1,10 @@
 /*
  * policy-commands.c: quinceroute policy check, diff, accept, show.
  *
- * The accepted policy is one key of the metadata store, whose revision is the policy's.  An accept is one
- * write under the condition that the key has the expected revision; it carries a random proposal id, so that
- * a lost answer is resolved by reading the key back.  While the expected revision stands the same write may
- * be sent again: at most one of the sends takes effect.
+ * The accepted policy is one key of the metadata store; the revision of the key is the revision of the
+ * policy.  An accept is a compare-and-swap of the key on the expected revision.  The entry contains a random
+ * proposal id: if the answer is lost, reading the key shows whether the write was applied.  The write may be
+ * repeated while the key has the expected revision, since only one of the attempts can be applied.
  */
 #include <stdio.h>
 #include <string.h>
@@ -43,14 +43,14 @@
   return QUINCE_TOOL_OK;
 }
 
-/* ---- The accepted policy ------------------------------------------------------ */
+/* ---- Accepted policy ---------------------------------------------------------- */
 
-/* What the store holds. */
+/* Content of the policy key. */
 typedef struct
 {
-  guint64 revision;         /* 0: none was ever accepted */
-  QuincePolicyEntry *entry; /* owned; %NULL when @revision is 0 */
-  char *hash;               /* owned; of the program, "" when @revision is 0 */
+  guint64 revision;         /* 0: no policy was accepted yet */
+  QuincePolicyEntry *entry; /* owned; NULL if the key does not exist */
+  char *hash;               /* owned; hash of the program; "": no program */
 } AcceptedPolicy;
 
 static void
@@ -61,7 +61,7 @@
 }
 G_DEFINE_AUTO_CLEANUP_CLEAR_FUNC (AcceptedPolicy, accepted_policy_clear)
 
-/* A failure is printed. */
+/* Prints an error if the policy cannot be read. */
 static QuinceToolStatus
 read_accepted_policy (QuinceTool *tool, AcceptedPolicy *policy)
 {
@@ -123,9 +123,9 @@
 
 typedef struct
 {
-  const char *id;            /* random id of this accept */
-  GBytes *value;             /* of the key */
-  guint64 expected_revision; /* revision that it replaces, 0: none */
+  const char *id;            /* random UUID */
+  GBytes *value;             /* encoded entry */
+  guint64 expected_revision; /* revision to replace; 0: the key must not exist */
 } Proposal;
 
 static QuinceToolStatus
@@ -141,17 +141,20 @@
   return QUINCE_TOOL_CONFLICT;
 }
 
-/* The write may have been carried out before another one replaced it. */
+/* Reports a conflict after an attempt whose outcome is unknown. */
 static QuinceToolStatus
 fail_possibly_replaced (const Proposal *proposal, guint64 revision, const QuincePolicyEntry *entry)
 {
   QuinceToolStatus status = fail_conflict (proposal, revision, entry);
-  quince_tool_fail ("conflict", "an answer was lost: this program may have been in force before that one");
+  quince_tool_fail ("conflict",
+                    "an answer was lost: this program may have been in force before that revision");
   return status;
 }
 
-/* A read that fails decides nothing: only a key that is read shows whether the write was carried out.
- * Returns: an exit status; on QUINCE_TOOL_OK @revision is the accepted one. */
+/* Writes @proposal, and reads the key after each failed attempt to see whether it was applied.  Tries again
+ * if the key still has the expected revision or cannot be read.  Prints an error if the proposal is not
+ * accepted.
+ * @revision: (out): the accepted revision, if the status is QUINCE_TOOL_OK */
 static QuinceToolStatus
 write_proposal (QuinceTool *tool, const Proposal *proposal, guint64 *revision)
 {
@@ -180,7 +183,7 @@
                                                     : QUINCE_META_ERROR_UNAVAILABLE);
 }
 
-/* From --expect, or the revision that the key has now. */
+/* @expected_revision: (out): --expect, or the current revision of the key if the flag is not given */
 static QuinceToolStatus
 get_expected_revision (QuinceTool *tool, guint64 *expected_revision)
 {
@@ -212,7 +215,7 @@
   quince_tool_print_json (builder);
 }
 
-/* @program has been checked. */
+/* @program: a program that quince_policy_program_check() has accepted */
 static QuinceToolStatus
 accept_program (QuinceTool *tool, char *program)
 {
@@ -272,11 +275,11 @@
   QuinceToolStatus status = read_accepted_policy (tool, &policy);
   if (status != QUINCE_TOOL_OK)
     return status;
-  /* Heading lines are Lua comments, so that the output is itself the program. */
+  /* The header lines are Lua comments, so that the output is a valid program. */
   if (tool->arguments.json)
     print_policy_json (&policy);
   else if (policy.entry == NULL)
-    printf ("-- no policy was accepted yet: the one of the settings is in force\n");
+    printf ("-- no policy was accepted yet: the policy of the settings is in force\n");
   else
     printf ("-- revision %" G_GUINT64_FORMAT "\n-- by %s: %s\n%s", policy.revision, policy.entry->author,
             policy.entry->comment, policy.entry->program);
--- a/tools/policy-program.c
+++ b/tools/policy-program.c
@@ -1,5 +1,5 @@
 /*
- * policy-program.c: policy program files; see policy-program.h.
+ * policy-program.c: reads and checks policy program files; see policy-program.h.
  */
 #include "policy-program.h"
 
@@ -19,7 +19,8 @@
   return types[error->code];
 }
 
-/* At most one byte more than a program may have. */
+/* Reads at most QUINCE_POLICY_MAX_BYTES + 1 bytes, so that a larger file is detected.  @length: (out): number
+ * of bytes read.  Returns: (transfer full) (nullable): zero-terminated; %NULL with @error */
 static char *
 read_file_limited (const char *path, gsize *length, GError **error)
 {
@@ -52,7 +53,7 @@
     }
   if (strlen (text) != length || !g_utf8_validate (text, -1, NULL))
     {
-      quince_tool_fail ("policy_syntax", "%s: not UTF-8 text", path);
+      quince_tool_fail ("policy_syntax", "%s: not UTF-8 text, or contains a NUL byte", path);
       return NULL;
     }
   return g_steal_pointer (&text);
--- a/tools/quarantine-commands.c
+++ b/tools/quarantine-commands.c
@@ -1,6 +1,6 @@
 /*
- * quarantine-commands.c: quinceroute quarantine list and release: requests held because workers ended under
- * them.
+ * quarantine-commands.c: quinceroute quarantine list and release.  The quarantine holds requests and prompts
+ * that are suspected of ending workers; each entry is a key of the metadata store.
  */
 #include <stdio.h>
 #include <string.h>
@@ -20,7 +20,7 @@
   g_autoptr (GError) error = NULL;
   if (!quince_suspect_entry_parse (value, &suspect, &ended_wall_ms, &error))
     {
-      fprintf (stderr, "quinceroute: %s is not an entry of the quarantine\n", name);
+      fprintf (stderr, "quinceroute: %s: malformed quarantine entry\n", name);
       return;
     }
   g_autoptr (GDateTime) ended = g_date_time_new_from_unix_utc (ended_wall_ms / 1000);
@@ -63,7 +63,7 @@
   if (!quince_tool_require_store (tool))
     return QUINCE_TOOL_USAGE;
   if (!quince_request_digest_parse (name, &digest))
-    return quince_tool_fail_usage ("a held request is named by 32 hexadecimal digits, not '%s'", name);
+    return quince_tool_fail_usage ("'%s' is not a digest of 32 hexadecimal digits", name);
   QuinceToolStatus status = quince_store_put_entry (tool, QUINCE_QUARANTINE_PREFIX, name, NULL);
   if (status == QUINCE_TOOL_OK)
     printf ("request %s is released: it is sent once more, alone\n", name);
--- a/tools/store-calls.c
+++ b/tools/store-calls.c
@@ -1,14 +1,14 @@
 /*
- * store-calls.c: calls to the metadata store; see store-calls.h.
+ * store-calls.c: synchronous calls to the metadata store; see store-calls.h.
  */
 #include "store-calls.h"
 
 #include "meta/meta-mirror.h"
 
-/* Most time between two reads of a list that is not complete yet, ms; the least of a mirror's times. */
+/* Maximum read interval and feed timeout of the mirror.  The list does not depend on them, and the mirror is
+ * freed once the list is complete. */
 #define MIRROR_READ_INTERVAL_MS 1000
-/* A list that is not complete by then fails, ms.  Not measured: far above what a store that answers
- * needs, and no more than an operator waits for a write. */
+/* Long enough for several retries of the mirror. */
 #define LIST_TIMEOUT_MS 10000
 
 /* ---- One key ---------------------------------------------------------------- */
@@ -144,7 +144,7 @@
   switch (error)
     {
     case QUINCE_META_ERROR_CONFLICT:
-      quince_tool_fail ("conflict", "another write came first");
+      quince_tool_fail ("conflict", "another write changed the key first");
       return QUINCE_TOOL_CONFLICT;
     case QUINCE_META_ERROR_UNKNOWN:
       quince_tool_fail ("unknown", "the write may or may not take effect");
@@ -153,6 +153,6 @@
     case QUINCE_META_ERROR_GONE:
     case QUINCE_META_ERROR_MALFORMED:
     default:
-      return quince_tool_fail ("unreachable", "the metadata store does not answer");
+      return quince_tool_fail ("unreachable", "the metadata store does not answer or rejects calls");
     }
 }
--- a/tools/store-calls.h
+++ b/tools/store-calls.h
@@ -1,9 +1,8 @@
 /*
- * store-calls.h: calls of the operator's commands to the metadata store; each runs the main loop until it is
- * answered.
+ * store-calls.h: synchronous calls to the metadata store.
  *
- * Owns nothing between calls.  Relies on the client of the store in QuinceTool, which must be open
- * (quince_tool_require_store()).
+ * Each call runs the main loop until it has been answered or has timed out.  QuinceTool must have a client of
+ * the store, which quince_tool_require_store() checks.
  */
 #pragma once
 
@@ -11,33 +10,33 @@
 
 G_BEGIN_DECLS
 
-/* Sends of one write at most, of which each waits for its answer for up to 1 s.  Not measured: enough for an
- * operator to outlast a change of the store's leader, few enough that the outcome is known within half a
- * minute. */
+/* Maximum number of attempts of a write.  An attempt without an answer times out after 1 s; there is no delay
+ * between attempts. */
 #define QUINCE_STORE_WRITE_ATTEMPTS_MAX 8
 
-/* What the store answered to one call. */
+/* Result of a call. */
 typedef struct
 {
-  gboolean succeeded;    /* it was carried out; else @error says why not */
-  QuinceMetaError error; /* UNKNOWN: a write may be carried out, now or some seconds later */
-  guint64 revision;      /* of the key read or written; 0: the key is not there */
-  GBytes *value;         /* owned (nullable): of the key read */
+  gboolean succeeded;    /* the call succeeded; if not, @error is set */
+  QuinceMetaError error; /* UNKNOWN: the write may have been applied, or may be applied later */
+  guint64 revision;      /* of the key read, or of the write; 0: the key does not exist */
+  GBytes *value;         /* owned; value of the key read; NULL: the key does not exist */
 } QuinceStoreAnswer;
 
 void quince_store_answer_clear (QuinceStoreAnswer *answer);
 G_DEFINE_AUTO_CLEANUP_CLEAR_FUNC (QuinceStoreAnswer, quince_store_answer_clear)
 
-/* Reads one key; that it is not there is an answer with revision 0.  @answer is cleared first. */
+/* Reads one key.  If it does not exist, the call succeeds with revision 0.  @answer: (inout): zeroed or a
+ * previous answer, which is cleared first */
 void quince_store_read_key (QuinceTool *tool, const char *key, QuinceStoreAnswer *answer);
 
 /**
  * quince_store_write_key:
- * @value: (nullable): %NULL: remove the key
- * @expected_revision: revision that the key must have, 0: none, -1: no condition
- * @answer: (out): cleared first
+ * @value: (nullable): new value; %NULL: delete the key
+ * @expected_revision: revision that the key must have; 0: the key must not exist; -1: no condition
+ * @answer: (inout): zeroed or a previous answer, which is cleared first
  *
- * One send of one write.
+ * Writes one key, without retries.  The error is CONFLICT if the key has another revision.
  */
 void quince_store_write_key (QuinceTool *tool,
                              const char *key,
@@ -45,20 +44,22 @@
                              gint64 expected_revision,
                              QuinceStoreAnswer *answer);
 
-/* Writes, or removes where @value is %NULL, a key without a condition, which may be repeated: sends until one
- * is answered.  A failure is printed. */
+/* Writes the key @prefix + @name without a condition, or deletes it if @value is %NULL.  Tries up to
+ * QUINCE_STORE_WRITE_ATTEMPTS_MAX times, and prints an error if all attempts fail. */
 QuinceToolStatus
 quince_store_put_entry (QuinceTool *tool, const char *prefix, const char *name, GBytes *value);
 
-/* Called for each key of a prefix. */
+/* Called for each key of a prefix; @item is valid only until the function returns. */
 typedef void (*QuinceStoreItemFunc) (const QuinceMetaItem *item, gpointer user_data);
-/* Reads all keys that begin with @prefix, in their order. */
+/* Reads all keys that begin with @prefix, in key order, and calls @callback for each.  Prints an error and
+ * returns QUINCE_TOOL_FAILED if the list is not complete within 10 s; some keys may have been reported then.
+ */
 QuinceToolStatus quince_store_read_prefix (QuinceTool *tool,
                                            const char *prefix,
                                            QuinceStoreItemFunc callback,
                                            gpointer user_data);
 
-/* Prints a failed call and maps it to the exit status. */
+/* Prints the error of a failed call and returns the exit status for it. */
 QuinceToolStatus quince_store_report_error (QuinceMetaError error);
 
 G_END_DECLS
--- a/tools/table.c
+++ b/tools/table.c
@@ -1,5 +1,5 @@
 /*
- * table.c: aligned tables for people; see table.h.
+ * table.c: tables with aligned columns; see table.h.
  */
 #include "table.h"
 
@@ -11,7 +11,7 @@
 struct _QuinceTable
 {
   guint n_columns;
-  GPtrArray *cells; /* owned; char *, row after row, headings first */
+  GPtrArray *cells; /* owned; strings in row order, starting with the headings */
 };
 
 QuinceTable *
--- a/tools/table.h
+++ b/tools/table.h
@@ -1,5 +1,5 @@
 /*
- * table.h: aligned tables for the terminal.  A table owns its cells.
+ * table.h: tables with aligned columns for the terminal.
  */
 #pragma once
 
@@ -14,10 +14,11 @@
 void quince_table_free (QuinceTable *table);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (QuinceTable, quince_table_free)
 
-/* Appends a cell; rows fill up from left to right. An empty text is shown as '-'. */
+/* Appends a copy of @text as the next cell of the row; a full row is followed by a new one.  An empty text is
+ * shown as '-', and each control character as '?'. */
 void quince_table_add (QuinceTable *table, const char *text);
 void quince_table_add_format (QuinceTable *table, const char *format, ...) G_GNUC_PRINTF (2, 3);
-/* Prints to standard output; control characters are shown as '?'. */
+/* Prints the headings and all rows to standard output. */
 void quince_table_print (const QuinceTable *table);
 
 G_END_DECLS
--- a/tools/tool.c
+++ b/tools/tool.c
@@ -1,5 +1,5 @@
 /*
- * tool.c: settings, the client of the store, output and exit statuses; see tool.h.
+ * tool.c: settings, the client of the metadata store, errors and JSON output; see tool.h.
  */
 #include "tool.h"
 
@@ -9,14 +9,15 @@
 
 #include "platform.h"
 
-/* Longest name of an operator, characters; as keys of the store allow. */
+/* A login name that is longer, or has other characters than is_valid_name() allows, is not used as author. */
 #define NAME_MAX_CHARACTERS 64
 
 static const QuinceSettingSpec specs[] = {
   { "operator", "store", QUINCE_SETTING_ADDRESS, FALSE, "", 0, 0, NULL,
     "address of the metadata store of the users' platform" },
   { "operator", "zones", QUINCE_SETTING_TEXT, FALSE, "", 0, 0, NULL,
-    "all zones with their regions, zone=region,zone=region, as the daemons' [node] zones" },
+    "zones of the deployment and their regions, zone=region,zone=region; same as [node] zones of the "
+    "daemons" },
 };
 
 /* ---- Errors ------------------------------------------------------------------- */
--- a/tools/tool.h
+++ b/tools/tool.h
@@ -1,10 +1,9 @@
 /*
- * tool.h: what every command of the operator's program "quinceroute" shares: its flags and settings, the
- * connection to the metadata store, output and exit statuses.
+ * tool.h: code shared by all commands of the operators' program "quinceroute": arguments, settings, the
+ * client of the metadata store, output and exit statuses.
  *
- * Owns the settings and the client of the store.  One thread; a command starts an operation and runs the main
- * loop until the operation's callback ends it.  Relies on lib/meta and on the platform's codec of the
- * store.
+ * The program has one thread.  A command starts an operation and runs the main loop until the callback of the
+ * operation calls quince_tool_finish().
  */
 #pragma once
 
@@ -20,24 +19,23 @@
 typedef enum
 {
   QUINCE_TOOL_OK = 0,
-  QUINCE_TOOL_FAILED = 1,   /* a write was certainly not carried out */
-  QUINCE_TOOL_USAGE = 2,    /* bad flags, settings or operands; nothing was tried */
-  QUINCE_TOOL_CONFLICT = 3, /* another write came first */
-  QUINCE_TOOL_UNKNOWN = 4,  /* the write may or may not take effect */
+  QUINCE_TOOL_FAILED = 1,   /* the command failed and wrote nothing, or its output was lost */
+  QUINCE_TOOL_USAGE = 2,    /* invalid flags, settings or operands; the command was not run */
+  QUINCE_TOOL_CONFLICT = 3, /* the policy does not have the expected revision */
+  QUINCE_TOOL_UNKNOWN = 4,  /* the store has not confirmed a write, which may or may not take effect */
 } QuinceToolStatus;
 
-/* Operands that one command takes at most, for the names of log files; not measured: a deployment has fewer
- * processes on one machine. */
+/* Maximum number of operands of a command: more log files than one machine has processes. */
 #define QUINCE_TOOL_OPERANDS_MAX 256
 
-/* Flags and operands of one run; texts belong to argv, %NULL when not given. */
+/* Flags and operands of the command line.  Strings belong to argv; a flag that is not given is %NULL. */
 typedef struct
 {
-  /* global */
+  /* global flags */
   const char *store;
   const char *config;
   gboolean json;
-  /* of single commands */
+  /* flags of some commands */
   const char *expected_revision;
   const char *comment;
   const char *author;
@@ -45,7 +43,7 @@
   const char *duration;
   const char *service;
   const char *expected_requests;
-  /* what follows the command's name */
+  /* operands after the name of the command */
   const char *operands[QUINCE_TOOL_OPERANDS_MAX];
   guint n_operands;
 } QuinceToolArguments;
@@ -54,32 +52,35 @@
 {
   QuinceToolArguments arguments;
   QuinceSettings *settings; /* owned */
-  QuinceMetaStore *meta;    /* owned; NULL when no --store is set */
-  gboolean done;            /* the operation has ended */
-  QuinceToolStatus status;  /* what the command ends with */
+  QuinceMetaStore *meta;    /* owned; NULL if no address of the store is set */
+  gboolean done;            /* quince_tool_finish() was called */
+  QuinceToolStatus status;  /* exit status of the operation */
 } QuinceTool;
 
-/* Checks the settings and opens the client of the store; on %FALSE the reason is printed. */
+/* Loads the settings, and creates the client of the store if its address is set.  Prints the error and
+ * returns %FALSE if the settings are invalid. */
 gboolean quince_tool_open (QuinceTool *tool);
 void quince_tool_close (QuinceTool *tool);
 
-/* Runs the main loop until quince_tool_finish(). */
+/* Runs the main loop until quince_tool_finish() is called. */
 void quince_tool_wait (QuinceTool *tool);
+/* Ends quince_tool_wait() and sets the status of the operation. */
 void quince_tool_finish (QuinceTool *tool, QuinceToolStatus status);
 
-/* Print "quinceroute: ..." to standard error and return the exit status. */
+/* Prints "quinceroute: usage: MESSAGE" to standard error and returns QUINCE_TOOL_USAGE. */
 QuinceToolStatus quince_tool_fail_usage (const char *format, ...) G_GNUC_PRINTF (1, 2);
+/* Prints "quinceroute: TYPE: MESSAGE" to standard error and returns QUINCE_TOOL_FAILED.  @type: (nullable) */
 QuinceToolStatus quince_tool_fail (const char *type, const char *format, ...) G_GNUC_PRINTF (2, 3);
 
-/* %FALSE, with the reason printed, when no address of the store is set. */
+/* Prints an error and returns %FALSE if no address of the store is set. */
 gboolean quince_tool_require_store (const QuinceTool *tool);
 
-/* Name of the operator: --author, else the login name where that is a valid name. (transfer full) */
+/* Returns: (transfer full): --author, or the login name, or "operator" if the login name is not valid */
 char *quince_tool_get_author (const QuinceTool *tool);
 
-/* Prints the builder's root to standard output. */
+/* Prints the root node of @builder to standard output. */
 void quince_tool_print_json (JsonBuilder *builder);
-/* Shorthand for members of an object. */
+/* These functions add a member to the current JSON object. */
 void quince_tool_add_string (JsonBuilder *builder, const char *name, const char *value);
 void quince_tool_add_int (JsonBuilder *builder, const char *name, gint64 value);
 void quince_tool_add_boolean (JsonBuilder *builder, const char *name, gboolean value);
--- a/tools/zone-commands.c
+++ b/tools/zone-commands.c
@@ -1,5 +1,5 @@
 /*
- * zone-commands.c: quinceroute zones: the zones of a deployment, their workers and evacuations.
+ * zone-commands.c: quinceroute zones, which lists the zones with their workers and evacuations.
  */
 #include <stdio.h>
 #include <string.h>
@@ -12,22 +12,22 @@
 #include "store-calls.h"
 #include "table.h"
 
-/* Printed for what is not known. */
+/* Cell of an unknown or missing value. */
 #define NO_VALUE "-"
 
-/* One zone, as the store describes it. */
+/* Entries of the metadata store for one zone. */
 typedef struct
 {
   guint n_workers;
   guint n_draining;
-  guint64 evacuation_revision; /* revision of the operator's evacuation; 0: not evacuated */
+  guint64 evacuation_revision; /* revision of the evacuation key; 0: not evacuated */
 } ZoneSummary;
 
 typedef struct
 {
-  GTree *zones; /* name to ZoneSummary, both owned */
-  QuinceTopology *topology;
-  QuinceTable *table;
+  GTree *zones;             /* owned; name to ZoneSummary, both owned by the tree */
+  QuinceTopology *topology; /* not owned */
+  QuinceTable *table;       /* not owned */
 } ZoneListing;
 
 static gint
