--- a/tools/store-calls.h
+++ b/tools/store-calls.h
@@ -17,10 +17,10 @@
 /* Result of a call. */
 typedef struct
 {
-  gboolean succeeded;    /* the call succeeded; if not, @error is set */
+  gboolean succeeded;    /* if not, @error says why */
   QuinceMetaError error; /* UNKNOWN: the write may have been applied, or may be applied later */
-  guint64 revision;      /* of the key read, or of the write; 0: the key does not exist */
-  GBytes *value;         /* owned; value of the key read; NULL: the key does not exist */
+  guint64 revision;      /* of the key read, or of the write; 0: the key does not exist, or failure */
+  GBytes *value;         /* owned; value of the key read; NULL if it does not exist, and after a write */
 } QuinceStoreAnswer;
 
 void quince_store_answer_clear (QuinceStoreAnswer *answer);
@@ -51,9 +51,8 @@
 
 /* Called for each key of a prefix; @item is valid only until the function returns. */
 typedef void (*QuinceStoreItemFunc) (const QuinceMetaItem *item, gpointer user_data);
-/* Reads all keys that begin with @prefix, in key order, and calls @callback for each.  Prints an error and
- * returns QUINCE_TOOL_FAILED if the list is not complete within 10 s; some keys may have been reported then.
- */
+/* Reads all keys that begin with @prefix, in key order, and calls @callback for each.  If the list is not
+ * complete within 10 s, prints an error and returns QUINCE_TOOL_FAILED; some keys may have been reported. */
 QuinceToolStatus quince_store_read_prefix (QuinceTool *tool,
                                            const char *prefix,
                                            QuinceStoreItemFunc callback,
--- a/tools/tool.h
+++ b/tools/tool.h
@@ -20,7 +20,7 @@
 {
   QUINCE_TOOL_OK = 0,
   QUINCE_TOOL_FAILED = 1,   /* the command failed and wrote nothing, or its output was lost */
-  QUINCE_TOOL_USAGE = 2,    /* invalid flags, settings or operands; the command was not run */
+  QUINCE_TOOL_USAGE = 2,    /* invalid flags, settings or operands; no call was sent to the store */
   QUINCE_TOOL_CONFLICT = 3, /* the policy does not have the expected revision */
   QUINCE_TOOL_UNKNOWN = 4,  /* the store has not confirmed a write, which may or may not take effect */
 } QuinceToolStatus;
@@ -69,13 +69,14 @@
 
 /* Prints "quinceroute: usage: MESSAGE" to standard error and returns QUINCE_TOOL_USAGE. */
 QuinceToolStatus quince_tool_fail_usage (const char *format, ...) G_GNUC_PRINTF (1, 2);
-/* Prints "quinceroute: TYPE: MESSAGE" to standard error and returns QUINCE_TOOL_FAILED.  @type: (nullable) */
+/* Prints "quinceroute: TYPE: MESSAGE" to standard error and returns QUINCE_TOOL_FAILED.  @type: (nullable):
+ * left out if %NULL */
 QuinceToolStatus quince_tool_fail (const char *type, const char *format, ...) G_GNUC_PRINTF (2, 3);
 
 /* Prints an error and returns %FALSE if no address of the store is set. */
 gboolean quince_tool_require_store (const QuinceTool *tool);
 
-/* Returns: (transfer full): --author, or the login name, or "operator" if the login name is not valid */
+/* Returns: (transfer full): --author, else the login name, or "operator" if the login name is not valid */
 char *quince_tool_get_author (const QuinceTool *tool);
 
 /* Prints the root node of @builder to standard output. */
