--- a/daemons/front/caller-connection.c
+++ b/daemons/front/caller-connection.c
@@ -237,7 +237,7 @@
 write_answer_chunk (const char *data, gsize length, gpointer user_data)
 {
   QuinceCallerConnection *connection = user_data;
-  if (quince_http_connection_get_output (connection->http) > UNSENT_MAX_BYTES)
+  if (quince_http_connection_get_pending_output_bytes (connection->http) > UNSENT_MAX_BYTES)
     return; /* end_streamed_answer() omits the last chunk */
   g_autofree char *size = g_strdup_printf ("%zx\r\n", length);
   g_autoptr (GString) chunk = g_string_new (size);
@@ -245,7 +245,8 @@
   g_string_append (chunk, "\r\n");
   quince_http_connection_write (connection->http, chunk->str, chunk->len);
   connection->truncated
-      = connection->truncated || quince_http_connection_get_output (connection->http) > UNSENT_MAX_BYTES;
+      = connection->truncated
+        || quince_http_connection_get_pending_output_bytes (connection->http) > UNSENT_MAX_BYTES;
 }
 
 static void
--- a/daemons/replica/sample.c
+++ b/daemons/replica/sample.c
@@ -211,7 +211,7 @@
   sample->last_received_us = quince_now_us ();
   if (g_strcmp0 (answer_headers.request_id, quince_sample_get_item (sample)->id) != 0)
     {
-      quince_http_exchange_distrust (exchange);
+      quince_http_exchange_disable_reuse (exchange);
       if (head->status == 200)
         quince_sample_stop_run (sample, QUINCE_RUN_BROKEN, "wrong_answer");
       return;
@@ -281,7 +281,7 @@
   quince_timer_clear (&sample->silence_timer);
   /* After a suspension of this process, reads the received bytes before it decides that the worker is silent.
    */
-  if (silent_ms >= timeout_ms && quince_http_exchange_reads_first (sample->exchange))
+  if (silent_ms >= timeout_ms && quince_http_exchange_defer_timeout (sample->exchange))
     sample->silence_timer = quince_timer_add (QUINCE_TIMEOUT_DEFERRAL_MS, check_silence, sample);
   else if (silent_ms >= timeout_ms)
     quince_sample_stop_run (sample, QUINCE_RUN_BROKEN, "worker_silent");
--- a/lib/forward/evacuation.c
+++ b/lib/forward/evacuation.c
@@ -38,7 +38,7 @@
 }
 
 static void
-withdraw_requests (QuinceBackends *backends, gint64 before_us, QuinceHttpProgress progress)
+withdraw_requests (QuinceBackends *backends, gint64 before_us, QuinceHttpWithdrawScope progress)
 {
   g_autoptr (GPtrArray) ids = list_evacuated_worker_ids (backends, before_us);
   guint count = 0;
@@ -50,7 +50,7 @@
     }
   if (count > 0)
     quince_log_info ("sends_withdrawn", "count=%u cause=%s", count,
-                     progress == QUINCE_HTTP_UNCONNECTED ? "not_connected" : "not_acknowledged");
+                     progress == QUINCE_HTTP_WITHDRAW_UNCONNECTED ? "not_connected" : "not_acknowledged");
 }
 
 static gboolean
@@ -58,7 +58,7 @@
 {
   QuinceBackends *backends = data;
   gint64 now = quince_now_us ();
-  withdraw_requests (backends, now - ACKNOWLEDGE_TIMEOUT_MS * 1000, QUINCE_HTTP_UNACKNOWLEDGED);
+  withdraw_requests (backends, now - ACKNOWLEDGE_TIMEOUT_MS * 1000, QUINCE_HTTP_WITHDRAW_UNACKNOWLEDGED);
   g_autoptr (GPtrArray) zones = quince_zone_table_list_evacuated (backends->zones);
   for (guint i = 0; i < zones->len; i++)
     if (now - quince_zone_table_get_evacuated_us (backends->zones, zones->pdata[i]) < STUCK_CHECK_PERIOD_US)
@@ -83,7 +83,7 @@
       quince_backends_assume_zone_cold (backends, now_us, zone);
       return TRUE;
     }
-  withdraw_requests (backends, now_us, QUINCE_HTTP_UNCONNECTED);
+  withdraw_requests (backends, now_us, QUINCE_HTTP_WITHDRAW_UNCONNECTED);
   if (backends->withdrawal_timer == NULL)
     backends->withdrawal_timer = quince_timer_add (ACKNOWLEDGE_TIMEOUT_MS, withdraw_stuck_requests, backends);
   return TRUE;
--- a/lib/forward/forward.c
+++ b/lib/forward/forward.c
@@ -232,7 +232,7 @@
   gboolean refused = FALSE;
   attempt->forward->dispatch.codec->read_answer (head, &request_id, &signature, &refused);
   if (request_id != NULL && !g_str_equal (request_id, attempt->forward->dispatch.request_id))
-    quince_http_exchange_distrust (exchange);
+    quince_http_exchange_disable_reuse (exchange);
 }
 
 static const QuinceHttpExchangeCallbacks exchange_callbacks
@@ -278,7 +278,7 @@
       schedule_attempt (forward, remaining_us + TIMER_ROUNDING_US);
       return FALSE;
     }
-  if (quince_http_exchange_reads_first (oldest->exchange))
+  if (quince_http_exchange_defer_timeout (oldest->exchange))
     {
       schedule_attempt (forward, QUINCE_TIMEOUT_DEFERRAL_MS * 1000);
       return FALSE;
--- a/lib/forward/stream.c
+++ b/lib/forward/stream.c
@@ -134,7 +134,7 @@
   if (!stream->forwarding)
     {
       if (request_id != NULL && !g_str_equal (request_id, stream->dispatch.request_id))
-        quince_http_exchange_distrust (exchange);
+        quince_http_exchange_disable_reuse (exchange);
       return;
     }
   if (!stream->head_forwarded)
@@ -243,7 +243,7 @@
       return G_SOURCE_REMOVE;
     }
   /* Bytes that arrived while this process was stopped are read first, even after the timeout. */
-  if (quince_http_exchange_reads_first (stream->exchange))
+  if (quince_http_exchange_defer_timeout (stream->exchange))
     {
       stream->timeout_timer = quince_timer_add (QUINCE_TIMEOUT_DEFERRAL_MS, check_timeouts, stream);
       return G_SOURCE_REMOVE;
--- a/lib/forward/worker-pools.c
+++ b/lib/forward/worker-pools.c
@@ -62,7 +62,7 @@
   const QuinceHttpPool *pool = quince_worker_pools_find (pools, worker_id);
   if (pool == NULL)
     return;
-  pools->n_opened_by_removed += quince_http_pool_get_opened (pool);
+  pools->n_opened_by_removed += quince_http_pool_get_n_connections_opened (pool);
   g_hash_table_remove (pools->by_worker, worker_id);
 }
 
@@ -73,7 +73,7 @@
   gpointer pool;
   g_hash_table_iter_init (&iter, pools->by_worker);
   while (g_hash_table_iter_next (&iter, NULL, &pool))
-    quince_http_pool_drop_idle (pool);
+    quince_http_pool_close_idle (pool);
 }
 
 guint64
@@ -84,6 +84,6 @@
   gpointer pool;
   g_hash_table_iter_init (&iter, pools->by_worker);
   while (g_hash_table_iter_next (&iter, NULL, &pool))
-    opened += quince_http_pool_get_opened (pool);
+    opened += quince_http_pool_get_n_connections_opened (pool);
   return opened;
 }
--- a/lib/http1/http-client.h
+++ b/lib/http1/http-client.h
@@ -59,22 +59,23 @@
 /* Closes idle connections; exchanges in progress go on. */
 void quince_http_pool_unref (QuinceHttpPool *pool);
 /* Closes the idle connections: the other side may have forgotten them. */
-void quince_http_pool_drop_idle (QuinceHttpPool *pool);
+void quince_http_pool_close_idle (QuinceHttpPool *pool);
 /* Which exchanges are given up by quince_http_pool_withdraw(). */
 typedef enum
 {
-  QUINCE_HTTP_UNCONNECTED,    /* no byte has left: their connection is not made yet                 */
-  QUINCE_HTTP_UNACKNOWLEDGED, /* those, and connected ones whose request is not acknowledged in full */
-} QuinceHttpProgress;
+  QUINCE_HTTP_WITHDRAW_UNCONNECTED, /* no byte has left: their connection is not made yet                 */
+  QUINCE_HTTP_WITHDRAW_UNACKNOWLEDGED, /* those, and connected ones whose request is not acknowledged in full
+                                        */
+} QuinceHttpWithdrawScope;
 
 /* Gives up exchanges whose request has not arrived whole: it never will.  Their done() is called.
  * Returns: how many */
-guint quince_http_pool_withdraw (QuinceHttpPool *pool, QuinceHttpProgress progress);
+guint quince_http_pool_withdraw (QuinceHttpPool *pool, QuinceHttpWithdrawScope progress);
 /* Connections with and without an exchange.  For tests, which check that none is lost or kept too long. */
-guint quince_http_pool_get_busy (const QuinceHttpPool *pool);
-guint quince_http_pool_get_idle (const QuinceHttpPool *pool);
+guint quince_http_pool_get_n_busy (const QuinceHttpPool *pool);
+guint quince_http_pool_get_n_idle (const QuinceHttpPool *pool);
 /* Connections made since the start. */
-guint64 quince_http_pool_get_opened (const QuinceHttpPool *pool);
+guint64 quince_http_pool_get_n_connections_opened (const QuinceHttpPool *pool);
 
 /**
  * quince_http_pool_start:
@@ -98,8 +99,8 @@
  * since bytes have arrived that were not read.  After a suspension answers and timers are ready at once, and
  * an answer that its worker gave in time would be replaced by a failure.  Returns: %TRUE at most
  * QUINCE_TIMEOUT_DEFERRALS_MAX times */
-gboolean quince_http_exchange_reads_first (QuinceHttpExchange *exchange);
+gboolean quince_http_exchange_defer_timeout (QuinceHttpExchange *exchange);
 /* The connection will not be used again, for example because the answer belongs to another request. */
-void quince_http_exchange_distrust (QuinceHttpExchange *exchange);
+void quince_http_exchange_disable_reuse (QuinceHttpExchange *exchange);
 
 G_END_DECLS
--- a/lib/http1/http-connection-input.c
+++ b/lib/http1/http-connection-input.c
@@ -12,10 +12,10 @@
 #define READ_BYTES (32 * 1024)
 /* Bytes that may come before the owner asks for the next message; beyond them the connection fails.  Not
  * measured: room for many small requests that a caller sends ahead, little beside the largest body. */
-#define EARLY_MAX_BYTES (256 * 1024)
+#define BUFFERED_INPUT_MAX_BYTES (256 * 1024)
 
 static void
-take_header (QuinceHttpConnection *connection)
+store_header (QuinceHttpConnection *connection)
 {
   if (connection->value_began)
     quince_http_headers_add (connection->head->headers, connection->field->str, connection->value->str);
@@ -51,7 +51,7 @@
 {
   QuinceHttpConnection *connection = parser->data;
   if (connection->value_began)
-    take_header (connection);
+    store_header (connection);
   g_string_append_len (connection->field, at, (gssize)length);
   return 0;
 }
@@ -82,7 +82,7 @@
 on_headers_complete (http_parser *parser)
 {
   QuinceHttpConnection *connection = parser->data;
-  take_header (connection);
+  store_header (connection);
   QuinceHttpHead *head = g_steal_pointer (&connection->head);
   if (connection->is_client)
     head->status = parser->status_code;
@@ -137,7 +137,7 @@
 
 /* A head that does not end. */
 static gboolean
-head_too_large (QuinceHttpConnection *connection, gsize length)
+exceeds_head_limit (QuinceHttpConnection *connection, gsize length)
 {
   if (connection->max_head_bytes == 0 || (connection->head == NULL && connection->reading))
     return FALSE;
@@ -175,7 +175,7 @@
   enum http_errno parse_error = HTTP_PARSER_ERRNO (&connection->parser);
   if (quince_http_connection_is_alive (connection) && parse_error != HPE_OK && parse_error != HPE_PAUSED)
     refuse_message (connection, parse_error);
-  else if (quince_http_connection_is_alive (connection) && head_too_large (connection, length))
+  else if (quince_http_connection_is_alive (connection) && exceeds_head_limit (connection, length))
     refuse_input (connection, QUINCE_HTTP1_ERROR_TOO_LARGE, "head is too large");
   if (quince_http_connection_is_alive (connection) && connection->waiting)
     {
@@ -201,11 +201,11 @@
 }
 
 static void
-input_ended (QuinceHttpConnection *connection)
+handle_end_of_input (QuinceHttpConnection *connection)
 {
   if (connection->waiting || !connection->reading)
     {
-      quince_http_connection_over (connection, NULL);
+      quince_http_connection_close_and_notify (connection, NULL);
       return;
     }
   /* An answer without a length is whole when its connection ends in order. */
@@ -229,10 +229,10 @@
   if (length < 0)
     quince_http_connection_fail (connection, QUINCE_HTTP1_ERROR_RESET, error->message);
   else if (length == 0)
-    input_ended (connection);
+    handle_end_of_input (connection);
   else if (connection->finishing)
     ; /* what comes after our last answer is not read */
-  else if (connection->waiting && connection->early->len > EARLY_MAX_BYTES)
+  else if (connection->waiting && connection->early->len > BUFFERED_INPUT_MAX_BYTES)
     quince_http_connection_fail (connection, QUINCE_HTTP1_ERROR_TOO_LARGE, "too much before its turn");
   else if (connection->waiting)
     g_byte_array_append (connection->early, (const guint8 *)buffer, (guint)length);
--- a/lib/http1/http-connection-output.c
+++ b/lib/http1/http-connection-output.c
@@ -9,10 +9,10 @@
 
 /* Longest wait for the peer's close after the last answer, ms.  Not measured: above a round trip between
  * regions, so that the peer has read the answer before a reset can reach it. */
-#define FINISH_MS 2000
+#define FINISH_TIMEOUT_MS 2000
 
 static void
-output_done (QuinceHttpConnection *connection)
+handle_output_sent (QuinceHttpConnection *connection)
 {
   if (connection->finishing)
     g_socket_shutdown (connection->socket, FALSE, TRUE, NULL);
@@ -21,7 +21,7 @@
 }
 
 gssize
-quince_http_connection_send_kept (QuinceHttpConnection *connection)
+quince_http_connection_send_pending_output (QuinceHttpConnection *connection)
 {
   g_autoptr (GError) error = NULL;
   GByteArray *output = connection->output;
@@ -43,20 +43,20 @@
 }
 
 void
-quince_http_connection_continue_output (QuinceHttpConnection *connection)
+quince_http_connection_handle_writable (QuinceHttpConnection *connection)
 {
   quince_http_connection_ref (connection);
-  quince_http_connection_send_kept (connection);
+  quince_http_connection_send_pending_output (connection);
   if (connection->open && connection->output->len == 0)
     {
       set_watch_output (connection, FALSE);
-      output_done (connection);
+      handle_output_sent (connection);
     }
   quince_http_connection_unref (connection);
 }
 
 void
-quince_http_connection_watch_output (QuinceHttpConnection *connection)
+quince_http_connection_watch_writable (QuinceHttpConnection *connection)
 {
   if (!connection->watches_output && !connection->connecting)
     set_watch_output (connection, TRUE);
@@ -78,13 +78,13 @@
   if (taken == length)
     return;
   g_byte_array_append (connection->output, (const guint8 *)data + taken, (guint)(length - taken));
-  quince_http_connection_watch_output (connection);
+  quince_http_connection_watch_writable (connection);
 }
 
 static gboolean
-finish_late (gpointer data)
+finish_timed_out (gpointer data)
 {
-  quince_http_connection_over (data, NULL);
+  quince_http_connection_close_and_notify (data, NULL);
   return G_SOURCE_REMOVE;
 }
 
@@ -95,7 +95,7 @@
     return;
   connection->finishing = TRUE;
   quince_http_connection_ref (connection);
-  connection->finish_timer = quince_timer_add (FINISH_MS, finish_late, connection);
+  connection->finish_timer = quince_timer_add (FINISH_TIMEOUT_MS, finish_timed_out, connection);
   if (connection->output->len == 0)
-    output_done (connection);
+    handle_output_sent (connection);
 }
--- a/lib/http1/http-connection-private.h
+++ b/lib/http1/http-connection-private.h
@@ -47,7 +47,7 @@
 
 /* Closes, and calls the owner's closed() unless the connection is finishing.  @error: (nullable): the peer
  * closed between two messages */
-void quince_http_connection_over (QuinceHttpConnection *connection, const GError *error);
+void quince_http_connection_close_and_notify (QuinceHttpConnection *connection, const GError *error);
 void quince_http_connection_fail (QuinceHttpConnection *connection, QuinceHttp1Error code, const char *text);
 /* The owner still gets callbacks. */
 gboolean quince_http_connection_is_alive (const QuinceHttpConnection *connection);
@@ -58,11 +58,11 @@
 void quince_http_connection_init_parser (QuinceHttpConnection *connection);
 
 /* Sends what is kept as soon as the kernel takes more. */
-void quince_http_connection_watch_output (QuinceHttpConnection *connection);
+void quince_http_connection_watch_writable (QuinceHttpConnection *connection);
 /* Sends once what is kept, as far as the kernel takes it.
  * Returns: bytes taken, -1 when the connection failed and was closed */
-gssize quince_http_connection_send_kept (QuinceHttpConnection *connection);
+gssize quince_http_connection_send_pending_output (QuinceHttpConnection *connection);
 /* The kernel takes more. */
-void quince_http_connection_continue_output (QuinceHttpConnection *connection);
+void quince_http_connection_handle_writable (QuinceHttpConnection *connection);
 
 G_END_DECLS
--- a/lib/http1/http-connection-state.c
+++ b/lib/http1/http-connection-state.c
@@ -41,7 +41,7 @@
 }
 
 void
-quince_http_connection_over (QuinceHttpConnection *connection, const GError *error)
+quince_http_connection_close_and_notify (QuinceHttpConnection *connection, const GError *error)
 {
   if (!connection->open)
     return;
@@ -59,7 +59,7 @@
 quince_http_connection_fail (QuinceHttpConnection *connection, QuinceHttp1Error code, const char *text)
 {
   g_autoptr (GError) error = g_error_new_literal (QUINCE_HTTP1_ERROR, code, text);
-  quince_http_connection_over (connection, error);
+  quince_http_connection_close_and_notify (connection, error);
 }
 
 gboolean
--- a/lib/http1/http-connection.c
+++ b/lib/http1/http-connection.c
@@ -42,9 +42,9 @@
   quince_socket_watch_set_condition (connection->watch, G_IO_IN);
   if (connection->output->len > 0)
     {
-      quince_http_connection_send_kept (connection);
+      quince_http_connection_send_pending_output (connection);
       if (connection->open && connection->output->len > 0)
-        quince_http_connection_watch_output (connection);
+        quince_http_connection_watch_writable (connection);
     }
   if (connection->open && connection->callbacks->connected != NULL)
     connection->callbacks->connected (connection, connection->user_data);
@@ -63,7 +63,7 @@
       if ((condition & ~G_IO_OUT) != 0)
         quince_http_connection_read (connection);
       if (connection->open && connection->watches_output && (condition & G_IO_OUT) != 0)
-        quince_http_connection_continue_output (connection);
+        quince_http_connection_handle_writable (connection);
     }
   quince_http_connection_unref (connection);
 }
@@ -83,7 +83,7 @@
 }
 
 static gboolean
-connect_impossible (gpointer data)
+report_connect_failure (gpointer data)
 {
   quince_http_connection_fail (data, QUINCE_HTTP1_ERROR_CONNECT, "no connection can be made to this address");
   return G_SOURCE_REMOVE;
@@ -100,7 +100,7 @@
   if (connection->socket != NULL)
     connection->watch = quince_socket_watch_new (connection->socket, G_IO_OUT, socket_ready, connection);
   else
-    connection->fail_timer = quince_timer_add (0, connect_impossible, connection);
+    connection->fail_timer = quince_timer_add (0, report_connect_failure, connection);
   return connection;
 }
 
@@ -111,25 +111,25 @@
 }
 
 gboolean
-quince_http_connection_has_surplus (QuinceHttpConnection *connection)
+quince_http_connection_has_buffered_input (QuinceHttpConnection *connection)
 {
   return connection->early->len > 0;
 }
 
 gboolean
-quince_http_connection_has_output (QuinceHttpConnection *connection)
+quince_http_connection_has_pending_output (QuinceHttpConnection *connection)
 {
   return connection->output->len > 0;
 }
 
 gboolean
-quince_http_connection_has_input (const QuinceHttpConnection *connection)
+quince_http_connection_is_readable (const QuinceHttpConnection *connection)
 {
   return connection->socket != NULL && g_socket_condition_check (connection->socket, G_IO_IN) != 0;
 }
 
 gboolean
-quince_http_connection_has_unacknowledged (const QuinceHttpConnection *connection)
+quince_http_connection_has_unacknowledged_data (const QuinceHttpConnection *connection)
 {
   if (connection->output->len > 0)
     return TRUE;
@@ -138,7 +138,7 @@
 }
 
 void
-quince_http_connection_discard_at_close (QuinceHttpConnection *connection)
+quince_http_connection_reset_on_close (QuinceHttpConnection *connection)
 {
   const struct linger at_once = { .l_onoff = 1, .l_linger = 0 };
   if (connection->open && connection->socket != NULL)
@@ -146,7 +146,7 @@
 }
 
 gsize
-quince_http_connection_get_output (QuinceHttpConnection *connection)
+quince_http_connection_get_pending_output_bytes (QuinceHttpConnection *connection)
 {
   return connection->output->len;
 }
--- a/lib/http1/http-headers.c
+++ b/lib/http1/http-headers.c
@@ -13,7 +13,7 @@
 };
 
 static void
-clear_line (gpointer data)
+clear_header (gpointer data)
 {
   QuinceHttpHeader *line = data;
   g_free (line->name);
@@ -25,7 +25,7 @@
 {
   QuinceHttpHeaders *headers = g_new0 (QuinceHttpHeaders, 1);
   headers->lines = g_array_new (FALSE, FALSE, sizeof (QuinceHttpHeader));
-  g_array_set_clear_func (headers->lines, clear_line);
+  g_array_set_clear_func (headers->lines, clear_header);
   return headers;
 }
 
--- a/lib/http1/http-pool.c
+++ b/lib/http1/http-pool.c
@@ -11,7 +11,7 @@
 
 /* Part of the idle time that a server announced during which its connection is used again: the rest allows
  * for clocks and the way there.  Not measured. */
-#define KEEP_ALIVE_USABLE 0.8
+#define KEEP_ALIVE_USABLE_FRACTION 0.8
 /* Where the server announces nothing, us.  Not measured: below the 5 s after which common servers close. */
 #define KEEP_ALIVE_DEFAULT_US (4 * G_USEC_PER_SEC)
 /* Longest wait for a connection, ms.  Not measured: some round trips between regions (24 ms) and less than
@@ -23,16 +23,16 @@
   QuinceHttpConnection *connection;
   QuinceHttpPool *pool;         /* not owned; lives at least as long */
   QuinceHttpExchange *exchange; /* NULL while idle */
-  gint64 usable_until;          /* monotonic us */
+  gint64 usable_until_us;       /* monotonic us */
   gboolean used;                /* has carried a whole exchange */
-} Channel;
+} PooledConnection;
 
 struct _QuinceHttpPool
 {
   /* All fields belong to the context that created the pool. */
   grefcount references; /* the owner's, and one for each channel */
   char *address;
-  GPtrArray *idle;      /* Channel, the last used at the end */
+  GPtrArray *idle;      /* PooledConnection, the last used at the end */
   GPtrArray *exchanges; /* QuinceHttpExchange, in progress */
   guint busy;
   guint64 opened;
@@ -42,7 +42,7 @@
 struct _QuinceHttpExchange
 {
   QuinceHttpPool *pool;
-  Channel *channel;
+  PooledConnection *channel;
   const QuinceHttpExchangeCallbacks *callbacks;
   gpointer user_data;
   QuinceHttpHead *head;
@@ -50,13 +50,13 @@
   QuinceTimer *timer;
   QuinceTimer *connect_timer;
   guint read_first; /* times that its time was over while there was something to read */
-  gboolean distrusted;
+  gboolean reuse_disabled;
   gboolean connected;
   gint64 send_by_us; /* 0: none */
   GString *unsent;   /* the request, until there is a connection; NULL: written */
 };
 
-static const QuinceHttpConnectionCallbacks channel_callbacks;
+static const QuinceHttpConnectionCallbacks pooled_callbacks;
 
 QuinceHttpPool *
 quince_http_pool_new (const char *address)
@@ -70,7 +70,7 @@
 }
 
 static void
-pool_release (QuinceHttpPool *pool)
+pool_unref (QuinceHttpPool *pool)
 {
   if (!g_ref_count_dec (&pool->references))
     return;
@@ -81,45 +81,45 @@
 }
 
 static void
-channel_free (Channel *channel)
+pooled_free (PooledConnection *channel)
 {
   QuinceHttpPool *pool = channel->pool;
   g_ptr_array_remove_fast (pool->idle, channel);
   quince_http_connection_close (channel->connection);
   quince_http_connection_unref (channel->connection);
   g_free (channel);
-  pool_release (pool);
+  pool_unref (pool);
 }
 
 void
-quince_http_pool_drop_idle (QuinceHttpPool *pool)
+quince_http_pool_close_idle (QuinceHttpPool *pool)
 {
   while (pool->idle->len > 0)
-    channel_free (pool->idle->pdata[pool->idle->len - 1]);
+    pooled_free (pool->idle->pdata[pool->idle->len - 1]);
 }
 
 void
 quince_http_pool_unref (QuinceHttpPool *pool)
 {
   pool->abandoned = TRUE;
-  quince_http_pool_drop_idle (pool);
-  pool_release (pool);
+  quince_http_pool_close_idle (pool);
+  pool_unref (pool);
 }
 
 guint
-quince_http_pool_get_busy (const QuinceHttpPool *pool)
+quince_http_pool_get_n_busy (const QuinceHttpPool *pool)
 {
   return pool->busy;
 }
 
 guint
-quince_http_pool_get_idle (const QuinceHttpPool *pool)
+quince_http_pool_get_n_idle (const QuinceHttpPool *pool)
 {
   return pool->idle->len;
 }
 
 guint64
-quince_http_pool_get_opened (const QuinceHttpPool *pool)
+quince_http_pool_get_n_connections_opened (const QuinceHttpPool *pool)
 {
   return pool->opened;
 }
@@ -127,7 +127,7 @@
 /* ---- Channels --------------------------------------------------------- */
 
 static gint64
-announced_keep_alive_us (const QuinceHttpHead *head)
+get_reuse_period_us (const QuinceHttpHead *head)
 {
   const char *text = quince_http_headers_get (head->headers, "Keep-Alive");
   if (text == NULL)
@@ -135,36 +135,36 @@
   const char *number = strstr (text, "timeout=");
   number = number != NULL ? number + strlen ("timeout=") : text;
   gint64 seconds = g_ascii_strtoll (number, NULL, 10);
-  return (gint64)((double)seconds * KEEP_ALIVE_USABLE * G_USEC_PER_SEC);
+  return (gint64)((double)seconds * KEEP_ALIVE_USABLE_FRACTION * G_USEC_PER_SEC);
 }
 
-static Channel *
-take_idle (QuinceHttpPool *pool)
+static PooledConnection *
+take_idle_connection (QuinceHttpPool *pool)
 {
   gint64 now = quince_now_us ();
   while (pool->idle->len > 0)
     {
-      Channel *channel = pool->idle->pdata[pool->idle->len - 1];
-      gboolean usable = channel->usable_until > now && quince_http_connection_is_open (channel->connection)
-                        && !quince_http_connection_has_surplus (channel->connection);
+      PooledConnection *channel = pool->idle->pdata[pool->idle->len - 1];
+      gboolean usable = channel->usable_until_us > now && quince_http_connection_is_open (channel->connection)
+                        && !quince_http_connection_has_buffered_input (channel->connection);
       if (usable)
         {
           g_ptr_array_remove_index (pool->idle, pool->idle->len - 1);
           return channel;
         }
-      channel_free (channel);
+      pooled_free (channel);
     }
   return NULL;
 }
 
-static Channel *
-channel_open (QuinceHttpPool *pool)
+static PooledConnection *
+pooled_new (QuinceHttpPool *pool)
 {
-  Channel *channel = g_new0 (Channel, 1);
+  PooledConnection *channel = g_new0 (PooledConnection, 1);
   g_ref_count_inc (&pool->references);
   channel->pool = pool;
   pool->opened++;
-  channel->connection = quince_http_connection_connect (pool->address, &channel_callbacks, channel);
+  channel->connection = quince_http_connection_connect (pool->address, &pooled_callbacks, channel);
   return channel;
 }
 
@@ -172,9 +172,9 @@
 
 /* Takes the channel off @exchange: back to the pool, or closed. */
 static void
-release_channel (QuinceHttpExchange *exchange, gboolean keep)
+release_connection (QuinceHttpExchange *exchange, gboolean keep)
 {
-  Channel *channel = g_steal_pointer (&exchange->channel);
+  PooledConnection *channel = g_steal_pointer (&exchange->channel);
   QuinceHttpPool *pool = channel->pool;
   channel->exchange = NULL;
   g_ptr_array_remove_fast (pool->exchanges, exchange);
@@ -183,13 +183,13 @@
   if (!keep)
     {
       /* No caller waits for it any more: it must not arrive when a network recovers. */
-      if (exchange->head == NULL && quince_http_connection_has_unacknowledged (channel->connection))
-        quince_http_connection_discard_at_close (channel->connection);
-      channel_free (channel);
+      if (exchange->head == NULL && quince_http_connection_has_unacknowledged_data (channel->connection))
+        quince_http_connection_reset_on_close (channel->connection);
+      pooled_free (channel);
       return;
     }
   channel->used = TRUE;
-  channel->usable_until = quince_now_us () + announced_keep_alive_us (exchange->head);
+  channel->usable_until_us = quince_now_us () + get_reuse_period_us (exchange->head);
   g_ptr_array_add (pool->idle, channel);
 }
 
@@ -202,7 +202,7 @@
   g_byte_array_unref (exchange->body);
   if (exchange->unsent != NULL)
     g_string_free (exchange->unsent, TRUE);
-  pool_release (exchange->pool);
+  pool_unref (exchange->pool);
   g_free (exchange);
 }
 
@@ -210,12 +210,12 @@
 exchange_end (QuinceHttpExchange *exchange, QuinceHttpOutcome outcome, const GError *error)
 {
   gboolean whole = outcome == QUINCE_HTTP_ANSWERED;
-  gboolean keep = whole && exchange->head->keep_alive && !exchange->distrusted
-                  && !quince_http_connection_has_surplus (exchange->channel->connection)
-                  && !quince_http_connection_has_output (exchange->channel->connection);
+  gboolean keep = whole && exchange->head->keep_alive && !exchange->reuse_disabled
+                  && !quince_http_connection_has_buffered_input (exchange->channel->connection)
+                  && !quince_http_connection_has_pending_output (exchange->channel->connection);
   quince_timer_clear (&exchange->timer);
   quince_timer_clear (&exchange->connect_timer);
-  release_channel (exchange, keep);
+  release_connection (exchange, keep);
   exchange->callbacks->done (exchange, outcome, error, exchange->user_data);
   exchange_free (exchange);
 }
@@ -229,19 +229,20 @@
 void
 quince_http_exchange_cancel (QuinceHttpExchange *exchange)
 {
-  release_channel (exchange, FALSE);
+  release_connection (exchange, FALSE);
   exchange_free (exchange);
 }
 
 /* NULL: there is none. */
 static QuinceHttpExchange *
-find_not_arrived (const QuinceHttpPool *pool, QuinceHttpProgress progress)
+find_withdrawable (const QuinceHttpPool *pool, QuinceHttpWithdrawScope progress)
 {
   for (guint i = 0; i < pool->exchanges->len; i++)
     {
       QuinceHttpExchange *exchange = pool->exchanges->pdata[i];
-      gboolean unacknowledged = progress == QUINCE_HTTP_UNACKNOWLEDGED && exchange->head == NULL
-                                && quince_http_connection_has_unacknowledged (exchange->channel->connection);
+      gboolean unacknowledged
+          = progress == QUINCE_HTTP_WITHDRAW_UNACKNOWLEDGED && exchange->head == NULL
+            && quince_http_connection_has_unacknowledged_data (exchange->channel->connection);
       if (!exchange->connected || unacknowledged)
         return exchange;
     }
@@ -249,15 +250,15 @@
 }
 
 guint
-quince_http_pool_withdraw (QuinceHttpPool *pool, QuinceHttpProgress progress)
+quince_http_pool_withdraw (QuinceHttpPool *pool, QuinceHttpWithdrawScope progress)
 {
   g_autoptr (GError) error
       = g_error_new_literal (QUINCE_HTTP1_ERROR, QUINCE_HTTP1_ERROR_CLOSED, "withdrawn before it arrived");
   /* A callback may begin or end other exchanges here. */
   guint most = pool->exchanges->len;
   guint count = 0;
-  for (QuinceHttpExchange *exchange = find_not_arrived (pool, progress); exchange != NULL && count < most;
-       exchange = find_not_arrived (pool, progress))
+  for (QuinceHttpExchange *exchange = find_withdrawable (pool, progress); exchange != NULL && count < most;
+       exchange = find_withdrawable (pool, progress))
     {
       exchange_fail (exchange, error);
       count++;
@@ -266,23 +267,23 @@
 }
 
 gboolean
-quince_http_exchange_reads_first (QuinceHttpExchange *exchange)
+quince_http_exchange_defer_timeout (QuinceHttpExchange *exchange)
 {
   if (exchange->read_first >= QUINCE_TIMEOUT_DEFERRALS_MAX
-      || !quince_http_connection_has_input (exchange->channel->connection))
+      || !quince_http_connection_is_readable (exchange->channel->connection))
     return FALSE;
   exchange->read_first++;
   return TRUE;
 }
 
 static gboolean
-exchange_late (gpointer data)
+exchange_timed_out (gpointer data)
 {
   QuinceHttpExchange *exchange = data;
-  if (quince_http_exchange_reads_first (exchange))
+  if (quince_http_exchange_defer_timeout (exchange))
     {
       quince_timer_clear (&exchange->timer);
-      exchange->timer = quince_timer_add (QUINCE_TIMEOUT_DEFERRAL_MS, exchange_late, exchange);
+      exchange->timer = quince_timer_add (QUINCE_TIMEOUT_DEFERRAL_MS, exchange_timed_out, exchange);
       return G_SOURCE_REMOVE;
     }
   g_autoptr (GError) error
@@ -302,9 +303,9 @@
 }
 
 static void
-channel_connected (QuinceHttpConnection *connection, gpointer data)
+pooled_connected (QuinceHttpConnection *connection, gpointer data)
 {
-  Channel *channel = data;
+  PooledConnection *channel = data;
   QuinceHttpExchange *exchange = channel->exchange;
   if (exchange == NULL)
     return;
@@ -323,9 +324,9 @@
 }
 
 static void
-channel_head (QuinceHttpConnection *connection, QuinceHttpHead *head, gpointer data)
+pooled_head (QuinceHttpConnection *connection, QuinceHttpHead *head, gpointer data)
 {
-  Channel *channel = data;
+  PooledConnection *channel = data;
   QuinceHttpExchange *exchange = channel->exchange;
   if (exchange == NULL)
     {
@@ -338,9 +339,9 @@
 }
 
 static void
-channel_body (QuinceHttpConnection *connection, const char *data, gsize length, gpointer user_data)
+pooled_body (QuinceHttpConnection *connection, const char *data, gsize length, gpointer user_data)
 {
-  Channel *channel = user_data;
+  PooledConnection *channel = user_data;
   QuinceHttpExchange *exchange = channel->exchange;
   if (exchange == NULL)
     return;
@@ -351,20 +352,20 @@
 }
 
 static void
-channel_complete (QuinceHttpConnection *connection, gpointer data)
+pooled_complete (QuinceHttpConnection *connection, gpointer data)
 {
-  Channel *channel = data;
+  PooledConnection *channel = data;
   if (channel->exchange != NULL)
     exchange_end (channel->exchange, QUINCE_HTTP_ANSWERED, NULL);
 }
 
 static void
-channel_closed (QuinceHttpConnection *connection, const GError *error, gpointer data)
+pooled_closed (QuinceHttpConnection *connection, const GError *error, gpointer data)
 {
-  Channel *channel = data;
+  PooledConnection *channel = data;
   if (channel->exchange == NULL)
     {
-      channel_free (channel);
+      pooled_free (channel);
       return;
     }
   g_autoptr (GError) closed
@@ -374,12 +375,12 @@
   exchange_fail (channel->exchange, closed);
 }
 
-static const QuinceHttpConnectionCallbacks channel_callbacks = {
-  .connected = channel_connected,
-  .head = channel_head,
-  .body = channel_body,
-  .complete = channel_complete,
-  .closed = channel_closed,
+static const QuinceHttpConnectionCallbacks pooled_callbacks = {
+  .connected = pooled_connected,
+  .head = pooled_head,
+  .body = pooled_body,
+  .complete = pooled_complete,
+  .closed = pooled_closed,
 };
 
 static GString *
@@ -406,7 +407,7 @@
 }
 
 static guint
-connect_most_ms (const QuinceHttpRequest *request)
+get_connect_timeout_ms (const QuinceHttpRequest *request)
 {
   if (request->send_by_us == 0)
     return CONNECT_MS;
@@ -425,10 +426,10 @@
   exchange->callbacks = callbacks;
   exchange->user_data = user_data;
   exchange->body = g_byte_array_new ();
-  Channel *channel = take_idle (pool);
+  PooledConnection *channel = take_idle_connection (pool);
   exchange->connected = channel != NULL;
   if (channel == NULL)
-    channel = channel_open (pool);
+    channel = pooled_new (pool);
   channel->exchange = exchange;
   exchange->channel = channel;
   g_ptr_array_add (pool->exchanges, exchange);
@@ -436,9 +437,10 @@
   if (exchange->connected)
     quince_http_connection_next (channel->connection);
   else
-    exchange->connect_timer = quince_timer_add (connect_most_ms (request), connect_late, exchange);
+    exchange->connect_timer = quince_timer_add (get_connect_timeout_ms (request), connect_late, exchange);
   if (request->timeout_us > 0)
-    exchange->timer = quince_timer_add ((guint)MAX (request->timeout_us / 1000, 1), exchange_late, exchange);
+    exchange->timer
+        = quince_timer_add ((guint)MAX (request->timeout_us / 1000, 1), exchange_timed_out, exchange);
   g_autoptr (GString) text = format_request (pool, request);
   exchange->send_by_us = request->send_by_us;
   if (!exchange->connected && request->send_by_us != 0)
@@ -461,7 +463,7 @@
 }
 
 void
-quince_http_exchange_distrust (QuinceHttpExchange *exchange)
+quince_http_exchange_disable_reuse (QuinceHttpExchange *exchange)
 {
-  exchange->distrusted = TRUE;
+  exchange->reuse_disabled = TRUE;
 }
--- a/lib/http1/http-text-server.c
+++ b/lib/http1/http-text-server.c
@@ -18,7 +18,7 @@
   /* All fields belong to the context that created the server. */
   QuinceAcceptor *acceptor;
   char *path;
-  char *(*produce) (void);
+  char *(*produce_text) (void);
   GHashTable *connections; /* Reader, owned */
 };
 
@@ -51,7 +51,7 @@
 {
   Reader *reader = data;
   gboolean known = g_str_equal (reader->head->target, reader->server->path);
-  g_autofree char *text = known ? reader->server->produce () : g_strdup ("");
+  g_autofree char *text = known ? reader->server->produce_text () : g_strdup ("");
   g_autofree char *answer
       = g_strdup_printf ("HTTP/1.1 %s\r\nContent-Type: text/plain; version=0.0.4\r\n"
                          "Connection: close\r\nContent-Length: %" G_GSIZE_FORMAT "\r\n\r\n%s",
@@ -87,7 +87,7 @@
 }
 
 QuinceTextServer *
-quince_text_server_new (const char *address, const char *path, char *(*produce) (void), GError **error)
+quince_text_server_new (const char *address, const char *path, char *(*produce_text) (void), GError **error)
 {
   QuinceTextServer *server = g_new0 (QuinceTextServer, 1);
   server->acceptor = quince_acceptor_new (address, accepted, server, error);
@@ -97,7 +97,7 @@
       return NULL;
     }
   server->path = g_strdup (path);
-  server->produce = produce;
+  server->produce_text = produce_text;
   server->connections = g_hash_table_new_full (NULL, NULL, reader_free, NULL);
   return server;
 }
--- a/lib/http1/http1.h
+++ b/lib/http1/http1.h
@@ -123,16 +123,16 @@
 void quince_http_connection_finish (QuinceHttpConnection *connection);
 gboolean quince_http_connection_is_open (QuinceHttpConnection *connection);
 /* Bytes beyond the last whole message have come: on a client's side they belong to no request. */
-gboolean quince_http_connection_has_surplus (QuinceHttpConnection *connection);
-gboolean quince_http_connection_has_output (QuinceHttpConnection *connection);
+gboolean quince_http_connection_has_buffered_input (QuinceHttpConnection *connection);
+gboolean quince_http_connection_has_pending_output (QuinceHttpConnection *connection);
 /* Bytes have arrived that are not read yet, or the end of the connection. */
-gboolean quince_http_connection_has_input (const QuinceHttpConnection *connection);
+gboolean quince_http_connection_is_readable (const QuinceHttpConnection *connection);
 /* Bytes that the kernel has not taken yet. */
-gsize quince_http_connection_get_output (QuinceHttpConnection *connection);
+gsize quince_http_connection_get_pending_output_bytes (QuinceHttpConnection *connection);
 /* Bytes were written that the other side's machine has not acknowledged. */
-gboolean quince_http_connection_has_unacknowledged (const QuinceHttpConnection *connection);
+gboolean quince_http_connection_has_unacknowledged_data (const QuinceHttpConnection *connection);
 /* What is not acknowledged when the connection is closed is never sent again. */
-void quince_http_connection_discard_at_close (QuinceHttpConnection *connection);
+void quince_http_connection_reset_on_close (QuinceHttpConnection *connection);
 /* A message has begun to arrive and is not whole. */
 gboolean quince_http_connection_is_reading (QuinceHttpConnection *connection);
 
--- a/lib/http1/text-server.h
+++ b/lib/http1/text-server.h
@@ -11,9 +11,9 @@
 
 typedef struct _QuinceTextServer QuinceTextServer;
 
-/* @produce: (transfer full): the text, for each request */
+/* @produce_text: (transfer full): the text, for each request */
 QuinceTextServer *
-quince_text_server_new (const char *address, const char *path, char *(*produce) (void), GError **error);
+quince_text_server_new (const char *address, const char *path, char *(*produce_text) (void), GError **error);
 void quince_text_server_free (QuinceTextServer *server);
 
 G_END_DECLS
--- a/lib/meta/meta-store.c
+++ b/lib/meta/meta-store.c
@@ -378,7 +378,7 @@
 void
 quince_meta_store_handle_resume (QuinceMetaStore *store)
 {
-  quince_http_pool_drop_idle (store->pool);
+  quince_http_pool_close_idle (store->pool);
 }
 
 void
--- a/tests/platform/test-http-pool.c
+++ b/tests/platform/test-http-pool.c
@@ -136,9 +136,10 @@
       ask (pool, &seen, 500 * 1000);
       g_free (seen.body);
       guint expected = script->kept ? 1 : 2;
-      if (quince_http_pool_get_opened (pool) != expected)
-        fail_msg ("%s: %u connections were made", script->name, (guint)quince_http_pool_get_opened (pool));
-      assert_int_equal (quince_http_pool_get_busy (pool), 0);
+      if (quince_http_pool_get_n_connections_opened (pool) != expected)
+        fail_msg ("%s: %u connections were made", script->name,
+                  (guint)quince_http_pool_get_n_connections_opened (pool));
+      assert_int_equal (quince_http_pool_get_n_busy (pool), 0);
       quince_http_pool_unref (pool);
       standin_server_free (server);
     }
@@ -166,9 +167,9 @@
   Seen seen;
   ask (pool, &seen, 500 * 1000);
   g_free (seen.body);
-  assert_int_equal (quince_http_pool_get_idle (pool), 1);
+  assert_int_equal (quince_http_pool_get_n_idle (pool), 1);
   standin_server_drop_all (server);
-  AWAIT (quince_http_pool_get_idle (pool) == 0);
+  AWAIT (quince_http_pool_get_n_idle (pool) == 0);
   ask (pool, &seen, 500 * 1000);
   assert_int_equal (seen.outcome, QUINCE_HTTP_ANSWERED);
   g_free (seen.body);
@@ -227,7 +228,7 @@
   g_free (seen.body);
   run_for (50);
   assert_int_equal (calls, 0);
-  assert_int_equal (quince_http_pool_get_busy (pool), 0);
+  assert_int_equal (quince_http_pool_get_n_busy (pool), 0);
   request.send_by_us = quince_now_us () + G_USEC_PER_SEC;
   for (guint i = 1; i <= 2; i++) /* a new connection, and a kept one */
     {
--- a/tests/unit/test-hostile.c
+++ b/tests/unit/test-hostile.c
@@ -22,14 +22,14 @@
 #define RANDOM_PROGRAMS 2000
 #define WORDS_MAX 64
 /* Kinds that there are, and those before them that are gone. */
-#define KIND_FIRST QUINCE_MESSAGE_LEDGER_HELLO
-#define KINDS (QUINCE_MESSAGE_LEDGER_LEAD + 1)
+#define FIRST_KIND QUINCE_MESSAGE_LEDGER_HELLO
+#define N_KINDS (QUINCE_MESSAGE_LEDGER_LEAD + 1)
 
 /* ---- Codecs --------------------------------------------------------------- */
 
 /* What is decoded must encode again, to bytes that decode. */
 static gboolean
-try_decode (xdrproc_t proc, gsize size, gconstpointer data, gsize length)
+check_decode (xdrproc_t proc, gsize size, gconstpointer data, gsize length)
 {
   g_autoptr (GError) error = NULL;
   gpointer value = quince_xdr_decode (proc, size, data, length, &error);
@@ -49,7 +49,7 @@
 
 /* Lengths, counts, enumerators and sizes that sit at the bounds of their types. */
 static guint32
-pick_word (GRand *random)
+generate_word (GRand *random)
 {
   static const guint32 words[]
       = { 0,          0,          0,          0,          1,          1,          2,
@@ -62,11 +62,11 @@
 
 /* @word replaces the first word, which is the kind, of bytes that decode. */
 static void
-assert_refused_kind (xdrproc_t proc, gsize size, GBytes *encoded, guint32 word)
+assert_kind_is_rejected (xdrproc_t proc, gsize size, GBytes *encoded, guint32 word)
 {
   gsize length;
   const guint8 *bytes = g_bytes_get_data (encoded, &length);
-  assert_true (try_decode (proc, size, bytes, length));
+  assert_true (check_decode (proc, size, bytes, length));
   g_autofree guint8 *changed = g_memdup2 (bytes, length);
   guint32 kind = GUINT32_TO_BE (word);
   memcpy (changed, &kind, sizeof kind);
@@ -84,15 +84,16 @@
   const QuinceBatchRecord record = { .kind = QUINCE_BATCH_RECORD_USAGE_SENT };
   g_autoptr (GBytes) messages = quince_message_encode (&message, NULL);
   g_autoptr (GBytes) records = quince_batch_record_encode (&record, NULL);
-  for (guint32 kind = 0; kind < KIND_FIRST; kind++)
-    assert_refused_kind ((xdrproc_t)xdr_QuinceMessage, sizeof (QuinceMessage), messages, kind);
-  assert_refused_kind ((xdrproc_t)xdr_QuinceMessage, sizeof (QuinceMessage), messages, KINDS);
-  assert_refused_kind ((xdrproc_t)xdr_QuinceBatchRecord, sizeof (QuinceBatchRecord), records,
-                       QUINCE_BATCH_RECORD_LISTED + 1);
+  for (guint32 kind = 0; kind < FIRST_KIND; kind++)
+    assert_kind_is_rejected ((xdrproc_t)xdr_QuinceMessage, sizeof (QuinceMessage), messages, kind);
+  assert_kind_is_rejected ((xdrproc_t)xdr_QuinceMessage, sizeof (QuinceMessage), messages, N_KINDS);
+  assert_kind_is_rejected ((xdrproc_t)xdr_QuinceBatchRecord, sizeof (QuinceBatchRecord), records,
+                           QUINCE_BATCH_RECORD_LISTED + 1);
   for (guint i = 0; i < G_N_ELEMENTS (beyond); i++)
     {
-      assert_refused_kind ((xdrproc_t)xdr_QuinceMessage, sizeof (QuinceMessage), messages, beyond[i]);
-      assert_refused_kind ((xdrproc_t)xdr_QuinceBatchRecord, sizeof (QuinceBatchRecord), records, beyond[i]);
+      assert_kind_is_rejected ((xdrproc_t)xdr_QuinceMessage, sizeof (QuinceMessage), messages, beyond[i]);
+      assert_kind_is_rejected ((xdrproc_t)xdr_QuinceBatchRecord, sizeof (QuinceBatchRecord), records,
+                               beyond[i]);
     }
 }
 
@@ -105,36 +106,36 @@
     {
       gsize length = (gsize)g_rand_int_range (random, 1, sizeof words + 1);
       for (guint j = 0; j < WORDS_MAX; j++)
-        words[j] = pick_word (random);
+        words[j] = generate_word (random);
       if (i % 2 == 0)
-        words[0] = GUINT32_TO_BE (i / 2 % KINDS);
-      try_decode ((xdrproc_t)xdr_QuinceMessage, sizeof (QuinceMessage), words, length);
-      try_decode ((xdrproc_t)xdr_QuinceBatchResult, sizeof (QuinceBatchResult), words, length);
-      try_decode ((xdrproc_t)xdr_QuinceUsageWindow, sizeof (QuinceUsageWindow), words, length);
-      try_decode ((xdrproc_t)xdr_QuinceBatchRecord, sizeof (QuinceBatchRecord), words, length);
-      try_decode ((xdrproc_t)xdr_QuinceLedgerView, sizeof (QuinceLedgerView), words, length);
+        words[0] = GUINT32_TO_BE (i / 2 % N_KINDS);
+      check_decode ((xdrproc_t)xdr_QuinceMessage, sizeof (QuinceMessage), words, length);
+      check_decode ((xdrproc_t)xdr_QuinceBatchResult, sizeof (QuinceBatchResult), words, length);
+      check_decode ((xdrproc_t)xdr_QuinceUsageWindow, sizeof (QuinceUsageWindow), words, length);
+      check_decode ((xdrproc_t)xdr_QuinceBatchRecord, sizeof (QuinceBatchRecord), words, length);
+      check_decode ((xdrproc_t)xdr_QuinceLedgerView, sizeof (QuinceLedgerView), words, length);
     }
 }
 
 /* The shortest message of each kind is all zeros but for the kind; then one word of it changes. */
 static void
-test_changed_messages (void **state)
+test_mutated_messages (void **state)
 {
   g_autoptr (GRand) random = g_rand_new_with_seed (8);
-  for (guint kind = KIND_FIRST; kind < KINDS; kind++)
+  for (guint kind = FIRST_KIND; kind < N_KINDS; kind++)
     {
       guint32 words[WORDS_MAX] = { GUINT32_TO_BE (kind) };
       gsize count = 1;
       while (count < WORDS_MAX
-             && !try_decode ((xdrproc_t)xdr_QuinceMessage, sizeof (QuinceMessage), words, count * 4))
+             && !check_decode ((xdrproc_t)xdr_QuinceMessage, sizeof (QuinceMessage), words, count * 4))
         count++;
       assert_true (count < WORDS_MAX);
       for (guint i = 0; i < 50 * count; i++)
         {
           guint32 changed[WORDS_MAX];
           memcpy (changed, words, sizeof words);
-          changed[i % count] = pick_word (random);
-          try_decode ((xdrproc_t)xdr_QuinceMessage, sizeof (QuinceMessage), changed, count * 4);
+          changed[i % count] = generate_word (random);
+          check_decode ((xdrproc_t)xdr_QuinceMessage, sizeof (QuinceMessage), changed, count * 4);
         }
     }
 }
@@ -145,9 +146,9 @@
 {
   const char *text;
   gboolean sound;
-} JsonText;
+} JsonCase;
 
-static const JsonText json_texts[] = {
+static const JsonCase json_cases[] = {
   { "{\"a\":[1,-2.5e+3,true,null,\"\\\"\\\\\\/\\b\\f\\n\\r\\t\\u00e9\"]}", TRUE },
   { "\"\\ud83d\\ude00 \xf0\x9f\x98\x80\"", TRUE },
   { "\"[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[\"", TRUE },
@@ -172,9 +173,9 @@
 static void
 test_json_check (void **state)
 {
-  for (guint i = 0; i < G_N_ELEMENTS (json_texts); i++)
-    if (quince_json_check (json_texts[i].text, strlen (json_texts[i].text)) != json_texts[i].sound)
-      fail_msg ("%s: not %s", json_texts[i].text, json_texts[i].sound ? "sound" : "refused");
+  for (guint i = 0; i < G_N_ELEMENTS (json_cases); i++)
+    if (quince_json_check (json_cases[i].text, strlen (json_cases[i].text)) != json_cases[i].sound)
+      fail_msg ("%s: not %s", json_cases[i].text, json_cases[i].sound ? "sound" : "refused");
   for (guint levels = 1; levels <= 100; levels++)
     {
       g_autofree char *open = g_strnfill (levels, '[');
@@ -191,7 +192,7 @@
 
 /* Whatever a program does, its error is typed and its text can be printed and sent as JSON. */
 static void
-assert_typed (const char *text, const GError *error)
+assert_policy_error (const char *text, const GError *error)
 {
   if (error == NULL || error->domain != QUINCE_POLICY_ERROR)
     fail_msg ("no typed error: %s", text);
@@ -203,9 +204,9 @@
 {
   const char *text; /* body of admit (r) */
   QuincePolicyError code;
-} Hostile;
+} HostileProgram;
 
-static const Hostile hostile_bodies[] = {
+static const HostileProgram hostile_programs[] = {
   /* Steps. */
   { "::again:: goto again", QUINCE_POLICY_ERROR_INSTRUCTIONS },
   { "for i = 1, math.huge do end", QUINCE_POLICY_ERROR_INSTRUCTIONS },
@@ -259,9 +260,9 @@
 static void
 test_hostile_programs (void **state)
 {
-  for (guint i = 0; i < G_N_ELEMENTS (hostile_bodies); i++)
+  for (guint i = 0; i < G_N_ELEMENTS (hostile_programs); i++)
     {
-      const Hostile *hostile = &hostile_bodies[i];
+      const HostileProgram *hostile = &hostile_programs[i];
       g_autofree char *text = g_strdup_printf ("function admit(r) %s end", hostile->text);
       g_autoptr (GError) error = NULL;
       g_autoptr (QuincePolicy) policy = quince_policy_compile (text, strlen (text), 1, &error);
@@ -270,7 +271,7 @@
         fail_msg ("%s: %s", text, error->message);
       if (quince_policy_admit (policy, &request, &admission, &error))
         fail_msg ("no error: %s", text);
-      assert_typed (text, error);
+      assert_policy_error (text, error);
       if (error->code != (gint)hostile->code)
         fail_msg ("%s: code %d, not %d: %s", text, error->code, (gint)hostile->code, error->message);
     }
@@ -278,7 +279,7 @@
 
 /* Legal, though odd: bounds of numbers and of searches. */
 static void
-test_odd_programs (void **state)
+test_unusual_programs_are_accepted (void **state)
 {
   static const char *const bodies[] = {
     "assert(('aaaa'):find('(a*)*b') == nil)",
@@ -346,7 +347,7 @@
       QuincePolicyAdmission admission;
       g_autoptr (QuincePolicy) policy = quince_policy_compile (text->str, text->len, 1, &error);
       if (policy == NULL || !quince_policy_admit (policy, &request, &admission, &error))
-        assert_typed (text->str, error);
+        assert_policy_error (text->str, error);
     }
 }
 
@@ -355,8 +356,8 @@
 {
   const struct CMUnitTest tests[] = {
     cmocka_unit_test (test_unknown_enumerator), cmocka_unit_test (test_random_messages),
-    cmocka_unit_test (test_changed_messages),   cmocka_unit_test (test_json_check),
-    cmocka_unit_test (test_hostile_programs),   cmocka_unit_test (test_odd_programs),
+    cmocka_unit_test (test_mutated_messages),   cmocka_unit_test (test_json_check),
+    cmocka_unit_test (test_hostile_programs),   cmocka_unit_test (test_unusual_programs_are_accepted),
     cmocka_unit_test (test_random_programs),
   };
   return cmocka_run_group_tests_name ("hostile", tests, NULL, NULL);
