--- a/lib/forward/evacuation.c
+++ b/lib/forward/evacuation.c
@@ -38,7 +38,7 @@
 }
 
 static void
-withdraw_requests (QuinceBackends *backends, gint64 before_us, QuinceHttpWithdrawScope progress)
+withdraw_requests (QuinceBackends *backends, gint64 before_us, QuinceHttpWithdrawScope scope)
 {
   g_autoptr (GPtrArray) ids = list_evacuated_worker_ids (backends, before_us);
   guint count = 0;
@@ -46,11 +46,11 @@
     {
       QuinceHttpPool *pool = quince_worker_pools_find (backends->pools, ids->pdata[i]);
       if (pool != NULL)
-        count += quince_http_pool_withdraw (pool, progress);
+        count += quince_http_pool_withdraw (pool, scope);
     }
   if (count > 0)
     quince_log_info ("sends_withdrawn", "count=%u cause=%s", count,
-                     progress == QUINCE_HTTP_WITHDRAW_UNCONNECTED ? "not_connected" : "not_acknowledged");
+                     scope == QUINCE_HTTP_WITHDRAW_UNCONNECTED ? "not_connected" : "not_acknowledged");
 }
 
 static gboolean
--- a/lib/http1/http-client.h
+++ b/lib/http1/http-client.h
@@ -70,7 +70,7 @@
 
 /* Gives up exchanges whose request has not arrived whole: it never will.  Their done() is called.
  * Returns: how many */
-guint quince_http_pool_withdraw (QuinceHttpPool *pool, QuinceHttpWithdrawScope progress);
+guint quince_http_pool_withdraw (QuinceHttpPool *pool, QuinceHttpWithdrawScope scope);
 /* Connections with and without an exchange.  For tests, which check that none is lost or kept too long. */
 guint quince_http_pool_get_n_busy (const QuinceHttpPool *pool);
 guint quince_http_pool_get_n_idle (const QuinceHttpPool *pool);
--- a/lib/http1/http-connection-input.c
+++ b/lib/http1/http-connection-input.c
@@ -17,11 +17,11 @@
 static void
 store_header (QuinceHttpConnection *connection)
 {
-  if (connection->value_began)
+  if (connection->value_started)
     quince_http_headers_add (connection->head->headers, connection->field->str, connection->value->str);
   g_string_truncate (connection->field, 0);
   g_string_truncate (connection->value, 0);
-  connection->value_began = FALSE;
+  connection->value_started = FALSE;
 }
 
 static int
@@ -50,7 +50,7 @@
 on_header_field (http_parser *parser, const char *at, size_t length)
 {
   QuinceHttpConnection *connection = parser->data;
-  if (connection->value_began)
+  if (connection->value_started)
     store_header (connection);
   g_string_append_len (connection->field, at, (gssize)length);
   return 0;
@@ -60,14 +60,14 @@
 on_header_value (http_parser *parser, const char *at, size_t length)
 {
   QuinceHttpConnection *connection = parser->data;
-  connection->value_began = TRUE;
+  connection->value_started = TRUE;
   g_string_append_len (connection->value, at, (gssize)length);
   return 0;
 }
 
 /* Bytes of the head on the wire, but for optional spaces. */
 static gsize
-head_size (const QuinceHttpHead *head)
+compute_head_size (const QuinceHttpHead *head)
 {
   gsize size = strlen (head->method) + strlen (head->target) + strlen ("  HTTP/1.1\r\n\r\n");
   for (guint i = 0; i < quince_http_headers_get_length (head->headers); i++)
@@ -89,9 +89,9 @@
   else
     head->method = g_strdup (http_method_str ((enum http_method)parser->method));
   if (!connection->is_client && connection->max_head_bytes > 0
-      && head_size (head) > connection->max_head_bytes)
+      && compute_head_size (head) > connection->max_head_bytes)
     {
-      connection->too_large = TRUE;
+      connection->head_too_large = TRUE;
       quince_http_head_free (head);
       return -1;
     }
@@ -119,7 +119,7 @@
   if (connection->is_client && parser->status_code < 200)
     return 0;
   connection->reading = FALSE;
-  connection->waiting = TRUE;
+  connection->awaiting_next = TRUE;
   connection->head_bytes = 0;
   http_parser_pause (parser, 1);
   return 0;
@@ -159,11 +159,11 @@
 }
 
 static void
-refuse_message (QuinceHttpConnection *connection, enum http_errno parse_error)
+refuse_unparsable_input (QuinceHttpConnection *connection, enum http_errno parse_error)
 {
-  gboolean too_large = connection->too_large || parse_error == HPE_HEADER_OVERFLOW;
-  refuse_input (connection, too_large ? QUINCE_HTTP1_ERROR_TOO_LARGE : QUINCE_HTTP1_ERROR_MALFORMED,
-                too_large ? "head is too large" : http_errno_description (parse_error));
+  gboolean head_too_large = connection->head_too_large || parse_error == HPE_HEADER_OVERFLOW;
+  refuse_input (connection, head_too_large ? QUINCE_HTTP1_ERROR_TOO_LARGE : QUINCE_HTTP1_ERROR_MALFORMED,
+                head_too_large ? "head is too large" : http_errno_description (parse_error));
 }
 
 /* Parses @data up to the end of one message; keeps the rest. */
@@ -171,17 +171,18 @@
 parse (QuinceHttpConnection *connection, const char *data, gsize length)
 {
   quince_http_connection_ref (connection);
-  gsize used = http_parser_execute (&connection->parser, &parser_settings, data, length);
+  gsize parsed = http_parser_execute (&connection->parser, &parser_settings, data, length);
   enum http_errno parse_error = HTTP_PARSER_ERRNO (&connection->parser);
   if (quince_http_connection_is_alive (connection) && parse_error != HPE_OK && parse_error != HPE_PAUSED)
-    refuse_message (connection, parse_error);
+    refuse_unparsable_input (connection, parse_error);
   else if (quince_http_connection_is_alive (connection) && exceeds_head_limit (connection, length))
     refuse_input (connection, QUINCE_HTTP1_ERROR_TOO_LARGE, "head is too large");
-  if (quince_http_connection_is_alive (connection) && connection->waiting)
+  if (quince_http_connection_is_alive (connection) && connection->awaiting_next)
     {
       http_parser_pause (&connection->parser, 0);
-      if (length > used)
-        g_byte_array_append (connection->early, (const guint8 *)data + used, (guint)(length - used));
+      if (length > parsed)
+        g_byte_array_append (connection->buffered_input, (const guint8 *)data + parsed,
+                             (guint)(length - parsed));
       connection->callbacks->complete (connection, connection->user_data);
     }
   quince_http_connection_unref (connection);
@@ -190,20 +191,20 @@
 void
 quince_http_connection_next (QuinceHttpConnection *connection)
 {
-  if (!quince_http_connection_is_alive (connection) || !connection->waiting)
+  if (!quince_http_connection_is_alive (connection) || !connection->awaiting_next)
     return;
-  connection->waiting = FALSE;
-  if (connection->early->len == 0)
+  connection->awaiting_next = FALSE;
+  if (connection->buffered_input->len == 0)
     return;
-  g_autoptr (GByteArray) bytes = g_steal_pointer (&connection->early);
-  connection->early = g_byte_array_new ();
-  parse (connection, (const char *)bytes->data, bytes->len);
+  g_autoptr (GByteArray) input = g_steal_pointer (&connection->buffered_input);
+  connection->buffered_input = g_byte_array_new ();
+  parse (connection, (const char *)input->data, input->len);
 }
 
 static void
 handle_end_of_input (QuinceHttpConnection *connection)
 {
-  if (connection->waiting || !connection->reading)
+  if (connection->awaiting_next || !connection->reading)
     {
       quince_http_connection_close_and_notify (connection, NULL);
       return;
@@ -211,7 +212,7 @@
   /* An answer without a length is whole when its connection ends in order. */
   quince_http_connection_ref (connection);
   http_parser_execute (&connection->parser, &parser_settings, NULL, 0);
-  if (connection->open && connection->waiting)
+  if (connection->open && connection->awaiting_next)
     connection->callbacks->complete (connection, connection->user_data);
   quince_http_connection_fail (connection, QUINCE_HTTP1_ERROR_CLOSED, "peer closed in a message");
   quince_http_connection_unref (connection);
@@ -232,10 +233,10 @@
     handle_end_of_input (connection);
   else if (connection->finishing)
     ; /* what comes after our last answer is not read */
-  else if (connection->waiting && connection->early->len > BUFFERED_INPUT_MAX_BYTES)
+  else if (connection->awaiting_next && connection->buffered_input->len > BUFFERED_INPUT_MAX_BYTES)
     quince_http_connection_fail (connection, QUINCE_HTTP1_ERROR_TOO_LARGE, "too much before its turn");
-  else if (connection->waiting)
-    g_byte_array_append (connection->early, (const guint8 *)buffer, (guint)length);
+  else if (connection->awaiting_next)
+    g_byte_array_append (connection->buffered_input, (const guint8 *)buffer, (guint)length);
   else
     parse (connection, buffer, (gsize)length);
   quince_http_connection_unref (connection);
--- a/lib/http1/http-connection-output.c
+++ b/lib/http1/http-connection-output.c
@@ -25,21 +25,21 @@
 {
   g_autoptr (GError) error = NULL;
   GByteArray *output = connection->output;
-  gssize taken = g_socket_send (connection->socket, (const char *)output->data, output->len, NULL, &error);
-  if (taken > 0)
-    g_byte_array_remove_range (output, 0, (guint)taken);
-  if (taken < 0 && g_error_matches (error, G_IO_ERROR, G_IO_ERROR_WOULD_BLOCK))
+  gssize sent = g_socket_send (connection->socket, (const char *)output->data, output->len, NULL, &error);
+  if (sent > 0)
+    g_byte_array_remove_range (output, 0, (guint)sent);
+  if (sent < 0 && g_error_matches (error, G_IO_ERROR, G_IO_ERROR_WOULD_BLOCK))
     return 0;
-  if (taken < 0)
+  if (sent < 0)
     quince_http_connection_fail (connection, QUINCE_HTTP1_ERROR_RESET, error->message);
-  return taken;
+  return sent;
 }
 
 static void
-set_watch_output (QuinceHttpConnection *connection, gboolean output)
+set_watch_writable (QuinceHttpConnection *connection, gboolean enabled)
 {
-  connection->watches_output = output;
-  quince_socket_watch_set_condition (connection->watch, output ? G_IO_IN | G_IO_OUT : G_IO_IN);
+  connection->watches_writable = enabled;
+  quince_socket_watch_set_condition (connection->watch, enabled ? G_IO_IN | G_IO_OUT : G_IO_IN);
 }
 
 void
@@ -49,7 +49,7 @@
   quince_http_connection_send_pending_output (connection);
   if (connection->open && connection->output->len == 0)
     {
-      set_watch_output (connection, FALSE);
+      set_watch_writable (connection, FALSE);
       handle_output_sent (connection);
     }
   quince_http_connection_unref (connection);
@@ -58,8 +58,8 @@
 void
 quince_http_connection_watch_writable (QuinceHttpConnection *connection)
 {
-  if (!connection->watches_output && !connection->connecting)
-    set_watch_output (connection, TRUE);
+  if (!connection->watches_writable && !connection->connecting)
+    set_watch_writable (connection, TRUE);
 }
 
 /* A failed write is reported from the loop, like every other failure: a callback out of write() would
@@ -69,15 +69,15 @@
 {
   if (!connection->open || connection->finishing)
     return;
-  gsize taken = 0;
+  gsize sent = 0;
   if (!connection->connecting && connection->output->len == 0)
     {
-      gssize now = g_socket_send (connection->socket, data, length, NULL, NULL);
-      taken = now > 0 ? (gsize)now : 0;
+      gssize result = g_socket_send (connection->socket, data, length, NULL, NULL);
+      sent = result > 0 ? (gsize)result : 0;
     }
-  if (taken == length)
+  if (sent == length)
     return;
-  g_byte_array_append (connection->output, (const guint8 *)data + taken, (guint)(length - taken));
+  g_byte_array_append (connection->output, (const guint8 *)data + sent, (guint)(length - sent));
   quince_http_connection_watch_writable (connection);
 }
 
--- a/lib/http1/http-connection-private.h
+++ b/lib/http1/http-connection-private.h
@@ -23,25 +23,25 @@
   const QuinceHttpConnectionCallbacks *callbacks;
   gpointer user_data;
   GSocket *socket;
-  QuinceSocketWatch *watch; /* NULL: closed, or no connection can be made */
-  QuinceTimer *fail_timer;  /* reports that no connection can be made */
+  QuinceSocketWatch *watch;           /* NULL: closed, or no connection can be made */
+  QuinceTimer *connect_failure_timer; /* reports that no connection can be made */
   QuinceTimer *finish_timer;
-  GByteArray *output; /* bytes that the kernel has not taken */
-  GByteArray *early;  /* bytes beyond the message that is whole */
+  GByteArray *output;         /* bytes that the kernel has not taken */
+  GByteArray *buffered_input; /* bytes beyond the message that is whole */
   http_parser parser;
   QuinceHttpHead *head; /* being read */
   GString *field;
   GString *value;
-  gboolean value_began;
+  gboolean value_started;
   gsize max_head_bytes; /* 0: the parser's limit alone */
   gsize head_bytes;
   gboolean is_client;
   gboolean connecting;
-  gboolean watches_output; /* the kernel takes no more for now */
+  gboolean watches_writable; /* the kernel takes no more for now */
   gboolean open;
-  gboolean waiting;   /* a whole message waits for next() */
-  gboolean reading;   /* a message has begun */
-  gboolean too_large; /* the head that was read last */
+  gboolean awaiting_next;  /* a whole message waits for next() */
+  gboolean reading;        /* a message has begun */
+  gboolean head_too_large; /* the head that was read last */
   gboolean finishing;
 };
 
--- a/lib/http1/http-connection-state.c
+++ b/lib/http1/http-connection-state.c
@@ -20,7 +20,7 @@
   quince_http_connection_close (connection);
   g_clear_object (&connection->socket);
   g_byte_array_unref (connection->output);
-  g_byte_array_unref (connection->early);
+  g_byte_array_unref (connection->buffered_input);
   quince_http_head_free (connection->head);
   g_string_free (connection->field, TRUE);
   g_string_free (connection->value, TRUE);
@@ -34,7 +34,7 @@
     return;
   connection->open = FALSE;
   quince_socket_watch_clear (&connection->watch);
-  quince_timer_clear (&connection->fail_timer);
+  quince_timer_clear (&connection->connect_failure_timer);
   quince_timer_clear (&connection->finish_timer);
   if (connection->socket != NULL)
     g_socket_close (connection->socket, NULL);
@@ -45,12 +45,12 @@
 {
   if (!connection->open)
     return;
-  gboolean silent = connection->finishing;
+  gboolean was_finishing = connection->finishing;
   quince_http_connection_ref (connection);
   quince_http_connection_close (connection);
-  if (!silent && connection->callbacks->closed != NULL)
+  if (!was_finishing && connection->callbacks->closed != NULL)
     connection->callbacks->closed (connection, error, connection->user_data);
-  if (silent)
+  if (was_finishing)
     quince_http_connection_unref (connection); /* the reference that finish() took */
   quince_http_connection_unref (connection);
 }
--- a/lib/http1/http-connection.c
+++ b/lib/http1/http-connection.c
@@ -20,7 +20,7 @@
   connection->callbacks = callbacks;
   connection->user_data = user_data;
   connection->output = g_byte_array_new ();
-  connection->early = g_byte_array_new ();
+  connection->buffered_input = g_byte_array_new ();
   connection->field = g_string_new (NULL);
   connection->value = g_string_new (NULL);
   connection->is_client = is_client;
@@ -30,7 +30,7 @@
 }
 
 static void
-connect_ready (QuinceHttpConnection *connection)
+handle_connect_result (QuinceHttpConnection *connection)
 {
   g_autoptr (GError) error = NULL;
   if (!g_socket_check_connect_result (connection->socket, &error))
@@ -57,12 +57,12 @@
   QuinceHttpConnection *connection = data;
   quince_http_connection_ref (connection);
   if (connection->connecting)
-    connect_ready (connection);
+    handle_connect_result (connection);
   else
     {
       if ((condition & ~G_IO_OUT) != 0)
         quince_http_connection_read (connection);
-      if (connection->open && connection->watches_output && (condition & G_IO_OUT) != 0)
+      if (connection->open && connection->watches_writable && (condition & G_IO_OUT) != 0)
         quince_http_connection_handle_writable (connection);
     }
   quince_http_connection_unref (connection);
@@ -100,7 +100,7 @@
   if (connection->socket != NULL)
     connection->watch = quince_socket_watch_new (connection->socket, G_IO_OUT, socket_ready, connection);
   else
-    connection->fail_timer = quince_timer_add (0, report_connect_failure, connection);
+    connection->connect_failure_timer = quince_timer_add (0, report_connect_failure, connection);
   return connection;
 }
 
@@ -113,7 +113,7 @@
 gboolean
 quince_http_connection_has_buffered_input (QuinceHttpConnection *connection)
 {
-  return connection->early->len > 0;
+  return connection->buffered_input->len > 0;
 }
 
 gboolean
@@ -140,9 +140,9 @@
 void
 quince_http_connection_reset_on_close (QuinceHttpConnection *connection)
 {
-  const struct linger at_once = { .l_onoff = 1, .l_linger = 0 };
+  const struct linger reset = { .l_onoff = 1, .l_linger = 0 };
   if (connection->open && connection->socket != NULL)
-    setsockopt (g_socket_get_fd (connection->socket), SOL_SOCKET, SO_LINGER, &at_once, sizeof at_once);
+    setsockopt (g_socket_get_fd (connection->socket), SOL_SOCKET, SO_LINGER, &reset, sizeof reset);
 }
 
 gsize
--- a/lib/http1/http-headers.c
+++ b/lib/http1/http-headers.c
@@ -99,26 +99,26 @@
 void
 quince_http_headers_remove_hop_by_hop (QuinceHttpHeaders *headers)
 {
-  static const char *const names[] = { "Keep-Alive",
-                                       "Proxy-Connection",
-                                       "Proxy-Authenticate",
-                                       "Proxy-Authorization",
-                                       "TE",
-                                       "Trailer",
-                                       "Transfer-Encoding",
-                                       "Upgrade",
-                                       "Content-Length",
-                                       "Expect" };
+  static const char *const hop_by_hop_names[] = { "Keep-Alive",
+                                                  "Proxy-Connection",
+                                                  "Proxy-Authenticate",
+                                                  "Proxy-Authorization",
+                                                  "TE",
+                                                  "Trailer",
+                                                  "Transfer-Encoding",
+                                                  "Upgrade",
+                                                  "Content-Length",
+                                                  "Expect" };
   g_autofree char *connection = g_strdup (quince_http_headers_get (headers, "Connection"));
   if (connection != NULL)
     {
-      g_auto (GStrv) named = g_strsplit (connection, ",", -1);
-      for (char **name = named; *name != NULL; name++)
+      g_auto (GStrv) listed_names = g_strsplit (connection, ",", -1);
+      for (char **name = listed_names; *name != NULL; name++)
         quince_http_headers_remove (headers, g_strstrip (*name));
       quince_http_headers_remove (headers, "Connection");
     }
-  for (guint i = 0; i < G_N_ELEMENTS (names); i++)
-    quince_http_headers_remove (headers, names[i]);
+  for (guint i = 0; i < G_N_ELEMENTS (hop_by_hop_names); i++)
+    quince_http_headers_remove (headers, hop_by_hop_names[i]);
 }
 
 void
--- a/lib/http1/http-pool.c
+++ b/lib/http1/http-pool.c
@@ -16,7 +16,7 @@
 #define KEEP_ALIVE_DEFAULT_US (4 * G_USEC_PER_SEC)
 /* Longest wait for a connection, ms.  Not measured: some round trips between regions (24 ms) and less than
  * the 1 s after which the kernel sends a lost first packet again. */
-#define CONNECT_MS 700
+#define CONNECT_TIMEOUT_MS 700
 
 typedef struct
 {
@@ -30,30 +30,30 @@
 struct _QuinceHttpPool
 {
   /* All fields belong to the context that created the pool. */
-  grefcount references; /* the owner's, and one for each channel */
+  grefcount references; /* the owner's, and one for each pooled connection */
   char *address;
   GPtrArray *idle;      /* PooledConnection, the last used at the end */
   GPtrArray *exchanges; /* QuinceHttpExchange, in progress */
-  guint busy;
-  guint64 opened;
-  gboolean abandoned; /* the owner's reference is gone: nothing stays idle */
+  guint n_busy;
+  guint64 n_opened;
+  gboolean owner_released; /* the owner's reference is gone: nothing stays idle */
 };
 
 struct _QuinceHttpExchange
 {
   QuinceHttpPool *pool;
-  PooledConnection *channel;
+  PooledConnection *pooled;
   const QuinceHttpExchangeCallbacks *callbacks;
   gpointer user_data;
   QuinceHttpHead *head;
   GByteArray *body;
   QuinceTimer *timer;
   QuinceTimer *connect_timer;
-  guint read_first; /* times that its time was over while there was something to read */
+  guint timeout_deferrals; /* times that its time was over while there was something to read */
   gboolean reuse_disabled;
   gboolean connected;
-  gint64 send_by_us; /* 0: none */
-  GString *unsent;   /* the request, until there is a connection; NULL: written */
+  gint64 send_by_us;       /* 0: none */
+  GString *unsent_request; /* the request, until there is a connection; NULL: written */
 };
 
 static const QuinceHttpConnectionCallbacks pooled_callbacks;
@@ -81,13 +81,13 @@
 }
 
 static void
-pooled_free (PooledConnection *channel)
+close_pooled_connection (PooledConnection *pooled)
 {
-  QuinceHttpPool *pool = channel->pool;
-  g_ptr_array_remove_fast (pool->idle, channel);
-  quince_http_connection_close (channel->connection);
-  quince_http_connection_unref (channel->connection);
-  g_free (channel);
+  QuinceHttpPool *pool = pooled->pool;
+  g_ptr_array_remove_fast (pool->idle, pooled);
+  quince_http_connection_close (pooled->connection);
+  quince_http_connection_unref (pooled->connection);
+  g_free (pooled);
   pool_unref (pool);
 }
 
@@ -95,13 +95,13 @@
 quince_http_pool_close_idle (QuinceHttpPool *pool)
 {
   while (pool->idle->len > 0)
-    pooled_free (pool->idle->pdata[pool->idle->len - 1]);
+    close_pooled_connection (pool->idle->pdata[pool->idle->len - 1]);
 }
 
 void
 quince_http_pool_unref (QuinceHttpPool *pool)
 {
-  pool->abandoned = TRUE;
+  pool->owner_released = TRUE;
   quince_http_pool_close_idle (pool);
   pool_unref (pool);
 }
@@ -109,7 +109,7 @@
 guint
 quince_http_pool_get_n_busy (const QuinceHttpPool *pool)
 {
-  return pool->busy;
+  return pool->n_busy;
 }
 
 guint
@@ -121,7 +121,7 @@
 guint64
 quince_http_pool_get_n_connections_opened (const QuinceHttpPool *pool)
 {
-  return pool->opened;
+  return pool->n_opened;
 }
 
 /* ---- Channels --------------------------------------------------------- */
@@ -132,9 +132,9 @@
   const char *text = quince_http_headers_get (head->headers, "Keep-Alive");
   if (text == NULL)
     return KEEP_ALIVE_DEFAULT_US;
-  const char *number = strstr (text, "timeout=");
-  number = number != NULL ? number + strlen ("timeout=") : text;
-  gint64 seconds = g_ascii_strtoll (number, NULL, 10);
+  const char *timeout = strstr (text, "timeout=");
+  timeout = timeout != NULL ? timeout + strlen ("timeout=") : text;
+  gint64 seconds = g_ascii_strtoll (timeout, NULL, 10);
   return (gint64)((double)seconds * KEEP_ALIVE_USABLE_FRACTION * G_USEC_PER_SEC);
 }
 
@@ -144,53 +144,53 @@
   gint64 now = quince_now_us ();
   while (pool->idle->len > 0)
     {
-      PooledConnection *channel = pool->idle->pdata[pool->idle->len - 1];
-      gboolean usable = channel->usable_until_us > now && quince_http_connection_is_open (channel->connection)
-                        && !quince_http_connection_has_buffered_input (channel->connection);
+      PooledConnection *pooled = pool->idle->pdata[pool->idle->len - 1];
+      gboolean usable = pooled->usable_until_us > now && quince_http_connection_is_open (pooled->connection)
+                        && !quince_http_connection_has_buffered_input (pooled->connection);
       if (usable)
         {
           g_ptr_array_remove_index (pool->idle, pool->idle->len - 1);
-          return channel;
+          return pooled;
         }
-      pooled_free (channel);
+      close_pooled_connection (pooled);
     }
   return NULL;
 }
 
 static PooledConnection *
-pooled_new (QuinceHttpPool *pool)
+open_pooled_connection (QuinceHttpPool *pool)
 {
-  PooledConnection *channel = g_new0 (PooledConnection, 1);
+  PooledConnection *pooled = g_new0 (PooledConnection, 1);
   g_ref_count_inc (&pool->references);
-  channel->pool = pool;
-  pool->opened++;
-  channel->connection = quince_http_connection_connect (pool->address, &pooled_callbacks, channel);
-  return channel;
+  pooled->pool = pool;
+  pool->n_opened++;
+  pooled->connection = quince_http_connection_connect (pool->address, &pooled_callbacks, pooled);
+  return pooled;
 }
 
 /* ---- Exchanges -------------------------------------------------------- */
 
-/* Takes the channel off @exchange: back to the pool, or closed. */
+/* Takes the pooled connection off @exchange: back to the pool, or closed. */
 static void
-release_connection (QuinceHttpExchange *exchange, gboolean keep)
+release_connection (QuinceHttpExchange *exchange, gboolean reuse)
 {
-  PooledConnection *channel = g_steal_pointer (&exchange->channel);
-  QuinceHttpPool *pool = channel->pool;
-  channel->exchange = NULL;
+  PooledConnection *pooled = g_steal_pointer (&exchange->pooled);
+  QuinceHttpPool *pool = pooled->pool;
+  pooled->exchange = NULL;
   g_ptr_array_remove_fast (pool->exchanges, exchange);
-  pool->busy--;
-  keep = keep && !pool->abandoned && quince_http_connection_is_open (channel->connection);
-  if (!keep)
+  pool->n_busy--;
+  reuse = reuse && !pool->owner_released && quince_http_connection_is_open (pooled->connection);
+  if (!reuse)
     {
       /* No caller waits for it any more: it must not arrive when a network recovers. */
-      if (exchange->head == NULL && quince_http_connection_has_unacknowledged_data (channel->connection))
-        quince_http_connection_reset_on_close (channel->connection);
-      pooled_free (channel);
+      if (exchange->head == NULL && quince_http_connection_has_unacknowledged_data (pooled->connection))
+        quince_http_connection_reset_on_close (pooled->connection);
+      close_pooled_connection (pooled);
       return;
     }
-  channel->used = TRUE;
-  channel->usable_until_us = quince_now_us () + get_reuse_period_us (exchange->head);
-  g_ptr_array_add (pool->idle, channel);
+  pooled->used = TRUE;
+  pooled->usable_until_us = quince_now_us () + get_reuse_period_us (exchange->head);
+  g_ptr_array_add (pool->idle, pooled);
 }
 
 static void
@@ -200,8 +200,8 @@
   quince_timer_clear (&exchange->connect_timer);
   quince_http_head_free (exchange->head);
   g_byte_array_unref (exchange->body);
-  if (exchange->unsent != NULL)
-    g_string_free (exchange->unsent, TRUE);
+  if (exchange->unsent_request != NULL)
+    g_string_free (exchange->unsent_request, TRUE);
   pool_unref (exchange->pool);
   g_free (exchange);
 }
@@ -209,13 +209,13 @@
 static void
 exchange_end (QuinceHttpExchange *exchange, QuinceHttpOutcome outcome, const GError *error)
 {
-  gboolean whole = outcome == QUINCE_HTTP_ANSWERED;
-  gboolean keep = whole && exchange->head->keep_alive && !exchange->reuse_disabled
-                  && !quince_http_connection_has_buffered_input (exchange->channel->connection)
-                  && !quince_http_connection_has_pending_output (exchange->channel->connection);
+  gboolean answered = outcome == QUINCE_HTTP_ANSWERED;
+  gboolean reuse = answered && exchange->head->keep_alive && !exchange->reuse_disabled
+                   && !quince_http_connection_has_buffered_input (exchange->pooled->connection)
+                   && !quince_http_connection_has_pending_output (exchange->pooled->connection);
   quince_timer_clear (&exchange->timer);
   quince_timer_clear (&exchange->connect_timer);
-  release_connection (exchange, keep);
+  release_connection (exchange, reuse);
   exchange->callbacks->done (exchange, outcome, error, exchange->user_data);
   exchange_free (exchange);
 }
@@ -235,14 +235,14 @@
 
 /* NULL: there is none. */
 static QuinceHttpExchange *
-find_withdrawable (const QuinceHttpPool *pool, QuinceHttpWithdrawScope progress)
+find_withdrawable (const QuinceHttpPool *pool, QuinceHttpWithdrawScope scope)
 {
   for (guint i = 0; i < pool->exchanges->len; i++)
     {
       QuinceHttpExchange *exchange = pool->exchanges->pdata[i];
       gboolean unacknowledged
-          = progress == QUINCE_HTTP_WITHDRAW_UNACKNOWLEDGED && exchange->head == NULL
-            && quince_http_connection_has_unacknowledged_data (exchange->channel->connection);
+          = scope == QUINCE_HTTP_WITHDRAW_UNACKNOWLEDGED && exchange->head == NULL
+            && quince_http_connection_has_unacknowledged_data (exchange->pooled->connection);
       if (!exchange->connected || unacknowledged)
         return exchange;
     }
@@ -250,15 +250,15 @@
 }
 
 guint
-quince_http_pool_withdraw (QuinceHttpPool *pool, QuinceHttpWithdrawScope progress)
+quince_http_pool_withdraw (QuinceHttpPool *pool, QuinceHttpWithdrawScope scope)
 {
   g_autoptr (GError) error
       = g_error_new_literal (QUINCE_HTTP1_ERROR, QUINCE_HTTP1_ERROR_CLOSED, "withdrawn before it arrived");
   /* A callback may begin or end other exchanges here. */
-  guint most = pool->exchanges->len;
+  guint max_withdrawals = pool->exchanges->len;
   guint count = 0;
-  for (QuinceHttpExchange *exchange = find_withdrawable (pool, progress); exchange != NULL && count < most;
-       exchange = find_withdrawable (pool, progress))
+  for (QuinceHttpExchange *exchange = find_withdrawable (pool, scope);
+       exchange != NULL && count < max_withdrawals; exchange = find_withdrawable (pool, scope))
     {
       exchange_fail (exchange, error);
       count++;
@@ -269,10 +269,10 @@
 gboolean
 quince_http_exchange_defer_timeout (QuinceHttpExchange *exchange)
 {
-  if (exchange->read_first >= QUINCE_TIMEOUT_DEFERRALS_MAX
-      || !quince_http_connection_is_readable (exchange->channel->connection))
+  if (exchange->timeout_deferrals >= QUINCE_TIMEOUT_DEFERRALS_MAX
+      || !quince_http_connection_is_readable (exchange->pooled->connection))
     return FALSE;
-  exchange->read_first++;
+  exchange->timeout_deferrals++;
   return TRUE;
 }
 
@@ -293,7 +293,7 @@
 }
 
 static gboolean
-connect_late (gpointer data)
+connect_timed_out (gpointer data)
 {
   QuinceHttpExchange *exchange = data;
   g_autoptr (GError) error
@@ -305,29 +305,29 @@
 static void
 pooled_connected (QuinceHttpConnection *connection, gpointer data)
 {
-  PooledConnection *channel = data;
-  QuinceHttpExchange *exchange = channel->exchange;
+  PooledConnection *pooled = data;
+  QuinceHttpExchange *exchange = pooled->exchange;
   if (exchange == NULL)
     return;
   quince_timer_clear (&exchange->connect_timer);
   /* The process may have been stopped meanwhile. */
   if (exchange->send_by_us != 0 && quince_now_us () > exchange->send_by_us)
     {
-      connect_late (exchange);
+      connect_timed_out (exchange);
       return;
     }
   exchange->connected = TRUE;
-  if (exchange->unsent == NULL)
+  if (exchange->unsent_request == NULL)
     return;
-  quince_http_connection_write (connection, exchange->unsent->str, exchange->unsent->len);
-  g_string_free (g_steal_pointer (&exchange->unsent), TRUE);
+  quince_http_connection_write (connection, exchange->unsent_request->str, exchange->unsent_request->len);
+  g_string_free (g_steal_pointer (&exchange->unsent_request), TRUE);
 }
 
 static void
 pooled_head (QuinceHttpConnection *connection, QuinceHttpHead *head, gpointer data)
 {
-  PooledConnection *channel = data;
-  QuinceHttpExchange *exchange = channel->exchange;
+  PooledConnection *pooled = data;
+  QuinceHttpExchange *exchange = pooled->exchange;
   if (exchange == NULL)
     {
       quince_http_head_free (head);
@@ -341,8 +341,8 @@
 static void
 pooled_body (QuinceHttpConnection *connection, const char *data, gsize length, gpointer user_data)
 {
-  PooledConnection *channel = user_data;
-  QuinceHttpExchange *exchange = channel->exchange;
+  PooledConnection *pooled = user_data;
+  QuinceHttpExchange *exchange = pooled->exchange;
   if (exchange == NULL)
     return;
   if (exchange->callbacks->body != NULL)
@@ -354,25 +354,25 @@
 static void
 pooled_complete (QuinceHttpConnection *connection, gpointer data)
 {
-  PooledConnection *channel = data;
-  if (channel->exchange != NULL)
-    exchange_end (channel->exchange, QUINCE_HTTP_ANSWERED, NULL);
+  PooledConnection *pooled = data;
+  if (pooled->exchange != NULL)
+    exchange_end (pooled->exchange, QUINCE_HTTP_ANSWERED, NULL);
 }
 
 static void
 pooled_closed (QuinceHttpConnection *connection, const GError *error, gpointer data)
 {
-  PooledConnection *channel = data;
-  if (channel->exchange == NULL)
+  PooledConnection *pooled = data;
+  if (pooled->exchange == NULL)
     {
-      pooled_free (channel);
+      close_pooled_connection (pooled);
       return;
     }
-  g_autoptr (GError) closed
+  g_autoptr (GError) close_error
       = error != NULL
             ? g_error_copy (error)
             : g_error_new_literal (QUINCE_HTTP1_ERROR, QUINCE_HTTP1_ERROR_CLOSED, "closed before an answer");
-  exchange_fail (channel->exchange, closed);
+  exchange_fail (pooled->exchange, close_error);
 }
 
 static const QuinceHttpConnectionCallbacks pooled_callbacks = {
@@ -410,8 +410,8 @@
 get_connect_timeout_ms (const QuinceHttpRequest *request)
 {
   if (request->send_by_us == 0)
-    return CONNECT_MS;
-  return (guint)CLAMP ((request->send_by_us - quince_now_us ()) / 1000, 1, CONNECT_MS);
+    return CONNECT_TIMEOUT_MS;
+  return (guint)CLAMP ((request->send_by_us - quince_now_us ()) / 1000, 1, CONNECT_TIMEOUT_MS);
 }
 
 QuinceHttpExchange *
@@ -426,27 +426,28 @@
   exchange->callbacks = callbacks;
   exchange->user_data = user_data;
   exchange->body = g_byte_array_new ();
-  PooledConnection *channel = take_idle_connection (pool);
-  exchange->connected = channel != NULL;
-  if (channel == NULL)
-    channel = pooled_new (pool);
-  channel->exchange = exchange;
-  exchange->channel = channel;
+  PooledConnection *pooled = take_idle_connection (pool);
+  exchange->connected = pooled != NULL;
+  if (pooled == NULL)
+    pooled = open_pooled_connection (pool);
+  pooled->exchange = exchange;
+  exchange->pooled = pooled;
   g_ptr_array_add (pool->exchanges, exchange);
-  pool->busy++;
+  pool->n_busy++;
   if (exchange->connected)
-    quince_http_connection_next (channel->connection);
+    quince_http_connection_next (pooled->connection);
   else
-    exchange->connect_timer = quince_timer_add (get_connect_timeout_ms (request), connect_late, exchange);
+    exchange->connect_timer
+        = quince_timer_add (get_connect_timeout_ms (request), connect_timed_out, exchange);
   if (request->timeout_us > 0)
     exchange->timer
         = quince_timer_add ((guint)MAX (request->timeout_us / 1000, 1), exchange_timed_out, exchange);
   g_autoptr (GString) text = format_request (pool, request);
   exchange->send_by_us = request->send_by_us;
   if (!exchange->connected && request->send_by_us != 0)
-    exchange->unsent = g_steal_pointer (&text);
+    exchange->unsent_request = g_steal_pointer (&text);
   else
-    quince_http_connection_write (channel->connection, text->str, text->len);
+    quince_http_connection_write (pooled->connection, text->str, text->len);
   return exchange;
 }
 
--- a/tests/unit/test-hostile.c
+++ b/tests/unit/test-hostile.c
@@ -38,10 +38,11 @@
       assert_true (error != NULL && error->domain == QUINCE_CODEC_ERROR);
       return FALSE;
     }
-  g_autoptr (GBytes) again = quince_xdr_encode (proc, value, NULL);
+  g_autoptr (GBytes) reencoded = quince_xdr_encode (proc, value, NULL);
   quince_xdr_free (proc, value);
-  assert_non_null (again);
-  value = quince_xdr_decode (proc, size, g_bytes_get_data (again, NULL), g_bytes_get_size (again), NULL);
+  assert_non_null (reencoded);
+  value = quince_xdr_decode (proc, size, g_bytes_get_data (reencoded, NULL), g_bytes_get_size (reencoded),
+                             NULL);
   assert_non_null (value);
   quince_xdr_free (proc, value);
   return TRUE;
@@ -51,25 +52,25 @@
 static guint32
 generate_word (GRand *random)
 {
-  static const guint32 words[]
+  static const guint32 boundary_words[]
       = { 0,          0,          0,          0,          1,          1,          2,
           3,          4,          7,          16,         128,        129,        1024,
           16384,      16385,      0x00400000, 0x00400001, 0x04000000, 0x04000001, 0x7fffffff,
           0x80000000, 0xfffffffc, 0xffffffff, 0x61626364, 0x00ff00ff };
-  guint pick = g_rand_int_range (random, 0, G_N_ELEMENTS (words) + 1);
-  return GUINT32_TO_BE (pick < G_N_ELEMENTS (words) ? words[pick] : g_rand_int (random));
+  guint index = g_rand_int_range (random, 0, G_N_ELEMENTS (boundary_words) + 1);
+  return GUINT32_TO_BE (index < G_N_ELEMENTS (boundary_words) ? boundary_words[index] : g_rand_int (random));
 }
 
 /* @word replaces the first word, which is the kind, of bytes that decode. */
 static void
-assert_kind_is_rejected (xdrproc_t proc, gsize size, GBytes *encoded, guint32 word)
+assert_kind_is_rejected (xdrproc_t proc, gsize size, GBytes *encoded, guint32 kind)
 {
   gsize length;
   const guint8 *bytes = g_bytes_get_data (encoded, &length);
   assert_true (check_decode (proc, size, bytes, length));
   g_autofree guint8 *changed = g_memdup2 (bytes, length);
-  guint32 kind = GUINT32_TO_BE (word);
-  memcpy (changed, &kind, sizeof kind);
+  guint32 encoded_kind = GUINT32_TO_BE (kind);
+  memcpy (changed, &encoded_kind, sizeof encoded_kind);
   g_autoptr (GError) error = NULL;
   assert_null (quince_xdr_decode (proc, size, changed, length, &error));
   assert_true (g_error_matches (error, QUINCE_CODEC_ERROR, QUINCE_CODEC_ERROR_DECODE));
@@ -79,7 +80,7 @@
 static void
 test_unknown_enumerator (void **state)
 {
-  static const guint32 beyond[] = { 0x7fffffff, 0x80000000, 0xffffffff };
+  static const guint32 out_of_range[] = { 0x7fffffff, 0x80000000, 0xffffffff };
   const QuinceMessage message = { .kind = QUINCE_MESSAGE_USAGE_ACK };
   const QuinceBatchRecord record = { .kind = QUINCE_BATCH_RECORD_USAGE_SENT };
   g_autoptr (GBytes) messages = quince_message_encode (&message, NULL);
@@ -89,11 +90,12 @@
   assert_kind_is_rejected ((xdrproc_t)xdr_QuinceMessage, sizeof (QuinceMessage), messages, N_KINDS);
   assert_kind_is_rejected ((xdrproc_t)xdr_QuinceBatchRecord, sizeof (QuinceBatchRecord), records,
                            QUINCE_BATCH_RECORD_LISTED + 1);
-  for (guint i = 0; i < G_N_ELEMENTS (beyond); i++)
+  for (guint i = 0; i < G_N_ELEMENTS (out_of_range); i++)
     {
-      assert_kind_is_rejected ((xdrproc_t)xdr_QuinceMessage, sizeof (QuinceMessage), messages, beyond[i]);
+      assert_kind_is_rejected ((xdrproc_t)xdr_QuinceMessage, sizeof (QuinceMessage), messages,
+                               out_of_range[i]);
       assert_kind_is_rejected ((xdrproc_t)xdr_QuinceBatchRecord, sizeof (QuinceBatchRecord), records,
-                               beyond[i]);
+                               out_of_range[i]);
     }
 }
 
@@ -145,7 +147,7 @@
 typedef struct
 {
   const char *text;
-  gboolean sound;
+  gboolean valid;
 } JsonCase;
 
 static const JsonCase json_cases[] = {
@@ -174,8 +176,8 @@
 test_json_check (void **state)
 {
   for (guint i = 0; i < G_N_ELEMENTS (json_cases); i++)
-    if (quince_json_check (json_cases[i].text, strlen (json_cases[i].text)) != json_cases[i].sound)
-      fail_msg ("%s: not %s", json_cases[i].text, json_cases[i].sound ? "sound" : "refused");
+    if (quince_json_check (json_cases[i].text, strlen (json_cases[i].text)) != json_cases[i].valid)
+      fail_msg ("%s: not %s", json_cases[i].text, json_cases[i].valid ? "sound" : "refused");
   for (guint levels = 1; levels <= 100; levels++)
     {
       g_autofree char *open = g_strnfill (levels, '[');
@@ -203,7 +205,7 @@
 typedef struct
 {
   const char *text; /* body of admit (r) */
-  QuincePolicyError code;
+  QuincePolicyError expected_code;
 } HostileProgram;
 
 static const HostileProgram hostile_programs[] = {
@@ -272,8 +274,8 @@
       if (quince_policy_admit (policy, &request, &admission, &error))
         fail_msg ("no error: %s", text);
       assert_policy_error (text, error);
-      if (error->code != (gint)hostile->code)
-        fail_msg ("%s: code %d, not %d: %s", text, error->code, (gint)hostile->code, error->message);
+      if (error->code != (gint)hostile->expected_code)
+        fail_msg ("%s: code %d, not %d: %s", text, error->code, (gint)hostile->expected_code, error->message);
     }
 }
 
@@ -307,41 +309,41 @@
 static void
 test_random_programs (void **state)
 {
-  static const char *const pieces[] = { "function admit(r) ",
-                                        "end ",
-                                        "return ",
-                                        "local x = ",
-                                        "x ",
-                                        "r.member ",
-                                        "{ priority = ",
-                                        "} ",
-                                        "while ",
-                                        "do ",
-                                        "if ",
-                                        "then ",
-                                        "true ",
-                                        "1e308 ",
-                                        "(",
-                                        ")",
-                                        "..",
-                                        "+ ",
-                                        "'\xff' ",
-                                        "[[",
-                                        "]] ",
-                                        "table.sort",
-                                        "x,",
-                                        "tostring(",
-                                        "#",
-                                        "-- ",
-                                        "\n",
-                                        "string.format(" };
+  static const char *const fragments[] = { "function admit(r) ",
+                                           "end ",
+                                           "return ",
+                                           "local x = ",
+                                           "x ",
+                                           "r.member ",
+                                           "{ priority = ",
+                                           "} ",
+                                           "while ",
+                                           "do ",
+                                           "if ",
+                                           "then ",
+                                           "true ",
+                                           "1e308 ",
+                                           "(",
+                                           ")",
+                                           "..",
+                                           "+ ",
+                                           "'\xff' ",
+                                           "[[",
+                                           "]] ",
+                                           "table.sort",
+                                           "x,",
+                                           "tostring(",
+                                           "#",
+                                           "-- ",
+                                           "\n",
+                                           "string.format(" };
   g_autoptr (GRand) random = g_rand_new_with_seed (10);
   for (guint i = 0; i < RANDOM_PROGRAMS; i++)
     {
       g_autoptr (GString) text = g_string_new (i % 2 == 0 ? "function admit(r) return " : "");
       guint count = (guint)g_rand_int_range (random, 1, 20);
       for (guint j = 0; j < count; j++)
-        g_string_append (text, pieces[g_rand_int_range (random, 0, G_N_ELEMENTS (pieces))]);
+        g_string_append (text, fragments[g_rand_int_range (random, 0, G_N_ELEMENTS (fragments))]);
       g_string_append (text, i % 2 == 0 ? " end" : "");
       g_autoptr (GError) error = NULL;
       QuincePolicyAdmission admission;
