--- a/lib/forward/backends.c
+++ b/lib/forward/backends.c
@@ -165,7 +165,7 @@
 void
 quince_backends_handle_resume (QuinceBackends *backends)
 {
-  quince_worker_pools_drop_idle (backends->pools);
+  quince_worker_pools_close_idle (backends->pools);
 }
 
 guint64
--- a/lib/forward/worker-pools.c
+++ b/lib/forward/worker-pools.c
@@ -67,7 +67,7 @@
 }
 
 void
-quince_worker_pools_drop_idle (QuinceWorkerPools *pools)
+quince_worker_pools_close_idle (QuinceWorkerPools *pools)
 {
   GHashTableIter iter;
   gpointer pool;
--- a/lib/forward/worker-pools.h
+++ b/lib/forward/worker-pools.h
@@ -22,7 +22,7 @@
  * flight complete. */
 void quince_worker_pools_remove (QuinceWorkerPools *pools, const char *worker_id);
 /* Closes all idle connections. */
-void quince_worker_pools_drop_idle (QuinceWorkerPools *pools);
+void quince_worker_pools_close_idle (QuinceWorkerPools *pools);
 /* Returns the number of connections opened since the start, including those of removed pools. */
 guint64 quince_worker_pools_get_n_connections_opened (const QuinceWorkerPools *pools);
 
