--- a/lib/http1/http1.h
+++ b/lib/http1/http1.h
@@ -1,9 +1,9 @@
 /*
  * http1.h: HTTP/1.1 connections that expose message framing to their owner.
  *
- * Used between callers and workers.  Whether a request may be retried depends on excess bytes on a persistent
- * connection, on responses that end without a length and on the time of a close, which HTTP libraries such as
- * libsoup do not report.  The http-parser library parses the messages.
+ * Connects callers, workers and the metadata store.  Whether a request may be retried depends on excess bytes
+ * on a persistent connection, on responses that end without a length and on the time of a close, which HTTP
+ * libraries such as libsoup do not report.  The http-parser library parses the messages.
  *
  * A connection owns its socket, its pending output and the message being read.  It belongs to the
  * thread-default main context that created it.
