--- a/rehearsal/demo.c
+++ b/rehearsal/demo.c
@@ -21,8 +21,8 @@
 /* Longest training, ms.  Not measured: far above the 10 s of the examples, below the time of the test. */
 #define TRAINING_TIMEOUT_MS 100000
 /* The leader is killed so long after the event's start, ms, so that calls and samples are in progress. */
-#define KILL_AFTER_MS 200
-#define EXIT_BROKEN 1 /* exit status: a promise was broken, or the run failed */
+#define LEADER_KILL_DELAY_MS 200
+#define EXIT_FAILED 1 /* exit status: a promise was broken, or the run failed */
 #define EXIT_USAGE 2  /* exit status: bad flags or deployment */
 
 typedef struct
@@ -43,7 +43,9 @@
 
 /* Returns: exit status. */
 static int
-summarise (const QuinceDeployment *deployment, const DemoVerdict *verdict, const DemoTraining *training)
+print_summary (const QuinceDeployment *deployment,
+               const DemoCallerStats *verdict,
+               const DemoTrainerStats *training)
 {
   guint lost = training->samples - training->delivered;
   gboolean broken = lost != 0 || training->duplicated != 0 || training->over_staleness != 0
@@ -58,13 +60,13 @@
           training->over_staleness, training->mixed, (double)training->idle_us / G_USEC_PER_SEC,
           (double)verdict->p50_us / 1000, (double)verdict->p99_us / 1000, verdict->wrong,
           verdict->ran_though_refused, verdict->repeated, training->wrong);
-  return broken ? EXIT_BROKEN : EXIT_SUCCESS;
+  return broken ? EXIT_FAILED : EXIT_SUCCESS;
 }
 
 /* ---- The run ------------------------------------------------------------------ */
 
 static gboolean
-is_over (gpointer data)
+is_time_reached (gpointer data)
 {
   return g_get_monotonic_time () >= *(const gint64 *)data;
 }
@@ -73,15 +75,15 @@
 static void
 wait_until (gint64 end_us)
 {
-  demo_await (is_over, &end_us, G_MAXUINT);
+  demo_await (is_time_reached, &end_us, G_MAXUINT);
 }
 
 static gboolean
 accept_policy (DemoCluster *cluster)
 {
   const char *const words[] = { "policy", "accept", cluster->deployment->policy, "--comment", "demo", NULL };
-  return demo_cluster_operate (cluster, words) == 0
-         && demo_cluster_policy_in_force (cluster, POLICY_TIMEOUT_MS);
+  return demo_cluster_run_operator_command (cluster, words) == 0
+         && demo_cluster_await_policy (cluster, POLICY_TIMEOUT_MS);
 }
 
 /* Returns: when the event starts, monotonic; 0: it was not created */
@@ -89,25 +91,26 @@
 create_event (DemoCluster *cluster)
 {
   const QuinceDeployment *deployment = cluster->deployment;
-  guint64 after_s = (deployment->event_after_ms + 999) / 1000;
+  guint64 after_s = (deployment->event_delay_ms + 999) / 1000;
   g_autofree char *start = g_strdup_printf ("+%" G_GUINT64_FORMAT, after_s);
   g_autofree char *duration = g_strdup_printf ("%" G_GUINT64_FORMAT, (deployment->event_ms + 999) / 1000);
   const char *const words[]
       = { "event", "create", "release", "--start", start, "--duration", duration, NULL };
   gint64 now_us = g_get_monotonic_time ();
-  return demo_cluster_operate (cluster, words) == 0 ? now_us + (gint64)after_s * G_USEC_PER_SEC : 0;
+  return demo_cluster_run_operator_command (cluster, words) == 0 ? now_us + (gint64)after_s * G_USEC_PER_SEC
+                                                                 : 0;
 }
 
 static int
 fail (GError **error, const char *reason)
 {
   g_set_error_literal (error, QUINCE_PROCESS_ERROR, QUINCE_PROCESS_ERROR_TIMEOUT, reason);
-  return EXIT_BROKEN;
+  return EXIT_FAILED;
 }
 
 /* A training that does not end in time shows in the summary, as samples that were lost. */
 static int
-rehearse (DemoCluster *cluster, DemoTrainer *trainer, GError **error)
+run_phases (DemoCluster *cluster, DemoTrainer *trainer, GError **error)
 {
   const QuinceDeployment *deployment = cluster->deployment;
   progress (deployment, "accept_policy");
@@ -122,19 +125,19 @@
   demo_trainer_start (trainer);
   g_autoptr (DemoCallers) callers = demo_callers_new (cluster);
   demo_callers_send (callers);
-  wait_until (start_us + KILL_AFTER_MS * 1000);
+  wait_until (start_us + LEADER_KILL_DELAY_MS * 1000);
   progress (deployment, "kill_leader");
   if (!demo_cluster_kill_leader (cluster, error))
-    return EXIT_BROKEN;
-  if (!demo_await (demo_callers_are_answered, callers, BURST_TIMEOUT_MS))
+    return EXIT_FAILED;
+  if (!demo_await (demo_callers_are_done, callers, BURST_TIMEOUT_MS))
     return fail (error, "callers wait for longer than their deadlines");
   progress (deployment, "training");
   demo_await (demo_trainer_is_done, trainer, TRAINING_TIMEOUT_MS);
-  DemoVerdict verdict;
-  DemoTraining training;
-  demo_callers_judge (callers, &verdict);
-  demo_trainer_count (trainer, &training);
-  return summarise (deployment, &verdict, &training);
+  DemoCallerStats verdict;
+  DemoTrainerStats training;
+  demo_callers_get_stats (callers, &verdict);
+  demo_trainer_get_stats (trainer, &training);
+  return print_summary (deployment, &verdict, &training);
 }
 
 static int
@@ -144,9 +147,9 @@
   fflush (stdout);
   g_autoptr (DemoCluster) cluster = demo_cluster_start (flags->build, flags->folder, deployment, error);
   if (cluster == NULL)
-    return EXIT_BROKEN;
+    return EXIT_FAILED;
   DemoTrainer *trainer = demo_trainer_new (cluster, deployment->trainers->pdata[0]);
-  int status = rehearse (cluster, trainer, error);
+  int status = run_phases (cluster, trainer, error);
   demo_trainer_free (trainer);
   return status;
 }
--- a/rehearsal/kit/deployment.c
+++ b/rehearsal/kit/deployment.c
@@ -3,7 +3,7 @@
  */
 #include "deployment.h"
 
-#define MINUTE (60 * G_USEC_PER_SEC) /* us */
+#define MINUTE_US (60 * G_USEC_PER_SEC) /* us */
 
 /* clang-format off: one setting a line */
 static const QuinceSettingSpec specs[] = {
@@ -12,9 +12,10 @@
     "policy program, relative to this file" },
   { "deployment", "zones", QUINCE_SETTING_TEXT, TRUE, NULL, 0, 0, NULL,
     "names of zones, separated by ','; each has one front and one replica" },
-  { "event", "after", QUINCE_SETTING_DURATION, FALSE, "5s", 0, MINUTE, NULL,
+  { "event", "after", QUINCE_SETTING_DURATION, FALSE, "5s", 0, MINUTE_US, NULL,
     "start of the event, from the start of the run" },
-  { "event", "duration", QUINCE_SETTING_DURATION, FALSE, "5s", 0, 10 * MINUTE, NULL, "length of the event" },
+  { "event", "duration", QUINCE_SETTING_DURATION, FALSE, "5s", 0, 10 * MINUTE_US, NULL,
+    "length of the event" },
   { "service *", "workers", QUINCE_SETTING_INTEGER, TRUE, NULL, 1, 256, NULL, "workers" },
   { "service *", "capacity", QUINCE_SETTING_INTEGER, FALSE, "16", 1, 4096, NULL,
     "sequences that a worker runs at once" },
@@ -24,7 +25,7 @@
   { "member *", "kind", QUINCE_SETTING_NAME, FALSE, "lookup", 0, 0, NULL, "kind of Lookup" },
   { "member *", "requests", QUINCE_SETTING_INTEGER, TRUE, NULL, 1, 100000, NULL, "requests in the burst" },
   { "member *", "repeatable", QUINCE_SETTING_BOOLEAN, FALSE, "true", 0, 0, NULL, "may run more than once" },
-  { "member *", "deadline", QUINCE_SETTING_DURATION, FALSE, "2s", 1000, MINUTE, NULL,
+  { "member *", "deadline", QUINCE_SETTING_DURATION, FALSE, "2s", 1000, MINUTE_US, NULL,
     "time for the whole answer" },
   { "trainer *", "service", QUINCE_SETTING_NAME, TRUE, NULL, 0, 0, NULL, "service that generates samples" },
   { "trainer *", "steps", QUINCE_SETTING_INTEGER, FALSE, "3", 1, 100000, NULL, "training steps" },
@@ -32,7 +33,7 @@
   { "trainer *", "tokens", QUINCE_SETTING_INTEGER, FALSE, "64", 1, 100000, NULL, "mean length of a sample" },
   { "trainer *", "staleness_bound", QUINCE_SETTING_INTEGER, FALSE, "1", 0, 1000, NULL,
     "versions a sample may be behind" },
-  { "trainer *", "step_time", QUINCE_SETTING_DURATION, FALSE, "500ms", 0, 10 * MINUTE, NULL,
+  { "trainer *", "step_time", QUINCE_SETTING_DURATION, FALSE, "500ms", 0, 10 * MINUTE_US, NULL,
     "training after a batch" },
   { "trainer *", "ahead", QUINCE_SETTING_INTEGER, FALSE, "1", 0, 64, NULL, "steps submitted ahead" },
 };
@@ -49,7 +50,7 @@
       service->name = g_strdup (*name);
       service->workers = (guint)quince_settings_get_integer (settings, section, "workers");
       service->capacity = (guint)quince_settings_get_integer (settings, section, "capacity");
-      service->token_us = (guint64)quince_settings_get_duration_us (settings, section, "token");
+      service->token_time_us = (guint64)quince_settings_get_duration_us (settings, section, "token");
       g_ptr_array_add (deployment->services, service);
     }
 }
@@ -131,7 +132,7 @@
   const char *policy = quince_settings_get_text (settings, "deployment", "policy");
   deployment->policy
       = g_path_is_absolute (policy) ? g_strdup (policy) : g_build_filename (folder, policy, NULL);
-  deployment->event_after_ms = (guint64)quince_settings_get_duration_us (settings, "event", "after") / 1000;
+  deployment->event_delay_ms = (guint64)quince_settings_get_duration_us (settings, "event", "after") / 1000;
   deployment->event_ms = (guint64)quince_settings_get_duration_us (settings, "event", "duration") / 1000;
   deployment->zones = g_strsplit (quince_settings_get_text (settings, "deployment", "zones"), ",", -1);
   deployment->n_zones = g_strv_length (deployment->zones);
--- a/rehearsal/kit/deployment.h
+++ b/rehearsal/kit/deployment.h
@@ -13,9 +13,9 @@
 typedef struct
 {
   char *name;
-  guint workers;    /* spread over the zones in turn             */
-  guint capacity;   /* sequences that run at once                */
-  guint64 token_us; /* a token in a batch of one                 */
+  guint workers;         /* spread over the zones in turn             */
+  guint capacity;        /* sequences that run at once                */
+  guint64 token_time_us; /* a token in a batch of one                 */
 } QuinceServicePlan;
 
 /* Lookups that one member sends in an event's burst. */
@@ -45,7 +45,7 @@
 {
   char *name;
   char *policy;           /* file of the policy to accept, relative to the deployment file */
-  guint64 event_after_ms; /* from the start of the run to the event    */
+  guint64 event_delay_ms; /* from the start of the run to the event    */
   guint64 event_ms;       /* its duration */
   char **zones;           /* names; each has one front and one replica */
   guint n_zones;
--- a/rehearsal/kit/process.c
+++ b/rehearsal/kit/process.c
@@ -16,7 +16,7 @@
  * machine. */
 #define READY_TIMEOUT_US (30 * G_USEC_PER_SEC)
 /* Between two checks of a process, us: short beside the start of a program (some 10 ms). */
-#define POLL_US 2000
+#define POLL_INTERVAL_US 2000
 /* Longest wait for the end of a killed process, ms.  Not measured: far above what the kernel needs. */
 #define KILL_TIMEOUT_MS 10000
 
@@ -29,13 +29,13 @@
   char *output_path;
   GPid pid;
   gboolean ended;
-  gboolean killed;       /* by quince_process_kill()                          */
-  gboolean status_taken; /* a caller of quince_process_wait() judges it       */
+  gboolean killed;         /* by quince_process_kill()                          */
+  gboolean is_status_read; /* a caller of quince_process_wait() judges it       */
   int status;
   GHashTable *ready; /* key -> value of the ready line */
 };
 
-/* Of all threads; see quince_process_take_failures(). */
+/* Of all threads; see quince_process_get_and_reset_failures(). */
 static gint failures;
 
 /* Runs in the child between fork and exec: only async-signal-safe calls.  A test that fails would leave its
@@ -51,12 +51,12 @@
 }
 
 static gboolean
-open_outputs (const char *folder,
-              const char *name,
-              char **output_path,
-              FILE **output,
-              FILE **log,
-              GError **error)
+open_output_files (const char *folder,
+                   const char *name,
+                   char **output_path,
+                   FILE **output,
+                   FILE **log,
+                   GError **error)
 {
   g_autofree char *log_name = g_strconcat (name, ".log", NULL);
   g_autofree char *output_name = g_strconcat (name, ".out", NULL);
@@ -84,7 +84,7 @@
   g_autofree char *output_path = NULL;
   GPid pid = 0;
   g_autoptr (GError) cause = NULL;
-  gboolean done = open_outputs (folder, name, &output_path, &output, &log, error);
+  gboolean done = open_output_files (folder, name, &output_path, &output, &log, error);
   if (done)
     {
       done = g_spawn_async_with_fds (NULL, (char **)arguments, NULL, G_SPAWN_DO_NOT_REAP_CHILD, prepare_child,
@@ -107,7 +107,7 @@
 }
 
 static void
-reap (QuinceProcess *process)
+reap_child (QuinceProcess *process)
 {
   int status;
   if (process->ended || waitpid (process->pid, &status, WNOHANG) != process->pid)
@@ -119,12 +119,12 @@
 gboolean
 quince_process_is_running (QuinceProcess *process)
 {
-  reap (process);
+  reap_child (process);
   return !process->ended;
 }
 
 static gboolean
-parse_ready (QuinceProcess *process)
+parse_ready_line (QuinceProcess *process)
 {
   g_autofree char *text = quince_process_read_output (process);
   char *start = text != NULL && g_str_has_prefix (text, "ready ") ? text : NULL;
@@ -149,7 +149,7 @@
 quince_process_await_ready (QuinceProcess *process, GError **error)
 {
   gint64 end = g_get_monotonic_time () + READY_TIMEOUT_US;
-  while (!parse_ready (process))
+  while (!parse_ready_line (process))
     {
       if (!quince_process_is_running (process))
         {
@@ -163,7 +163,7 @@
                        process->name);
           return FALSE;
         }
-      g_usleep (POLL_US);
+      g_usleep (POLL_INTERVAL_US);
     }
   return TRUE;
 }
@@ -175,7 +175,7 @@
 }
 
 const char *
-quince_process_get (const QuinceProcess *process, const char *key)
+quince_process_get_ready_value (const QuinceProcess *process, const char *key)
 {
   const char *value = g_hash_table_lookup (process->ready, key);
   return value != NULL ? value : "";
@@ -217,13 +217,13 @@
 }
 
 void
-quince_process_freeze (QuinceProcess *process)
+quince_process_suspend (QuinceProcess *process)
 {
   send_signal (process, SIGSTOP);
 }
 
 void
-quince_process_thaw (QuinceProcess *process)
+quince_process_resume (QuinceProcess *process)
 {
   send_signal (process, SIGCONT);
 }
@@ -242,21 +242,21 @@
     {
       if (g_get_monotonic_time () > end)
         return FALSE;
-      g_usleep (POLL_US);
+      g_usleep (POLL_INTERVAL_US);
     }
   if (status == NULL)
     return TRUE;
-  process->status_taken = TRUE;
+  process->is_status_read = TRUE;
   *status = process->status;
   return TRUE;
 }
 
 /* A crash, an abort and a sanitizer's report all show in the exit status. */
 static void
-count_failure (const QuinceProcess *process)
+report_failure (const QuinceProcess *process)
 {
   gboolean as_killed = process->killed && process->status == 128 + SIGKILL;
-  if (!process->ended || process->status == 0 || process->status_taken || as_killed)
+  if (!process->ended || process->status == 0 || process->is_status_read || as_killed)
     return;
   g_atomic_int_inc (&failures);
   g_autofree char *name = quince_log_quote (process->name);
@@ -264,7 +264,7 @@
 }
 
 guint
-quince_process_take_failures (void)
+quince_process_get_and_reset_failures (void)
 {
   return (guint)g_atomic_int_exchange (&failures, 0);
 }
@@ -274,7 +274,7 @@
 {
   send_signal (process, SIGCONT);
   quince_process_kill (process);
-  count_failure (process);
+  report_failure (process);
   g_hash_table_unref (process->ready);
   g_free (process->output_path);
   g_free (process->name);
--- a/rehearsal/kit/process.h
+++ b/rehearsal/kit/process.h
@@ -38,15 +38,15 @@
 
 const char *quince_process_get_name (const QuinceProcess *process);
 /* Value of @key in the ready line, "" when absent. */
-const char *quince_process_get (const QuinceProcess *process, const char *key);
+const char *quince_process_get_ready_value (const QuinceProcess *process, const char *key);
 gboolean quince_process_is_running (QuinceProcess *process);
 /* Resident memory in bytes; 0 when it has ended. */
 guint64 quince_process_get_memory (QuinceProcess *process);
 
-void quince_process_kill (QuinceProcess *process);   /* SIGKILL, waits      */
-void quince_process_freeze (QuinceProcess *process); /* SIGSTOP             */
-void quince_process_thaw (QuinceProcess *process);   /* SIGCONT             */
-void quince_process_stop (QuinceProcess *process);   /* SIGTERM, no wait    */
+void quince_process_kill (QuinceProcess *process);    /* SIGKILL, waits      */
+void quince_process_suspend (QuinceProcess *process); /* SIGSTOP             */
+void quince_process_resume (QuinceProcess *process);  /* SIGCONT             */
+void quince_process_stop (QuinceProcess *process);    /* SIGTERM, no wait    */
 /* Returns: FALSE when it still runs after @timeout_ms; else @status (out) (optional) is
  * the exit status, or 128 + signal. */
 gboolean quince_process_wait (QuinceProcess *process, guint timeout_ms, int *status);
@@ -57,11 +57,11 @@
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (QuinceProcess, quince_process_free)
 
 /**
- * quince_process_take_failures:
+ * quince_process_get_and_reset_failures:
  *
  * Returns: how many processes of this program, freed since the last call, had ended otherwise
  * than with status 0 or by quince_process_kill(), with no caller that took their status.
  */
-guint quince_process_take_failures (void);
+guint quince_process_get_and_reset_failures (void);
 
 G_END_DECLS
--- a/rehearsal/platform/demo-callers.c
+++ b/rehearsal/platform/demo-callers.c
@@ -8,7 +8,7 @@
 #include "http1/http-client.h"
 
 /* An answer that comes later than its deadline by this is unknown. */
-#define LATE_MS 5000
+#define CALL_TIMEOUT_MARGIN_MS 5000
 
 typedef struct
 {
@@ -48,7 +48,7 @@
   callers->calls = g_ptr_array_new_with_free_func (call_free);
   callers->pools = g_ptr_array_new_with_free_func ((GDestroyNotify)quince_http_pool_unref);
   for (guint i = 0; i < cluster->fronts->len; i++)
-    g_ptr_array_add (callers->pools, quince_http_pool_new (demo_cluster_get_front (cluster, i)));
+    g_ptr_array_add (callers->pools, quince_http_pool_new (demo_cluster_get_front_address (cluster, i)));
   return callers;
 }
 
@@ -63,7 +63,7 @@
 }
 
 static void
-call_done (QuinceHttpExchange *exchange, QuinceHttpOutcome outcome, const GError *error, gpointer data)
+handle_call_done (QuinceHttpExchange *exchange, QuinceHttpOutcome outcome, const GError *error, gpointer data)
 {
   Call *call = data;
   const GByteArray *body = quince_http_exchange_get_body (exchange);
@@ -78,7 +78,7 @@
   call->is_signed = quince_http_headers_get (head->headers, "Server-Stamp") != NULL;
 }
 
-static const QuinceHttpExchangeCallbacks call_callbacks = { .done = call_done };
+static const QuinceHttpExchangeCallbacks call_callbacks = { .done = handle_call_done };
 
 static void
 send_call (DemoCallers *callers, const QuinceMemberPlan *member, guint index)
@@ -96,11 +96,12 @@
   quince_http_headers_add (headers, "Request-Id", call->id);
   quince_http_headers_add (headers, "Request-Deadline-Ms", deadline);
   g_autoptr (GBytes) body = g_bytes_new (call->id, strlen (call->id));
-  const QuinceHttpRequest request = { .method = "POST",
-                                      .target = target,
-                                      .headers = headers,
-                                      .body = body,
-                                      .timeout_us = (gint64)(member->deadline_ms + LATE_MS) * 1000 };
+  const QuinceHttpRequest request
+      = { .method = "POST",
+          .target = target,
+          .headers = headers,
+          .body = body,
+          .timeout_us = (gint64)(member->deadline_ms + CALL_TIMEOUT_MARGIN_MS) * 1000 };
   quince_http_pool_start (callers->pools->pdata[callers->calls->len % callers->pools->len], &request,
                           &call_callbacks, call);
 }
@@ -118,7 +119,7 @@
 }
 
 gboolean
-demo_callers_are_answered (gpointer data)
+demo_callers_are_done (gpointer data)
 {
   const DemoCallers *callers = data;
   for (guint i = 0; i < callers->calls->len; i++)
@@ -148,10 +149,10 @@
 }
 
 static gboolean
-is_whole_stream (const char *body)
+is_complete_stream (const char *body)
 {
   g_autoptr (GString) whole = g_string_new (NULL);
-  for (guint i = 1; i <= DEMO_EVENTS; i++)
+  for (guint i = 1; i <= DEMO_EVENTS_PER_STREAM; i++)
     g_string_append_printf (whole, "id: %u\ndata: e%u\n\n", i, i);
   return g_str_equal (body, whole->str);
 }
@@ -160,7 +161,7 @@
 is_whole (const Call *call)
 {
   if (call->is_stream)
-    return is_whole_stream (call->body);
+    return is_complete_stream (call->body);
   g_autofree char *beginning = g_strdup_printf ("%s by %s", call->id, call->member->service);
   return g_str_has_prefix (call->body, beginning) && call->is_signed;
 }
@@ -173,7 +174,7 @@
 }
 
 static void
-judge_call (const Call *call, guint runs, DemoVerdict *verdict, GArray *times)
+add_call_to_stats (const Call *call, guint runs, DemoCallerStats *verdict, GArray *times)
 {
   gboolean is_success = call->outcome == QUINCE_HTTP_ANSWERED && call->status == 200;
   gboolean is_refused = call->status == 503 || call->status == 429 || call->status == 408;
@@ -190,15 +191,15 @@
 }
 
 void
-demo_callers_judge (const DemoCallers *callers, DemoVerdict *verdict)
+demo_callers_get_stats (const DemoCallers *callers, DemoCallerStats *verdict)
 {
   g_autoptr (GHashTable) runs = count_runs (callers->cluster);
   g_autoptr (GArray) times = g_array_new (FALSE, FALSE, sizeof (gint64));
-  *verdict = (DemoVerdict){ .requests = callers->calls->len };
+  *verdict = (DemoCallerStats){ .requests = callers->calls->len };
   for (guint i = 0; i < callers->calls->len; i++)
     {
       const Call *call = callers->calls->pdata[i];
-      judge_call (call, GPOINTER_TO_UINT (g_hash_table_lookup (runs, call->id)), verdict, times);
+      add_call_to_stats (call, GPOINTER_TO_UINT (g_hash_table_lookup (runs, call->id)), verdict, times);
     }
   g_array_sort (times, compare_times);
   if (times->len == 0)
--- a/rehearsal/platform/demo-callers.h
+++ b/rehearsal/platform/demo-callers.h
@@ -23,7 +23,7 @@
   guint repeated; /* ran more than once, though it must not be */
   gint64 p50_us;
   gint64 p99_us;
-} DemoVerdict;
+} DemoCallerStats;
 
 DemoCallers *demo_callers_new (DemoCluster *cluster);
 void demo_callers_free (DemoCallers *callers);
@@ -31,6 +31,6 @@
 /* Sends all members' requests at once, through the fronts in turn. */
 void demo_callers_send (DemoCallers *callers);
 /* A condition for demo_await(). */
-gboolean demo_callers_are_answered (gpointer callers);
+gboolean demo_callers_are_done (gpointer callers);
 /* @verdict: (out) */
-void demo_callers_judge (const DemoCallers *callers, DemoVerdict *verdict);
+void demo_callers_get_stats (const DemoCallers *callers, DemoCallerStats *verdict);
--- a/rehearsal/platform/demo-cluster.c
+++ b/rehearsal/platform/demo-cluster.c
@@ -12,9 +12,9 @@
 
 /* Each process has a loopback address of its own, so that all may listen at the same ports, as on machines of
  * their own.  Last part of the address of the first front. */
-#define FRONT_HOST 10
+#define FIRST_FRONT_HOST 10
 /* Last part of the address of the first replica; a demo has fewer than 50 zones. */
-#define REPLICA_HOST 60
+#define FIRST_REPLICA_HOST 60
 /* Ports of a front, any that are free at its own address: for callers, */
 #define CALLERS_PORT 8080
 /* for checks of readiness, */
@@ -24,7 +24,7 @@
 /* Port of a replica's links. */
 #define LINK_PORT 7000
 /* Sleep where the main context has nothing to do, us: short beside all that the demo waits for. */
-#define POLL_US 1000
+#define POLL_INTERVAL_US 1000
 /* Longest wait for the first leader, ms.  Not measured: far above the 2 s that it takes. */
 #define START_TIMEOUT_MS 20000
 /* Longest wait for the end of an operator's command, ms: above the 16 s for which it tries a silent store. */
@@ -39,7 +39,7 @@
       if (g_get_monotonic_time () > end_us)
         return FALSE;
       if (!g_main_context_iteration (NULL, FALSE))
-        g_usleep (POLL_US);
+        g_usleep (POLL_INTERVAL_US);
     }
   return TRUE;
 }
@@ -47,7 +47,7 @@
 /* ---- Settings ----------------------------------------------------------- */
 
 static const char *
-zone_name (const DemoCluster *cluster, guint index)
+get_zone_name (const DemoCluster *cluster, guint index)
 {
   return cluster->deployment->zones[index];
 }
@@ -60,31 +60,31 @@
 
 /* All zones are in one region. */
 static char *
-zones_with_region (const DemoCluster *cluster)
+format_zones (const DemoCluster *cluster)
 {
   g_autoptr (GString) text = g_string_new (NULL);
   for (guint i = 0; i < cluster->deployment->n_zones; i++)
-    g_string_append_printf (text, "%s%s=region", i > 0 ? "," : "", zone_name (cluster, i));
+    g_string_append_printf (text, "%s%s=region", i > 0 ? "," : "", get_zone_name (cluster, i));
   return g_string_free (g_steal_pointer (&text), FALSE);
 }
 
 /* What the platform fills in for a process, with the bounds of its sheets. */
 static GHashTable *
-template_values (const DemoCluster *cluster, const char *name, const char *ip, guint zone)
+make_template_values (const DemoCluster *cluster, const char *name, const char *ip, guint zone)
 {
   GHashTable *values = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   set_value (values, "node", g_strdup (name));
   set_value (values, "ip", g_strdup (ip));
-  set_value (values, "zone", g_strdup (zone_name (cluster, zone)));
+  set_value (values, "zone", g_strdup (get_zone_name (cluster, zone)));
   set_value (values, "region", g_strdup ("region"));
-  set_value (values, "zones", zones_with_region (cluster));
+  set_value (values, "zones", format_zones (cluster));
   set_value (values, "listen.front", g_strdup_printf ("%s:%d", ip, CALLERS_PORT));
   set_value (values, "listen.ready", g_strdup_printf ("%s:%d", ip, READY_PORT));
   set_value (values, "listen.directory", g_strdup_printf ("%s:%d", ip, DIRECTORY_PORT));
   set_value (values, "internalPorts.0", g_strdup_printf ("%d", LINK_PORT));
   set_value (values, "platform.address", g_strdup (standin_store_get_address (cluster->store)));
   set_value (values, "dataDir", g_strdup_printf ("%s/data-%s", cluster->folder, name));
-  set_value (values, "bootstrap", g_strdup (cluster->is_founded ? "false" : "true"));
+  set_value (values, "bootstrap", g_strdup (cluster->is_bootstrapped ? "false" : "true"));
   set_value (values, "faultTolerance.machines", g_strdup ("1"));
   set_value (values, "faultTolerance.zones", g_strdup ("0"));
   set_value (values, "bounds.configApplyMs", g_strdup ("2000"));
@@ -108,7 +108,7 @@
   g_autofree char *template_text = NULL;
   if (!g_file_get_contents (template_path, &template_text, NULL, error))
     return NULL;
-  g_autoptr (GHashTable) values = template_values (cluster, name, ip, zone);
+  g_autoptr (GHashTable) values = make_template_values (cluster, name, ip, zone);
   g_autofree char *text = template_render (template_text, values, error);
   g_autofree char *path = g_strdup_printf ("%s/%s.ini", cluster->folder, name);
   if (text == NULL || !g_file_set_contents (path, text, -1, error))
@@ -138,35 +138,35 @@
 }
 
 static gboolean
-start_all (DemoCluster *cluster, GError **error)
+start_processes (DemoCluster *cluster, GError **error)
 {
   for (guint i = 0; i < cluster->deployment->n_zones; i++)
     {
-      QuinceProcess *replica = start_process (cluster, "replica", REPLICA_HOST, i, error);
+      QuinceProcess *replica = start_process (cluster, "replica", FIRST_REPLICA_HOST, i, error);
       if (replica == NULL)
         return FALSE;
       g_ptr_array_add (cluster->replicas, replica);
     }
   for (guint i = 0; i < cluster->deployment->n_zones; i++)
     {
-      QuinceProcess *front = start_process (cluster, "front", FRONT_HOST, i, error);
+      QuinceProcess *front = start_process (cluster, "front", FIRST_FRONT_HOST, i, error);
       if (front == NULL)
         return FALSE;
       g_ptr_array_add (cluster->fronts, front);
     }
-  cluster->is_founded = TRUE;
+  cluster->is_bootstrapped = TRUE;
   return TRUE;
 }
 
 const char *
-demo_cluster_get_front (const DemoCluster *cluster, guint index)
+demo_cluster_get_front_address (const DemoCluster *cluster, guint index)
 {
-  return quince_process_get (cluster->fronts->pdata[index % cluster->fronts->len], "callers");
+  return quince_process_get_ready_value (cluster->fronts->pdata[index % cluster->fronts->len], "callers");
 }
 
 /* Occurrences of @mark are numbered; the greatest number that @name has logged, 0: none. */
 static guint64
-greatest_logged (const DemoCluster *cluster, const char *name, const char *mark)
+find_max_logged_number (const DemoCluster *cluster, const char *name, const char *mark)
 {
   g_autofree char *path = g_strdup_printf ("%s/%s.out", cluster->folder, name);
   g_autofree char *text = NULL;
@@ -187,7 +187,7 @@
   for (guint i = 0; i < cluster->replicas->len; i++)
     {
       const char *name = quince_process_get_name (cluster->replicas->pdata[i]);
-      guint64 epoch = greatest_logged (cluster, name, "event=ledger_recovered epoch=");
+      guint64 epoch = find_max_logged_number (cluster, name, "event=ledger_recovered epoch=");
       if (epoch <= greatest)
         continue;
       greatest = epoch;
@@ -206,7 +206,7 @@
       return FALSE;
     }
   quince_process_kill (cluster->replicas->pdata[leader]);
-  QuinceProcess *again = start_process (cluster, "replica", REPLICA_HOST, (guint)leader, error);
+  QuinceProcess *again = start_process (cluster, "replica", FIRST_REPLICA_HOST, (guint)leader, error);
   if (again == NULL)
     return FALSE;
   quince_process_free (cluster->replicas->pdata[leader]);
@@ -223,7 +223,7 @@
 }
 
 int
-demo_cluster_operate (DemoCluster *cluster, const char *const *words)
+demo_cluster_run_operator_command (DemoCluster *cluster, const char *const *words)
 {
   g_autoptr (GPtrArray) arguments = g_ptr_array_new ();
   g_autofree char *program = g_build_filename (cluster->build, "tools", "quinceroute", NULL);
@@ -251,7 +251,7 @@
     for (guint j = 0; j < kinds[i]->len; j++)
       {
         const char *name = quince_process_get_name (kinds[i]->pdata[j]);
-        guint64 revision = greatest_logged (cluster, name, "event=policy_in_force revision=");
+        guint64 revision = find_max_logged_number (cluster, name, "event=policy_in_force revision=");
         least = MIN (least, revision);
         greatest = MAX (greatest, revision);
       }
@@ -259,7 +259,7 @@
 }
 
 gboolean
-demo_cluster_policy_in_force (DemoCluster *cluster, guint timeout_ms)
+demo_cluster_await_policy (DemoCluster *cluster, guint timeout_ms)
 {
   return demo_await (is_in_force, cluster, timeout_ms);
 }
@@ -268,10 +268,10 @@
 
 /* A text takes as long as a sample of the mean length. */
 static guint
-event_pause_ms (const DemoCluster *cluster, const QuinceServicePlan *service)
+get_event_interval_ms (const DemoCluster *cluster, const QuinceServicePlan *service)
 {
   const QuinceTrainerPlan *trainer = cluster->deployment->trainers->pdata[0];
-  return (guint)(trainer->tokens * service->token_us / DEMO_EVENTS / 1000);
+  return (guint)(trainer->tokens * service->token_time_us / DEMO_EVENTS_PER_STREAM / 1000);
 }
 
 static void
@@ -280,10 +280,10 @@
   gboolean is_model = demo_is_model_service (cluster->deployment, service->name);
   g_autofree char *id = g_strdup_printf ("%s-%u", service->name, index);
   StandinWorker *worker = standin_worker_new (id);
-  standin_worker_set_place (worker, zone_name (cluster, index % cluster->deployment->n_zones),
+  standin_worker_set_place (worker, get_zone_name (cluster, index % cluster->deployment->n_zones),
                             service->capacity);
   if (is_model)
-    standin_worker_set_events (worker, DEMO_EVENTS, event_pause_ms (cluster, service));
+    standin_worker_set_events (worker, DEMO_EVENTS_PER_STREAM, get_event_interval_ms (cluster, service));
   g_ptr_array_add (cluster->workers, worker);
   g_autofree char *key = g_strdup_printf ("servers/%s", id);
   g_autofree char *entry = standin_worker_entry (worker, service->name, "ready");
@@ -309,7 +309,7 @@
   cluster->fronts = g_ptr_array_new_with_free_func ((GDestroyNotify)quince_process_free);
   cluster->replicas = g_ptr_array_new_with_free_func ((GDestroyNotify)quince_process_free);
   g_mkdir_with_parents (folder, 0700);
-  g_autofree char *configuration = demo_configuration (deployment);
+  g_autofree char *configuration = demo_make_configuration (deployment);
   standin_store_put (cluster->store, "op/config", configuration);
   for (guint i = 0; i < deployment->services->len; i++)
     {
@@ -317,7 +317,7 @@
       for (guint j = 0; j < service->workers; j++)
         add_worker (cluster, service, j);
     }
-  if (!start_all (cluster, error))
+  if (!start_processes (cluster, error))
     return NULL;
   if (demo_await (leads, cluster, START_TIMEOUT_MS))
     return g_steal_pointer (&cluster);
--- a/rehearsal/platform/demo-cluster.h
+++ b/rehearsal/platform/demo-cluster.h
@@ -21,7 +21,7 @@
   GPtrArray *fronts;   /* QuinceProcess, owned, one in each zone */
   GPtrArray *replicas; /* QuinceProcess, owned, one in each zone */
   guint network;       /* of the addresses 127.A.B.x: two clusters do not meet */
-  gboolean is_founded;
+  gboolean is_bootstrapped;
 } DemoCluster;
 
 /* Runs the main context until @condition holds. Returns: %FALSE: it did not within @timeout_ms */
@@ -33,10 +33,10 @@
                                  GError **error);
 void demo_cluster_free (DemoCluster *cluster);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (DemoCluster, demo_cluster_free)
-const char *demo_cluster_get_front (const DemoCluster *cluster, guint index);
+const char *demo_cluster_get_front_address (const DemoCluster *cluster, guint index);
 /* Runs the operators' command on the store. Returns: its exit status */
-int demo_cluster_operate (DemoCluster *cluster, const char *const *words);
+int demo_cluster_run_operator_command (DemoCluster *cluster, const char *const *words);
 /* The greatest policy revision is in force at every process. */
-gboolean demo_cluster_policy_in_force (DemoCluster *cluster, guint timeout_ms);
+gboolean demo_cluster_await_policy (DemoCluster *cluster, guint timeout_ms);
 /* Kills the replica that leads the ledger; it starts again with its data. Returns: %FALSE when none leads */
 gboolean demo_cluster_kill_leader (DemoCluster *cluster, GError **error);
--- a/rehearsal/platform/demo-configuration.c
+++ b/rehearsal/platform/demo-configuration.c
@@ -13,7 +13,7 @@
 }
 
 static const char *
-route_kind (const QuinceDeployment *deployment, const QuinceMemberPlan *member)
+get_route_kind_json (const QuinceDeployment *deployment, const QuinceMemberPlan *member)
 {
   if (demo_is_model_service (deployment, member->service))
     return "\"streaming\",\"resumable\":true";
@@ -33,14 +33,14 @@
                                 "\",\"pathPrefix\":\"/%s/\",\"kind\":%s,"
                                 "\"timeoutMs\":%" G_GUINT64_FORMAT ",\"targetLatencyMs\":500,\"priority\":2,"
                                 "\"service\":\"%s\",\"maxAttempts\":3},",
-                                member->kind, member->kind, route_kind (deployment, member),
+                                member->kind, member->kind, get_route_kind_json (deployment, member),
                                 member->deadline_ms, member->service);
     }
 }
 
 /* The service whose workers answer calls for rewards. */
 static const char *
-score_service (const QuinceDeployment *deployment)
+get_scoring_service (const QuinceDeployment *deployment)
 {
   for (guint i = 0; i < deployment->services->len; i++)
     {
@@ -67,7 +67,7 @@
 }
 
 char *
-demo_configuration (const QuinceDeployment *deployment)
+demo_make_configuration (const QuinceDeployment *deployment)
 {
   GString *text = g_string_new ("{\"version\":1,\"routes\":[");
   append_member_routes (text, deployment);
@@ -80,7 +80,7 @@
                           "{\"name\":\"score\",\"host\":\"" DEMO_HOST "\",\"pathPrefix\":\"" DEMO_SCORE_PREFIX
                           "\",\"kind\":\"idempotent\",\"timeoutMs\":5000,\"targetLatencyMs\":500,"
                           "\"priority\":1,\"service\":\"%s\",\"maxAttempts\":4}],\"services\":[",
-                          trainer->service, score_service (deployment));
+                          trainer->service, get_scoring_service (deployment));
   append_services (text, deployment);
   g_string_append (text, "],\"limits\":{\"maxHeaderBytes\":16384,\"maxBodyBytes\":1000000,"
                          "\"headerTimeoutMs\":3000,\"idleTimeoutMs\":15000}}");
--- a/rehearsal/platform/demo-trainer.c
+++ b/rehearsal/platform/demo-trainer.c
@@ -26,16 +26,16 @@
 {
   DemoCluster *cluster;
   const QuinceTrainerPlan *plan;
-  GPtrArray *steps;     /* Step, owned; those begun so far */
-  guint current;        /* the step that is read */
-  guint64 version;      /* of the weights that it trains */
-  gint64 waiting_since; /* monotonic; 0: it trains */
-  gint64 trained_us;    /* monotonic: when the training in progress ends */
-  QuinceHttpPool *pool; /* of the call in progress */
-  gboolean is_calling;
+  GPtrArray *steps;        /* Step, owned; those begun so far */
+  guint current;           /* the step that is read */
+  guint64 version;         /* of the weights that it trains */
+  gint64 waiting_since_us; /* monotonic; 0: it trains */
+  gint64 training_end_us;  /* monotonic: when the training in progress ends */
+  QuinceHttpPool *pool;    /* of the call in progress */
+  gboolean is_call_in_flight;
   guint front; /* that gets the next call */
   guint timer;
-  DemoTraining training;
+  DemoTrainerStats training;
 };
 
 static void
@@ -85,7 +85,7 @@
             const QuinceHttpExchangeCallbacks *callbacks)
 {
   g_clear_pointer (&trainer->pool, quince_http_pool_unref);
-  trainer->pool = quince_http_pool_new (demo_cluster_get_front (trainer->cluster, trainer->front++));
+  trainer->pool = quince_http_pool_new (demo_cluster_get_front_address (trainer->cluster, trainer->front++));
   g_autoptr (QuinceHttpHeaders) headers = quince_http_headers_new ();
   quince_http_headers_add (headers, "Host", DEMO_HOST);
   quince_http_headers_add (headers, "Request-Id", id);
@@ -93,13 +93,13 @@
   const QuinceHttpRequest request = {
     .method = method, .target = target, .headers = headers, .body = body, .timeout_us = CALL_TIMEOUT_US
   };
-  trainer->is_calling = TRUE;
+  trainer->is_call_in_flight = TRUE;
   quince_http_pool_start (trainer->pool, &request, callbacks, trainer);
 }
 
 /* NULL: no whole answer with this status. */
 static const GByteArray *
-answer_body (QuinceHttpExchange *exchange, QuinceHttpOutcome outcome, guint status)
+get_body_for_status (QuinceHttpExchange *exchange, QuinceHttpOutcome outcome, guint status)
 {
   const QuinceHttpHead *head = quince_http_exchange_get_head (exchange);
   gboolean is_answer = outcome == QUINCE_HTTP_ANSWERED && head != NULL && head->status == status;
@@ -112,16 +112,16 @@
 submitted (QuinceHttpExchange *exchange, QuinceHttpOutcome outcome, const GError *error, gpointer data)
 {
   DemoTrainer *trainer = data;
-  trainer->is_calling = FALSE;
+  trainer->is_call_in_flight = FALSE;
   Step *last = trainer->steps->pdata[trainer->steps->len - 1];
-  last->is_submitted = answer_body (exchange, outcome, 202) != NULL;
+  last->is_submitted = get_body_for_status (exchange, outcome, 202) != NULL;
 }
 
 static const QuinceHttpExchangeCallbacks submit_callbacks = { .done = submitted };
 
 /* The weights with which a step is trained, less the bound: samples of older ones are of no use. */
 static guint64
-oldest_version (const DemoTrainer *trainer, const Step *step)
+get_min_version (const DemoTrainer *trainer, const Step *step)
 {
   guint64 trained_with = 1 + step->index;
   return trained_with > trainer->plan->staleness_bound ? trained_with - trainer->plan->staleness_bound : 1;
@@ -135,7 +135,7 @@
   g_autoptr (GString) text = g_string_new (NULL);
   g_string_append_printf (
       text, "{\"step\":%u,\"model\":\"" DEMO_MODEL "\",\"minVersion\":%" G_GUINT64_FORMAT ",\"items\":[",
-      step->index, oldest_version (trainer, step));
+      step->index, get_min_version (trainer, step));
   for (guint i = 0; i < trainer->plan->samples; i++)
     g_string_append_printf (
         text,
@@ -152,18 +152,18 @@
 /* ---- Results ------------------------------------------------------------ */
 
 static gboolean
-is_whole_text (const char *text)
+is_complete_text (const char *text)
 {
   g_autoptr (GString) whole = g_string_new (NULL);
-  for (guint i = 1; i <= DEMO_EVENTS; i++)
+  for (guint i = 1; i <= DEMO_EVENTS_PER_STREAM; i++)
     g_string_append_printf (whole, "%se%u", i > 1 ? "\n" : "", i);
   return g_str_equal (text, whole->str);
 }
 
 static void
-take_result (DemoTrainer *trainer, Step *step, JsonObject *result)
+count_result (DemoTrainer *trainer, Step *step, JsonObject *result)
 {
-  DemoTraining *training = &trainer->training;
+  DemoTrainerStats *training = &trainer->training;
   const char *id = json_object_get_string_member (result, "id");
   g_autofree char *batch = batch_id (trainer, step);
   g_autofree char *prefix = g_strdup_printf ("%s-i", batch);
@@ -178,20 +178,23 @@
   for (guint i = 0; i < json_array_get_length (versions); i++)
     oldest = MIN (oldest, (guint64)json_array_get_int_element (versions, i));
   training->mixed += json_array_get_length (versions) > 1;
-  training->over_staleness += oldest < oldest_version (trainer, step);
+  training->over_staleness += oldest < get_min_version (trainer, step);
   gboolean is_right = g_str_has_prefix (id, prefix) && json_array_get_length (versions) > 0
                       && g_str_equal (json_object_get_string_member (result, "state"), "completed")
-                      && is_whole_text (json_object_get_string_member (result, "message"))
+                      && is_complete_text (json_object_get_string_member (result, "message"))
                       && json_object_has_member (result, "score");
   training->wrong += !is_right;
 }
 
 static void
-was_read (QuinceHttpExchange *exchange, QuinceHttpOutcome outcome, const GError *error, gpointer data)
+handle_results_page (QuinceHttpExchange *exchange,
+                     QuinceHttpOutcome outcome,
+                     const GError *error,
+                     gpointer data)
 {
   DemoTrainer *trainer = data;
-  trainer->is_calling = FALSE;
-  const GByteArray *body = answer_body (exchange, outcome, 200);
+  trainer->is_call_in_flight = FALSE;
+  const GByteArray *body = get_body_for_status (exchange, outcome, 200);
   g_autoptr (JsonParser) parser = json_parser_new ();
   if (body == NULL || !json_parser_load_from_data (parser, (const char *)body->data, body->len, NULL))
     return;
@@ -199,11 +202,11 @@
   JsonObject *page = json_node_get_object (json_parser_get_root (parser));
   JsonArray *results = json_object_get_array_member (page, "results");
   for (guint i = 0; i < json_array_get_length (results); i++)
-    take_result (trainer, step, json_array_get_object_element (results, i));
+    count_result (trainer, step, json_array_get_object_element (results, i));
   step->position = (guint64)json_object_get_int_member (page, "nextToken");
 }
 
-static const QuinceHttpExchangeCallbacks read_callbacks = { .done = was_read };
+static const QuinceHttpExchangeCallbacks read_callbacks = { .done = handle_results_page };
 
 static void
 read_results (DemoTrainer *trainer, const Step *step)
@@ -218,28 +221,28 @@
 
 /* New weights: the workers are ordered to load them. */
 static void
-end_training (DemoTrainer *trainer)
+finish_training (DemoTrainer *trainer)
 {
-  trainer->trained_us = 0;
+  trainer->training_end_us = 0;
   trainer->version++;
   g_autofree char *text = g_strdup_printf ("{\"model\":\"" DEMO_MODEL "\",\"version\":%" G_GUINT64_FORMAT "}",
                                            trainer->version);
   standin_store_put (trainer->cluster->store, "op/version/" DEMO_MODEL, text);
   trainer->current++;
-  trainer->waiting_since = g_get_monotonic_time ();
+  trainer->waiting_since_us = g_get_monotonic_time ();
 }
 
 static void
-begin_training (DemoTrainer *trainer)
+start_training (DemoTrainer *trainer)
 {
   gint64 now_us = g_get_monotonic_time ();
-  trainer->training.idle_us += now_us - trainer->waiting_since;
-  trainer->trained_us = now_us + (gint64)trainer->plan->step_ms * 1000;
+  trainer->training.idle_us += now_us - trainer->waiting_since_us;
+  trainer->training_end_us = now_us + (gint64)trainer->plan->step_ms * 1000;
 }
 
 /* The next step to submit, not further ahead than the plan says; NULL: none. */
 static Step *
-next_to_submit (DemoTrainer *trainer)
+get_next_submission (DemoTrainer *trainer)
 {
   Step *last = trainer->steps->len > 0 ? trainer->steps->pdata[trainer->steps->len - 1] : NULL;
   if (last != NULL && !last->is_submitted)
@@ -257,25 +260,25 @@
 advance (gpointer data)
 {
   DemoTrainer *trainer = data;
-  if (trainer->trained_us != 0 && g_get_monotonic_time () >= trainer->trained_us)
-    end_training (trainer);
+  if (trainer->training_end_us != 0 && g_get_monotonic_time () >= trainer->training_end_us)
+    finish_training (trainer);
   if (demo_trainer_is_done (trainer))
     {
       trainer->timer = 0;
       return G_SOURCE_REMOVE;
     }
-  if (trainer->is_calling)
+  if (trainer->is_call_in_flight)
     return G_SOURCE_CONTINUE;
-  Step *step = next_to_submit (trainer);
+  Step *step = get_next_submission (trainer);
   if (step != NULL)
     {
       submit (trainer, step);
       return G_SOURCE_CONTINUE;
     }
   step = trainer->steps->pdata[trainer->current];
-  if (trainer->trained_us == 0 && g_hash_table_size (step->items) >= trainer->plan->samples)
-    begin_training (trainer);
-  else if (trainer->trained_us == 0)
+  if (trainer->training_end_us == 0 && g_hash_table_size (step->items) >= trainer->plan->samples)
+    start_training (trainer);
+  else if (trainer->training_end_us == 0)
     read_results (trainer, step);
   return G_SOURCE_CONTINUE;
 }
@@ -283,7 +286,7 @@
 void
 demo_trainer_start (DemoTrainer *trainer)
 {
-  trainer->waiting_since = g_get_monotonic_time ();
+  trainer->waiting_since_us = g_get_monotonic_time ();
   trainer->timer = g_timeout_add (POLL_INTERVAL_MS, advance, trainer);
 }
 
@@ -295,7 +298,7 @@
 }
 
 void
-demo_trainer_count (const DemoTrainer *trainer, DemoTraining *training)
+demo_trainer_get_stats (const DemoTrainer *trainer, DemoTrainerStats *training)
 {
   *training = trainer->training;
 }
--- a/rehearsal/platform/demo-trainer.h
+++ b/rehearsal/platform/demo-trainer.h
@@ -20,7 +20,7 @@
   guint mixed; /* samples of more than one weight version */
   guint wrong; /* not the whole text, without its reward, abandoned, or of another step */
   gint64 idle_us;
-} DemoTraining;
+} DemoTrainerStats;
 
 /* @plan: outlives the trainer */
 DemoTrainer *demo_trainer_new (DemoCluster *cluster, const QuinceTrainerPlan *plan);
@@ -30,4 +30,4 @@
 /* A condition for demo_await(). */
 gboolean demo_trainer_is_done (gpointer trainer);
 /* @training: (out) */
-void demo_trainer_count (const DemoTrainer *trainer, DemoTraining *training);
+void demo_trainer_get_stats (const DemoTrainer *trainer, DemoTrainerStats *training);
--- a/rehearsal/platform/template.c
+++ b/rehearsal/platform/template.c
@@ -41,7 +41,7 @@
   const char *end = strstr (*rest, mark);
   if (end == NULL)
     {
-      g_set_error (error, TEMPLATE_ERROR, TEMPLATE_ERROR_FORM, "section '%s' is not closed", name);
+      g_set_error (error, TEMPLATE_ERROR, TEMPLATE_ERROR_UNTERMINATED, "section '%s' is not closed", name);
       return FALSE;
     }
   g_autofree char *body = g_strndup (*rest, (gsize)(end - *rest));
@@ -51,7 +51,7 @@
 }
 
 static gboolean
-render_name (GString *out, const char *name, GHashTable *values, const Entry *entry, GError **error)
+render_placeholder (GString *out, const char *name, GHashTable *values, const Entry *entry, GError **error)
 {
   const char *value = g_hash_table_lookup (values, name);
   if (entry != NULL && g_str_equal (name, "@"))
@@ -62,7 +62,7 @@
     value = entry->is_last ? "" : ",";
   if (value == NULL)
     {
-      g_set_error (error, TEMPLATE_ERROR, TEMPLATE_ERROR_VALUE, "'%s' has no value", name);
+      g_set_error (error, TEMPLATE_ERROR, TEMPLATE_ERROR_MISSING_VALUE, "'%s' has no value", name);
       return FALSE;
     }
   g_string_append (out, value);
@@ -78,13 +78,13 @@
       const char *close = strstr (open, "}}");
       if (close == NULL)
         {
-          g_set_error_literal (error, TEMPLATE_ERROR, TEMPLATE_ERROR_FORM, "a name is not closed");
+          g_set_error_literal (error, TEMPLATE_ERROR, TEMPLATE_ERROR_UNTERMINATED, "a name is not closed");
           return FALSE;
         }
       g_autofree char *name = g_strndup (open + 2, (gsize)(close - open) - 2);
       text = close + 2;
       gboolean done = *name == '#' ? render_section (out, name + 1, &text, values, error)
-                                   : render_name (out, name, values, entry, error);
+                                   : render_placeholder (out, name, values, entry, error);
       if (!done)
         return FALSE;
     }
--- a/rehearsal/platform/template.h
+++ b/rehearsal/platform/template.h
@@ -14,8 +14,8 @@
 
 typedef enum
 {
-  TEMPLATE_ERROR_FORM,  /* a name or a section is not closed */
-  TEMPLATE_ERROR_VALUE, /* a name has no value               */
+  TEMPLATE_ERROR_UNTERMINATED,  /* a name or a section is not closed */
+  TEMPLATE_ERROR_MISSING_VALUE, /* a name has no value               */
 } TemplateError;
 
 /* @values: text by name; entries as KEY=VALUE, separated by commas.
--- a/tests/platform/callers-faults.h
+++ b/tests/platform/callers-faults.h
@@ -252,13 +252,13 @@
 static void
 freeze_front (Scene *scene)
 {
-  quince_process_freeze (scene->world->path->fronts[0]);
+  quince_process_suspend (scene->world->path->fronts[0]);
 }
 
 static void
 thaw_front (Scene *scene)
 {
-  quince_process_thaw (scene->world->path->fronts[0]);
+  quince_process_resume (scene->world->path->fronts[0]);
 }
 
 static void
@@ -276,13 +276,13 @@
 static void
 freeze_leader (Scene *scene)
 {
-  quince_process_freeze (scene->world->path->replicas[scene->leader]);
+  quince_process_suspend (scene->world->path->replicas[scene->leader]);
 }
 
 static void
 thaw_leader (Scene *scene)
 {
-  quince_process_thaw (scene->world->path->replicas[scene->leader]);
+  quince_process_resume (scene->world->path->replicas[scene->leader]);
 }
 
 static void
--- a/tests/platform/path-world.h
+++ b/tests/platform/path-world.h
@@ -159,7 +159,7 @@
 static inline const char *
 path_front (const PathWorld *world, guint index)
 {
-  return quince_process_get (world->fronts[index], "callers");
+  return quince_process_get_ready_value (world->fronts[index], "callers");
 }
 
 /* ---- Processes -------------------------------------------------------- */
@@ -380,7 +380,7 @@
   for (guint i = 0; i < PATH_MODEL; i++)
     standin_worker_free (world->model[i]);
   standin_store_free (world->store);
-  guint failures = quince_process_take_failures ();
+  guint failures = quince_process_get_and_reset_failures ();
   if (failures > 0)
     fail_msg ("%u processes ended by themselves; logs in %s", failures, world->folder);
   g_autofree char *remove = g_strdup_printf ("rm -rf '%s'", world->folder);
--- a/tests/platform/regions-world.h
+++ b/tests/platform/regions-world.h
@@ -136,7 +136,8 @@
 {
   g_autofree char *target = g_strdup_printf ("/quinceroute/resolve?name=" PATH_HOST "%s", query);
   PathAnswer answer;
-  path_call (quince_process_get (world->path->fronts[front], "directory"), "GET", target, "q", NULL, &answer);
+  path_call (quince_process_get_ready_value (world->path->fronts[front], "directory"), "GET", target, "q",
+             NULL, &answer);
   guint mask = 0;
   for (guint i = 0; answer.body != NULL && i < PATH_FRONTS; i++)
     if (strstr (answer.body, path_front (world->path, i)) != NULL)
--- a/tests/platform/steps-faults.h
+++ b/tests/platform/steps-faults.h
@@ -129,13 +129,13 @@
 freeze_leader (Scene *scene)
 {
   find_leader (scene);
-  quince_process_freeze (scene->world->path->replicas[scene->leader]);
+  quince_process_suspend (scene->world->path->replicas[scene->leader]);
 }
 
 static void
 thaw_leader (Scene *scene)
 {
-  quince_process_thaw (scene->world->path->replicas[scene->leader]);
+  quince_process_resume (scene->world->path->replicas[scene->leader]);
 }
 
 static void
--- a/tests/platform/test-directory.c
+++ b/tests/platform/test-directory.c
@@ -8,7 +8,7 @@
 names (PathWorld *world, guint asked, guint named)
 {
   PathAnswer answer;
-  path_call (quince_process_get (world->fronts[asked], "directory"), "GET",
+  path_call (quince_process_get_ready_value (world->fronts[asked], "directory"), "GET",
              "/quinceroute/resolve?name=" PATH_HOST "&region=r&zone=z1", "q", NULL, &answer);
   gboolean found = answer.status == 200 && strstr (answer.body, path_front (world, named)) != NULL;
   path_answer_clear (&answer);
@@ -23,10 +23,10 @@
   path_world_start (world);
   AWAIT (names (world, 0, 1));
   standin_store_set_fault (world->store, STANDIN_STORE_SILENT);
-  quince_process_freeze (world->fronts[1]);
+  quince_process_suspend (world->fronts[1]);
   AWAIT (!names (world, 0, 1));
   assert_true (names (world, 0, 0));
-  quince_process_thaw (world->fronts[1]);
+  quince_process_resume (world->fronts[1]);
   AWAIT (names (world, 0, 1));
   standin_store_set_fault (world->store, STANDIN_STORE_SOUND);
   path_world_free (world);
--- a/tests/platform/test-evacuation-path.c
+++ b/tests/platform/test-evacuation-path.c
@@ -244,14 +244,14 @@
       if (killed)
         quince_process_kill (world->replicas[leader]);
       else
-        quince_process_freeze (world->replicas[leader]);
+        quince_process_suspend (world->replicas[leader]);
       standin_store_put (world->store, Z1, "{}");
       await_evacuated (world, "z1", 1);
       guint before = sent_to_z1 (world);
       if (killed)
         path_start_replica (world, (guint)leader);
       else
-        quince_process_thaw (world->replicas[leader]);
+        quince_process_resume (world->replicas[leader]);
       hammer (world);
       submit (world, "b1");
       AWAIT (path_listed (world, 0, "b1") == ITEMS);
@@ -318,7 +318,7 @@
   path_start_front (world, 0);
   g_unsetenv ("LD_PRELOAD");
   AWAIT (look_up (world, 0) == 200 && look_up (world, 1) == 200);
-  quince_process_freeze (world->fronts[0]);
+  quince_process_suspend (world->fronts[0]);
   run_for (50);
   standin_store_put (world->store, Z1, "{}");
   AWAIT (count_logged (world, "front-1", "event=zone_evacuated") == 1);
@@ -328,7 +328,7 @@
     path_begin (path_front (world, 0), "POST", "/l/1", "waits", "x", &answers[i]);
   run_for (100);
   g_assert_true (g_file_set_contents (clock, moved, -1, NULL));
-  quince_process_thaw (world->fronts[0]);
+  quince_process_resume (world->fronts[0]);
   for (guint i = 0; i < HAMMERED; i++)
     {
       AWAIT (answers[i].done);
--- a/tests/platform/test-evacuation-soak.c
+++ b/tests/platform/test-evacuation-soak.c
@@ -139,7 +139,7 @@
   soak->frozen
       = index < PATH_FRONTS ? soak->world->fronts[index] : soak->world->replicas[index - PATH_FRONTS];
   soak->frozen_steps = FREEZE_STEPS;
-  quince_process_freeze (soak->frozen);
+  quince_process_suspend (soak->frozen);
 }
 
 static void
@@ -157,7 +157,7 @@
 {
   if (soak->frozen != NULL && (now || --soak->frozen_steps == 0))
     {
-      quince_process_thaw (soak->frozen);
+      quince_process_resume (soak->frozen);
       soak->frozen = NULL;
     }
   if (soak->outage_steps > 0 && (now || --soak->outage_steps == 0))
--- a/tests/platform/test-feed-wait.c
+++ b/tests/platform/test-feed-wait.c
@@ -75,10 +75,10 @@
   PathWorld *world = path_world_new ("feed-wait-frozen");
   path_world_start (world);
   for (guint i = 0; i < PATH_REPLICAS; i++)
-    quince_process_freeze (world->replicas[i]);
+    quince_process_suspend (world->replicas[i]);
   assert_true (restart_until_served (world, 0) < UNFED_SERVES_MS);
   for (guint i = 0; i < PATH_REPLICAS; i++)
-    quince_process_thaw (world->replicas[i]);
+    quince_process_resume (world->replicas[i]);
   path_world_free (world);
 }
 
--- a/tests/platform/test-leaving.c
+++ b/tests/platform/test-leaving.c
@@ -166,27 +166,27 @@
 static void
 freeze_leader (Scene *scene)
 {
-  quince_process_freeze (scene->world->path->replicas[scene->leader]);
+  quince_process_suspend (scene->world->path->replicas[scene->leader]);
 }
 
 static void
 thaw_leader (Scene *scene)
 {
-  quince_process_thaw (scene->world->path->replicas[scene->leader]);
+  quince_process_resume (scene->world->path->replicas[scene->leader]);
 }
 
 static void
 freeze_leader_and_follower (Scene *scene)
 {
   freeze_leader (scene);
-  quince_process_freeze (scene->world->path->replicas[follower (scene)]);
+  quince_process_suspend (scene->world->path->replicas[follower (scene)]);
 }
 
 static void
 thaw_leader_and_follower (Scene *scene)
 {
   thaw_leader (scene);
-  quince_process_thaw (scene->world->path->replicas[follower (scene)]);
+  quince_process_resume (scene->world->path->replicas[follower (scene)]);
 }
 
 static void
@@ -204,13 +204,13 @@
 static void
 freeze_front (Scene *scene)
 {
-  quince_process_freeze (scene->world->path->fronts[0]);
+  quince_process_suspend (scene->world->path->fronts[0]);
 }
 
 static void
 thaw_front (Scene *scene)
 {
-  quince_process_thaw (scene->world->path->fronts[0]);
+  quince_process_resume (scene->world->path->fronts[0]);
 }
 
 /* Whether @process has heard of both workers that they leave, by its own log. */
--- a/tests/platform/test-malformed.c
+++ b/tests/platform/test-malformed.c
@@ -164,7 +164,7 @@
   g_autoptr (GRand) random = g_rand_new_with_seed (17);
   for (guint i = 0; i < G_N_ELEMENTS (doors); i++)
     {
-      const char *address = quince_process_get (scene.world->fronts[0], doors[i]);
+      const char *address = quince_process_get_ready_value (scene.world->fronts[0], doors[i]);
       for (guint j = 0; j < RANDOM_REQUESTS; j++)
         {
           send_random (address, random);
@@ -185,7 +185,7 @@
   g_autofree char *large = g_strnfill (LARGE_BYTES, 'x');
   for (guint i = 0; i < G_N_ELEMENTS (doors); i++)
     {
-      RawCaller *endless = raw_connect (quince_process_get (scene.world->fronts[0], doors[i]));
+      RawCaller *endless = raw_connect (quince_process_get_ready_value (scene.world->fronts[0], doors[i]));
       raw_send (endless, head);
       raw_send (endless, large);
       assert_serves (doors[i]);
--- a/tests/platform/test-member-thawed.c
+++ b/tests/platform/test-member-thawed.c
@@ -39,9 +39,9 @@
   run_for (1000);
   for (guint i = 0; i < ROUNDS; i++)
     {
-      quince_process_freeze (world->replicas[member]);
+      quince_process_suspend (world->replicas[member]);
       run_for (STOPPED_MS);
-      quince_process_thaw (world->replicas[member]);
+      quince_process_resume (world->replicas[member]);
       run_for (1000);
     }
   assert_int_equal (count_elections (world), 1);
--- a/tests/platform/test-path.c
+++ b/tests/platform/test-path.c
@@ -39,15 +39,15 @@
   assert_int_equal (path_call (front, "POST", "/l/1", "r1", "x", &answer), 503);
   assert_non_null (answer.retry_after);
   path_answer_clear (&answer);
-  assert_int_equal (
-      path_status (quince_process_get (world->fronts[0], "ready"), "GET", "/quinceroute/readyz", "q", NULL),
-      503);
+  assert_int_equal (path_status (quince_process_get_ready_value (world->fronts[0], "ready"), "GET",
+                                 "/quinceroute/readyz", "q", NULL),
+                    503);
   path_configure (world, 3);
   path_list_workers (world);
   AWAIT (path_status (front, "POST", "/l/1", "r2", "x") == 200);
-  assert_int_equal (
-      path_status (quince_process_get (world->fronts[0], "ready"), "GET", "/quinceroute/readyz", "q", NULL),
-      200);
+  assert_int_equal (path_status (quince_process_get_ready_value (world->fronts[0], "ready"), "GET",
+                                 "/quinceroute/readyz", "q", NULL),
+                    200);
   path_call (front, "POST", "/l/1", "r3", "question", &answer);
   assert_true (g_str_has_prefix (answer.body, "question by p"));
   assert_true (g_str_has_prefix (answer.signature, "stamp-p"));
@@ -83,7 +83,7 @@
 named (PathWorld *world, guint asked)
 {
   PathAnswer answer;
-  path_call (quince_process_get (world->fronts[asked], "directory"), "GET",
+  path_call (quince_process_get_ready_value (world->fronts[asked], "directory"), "GET",
              "/quinceroute/resolve?name=x&zone=z1", "q", NULL, &answer);
   guint count = answer.status == 200 ? path_count (answer.body, "127.0.0.1:") : 0;
   path_answer_clear (&answer);
@@ -137,9 +137,9 @@
   assert_int_equal (path_call (path_front (world, 0), "POST", "/l/1", "r2", "x", &answer), 200);
   assert_string_equal (answer.connection, "close");
   path_answer_clear (&answer);
-  assert_int_equal (
-      path_status (quince_process_get (world->fronts[0], "ready"), "GET", "/quinceroute/readyz", "q", NULL),
-      503);
+  assert_int_equal (path_status (quince_process_get_ready_value (world->fronts[0], "ready"), "GET",
+                                 "/quinceroute/readyz", "q", NULL),
+                    503);
   int status = -1;
   assert_true (quince_process_wait (world->fronts[0], AWAIT_MS, &status));
   assert_int_equal (status, 0);
--- a/tests/platform/test-planned-stop.c
+++ b/tests/platform/test-planned-stop.c
@@ -171,7 +171,7 @@
   traffic->is_reading = TRUE;
   traffic->read_us = g_get_monotonic_time ();
   traffic->asked = (traffic->asked + 1) % PATH_FRONTS;
-  path_begin (quince_process_get (traffic->world->fronts[traffic->asked], "directory"), "GET",
+  path_begin (quince_process_get_ready_value (traffic->world->fronts[traffic->asked], "directory"), "GET",
               "/quinceroute/resolve?name=x&zone=z1", "q", NULL, &traffic->reading);
 }
 
--- a/tests/platform/test-policy-in-force.c
+++ b/tests/platform/test-policy-in-force.c
@@ -76,14 +76,14 @@
 freeze_leader (Scene *scene, gboolean held)
 {
   QuinceProcess *leader = scene->world->path->replicas[scene->leader];
-  (held ? quince_process_freeze : quince_process_thaw) (leader);
+  (held ? quince_process_suspend : quince_process_resume) (leader);
   scene->deaf[RELAYED_PROCESS_OF (scene->leader)] = held;
 }
 
 static void
 freeze_front (Scene *scene, gboolean held)
 {
-  (held ? quince_process_freeze : quince_process_thaw) (scene->world->path->fronts[0]);
+  (held ? quince_process_suspend : quince_process_resume) (scene->world->path->fronts[0]);
   scene->deaf[0] = held;
 }
 
--- a/tests/platform/test-process.c
+++ b/tests/platform/test-process.c
@@ -39,7 +39,7 @@
   if (exit_case->kill)
     quince_process_kill (process);
   quince_process_free (process);
-  guint failures = quince_process_take_failures ();
+  guint failures = quince_process_get_and_reset_failures ();
   if (failures != exit_case->failures)
     fail_msg ("%s: %u failures", exit_case->name, failures);
 }
--- a/tests/platform/test-quarantine-many.c
+++ b/tests/platform/test-quarantine-many.c
@@ -17,7 +17,7 @@
 static const char *
 address_of (const Many *many, guint index)
 {
-  return quince_process_get (many->fronts[index], "callers");
+  return quince_process_get_ready_value (many->fronts[index], "callers");
 }
 
 static void
--- a/tests/platform/test-ready-streams.c
+++ b/tests/platform/test-ready-streams.c
@@ -51,9 +51,9 @@
       path_begin (path_front (world, 0), "POST", target, id, "x", &answers[i]);
     }
   AWAIT (count_runs (world) == before + STREAMS);
-  quince_process_freeze (world->fronts[0]);
+  quince_process_suspend (world->fronts[0]);
   run_for (STOPPED_MS);
-  quince_process_thaw (world->fronts[0]);
+  quince_process_resume (world->fronts[0]);
   for (guint i = 0; i < STREAMS; i++)
     {
       AWAIT (answers[i].done);
@@ -92,9 +92,9 @@
     path_begin_with (path_front (world, 0), "GET", "/quinceroute/lots/slow?afterRev=0", "q", NULL, "Wait-Ms",
                      "1000", &answers[i]);
   run_for (ASKED_MS);
-  quince_process_freeze (world->fronts[0]);
+  quince_process_suspend (world->fronts[0]);
   run_for (STOPPED_MS);
-  quince_process_thaw (world->fronts[0]);
+  quince_process_resume (world->fronts[0]);
   for (guint i = 0; i < STREAMS; i++)
     {
       AWAIT (answers[i].done);
--- a/tests/platform/test-residency.c
+++ b/tests/platform/test-residency.c
@@ -305,11 +305,11 @@
   AWAIT (path_listed (world, 0, "b1") == ITEMS);
   gint first = path_leader (world);
   guint silent = other_inside (world, first);
-  quince_process_freeze (world->replicas[silent]);
+  quince_process_suspend (world->replicas[silent]);
   run_for (SILENT_MS);
   AWAIT (submit_status (world, 0, "b2") == 202);
   quince_process_kill (world->replicas[first]);
-  quince_process_thaw (world->replicas[silent]);
+  quince_process_resume (world->replicas[silent]);
   AWAIT (path_leader (world) >= 0 && path_leader (world) != first);
   AWAIT (submit_status (world, 0, "b3") == 202);
   AWAIT (path_listed (world, 0, "b2") == ITEMS);
@@ -353,14 +353,14 @@
   gint leader = path_leader (world);
   for (guint i = 0; i < G_N_ELEMENTS (inside); i++)
     if ((gint)inside[i] != leader)
-      quince_process_freeze (world->replicas[inside[i]]);
+      quince_process_suspend (world->replicas[inside[i]]);
   g_autofree char *text = path_batch_text ("b1", ITEMS);
   PathAnswer answer;
   path_begin_with (path_front (world, 0), "POST", "/r/batch", "b1", text, "Credential", "key-t", &answer);
   run_for (SILENT_MS);
   for (guint i = 0; i < G_N_ELEMENTS (inside); i++)
     if ((gint)inside[i] != leader)
-      quince_process_thaw (world->replicas[inside[i]]);
+      quince_process_resume (world->replicas[inside[i]]);
   AWAIT (answer.done);
   path_answer_clear (&answer);
   for (guint i = 0; i < PATH_REPLICAS; i++)
@@ -398,7 +398,8 @@
 {
   g_autofree char *target = g_strdup_printf ("/quinceroute/resolve?name=" PATH_HOST "%s", query);
   PathAnswer answer;
-  path_call (quince_process_get (world->fronts[asked], "directory"), "GET", target, "q", NULL, &answer);
+  path_call (quince_process_get_ready_value (world->fronts[asked], "directory"), "GET", target, "q", NULL,
+             &answer);
   g_autoptr (GString) named = g_string_new (NULL);
   for (const char *at = answer.body; at != NULL && *at != '\0'; at++)
     for (guint i = 0; i < PATH_FRONTS; i++)
--- a/tests/platform/test-scaling.c
+++ b/tests/platform/test-scaling.c
@@ -201,11 +201,11 @@
   evacuate (world, "z3", TRUE);
   AWAIT (world->orders->len == 1);
   gint leader = path_leader (world->path);
-  quince_process_freeze (world->path->replicas[leader]);
+  quince_process_suspend (world->path->replicas[leader]);
   AWAIT (path_leader (world->path) != leader);
   guint before = world->orders->len;
   AWAIT (world->orders->len > before);
-  quince_process_thaw (world->path->replicas[leader]);
+  quince_process_resume (world->path->replicas[leader]);
   world->refuse = 0;
   AWAIT (scaling_count (world, "z2") == 4);
   run_for (QUIET_MS);
--- a/tests/platform/test-steps.c
+++ b/tests/platform/test-steps.c
@@ -143,13 +143,13 @@
   g_autofree char *text = path_batch_text ("step0", STEP_ITEMS);
   for (guint i = 0; i < PATH_REPLICAS; i++)
     if (i != scene.leader)
-      quince_process_freeze (path->replicas[i]);
+      quince_process_suspend (path->replicas[i]);
   if (path_status (path_front (path, 0), "POST", "/r/batch", "step0", text) == 202)
     fail_msg ("%s", "accepted by one replica of three");
   quince_process_kill (path->replicas[scene.leader]);
   for (guint i = 0; i < PATH_REPLICAS; i++)
     if (i != scene.leader)
-      quince_process_thaw (path->replicas[i]);
+      quince_process_resume (path->replicas[i]);
   restart_leader (&scene);
   trainer_submit (&scene.trainer);
   AWAIT (trainer_has_read (&scene.trainer, scene.trainer.steps->pdata[0]));
@@ -263,14 +263,14 @@
   hold_orders (&scene, TRUE);
   trainer_name_version (trainer, 2);
   AWAIT (count_held_orders (&scene) > 0);
-  quince_process_freeze (scene.world->path->replicas[scene.leader]);
+  quince_process_suspend (scene.world->path->replicas[scene.leader]);
   AWAIT (path_leader (scene.world->path) != (gint)scene.leader);
   hold_orders (&scene, FALSE);
   trainer_name_version (trainer, 3);
   AWAIT (run_version (&scene, 3));
   assert_int_equal (count_refused_orders (&scene), 0);
   deliver_orders (&scene);
-  quince_process_thaw (scene.world->path->replicas[scene.leader]);
+  quince_process_resume (scene.world->path->replicas[scene.leader]);
   assert_true (count_refused_orders (&scene) > 0);
   print_message ("  refused_orders=%u\n", count_refused_orders (&scene));
   run_for (1000);
--- a/tests/platform/test-succession.c
+++ b/tests/platform/test-succession.c
@@ -123,9 +123,9 @@
   standin_store_set_fault (world->store, STANDIN_STORE_RESETS);
   run_for (500);
   guint former = (guint)path_leader (world);
-  quince_process_freeze (world->replicas[former]);
+  quince_process_suspend (world->replicas[former]);
   await_batches (world, "frozen", FOLLOWED_US);
-  quince_process_thaw (world->replicas[former]);
+  quince_process_resume (world->replicas[former]);
   await_batches (world, "thawed", FOLLOWED_US);
   run_for (1000);
   assert_int_not_equal (path_leader (world), (gint)former);
--- a/tests/platform/test-suspension.c
+++ b/tests/platform/test-suspension.c
@@ -28,7 +28,7 @@
 static void
 suspend (QuinceProcess *process)
 {
-  quince_process_freeze (process);
+  quince_process_suspend (process);
   run_for (50);
 }
 
@@ -38,7 +38,7 @@
   g_autofree char *file = clock_file (world, name);
   g_autofree char *moved = g_strdup_printf ("%lld", (long long)AWAY_MS * 1000);
   g_assert_true (g_file_set_contents (file, moved, -1, NULL));
-  quince_process_thaw (process);
+  quince_process_resume (process);
 }
 
 /* Every process has a clock of its own. */
--- a/tests/platform/test-warmup.c
+++ b/tests/platform/test-warmup.c
@@ -171,9 +171,9 @@
   gint leader = await_leader (world);
   make_all_cold (world, before);
   cold_load (world, LOAD_EVERY_MS, 1500);
-  quince_process_freeze (world->path->replicas[leader]);
+  quince_process_suspend (world->path->replicas[leader]);
   cold_load (world, LOAD_EVERY_MS, LOAD_MS);
-  quince_process_thaw (world->path->replicas[leader]);
+  quince_process_resume (world->path->replicas[leader]);
   cold_load (world, LOAD_EVERY_MS, LOAD_MS);
   assert_bound (world, before);
   cold_world_free (world);
@@ -189,9 +189,9 @@
   make_all_cold (world, before);
   for (guint i = 0; i < 12; i++)
     {
-      quince_process_freeze (world->path->replicas[leader]);
+      quince_process_suspend (world->path->replicas[leader]);
       cold_load (world, LOAD_EVERY_MS, 150);
-      quince_process_thaw (world->path->replicas[leader]);
+      quince_process_resume (world->path->replicas[leader]);
       cold_load (world, LOAD_EVERY_MS, 200);
     }
   assert_bound (world, before);
@@ -229,9 +229,9 @@
   for (guint i = 0; i < 8; i++)
     {
       cold_load (world, LOAD_EVERY_MS, 200);
-      quince_process_freeze (world->path->fronts[i % PATH_FRONTS]);
+      quince_process_suspend (world->path->fronts[i % PATH_FRONTS]);
       cold_load (world, LOAD_EVERY_MS, 700);
-      quince_process_thaw (world->path->fronts[i % PATH_FRONTS]);
+      quince_process_resume (world->path->fronts[i % PATH_FRONTS]);
     }
   assert_bound (world, before);
   cold_world_free (world);
