--- a/rehearsal/demo.c
+++ b/rehearsal/demo.c
@@ -27,13 +27,13 @@
 
 typedef struct
 {
-  const char *build;
+  const char *build_folder;
   const char *deployment;
-  const char *folder;
+  const char *output_folder;
 } DemoFlags;
 
 static void
-progress (const QuinceDeployment *deployment, const char *phase)
+print_phase (const QuinceDeployment *deployment, const char *phase)
 {
   printf ("event=demo_progress deployment=%s phase=%s\n", deployment->name, phase);
   fflush (stdout);
@@ -44,23 +44,24 @@
 /* Returns: exit status. */
 static int
 print_summary (const QuinceDeployment *deployment,
-               const DemoCallerStats *verdict,
-               const DemoTrainerStats *training)
+               const DemoCallerStats *caller_stats,
+               const DemoTrainerStats *trainer_stats)
 {
-  guint lost = training->samples - training->delivered;
-  gboolean broken = lost != 0 || training->duplicated != 0 || training->over_staleness != 0
-                    || training->wrong != 0 || verdict->wrong != 0 || verdict->ran_though_refused != 0
-                    || verdict->repeated != 0;
+  guint lost = trainer_stats->samples - trainer_stats->delivered;
+  gboolean failed = lost != 0 || trainer_stats->duplicated != 0 || trainer_stats->over_staleness != 0
+                    || trainer_stats->wrong != 0 || caller_stats->wrong != 0
+                    || caller_stats->ran_though_refused != 0 || caller_stats->repeated != 0;
   printf ("event=demo_summary deployment=%s requests=%u answered=%u on_time=%u refused=%u unknown=%u "
           "samples=%u delivered=%u lost=%u duplicated=%u over_staleness=%u mixed_version_samples=%u "
           "trainer_idle_s=%.2f p50_ms=%.1f p99_ms=%.1f wrong_answers=%u ran_though_refused=%u repeated=%u "
           "wrong_samples=%u\n",
-          deployment->name, verdict->requests, verdict->answered, verdict->on_time, verdict->refused,
-          verdict->unknown, training->samples, training->delivered, lost, training->duplicated,
-          training->over_staleness, training->mixed, (double)training->idle_us / G_USEC_PER_SEC,
-          (double)verdict->p50_us / 1000, (double)verdict->p99_us / 1000, verdict->wrong,
-          verdict->ran_though_refused, verdict->repeated, training->wrong);
-  return broken ? EXIT_FAILED : EXIT_SUCCESS;
+          deployment->name, caller_stats->requests, caller_stats->answered, caller_stats->on_time,
+          caller_stats->refused, caller_stats->unknown, trainer_stats->samples, trainer_stats->delivered,
+          lost, trainer_stats->duplicated, trainer_stats->over_staleness, trainer_stats->mixed_version,
+          (double)trainer_stats->idle_us / G_USEC_PER_SEC, (double)caller_stats->p50_us / 1000,
+          (double)caller_stats->p99_us / 1000, caller_stats->wrong, caller_stats->ran_though_refused,
+          caller_stats->repeated, trainer_stats->wrong);
+  return failed ? EXIT_FAILED : EXIT_SUCCESS;
 }
 
 /* ---- The run ------------------------------------------------------------------ */
@@ -81,8 +82,9 @@
 static gboolean
 accept_policy (DemoCluster *cluster)
 {
-  const char *const words[] = { "policy", "accept", cluster->deployment->policy, "--comment", "demo", NULL };
-  return demo_cluster_run_operator_command (cluster, words) == 0
+  const char *const arguments[]
+      = { "policy", "accept", cluster->deployment->policy_path, "--comment", "demo", NULL };
+  return demo_cluster_run_operator_command (cluster, arguments) == 0
          && demo_cluster_await_policy (cluster, POLICY_TIMEOUT_MS);
 }
 
@@ -93,12 +95,14 @@
   const QuinceDeployment *deployment = cluster->deployment;
   guint64 after_s = (deployment->event_delay_ms + 999) / 1000;
   g_autofree char *start = g_strdup_printf ("+%" G_GUINT64_FORMAT, after_s);
-  g_autofree char *duration = g_strdup_printf ("%" G_GUINT64_FORMAT, (deployment->event_ms + 999) / 1000);
-  const char *const words[]
+  g_autofree char *duration
+      = g_strdup_printf ("%" G_GUINT64_FORMAT, (deployment->event_duration_ms + 999) / 1000);
+  const char *const arguments[]
       = { "event", "create", "release", "--start", start, "--duration", duration, NULL };
   gint64 now_us = g_get_monotonic_time ();
-  return demo_cluster_run_operator_command (cluster, words) == 0 ? now_us + (gint64)after_s * G_USEC_PER_SEC
-                                                                 : 0;
+  return demo_cluster_run_operator_command (cluster, arguments) == 0
+             ? now_us + (gint64)after_s * G_USEC_PER_SEC
+             : 0;
 }
 
 static int
@@ -113,39 +117,40 @@
 run_phases (DemoCluster *cluster, DemoTrainer *trainer, GError **error)
 {
   const QuinceDeployment *deployment = cluster->deployment;
-  progress (deployment, "accept_policy");
+  print_phase (deployment, "accept_policy");
   if (!accept_policy (cluster))
     return fail (error, "the policy is not in force everywhere");
-  progress (deployment, "create_event");
+  print_phase (deployment, "create_event");
   gint64 start_us = create_event (cluster);
   if (start_us == 0)
     return fail (error, "the event was not created");
   wait_until (start_us);
-  progress (deployment, "burst");
+  print_phase (deployment, "burst");
   demo_trainer_start (trainer);
   g_autoptr (DemoCallers) callers = demo_callers_new (cluster);
   demo_callers_send (callers);
   wait_until (start_us + LEADER_KILL_DELAY_MS * 1000);
-  progress (deployment, "kill_leader");
+  print_phase (deployment, "kill_leader");
   if (!demo_cluster_kill_leader (cluster, error))
     return EXIT_FAILED;
   if (!demo_await (demo_callers_are_done, callers, BURST_TIMEOUT_MS))
     return fail (error, "callers wait for longer than their deadlines");
-  progress (deployment, "training");
+  print_phase (deployment, "training");
   demo_await (demo_trainer_is_done, trainer, TRAINING_TIMEOUT_MS);
-  DemoCallerStats verdict;
-  DemoTrainerStats training;
-  demo_callers_get_stats (callers, &verdict);
-  demo_trainer_get_stats (trainer, &training);
-  return print_summary (deployment, &verdict, &training);
+  DemoCallerStats caller_stats;
+  DemoTrainerStats trainer_stats;
+  demo_callers_get_stats (callers, &caller_stats);
+  demo_trainer_get_stats (trainer, &trainer_stats);
+  return print_summary (deployment, &caller_stats, &trainer_stats);
 }
 
 static int
 run_deployment (const DemoFlags *flags, const QuinceDeployment *deployment, GError **error)
 {
-  printf ("event=demo_progress deployment=%s phase=start logs=%s\n", deployment->name, flags->folder);
+  printf ("event=demo_progress deployment=%s phase=start logs=%s\n", deployment->name, flags->output_folder);
   fflush (stdout);
-  g_autoptr (DemoCluster) cluster = demo_cluster_start (flags->build, flags->folder, deployment, error);
+  g_autoptr (DemoCluster) cluster
+      = demo_cluster_start (flags->build_folder, flags->output_folder, deployment, error);
   if (cluster == NULL)
     return EXIT_FAILED;
   DemoTrainer *trainer = demo_trainer_new (cluster, deployment->trainers->pdata[0]);
@@ -177,13 +182,13 @@
   switch (key)
     {
     case KEY_BUILD:
-      flags->build = argument;
+      flags->build_folder = argument;
       return 0;
     case KEY_DEPLOYMENT:
       flags->deployment = argument;
       return 0;
     case KEY_FOLDER:
-      flags->folder = argument;
+      flags->output_folder = argument;
       return 0;
     case ARGP_KEY_END:
       if (flags->deployment == NULL)
@@ -197,7 +202,7 @@
 int
 quince_demo_run (int argc, char **argv)
 {
-  DemoFlags flags = { .build = "build", .folder = "out/demo" };
+  DemoFlags flags = { .build_folder = "build", .output_folder = "out/demo" };
   const struct argp parser
       = { options, parse_flag, NULL, "Runs one deployment once and sums up.", NULL, NULL, NULL };
   argp_err_exit_status = EXIT_USAGE;
--- a/rehearsal/kit/deployment.c
+++ b/rehearsal/kit/deployment.c
@@ -84,11 +84,12 @@
       trainer->name = g_strdup (*name);
       trainer->service = g_strdup (quince_settings_get_text (settings, section, "service"));
       trainer->steps = (guint)quince_settings_get_integer (settings, section, "steps");
-      trainer->samples = (guint)quince_settings_get_integer (settings, section, "samples");
-      trainer->tokens = (guint)quince_settings_get_integer (settings, section, "tokens");
+      trainer->samples_per_step = (guint)quince_settings_get_integer (settings, section, "samples");
+      trainer->mean_tokens = (guint)quince_settings_get_integer (settings, section, "tokens");
       trainer->staleness_bound = (guint)quince_settings_get_integer (settings, section, "staleness_bound");
-      trainer->step_ms = (guint64)quince_settings_get_duration_us (settings, section, "step_time") / 1000;
-      trainer->ahead = (guint)quince_settings_get_integer (settings, section, "ahead");
+      trainer->training_time_ms
+          = (guint64)quince_settings_get_duration_us (settings, section, "step_time") / 1000;
+      trainer->steps_ahead = (guint)quince_settings_get_integer (settings, section, "ahead");
       g_ptr_array_add (deployment->trainers, trainer);
     }
 }
@@ -130,10 +131,11 @@
   g_autofree char *folder = g_path_get_dirname (path);
   deployment->name = g_strdup (quince_settings_get_text (settings, "deployment", "name"));
   const char *policy = quince_settings_get_text (settings, "deployment", "policy");
-  deployment->policy
+  deployment->policy_path
       = g_path_is_absolute (policy) ? g_strdup (policy) : g_build_filename (folder, policy, NULL);
   deployment->event_delay_ms = (guint64)quince_settings_get_duration_us (settings, "event", "after") / 1000;
-  deployment->event_ms = (guint64)quince_settings_get_duration_us (settings, "event", "duration") / 1000;
+  deployment->event_duration_ms
+      = (guint64)quince_settings_get_duration_us (settings, "event", "duration") / 1000;
   deployment->zones = g_strsplit (quince_settings_get_text (settings, "deployment", "zones"), ",", -1);
   deployment->n_zones = g_strv_length (deployment->zones);
   deployment->services = g_ptr_array_new_with_free_func (service_free);
@@ -152,7 +154,7 @@
   g_ptr_array_unref (deployment->services);
   g_ptr_array_unref (deployment->members);
   g_ptr_array_unref (deployment->trainers);
-  g_free (deployment->policy);
+  g_free (deployment->policy_path);
   g_free (deployment->name);
   g_free (deployment);
 }
--- a/rehearsal/kit/deployment.h
+++ b/rehearsal/kit/deployment.h
@@ -34,20 +34,20 @@
   char *name;
   char *service;
   guint steps;
-  guint samples;         /* a step */
-  guint tokens;          /* of a sample, the mean                     */
-  guint staleness_bound; /* versions */
-  guint64 step_ms;       /* training after a batch                    */
-  guint ahead;           /* steps submitted ahead                     */
+  guint samples_per_step;   /* a step */
+  guint mean_tokens;        /* of a sample, the mean                     */
+  guint staleness_bound;    /* versions */
+  guint64 training_time_ms; /* training after a batch                    */
+  guint steps_ahead;        /* steps submitted ahead                     */
 } QuinceTrainerPlan;
 
 typedef struct
 {
   char *name;
-  char *policy;           /* file of the policy to accept, relative to the deployment file */
-  guint64 event_delay_ms; /* from the start of the run to the event    */
-  guint64 event_ms;       /* its duration */
-  char **zones;           /* names; each has one front and one replica */
+  char *policy_path;         /* file of the policy to accept, relative to the deployment file */
+  guint64 event_delay_ms;    /* from the start of the run to the event    */
+  guint64 event_duration_ms; /* its duration */
+  char **zones;              /* names; each has one front and one replica */
   guint n_zones;
   GPtrArray *services; /* QuinceServicePlan */
   GPtrArray *members;  /* QuinceMemberPlan  */
--- a/rehearsal/kit/process.c
+++ b/rehearsal/kit/process.c
@@ -32,7 +32,7 @@
   gboolean killed;         /* by quince_process_kill()                          */
   gboolean is_status_read; /* a caller of quince_process_wait() judges it       */
   int status;
-  GHashTable *ready; /* key -> value of the ready line */
+  GHashTable *ready_values; /* key -> value of the ready line */
 };
 
 /* Of all threads; see quince_process_get_and_reset_failures(). */
@@ -84,25 +84,25 @@
   g_autofree char *output_path = NULL;
   GPid pid = 0;
   g_autoptr (GError) cause = NULL;
-  gboolean done = open_output_files (folder, name, &output_path, &output, &log, error);
-  if (done)
+  gboolean is_started = open_output_files (folder, name, &output_path, &output, &log, error);
+  if (is_started)
     {
-      done = g_spawn_async_with_fds (NULL, (char **)arguments, NULL, G_SPAWN_DO_NOT_REAP_CHILD, prepare_child,
-                                     GINT_TO_POINTER (getpid () == gettid ()), &pid, -1, fileno (output),
-                                     fileno (log), &cause);
-      if (!done)
+      is_started = g_spawn_async_with_fds (NULL, (char **)arguments, NULL, G_SPAWN_DO_NOT_REAP_CHILD,
+                                           prepare_child, GINT_TO_POINTER (getpid () == gettid ()), &pid, -1,
+                                           fileno (output), fileno (log), &cause);
+      if (!is_started)
         g_set_error (error, QUINCE_PROCESS_ERROR, QUINCE_PROCESS_ERROR_START, "%s: %s", arguments[0],
                      cause->message);
     }
   close_file (output);
   close_file (log);
-  if (!done)
+  if (!is_started)
     return NULL;
   QuinceProcess *process = g_new0 (QuinceProcess, 1);
   process->name = g_strdup (name);
   process->output_path = g_steal_pointer (&output_path);
   process->pid = pid;
-  process->ready = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
+  process->ready_values = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   return process;
 }
 
@@ -139,7 +139,7 @@
     {
       char *equals = strchr (*pair, '=');
       if (equals != NULL)
-        g_hash_table_insert (process->ready, g_strndup (*pair, (gsize)(equals - *pair)),
+        g_hash_table_insert (process->ready_values, g_strndup (*pair, (gsize)(equals - *pair)),
                              g_strdup (equals + 1));
     }
   return TRUE;
@@ -148,7 +148,7 @@
 gboolean
 quince_process_await_ready (QuinceProcess *process, GError **error)
 {
-  gint64 end = g_get_monotonic_time () + READY_TIMEOUT_US;
+  gint64 deadline_us = g_get_monotonic_time () + READY_TIMEOUT_US;
   while (!parse_ready_line (process))
     {
       if (!quince_process_is_running (process))
@@ -157,7 +157,7 @@
                        "%s ended with status %d before it was ready", process->name, process->status);
           return FALSE;
         }
-      if (g_get_monotonic_time () > end)
+      if (g_get_monotonic_time () > deadline_us)
         {
           g_set_error (error, QUINCE_PROCESS_ERROR, QUINCE_PROCESS_ERROR_TIMEOUT, "%s is not ready",
                        process->name);
@@ -177,7 +177,7 @@
 const char *
 quince_process_get_ready_value (const QuinceProcess *process, const char *key)
 {
-  const char *value = g_hash_table_lookup (process->ready, key);
+  const char *value = g_hash_table_lookup (process->ready_values, key);
   return value != NULL ? value : "";
 }
 
@@ -202,10 +202,10 @@
 }
 
 static void
-send_signal (QuinceProcess *process, int number)
+send_signal (QuinceProcess *process, int signal_number)
 {
   if (quince_process_is_running (process))
-    kill (process->pid, number);
+    kill (process->pid, signal_number);
 }
 
 void
@@ -237,10 +237,10 @@
 gboolean
 quince_process_wait (QuinceProcess *process, guint timeout_ms, int *status)
 {
-  gint64 end = g_get_monotonic_time () + (gint64)timeout_ms * 1000;
+  gint64 deadline_us = g_get_monotonic_time () + (gint64)timeout_ms * 1000;
   while (quince_process_is_running (process))
     {
-      if (g_get_monotonic_time () > end)
+      if (g_get_monotonic_time () > deadline_us)
         return FALSE;
       g_usleep (POLL_INTERVAL_US);
     }
@@ -255,8 +255,8 @@
 static void
 report_failure (const QuinceProcess *process)
 {
-  gboolean as_killed = process->killed && process->status == 128 + SIGKILL;
-  if (!process->ended || process->status == 0 || process->is_status_read || as_killed)
+  gboolean is_expected_kill = process->killed && process->status == 128 + SIGKILL;
+  if (!process->ended || process->status == 0 || process->is_status_read || is_expected_kill)
     return;
   g_atomic_int_inc (&failures);
   g_autofree char *name = quince_log_quote (process->name);
@@ -275,7 +275,7 @@
   send_signal (process, SIGCONT);
   quince_process_kill (process);
   report_failure (process);
-  g_hash_table_unref (process->ready);
+  g_hash_table_unref (process->ready_values);
   g_free (process->output_path);
   g_free (process->name);
   g_free (process);
--- a/rehearsal/platform/demo-callers.c
+++ b/rehearsal/platform/demo-callers.c
@@ -19,9 +19,9 @@
   QuinceHttpOutcome outcome;
   guint status;
   char *body;
-  gboolean is_signed;
+  gboolean has_stamp;
   gint64 sent_us;
-  gint64 took_us;
+  gint64 duration_us;
 } Call;
 
 struct _DemoCallers
@@ -69,13 +69,13 @@
   const GByteArray *body = quince_http_exchange_get_body (exchange);
   const QuinceHttpHead *head = quince_http_exchange_get_head (exchange);
   call->done = TRUE;
-  call->took_us = g_get_monotonic_time () - call->sent_us;
+  call->duration_us = g_get_monotonic_time () - call->sent_us;
   call->outcome = outcome;
   call->body = g_strndup (body->len > 0 ? (const char *)body->data : "", body->len);
   if (head == NULL)
     return;
   call->status = head->status;
-  call->is_signed = quince_http_headers_get (head->headers, "Server-Stamp") != NULL;
+  call->has_stamp = quince_http_headers_get (head->headers, "Server-Stamp") != NULL;
 }
 
 static const QuinceHttpExchangeCallbacks call_callbacks = { .done = handle_call_done };
@@ -151,59 +151,59 @@
 static gboolean
 is_complete_stream (const char *body)
 {
-  g_autoptr (GString) whole = g_string_new (NULL);
+  g_autoptr (GString) expected = g_string_new (NULL);
   for (guint i = 1; i <= DEMO_EVENTS_PER_STREAM; i++)
-    g_string_append_printf (whole, "id: %u\ndata: e%u\n\n", i, i);
-  return g_str_equal (body, whole->str);
+    g_string_append_printf (expected, "id: %u\ndata: e%u\n\n", i, i);
+  return g_str_equal (body, expected->str);
 }
 
 static gboolean
-is_whole (const Call *call)
+is_complete_answer (const Call *call)
 {
   if (call->is_stream)
     return is_complete_stream (call->body);
-  g_autofree char *beginning = g_strdup_printf ("%s by %s", call->id, call->member->service);
-  return g_str_has_prefix (call->body, beginning) && call->is_signed;
+  g_autofree char *prefix = g_strdup_printf ("%s by %s", call->id, call->member->service);
+  return g_str_has_prefix (call->body, prefix) && call->has_stamp;
 }
 
 static gint
-compare_times (gconstpointer a, gconstpointer b)
+compare_durations (gconstpointer a, gconstpointer b)
 {
   gint64 first = *(const gint64 *)a, second = *(const gint64 *)b;
   return (first > second) - (first < second);
 }
 
 static void
-add_call_to_stats (const Call *call, guint runs, DemoCallerStats *verdict, GArray *times)
+add_call_to_stats (const Call *call, guint runs, DemoCallerStats *stats, GArray *durations_us)
 {
   gboolean is_success = call->outcome == QUINCE_HTTP_ANSWERED && call->status == 200;
   gboolean is_refused = call->status == 503 || call->status == 429 || call->status == 408;
-  verdict->repeated += !call->is_stream && !call->member->repeatable && runs > 1;
-  verdict->refused += is_refused;
-  verdict->ran_though_refused += is_refused && runs > 0;
-  verdict->unknown += !is_success && !is_refused;
-  verdict->wrong += is_success && !is_whole (call);
+  stats->repeated += !call->is_stream && !call->member->repeatable && runs > 1;
+  stats->refused += is_refused;
+  stats->ran_though_refused += is_refused && runs > 0;
+  stats->unknown += !is_success && !is_refused;
+  stats->wrong += is_success && !is_complete_answer (call);
   if (!is_success)
     return;
-  verdict->answered++;
-  verdict->on_time += call->took_us <= (gint64)call->member->deadline_ms * 1000;
-  g_array_append_val (times, call->took_us);
+  stats->answered++;
+  stats->on_time += call->duration_us <= (gint64)call->member->deadline_ms * 1000;
+  g_array_append_val (durations_us, call->duration_us);
 }
 
 void
-demo_callers_get_stats (const DemoCallers *callers, DemoCallerStats *verdict)
+demo_callers_get_stats (const DemoCallers *callers, DemoCallerStats *stats)
 {
   g_autoptr (GHashTable) runs = count_runs (callers->cluster);
-  g_autoptr (GArray) times = g_array_new (FALSE, FALSE, sizeof (gint64));
-  *verdict = (DemoCallerStats){ .requests = callers->calls->len };
+  g_autoptr (GArray) durations_us = g_array_new (FALSE, FALSE, sizeof (gint64));
+  *stats = (DemoCallerStats){ .requests = callers->calls->len };
   for (guint i = 0; i < callers->calls->len; i++)
     {
       const Call *call = callers->calls->pdata[i];
-      add_call_to_stats (call, GPOINTER_TO_UINT (g_hash_table_lookup (runs, call->id)), verdict, times);
+      add_call_to_stats (call, GPOINTER_TO_UINT (g_hash_table_lookup (runs, call->id)), stats, durations_us);
     }
-  g_array_sort (times, compare_times);
-  if (times->len == 0)
+  g_array_sort (durations_us, compare_durations);
+  if (durations_us->len == 0)
     return;
-  verdict->p50_us = g_array_index (times, gint64, times->len / 2);
-  verdict->p99_us = g_array_index (times, gint64, times->len * 99 / 100);
+  stats->p50_us = g_array_index (durations_us, gint64, durations_us->len / 2);
+  stats->p99_us = g_array_index (durations_us, gint64, durations_us->len * 99 / 100);
 }
--- a/rehearsal/platform/demo-callers.h
+++ b/rehearsal/platform/demo-callers.h
@@ -33,4 +33,4 @@
 /* A condition for demo_await(). */
 gboolean demo_callers_are_done (gpointer callers);
 /* @verdict: (out) */
-void demo_callers_get_stats (const DemoCallers *callers, DemoCallerStats *verdict);
+void demo_callers_get_stats (const DemoCallers *callers, DemoCallerStats *stats);
--- a/rehearsal/platform/demo-cluster.c
+++ b/rehearsal/platform/demo-cluster.c
@@ -83,7 +83,7 @@
   set_value (values, "listen.directory", g_strdup_printf ("%s:%d", ip, DIRECTORY_PORT));
   set_value (values, "internalPorts.0", g_strdup_printf ("%d", LINK_PORT));
   set_value (values, "platform.address", g_strdup (standin_store_get_address (cluster->store)));
-  set_value (values, "dataDir", g_strdup_printf ("%s/data-%s", cluster->folder, name));
+  set_value (values, "dataDir", g_strdup_printf ("%s/data-%s", cluster->run_folder, name));
   set_value (values, "bootstrap", g_strdup (cluster->is_bootstrapped ? "false" : "true"));
   set_value (values, "faultTolerance.machines", g_strdup ("1"));
   set_value (values, "faultTolerance.zones", g_strdup ("0"));
@@ -110,7 +110,7 @@
     return NULL;
   g_autoptr (GHashTable) values = make_template_values (cluster, name, ip, zone);
   g_autofree char *text = template_render (template_text, values, error);
-  g_autofree char *path = g_strdup_printf ("%s/%s.ini", cluster->folder, name);
+  g_autofree char *path = g_strdup_printf ("%s/%s.ini", cluster->run_folder, name);
   if (text == NULL || !g_file_set_contents (path, text, -1, error))
     return NULL;
   return g_steal_pointer (&path);
@@ -119,19 +119,19 @@
 /* ---- Processes ---------------------------------------------------------- */
 
 static QuinceProcess *
-start_process (DemoCluster *cluster, const char *role, guint host, guint zone, GError **error)
+start_process (DemoCluster *cluster, const char *role, guint first_host, guint zone, GError **error)
 {
   g_autofree char *name = g_strdup_printf ("%s-%u", role, zone);
-  g_autofree char *ip = g_strdup_printf ("127.%u.%u.%u", 1 + (cluster->network >> 8 & 0x7f),
-                                         cluster->network & 0xff, host + zone);
-  g_autofree char *data = g_strdup_printf ("%s/data-%s", cluster->folder, name);
+  g_autofree char *ip = g_strdup_printf ("127.%u.%u.%u", 1 + (cluster->network_number >> 8 & 0x7f),
+                                         cluster->network_number & 0xff, first_host + zone);
+  g_autofree char *data = g_strdup_printf ("%s/data-%s", cluster->run_folder, name);
   g_mkdir_with_parents (data, 0700);
   g_autofree char *settings = write_settings (cluster, role, name, ip, zone, error);
   if (settings == NULL)
     return NULL;
-  g_autofree char *program = g_strdup_printf ("%s/daemons/quinceroute-%s", cluster->build, role);
+  g_autofree char *program = g_strdup_printf ("%s/daemons/quinceroute-%s", cluster->build_folder, role);
   const char *const arguments[] = { program, "-c", settings, NULL };
-  g_autoptr (QuinceProcess) process = quince_process_spawn (cluster->folder, name, arguments, error);
+  g_autoptr (QuinceProcess) process = quince_process_spawn (cluster->run_folder, name, arguments, error);
   if (process == NULL || !quince_process_await_ready (process, error))
     return NULL;
   return g_steal_pointer (&process);
@@ -166,31 +166,31 @@
 
 /* Occurrences of @mark are numbered; the greatest number that @name has logged, 0: none. */
 static guint64
-find_max_logged_number (const DemoCluster *cluster, const char *name, const char *mark)
+find_max_logged_number (const DemoCluster *cluster, const char *name, const char *prefix)
 {
-  g_autofree char *path = g_strdup_printf ("%s/%s.out", cluster->folder, name);
+  g_autofree char *path = g_strdup_printf ("%s/%s.out", cluster->run_folder, name);
   g_autofree char *text = NULL;
-  guint64 greatest = 0;
+  guint64 max_number = 0;
   if (!g_file_get_contents (path, &text, NULL, NULL))
     return 0;
-  for (const char *at = strstr (text, mark); at != NULL; at = strstr (at + 1, mark))
-    greatest = MAX (greatest, g_ascii_strtoull (at + strlen (mark), NULL, 10));
-  return greatest;
+  for (const char *match = strstr (text, prefix); match != NULL; match = strstr (match + 1, prefix))
+    max_number = MAX (max_number, g_ascii_strtoull (match + strlen (prefix), NULL, 10));
+  return max_number;
 }
 
 /* -1: none has led yet. */
 static gint
 find_leader (const DemoCluster *cluster)
 {
-  guint64 greatest = 0;
+  guint64 max_epoch = 0;
   gint leader = -1;
   for (guint i = 0; i < cluster->replicas->len; i++)
     {
       const char *name = quince_process_get_name (cluster->replicas->pdata[i]);
       guint64 epoch = find_max_logged_number (cluster, name, "event=ledger_recovered epoch=");
-      if (epoch <= greatest)
+      if (epoch <= max_epoch)
         continue;
-      greatest = epoch;
+      max_epoch = epoch;
       leader = (gint)i;
     }
   return leader;
@@ -206,11 +206,11 @@
       return FALSE;
     }
   quince_process_kill (cluster->replicas->pdata[leader]);
-  QuinceProcess *again = start_process (cluster, "replica", FIRST_REPLICA_HOST, (guint)leader, error);
-  if (again == NULL)
+  QuinceProcess *restarted = start_process (cluster, "replica", FIRST_REPLICA_HOST, (guint)leader, error);
+  if (restarted == NULL)
     return FALSE;
   quince_process_free (cluster->replicas->pdata[leader]);
-  cluster->replicas->pdata[leader] = again;
+  cluster->replicas->pdata[leader] = restarted;
   return TRUE;
 }
 
@@ -223,45 +223,45 @@
 }
 
 int
-demo_cluster_run_operator_command (DemoCluster *cluster, const char *const *words)
+demo_cluster_run_operator_command (DemoCluster *cluster, const char *const *command)
 {
   g_autoptr (GPtrArray) arguments = g_ptr_array_new ();
-  g_autofree char *program = g_build_filename (cluster->build, "tools", "quinceroute", NULL);
+  g_autofree char *program = g_build_filename (cluster->build_folder, "tools", "quinceroute", NULL);
   g_ptr_array_add (arguments, program);
-  for (; *words != NULL; words++)
-    g_ptr_array_add (arguments, (gpointer)*words);
+  for (; *command != NULL; command++)
+    g_ptr_array_add (arguments, (gpointer)*command);
   g_ptr_array_add (arguments, (gpointer) "--store");
   g_ptr_array_add (arguments, (gpointer)standin_store_get_address (cluster->store));
   g_ptr_array_add (arguments, NULL);
   int status = -1;
   g_autoptr (QuinceProcess) process
-      = quince_process_spawn (cluster->folder, "operator", (const char *const *)arguments->pdata, NULL);
+      = quince_process_spawn (cluster->run_folder, "operator", (const char *const *)arguments->pdata, NULL);
   if (process != NULL && demo_await (has_ended, process, OPERATOR_TIMEOUT_MS))
     quince_process_wait (process, 0, &status);
   return status;
 }
 
 static gboolean
-is_in_force (gpointer data)
+is_policy_in_force (gpointer data)
 {
   const DemoCluster *cluster = data;
-  const GPtrArray *const kinds[] = { cluster->fronts, cluster->replicas };
-  guint64 least = G_MAXUINT64, greatest = 0;
-  for (guint i = 0; i < G_N_ELEMENTS (kinds); i++)
-    for (guint j = 0; j < kinds[i]->len; j++)
+  const GPtrArray *const process_lists[] = { cluster->fronts, cluster->replicas };
+  guint64 min_revision = G_MAXUINT64, max_revision = 0;
+  for (guint i = 0; i < G_N_ELEMENTS (process_lists); i++)
+    for (guint j = 0; j < process_lists[i]->len; j++)
       {
-        const char *name = quince_process_get_name (kinds[i]->pdata[j]);
+        const char *name = quince_process_get_name (process_lists[i]->pdata[j]);
         guint64 revision = find_max_logged_number (cluster, name, "event=policy_in_force revision=");
-        least = MIN (least, revision);
-        greatest = MAX (greatest, revision);
+        min_revision = MIN (min_revision, revision);
+        max_revision = MAX (max_revision, revision);
       }
-  return least > 0 && least == greatest;
+  return min_revision > 0 && min_revision == max_revision;
 }
 
 gboolean
 demo_cluster_await_policy (DemoCluster *cluster, guint timeout_ms)
 {
-  return demo_await (is_in_force, cluster, timeout_ms);
+  return demo_await (is_policy_in_force, cluster, timeout_ms);
 }
 
 /* ---- Start and end -------------------------------------------------------- */
@@ -271,7 +271,7 @@
 get_event_interval_ms (const DemoCluster *cluster, const QuinceServicePlan *service)
 {
   const QuinceTrainerPlan *trainer = cluster->deployment->trainers->pdata[0];
-  return (guint)(trainer->tokens * service->token_time_us / DEMO_EVENTS_PER_STREAM / 1000);
+  return (guint)(trainer->mean_tokens * service->token_time_us / DEMO_EVENTS_PER_STREAM / 1000);
 }
 
 static void
@@ -291,24 +291,27 @@
 }
 
 static gboolean
-leads (gpointer data)
+has_leader (gpointer data)
 {
   return find_leader (data) >= 0;
 }
 
 DemoCluster *
-demo_cluster_start (const char *build, const char *folder, const QuinceDeployment *deployment, GError **error)
+demo_cluster_start (const char *build_folder,
+                    const char *run_folder,
+                    const QuinceDeployment *deployment,
+                    GError **error)
 {
   g_autoptr (DemoCluster) cluster = g_new0 (DemoCluster, 1);
   cluster->deployment = deployment;
-  cluster->build = g_strdup (build);
-  cluster->folder = g_strdup (folder);
-  cluster->network = (guint)getpid ();
+  cluster->build_folder = g_strdup (build_folder);
+  cluster->run_folder = g_strdup (run_folder);
+  cluster->network_number = (guint)getpid ();
   cluster->store = standin_store_new ();
   cluster->workers = g_ptr_array_new_with_free_func ((GDestroyNotify)standin_worker_free);
   cluster->fronts = g_ptr_array_new_with_free_func ((GDestroyNotify)quince_process_free);
   cluster->replicas = g_ptr_array_new_with_free_func ((GDestroyNotify)quince_process_free);
-  g_mkdir_with_parents (folder, 0700);
+  g_mkdir_with_parents (run_folder, 0700);
   g_autofree char *configuration = demo_make_configuration (deployment);
   standin_store_put (cluster->store, "op/config", configuration);
   for (guint i = 0; i < deployment->services->len; i++)
@@ -319,7 +322,7 @@
     }
   if (!start_processes (cluster, error))
     return NULL;
-  if (demo_await (leads, cluster, START_TIMEOUT_MS))
+  if (demo_await (has_leader, cluster, START_TIMEOUT_MS))
     return g_steal_pointer (&cluster);
   g_set_error_literal (error, QUINCE_PROCESS_ERROR, QUINCE_PROCESS_ERROR_TIMEOUT, "no replica leads");
   return NULL;
@@ -334,7 +337,7 @@
   g_ptr_array_unref (cluster->replicas);
   g_ptr_array_unref (cluster->workers);
   standin_store_free (cluster->store);
-  g_free (cluster->folder);
-  g_free (cluster->build);
+  g_free (cluster->run_folder);
+  g_free (cluster->build_folder);
   g_free (cluster);
 }
--- a/rehearsal/platform/demo-trainer.c
+++ b/rehearsal/platform/demo-trainer.c
@@ -18,8 +18,8 @@
 {
   guint index;
   gboolean is_submitted;
-  guint64 position;  /* the next result to read */
-  GHashTable *items; /* ids of delivered samples, owned */
+  guint64 next_token;        /* the next result to read */
+  GHashTable *delivered_ids; /* ids of delivered samples, owned */
 } Step;
 
 struct _DemoTrainer
@@ -27,22 +27,22 @@
   DemoCluster *cluster;
   const QuinceTrainerPlan *plan;
   GPtrArray *steps;        /* Step, owned; those begun so far */
-  guint current;           /* the step that is read */
+  guint current_step;      /* the step that is read */
   guint64 version;         /* of the weights that it trains */
   gint64 waiting_since_us; /* monotonic; 0: it trains */
   gint64 training_end_us;  /* monotonic: when the training in progress ends */
   QuinceHttpPool *pool;    /* of the call in progress */
   gboolean is_call_in_flight;
-  guint front; /* that gets the next call */
-  guint timer;
-  DemoTrainerStats training;
+  guint next_front; /* that gets the next call */
+  guint timer_id;
+  DemoTrainerStats stats;
 };
 
 static void
 step_free (gpointer data)
 {
   Step *step = data;
-  g_hash_table_unref (step->items);
+  g_hash_table_unref (step->delivered_ids);
   g_free (step);
 }
 
@@ -54,22 +54,22 @@
   trainer->plan = plan;
   trainer->version = 1;
   trainer->steps = g_ptr_array_new_with_free_func (step_free);
-  trainer->training.samples = plan->steps * plan->samples;
+  trainer->stats.samples = plan->steps * plan->samples_per_step;
   return trainer;
 }
 
 void
 demo_trainer_free (DemoTrainer *trainer)
 {
-  if (trainer->timer != 0)
-    g_source_remove (trainer->timer);
+  if (trainer->timer_id != 0)
+    g_source_remove (trainer->timer_id);
   g_clear_pointer (&trainer->pool, quince_http_pool_unref);
   g_ptr_array_unref (trainer->steps);
   g_free (trainer);
 }
 
 static char *
-batch_id (const DemoTrainer *trainer, const Step *step)
+make_batch_id (const DemoTrainer *trainer, const Step *step)
 {
   return g_strdup_printf ("%s-%u", trainer->plan->name, step->index);
 }
@@ -77,7 +77,7 @@
 /* ---- Calls -------------------------------------------------------------- */
 
 static void
-begin_call (DemoTrainer *trainer,
+start_call (DemoTrainer *trainer,
             const char *method,
             const char *target,
             const char *id,
@@ -85,7 +85,8 @@
             const QuinceHttpExchangeCallbacks *callbacks)
 {
   g_clear_pointer (&trainer->pool, quince_http_pool_unref);
-  trainer->pool = quince_http_pool_new (demo_cluster_get_front_address (trainer->cluster, trainer->front++));
+  trainer->pool
+      = quince_http_pool_new (demo_cluster_get_front_address (trainer->cluster, trainer->next_front++));
   g_autoptr (QuinceHttpHeaders) headers = quince_http_headers_new ();
   quince_http_headers_add (headers, "Host", DEMO_HOST);
   quince_http_headers_add (headers, "Request-Id", id);
@@ -109,7 +110,10 @@
 /* ---- Submission --------------------------------------------------------- */
 
 static void
-submitted (QuinceHttpExchange *exchange, QuinceHttpOutcome outcome, const GError *error, gpointer data)
+handle_submission (QuinceHttpExchange *exchange,
+                   QuinceHttpOutcome outcome,
+                   const GError *error,
+                   gpointer data)
 {
   DemoTrainer *trainer = data;
   trainer->is_call_in_flight = FALSE;
@@ -117,36 +121,37 @@
   last->is_submitted = get_body_for_status (exchange, outcome, 202) != NULL;
 }
 
-static const QuinceHttpExchangeCallbacks submit_callbacks = { .done = submitted };
+static const QuinceHttpExchangeCallbacks submit_callbacks = { .done = handle_submission };
 
 /* The weights with which a step is trained, less the bound: samples of older ones are of no use. */
 static guint64
 get_min_version (const DemoTrainer *trainer, const Step *step)
 {
-  guint64 trained_with = 1 + step->index;
-  return trained_with > trainer->plan->staleness_bound ? trained_with - trainer->plan->staleness_bound : 1;
+  guint64 training_version = 1 + step->index;
+  return training_version > trainer->plan->staleness_bound ? training_version - trainer->plan->staleness_bound
+                                                           : 1;
 }
 
 /* Sent again until it is accepted: the same batch is taken once. */
 static void
-submit (DemoTrainer *trainer, const Step *step)
+submit_step (DemoTrainer *trainer, const Step *step)
 {
-  g_autofree char *id = batch_id (trainer, step);
+  g_autofree char *id = make_batch_id (trainer, step);
   g_autoptr (GString) text = g_string_new (NULL);
   g_string_append_printf (
       text, "{\"step\":%u,\"model\":\"" DEMO_MODEL "\",\"minVersion\":%" G_GUINT64_FORMAT ",\"items\":[",
       step->index, get_min_version (trainer, step));
-  for (guint i = 0; i < trainer->plan->samples; i++)
+  for (guint i = 0; i < trainer->plan->samples_per_step; i++)
     g_string_append_printf (
         text,
         "%s{\"id\":\"%s-i%u\",\"path\":\"" DEMO_ROLLOUT_PREFIX "%u\",\"headers\":{\"Model\":\"" DEMO_MODEL
         "\"},\"body\":\"cXVlc3Rpb24=\","
         "\"tokens\":%u,\"group\":\"g%u\",\"scorer\":{\"id\":\"%s-s%u\",\"host\":\"" DEMO_HOST
         "\",\"path\":\"" DEMO_SCORE_PREFIX "%u\",\"body\":\"c2NvcmU=\"}}",
-        i > 0 ? "," : "", id, i, i, trainer->plan->tokens, i / 4, id, i, i);
+        i > 0 ? "," : "", id, i, i, trainer->plan->mean_tokens, i / 4, id, i, i);
   g_string_append (text, "]}");
   g_autofree char *target = g_strdup_printf (DEMO_ROLLOUT_PREFIX "%s", id);
-  begin_call (trainer, "POST", target, id, text->str, &submit_callbacks);
+  start_call (trainer, "POST", target, id, text->str, &submit_callbacks);
 }
 
 /* ---- Results ------------------------------------------------------------ */
@@ -154,36 +159,36 @@
 static gboolean
 is_complete_text (const char *text)
 {
-  g_autoptr (GString) whole = g_string_new (NULL);
+  g_autoptr (GString) expected = g_string_new (NULL);
   for (guint i = 1; i <= DEMO_EVENTS_PER_STREAM; i++)
-    g_string_append_printf (whole, "%se%u", i > 1 ? "\n" : "", i);
-  return g_str_equal (text, whole->str);
+    g_string_append_printf (expected, "%se%u", i > 1 ? "\n" : "", i);
+  return g_str_equal (text, expected->str);
 }
 
 static void
 count_result (DemoTrainer *trainer, Step *step, JsonObject *result)
 {
-  DemoTrainerStats *training = &trainer->training;
+  DemoTrainerStats *stats = &trainer->stats;
   const char *id = json_object_get_string_member (result, "id");
-  g_autofree char *batch = batch_id (trainer, step);
+  g_autofree char *batch = make_batch_id (trainer, step);
   g_autofree char *prefix = g_strdup_printf ("%s-i", batch);
-  if (!g_hash_table_add (step->items, g_strdup (id)))
+  if (!g_hash_table_add (step->delivered_ids, g_strdup (id)))
     {
-      training->duplicated++;
+      stats->duplicated++;
       return;
     }
-  training->delivered++;
+  stats->delivered++;
   JsonArray *versions = json_object_get_array_member (result, "versions");
-  guint64 oldest = G_MAXUINT64;
+  guint64 oldest_version = G_MAXUINT64;
   for (guint i = 0; i < json_array_get_length (versions); i++)
-    oldest = MIN (oldest, (guint64)json_array_get_int_element (versions, i));
-  training->mixed += json_array_get_length (versions) > 1;
-  training->over_staleness += oldest < get_min_version (trainer, step);
-  gboolean is_right = g_str_has_prefix (id, prefix) && json_array_get_length (versions) > 0
-                      && g_str_equal (json_object_get_string_member (result, "state"), "completed")
-                      && is_complete_text (json_object_get_string_member (result, "message"))
-                      && json_object_has_member (result, "score");
-  training->wrong += !is_right;
+    oldest_version = MIN (oldest_version, (guint64)json_array_get_int_element (versions, i));
+  stats->mixed_version += json_array_get_length (versions) > 1;
+  stats->over_staleness += oldest_version < get_min_version (trainer, step);
+  gboolean is_correct = g_str_has_prefix (id, prefix) && json_array_get_length (versions) > 0
+                        && g_str_equal (json_object_get_string_member (result, "state"), "completed")
+                        && is_complete_text (json_object_get_string_member (result, "message"))
+                        && json_object_has_member (result, "score");
+  stats->wrong += !is_correct;
 }
 
 static void
@@ -198,12 +203,12 @@
   g_autoptr (JsonParser) parser = json_parser_new ();
   if (body == NULL || !json_parser_load_from_data (parser, (const char *)body->data, body->len, NULL))
     return;
-  Step *step = trainer->steps->pdata[trainer->current];
+  Step *step = trainer->steps->pdata[trainer->current_step];
   JsonObject *page = json_node_get_object (json_parser_get_root (parser));
   JsonArray *results = json_object_get_array_member (page, "results");
   for (guint i = 0; i < json_array_get_length (results); i++)
     count_result (trainer, step, json_array_get_object_element (results, i));
-  step->position = (guint64)json_object_get_int_member (page, "nextToken");
+  step->next_token = (guint64)json_object_get_int_member (page, "nextToken");
 }
 
 static const QuinceHttpExchangeCallbacks read_callbacks = { .done = handle_results_page };
@@ -211,10 +216,10 @@
 static void
 read_results (DemoTrainer *trainer, const Step *step)
 {
-  g_autofree char *id = batch_id (trainer, step);
+  g_autofree char *id = make_batch_id (trainer, step);
   g_autofree char *target
-      = g_strdup_printf ("/quinceroute/lots/%s?afterRev=%" G_GUINT64_FORMAT, id, step->position);
-  begin_call (trainer, "GET", target, id, NULL, &read_callbacks);
+      = g_strdup_printf ("/quinceroute/lots/%s?afterRev=%" G_GUINT64_FORMAT, id, step->next_token);
+  start_call (trainer, "GET", target, id, NULL, &read_callbacks);
 }
 
 /* ---- Steps -------------------------------------------------------------- */
@@ -228,7 +233,7 @@
   g_autofree char *text = g_strdup_printf ("{\"model\":\"" DEMO_MODEL "\",\"version\":%" G_GUINT64_FORMAT "}",
                                            trainer->version);
   standin_store_put (trainer->cluster->store, "op/version/" DEMO_MODEL, text);
-  trainer->current++;
+  trainer->current_step++;
   trainer->waiting_since_us = g_get_monotonic_time ();
 }
 
@@ -236,8 +241,8 @@
 start_training (DemoTrainer *trainer)
 {
   gint64 now_us = g_get_monotonic_time ();
-  trainer->training.idle_us += now_us - trainer->waiting_since_us;
-  trainer->training_end_us = now_us + (gint64)trainer->plan->step_ms * 1000;
+  trainer->stats.idle_us += now_us - trainer->waiting_since_us;
+  trainer->training_end_us = now_us + (gint64)trainer->plan->training_time_ms * 1000;
 }
 
 /* The next step to submit, not further ahead than the plan says; NULL: none. */
@@ -247,24 +252,25 @@
   Step *last = trainer->steps->len > 0 ? trainer->steps->pdata[trainer->steps->len - 1] : NULL;
   if (last != NULL && !last->is_submitted)
     return last;
-  if (trainer->steps->len >= MIN (trainer->plan->steps, trainer->current + 1 + trainer->plan->ahead))
+  if (trainer->steps->len
+      >= MIN (trainer->plan->steps, trainer->current_step + 1 + trainer->plan->steps_ahead))
     return NULL;
   Step *step = g_new0 (Step, 1);
   step->index = trainer->steps->len;
-  step->items = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
+  step->delivered_ids = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   g_ptr_array_add (trainer->steps, step);
   return step;
 }
 
 static gboolean
-advance (gpointer data)
+poll_trainer (gpointer data)
 {
   DemoTrainer *trainer = data;
   if (trainer->training_end_us != 0 && g_get_monotonic_time () >= trainer->training_end_us)
     finish_training (trainer);
   if (demo_trainer_is_done (trainer))
     {
-      trainer->timer = 0;
+      trainer->timer_id = 0;
       return G_SOURCE_REMOVE;
     }
   if (trainer->is_call_in_flight)
@@ -272,11 +278,12 @@
   Step *step = get_next_submission (trainer);
   if (step != NULL)
     {
-      submit (trainer, step);
+      submit_step (trainer, step);
       return G_SOURCE_CONTINUE;
     }
-  step = trainer->steps->pdata[trainer->current];
-  if (trainer->training_end_us == 0 && g_hash_table_size (step->items) >= trainer->plan->samples)
+  step = trainer->steps->pdata[trainer->current_step];
+  if (trainer->training_end_us == 0
+      && g_hash_table_size (step->delivered_ids) >= trainer->plan->samples_per_step)
     start_training (trainer);
   else if (trainer->training_end_us == 0)
     read_results (trainer, step);
@@ -287,18 +294,18 @@
 demo_trainer_start (DemoTrainer *trainer)
 {
   trainer->waiting_since_us = g_get_monotonic_time ();
-  trainer->timer = g_timeout_add (POLL_INTERVAL_MS, advance, trainer);
+  trainer->timer_id = g_timeout_add (POLL_INTERVAL_MS, poll_trainer, trainer);
 }
 
 gboolean
 demo_trainer_is_done (gpointer data)
 {
   const DemoTrainer *trainer = data;
-  return trainer->current >= trainer->plan->steps;
+  return trainer->current_step >= trainer->plan->steps;
 }
 
 void
-demo_trainer_get_stats (const DemoTrainer *trainer, DemoTrainerStats *training)
+demo_trainer_get_stats (const DemoTrainer *trainer, DemoTrainerStats *stats)
 {
-  *training = trainer->training;
+  *stats = trainer->stats;
 }
--- a/rehearsal/platform/demo-trainer.h
+++ b/rehearsal/platform/demo-trainer.h
@@ -17,8 +17,8 @@
   guint delivered;
   guint duplicated;
   guint over_staleness;
-  guint mixed; /* samples of more than one weight version */
-  guint wrong; /* not the whole text, without its reward, abandoned, or of another step */
+  guint mixed_version; /* samples of more than one weight version */
+  guint wrong;         /* not the whole text, without its reward, abandoned, or of another step */
   gint64 idle_us;
 } DemoTrainerStats;
 
@@ -30,4 +30,4 @@
 /* A condition for demo_await(). */
 gboolean demo_trainer_is_done (gpointer trainer);
 /* @training: (out) */
-void demo_trainer_get_stats (const DemoTrainer *trainer, DemoTrainerStats *training);
+void demo_trainer_get_stats (const DemoTrainer *trainer, DemoTrainerStats *stats);
--- a/rehearsal/platform/template.c
+++ b/rehearsal/platform/template.c
@@ -13,21 +13,22 @@
   const char *key;
   const char *value;
   gboolean is_last;
-} Entry;
+} SectionEntry;
 
 static gboolean
-render (GString *out, const char *text, GHashTable *values, const Entry *entry, GError **error);
+render (GString *output, const char *text, GHashTable *values, const SectionEntry *entry, GError **error);
 
 static gboolean
-render_entries (GString *out, const char *body, const char *value, GHashTable *values, GError **error)
+render_entries (GString *output, const char *body, const char *value, GHashTable *values, GError **error)
 {
   g_auto (GStrv) entries = g_strsplit (value, ",", -1);
-  for (char **one = entries; *one != NULL; one++)
+  for (char **entry_text = entries; *entry_text != NULL; entry_text++)
     {
-      g_auto (GStrv) parts = g_strsplit (*one, "=", 2);
+      g_auto (GStrv) parts = g_strsplit (*entry_text, "=", 2);
       gboolean has_key = parts[0] != NULL && parts[1] != NULL;
-      const Entry entry = { has_key ? parts[0] : "", has_key ? parts[1] : *one, one[1] == NULL };
-      if (!render (out, body, values, &entry, error))
+      const SectionEntry entry
+          = { has_key ? parts[0] : "", has_key ? parts[1] : *entry_text, entry_text[1] == NULL };
+      if (!render (output, body, values, &entry, error))
         return FALSE;
     }
   return TRUE;
@@ -35,23 +36,27 @@
 
 /* @rest: (inout): what follows the section's name. */
 static gboolean
-render_section (GString *out, const char *name, const char **rest, GHashTable *values, GError **error)
+render_section (GString *output, const char *name, const char **rest, GHashTable *values, GError **error)
 {
-  g_autofree char *mark = g_strdup_printf ("{{/%s}}", name);
-  const char *end = strstr (*rest, mark);
+  g_autofree char *closing_tag = g_strdup_printf ("{{/%s}}", name);
+  const char *end = strstr (*rest, closing_tag);
   if (end == NULL)
     {
       g_set_error (error, TEMPLATE_ERROR, TEMPLATE_ERROR_UNTERMINATED, "section '%s' is not closed", name);
       return FALSE;
     }
   g_autofree char *body = g_strndup (*rest, (gsize)(end - *rest));
-  *rest = end + strlen (mark);
+  *rest = end + strlen (closing_tag);
   const char *value = g_hash_table_lookup (values, name);
-  return value == NULL || render_entries (out, body, value, values, error);
+  return value == NULL || render_entries (output, body, value, values, error);
 }
 
 static gboolean
-render_placeholder (GString *out, const char *name, GHashTable *values, const Entry *entry, GError **error)
+render_placeholder (GString *output,
+                    const char *name,
+                    GHashTable *values,
+                    const SectionEntry *entry,
+                    GError **error)
 {
   const char *value = g_hash_table_lookup (values, name);
   if (entry != NULL && g_str_equal (name, "@"))
@@ -65,16 +70,16 @@
       g_set_error (error, TEMPLATE_ERROR, TEMPLATE_ERROR_MISSING_VALUE, "'%s' has no value", name);
       return FALSE;
     }
-  g_string_append (out, value);
+  g_string_append (output, value);
   return TRUE;
 }
 
 static gboolean
-render (GString *out, const char *text, GHashTable *values, const Entry *entry, GError **error)
+render (GString *output, const char *text, GHashTable *values, const SectionEntry *entry, GError **error)
 {
   for (const char *open = strstr (text, "{{"); open != NULL; open = strstr (text, "{{"))
     {
-      g_string_append_len (out, text, open - text);
+      g_string_append_len (output, text, open - text);
       const char *close = strstr (open, "}}");
       if (close == NULL)
         {
@@ -83,18 +88,18 @@
         }
       g_autofree char *name = g_strndup (open + 2, (gsize)(close - open) - 2);
       text = close + 2;
-      gboolean done = *name == '#' ? render_section (out, name + 1, &text, values, error)
-                                   : render_placeholder (out, name, values, entry, error);
-      if (!done)
+      gboolean is_rendered = *name == '#' ? render_section (output, name + 1, &text, values, error)
+                                          : render_placeholder (output, name, values, entry, error);
+      if (!is_rendered)
         return FALSE;
     }
-  g_string_append (out, text);
+  g_string_append (output, text);
   return TRUE;
 }
 
 char *
 template_render (const char *text, GHashTable *values, GError **error)
 {
-  g_autoptr (GString) out = g_string_new (NULL);
-  return render (out, text, values, NULL, error) ? g_string_free (g_steal_pointer (&out), FALSE) : NULL;
+  g_autoptr (GString) output = g_string_new (NULL);
+  return render (output, text, values, NULL, error) ? g_string_free (g_steal_pointer (&output), FALSE) : NULL;
 }
