--- a/rehearsal/demo.c
+++ b/rehearsal/demo.c
@@ -84,7 +84,7 @@
 {
   const char *const arguments[]
       = { "policy", "accept", cluster->deployment->policy_path, "--comment", "demo", NULL };
-  return demo_cluster_run_operator_command (cluster, arguments) == 0
+  return demo_cluster_run_operator_tool (cluster, arguments) == 0
          && demo_cluster_await_policy (cluster, POLICY_TIMEOUT_MS);
 }
 
@@ -100,9 +100,8 @@
   const char *const arguments[]
       = { "event", "create", "release", "--start", start, "--duration", duration, NULL };
   gint64 now_us = g_get_monotonic_time ();
-  return demo_cluster_run_operator_command (cluster, arguments) == 0
-             ? now_us + (gint64)after_s * G_USEC_PER_SEC
-             : 0;
+  return demo_cluster_run_operator_tool (cluster, arguments) == 0 ? now_us + (gint64)after_s * G_USEC_PER_SEC
+                                                                  : 0;
 }
 
 static int
--- a/rehearsal/platform/demo-cluster.c
+++ b/rehearsal/platform/demo-cluster.c
@@ -223,7 +223,7 @@
 }
 
 int
-demo_cluster_run_operator_command (DemoCluster *cluster, const char *const *command)
+demo_cluster_run_operator_tool (DemoCluster *cluster, const char *const *command)
 {
   g_autoptr (GPtrArray) arguments = g_ptr_array_new ();
   g_autofree char *program = g_build_filename (cluster->build_folder, "tools", "quinceroute", NULL);
--- a/rehearsal/platform/demo-cluster.h
+++ b/rehearsal/platform/demo-cluster.h
@@ -35,7 +35,7 @@
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (DemoCluster, demo_cluster_free)
 const char *demo_cluster_get_front_address (const DemoCluster *cluster, guint index);
 /* Runs the operators' command on the store. Returns: its exit status */
-int demo_cluster_run_operator_command (DemoCluster *cluster, const char *const *command);
+int demo_cluster_run_operator_tool (DemoCluster *cluster, const char *const *command);
 /* The greatest policy revision is in force at every process. */
 gboolean demo_cluster_await_policy (DemoCluster *cluster, guint timeout_ms);
 /* Kills the replica that leads the ledger; it starts again with its data. Returns: %FALSE when none leads */
