--- a/rehearsal/demo.c
+++ b/rehearsal/demo.c
@@ -1,6 +1,7 @@
 /*
- * demo.c: starts a deployment of fronts and replicas, accepts its policy, creates an event, sends its burst
- * while a leader is killed, trains while weights change, and sums up from callers' and workers' records.
+ * demo.c: starts a deployment, accepts its policy, creates an event, sends a burst of requests, kills the
+ * leader during the burst and trains through several weight versions.  Prints a summary from the records of
+ * callers, trainer and workers.
  */
 #include "demo.h"
 
@@ -14,16 +15,16 @@
 #include "demo-cluster.h"
 #include "demo-trainer.h"
 
-/* Longest wait until the policy is in force at all processes, ms: above the 3 s that are promised. */
+/* Longer than the 3 s within which a policy is guaranteed to be in force. */
 #define POLICY_TIMEOUT_MS 10000
-/* Longest wait for the answers of the burst, ms: far above the callers' deadlines (3 s). */
+/* Longer than any call of the examples: a deadline of 3 s and the call timeout margin. */
 #define BURST_TIMEOUT_MS 30000
-/* Longest training, ms.  Not measured: far above the 10 s of the examples, below the time of the test. */
+/* Longer than the training of the examples (10 s), shorter than the timeout of the demo test. */
 #define TRAINING_TIMEOUT_MS 100000
-/* The leader is killed so long after the event's start, ms, so that calls and samples are in progress. */
+/* Delay from the start of the event, so that calls and samples are in flight. */
 #define LEADER_KILL_DELAY_MS 200
-#define EXIT_FAILED 1 /* exit status: a promise was broken, or the run failed */
-#define EXIT_USAGE 2  /* exit status: bad flags or deployment */
+#define EXIT_FAILED 1 /* exit status: a guarantee was violated or the run failed */
+#define EXIT_USAGE 2  /* exit status: invalid flags or deployment */
 
 typedef struct
 {
@@ -41,7 +42,7 @@
 
 /* ---- Summary ------------------------------------------------------------------ */
 
-/* Returns: exit status. */
+/* Returns: the exit status, EXIT_FAILED if a guarantee was violated */
 static int
 print_summary (const QuinceDeployment *deployment,
                const DemoCallerStats *caller_stats,
@@ -64,7 +65,7 @@
   return failed ? EXIT_FAILED : EXIT_SUCCESS;
 }
 
-/* ---- The run ------------------------------------------------------------------ */
+/* ---- Run ---------------------------------------------------------------------- */
 
 static gboolean
 is_time_reached (gpointer data)
@@ -72,7 +73,7 @@
   return g_get_monotonic_time () >= *(const gint64 *)data;
 }
 
-/* Waits until @end_us, with the main context running. */
+/* Runs the main context until @end_us (monotonic). */
 static void
 wait_until (gint64 end_us)
 {
@@ -88,7 +89,7 @@
          && demo_cluster_await_policy (cluster, POLICY_TIMEOUT_MS);
 }
 
-/* Returns: when the event starts, monotonic; 0: it was not created */
+/* Returns: the start of the event in monotonic microseconds, or 0 if it was not created */
 static gint64
 create_event (DemoCluster *cluster)
 {
@@ -111,18 +112,20 @@
   return EXIT_FAILED;
 }
 
-/* A training that does not end in time shows in the summary, as samples that were lost. */
+/* If training times out, the summary counts the missing samples as lost.
+ *
+ * Returns: the exit status */
 static int
 run_phases (DemoCluster *cluster, DemoTrainer *trainer, GError **error)
 {
   const QuinceDeployment *deployment = cluster->deployment;
   print_phase (deployment, "accept_policy");
   if (!accept_policy (cluster))
-    return fail (error, "the policy is not in force everywhere");
+    return fail (error, "the policy was not accepted or is not in force at every process");
   print_phase (deployment, "create_event");
   gint64 start_us = create_event (cluster);
   if (start_us == 0)
-    return fail (error, "the event was not created");
+    return fail (error, "the operator tool did not create the event");
   wait_until (start_us);
   print_phase (deployment, "burst");
   demo_trainer_start (trainer);
@@ -133,7 +136,7 @@
   if (!demo_cluster_kill_leader (cluster, error))
     return EXIT_FAILED;
   if (!demo_await (demo_callers_are_done, callers, BURST_TIMEOUT_MS))
-    return fail (error, "callers wait for longer than their deadlines");
+    return fail (error, "calls of the burst did not finish in time");
   print_phase (deployment, "training");
   demo_await (demo_trainer_is_done, trainer, TRAINING_TIMEOUT_MS);
   DemoCallerStats caller_stats;
@@ -168,9 +171,9 @@
 };
 
 static const struct argp_option options[] = {
-  { "build", KEY_BUILD, "FOLDER", 0, "Build folder with the programs (build)", 0 },
-  { "deployment", KEY_DEPLOYMENT, "FILE", 0, "Deployment to rehearse", 0 },
-  { "folder", KEY_FOLDER, "FOLDER", 0, "Where logs and data go (out/demo)", 0 },
+  { "build", KEY_BUILD, "FOLDER", 0, "Build folder that contains the programs (default: build)", 0 },
+  { "deployment", KEY_DEPLOYMENT, "FILE", 0, "Deployment file to run", 0 },
+  { "folder", KEY_FOLDER, "FOLDER", 0, "Folder for settings, logs and data (default: out/demo)", 0 },
   { 0 },
 };
 
@@ -191,7 +194,7 @@
       return 0;
     case ARGP_KEY_END:
       if (flags->deployment == NULL)
-        argp_error (state, "--deployment is missing");
+        argp_error (state, "--deployment is required");
       return 0;
     default:
       return ARGP_ERR_UNKNOWN;
@@ -203,7 +206,7 @@
 {
   DemoFlags flags = { .build_folder = "build", .output_folder = "out/demo" };
   const struct argp parser
-      = { options, parse_flag, NULL, "Runs one deployment once and sums up.", NULL, NULL, NULL };
+      = { options, parse_flag, NULL, "Runs one deployment and prints a summary.", NULL, NULL, NULL };
   argp_err_exit_status = EXIT_USAGE;
   argp_parse (&parser, argc, argv, 0, NULL, &flags);
   quince_log_init ("quinceroute-rehearsal", "demo", G_LOG_LEVEL_WARNING);
@@ -211,7 +214,8 @@
   g_autoptr (QuinceDeployment) deployment = quince_deployment_load (flags.deployment, &error);
   if (deployment == NULL || deployment->trainers->len != 1)
     {
-      fprintf (stderr, "%s\n", error != NULL ? error->message : "a deployment to rehearse has one trainer");
+      fprintf (stderr, "%s\n",
+               error != NULL ? error->message : "the deployment must have exactly one trainer");
       return EXIT_USAGE;
     }
   int status = run_deployment (&flags, deployment, &error);
--- a/rehearsal/demo.h
+++ b/rehearsal/demo.h
@@ -1,7 +1,9 @@
 /*
- * demo.h: the main job of the product, run once on one deployment of real processes and stand-ins.
+ * demo.h: the "demo" subcommand, which runs a deployment of real fronts and replicas with simulated workers
+ * and a simulated store.
  */
 #pragma once
 
-/* Subcommand "demo"; exit status 0 only when no promise was broken. */
+/* Returns: the exit status: 0 if every guarantee held, 1 if one was violated or the run failed, 2 for invalid
+ * flags or an invalid deployment.  Invalid flags end the program. */
 int quince_demo_run (int argc, char **argv);
--- a/rehearsal/kit/deployment.c
+++ b/rehearsal/kit/deployment.c
@@ -1,41 +1,46 @@
 /*
- * deployment.c: reads a deployment description; see deployment.h.
+ * deployment.c: loads the description of a demo deployment.
  */
 #include "deployment.h"
 
-#define MINUTE_US (60 * G_USEC_PER_SEC) /* us */
+#define MINUTE_US (60 * G_USEC_PER_SEC)
 
-/* clang-format off: one setting a line */
+/* clang-format off: one setting per line */
 static const QuinceSettingSpec specs[] = {
   { "deployment", "name", QUINCE_SETTING_NAME, TRUE, NULL, 0, 0, NULL, "name of the deployment" },
   { "deployment", "policy", QUINCE_SETTING_TEXT, TRUE, NULL, 0, 0, NULL,
-    "policy program, relative to this file" },
+    "policy program, relative to the folder of this file" },
   { "deployment", "zones", QUINCE_SETTING_TEXT, TRUE, NULL, 0, 0, NULL,
-    "names of zones, separated by ','; each has one front and one replica" },
+    "zone names, separated by ','; each zone has one front and one replica" },
   { "event", "after", QUINCE_SETTING_DURATION, FALSE, "5s", 0, MINUTE_US, NULL,
-    "start of the event, from the start of the run" },
+    "delay from the creation of the event to its start" },
   { "event", "duration", QUINCE_SETTING_DURATION, FALSE, "5s", 0, 10 * MINUTE_US, NULL,
-    "length of the event" },
-  { "service *", "workers", QUINCE_SETTING_INTEGER, TRUE, NULL, 1, 256, NULL, "workers" },
+    "duration of the event" },
+  { "service *", "workers", QUINCE_SETTING_INTEGER, TRUE, NULL, 1, 256, NULL, "number of workers" },
   { "service *", "capacity", QUINCE_SETTING_INTEGER, FALSE, "16", 1, 4096, NULL,
-    "sequences that a worker runs at once" },
+    "concurrent sequences per worker" },
   { "service *", "token", QUINCE_SETTING_DURATION, FALSE, "2ms", 0, G_USEC_PER_SEC, NULL,
-    "a token in a batch of one" },
-  { "member *", "service", QUINCE_SETTING_NAME, TRUE, NULL, 0, 0, NULL, "service asked" },
-  { "member *", "kind", QUINCE_SETTING_NAME, FALSE, "lookup", 0, 0, NULL, "kind of Lookup" },
-  { "member *", "requests", QUINCE_SETTING_INTEGER, TRUE, NULL, 1, 100000, NULL, "requests in the burst" },
-  { "member *", "repeatable", QUINCE_SETTING_BOOLEAN, FALSE, "true", 0, 0, NULL, "may run more than once" },
+    "time to generate a token at batch size 1" },
+  { "member *", "service", QUINCE_SETTING_NAME, TRUE, NULL, 0, 0, NULL,
+    "service that receives the requests" },
+  { "member *", "kind", QUINCE_SETTING_NAME, FALSE, "lookup", 0, 0, NULL, "kind of lookup; names the route" },
+  { "member *", "requests", QUINCE_SETTING_INTEGER, TRUE, NULL, 1, 100000, NULL,
+    "number of requests in the burst" },
+  { "member *", "repeatable", QUINCE_SETTING_BOOLEAN, FALSE, "true", 0, 0, NULL,
+    "whether a request may run more than once" },
   { "member *", "deadline", QUINCE_SETTING_DURATION, FALSE, "2s", 1000, MINUTE_US, NULL,
-    "time for the whole answer" },
+    "deadline for the complete answer" },
   { "trainer *", "service", QUINCE_SETTING_NAME, TRUE, NULL, 0, 0, NULL, "service that generates samples" },
-  { "trainer *", "steps", QUINCE_SETTING_INTEGER, FALSE, "3", 1, 100000, NULL, "training steps" },
-  { "trainer *", "samples", QUINCE_SETTING_INTEGER, FALSE, "64", 1, 16384, NULL, "samples a step" },
-  { "trainer *", "tokens", QUINCE_SETTING_INTEGER, FALSE, "64", 1, 100000, NULL, "mean length of a sample" },
+  { "trainer *", "steps", QUINCE_SETTING_INTEGER, FALSE, "3", 1, 100000, NULL, "number of training steps" },
+  { "trainer *", "samples", QUINCE_SETTING_INTEGER, FALSE, "64", 1, 16384, NULL, "samples per step" },
+  { "trainer *", "tokens", QUINCE_SETTING_INTEGER, FALSE, "64", 1, 100000, NULL,
+    "mean length of a sample, in tokens" },
   { "trainer *", "staleness_bound", QUINCE_SETTING_INTEGER, FALSE, "1", 0, 1000, NULL,
-    "versions a sample may be behind" },
+    "maximum number of weight versions that a sample may lag behind" },
   { "trainer *", "step_time", QUINCE_SETTING_DURATION, FALSE, "500ms", 0, 10 * MINUTE_US, NULL,
-    "training after a batch" },
-  { "trainer *", "ahead", QUINCE_SETTING_INTEGER, FALSE, "1", 0, 64, NULL, "steps submitted ahead" },
+    "duration of a training step, without the wait for samples" },
+  { "trainer *", "ahead", QUINCE_SETTING_INTEGER, FALSE, "1", 0, 64, NULL,
+    "maximum number of steps submitted ahead of the current one" },
 };
 /* clang-format on */
 
--- a/rehearsal/kit/process.c
+++ b/rehearsal/kit/process.c
@@ -1,5 +1,5 @@
 /*
- * process.c: starting, stopping, killing and freezing child processes.
+ * process.c: starts, suspends, resumes, stops and kills child processes.
  */
 #include "process.h"
 
@@ -12,12 +12,10 @@
 
 #include "runtime/log.h"
 
-/* Longest wait for the ready line, us.  Not measured: far above the second that a daemon takes on a busy
- * machine. */
+/* A daemon prints its ready line within 1 s, even on a busy machine. */
 #define READY_TIMEOUT_US (30 * G_USEC_PER_SEC)
-/* Between two checks of a process, us: short beside the start of a program (some 10 ms). */
+/* Shorter than the start of a program, which takes about 10 ms. */
 #define POLL_INTERVAL_US 2000
-/* Longest wait for the end of a killed process, ms.  Not measured: far above what the kernel needs. */
 #define KILL_TIMEOUT_MS 10000
 
 G_DEFINE_QUARK (quince - process - error - quark, quince_process_error)
@@ -29,19 +27,19 @@
   char *output_path;
   GPid pid;
   gboolean ended;
-  gboolean killed;         /* by quince_process_kill()                          */
-  gboolean is_status_read; /* a caller of quince_process_wait() judges it       */
-  int status;
-  GHashTable *ready_values; /* key -> value of the ready line */
+  gboolean killed;          /* by quince_process_kill() */
+  gboolean is_status_read;  /* a caller of quince_process_wait() received the status */
+  int status;               /* exit status, or 128 + signal number */
+  GHashTable *ready_values; /* key -> value of the ready line, owned */
 };
 
-/* Of all threads; see quince_process_get_and_reset_failures(). */
+/* Shared by all threads; see quince_process_get_and_reset_failures(). */
 static gint failures;
 
-/* Runs in the child between fork and exec: only async-signal-safe calls.  A test that fails would leave its
- * processes behind, and they would call the ports of later tests: they end with it.  The kernel ends a child
- * with the thread that started it, so that this holds for the main thread alone.
- * @data: whether that is the one */
+/* Runs in the child between fork and exec; may use only async-signal-safe calls.  A child of the main thread
+ * is killed when that thread ends, so that a failed test leaves no process behind.  Other threads may end
+ * before the program does, so their children do not get the signal.
+ * @data: whether the main thread starts the child */
 static void
 prepare_child (gpointer data)
 {
@@ -66,7 +64,8 @@
   *log = fopen (log_path, "ae");
   if (*output != NULL && *log != NULL)
     return TRUE;
-  g_set_error (error, QUINCE_PROCESS_ERROR, QUINCE_PROCESS_ERROR_START, "cannot write in %s", folder);
+  g_set_error (error, QUINCE_PROCESS_ERROR, QUINCE_PROCESS_ERROR_START, "cannot open output files in %s",
+               folder);
   return FALSE;
 }
 
@@ -91,8 +90,8 @@
                                            prepare_child, GINT_TO_POINTER (getpid () == gettid ()), &pid, -1,
                                            fileno (output), fileno (log), &cause);
       if (!is_started)
-        g_set_error (error, QUINCE_PROCESS_ERROR, QUINCE_PROCESS_ERROR_START, "%s: %s", arguments[0],
-                     cause->message);
+        g_set_error (error, QUINCE_PROCESS_ERROR, QUINCE_PROCESS_ERROR_START, "cannot start %s: %s",
+                     arguments[0], cause->message);
     }
   close_file (output);
   close_file (log);
@@ -159,8 +158,8 @@
         }
       if (g_get_monotonic_time () > deadline_us)
         {
-          g_set_error (error, QUINCE_PROCESS_ERROR, QUINCE_PROCESS_ERROR_TIMEOUT, "%s is not ready",
-                       process->name);
+          g_set_error (error, QUINCE_PROCESS_ERROR, QUINCE_PROCESS_ERROR_TIMEOUT,
+                       "%s is not ready after 30 s", process->name);
           return FALSE;
         }
       g_usleep (POLL_INTERVAL_US);
@@ -251,7 +250,7 @@
   return TRUE;
 }
 
-/* A crash, an abort and a sanitizer's report all show in the exit status. */
+/* The exit status also reveals a crash, an abort or a sanitizer report. */
 static void
 report_failure (const QuinceProcess *process)
 {
--- a/rehearsal/main.c
+++ b/rehearsal/main.c
@@ -1,5 +1,5 @@
 /*
- * main.c: quinceroute-rehearsal, the program of the demo: "quinceroute-rehearsal demo".
+ * main.c: entry point of quinceroute-rehearsal, which runs the demo.
  */
 #include <argp.h>
 #include <stdio.h>
@@ -9,7 +9,7 @@
 
 #include "demo.h"
 
-#define EXIT_USAGE 2 /* exit status for bad flags */
+#define EXIT_USAGE 2 /* exit status for a missing or unknown subcommand */
 
 const char *argp_program_version = "quinceroute-rehearsal " QUINCE_VERSION;
 
@@ -17,7 +17,7 @@
 print_usage (FILE *stream)
 {
   fprintf (stream, "Usage: quinceroute-rehearsal demo [FLAG...]\n\n"
-                   "Runs one deployment once, with a summary; demo --help lists the flags.\n");
+                   "Runs one deployment and prints a summary; demo --help lists the flags.\n");
 }
 
 int
--- a/rehearsal/platform/demo-callers.c
+++ b/rehearsal/platform/demo-callers.c
@@ -1,5 +1,5 @@
 /*
- * demo-callers.c: the burst of an event, and what its callers and the workers saw.
+ * demo-callers.c: sends the burst of requests and checks the answers.
  */
 #include "demo-callers.h"
 
@@ -7,7 +7,7 @@
 
 #include "http1/http-client.h"
 
-/* An answer that comes later than its deadline by this is unknown. */
+/* Time after the deadline at which a call is abandoned and counted as unknown. */
 #define CALL_TIMEOUT_MARGIN_MS 5000
 
 typedef struct
@@ -128,9 +128,9 @@
   return TRUE;
 }
 
-/* ---- Judging -------------------------------------------------------------- */
+/* ---- Results -------------------------------------------------------------- */
 
-/* Runs of each request at all workers, by its id. */
+/* Returns: (transfer full): request id (owned by the workers) -> number of runs at all workers */
 static GHashTable *
 count_runs (const DemoCluster *cluster)
 {
--- a/rehearsal/platform/demo-cluster.c
+++ b/rehearsal/platform/demo-cluster.c
@@ -1,5 +1,5 @@
 /*
- * demo-cluster.c: a deployment as real fronts and replicas on loopback, with the platform's stand-ins.
+ * demo-cluster.c: runs the processes, store and workers of a deployment.
  */
 #include "demo-cluster.h"
 
@@ -10,24 +10,20 @@
 
 #include "template.h"
 
-/* Each process has a loopback address of its own, so that all may listen at the same ports, as on machines of
- * their own.  Last part of the address of the first front. */
+/* Each process has its own loopback address, so that all of them can use the same ports, as on separate
+ * machines.  This is the last octet of the first front's address; later zones count up from it. */
 #define FIRST_FRONT_HOST 10
-/* Last part of the address of the first replica; a demo has fewer than 50 zones. */
+/* Last octet of the first replica's address; leaves space for 50 zones. */
 #define FIRST_REPLICA_HOST 60
-/* Ports of a front, any that are free at its own address: for callers, */
 #define CALLERS_PORT 8080
-/* for checks of readiness, */
-#define READY_PORT 8081
-/* and for the directory of fronts. */
-#define DIRECTORY_PORT 8082
-/* Port of a replica's links. */
-#define LINK_PORT 7000
-/* Sleep where the main context has nothing to do, us: short beside all that the demo waits for. */
+#define READY_PORT 8081     /* readiness checks */
+#define DIRECTORY_PORT 8082 /* directory of fronts */
+#define LINK_PORT 7000      /* links of a replica */
+/* Sleep while the main context has no pending events. */
 #define POLL_INTERVAL_US 1000
-/* Longest wait for the first leader, ms.  Not measured: far above the 2 s that it takes. */
+/* The first election takes about 2 s. */
 #define START_TIMEOUT_MS 20000
-/* Longest wait for the end of an operator's command, ms: above the 16 s for which it tries a silent store. */
+/* Longer than the operator tool retries an unresponsive store (16 s). */
 #define OPERATOR_TIMEOUT_MS 20000
 
 gboolean
@@ -58,7 +54,7 @@
   g_hash_table_insert (values, g_strdup (name), value);
 }
 
-/* All zones are in one region. */
+/* Returns: (transfer full): ZONE=REGION entries, separated by commas; all zones are in one region */
 static char *
 format_zones (const DemoCluster *cluster)
 {
@@ -68,7 +64,7 @@
   return g_string_free (g_steal_pointer (&text), FALSE);
 }
 
-/* What the platform fills in for a process, with the bounds of its sheets. */
+/* Returns: (transfer full): the values that the platform sets in the template of a process */
 static GHashTable *
 make_template_values (const DemoCluster *cluster, const char *name, const char *ip, guint zone)
 {
@@ -95,7 +91,9 @@
   return values;
 }
 
-/* (transfer full): the path of a settings file from a template */
+/* Writes the settings file of a process from the template of its role.
+ *
+ * Returns: (transfer full) (nullable): the path of the file, or %NULL with an error */
 static char *
 write_settings (DemoCluster *cluster,
                 const char *role,
@@ -164,7 +162,7 @@
   return quince_process_get_ready_value (cluster->fronts->pdata[index % cluster->fronts->len], "callers");
 }
 
-/* Occurrences of @mark are numbered; the greatest number that @name has logged, 0: none. */
+/* Returns: the greatest number that follows @prefix in the output of process @name, or 0 if there is none */
 static guint64
 find_max_logged_number (const DemoCluster *cluster, const char *name, const char *prefix)
 {
@@ -178,7 +176,7 @@
   return max_number;
 }
 
-/* -1: none has led yet. */
+/* Returns: the index of the replica that logged the greatest leader epoch, or -1 if none was leader */
 static gint
 find_leader (const DemoCluster *cluster)
 {
@@ -202,7 +200,8 @@
   gint leader = find_leader (cluster);
   if (leader < 0)
     {
-      g_set_error_literal (error, QUINCE_PROCESS_ERROR, QUINCE_PROCESS_ERROR_START, "no replica leads");
+      g_set_error_literal (error, QUINCE_PROCESS_ERROR, QUINCE_PROCESS_ERROR_START,
+                           "no replica has become leader");
       return FALSE;
     }
   quince_process_kill (cluster->replicas->pdata[leader]);
@@ -214,7 +213,7 @@
   return TRUE;
 }
 
-/* ---- Operators ------------------------------------------------------------ */
+/* ---- Operator tool ------------------------------------------------------- */
 
 static gboolean
 has_ended (gpointer data)
@@ -264,9 +263,11 @@
   return demo_await (is_policy_in_force, cluster, timeout_ms);
 }
 
-/* ---- Start and end -------------------------------------------------------- */
+/* ---- Start and free ------------------------------------------------------- */
 
-/* A text takes as long as a sample of the mean length. */
+/* Spreads the events of a stream over the time that a sample of mean length takes.
+ *
+ * Returns: milliseconds between two events */
 static guint
 get_event_interval_ms (const DemoCluster *cluster, const QuinceServicePlan *service)
 {
@@ -324,7 +325,8 @@
     return NULL;
   if (demo_await (has_leader, cluster, START_TIMEOUT_MS))
     return g_steal_pointer (&cluster);
-  g_set_error_literal (error, QUINCE_PROCESS_ERROR, QUINCE_PROCESS_ERROR_TIMEOUT, "no replica leads");
+  g_set_error_literal (error, QUINCE_PROCESS_ERROR, QUINCE_PROCESS_ERROR_TIMEOUT,
+                       "no replica has become leader within 20 s");
   return NULL;
 }
 
--- a/rehearsal/platform/demo-configuration.c
+++ b/rehearsal/platform/demo-configuration.c
@@ -1,5 +1,5 @@
 /*
- * demo-configuration.c: the routes of a deployment, as the platform's operator writes them.
+ * demo-configuration.c: generates the platform configuration of a demo deployment.
  */
 #include "demo-configuration.h"
 
@@ -38,7 +38,7 @@
     }
 }
 
-/* The service whose workers answer calls for rewards. */
+/* Returns: (transfer none): the first service without samples, which computes the rewards, or "" */
 static const char *
 get_scoring_service (const QuinceDeployment *deployment)
 {
--- a/rehearsal/platform/demo-trainer.c
+++ b/rehearsal/platform/demo-trainer.c
@@ -1,5 +1,5 @@
 /*
- * demo-trainer.c: see demo-trainer.h.
+ * demo-trainer.c: submits batches of samples, reads their results and publishes new weight versions.
  */
 #include "demo-trainer.h"
 
@@ -8,32 +8,31 @@
 #include <json-glib/json-glib.h>
 #include "http1/http-client.h"
 
-/* Between two steps of the trainer, ms: short beside a training (500 ms). */
+/* Shorter than the default training time of a step (500 ms). */
 #define POLL_INTERVAL_MS 50
-/* Longest call, us.  Not measured: above the change of a leader (some 3 s), after which a call is sent again.
- */
+/* Longer than a leader change (about 3 s).  A call that fails is sent again. */
 #define CALL_TIMEOUT_US (10 * G_USEC_PER_SEC)
 
 typedef struct
 {
   guint index;
   gboolean is_submitted;
-  guint64 next_token;        /* the next result to read */
-  GHashTable *delivered_ids; /* ids of delivered samples, owned */
+  guint64 next_token;        /* read position: nextToken of the last page of results */
+  GHashTable *delivered_ids; /* set of sample ids, owned */
 } Step;
 
 struct _DemoTrainer
 {
   DemoCluster *cluster;
   const QuinceTrainerPlan *plan;
-  GPtrArray *steps;        /* Step, owned; those begun so far */
-  guint current_step;      /* the step that is read */
-  guint64 version;         /* of the weights that it trains */
-  gint64 waiting_since_us; /* monotonic; 0: it trains */
-  gint64 training_end_us;  /* monotonic: when the training in progress ends */
-  QuinceHttpPool *pool;    /* of the call in progress */
+  GPtrArray *steps;        /* Step, owned; in order of submission */
+  guint current_step;      /* index of the step whose results are read or trained */
+  guint64 version;         /* current weight version, from 1 */
+  gint64 waiting_since_us; /* monotonic: start of the last wait for samples */
+  gint64 training_end_us;  /* monotonic; 0 if no training is in progress */
+  QuinceHttpPool *pool;    /* of the last call, owned */
   gboolean is_call_in_flight;
-  guint next_front; /* that gets the next call */
+  guint next_front; /* index of the front for the next call */
   guint timer_id;
   DemoTrainerStats stats;
 };
@@ -98,7 +97,7 @@
   quince_http_pool_start (trainer->pool, &request, callbacks, trainer);
 }
 
-/* NULL: no whole answer with this status. */
+/* Returns: (nullable): the body of a complete response with @status, or %NULL for any other outcome */
 static const GByteArray *
 get_body_for_status (QuinceHttpExchange *exchange, QuinceHttpOutcome outcome, guint status)
 {
@@ -123,7 +122,8 @@
 
 static const QuinceHttpExchangeCallbacks submit_callbacks = { .done = handle_submission };
 
-/* The weights with which a step is trained, less the bound: samples of older ones are of no use. */
+/* Returns: the oldest weight version that samples of @step may have: the version that the step trains, minus
+ * the staleness bound, at least 1 */
 static guint64
 get_min_version (const DemoTrainer *trainer, const Step *step)
 {
@@ -132,7 +132,7 @@
                                                            : 1;
 }
 
-/* Sent again until it is accepted: the same batch is taken once. */
+/* Sends the batch of @step.  Safe to repeat until it is accepted: the batch id identifies duplicates. */
 static void
 submit_step (DemoTrainer *trainer, const Step *step)
 {
@@ -224,7 +224,7 @@
 
 /* ---- Steps -------------------------------------------------------------- */
 
-/* New weights: the workers are ordered to load them. */
+/* Publishes a new weight version, which the leader makes the workers load, and moves to the next step. */
 static void
 finish_training (DemoTrainer *trainer)
 {
@@ -245,7 +245,8 @@
   trainer->training_end_us = now_us + (gint64)trainer->plan->training_time_ms * 1000;
 }
 
-/* The next step to submit, not further ahead than the plan says; NULL: none. */
+/* Returns: (nullable): the step to submit next, or %NULL if all steps are submitted or the limit of steps
+ * ahead is reached */
 static Step *
 get_next_submission (DemoTrainer *trainer)
 {
--- a/rehearsal/platform/demo-trainer.h
+++ b/rehearsal/platform/demo-trainer.h
@@ -1,8 +1,9 @@
 /*
- * demo-trainer.h: a trainer that submits batches of samples, reads their results and writes new weight
- * versions.
+ * demo-trainer.h: simulates a trainer, which submits batches of samples, reads their results and publishes
+ * new weight versions.
  *
- * Owns its steps, one call at a time and a timer of the main context.  Relies on a started cluster.
+ * A DemoTrainer has at most one call in flight and runs in the default main context.  The cluster must be
+ * running and outlive it.
  */
 #pragma once
 
@@ -10,24 +11,24 @@
 
 typedef struct _DemoTrainer DemoTrainer;
 
-/* Counted from what the trainer read. */
+/* Counts from the results that the trainer has read. */
 typedef struct
 {
-  guint samples; /* planned */
+  guint samples; /* planned, of all steps */
   guint delivered;
-  guint duplicated;
-  guint over_staleness;
-  guint mixed_version; /* samples of more than one weight version */
-  guint wrong;         /* not the whole text, without its reward, abandoned, or of another step */
-  gint64 idle_us;
+  guint duplicated;     /* results with an id already delivered in their step */
+  guint over_staleness; /* samples with a version older than the staleness bound allows */
+  guint mixed_version;  /* samples generated with more than one weight version */
+  guint wrong;          /* incomplete text, no score, no version, not completed, or of another step */
+  gint64 idle_us;       /* time that the trainer waited for samples */
 } DemoTrainerStats;
 
-/* @plan: outlives the trainer */
+/* @plan: must outlive the trainer */
 DemoTrainer *demo_trainer_new (DemoCluster *cluster, const QuinceTrainerPlan *plan);
 void demo_trainer_free (DemoTrainer *trainer);
-/* Proceeds while the main context runs. */
+/* The trainer makes progress while the main context runs. */
 void demo_trainer_start (DemoTrainer *trainer);
-/* A condition for demo_await(). */
+/* Condition for demo_await(): all steps are trained. */
 gboolean demo_trainer_is_done (gpointer trainer);
 /* @training: (out) */
 void demo_trainer_get_stats (const DemoTrainer *trainer, DemoTrainerStats *stats);
--- a/rehearsal/platform/template.c
+++ b/rehearsal/platform/template.c
@@ -1,5 +1,5 @@
 /*
- * template.c: settings files from the templates in deploy/.
+ * template.c: renders the templates in deploy/ to settings files.
  */
 #include "template.h"
 
@@ -7,10 +7,10 @@
 
 G_DEFINE_QUARK (template - error - quark, template_error)
 
-/* What the names of a section's own stand for. */
+/* The entry for which a section is rendered. */
 typedef struct
 {
-  const char *key;
+  const char *key; /* "" if the entry has none */
   const char *value;
   gboolean is_last;
 } SectionEntry;
@@ -34,7 +34,7 @@
   return TRUE;
 }
 
-/* @rest: (inout): what follows the section's name. */
+/* @rest: (inout): the text after the opening tag, then the text after the closing tag */
 static gboolean
 render_section (GString *output, const char *name, const char **rest, GHashTable *values, GError **error)
 {
@@ -67,7 +67,8 @@
     value = entry->is_last ? "" : ",";
   if (value == NULL)
     {
-      g_set_error (error, TEMPLATE_ERROR, TEMPLATE_ERROR_MISSING_VALUE, "'%s' has no value", name);
+      g_set_error (error, TEMPLATE_ERROR, TEMPLATE_ERROR_MISSING_VALUE, "placeholder '%s' has no value",
+                   name);
       return FALSE;
     }
   g_string_append (output, value);
@@ -83,7 +84,8 @@
       const char *close = strstr (open, "}}");
       if (close == NULL)
         {
-          g_set_error_literal (error, TEMPLATE_ERROR, TEMPLATE_ERROR_UNTERMINATED, "a name is not closed");
+          g_set_error_literal (error, TEMPLATE_ERROR, TEMPLATE_ERROR_UNTERMINATED,
+                               "a placeholder is not closed");
           return FALSE;
         }
       g_autofree char *name = g_strndup (open + 2, (gsize)(close - open) - 2);
--- a/rehearsal/platform/template.h
+++ b/rehearsal/platform/template.h
@@ -1,9 +1,9 @@
 /*
- * template.h: settings files from the templates in deploy/, as the platform fills them in.
+ * template.h: renders the templates in deploy/ to settings files, as the platform does.
  *
- * {{NAME}} is replaced by a value; {{#NAME}}...{{/NAME}} is repeated for each entry of a value, where {{@}}
- * is the entry's key, {{.}} its value and {{,}} a comma after all but the last, and left out without a value.
- * Keeps no state.
+ * {{NAME}} is replaced by its value.  A section {{#NAME}}...{{/NAME}} is repeated for each entry of its value
+ * and omitted if NAME has no value.  Inside a section, {{@}} is the key of the entry, {{.}} its value and
+ * {{,}} a comma, except after the last entry.
  */
 #pragma once
 
@@ -14,11 +14,11 @@
 
 typedef enum
 {
-  TEMPLATE_ERROR_UNTERMINATED,  /* a name or a section is not closed */
-  TEMPLATE_ERROR_MISSING_VALUE, /* a name has no value               */
+  TEMPLATE_ERROR_UNTERMINATED,  /* a placeholder or a section is not closed */
+  TEMPLATE_ERROR_MISSING_VALUE, /* a placeholder has no value */
 } TemplateError;
 
-/* @values: text by name; entries as KEY=VALUE, separated by commas.
+/* @values: name -> value; the value of a section is a list of VALUE or KEY=VALUE entries, separated by commas
  *
- * Returns: (transfer full) (nullable): or %NULL with TEMPLATE_ERROR */
+ * Returns: (transfer full) (nullable): the rendered text, or %NULL with a TEMPLATE_ERROR */
 char *template_render (const char *text, GHashTable *values, GError **error);
