--- a/rehearsal/platform/demo-cluster.c
+++ b/rehearsal/platform/demo-cluster.c
@@ -281,13 +281,13 @@
   gboolean is_model = demo_is_model_service (cluster->deployment, service->name);
   g_autofree char *id = g_strdup_printf ("%s-%u", service->name, index);
   StandinWorker *worker = standin_worker_new (id);
-  standin_worker_set_place (worker, get_zone_name (cluster, index % cluster->deployment->n_zones),
-                            service->capacity);
+  standin_worker_set_zone_and_slots (worker, get_zone_name (cluster, index % cluster->deployment->n_zones),
+                                     service->capacity);
   if (is_model)
     standin_worker_set_events (worker, DEMO_EVENTS_PER_STREAM, get_event_interval_ms (cluster, service));
   g_ptr_array_add (cluster->workers, worker);
   g_autofree char *key = g_strdup_printf ("servers/%s", id);
-  g_autofree char *entry = standin_worker_entry (worker, service->name, "ready");
+  g_autofree char *entry = standin_worker_make_entry (worker, service->name, "ready");
   standin_store_put (cluster->store, key, entry);
 }
 
--- a/rehearsal/platform/standin-relay.c
+++ b/rehearsal/platform/standin-relay.c
@@ -8,11 +8,11 @@
 /* Bytes of one read, without a rate or at most. */
 #define CHUNK_MAX_BYTES 65536
 /* With a rate: a read is what passes in this time, ms. */
-#define RATE_SLICE_MS 100
+#define RATE_LIMITED_READ_MS 100
 /* With a rate: bytes of one read at least. */
 #define CHUNK_MIN_BYTES 512
 /* With a rate: size of the kernel's buffers, bytes: few wait there, as on a link that is full. */
-#define RATE_BUFFER_BYTES 16384
+#define RATE_LIMITED_BUFFER_BYTES 16384
 
 typedef struct _Pair Pair;
 
@@ -27,15 +27,15 @@
   gint64 due_us;   /* what is pending is sent then */
   guint passed;    /* bytes */
   gboolean ended;  /* the receiver's end is shut down */
-} Way;
+} Flow;
 
 struct _Pair
 {
   StandinRelay *relay;
   GSocket *client;
   GSocket *server; /* NULL until the relay is held no more */
-  Way up;
-  Way down;
+  Flow up;
+  Flow down;
 };
 
 struct _StandinRelay
@@ -45,17 +45,17 @@
   char *address;
   GSocketAddress *upstream;
   GPtrArray *pairs; /* Pair, owned */
-  gboolean held_up;
-  gboolean held_down;
+  gboolean upstream_paused;
+  gboolean downstream_paused;
   guint delay_ms;
   guint bytes_per_s; /* 0: no bound */
   gboolean cut;
-  guint limit;                 /* bytes on one connection; 0: none */
-  StandinRelayWay limited;     /* which way they are counted */
-  StandinRelayWay half_closed; /* which way */
+  guint limit;                       /* bytes on one connection; 0: none */
+  StandinRelayDirection limited;     /* which way they are counted */
+  StandinRelayDirection half_closed; /* which way */
 };
 
-static void arm (Way *way);
+static void arm (Flow *way);
 
 static void
 source_clear (GSource **source)
@@ -66,18 +66,18 @@
 }
 
 static void
-way_clear (Way *way)
+flow_clear (Flow *way)
 {
   source_clear (&way->source);
   g_clear_pointer (&way->pending, g_byte_array_unref);
 }
 
 static void
-pair_free (gpointer data)
+relayed_connection_free (gpointer data)
 {
   Pair *pair = data;
-  way_clear (&pair->up);
-  way_clear (&pair->down);
+  flow_clear (&pair->up);
+  flow_clear (&pair->down);
   g_socket_close (pair->client, NULL);
   g_object_unref (pair->client);
   if (pair->server != NULL)
@@ -86,29 +86,30 @@
   g_free (pair);
 }
 
-static StandinRelayWay
-name_way (const Way *way)
+static StandinRelayDirection
+get_flow_direction (const Flow *way)
 {
   return way == &way->pair->up ? STANDIN_RELAY_REQUESTS : STANDIN_RELAY_ANSWERS;
 }
 
 static gboolean
-is_held (const Way *way)
+is_held (const Flow *way)
 {
   const StandinRelay *relay = way->pair->relay;
-  return name_way (way) == STANDIN_RELAY_REQUESTS ? relay->held_up : relay->held_down;
+  return get_flow_direction (way) == STANDIN_RELAY_REQUESTS ? relay->upstream_paused
+                                                            : relay->downstream_paused;
 }
 
 static gsize
-chunk_bytes (const StandinRelay *relay)
+get_chunk_max_bytes (const StandinRelay *relay)
 {
-  gsize slice = (gsize)relay->bytes_per_s * RATE_SLICE_MS / 1000;
+  gsize slice = (gsize)relay->bytes_per_s * RATE_LIMITED_READ_MS / 1000;
   return relay->bytes_per_s == 0 ? CHUNK_MAX_BYTES : CLAMP (slice, CHUNK_MIN_BYTES, CHUNK_MAX_BYTES);
 }
 
 /* When what came just now is at the other end. */
 static void
-set_due (Way *way, gsize length)
+set_send_time (Flow *way, gsize length)
 {
   const StandinRelay *relay = way->pair->relay;
   gint64 passing_us = relay->bytes_per_s > 0 ? (gint64)length * G_USEC_PER_SEC / relay->bytes_per_s : 0;
@@ -117,32 +118,33 @@
 
 /* Returns: whether the connection goes on. */
 static gboolean
-receive (Way *way)
+receive (Flow *way)
 {
   guint8 chunk[CHUNK_MAX_BYTES];
   g_autoptr (GError) error = NULL;
-  gssize length = g_socket_receive (way->from, (char *)chunk, chunk_bytes (way->pair->relay), NULL, &error);
+  gssize length
+      = g_socket_receive (way->from, (char *)chunk, get_chunk_max_bytes (way->pair->relay), NULL, &error);
   if (length > 0)
     {
       g_byte_array_append (way->pending, chunk, (guint)length);
-      set_due (way, (gsize)length);
+      set_send_time (way, (gsize)length);
     }
   return length > 0 || g_error_matches (error, G_IO_ERROR, G_IO_ERROR_WOULD_BLOCK);
 }
 
 /* Returns: how many bytes may still pass. */
 static guint
-allowance (const Way *way)
+allowance (const Flow *way)
 {
   const StandinRelay *relay = way->pair->relay;
-  if (relay->limit == 0 || relay->limited != name_way (way))
+  if (relay->limit == 0 || relay->limited != get_flow_direction (way))
     return G_MAXUINT;
   return relay->limit > way->passed ? relay->limit - way->passed : 0;
 }
 
 /* Returns: whether the connection goes on. */
 static gboolean
-forward (Way *way)
+forward (Flow *way)
 {
   if (way->pending->len == 0 || way->due_us > g_get_monotonic_time ())
     return TRUE;
@@ -160,14 +162,14 @@
 }
 
 static gboolean
-is_half_closed (const Way *way)
+is_half_closed (const Flow *way)
 {
-  return way->pair->relay->half_closed == name_way (way);
+  return way->pair->relay->half_closed == get_flow_direction (way);
 }
 
 /* Drops what waits and shuts the receiver's end down. */
 static void
-end_way (Way *way)
+shut_down_flow (Flow *way)
 {
   g_byte_array_set_size (way->pending, 0);
   if (!way->ended)
@@ -177,22 +179,22 @@
 
 /* Returns: whether the connection goes on. */
 static gboolean
-pass (Way *way)
+pass (Flow *way)
 {
   if (is_half_closed (way))
-    end_way (way);
+    shut_down_flow (way);
   if (way->pending->len == 0 && !receive (way))
     return FALSE;
   if (way->ended || is_half_closed (way))
     {
-      end_way (way);
+      shut_down_flow (way);
       return TRUE;
     }
   return forward (way);
 }
 
 static gboolean
-step (Way *way)
+step (Flow *way)
 {
   if (pass (way))
     arm (way);
@@ -202,20 +204,20 @@
 }
 
 static gboolean
-way_step (GSocket *socket, GIOCondition condition, gpointer data)
+flow_ready (GSocket *socket, GIOCondition condition, gpointer data)
 {
   return step (data);
 }
 
 static gboolean
-way_due (gpointer data)
+flow_timer_fired (gpointer data)
 {
   return step (data);
 }
 
 /* Waits for more, or until what came can be sent. */
 static void
-arm (Way *way)
+arm (Flow *way)
 {
   source_clear (&way->source);
   if (is_held (way) || way->pair->server == NULL)
@@ -225,12 +227,12 @@
   if (wait_us > 0)
     {
       way->source = g_timeout_source_new ((guint)(wait_us / 1000) + 1);
-      g_source_set_callback (way->source, way_due, way, NULL);
+      g_source_set_callback (way->source, flow_timer_fired, way, NULL);
     }
   else
     {
       way->source = g_socket_create_source (sends ? way->to : way->from, sends ? G_IO_OUT : G_IO_IN, NULL);
-      g_source_set_callback (way->source, G_SOURCE_FUNC (way_step), way, NULL);
+      g_source_set_callback (way->source, G_SOURCE_FUNC (flow_ready), way, NULL);
     }
   g_source_attach (way->source, NULL);
 }
@@ -245,14 +247,14 @@
     return FALSE;
   g_socket_set_blocking (socket, FALSE);
   pair->server = g_steal_pointer (&socket);
-  pair->up = (Way){ .pair = pair, .from = pair->client, .to = pair->server, .pending = g_byte_array_new () };
+  pair->up = (Flow){ .pair = pair, .from = pair->client, .to = pair->server, .pending = g_byte_array_new () };
   pair->down
-      = (Way){ .pair = pair, .from = pair->server, .to = pair->client, .pending = g_byte_array_new () };
+      = (Flow){ .pair = pair, .from = pair->server, .to = pair->client, .pending = g_byte_array_new () };
   return TRUE;
 }
 
 static void
-open_pair (Pair *pair)
+start_relaying (Pair *pair)
 {
   if (pair->server == NULL && !open_upstream (pair))
     {
@@ -278,13 +280,13 @@
       return G_SOURCE_CONTINUE;
     }
   if (relay->bytes_per_s > 0)
-    g_socket_set_option (client, SOL_SOCKET, SO_RCVBUF, RATE_BUFFER_BYTES, NULL);
+    g_socket_set_option (client, SOL_SOCKET, SO_RCVBUF, RATE_LIMITED_BUFFER_BYTES, NULL);
   Pair *pair = g_new0 (Pair, 1);
   pair->relay = relay;
   pair->client = client;
   g_ptr_array_add (relay->pairs, pair);
-  if (!relay->held_up)
-    open_pair (pair);
+  if (!relay->upstream_paused)
+    start_relaying (pair);
   return G_SOURCE_CONTINUE;
 }
 
@@ -297,7 +299,7 @@
   g_auto (GStrv) parts = g_strsplit (upstream, ":", 2);
   relay->upstream
       = g_inet_socket_address_new_from_string (parts[0], (guint)g_ascii_strtoull (parts[1], NULL, 10));
-  relay->pairs = g_ptr_array_new_with_free_func (pair_free);
+  relay->pairs = g_ptr_array_new_with_free_func (relayed_connection_free);
   g_autoptr (GSocketAddress) any = g_inet_socket_address_new_from_string ("127.0.0.1", 0);
   relay->listener = g_socket_new (G_SOCKET_FAMILY_IPV4, G_SOCKET_TYPE_STREAM, G_SOCKET_PROTOCOL_TCP, NULL);
   g_socket_set_blocking (relay->listener, FALSE);
@@ -330,12 +332,12 @@
 }
 
 void
-standin_relay_set_held_ways (StandinRelay *relay, gboolean up, gboolean down)
+standin_relay_set_paused_directions (StandinRelay *relay, gboolean up, gboolean down)
 {
-  if (relay->held_up == up && relay->held_down == down)
+  if (relay->upstream_paused == up && relay->downstream_paused == down)
     return;
-  relay->held_up = up;
-  relay->held_down = down;
+  relay->upstream_paused = up;
+  relay->downstream_paused = down;
   for (guint i = relay->pairs->len; i > 0; i--)
     {
       Pair *pair = relay->pairs->pdata[i - 1];
@@ -344,14 +346,14 @@
       if (down)
         source_clear (&pair->down.source);
       if (!up || pair->server != NULL)
-        open_pair (pair);
+        start_relaying (pair);
     }
 }
 
 void
-standin_relay_set_held (StandinRelay *relay, gboolean held)
+standin_relay_set_paused (StandinRelay *relay, gboolean held)
 {
-  standin_relay_set_held_ways (relay, held, held);
+  standin_relay_set_paused_directions (relay, held, held);
 }
 
 void
@@ -370,34 +372,34 @@
 }
 
 void
-standin_relay_set_limit (StandinRelay *relay, StandinRelayWay way, guint bytes)
+standin_relay_set_byte_limit (StandinRelay *relay, StandinRelayDirection way, guint bytes)
 {
   relay->limited = way;
   relay->limit = bytes;
 }
 
 void
-standin_relay_set_half_closed (StandinRelay *relay, StandinRelayWay way)
+standin_relay_set_half_closed (StandinRelay *relay, StandinRelayDirection way)
 {
   relay->half_closed = way;
   for (guint i = 0; i < relay->pairs->len; i++)
     {
       Pair *pair = relay->pairs->pdata[i];
       if (pair->server != NULL && way == STANDIN_RELAY_REQUESTS)
-        end_way (&pair->up);
+        shut_down_flow (&pair->up);
       if (pair->server != NULL && way == STANDIN_RELAY_ANSWERS)
-        end_way (&pair->down);
+        shut_down_flow (&pair->down);
     }
 }
 
 gboolean
-standin_relay_is_held (const StandinRelay *relay)
+standin_relay_is_paused (const StandinRelay *relay)
 {
-  return relay->held_up || relay->held_down;
+  return relay->upstream_paused || relay->downstream_paused;
 }
 
 guint
-standin_relay_get_open (const StandinRelay *relay)
+standin_relay_get_n_connections (const StandinRelay *relay)
 {
   return relay->pairs->len;
 }
--- a/rehearsal/platform/standin-relay.h
+++ b/rehearsal/platform/standin-relay.h
@@ -16,7 +16,7 @@
   STANDIN_RELAY_NEITHER,
   STANDIN_RELAY_REQUESTS, /* from the connecting side */
   STANDIN_RELAY_ANSWERS,  /* to the connecting side */
-} StandinRelayWay;
+} StandinRelayDirection;
 
 /* @upstream: where connections go; it need not listen yet. */
 StandinRelay *standin_relay_new (const char *upstream);
@@ -24,20 +24,20 @@
 const char *standin_relay_get_address (const StandinRelay *relay);
 /* While it is held nothing passes either way and no connection is closed, as in a network partition.  Bytes
  * on their way pass afterwards. */
-void standin_relay_set_held (StandinRelay *relay, gboolean held);
+void standin_relay_set_paused (StandinRelay *relay, gboolean held);
 /* The same for each way: @up from the connecting side. */
-void standin_relay_set_held_ways (StandinRelay *relay, gboolean up, gboolean down);
+void standin_relay_set_paused_directions (StandinRelay *relay, gboolean up, gboolean down);
 /* What comes from now on arrives @delay_ms later, and no more than @bytes_per_s each way of each connection;
  * 0: any number. */
 void standin_relay_set_link (StandinRelay *relay, guint delay_ms, guint bytes_per_s);
 /* Either way. */
-gboolean standin_relay_is_held (const StandinRelay *relay);
+gboolean standin_relay_is_paused (const StandinRelay *relay);
 /* While it is cut all connections are closed, also new ones: as when a route is rejected. */
 void standin_relay_set_cut (StandinRelay *relay, gboolean cut);
 /* Each connection is closed instead of passing more than @bytes that way; 0: no limit. */
-void standin_relay_set_limit (StandinRelay *relay, StandinRelayWay way, guint bytes);
+void standin_relay_set_byte_limit (StandinRelay *relay, StandinRelayDirection way, guint bytes);
 /* While it is set, bytes that come that way are dropped and the receiver's end of each connection is shut
  * down. */
-void standin_relay_set_half_closed (StandinRelay *relay, StandinRelayWay way);
+void standin_relay_set_half_closed (StandinRelay *relay, StandinRelayDirection way);
 /* Connections that are open, or wait to be opened until the relay is held no more. */
-guint standin_relay_get_open (const StandinRelay *relay);
+guint standin_relay_get_n_connections (const StandinRelay *relay);
--- a/rehearsal/platform/standin-server.c
+++ b/rehearsal/platform/standin-server.c
@@ -112,7 +112,7 @@
 }
 
 void
-standin_server_drop_all (StandinServer *server)
+standin_server_close_connections (StandinServer *server)
 {
   g_autoptr (GPtrArray) all = g_ptr_array_new ();
   GHashTableIter iter;
@@ -126,7 +126,7 @@
 
 /* The next close of @connection is a reset. */
 static void
-set_reset (const Connection *connection)
+enable_reset_on_close (const Connection *connection)
 {
   const struct linger now = { .l_onoff = 1, .l_linger = 0 };
   setsockopt (g_socket_get_fd (connection->socket), SOL_SOCKET, SO_LINGER, &now, sizeof now);
@@ -146,7 +146,7 @@
 }
 
 void
-standin_server_die (StandinServer *server)
+standin_server_crash (StandinServer *server)
 {
   g_clear_pointer (&server->acceptor, quince_acceptor_free);
   if (server->reserved == NULL)
@@ -155,12 +155,12 @@
   gpointer connection;
   g_hash_table_iter_init (&iter, server->connections);
   while (g_hash_table_iter_next (&iter, &connection, NULL))
-    set_reset (connection);
-  standin_server_drop_all (server);
+    enable_reset_on_close (connection);
+  standin_server_close_connections (server);
 }
 
 void
-standin_server_revive (StandinServer *server)
+standin_server_restart (StandinServer *server)
 {
   if (server->acceptor != NULL)
     return;
@@ -174,7 +174,7 @@
 standin_server_free (StandinServer *server)
 {
   g_clear_pointer (&server->acceptor, quince_acceptor_free);
-  standin_server_drop_all (server);
+  standin_server_close_connections (server);
   g_hash_table_unref (server->connections);
   g_clear_object (&server->reserved);
   g_free (server->address);
@@ -188,19 +188,19 @@
 }
 
 guint
-standin_server_get_open (const StandinServer *server)
+standin_server_get_n_connections (const StandinServer *server)
 {
   return g_hash_table_size (server->connections);
 }
 
 const char *
-standin_header (const StandinCall *call, const char *name)
+standin_call_get_header (const StandinCall *call, const char *name)
 {
   return quince_http_headers_get (call->head->headers, name);
 }
 
 static Connection *
-connection_of (const StandinCall *call)
+find_connection_of_call (const StandinCall *call)
 {
   GHashTableIter iter;
   gpointer value;
@@ -214,16 +214,16 @@
 }
 
 void
-standin_write (StandinCall *call, const char *bytes)
+standin_call_write (StandinCall *call, const char *bytes)
 {
   if (!call->gone)
     quince_http_connection_write (call->connection, bytes, strlen (bytes));
 }
 
 void
-standin_done (StandinCall *call)
+standin_call_finish (StandinCall *call)
 {
-  Connection *connection = connection_of (call);
+  Connection *connection = find_connection_of_call (call);
   call_free (call);
   if (connection == NULL)
     return;
@@ -232,21 +232,21 @@
 }
 
 void
-standin_answer (StandinCall *call, guint status, const char *headers, const char *body, gssize length)
+standin_call_answer (StandinCall *call, guint status, const char *headers, const char *body, gssize length)
 {
   gsize bytes = length >= 0 ? (gsize)length : strlen (body);
   g_autofree char *head = g_strdup_printf (
       "HTTP/1.1 %u Status\r\n%sContent-Length: %" G_GSIZE_FORMAT "\r\n\r\n", status, headers, bytes);
-  standin_write (call, head);
+  standin_call_write (call, head);
   if (!call->gone)
     quince_http_connection_write (call->connection, body, bytes);
-  standin_done (call);
+  standin_call_finish (call);
 }
 
 void
-standin_close (StandinCall *call)
+standin_call_close_connection (StandinCall *call)
 {
-  Connection *connection = connection_of (call);
+  Connection *connection = find_connection_of_call (call);
   call_free (call);
   if (connection == NULL)
     return;
@@ -255,10 +255,10 @@
 }
 
 void
-standin_reset (StandinCall *call)
+standin_call_reset_connection (StandinCall *call)
 {
-  Connection *connection = connection_of (call);
+  Connection *connection = find_connection_of_call (call);
   if (connection != NULL)
-    set_reset (connection);
-  standin_close (call);
+    enable_reset_on_close (connection);
+  standin_call_close_connection (call);
 }
--- a/rehearsal/platform/standin-store-calls.c
+++ b/rehearsal/platform/standin-store-calls.c
@@ -8,7 +8,7 @@
 #include <json-glib/json-glib.h>
 
 /* Items of one page of a list, so that every test sees pages. */
-#define PAGE_ITEMS 2
+#define LIST_PAGE_MAX_ITEMS 2
 
 /* ---- JSON ------------------------------------------------------------- */
 
@@ -29,7 +29,7 @@
 static void
 answer_json (StandinCall *call, guint status, const char *text)
 {
-  standin_answer (call, status, "Content-Type: application/json\r\n", text, -1);
+  standin_call_answer (call, status, "Content-Type: application/json\r\n", text, -1);
 }
 
 /* ---- Watches ---------------------------------------------------------- */
@@ -61,14 +61,14 @@
 void
 standin_store_check_watches (StandinStore *store)
 {
-  if (store->fault == STANDIN_STORE_SILENT)
+  if (store->fault == STANDIN_STORE_UNRESPONSIVE)
     return; /* nor are watches answered that waited before */
   gint64 now = g_get_monotonic_time ();
   for (guint i = store->watches->len; i > 0; i--)
     {
       StandinWatch *watch = store->watches->pdata[i - 1];
       if (watch->call->gone)
-        standin_done (watch->call);
+        standin_call_finish (watch->call);
       else if (!answer_watch (store, watch, now >= watch->end_us))
         continue;
       g_ptr_array_remove_index (store->watches, i - 1);
@@ -127,10 +127,10 @@
       g_ptr_array_add (found, value);
   g_ptr_array_sort (found, compare_keys);
   g_autoptr (GString) text = g_string_new ("{\"items\":[");
-  for (guint i = 0; i < MIN (found->len, PAGE_ITEMS); i++)
+  for (guint i = 0; i < MIN (found->len, LIST_PAGE_MAX_ITEMS); i++)
     append_item (text, found->pdata[i]);
   g_string_append_printf (text, "],\"more\":%s,\"at\":%" G_GUINT64_FORMAT "}",
-                          found->len > PAGE_ITEMS ? "true" : "false", store->revision);
+                          found->len > LIST_PAGE_MAX_ITEMS ? "true" : "false", store->revision);
   answer_json (call, 200, text->str);
 }
 
@@ -155,7 +155,7 @@
 }
 
 static gboolean
-conditions_hold (StandinStore *store, JsonArray *conditions)
+are_expected_revisions_current (StandinStore *store, JsonArray *conditions)
 {
   for (guint i = 0; i < json_array_get_length (conditions); i++)
     {
@@ -170,12 +170,12 @@
 }
 
 static void
-transact (StandinStore *store, StandinCall *call)
+handle_transaction (StandinStore *store, StandinCall *call)
 {
   g_autoptr (JsonParser) parser = json_parser_new ();
   g_assert_true (json_parser_load_from_data (parser, (const char *)call->body->data, call->body->len, NULL));
   JsonObject *object = json_node_get_object (json_parser_get_root (parser));
-  if (!conditions_hold (store, json_object_get_array_member (object, "expected")))
+  if (!are_expected_revisions_current (store, json_object_get_array_member (object, "expected")))
     {
       answer_json (call, 412, "{\"items\":[]}");
       return;
@@ -192,8 +192,9 @@
   JsonArray *removes = json_object_get_array_member (object, "remove");
   for (guint i = 0; i < json_array_get_length (removes); i++)
     standin_store_change (store, json_array_get_string_element (removes, i), NULL, 0);
-  if (store->fault == STANDIN_STORE_LOSES || store->fault == STANDIN_STORE_LOSES_AND_HIDES)
-    standin_close (call);
+  if (store->fault == STANDIN_STORE_DROPS_WRITE_ANSWERS
+      || store->fault == STANDIN_STORE_DROPS_WRITE_ANSWERS_FAILS_READS)
+    standin_call_close_connection (call);
   else
     {
       g_autofree char *text = g_strdup_printf ("{\"revision\":%" G_GUINT64_FORMAT "}", store->revision);
@@ -217,7 +218,7 @@
 }
 
 static void
-keep_lease (StandinStore *store, StandinCall *call, const char *id_text)
+renew_lease (StandinStore *store, StandinCall *call, const char *id_text)
 {
   gint64 id = g_ascii_strtoll (id_text, NULL, 10);
   StandinLease *lease = g_hash_table_lookup (store->leases, &id);
@@ -231,31 +232,32 @@
 }
 
 static gboolean
-reads_own_keys (const char *target)
+has_own_prefix (const char *target)
 {
   return strstr (target, "pathPrefix=quinceroute") != NULL;
 }
 
 void
-standin_store_handle (StandinCall *call, gpointer data)
+standin_store_handle_call (StandinCall *call, gpointer data)
 {
   StandinStore *store = data;
   const char *target = call->head->target;
   store->calls++;
   store->lists += g_str_has_prefix (target, "/quinceroute/kv-range?");
-  if (store->fault == STANDIN_STORE_SILENT)
+  if (store->fault == STANDIN_STORE_UNRESPONSIVE)
     g_ptr_array_add (store->unanswered, call);
-  else if (store->fault == STANDIN_STORE_NONSENSE)
+  else if (store->fault == STANDIN_STORE_MALFORMED_ANSWERS)
     answer_json (call, 200, store->nonsense);
-  else if (store->fault == STANDIN_STORE_BUSY)
+  else if (store->fault == STANDIN_STORE_UNAVAILABLE)
     answer_json (call, 503, "{}");
-  else if (store->fault == STANDIN_STORE_RESETS)
-    standin_close (call);
-  else if (store->fault == STANDIN_STORE_LISTS_NOTHING && g_str_has_prefix (target, "/quinceroute/kv-range?"))
+  else if (store->fault == STANDIN_STORE_CLOSES_CONNECTIONS)
+    standin_call_close_connection (call);
+  else if (store->fault == STANDIN_STORE_FAILS_LISTS && g_str_has_prefix (target, "/quinceroute/kv-range?"))
     answer_json (call, 503, "{}");
-  else if (store->fault == STANDIN_STORE_HIDES_OWN && reads_own_keys (target))
+  else if (store->fault == STANDIN_STORE_FAILS_OWN_PREFIX && has_own_prefix (target))
     answer_json (call, 503, "{}");
-  else if (store->fault == STANDIN_STORE_LOSES_AND_HIDES && g_str_has_prefix (target, "/quinceroute/kv-key?"))
+  else if (store->fault == STANDIN_STORE_DROPS_WRITE_ANSWERS_FAILS_READS
+           && g_str_has_prefix (target, "/quinceroute/kv-key?"))
     answer_json (call, 503, "{}");
   else if (g_str_has_prefix (target, "/quinceroute/kv-key?"))
     get_key (store, call);
@@ -264,15 +266,15 @@
   else if (g_str_has_prefix (target, "/quinceroute/kv-watch?"))
     begin_watch (store, call);
   else if (g_str_equal (target, "/quinceroute/kv-txn"))
-    transact (store, call);
+    handle_transaction (store, call);
   else if (g_str_equal (target, "/quinceroute/kv-lease"))
     open_lease (store, call);
   else if (g_str_has_prefix (target, "/quinceroute/kv-keep/"))
-    keep_lease (store, call, target + strlen ("/quinceroute/kv-keep/"));
+    renew_lease (store, call, target + strlen ("/quinceroute/kv-keep/"));
   else if (g_str_has_prefix (target, "/quinceroute/kv-lease-end/"))
     {
-      standin_store_end_lease (store,
-                               g_ascii_strtoull (target + strlen ("/quinceroute/kv-lease-end/"), NULL, 10));
+      standin_store_remove_lease (
+          store, g_ascii_strtoull (target + strlen ("/quinceroute/kv-lease-end/"), NULL, 10));
       answer_json (call, 200, "{}");
       standin_store_check_watches (store);
     }
--- a/rehearsal/platform/standin-store-data.c
+++ b/rehearsal/platform/standin-store-data.c
@@ -46,7 +46,7 @@
 }
 
 void
-standin_store_end_lease (StandinStore *store, guint64 lease)
+standin_store_remove_lease (StandinStore *store, guint64 lease)
 {
   g_autoptr (GPtrArray) keys = g_ptr_array_new_with_free_func (g_free);
   GHashTableIter iter;
@@ -62,7 +62,7 @@
 }
 
 void
-standin_store_end_leases (StandinStore *store)
+standin_store_remove_expired_leases (StandinStore *store)
 {
   gint64 now = g_get_monotonic_time ();
   g_autoptr (GArray) over = g_array_new (FALSE, FALSE, sizeof (guint64));
@@ -73,7 +73,7 @@
     if (((StandinLease *)value)->end_us < now)
       g_array_append_val (over, ((StandinLease *)value)->id);
   for (guint i = 0; i < over->len; i++)
-    standin_store_end_lease (store, g_array_index (over, guint64, i));
+    standin_store_remove_lease (store, g_array_index (over, guint64, i));
 }
 
 /* ---- What a test reads and keeps ---------------------------------------- */
@@ -104,7 +104,7 @@
 }
 
 char *
-standin_store_all_but (const StandinStore *store, const char *key)
+standin_store_dump_except (const StandinStore *store, const char *key)
 {
   GString *text = g_string_new (NULL);
   GHashTableIter iter;
--- a/rehearsal/platform/standin-store-private.h
+++ b/rehearsal/platform/standin-store-private.h
@@ -58,11 +58,11 @@
 /* Writes @key, or removes it where @encoded is %NULL, at the next revision.  Watches are not answered yet. */
 void standin_store_change (StandinStore *store, const char *key, const char *encoded, guint64 lease);
 /* Removes the lease and its keys. */
-void standin_store_end_lease (StandinStore *store, guint64 lease);
+void standin_store_remove_lease (StandinStore *store, guint64 lease);
 /* Ends the leases whose time is over. */
-void standin_store_end_leases (StandinStore *store);
+void standin_store_remove_expired_leases (StandinStore *store);
 
 /* Takes one call; @data: the store */
-void standin_store_handle (StandinCall *call, gpointer data);
+void standin_store_handle_call (StandinCall *call, gpointer data);
 /* Answers watches that have news or waited long enough. */
 void standin_store_check_watches (StandinStore *store);
--- a/rehearsal/platform/standin-store.c
+++ b/rehearsal/platform/standin-store.c
@@ -7,7 +7,7 @@
 
 /* Between two checks of leases and watches, ms: short beside the leases (1 s and more) and waits of watches.
  */
-#define CHECK_EVERY_MS 20
+#define EXPIRY_CHECK_INTERVAL_MS 20
 
 static void
 watch_free (gpointer data)
@@ -18,10 +18,10 @@
 }
 
 static gboolean
-check_time (gpointer data)
+check_leases_and_watches (gpointer data)
 {
   StandinStore *store = data;
-  standin_store_end_leases (store);
+  standin_store_remove_expired_leases (store);
   standin_store_check_watches (store);
   return G_SOURCE_CONTINUE;
 }
@@ -35,8 +35,8 @@
   store->watches = g_ptr_array_new_with_free_func (watch_free);
   store->unanswered = g_ptr_array_new ();
   store->leases = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, g_free);
-  store->server = standin_server_new (standin_store_handle, store);
-  store->timer = g_timeout_add (CHECK_EVERY_MS, check_time, store);
+  store->server = standin_server_new (standin_store_handle_call, store);
+  store->timer = g_timeout_add (EXPIRY_CHECK_INTERVAL_MS, check_leases_and_watches, store);
   return store;
 }
 
@@ -46,9 +46,9 @@
   g_source_remove (store->timer);
   standin_server_free (store->server);
   for (guint i = 0; i < store->watches->len; i++)
-    standin_done (((StandinWatch *)store->watches->pdata[i])->call);
+    standin_call_finish (((StandinWatch *)store->watches->pdata[i])->call);
   for (guint i = 0; i < store->unanswered->len; i++)
-    standin_done (store->unanswered->pdata[i]);
+    standin_call_finish (store->unanswered->pdata[i]);
   g_ptr_array_unref (store->unanswered);
   g_ptr_array_unref (store->watches);
   g_ptr_array_unref (store->history);
@@ -87,7 +87,7 @@
 }
 
 void
-standin_store_set_nonsense (StandinStore *store, const char *text)
+standin_store_set_malformed_answer (StandinStore *store, const char *text)
 {
   g_free (store->nonsense);
   store->nonsense = g_strdup (text);
@@ -99,14 +99,14 @@
   store->oldest = store->revision + 1;
   store->revision++;
   g_ptr_array_set_size (store->history, 0);
-  standin_server_drop_all (store->server);
+  standin_server_close_connections (store->server);
   standin_store_check_watches (store);
 }
 
 void
-standin_store_drop_connections (StandinStore *store)
+standin_store_close_connections (StandinStore *store)
 {
-  standin_server_drop_all (store->server);
+  standin_server_close_connections (store->server);
   standin_store_check_watches (store);
 }
 
@@ -129,29 +129,29 @@
   store->revision = store->saved_revision;
   store->oldest = store->revision;
   g_ptr_array_set_size (store->history, 0);
-  standin_server_drop_all (store->server);
+  standin_server_close_connections (store->server);
   standin_store_check_watches (store);
 }
 
 void
-standin_store_lapse (StandinStore *store)
+standin_store_expire_leases (StandinStore *store)
 {
   GHashTableIter iter;
   gpointer value;
   g_hash_table_iter_init (&iter, store->leases);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     ((StandinLease *)value)->end_us = 0;
-  check_time (store);
+  check_leases_and_watches (store);
 }
 
 guint
-standin_store_get_lists (const StandinStore *store)
+standin_store_get_n_list_calls (const StandinStore *store)
 {
   return store->lists;
 }
 
 guint
-standin_store_get_calls (const StandinStore *store)
+standin_store_get_n_calls (const StandinStore *store)
 {
   return store->calls;
 }
--- a/rehearsal/platform/standin-worker-orders.c
+++ b/rehearsal/platform/standin-worker-orders.c
@@ -9,16 +9,16 @@
 static void
 load (StandinWorker *worker, guint64 version)
 {
-  if (worker->swap_times == 0)
+  if (worker->failing_loads_left == 0)
     {
       worker->version = version;
       return;
     }
-  if (worker->swap_times != G_MAXUINT)
-    worker->swap_times--;
-  worker->failed_swaps++;
-  if (worker->swap_version != 0)
-    worker->version = worker->swap_version;
+  if (worker->failing_loads_left != G_MAXUINT)
+    worker->failing_loads_left--;
+  worker->n_failed_loads++;
+  if (worker->failed_load_version != 0)
+    worker->version = worker->failed_load_version;
 }
 
 static void
@@ -30,7 +30,7 @@
   if ((guint64)json_object_get_int_member (order, "expected") != worker->orders)
     {
       worker->refused_orders++;
-      standin_answer (call, 409, "", "", 0);
+      standin_call_answer (call, 409, "", "", 0);
       return;
     }
   guint64 fence = (guint64)json_object_get_int_member (order, "fence");
@@ -40,14 +40,14 @@
   g_free (worker->mode);
   worker->mode = g_strdup (json_object_get_string_member (order, "mode"));
   load (worker, (guint64)json_object_get_int_member (order, "version"));
-  standin_answer (call, 202, "", "", 0);
+  standin_call_answer (call, 202, "", "", 0);
 }
 
 void
-standin_worker_take_order (StandinWorker *worker, StandinCall *call)
+standin_worker_handle_order (StandinWorker *worker, StandinCall *call)
 {
-  if (worker->holds_orders)
-    g_ptr_array_add (worker->held_orders, call);
+  if (worker->delays_orders)
+    g_ptr_array_add (worker->delayed_orders, call);
   else
     carry_out (worker, call);
 }
@@ -55,58 +55,58 @@
 void
 standin_worker_drop_orders (StandinWorker *worker)
 {
-  for (guint i = 0; i < worker->held_orders->len; i++)
-    standin_done (worker->held_orders->pdata[i]);
-  g_ptr_array_set_size (worker->held_orders, 0);
+  for (guint i = 0; i < worker->delayed_orders->len; i++)
+    standin_call_finish (worker->delayed_orders->pdata[i]);
+  g_ptr_array_set_size (worker->delayed_orders, 0);
 }
 
 void
-standin_worker_fail_swaps (StandinWorker *worker, guint64 version, guint times)
+standin_worker_fail_loads (StandinWorker *worker, guint64 version, guint times)
 {
-  worker->swap_version = version;
-  worker->swap_times = times;
+  worker->failed_load_version = version;
+  worker->failing_loads_left = times;
 }
 
 guint
-standin_worker_get_failed_swaps (const StandinWorker *worker)
+standin_worker_get_n_failed_loads (const StandinWorker *worker)
 {
-  return worker->failed_swaps;
+  return worker->n_failed_loads;
 }
 
 void
-standin_worker_set_orders_held (StandinWorker *worker, gboolean held)
+standin_worker_set_orders_delayed (StandinWorker *worker, gboolean held)
 {
-  worker->holds_orders = held;
+  worker->delays_orders = held;
 }
 
 guint
-standin_worker_count_held_orders (const StandinWorker *worker)
+standin_worker_count_delayed_orders (const StandinWorker *worker)
 {
-  return worker->held_orders->len;
+  return worker->delayed_orders->len;
 }
 
 void
 standin_worker_deliver_orders (StandinWorker *worker)
 {
-  for (guint i = 0; i < worker->held_orders->len; i++)
-    carry_out (worker, worker->held_orders->pdata[i]);
-  g_ptr_array_set_size (worker->held_orders, 0);
+  for (guint i = 0; i < worker->delayed_orders->len; i++)
+    carry_out (worker, worker->delayed_orders->pdata[i]);
+  g_ptr_array_set_size (worker->delayed_orders, 0);
 }
 
 guint
-standin_worker_get_refused_orders (const StandinWorker *worker)
+standin_worker_get_n_refused_orders (const StandinWorker *worker)
 {
   return worker->refused_orders;
 }
 
 guint
-standin_worker_get_orders (const StandinWorker *worker)
+standin_worker_get_n_orders (const StandinWorker *worker)
 {
   return (guint)worker->orders;
 }
 
 const GArray *
-standin_worker_get_fences (const StandinWorker *worker)
+standin_worker_get_fencing_tokens (const StandinWorker *worker)
 {
   return worker->fences;
 }
@@ -118,7 +118,7 @@
 }
 
 const GPtrArray *
-standin_worker_get_holders (const StandinWorker *worker)
+standin_worker_get_order_leaders (const StandinWorker *worker)
 {
   return worker->holders;
 }
--- a/rehearsal/platform/standin-worker-private.h
+++ b/rehearsal/platform/standin-worker-private.h
@@ -6,7 +6,7 @@
 
 #include "standin-worker.h"
 
-#define STANDIN_MODEL "model-a" /* that every worker serves */
+#define STANDIN_MODEL_NAME "model-a" /* that every worker serves */
 
 typedef struct
 {
@@ -28,9 +28,9 @@
   gint cold_ms;
   guint slots;
   /* requests that end it */
-  char *fatal_text; /* NULL: none does */
-  guint fatal_after_ms;
-  guint fatal_times;
+  char *crash_text; /* NULL: none does */
+  guint crash_delay_ms;
+  guint crashes_left;
   guint delay_ms;
   guint most; /* requests that it works on at once */
   gboolean dead;
@@ -49,16 +49,16 @@
   GPtrArray *holders; /* owned texts: of the same */
   char *mode;         /* of the latest; NULL: none */
   char *nonsense;     /* NULL: it makes sense */
-  gboolean holds_orders;
-  GPtrArray *held_orders; /* StandinCall: did not arrive */
+  gboolean delays_orders;
+  GPtrArray *delayed_orders; /* StandinCall: did not arrive */
   guint refused_orders;
-  guint64 swap_version; /* that orders end on; 0: the version before */
-  guint swap_times;     /* orders that end so; G_MAXUINT: all */
-  guint failed_swaps;
+  guint64 failed_load_version; /* that orders end on; 0: the version before */
+  guint failing_loads_left;    /* orders that end so; G_MAXUINT: all */
+  guint n_failed_loads;
 };
 
 /* Writes the head with @headers, lines with their ends, and then an event at a time. */
-void standin_worker_begin_stream (StandinWorker *worker,
+void standin_worker_start_stream (StandinWorker *worker,
                                   StandinCall *call,
                                   StandinRun *run,
                                   StandinWorkerFault fault,
@@ -67,6 +67,6 @@
 void standin_worker_drop_streams (StandinWorker *worker);
 
 /* Answers an order to load weights, or holds it. */
-void standin_worker_take_order (StandinWorker *worker, StandinCall *call);
+void standin_worker_handle_order (StandinWorker *worker, StandinCall *call);
 /* Drops orders that are held: their connections are gone. */
 void standin_worker_drop_orders (StandinWorker *worker);
--- a/rehearsal/platform/standin-worker-streams.c
+++ b/rehearsal/platform/standin-worker-streams.c
@@ -36,7 +36,7 @@
   g_autofree char *event
       = g_strdup_printf ("%sid: %u\ndata: e%u%s\n\n", change, stream->next, stream->next, more);
   g_autofree char *chunk = g_strdup_printf ("%x\r\n%s\r\n", (guint)strlen (event), event);
-  standin_write (stream->call, chunk);
+  standin_call_write (stream->call, chunk);
   const StandinEvent made = { .number = stream->next, .version = worker->version };
   g_array_append_val (stream->run->events, made);
   stream->next++;
@@ -44,19 +44,19 @@
 
 /* In the middle of an event. */
 static void
-cut_stream (StandinStream *stream)
+truncate_stream (StandinStream *stream)
 {
   g_autofree char *part = g_strdup_printf ("10\r\nid: %u\nda", stream->next);
-  standin_write (stream->call, part);
-  standin_close (stream->call);
+  standin_call_write (stream->call, part);
+  standin_call_close_connection (stream->call);
   stream_remove (stream);
 }
 
 static void
 end_stream (StandinStream *stream)
 {
-  standin_write (stream->call, "0\r\n\r\n");
-  standin_done (stream->call);
+  standin_call_write (stream->call, "0\r\n\r\n");
+  standin_call_finish (stream->call);
   stream_remove (stream);
 }
 
@@ -68,19 +68,19 @@
   if (stream->call->gone)
     {
       stream->run->gone = TRUE;
-      standin_done (stream->call);
+      standin_call_finish (stream->call);
       stream_remove (stream);
       return G_SOURCE_REMOVE;
     }
-  if (half && stream->fault == STANDIN_WORKER_CUTS)
+  if (half && stream->fault == STANDIN_WORKER_TRUNCATES)
     {
-      cut_stream (stream);
+      truncate_stream (stream);
       return G_SOURCE_REMOVE;
     }
-  if (half && stream->fault == STANDIN_WORKER_SKIPS)
+  if (half && stream->fault == STANDIN_WORKER_SKIPS_EVENT)
     {
       stream->next++;
-      stream->fault = STANDIN_WORKER_SOUND;
+      stream->fault = STANDIN_WORKER_HEALTHY;
     }
   if (stream->next > stream->worker->events)
     {
@@ -92,7 +92,7 @@
 }
 
 void
-standin_worker_begin_stream (StandinWorker *worker,
+standin_worker_start_stream (StandinWorker *worker,
                              StandinCall *call,
                              StandinRun *run,
                              StandinWorkerFault fault,
@@ -102,7 +102,7 @@
       "HTTP/1.1 200 OK\r\n%sContent-Type: text/event-stream\r\nWeight-Versions: %" G_GUINT64_FORMAT
       "\r\nTransfer-Encoding: chunked\r\n\r\n",
       headers, worker->version);
-  standin_write (call, head);
+  standin_call_write (call, head);
   StandinStream *stream = g_new0 (StandinStream, 1);
   stream->worker = worker;
   stream->call = call;
@@ -120,7 +120,7 @@
   for (guint i = 0; i < worker->streams->len; i++)
     {
       StandinStream *stream = worker->streams->pdata[i];
-      standin_done (stream->call);
+      standin_call_finish (stream->call);
       stream_free (stream);
     }
   g_ptr_array_set_size (worker->streams, 0);
--- a/rehearsal/platform/standin-worker.c
+++ b/rehearsal/platform/standin-worker.c
@@ -12,7 +12,7 @@
   StandinCall *call;
   StandinRun *run;
   guint timer;
-} Delayed;
+} DelayedCall;
 
 static void
 run_free (gpointer data)
@@ -32,23 +32,23 @@
 }
 
 static StandinRun *
-note_run (StandinWorker *worker, const StandinCall *call)
+record_run (StandinWorker *worker, const StandinCall *call)
 {
   StandinRun *run = g_new0 (StandinRun, 1);
   run->at_us = g_get_monotonic_time ();
   run->events = g_array_new (FALSE, FALSE, sizeof (StandinEvent));
-  run->id = g_strdup (standin_header (call, "Request-Id"));
+  run->id = g_strdup (standin_call_get_header (call, "Request-Id"));
   run->target = g_strdup (call->head->target);
   run->body_length = call->body->len;
   run->body = g_malloc0 (call->body->len + 1);
   if (call->body->len > 0)
     memcpy (run->body, call->body->data, call->body->len);
   run->headers = quince_http_headers_copy (call->head->headers);
-  run->deadline = g_strdup (standin_header (call, "Request-Deadline-Ms"));
-  run->resume = g_strdup (standin_header (call, "Last-Event-Id"));
-  run->host = g_strdup (standin_header (call, "Host"));
-  run->tenant = g_strdup (standin_header (call, "Tenant"));
-  run->key = g_strdup (standin_header (call, "Credential"));
+  run->deadline = g_strdup (standin_call_get_header (call, "Request-Deadline-Ms"));
+  run->resume = g_strdup (standin_call_get_header (call, "Last-Event-Id"));
+  run->host = g_strdup (standin_call_get_header (call, "Host"));
+  run->tenant = g_strdup (standin_call_get_header (call, "Tenant"));
+  run->key = g_strdup (standin_call_get_header (call, "Credential"));
   g_ptr_array_add (worker->runs, run);
   return run;
 }
@@ -65,44 +65,44 @@
 static void
 answer_plain (StandinWorker *worker, StandinCall *call, const StandinRun *run, StandinWorkerFault fault)
 {
-  const char *id = fault == STANDIN_WORKER_WRONG_ID ? "of-another" : run->id;
-  g_autofree char *headers = answer_headers (worker, id, fault != STANDIN_WORKER_UNSIGNED);
+  const char *id = fault == STANDIN_WORKER_WRONG_REQUEST_ID ? "of-another" : run->id;
+  g_autofree char *headers = answer_headers (worker, id, fault != STANDIN_WORKER_MISSING_STAMP);
   g_autofree char *body = g_strdup_printf ("%s by %s", run->body, worker->id);
-  if (fault == STANDIN_WORKER_SURPLUS)
+  if (fault == STANDIN_WORKER_EXTRA_ANSWER)
     {
       g_autofree char *twice = g_strdup_printf ("HTTP/1.1 200 OK\r\n%sContent-Length: %u\r\n\r\n%s"
                                                 "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nbad",
                                                 headers, (guint)strlen (body), body);
-      standin_write (call, twice);
-      standin_done (call);
+      standin_call_write (call, twice);
+      standin_call_finish (call);
       return;
     }
-  if (fault == STANDIN_WORKER_CUTS)
+  if (fault == STANDIN_WORKER_TRUNCATES)
     {
       g_autofree char *part
           = g_strdup_printf ("HTTP/1.1 200 OK\r\n%sContent-Length: 900\r\n\r\n%s", headers, body);
-      standin_write (call, part);
-      standin_close (call);
+      standin_call_write (call, part);
+      standin_call_close_connection (call);
       return;
     }
-  standin_answer (call, fault == STANDIN_WORKER_FAILS ? 500 : 200, headers, body, -1);
+  standin_call_answer (call, fault == STANDIN_WORKER_FAILS ? 500 : 200, headers, body, -1);
 }
 
 static void
-delayed_free (gpointer data)
+delayed_call_free (gpointer data)
 {
-  Delayed *delayed = data;
+  DelayedCall *delayed = data;
   if (delayed->timer != 0)
     g_source_remove (delayed->timer);
   if (delayed->call != NULL)
-    standin_done (delayed->call);
+    standin_call_finish (delayed->call);
   g_free (delayed);
 }
 
 static void
 delay (StandinWorker *worker, StandinCall *call, StandinRun *run, guint delay_ms, GSourceFunc function)
 {
-  Delayed *delayed = g_new0 (Delayed, 1);
+  DelayedCall *delayed = g_new0 (DelayedCall, 1);
   delayed->worker = worker;
   delayed->call = call;
   delayed->run = run;
@@ -111,67 +111,67 @@
 }
 
 static gboolean
-fatal_due (gpointer data)
+crash_timer_fired (gpointer data)
 {
-  Delayed *delayed = data;
+  DelayedCall *delayed = data;
   delayed->timer = 0;
-  standin_worker_die (delayed->worker);
+  standin_worker_crash (delayed->worker);
   return G_SOURCE_REMOVE;
 }
 
 static gboolean
-answer_due (gpointer data)
+answer_timer_fired (gpointer data)
 {
-  Delayed *delayed = data;
+  DelayedCall *delayed = data;
   StandinCall *call = g_steal_pointer (&delayed->call);
   delayed->timer = 0;
   delayed->run->gone = call->gone;
-  answer_plain (delayed->worker, call, delayed->run, STANDIN_WORKER_SOUND);
+  answer_plain (delayed->worker, call, delayed->run, STANDIN_WORKER_HEALTHY);
   g_ptr_array_remove (delayed->worker->delayed, delayed);
   return G_SOURCE_REMOVE;
 }
 
 /* Returns: whether @run ends the worker. */
 static gboolean
-is_fatal (StandinWorker *worker, const StandinRun *run)
+triggers_crash (StandinWorker *worker, const StandinRun *run)
 {
-  if (worker->fatal_text == NULL || worker->fatal_times == 0)
+  if (worker->crash_text == NULL || worker->crashes_left == 0)
     return FALSE;
-  if (strstr (run->body, worker->fatal_text) == NULL && strstr (run->target, worker->fatal_text) == NULL)
+  if (strstr (run->body, worker->crash_text) == NULL && strstr (run->target, worker->crash_text) == NULL)
     return FALSE;
-  if (worker->fatal_times != G_MAXUINT)
-    worker->fatal_times--;
+  if (worker->crashes_left != G_MAXUINT)
+    worker->crashes_left--;
   return TRUE;
 }
 
 static void
-take_request (StandinWorker *worker, StandinCall *call)
+handle_request (StandinWorker *worker, StandinCall *call)
 {
-  StandinWorkerFault fault = worker->fault_times > 0 ? worker->fault : STANDIN_WORKER_SOUND;
+  StandinWorkerFault fault = worker->fault_times > 0 ? worker->fault : STANDIN_WORKER_HEALTHY;
   if (worker->fault_times > 0 && worker->fault_times != G_MAXUINT)
     worker->fault_times--;
   guint running = worker->streams->len + worker->silent->len + worker->delayed->len;
   if (fault == STANDIN_WORKER_REFUSES || running >= worker->most)
     {
-      standin_answer (call, 503, "Not-Run: 1\r\n", "", 0);
+      standin_call_answer (call, 503, "Not-Run: 1\r\n", "", 0);
       return;
     }
-  StandinRun *run = note_run (worker, call);
+  StandinRun *run = record_run (worker, call);
   g_autofree char *headers = answer_headers (worker, run->id, TRUE);
-  if (is_fatal (worker, run))
-    delay (worker, call, run, worker->fatal_after_ms, fatal_due);
-  else if (fault == STANDIN_WORKER_SILENT)
+  if (triggers_crash (worker, run))
+    delay (worker, call, run, worker->crash_delay_ms, crash_timer_fired);
+  else if (fault == STANDIN_WORKER_UNRESPONSIVE)
     g_ptr_array_add (worker->silent, call);
   else if (fault == STANDIN_WORKER_RESETS)
-    standin_reset (call);
-  else if (fault == STANDIN_WORKER_HOPELESS)
-    standin_answer (call, 422, headers, "", 0);
+    standin_call_reset_connection (call);
+  else if (fault == STANDIN_WORKER_UNPROCESSABLE)
+    standin_call_answer (call, 422, headers, "", 0);
   else if (worker->events > 0 && fault == STANDIN_WORKER_FAILS)
-    standin_answer (call, 500, headers, "", 0);
+    standin_call_answer (call, 500, headers, "", 0);
   else if (worker->events > 0)
-    standin_worker_begin_stream (worker, call, run, fault, headers);
+    standin_worker_start_stream (worker, call, run, fault, headers);
   else if (worker->delay_ms > 0)
-    delay (worker, call, run, worker->delay_ms, answer_due);
+    delay (worker, call, run, worker->delay_ms, answer_timer_fired);
   else
     answer_plain (worker, call, run, fault);
 }
@@ -182,28 +182,28 @@
 report (StandinWorker *worker, StandinCall *call)
 {
   g_autofree char *text = g_strdup_printf (
-      "{\"stage\":\"hybrid\",\"models\":[{\"name\":\"" STANDIN_MODEL "\",\"version\":%" G_GUINT64_FORMAT
+      "{\"stage\":\"hybrid\",\"models\":[{\"name\":\"" STANDIN_MODEL_NAME "\",\"version\":%" G_GUINT64_FORMAT
       ",\"adapters\":[]}],\"busy\":false,\"seq\":%" G_GUINT64_FORMAT
       ",\"queuedRequests\":0,\"running\":0,\"kvUsed\":0,\"kvTotal\":1000,\"handles\":0}",
       worker->version, worker->orders);
-  standin_answer (call, 200, "Content-Type: application/json\r\n", text, -1);
+  standin_call_answer (call, 200, "Content-Type: application/json\r\n", text, -1);
 }
 
 static void
 handle (StandinCall *call, gpointer data)
 {
   StandinWorker *worker = data;
-  const char *expected = standin_header (call, "Expect-Instance");
+  const char *expected = standin_call_get_header (call, "Expect-Instance");
   if (expected != NULL && !g_str_equal (expected, worker->id))
-    standin_answer (call, 421, "Instance-Id: another\r\n", "", 0);
+    standin_call_answer (call, 421, "Instance-Id: another\r\n", "", 0);
   else if (worker->nonsense != NULL && g_str_has_prefix (call->head->target, "/quinceroute/"))
-    standin_answer (call, 200, "Content-Type: application/json\r\n", worker->nonsense, -1);
+    standin_call_answer (call, 200, "Content-Type: application/json\r\n", worker->nonsense, -1);
   else if (g_str_equal (call->head->target, "/quinceroute/order"))
-    standin_worker_take_order (worker, call);
+    standin_worker_handle_order (worker, call);
   else if (g_str_equal (call->head->target, "/quinceroute/report"))
     report (worker, call);
   else
-    take_request (worker, call);
+    handle_request (worker, call);
 }
 
 /* ---- Public ----------------------------------------------------------- */
@@ -214,14 +214,14 @@
   StandinWorker *worker = g_new0 (StandinWorker, 1);
   worker->id = g_strdup (id);
   worker->software = g_strdup ("v1");
-  standin_worker_set_place (worker, "z1", 8);
-  worker->delayed = g_ptr_array_new_with_free_func (delayed_free);
+  standin_worker_set_zone_and_slots (worker, "z1", 8);
+  worker->delayed = g_ptr_array_new_with_free_func (delayed_call_free);
   worker->version = 1;
   worker->most = G_MAXUINT;
   worker->runs = g_ptr_array_new_with_free_func (run_free);
   worker->streams = g_ptr_array_new ();
   worker->silent = g_ptr_array_new ();
-  worker->held_orders = g_ptr_array_new ();
+  worker->delayed_orders = g_ptr_array_new ();
   worker->fences = g_array_new (FALSE, FALSE, sizeof (guint64));
   worker->holders = g_ptr_array_new_with_free_func (g_free);
   worker->server = standin_server_new (handle, worker);
@@ -233,7 +233,7 @@
 release_calls (StandinWorker *worker)
 {
   for (guint i = 0; i < worker->silent->len; i++)
-    standin_done (worker->silent->pdata[i]);
+    standin_call_finish (worker->silent->pdata[i]);
   standin_worker_drop_streams (worker);
   standin_worker_drop_orders (worker);
   g_ptr_array_set_size (worker->silent, 0);
@@ -241,27 +241,27 @@
 }
 
 void
-standin_worker_die (StandinWorker *worker)
+standin_worker_crash (StandinWorker *worker)
 {
   worker->dead = TRUE;
-  standin_server_die (worker->server);
+  standin_server_crash (worker->server);
   release_calls (worker);
 }
 
 gboolean
-standin_worker_is_dead (const StandinWorker *worker)
+standin_worker_is_down (const StandinWorker *worker)
 {
   return worker->dead;
 }
 
 void
-standin_worker_revive (StandinWorker *worker, const char *id)
+standin_worker_restart (StandinWorker *worker, const char *id)
 {
   g_free (worker->id);
   worker->id = g_strdup (id);
   worker->dead = FALSE;
   worker->orders = 0;
-  standin_server_revive (worker->server);
+  standin_server_restart (worker->server);
 }
 
 const char *
@@ -278,30 +278,30 @@
 }
 
 void
-standin_worker_set_software (StandinWorker *worker, const char *software)
+standin_worker_set_software_version (StandinWorker *worker, const char *software)
 {
   g_free (worker->software);
   worker->software = g_strdup (software);
 }
 
 void
-standin_worker_set_place (StandinWorker *worker, const char *zone, guint slots)
+standin_worker_set_zone_and_slots (StandinWorker *worker, const char *zone, guint slots)
 {
   standin_worker_set_zone (worker, zone);
   worker->slots = slots;
 }
 
 void
-standin_worker_set_fatal (StandinWorker *worker, const char *text, guint after_ms, guint times)
+standin_worker_set_crash_trigger (StandinWorker *worker, const char *text, guint after_ms, guint times)
 {
-  g_free (worker->fatal_text);
-  worker->fatal_text = g_strdup (text);
-  worker->fatal_after_ms = after_ms;
-  worker->fatal_times = times;
+  g_free (worker->crash_text);
+  worker->crash_text = g_strdup (text);
+  worker->crash_delay_ms = after_ms;
+  worker->crashes_left = times;
 }
 
 void
-standin_worker_set_most (StandinWorker *worker, guint requests)
+standin_worker_set_max_running (StandinWorker *worker, guint requests)
 {
   worker->most = requests;
 }
@@ -319,12 +319,12 @@
   release_calls (worker);
   g_ptr_array_unref (worker->delayed);
   g_ptr_array_unref (worker->silent);
-  g_ptr_array_unref (worker->held_orders);
+  g_ptr_array_unref (worker->delayed_orders);
   g_free (worker->nonsense);
   g_ptr_array_unref (worker->streams);
   g_free (worker->zone);
   g_free (worker->software);
-  g_free (worker->fatal_text);
+  g_free (worker->crash_text);
   g_ptr_array_unref (worker->runs);
   g_array_unref (worker->fences);
   g_ptr_array_unref (worker->holders);
@@ -378,26 +378,26 @@
 }
 
 void
-standin_worker_set_nonsense (StandinWorker *worker, const char *text)
+standin_worker_set_malformed_answer (StandinWorker *worker, const char *text)
 {
   g_free (worker->nonsense);
   worker->nonsense = g_strdup (text);
 }
 
 void
-standin_worker_set_cold (StandinWorker *worker, gint cold_ms)
+standin_worker_set_cold_remaining (StandinWorker *worker, gint cold_ms)
 {
   worker->cold_ms = cold_ms;
 }
 
 char *
-standin_worker_entry (const StandinWorker *worker, const char *service, const char *state)
+standin_worker_make_entry (const StandinWorker *worker, const char *service, const char *state)
 {
   g_autofree char *cold
       = worker->cold_ms >= 0 ? g_strdup_printf ("\"coldRemainingMs\":%d,", worker->cold_ms) : g_strdup ("");
   return g_strdup_printf (
       "{\"service\":\"%s\",\"address\":\"%s\",\"zone\":\"%s\",\"version\":\"%s\",\"slots\":%u,"
-      "\"state\":\"%s\",%s\"stage\":\"hybrid\",\"models\":[{\"name\":\"" STANDIN_MODEL
+      "\"state\":\"%s\",%s\"stage\":\"hybrid\",\"models\":[{\"name\":\"" STANDIN_MODEL_NAME
       "\",\"version\":%" G_GUINT64_FORMAT ",\"adapters\":[]}],\"seq\":1}",
       service, standin_worker_get_address (worker), worker->zone, worker->software, worker->slots, state,
       cold, worker->version);
--- a/tests/platform/callers-faults.h
+++ b/tests/platform/callers-faults.h
@@ -61,13 +61,13 @@
 static void
 end_faults (Scene *scene)
 {
-  set_faults (scene, PATH_PLAIN, PATH_MODEL, STANDIN_WORKER_SOUND, 0);
+  set_faults (scene, PATH_PLAIN, PATH_MODEL, STANDIN_WORKER_HEALTHY, 0);
 }
 
 static void
 cut_streams (Scene *scene)
 {
-  set_faults (scene, 0, PATH_MODEL, STANDIN_WORKER_CUTS, CUT_STREAMS);
+  set_faults (scene, 0, PATH_MODEL, STANDIN_WORKER_TRUNCATES, CUT_STREAMS);
 }
 
 static void
@@ -75,7 +75,7 @@
 {
   for (guint i = 0; i < PATH_PLAIN; i++)
     standin_worker_set_delay (scene->world->path->plain[i], 0);
-  set_faults (scene, PATH_PLAIN, 0, STANDIN_WORKER_CUTS, CUT_STREAMS);
+  set_faults (scene, PATH_PLAIN, 0, STANDIN_WORKER_TRUNCATES, CUT_STREAMS);
 }
 
 static void
@@ -87,7 +87,7 @@
 static void
 hang_one (Scene *scene)
 {
-  set_faults (scene, 1, 1, STANDIN_WORKER_SILENT, G_MAXUINT);
+  set_faults (scene, 1, 1, STANDIN_WORKER_UNRESPONSIVE, G_MAXUINT);
 }
 
 static void
@@ -120,8 +120,8 @@
 static void
 kill_workers (Scene *scene)
 {
-  standin_worker_die (scene->world->path->plain[0]);
-  standin_worker_die (scene->world->path->model[0]);
+  standin_worker_crash (scene->world->path->plain[0]);
+  standin_worker_crash (scene->world->path->model[0]);
 }
 
 static void
@@ -130,8 +130,8 @@
   g_autofree char *old_key = g_strdup_printf ("servers/%s", standin_worker_get_id (worker));
   g_autofree char *id = g_strdup_printf ("%s0-%u", kind, ++scene->revived);
   g_autofree char *key = g_strdup_printf ("servers/%s", id);
-  standin_worker_revive (worker, id);
-  g_autofree char *entry = standin_worker_entry (worker, service, "ready");
+  standin_worker_restart (worker, id);
+  g_autofree char *entry = standin_worker_make_entry (worker, service, "ready");
   standin_store_remove (scene->world->path->store, old_key);
   standin_store_put (scene->world->path->store, key, entry);
 }
@@ -166,7 +166,7 @@
 static void
 set_held (StandinRelay *relay, guint held)
 {
-  standin_relay_set_held (relay, held != 0);
+  standin_relay_set_paused (relay, held != 0);
 }
 
 static void
@@ -178,7 +178,7 @@
 static void
 set_limit (StandinRelay *relay, guint bytes)
 {
-  standin_relay_set_limit (relay, STANDIN_RELAY_ANSWERS, bytes);
+  standin_relay_set_byte_limit (relay, STANDIN_RELAY_ANSWERS, bytes);
 }
 
 static void
@@ -300,14 +300,14 @@
 static void
 stop_store (Scene *scene)
 {
-  standin_store_set_fault (scene->world->path->store, STANDIN_STORE_BUSY);
-  standin_store_drop_connections (scene->world->path->store);
+  standin_store_set_fault (scene->world->path->store, STANDIN_STORE_UNAVAILABLE);
+  standin_store_close_connections (scene->world->path->store);
 }
 
 static void
 resume_store (Scene *scene)
 {
-  standin_store_set_fault (scene->world->path->store, STANDIN_STORE_SOUND);
+  standin_store_set_fault (scene->world->path->store, STANDIN_STORE_HEALTHY);
 }
 
 static void
--- a/tests/platform/cold-world.h
+++ b/tests/platform/cold-world.h
@@ -43,9 +43,9 @@
 cold_list_plain (ColdWorld *world, guint index, gint cold_ms)
 {
   StandinWorker *worker = world->path->plain[index];
-  standin_worker_set_cold (worker, cold_ms);
+  standin_worker_set_cold_remaining (worker, cold_ms);
   g_autofree char *key = g_strdup_printf ("servers/%s", standin_worker_get_id (worker));
-  g_autofree char *entry = standin_worker_entry (worker, "svc", "ready");
+  g_autofree char *entry = standin_worker_make_entry (worker, "svc", "ready");
   standin_store_put (world->path->store, key, entry);
 }
 
@@ -53,9 +53,9 @@
 cold_list_model (ColdWorld *world, guint index, gint cold_ms)
 {
   StandinWorker *worker = world->path->model[index];
-  standin_worker_set_cold (worker, cold_ms);
+  standin_worker_set_cold_remaining (worker, cold_ms);
   g_autofree char *key = g_strdup_printf ("servers/%s", standin_worker_get_id (worker));
-  g_autofree char *entry = standin_worker_entry (worker, "llm", "ready");
+  g_autofree char *entry = standin_worker_make_entry (worker, "llm", "ready");
   standin_store_put (world->path->store, key, entry);
 }
 
--- a/tests/platform/ends-world.h
+++ b/tests/platform/ends-world.h
@@ -33,7 +33,7 @@
 {
   StandinWorker *worker = ends_worker (world, index);
   g_autofree char *key = g_strdup_printf ("servers/%s", standin_worker_get_id (worker));
-  g_autofree char *entry = standin_worker_entry (worker, index < PATH_PLAIN ? "svc" : "llm", "ready");
+  g_autofree char *entry = standin_worker_make_entry (worker, index < PATH_PLAIN ? "svc" : "llm", "ready");
   standin_store_put (world->path->store, key, entry);
 }
 
@@ -41,7 +41,7 @@
 ends_look (EndsWorld *world, guint index)
 {
   StandinWorker *worker = ends_worker (world, index);
-  if (!standin_worker_is_dead (worker))
+  if (!standin_worker_is_down (worker))
     return;
   guint looks = ++world->looks_dead[index];
   world->ends += looks == 1;
@@ -54,7 +54,7 @@
     return;
   g_autofree char *id = g_strdup_printf ("w%u-%u", index, ++world->incarnations);
   world->looks_dead[index] = 0;
-  standin_worker_revive (worker, id);
+  standin_worker_restart (worker, id);
   ends_list (world, index);
 }
 
@@ -64,7 +64,7 @@
   EndsWorld *world = data;
   guint live = 0;
   for (guint i = 0; i < PATH_PLAIN; i++)
-    live += !standin_worker_is_dead (world->path->plain[i]);
+    live += !standin_worker_is_down (world->path->plain[i]);
   world->least_plain = MIN (world->least_plain, live);
   for (guint i = 0; i < ENDS_WORKERS; i++)
     ends_look (world, i);
@@ -79,7 +79,7 @@
   world->path = path;
   world->least_plain = PATH_PLAIN;
   for (guint i = 0; i < ENDS_WORKERS; i++)
-    standin_worker_set_fatal (ends_worker (world, i), fatal, ENDS_FATAL_MS, G_MAXUINT);
+    standin_worker_set_crash_trigger (ends_worker (world, i), fatal, ENDS_FATAL_MS, G_MAXUINT);
   world->timer = g_timeout_add (ENDS_LOOK_MS, ends_look_at_all, world);
   return world;
 }
@@ -105,7 +105,7 @@
 ends_all_live (EndsWorld *world)
 {
   for (guint i = 0; i < ENDS_WORKERS; i++)
-    if (standin_worker_is_dead (ends_worker (world, i)))
+    if (standin_worker_is_down (ends_worker (world, i)))
       return FALSE;
   return TRUE;
 }
--- a/tests/platform/path-world.h
+++ b/tests/platform/path-world.h
@@ -277,13 +277,13 @@
   for (guint i = 0; i < PATH_PLAIN; i++)
     {
       g_autofree char *key = g_strdup_printf ("servers/p%u", i);
-      g_autofree char *entry = standin_worker_entry (world->plain[i], "svc", "ready");
+      g_autofree char *entry = standin_worker_make_entry (world->plain[i], "svc", "ready");
       standin_store_put (world->store, key, entry);
     }
   for (guint i = 0; i < PATH_MODEL; i++)
     {
       g_autofree char *key = g_strdup_printf ("servers/m%u", i);
-      g_autofree char *entry = standin_worker_entry (world->model[i], "llm", "ready");
+      g_autofree char *entry = standin_worker_make_entry (world->model[i], "llm", "ready");
       standin_store_put (world->store, key, entry);
     }
 }
--- a/tests/platform/regions-world.h
+++ b/tests/platform/regions-world.h
@@ -53,8 +53,8 @@
       {
         guint from = region_of_process (world->path, i);
         if (from != region_of_end (world->path, j))
-          standin_relay_set_held_ways (world->relays[i][j], from == EAST ? to_west : to_east,
-                                       from == EAST ? to_east : to_west);
+          standin_relay_set_paused_directions (world->relays[i][j], from == EAST ? to_west : to_east,
+                                               from == EAST ? to_east : to_west);
       }
 }
 
--- a/tests/platform/relayed-world.h
+++ b/tests/platform/relayed-world.h
@@ -112,7 +112,7 @@
 static inline void
 relayed_hold (RelayedWorld *world, guint process, guint end, gboolean held)
 {
-  standin_relay_set_held (world->relays[process][end], held);
+  standin_relay_set_paused (world->relays[process][end], held);
 }
 
 /* All that one process reaches others by: the store, replicas and workers. */
@@ -139,8 +139,8 @@
   guint count = 0;
   for (guint i = 0; i < RELAYED_PROCESSES; i++)
     for (guint j = 0; j < RELAYED_ENDS; j++)
-      if (standin_relay_is_held (world->relays[i][j]))
-        count += standin_relay_get_open (world->relays[i][j]);
+      if (standin_relay_is_paused (world->relays[i][j]))
+        count += standin_relay_get_n_connections (world->relays[i][j]);
   return count;
 }
 
--- a/tests/platform/scaling-world.h
+++ b/tests/platform/scaling-world.h
@@ -75,8 +75,8 @@
       standin_store_remove (world->path->store, key);
       return;
     }
-  standin_worker_set_place (world->path->model[index], zone, 1);
-  g_autofree char *entry = standin_worker_entry (world->path->model[index], "llm", "ready");
+  standin_worker_set_zone_and_slots (world->path->model[index], zone, 1);
+  g_autofree char *entry = standin_worker_make_entry (world->path->model[index], "llm", "ready");
   g_autoptr (GString) text = g_string_new (entry);
   if (spot)
     g_string_replace (text, "\"slots\":", "\"spot\":true,\"slots\":", 1);
@@ -155,8 +155,8 @@
 {
   ScalingOrder *order = g_new0 (ScalingOrder, 1);
   order->body = g_strndup ((const char *)call->body->data, call->body->len);
-  order->holder = g_strdup (standin_header (call, "Duty-Holder"));
-  order->fence = g_ascii_strtoull (standin_header (call, "Fence-Token"), NULL, 10);
+  order->holder = g_strdup (standin_call_get_header (call, "Duty-Holder"));
+  order->fence = g_ascii_strtoull (standin_call_get_header (call, "Fence-Token"), NULL, 10);
   order->at_us = g_get_monotonic_time ();
   assert_non_null (strstr (order->body, "\"service\":\"llm\""));
   char **parts = g_strsplit (strstr (order->body, "\"zone\":\"") + 8, "\"", 2);
@@ -180,12 +180,12 @@
   if (world->refuse > 0)
     {
       world->refuse--;
-      standin_answer (call, 503, "", "", 0);
+      standin_call_answer (call, 503, "", "", 0);
       return;
     }
   if (more && g_strcmp0 (world->dry, zone) == 0)
     {
-      standin_answer (call, 409, "", "", 0);
+      standin_call_answer (call, 409, "", "", 0);
       return;
     }
   scaling_carry_out (world, order);
@@ -194,10 +194,10 @@
   else if (world->swallow > 0)
     {
       world->swallow--;
-      standin_reset (call);
+      standin_call_reset_connection (call);
     }
   else
-    standin_answer (call, 200, "", "", 0);
+    standin_call_answer (call, 200, "", "", 0);
 }
 
 static inline void
@@ -232,7 +232,7 @@
   for (guint i = 0; i < PATH_PLAIN; i++)
     {
       g_autofree char *key = g_strdup_printf ("servers/p%u", i);
-      g_autofree char *entry = standin_worker_entry (world->path->plain[i], "svc", "ready");
+      g_autofree char *entry = standin_worker_make_entry (world->path->plain[i], "svc", "ready");
       standin_store_put (world->path->store, key, entry);
     }
   for (guint i = 0; i < SCALING_STOOD; i++)
--- a/tests/platform/steps-faults.h
+++ b/tests/platform/steps-faults.h
@@ -49,7 +49,7 @@
 fail_swaps (Scene *scene, guint64 version)
 {
   for (guint i = 0; i < PATH_MODEL; i++)
-    standin_worker_fail_swaps (scene->world->path->model[i], version, FAILED_SWAPS);
+    standin_worker_fail_loads (scene->world->path->model[i], version, FAILED_SWAPS);
 }
 
 static void
@@ -68,7 +68,7 @@
 assert_swaps_failed (Scene *scene)
 {
   for (guint i = 0; i < PATH_MODEL; i++)
-    assert_true (standin_worker_get_failed_swaps (scene->world->path->model[i]) > 0);
+    assert_true (standin_worker_get_n_failed_loads (scene->world->path->model[i]) > 0);
 }
 
 /* ---- Workers ------------------------------------------------------------ */
@@ -76,8 +76,8 @@
 static void
 kill_workers (Scene *scene)
 {
-  standin_worker_die (scene->world->path->plain[0]);
-  standin_worker_die (scene->world->path->model[0]);
+  standin_worker_crash (scene->world->path->plain[0]);
+  standin_worker_crash (scene->world->path->model[0]);
 }
 
 static void
@@ -85,8 +85,8 @@
 {
   g_autofree char *old_key = g_strdup_printf ("servers/%s", standin_worker_get_id (worker));
   g_autofree char *key = g_strdup_printf ("servers/%s", id);
-  standin_worker_revive (worker, id);
-  g_autofree char *entry = standin_worker_entry (worker, service, "ready");
+  standin_worker_restart (worker, id);
+  g_autofree char *entry = standin_worker_make_entry (worker, service, "ready");
   standin_store_remove (scene->world->path->store, old_key);
   standin_store_put (scene->world->path->store, key, entry);
 }
@@ -181,14 +181,14 @@
 static void
 stop_store (Scene *scene)
 {
-  standin_store_set_fault (scene->world->path->store, STANDIN_STORE_BUSY);
-  standin_store_drop_connections (scene->world->path->store);
+  standin_store_set_fault (scene->world->path->store, STANDIN_STORE_UNAVAILABLE);
+  standin_store_close_connections (scene->world->path->store);
 }
 
 static void
 resume_store (Scene *scene)
 {
-  standin_store_set_fault (scene->world->path->store, STANDIN_STORE_SOUND);
+  standin_store_set_fault (scene->world->path->store, STANDIN_STORE_HEALTHY);
 }
 
 static void
@@ -248,11 +248,11 @@
 /* ---- The trainer's connections ---------------------------------------------- */
 
 static void
-set_gates (Scene *scene, StandinRelayWay limited, guint limit, StandinRelayWay half_closed)
+set_gates (Scene *scene, StandinRelayDirection limited, guint limit, StandinRelayDirection half_closed)
 {
   for (guint i = 0; i < PATH_FRONTS; i++)
     {
-      standin_relay_set_limit (scene->trainer.gates[i], limited, limit);
+      standin_relay_set_byte_limit (scene->trainer.gates[i], limited, limit);
       standin_relay_set_half_closed (scene->trainer.gates[i], half_closed);
     }
 }
@@ -268,7 +268,7 @@
 
 /* The trainer waits in its calls meanwhile: the fault ends by itself. */
 static void
-set_gates_for (Scene *scene, StandinRelayWay limited, guint limit, StandinRelayWay half_closed)
+set_gates_for (Scene *scene, StandinRelayDirection limited, guint limit, StandinRelayDirection half_closed)
 {
   if (scene->trainer.gates[0] == NULL)
     trainer_open_gates (&scene->trainer);
--- a/tests/platform/test-callers.c
+++ b/tests/platform/test-callers.c
@@ -96,9 +96,9 @@
 set_places (Scene *scene, guint places)
 {
   for (guint i = 0; i < PATH_PLAIN; i++)
-    standin_worker_set_most (scene->world->path->plain[i], places);
+    standin_worker_set_max_running (scene->world->path->plain[i], places);
   for (guint i = 0; i < PATH_MODEL; i++)
-    standin_worker_set_most (scene->world->path->model[i], places);
+    standin_worker_set_max_running (scene->world->path->model[i], places);
 }
 
 /* A burst far above what workers take, while none of those that they took can end: what is refused is told
@@ -109,7 +109,7 @@
   Scene *scene = *state;
   CallLoad *load = new_load (scene, 0);
   set_places (scene, PLACES);
-  set_faults (scene, PATH_PLAIN, PATH_MODEL, STANDIN_WORKER_SILENT, G_MAXUINT);
+  set_faults (scene, PATH_PLAIN, PATH_MODEL, STANDIN_WORKER_UNRESPONSIVE, G_MAXUINT);
   for (guint i = 0; i < BURST; i++)
     call_load_begin (load, i % 2 == 0 ? CALL_LOOKUP_ONCE : CALL_STREAM_ONCE, i / 2 % PATH_FRONTS);
   load->wanted = BURST;
@@ -137,7 +137,7 @@
 {
   Scene *scene = *state;
   CallLoad *load = new_load (scene, 0);
-  set_faults (scene, PATH_PLAIN, PATH_MODEL, STANDIN_WORKER_SILENT, G_MAXUINT);
+  set_faults (scene, PATH_PLAIN, PATH_MODEL, STANDIN_WORKER_UNRESPONSIVE, G_MAXUINT);
   for (guint i = 0; i < 10 * CALL_KINDS; i++)
     call_load_begin (load, i % CALL_KINDS, i / CALL_KINDS % PATH_FRONTS);
   load->wanted = load->calls->len;
--- a/tests/platform/test-directory.c
+++ b/tests/platform/test-directory.c
@@ -22,13 +22,13 @@
   PathWorld *world = path_world_new ("frozen-front");
   path_world_start (world);
   AWAIT (names (world, 0, 1));
-  standin_store_set_fault (world->store, STANDIN_STORE_SILENT);
+  standin_store_set_fault (world->store, STANDIN_STORE_UNRESPONSIVE);
   quince_process_suspend (world->fronts[1]);
   AWAIT (!names (world, 0, 1));
   assert_true (names (world, 0, 0));
   quince_process_resume (world->fronts[1]);
   AWAIT (names (world, 0, 1));
-  standin_store_set_fault (world->store, STANDIN_STORE_SOUND);
+  standin_store_set_fault (world->store, STANDIN_STORE_HEALTHY);
   path_world_free (world);
 }
 
--- a/tests/platform/test-duties.c
+++ b/tests/platform/test-duties.c
@@ -47,22 +47,22 @@
   if (platform->refuse > 0)
     {
       platform->refuse--;
-      standin_answer (call, 503, "", "", 0);
+      standin_call_answer (call, 503, "", "", 0);
       return;
     }
   Report *report = g_new0 (Report, 1);
   report->body = g_strndup ((const char *)call->body->data, call->body->len);
-  report->holder = g_strdup (standin_header (call, "Duty-Holder"));
-  report->fence = g_ascii_strtoull (standin_header (call, "Fence-Token"), NULL, 10);
+  report->holder = g_strdup (standin_call_get_header (call, "Duty-Holder"));
+  report->fence = g_ascii_strtoull (standin_call_get_header (call, "Fence-Token"), NULL, 10);
   report->window = g_ascii_strtoull (strstr (report->body, "\"windowId\":") + 11, NULL, 10);
   g_ptr_array_add (platform->reports, report);
   if (platform->swallow > 0)
     {
       platform->swallow--;
-      standin_reset (call);
+      standin_call_reset_connection (call);
       return;
     }
-  standin_answer (call, 200, "", "", 0);
+  standin_call_answer (call, 200, "", "", 0);
 }
 
 static Platform *
--- a/tests/platform/test-evacuation-path.c
+++ b/tests/platform/test-evacuation-path.c
@@ -87,7 +87,7 @@
 sent_to_z1 (const PathWorld *world)
 {
   return plain_runs (world, 0) + model_runs (world, 0) + model_runs (world, 1)
-         + standin_worker_get_orders (world->model[0]) + standin_worker_get_orders (world->model[1]);
+         + standin_worker_get_n_orders (world->model[0]) + standin_worker_get_n_orders (world->model[1]);
 }
 
 static guint
@@ -206,8 +206,8 @@
   AWAIT (path_listed (world, 0, "b1") == ITEMS);
   hammer (world);
   assert_int_equal (plain_runs (world, 0) + model_runs (world, 0) + model_runs (world, 1),
-                    sent_to_z1 (world) - standin_worker_get_orders (world->model[0])
-                        - standin_worker_get_orders (world->model[1]));
+                    sent_to_z1 (world) - standin_worker_get_n_orders (world->model[0])
+                        - standin_worker_get_n_orders (world->model[1]));
   path_world_free (world);
 }
 
@@ -291,11 +291,11 @@
   standin_store_put (world->store, Z1, "{}");
   await_evacuated (world, "z1", 0);
   guint before = sent_to_z1 (world);
-  standin_worker_die (world->plain[0]);
+  standin_worker_crash (world->plain[0]);
   standin_store_remove (world->store, "servers/p0");
   hammer (world);
-  standin_worker_revive (world->plain[0], "p0-2");
-  g_autofree char *entry = standin_worker_entry (world->plain[0], "svc", "ready");
+  standin_worker_restart (world->plain[0], "p0-2");
+  g_autofree char *entry = standin_worker_make_entry (world->plain[0], "svc", "ready");
   standin_store_put (world->store, "servers/p0-2", entry);
   AWAIT (count_logged_by_all (world, "worker=p0-2") == PATH_FRONTS + PATH_REPLICAS);
   hammer (world);
--- a/tests/platform/test-evacuation-soak.c
+++ b/tests/platform/test-evacuation-soak.c
@@ -56,7 +56,7 @@
   const PathWorld *world = soak->world;
   guint count = standin_worker_get_runs (world->plain[zone])->len;
   for (guint i = zone; i < (zone == 1 ? PATH_MODEL : 1); i++)
-    count += standin_worker_get_runs (world->model[i])->len + standin_worker_get_orders (world->model[i]);
+    count += standin_worker_get_runs (world->model[i])->len + standin_worker_get_n_orders (world->model[i]);
   return count;
 }
 
@@ -146,7 +146,8 @@
 take_store_away (Soak *soak)
 {
   static const StandinStoreFault faults[]
-      = { STANDIN_STORE_SILENT, STANDIN_STORE_BUSY, STANDIN_STORE_RESETS, STANDIN_STORE_LOSES };
+      = { STANDIN_STORE_UNRESPONSIVE, STANDIN_STORE_UNAVAILABLE, STANDIN_STORE_CLOSES_CONNECTIONS,
+          STANDIN_STORE_DROPS_WRITE_ANSWERS };
   soak->outage_steps = OUTAGE_STEPS;
   standin_store_set_fault (soak->world->store,
                            faults[g_rand_int_range (soak->random, 0, G_N_ELEMENTS (faults))]);
@@ -163,7 +164,7 @@
   if (soak->outage_steps > 0 && (now || --soak->outage_steps == 0))
     {
       soak->outage_steps = 0;
-      standin_store_set_fault (soak->world->store, STANDIN_STORE_SOUND);
+      standin_store_set_fault (soak->world->store, STANDIN_STORE_HEALTHY);
     }
   if (soak->frozen != NULL || soak->outage_steps > 0)
     begin_bounds_anew (soak);
--- a/tests/platform/test-evacuation.c
+++ b/tests/platform/test-evacuation.c
@@ -44,7 +44,7 @@
 static void
 list_worker (World *world, guint index)
 {
-  g_autofree char *entry = standin_worker_entry (world->workers[index], "svc", "ready");
+  g_autofree char *entry = standin_worker_make_entry (world->workers[index], "svc", "ready");
   list_entry (world, standin_worker_get_id (world->workers[index]), entry);
 }
 
--- a/tests/platform/test-feed-wait.c
+++ b/tests/platform/test-feed-wait.c
@@ -34,10 +34,10 @@
 {
   PathWorld *world = path_world_new ("feed-wait");
   path_world_start (world);
-  guint before = standin_store_get_lists (world->store);
+  guint before = standin_store_get_n_list_calls (world->store);
   for (guint i = 0; i < PATH_FRONTS; i++)
     restart_until_served (world, i);
-  assert_in_range (standin_store_get_lists (world->store) - before, PATH_FRONTS, PATH_FRONTS);
+  assert_in_range (standin_store_get_n_list_calls (world->store) - before, PATH_FRONTS, PATH_FRONTS);
   path_world_free (world);
 }
 
@@ -55,7 +55,7 @@
   AWAIT (path_leader (world) >= 0);
   for (guint i = 0; i < fronts; i++)
     AWAIT (serves (world, i));
-  guint lists = standin_store_get_lists (world->store);
+  guint lists = standin_store_get_n_list_calls (world->store);
   path_world_free (world);
   return lists;
 }
@@ -101,12 +101,12 @@
 {
   PathWorld *world = path_world_new ("feed-wait-away");
   path_world_start (world);
-  standin_store_set_fault (world->store, STANDIN_STORE_BUSY);
+  standin_store_set_fault (world->store, STANDIN_STORE_UNAVAILABLE);
   quince_process_kill (world->fronts[0]);
   path_start_front (world, 0);
   run_for (2500);
   assert_int_equal (path_status (path_front (world, 0), "POST", "/l/1", "q", "x"), 503);
-  standin_store_set_fault (world->store, STANDIN_STORE_SOUND);
+  standin_store_set_fault (world->store, STANDIN_STORE_HEALTHY);
   AWAIT (serves (world, 0));
   path_world_free (world);
 }
--- a/tests/platform/test-forward.c
+++ b/tests/platform/test-forward.c
@@ -31,7 +31,7 @@
 {
   const char *const ids[] = { "w0", "w1" };
   g_autofree char *key = g_strconcat (QUINCE_PLATFORM_WORKERS_PREFIX, ids[index], NULL);
-  g_autofree char *text = standin_worker_entry (world->workers[index], "svc", state);
+  g_autofree char *text = standin_worker_make_entry (world->workers[index], "svc", state);
   g_autoptr (GBytes) bytes = g_bytes_new (text, strlen (text));
   QuinceWorker *worker = quince_platform_read_worker (key, bytes, NULL);
   assert_non_null (worker);
@@ -139,24 +139,28 @@
 } Case;
 
 static const Case cases[] = {
-  { "sound", STANDIN_WORKER_SOUND, 0, FALSE, QUINCE_FORWARD_ANSWERED, 200, 1 },
+  { "sound", STANDIN_WORKER_HEALTHY, 0, FALSE, QUINCE_FORWARD_ANSWERED, 200, 1 },
   { "refused by one, may not be repeated", STANDIN_WORKER_REFUSES, 1, FALSE, QUINCE_FORWARD_ANSWERED, 200,
     1 },
   { "refused by all", STANDIN_WORKER_REFUSES, G_MAXUINT, FALSE, QUINCE_FORWARD_REFUSED, 0, 0 },
   { "lost, may be repeated", STANDIN_WORKER_RESETS, 1, TRUE, QUINCE_FORWARD_ANSWERED, 200, 3 },
   { "lost, may not be repeated", STANDIN_WORKER_RESETS, 1, FALSE, QUINCE_FORWARD_FAILED, 0, 1 },
   { "always lost", STANDIN_WORKER_RESETS, G_MAXUINT, TRUE, QUINCE_FORWARD_FAILED, 0, 3 },
-  { "cut, may be repeated", STANDIN_WORKER_CUTS, 1, TRUE, QUINCE_FORWARD_ANSWERED, 200, 3 },
-  { "cut, may not be repeated", STANDIN_WORKER_CUTS, 1, FALSE, QUINCE_FORWARD_FAILED, 0, 1 },
-  { "another's answer, may be repeated", STANDIN_WORKER_WRONG_ID, 1, TRUE, QUINCE_FORWARD_ANSWERED, 200, 3 },
-  { "another's answer, may not be repeated", STANDIN_WORKER_WRONG_ID, 1, FALSE, QUINCE_FORWARD_FAILED, 0, 1 },
-  { "unsigned, may be repeated", STANDIN_WORKER_UNSIGNED, 1, TRUE, QUINCE_FORWARD_ANSWERED, 200, 3 },
-  { "a surplus answer", STANDIN_WORKER_SURPLUS, G_MAXUINT, FALSE, QUINCE_FORWARD_ANSWERED, 200, 1 },
+  { "cut, may be repeated", STANDIN_WORKER_TRUNCATES, 1, TRUE, QUINCE_FORWARD_ANSWERED, 200, 3 },
+  { "cut, may not be repeated", STANDIN_WORKER_TRUNCATES, 1, FALSE, QUINCE_FORWARD_FAILED, 0, 1 },
+  { "another's answer, may be repeated", STANDIN_WORKER_WRONG_REQUEST_ID, 1, TRUE, QUINCE_FORWARD_ANSWERED,
+    200, 3 },
+  { "another's answer, may not be repeated", STANDIN_WORKER_WRONG_REQUEST_ID, 1, FALSE, QUINCE_FORWARD_FAILED,
+    0, 1 },
+  { "unsigned, may be repeated", STANDIN_WORKER_MISSING_STAMP, 1, TRUE, QUINCE_FORWARD_ANSWERED, 200, 3 },
+  { "a surplus answer", STANDIN_WORKER_EXTRA_ANSWER, G_MAXUINT, FALSE, QUINCE_FORWARD_ANSWERED, 200, 1 },
   { "fails, may be repeated", STANDIN_WORKER_FAILS, 1, TRUE, QUINCE_FORWARD_ANSWERED, 200, 3 },
   { "fails, may not be repeated", STANDIN_WORKER_FAILS, G_MAXUINT, FALSE, QUINCE_FORWARD_ANSWERED, 500, 1 },
   { "always fails", STANDIN_WORKER_FAILS, G_MAXUINT, TRUE, QUINCE_FORWARD_ANSWERED, 500, 3 },
-  { "silent, may not be repeated", STANDIN_WORKER_SILENT, G_MAXUINT, FALSE, QUINCE_FORWARD_TIMEOUT, 0, 1 },
-  { "silent at first, may be repeated", STANDIN_WORKER_SILENT, 1, TRUE, QUINCE_FORWARD_ANSWERED, 200, 3 },
+  { "silent, may not be repeated", STANDIN_WORKER_UNRESPONSIVE, G_MAXUINT, FALSE, QUINCE_FORWARD_TIMEOUT, 0,
+    1 },
+  { "silent at first, may be repeated", STANDIN_WORKER_UNRESPONSIVE, 1, TRUE, QUINCE_FORWARD_ANSWERED, 200,
+    3 },
 };
 
 static void
@@ -194,7 +198,7 @@
   for (guint i = 0; i < 20; i++)
     {
       world.done = FALSE;
-      standin_worker_set_fault (world.workers[0], STANDIN_WORKER_SILENT, G_MAXUINT);
+      standin_worker_set_fault (world.workers[0], STANDIN_WORKER_UNRESPONSIVE, G_MAXUINT);
       guint before = runs (&world);
       forward (&world, TRUE, 2, 5000);
       assert_int_equal (world.outcome, QUINCE_FORWARD_ANSWERED);
@@ -231,7 +235,7 @@
 {
   World world;
   begin (&world);
-  g_autofree char *text = standin_worker_entry (world.workers[1], "svc", "ready");
+  g_autofree char *text = standin_worker_make_entry (world.workers[1], "svc", "ready");
   g_autoptr (GBytes) bytes = g_bytes_new (text, strlen (text));
   quince_backends_remove (world.backends, "w0");
   quince_backends_remove (world.backends, "w1");
@@ -347,12 +351,12 @@
   World world;
   begin (&world);
   for (guint j = 0; j < WORKERS; j++)
-    standin_worker_set_fault (world.workers[j], STANDIN_WORKER_SILENT, G_MAXUINT);
+    standin_worker_set_fault (world.workers[j], STANDIN_WORKER_UNRESPONSIVE, G_MAXUINT);
   QuinceForward *handle = start (&world, TRUE, 3, 5000);
   AWAIT (runs (&world) == 1);
   quince_forward_cancel (handle);
-  AWAIT (standin_server_get_open (standin_worker_get_server (world.workers[0]))
-             + standin_server_get_open (standin_worker_get_server (world.workers[1]))
+  AWAIT (standin_server_get_n_connections (standin_worker_get_server (world.workers[0]))
+             + standin_server_get_n_connections (standin_worker_get_server (world.workers[1]))
          == 0);
   assert_false (world.done);
   end (&world);
@@ -435,7 +439,7 @@
   quince_backends_set_warmup (world.backends, cold.sends);
   for (guint i = 0; i < WORKERS; i++)
     {
-      standin_worker_set_cold (world.workers[i], 3000);
+      standin_worker_set_cold_remaining (world.workers[i], 3000);
       list_worker (&world, i, "ready");
     }
   forward (&world, TRUE, 3, 1000);
--- a/tests/platform/test-freshness.c
+++ b/tests/platform/test-freshness.c
@@ -233,7 +233,7 @@
   name_version (&leader, 3);
   AWAIT (known_version (&follower) == 3);
   run_for (100); /* the follower is fed, the leader waits in a watch */
-  standin_store_set_fault (leader.standin, STANDIN_STORE_SILENT);
+  standin_store_set_fault (leader.standin, STANDIN_STORE_UNRESPONSIVE);
   name_version (&follower, 4);
   assert_known_in_time (&follower, 4);
 }
@@ -242,10 +242,10 @@
 static void
 test_watch_taken_by_a_silent_store (void **state)
 {
-  standin_store_set_fault (follower.standin, STANDIN_STORE_SILENT);
-  standin_store_drop_connections (follower.standin); /* it is noticed, and watches are begun meanwhile */
+  standin_store_set_fault (follower.standin, STANDIN_STORE_UNRESPONSIVE);
+  standin_store_close_connections (follower.standin); /* it is noticed, and watches are begun meanwhile */
   run_for (700);
-  standin_store_set_fault (follower.standin, STANDIN_STORE_SOUND);
+  standin_store_set_fault (follower.standin, STANDIN_STORE_HEALTHY);
   name_version (&follower, 3);
   assert_known_in_time (&follower, 3);
 }
@@ -257,18 +257,18 @@
   name_version (&leader, 3);
   AWAIT (known_version (&leader) == 3);
   /* History is dropped and the leader's list fails: it cannot tell what the follower lacks. */
-  standin_store_set_fault (leader.standin, STANDIN_STORE_LISTS_NOTHING);
+  standin_store_set_fault (leader.standin, STANDIN_STORE_FAILS_LISTS);
   standin_store_compact (leader.standin);
   AWAIT (!quince_observer_is_synced (leader.observer));
   /* The follower's own store is away for a moment, so that only the leader could tell it. */
-  standin_store_set_fault (follower.standin, STANDIN_STORE_BUSY);
-  standin_store_drop_connections (follower.standin);
+  standin_store_set_fault (follower.standin, STANDIN_STORE_UNAVAILABLE);
+  standin_store_close_connections (follower.standin);
   name_version (&follower, 3);
   follow (&follower, &leader);
-  standin_store_set_fault (leader.standin, STANDIN_STORE_SOUND);
+  standin_store_set_fault (leader.standin, STANDIN_STORE_HEALTHY);
   AWAIT (quince_observer_is_synced (leader.observer));
   run_for (300);
-  standin_store_set_fault (follower.standin, STANDIN_STORE_SOUND);
+  standin_store_set_fault (follower.standin, STANDIN_STORE_HEALTHY);
   assert_known_in_time (&follower, 3);
 }
 
@@ -281,11 +281,11 @@
   standin_store_put (follower.standin, "servers/w1", WORKER_ENTRY);
   AWAIT (known_workers (&leader) == 1 && known_workers (&follower) == 1);
   follow (&follower, &leader);
-  standin_store_set_fault (leader.standin, STANDIN_STORE_BUSY);
-  standin_store_drop_connections (leader.standin);
+  standin_store_set_fault (leader.standin, STANDIN_STORE_UNAVAILABLE);
+  standin_store_close_connections (leader.standin);
   AWAIT (quince_meta_store_is_failing (leader.store));
   standin_store_remove (leader.standin, "servers/w1");
-  standin_store_set_fault (leader.standin, STANDIN_STORE_SOUND);
+  standin_store_set_fault (leader.standin, STANDIN_STORE_HEALTHY);
   AWAIT (workers_revision (&follower) >= workers_revision (&leader) && workers_revision (&leader) >= 3);
   assert_int_equal (known_workers (&leader), 1);
   assert_int_equal (known_workers (&follower), 1);
@@ -299,8 +299,8 @@
   follow (&replica, &leader);
   follow (&follower, &leader);
   run_for (100);
-  standin_store_set_fault (leader.standin, STANDIN_STORE_SILENT);
-  guint calls = standin_store_get_calls (follower.standin);
+  standin_store_set_fault (leader.standin, STANDIN_STORE_UNRESPONSIVE);
+  guint calls = standin_store_get_n_calls (follower.standin);
   name_version (&replica, 3);
   standin_store_put (replica.standin, "servers/w1", WORKER_ENTRY);
   assert_known_in_time (&follower, 3);
@@ -308,13 +308,13 @@
   assert_int_equal (known_version (&leader), 3);
   assert_int_equal (known_workers (&leader), 1);
   run_for (2500); /* for longer than anybody's patience */
-  assert_int_equal (standin_store_get_calls (follower.standin), calls);
+  assert_int_equal (standin_store_get_n_calls (follower.standin), calls);
   /* And on: the replica was not put off by what it told itself. */
   name_version (&replica, 4);
   assert_known_in_time (&follower, 4);
   standin_store_remove (replica.standin, "servers/w1");
   AWAIT (known_workers (&follower) == 0);
-  assert_int_equal (standin_store_get_calls (follower.standin), calls);
+  assert_int_equal (standin_store_get_n_calls (follower.standin), calls);
 }
 
 /* A leader that sends nothing at all is left sooner than one whose reads lag: among the own keys is the one
@@ -341,12 +341,12 @@
 {
   follow (&follower, &leader);
   run_for (700); /* until a page has come of each prefix */
-  guint calls = standin_store_get_calls (follower.standin);
+  guint calls = standin_store_get_n_calls (follower.standin);
   g_clear_pointer (&leader.feed, quince_store_feed_free);
   quince_timer_clear (&leader.beat_timer);
   quince_observer_handle_feeder_loss (follower.observer);
   run_for (800);
-  assert_in_range (standin_store_get_calls (follower.standin) - calls, 0, 2);
+  assert_in_range (standin_store_get_n_calls (follower.standin) - calls, 0, 2);
   name_version (&follower, 3);
   assert_known_in_time (&follower, 3);
 }
@@ -372,7 +372,7 @@
   name_version (&leader, 3);
   AWAIT (known_version (&leader) == 3);
   /* Once it hears nothing, an older page is refused all the same. */
-  standin_store_set_fault (leader.standin, STANDIN_STORE_SILENT);
+  standin_store_set_fault (leader.standin, STANDIN_STORE_UNRESPONSIVE);
   run_for (1200);
   const QuinceMetaPage older = { .items = items, .after = 1, .revision = 1 };
   assert_false (quince_observer_apply_report (leader.observer, "op/", &older));
@@ -397,8 +397,8 @@
   follow (&replica, &leader);
   follow (&follower, &leader);
   run_for (100);
-  standin_store_set_fault (leader.standin, STANDIN_STORE_SILENT);
-  standin_store_set_fault (follower.standin, STANDIN_STORE_SILENT);
+  standin_store_set_fault (leader.standin, STANDIN_STORE_UNRESPONSIVE);
+  standin_store_set_fault (follower.standin, STANDIN_STORE_UNRESPONSIVE);
   standin_store_put (replica.standin, EVACUATE_KEY, "{}");
   assert_evacuated_in_time (&follower, TRUE);
   assert_true (knows_evacuated (&leader));
@@ -427,13 +427,13 @@
 {
   standin_store_put (follower.standin, EVACUATE_KEY, "{}");
   assert_evacuated_in_time (&follower, TRUE);
-  standin_store_set_fault (follower.standin, STANDIN_STORE_BUSY);
-  standin_store_drop_connections (follower.standin);
+  standin_store_set_fault (follower.standin, STANDIN_STORE_UNAVAILABLE);
+  standin_store_close_connections (follower.standin);
   standin_store_remove (follower.standin, EVACUATE_KEY);
   standin_store_compact (follower.standin);
   run_for (300);
   assert_true (knows_evacuated (&follower));
-  standin_store_set_fault (follower.standin, STANDIN_STORE_SOUND);
+  standin_store_set_fault (follower.standin, STANDIN_STORE_HEALTHY);
   assert_evacuated_in_time (&follower, FALSE);
 }
 
@@ -466,7 +466,7 @@
 {
   Process starter = { .standin = standin_store_new () };
   standin_store_put (starter.standin, EVACUATE_KEY, "{}");
-  standin_store_set_fault (starter.standin, STANDIN_STORE_LISTS_NOTHING);
+  standin_store_set_fault (starter.standin, STANDIN_STORE_FAILS_LISTS);
   starter.store
       = quince_meta_store_new (standin_store_get_address (starter.standin), &quince_platform_meta_codec);
   starter.backends = quince_backends_new (quince_topology_new ("z1", ""));
@@ -477,7 +477,7 @@
                                           &options, &observer_callbacks, &starter);
   run_for (500);
   assert_true (quince_backends_holds_sends (starter.backends));
-  standin_store_set_fault (starter.standin, STANDIN_STORE_SOUND);
+  standin_store_set_fault (starter.standin, STANDIN_STORE_HEALTHY);
   AWAIT (!quince_backends_holds_sends (starter.backends));
   assert_true (knows_evacuated (&starter));
   process_clear (&starter);
@@ -488,17 +488,17 @@
 static void
 test_evacuation_while_suspended (void **state)
 {
-  standin_store_set_fault (follower.standin, STANDIN_STORE_SILENT);
+  standin_store_set_fault (follower.standin, STANDIN_STORE_UNRESPONSIVE);
   standin_store_put (follower.standin, EVACUATE_KEY, "{}");
-  standin_store_drop_connections (follower.standin);
+  standin_store_close_connections (follower.standin);
   run_for (50);
-  standin_store_set_fault (follower.standin, STANDIN_STORE_SOUND);
+  standin_store_set_fault (follower.standin, STANDIN_STORE_HEALTHY);
   quince_meta_store_handle_resume (follower.store);
   quince_observer_handle_resume (follower.observer);
   assert_true (quince_backends_holds_sends (follower.backends));
   AWAIT (!quince_backends_holds_sends (follower.backends));
   assert_true (knows_evacuated (&follower));
-  standin_store_set_fault (follower.standin, STANDIN_STORE_SILENT);
+  standin_store_set_fault (follower.standin, STANDIN_STORE_UNRESPONSIVE);
   quince_observer_handle_resume (follower.observer);
   assert_true (quince_backends_holds_sends (follower.backends));
   AWAIT (!quince_backends_holds_sends (follower.backends));
@@ -515,7 +515,7 @@
   standin_store_put (follower.standin, "quinceroute/ledger", "view");
   standin_store_put (leader.standin, "quinceroute/ledger", "view");
   AWAIT (follower.own_keys == 1); /* it was told just now, and trusts that for as long as ever */
-  standin_store_set_fault (leader.standin, STANDIN_STORE_SILENT);
+  standin_store_set_fault (leader.standin, STANDIN_STORE_UNRESPONSIVE);
   standin_store_put (follower.standin, "quinceroute/ledger", "another view");
   gint64 begin_us = g_get_monotonic_time ();
   AWAIT (follower.own_keys == 2);
--- a/tests/platform/test-front.c
+++ b/tests/platform/test-front.c
@@ -192,7 +192,7 @@
 {
   PathWorld *world = start_fronts ("timeout");
   for (guint i = 0; i < PATH_PLAIN; i++)
-    standin_worker_set_fault (world->plain[i], STANDIN_WORKER_SILENT, G_MAXUINT);
+    standin_worker_set_fault (world->plain[i], STANDIN_WORKER_UNRESPONSIVE, G_MAXUINT);
   assert_int_equal (path_status (path_front (world, 0), "POST", "/l/1", "t1", "x"), 504);
   assert_in_range (runs_of (world, "t1"), 1, 3);
   path_world_free (world);
@@ -206,7 +206,7 @@
   for (guint i = 0; i < PATH_PLAIN; i++)
     {
       g_autofree char *key = g_strdup_printf ("servers/p%u", i);
-      g_autofree char *entry = standin_worker_entry (world->plain[i], "svc", "draining");
+      g_autofree char *entry = standin_worker_make_entry (world->plain[i], "svc", "draining");
       standin_store_put (world->store, key, entry);
     }
   PathAnswer answer;
@@ -271,7 +271,7 @@
 test_shares (void **state)
 {
   PathWorld *world = start_fronts ("shares");
-  g_autofree char *entry = standin_worker_entry (world->plain[1], "other", "ready");
+  g_autofree char *entry = standin_worker_make_entry (world->plain[1], "other", "ready");
   standin_store_put (world->store, "servers/p1", entry);
   standin_store_put (world->store, "op/config", SPLIT_CONFIGURATION);
   const GPtrArray *rare = standin_worker_get_runs (world->plain[1]);
--- a/tests/platform/test-http-pool.c
+++ b/tests/platform/test-http-pool.c
@@ -34,19 +34,19 @@
 play (StandinCall *call, gpointer data)
 {
   const Script *script = data;
-  standin_write (call, script->bytes);
+  standin_call_write (call, script->bytes);
   switch (script->end)
     {
     case END_KEEPS:
-      standin_done (call);
+      standin_call_finish (call);
       break;
     case END_CLOSES:
-      standin_close (call);
+      standin_call_close_connection (call);
       break;
     case END_RESETS:
       /* The bytes arrive before the reset does. */
       run_for (30);
-      standin_reset (call);
+      standin_call_reset_connection (call);
       break;
     case END_SILENT:
       break;
@@ -168,7 +168,7 @@
   ask (pool, &seen, 500 * 1000);
   g_free (seen.body);
   assert_int_equal (quince_http_pool_get_n_idle (pool), 1);
-  standin_server_drop_all (server);
+  standin_server_close_connections (server);
   AWAIT (quince_http_pool_get_n_idle (pool) == 0);
   ask (pool, &seen, 500 * 1000);
   assert_int_equal (seen.outcome, QUINCE_HTTP_ANSWERED);
@@ -199,7 +199,7 @@
   quince_http_exchange_cancel (exchange);
   AWAIT (call->gone);
   saw_gone = call->gone;
-  standin_done (call);
+  standin_call_finish (call);
   assert_true (saw_gone);
   assert_false (seen.done);
   quince_http_pool_unref (pool);
@@ -210,7 +210,7 @@
 count_call (StandinCall *call, gpointer data)
 {
   *(guint *)data += 1;
-  standin_answer (call, 200, "", "ab", 2);
+  standin_call_answer (call, 200, "", "ab", 2);
 }
 
 /* A connection that comes too late carries nothing: the server never sees the request. */
@@ -250,7 +250,7 @@
 static void
 answer_and_stop (StandinCall *call, gpointer data)
 {
-  standin_answer (call, 200, "", "ab", 2);
+  standin_call_answer (call, 200, "", "ab", 2);
   g_usleep (STOPPED_US);
 }
 
--- a/tests/platform/test-leaving.c
+++ b/tests/platform/test-leaving.c
@@ -75,7 +75,7 @@
       standin_store_remove (scene->world->path->store, key);
       return;
     }
-  g_autofree char *entry = standin_worker_entry (worker, service, state);
+  g_autofree char *entry = standin_worker_make_entry (worker, service, state);
   standin_store_put (scene->world->path->store, key, entry);
 }
 
@@ -263,14 +263,14 @@
 stop_store_once_read (Scene *scene)
 {
   AWAIT (knows_leaving (scene, RELAYED_PROCESS_OF (follower (scene))));
-  standin_store_set_fault (scene->world->path->store, STANDIN_STORE_BUSY);
-  standin_store_drop_connections (scene->world->path->store);
+  standin_store_set_fault (scene->world->path->store, STANDIN_STORE_UNAVAILABLE);
+  standin_store_close_connections (scene->world->path->store);
 }
 
 static void
 resume_store_and_release (Scene *scene)
 {
-  standin_store_set_fault (scene->world->path->store, STANDIN_STORE_SOUND);
+  standin_store_set_fault (scene->world->path->store, STANDIN_STORE_HEALTHY);
   release_stores (scene);
 }
 
--- a/tests/platform/test-malformed.c
+++ b/tests/platform/test-malformed.c
@@ -301,11 +301,11 @@
                                   "{\"items\":[{\"tlsKey\":\"op/config\",\"revision\":1,\"value\":\"%\"}]}" };
   for (guint i = 0; i < G_N_ELEMENTS (answers); i++)
     {
-      standin_store_set_nonsense (scene.world->store, answers[i]);
-      standin_store_set_fault (scene.world->store, STANDIN_STORE_NONSENSE);
-      standin_store_drop_connections (scene.world->store);
+      standin_store_set_malformed_answer (scene.world->store, answers[i]);
+      standin_store_set_fault (scene.world->store, STANDIN_STORE_MALFORMED_ANSWERS);
+      standin_store_close_connections (scene.world->store);
       run_for (SETTLE_MS);
-      standin_store_set_fault (scene.world->store, STANDIN_STORE_SOUND);
+      standin_store_set_fault (scene.world->store, STANDIN_STORE_HEALTHY);
       assert_serves (answers[i]);
     }
   finish ();
@@ -323,11 +323,11 @@
     {
       g_autofree char *named = g_strdup_printf ("{\"model\":\"model-a\",\"version\":%u}", i + 2);
       for (guint j = 0; j < PATH_MODEL; j++)
-        standin_worker_set_nonsense (scene.world->model[j], answers[i]);
+        standin_worker_set_malformed_answer (scene.world->model[j], answers[i]);
       standin_store_put (scene.world->store, "op/version/model-a", named);
       run_for (SETTLE_MS);
       for (guint j = 0; j < PATH_MODEL; j++)
-        standin_worker_set_nonsense (scene.world->model[j], NULL);
+        standin_worker_set_malformed_answer (scene.world->model[j], NULL);
       assert_serves (answers[i]);
     }
   for (guint i = 0; i < PATH_MODEL; i++)
--- a/tests/platform/test-meta.c
+++ b/tests/platform/test-meta.c
@@ -149,12 +149,12 @@
   World world;
   begin (&world, 0);
   standin_store_set_fault (world.standin, fault);
-  standin_store_drop_connections (world.standin);
+  standin_store_close_connections (world.standin);
   standin_store_put (world.standin, "a/1", "meanwhile");
   standin_store_remove (world.standin, "a/2");
   run_for (for_ms);
   assert_string_equal (value (&world, "a/1"), "first");
-  standin_store_set_fault (world.standin, STANDIN_STORE_SOUND);
+  standin_store_set_fault (world.standin, STANDIN_STORE_HEALTHY);
   gint64 back = g_get_monotonic_time ();
   AWAIT (strcmp (value (&world, "a/1"), "meanwhile") == 0);
   AWAIT (g_hash_table_size (world.reports.values) == 4);
@@ -171,15 +171,15 @@
 {
   World world;
   begin (&world, 0);
-  standin_store_set_fault (world.standin, STANDIN_STORE_BUSY);
-  standin_store_drop_connections (world.standin);
+  standin_store_set_fault (world.standin, STANDIN_STORE_UNAVAILABLE);
+  standin_store_close_connections (world.standin);
   quince_meta_store_set_slow_probes (world.store, relaxed);
-  guint calls = standin_store_get_calls (world.standin);
+  guint calls = standin_store_get_n_calls (world.standin);
   run_for (OUTAGE_MS);
-  calls = standin_store_get_calls (world.standin) - calls;
+  calls = standin_store_get_n_calls (world.standin) - calls;
   /* Its feeder is gone: it looks by itself, soon. */
   quince_meta_store_set_slow_probes (world.store, FALSE);
-  standin_store_set_fault (world.standin, STANDIN_STORE_SOUND);
+  standin_store_set_fault (world.standin, STANDIN_STORE_HEALTHY);
   standin_store_put (world.standin, "a/1", "after");
   gint64 back = g_get_monotonic_time ();
   AWAIT (strcmp (value (&world, "a/1"), "after") == 0);
@@ -202,19 +202,19 @@
 static void
 test_silent_store (void **state)
 {
-  outage (STANDIN_STORE_SILENT, 2500);
+  outage (STANDIN_STORE_UNRESPONSIVE, 2500);
 }
 
 static void
 test_busy_store (void **state)
 {
-  outage (STANDIN_STORE_BUSY, 300);
+  outage (STANDIN_STORE_UNAVAILABLE, 300);
 }
 
 static void
 test_store_that_resets (void **state)
 {
-  outage (STANDIN_STORE_RESETS, 300);
+  outage (STANDIN_STORE_CLOSES_CONNECTIONS, 300);
 }
 
 static void
@@ -236,7 +236,7 @@
 {
   World world;
   begin (&world, 300);
-  guint before = standin_store_get_calls (world.standin);
+  guint before = standin_store_get_n_calls (world.standin);
   for (guint i = 0; i < 60; i++)
     {
       g_autofree char *text = g_strdup_printf ("%u", i);
@@ -244,7 +244,7 @@
       run_for (10);
     }
   AWAIT (strcmp (value (&world, "a/1"), "59") == 0);
-  assert_in_range (standin_store_get_calls (world.standin) - before, 1, 8);
+  assert_in_range (standin_store_get_n_calls (world.standin) - before, 1, 8);
   end (&world);
 }
 
@@ -277,7 +277,7 @@
   g_autoptr (QuinceMetaPage) older = page_of (50, "a/1", "older", 50);
   quince_meta_mirror_feed (world.mirror, older, TRUE);
   assert_string_equal (value (&world, "a/1"), "fed");
-  guint before = standin_store_get_calls (world.standin);
+  guint before = standin_store_get_n_calls (world.standin);
   g_autoptr (GPtrArray) nothing = g_ptr_array_new ();
   const QuinceMetaPage unchanged = { .items = nothing, .after = 100, .revision = 100 };
   for (guint i = 0; i < 8; i++)
@@ -285,8 +285,8 @@
       run_for (200);
       quince_meta_mirror_feed (world.mirror, &unchanged, FALSE);
     }
-  assert_int_equal (standin_store_get_calls (world.standin), before);
-  AWAIT (standin_store_get_calls (world.standin) > before);
+  assert_int_equal (standin_store_get_n_calls (world.standin), before);
+  AWAIT (standin_store_get_n_calls (world.standin) > before);
   end (&world);
 }
 
@@ -298,14 +298,14 @@
   begin (&world, 0);
   g_autoptr (QuinceMetaPage) update = page_of (100, "a/1", "fed", 100);
   quince_meta_mirror_feed (world.mirror, update, FALSE);
-  guint before = standin_store_get_calls (world.standin);
+  guint before = standin_store_get_n_calls (world.standin);
   g_autoptr (QuinceMetaPage) late = page_of (120, "a/2", "late", 120);
   late->after = 110;
   quince_meta_mirror_feed (world.mirror, late, FALSE);
   assert_string_equal (value (&world, "a/2"), "first");
   assert_int_equal (quince_meta_mirror_get_revision (world.mirror), 100);
   assert_false (quince_meta_mirror_is_fed (world.mirror));
-  AWAIT (standin_store_get_calls (world.standin) > before);
+  AWAIT (standin_store_get_n_calls (world.standin) > before);
   end (&world);
 }
 
@@ -433,7 +433,7 @@
   run_for (1000);
   assert_string_equal (standin_store_get (standin, "a/me"), "here");
   /* The store loses its leases: the key comes back. */
-  standin_store_lapse (standin);
+  standin_store_expire_leases (standin);
   assert_null (standin_store_get (standin, "a/me"));
   AWAIT (standin_store_get (standin, "a/me") != NULL);
   quince_meta_presence_update (presence, leaving);
@@ -477,7 +477,7 @@
   AWAIT (outcome.done);
   assert_int_equal (outcome.error, QUINCE_META_ERROR_CONFLICT);
   /* A write whose answer is lost is done all the same, and said to be unknown. */
-  standin_store_set_fault (world.standin, STANDIN_STORE_LOSES);
+  standin_store_set_fault (world.standin, STANDIN_STORE_DROPS_WRITE_ANSWERS);
   change.key = "a/8";
   outcome.done = FALSE;
   quince_meta_store_change (world.store, &change, 1, change_done, &outcome);
--- a/tests/platform/test-operator-command.c
+++ b/tests/platform/test-operator-command.c
@@ -252,7 +252,7 @@
 static void
 test_two_operators (void **state)
 {
-  static const StandinStoreFault faults[] = { STANDIN_STORE_SOUND, STANDIN_STORE_LOSES };
+  static const StandinStoreFault faults[] = { STANDIN_STORE_HEALTHY, STANDIN_STORE_DROPS_WRITE_ANSWERS };
   static const char *const anna[]
       = { "policy", "accept", "one.lua", "--comment", "x", "--expect", "0", "--author", "anna", NULL };
   static const char *const bela[]
@@ -266,7 +266,7 @@
       run_start (&pair[1], bela, TRUE);
       run_wait (&pair[0]);
       run_wait (&pair[1]);
-      standin_store_set_fault (store, STANDIN_STORE_SOUND);
+      standin_store_set_fault (store, STANDIN_STORE_HEALTHY);
       guint winner = pair[0].status == OK ? 0 : 1;
       assert_int_equal (pair[winner].status, OK);
       assert_int_equal (pair[1 - winner].status, CONFLICT);
@@ -282,7 +282,7 @@
   Run run = { 0 };
   standin_store_set_fault (store, fault);
   run_command (&run, words);
-  standin_store_set_fault (store, STANDIN_STORE_SOUND);
+  standin_store_set_fault (store, STANDIN_STORE_HEALTHY);
   if (run.status != status || strstr (run.errors, errors) == NULL)
     fail_msg ("status %d\n%s\n%s", run.status, run.output, run.errors);
   run_clear (&run);
@@ -295,7 +295,7 @@
   static const char *const accept[]
       = { "policy", "accept", "one.lua", "--comment", "x", "--expect", "0", NULL };
   standin_store_remove (store, POLICY_KEY);
-  assert_outcome (accept, STANDIN_STORE_SILENT, UNKNOWN, "quinceroute: unknown: ");
+  assert_outcome (accept, STANDIN_STORE_UNRESPONSIVE, UNKNOWN, "quinceroute: unknown: ");
 }
 
 /* The same where a policy stands already: that it cannot be read is no conflict. */
@@ -305,8 +305,8 @@
   static const char *const first[] = { "policy", "accept", "one.lua", "--comment", "x", NULL };
   static const char *const second[]
       = { "policy", "accept", "two.lua", "--comment", "x", "--expect", "1", NULL };
-  assert_outcome (first, STANDIN_STORE_SOUND, OK, "");
-  assert_outcome (second, STANDIN_STORE_SILENT, UNKNOWN, "quinceroute: unknown: ");
+  assert_outcome (first, STANDIN_STORE_HEALTHY, OK, "");
+  assert_outcome (second, STANDIN_STORE_UNRESPONSIVE, UNKNOWN, "quinceroute: unknown: ");
 }
 
 /* The write is done, its answer is lost and the key cannot be read back: neither a conflict nor a failure. */
@@ -315,7 +315,7 @@
 {
   static const char *const accept[]
       = { "policy", "accept", "one.lua", "--comment", "x", "--expect", "0", NULL };
-  assert_outcome (accept, STANDIN_STORE_LOSES_AND_HIDES, UNKNOWN, "quinceroute: unknown: ");
+  assert_outcome (accept, STANDIN_STORE_DROPS_WRITE_ANSWERS_FAILS_READS, UNKNOWN, "quinceroute: unknown: ");
   assert_int_equal (standin_store_get_revision (store, POLICY_KEY), 1);
 }
 
@@ -324,7 +324,7 @@
 test_list_unreachable (void **state)
 {
   static const char *const list[] = { "event", "list", NULL };
-  assert_outcome (list, STANDIN_STORE_SILENT, FAILED, "quinceroute: unreachable: ");
+  assert_outcome (list, STANDIN_STORE_UNRESPONSIVE, FAILED, "quinceroute: unreachable: ");
 }
 
 /* A store that refuses all calls: nothing was done. */
@@ -335,10 +335,10 @@
   static const char *const show[] = { "policy", "show", NULL };
   static const char *const diff[] = { "policy", "diff", "one.lua", NULL };
   static const char *const delete[] = { "event", "delete", "shift", NULL };
-  assert_outcome (accept, STANDIN_STORE_BUSY, FAILED, "quinceroute: unreachable: ");
-  assert_outcome (show, STANDIN_STORE_BUSY, FAILED, "quinceroute: unreachable: ");
-  assert_outcome (diff, STANDIN_STORE_BUSY, FAILED, "quinceroute: unreachable: ");
-  assert_outcome (delete, STANDIN_STORE_BUSY, FAILED, "quinceroute: unreachable: ");
+  assert_outcome (accept, STANDIN_STORE_UNAVAILABLE, FAILED, "quinceroute: unreachable: ");
+  assert_outcome (show, STANDIN_STORE_UNAVAILABLE, FAILED, "quinceroute: unreachable: ");
+  assert_outcome (diff, STANDIN_STORE_UNAVAILABLE, FAILED, "quinceroute: unreachable: ");
+  assert_outcome (delete, STANDIN_STORE_UNAVAILABLE, FAILED, "quinceroute: unreachable: ");
 }
 
 /* ---- Files ------------------------------------------------------------------------- */
--- a/tests/platform/test-operator-lists.c
+++ b/tests/platform/test-operator-lists.c
@@ -51,9 +51,9 @@
   PathWorld *world = path_world_new ("lists");
   standin_store_put (world->store, "op/config", CONFIGURATION);
   standin_worker_set_zone (world->plain[1], "z2");
-  standin_worker_set_cold (world->model[0], 2500);
-  standin_worker_set_cold (world->model[1], -1);
-  standin_worker_set_cold (world->plain[0], 700);
+  standin_worker_set_cold_remaining (world->model[0], 2500);
+  standin_worker_set_cold_remaining (world->model[1], -1);
+  standin_worker_set_cold_remaining (world->plain[0], 700);
   path_list_workers (world);
   standin_store_put (world->store, "op/evacuate/z2", "{}");
   g_autofree char *settings = g_build_filename (world->folder, "operator.ini", NULL);
--- a/tests/platform/test-path.c
+++ b/tests/platform/test-path.c
@@ -107,11 +107,11 @@
   /* A store that loses its leases in an outage takes nobody out who lives. */
   path_start_front (world, 1);
   AWAIT (named (world, 0) == 2);
-  standin_store_set_fault (world->store, STANDIN_STORE_BUSY);
-  standin_store_drop_connections (world->store);
+  standin_store_set_fault (world->store, STANDIN_STORE_UNAVAILABLE);
+  standin_store_close_connections (world->store);
   run_for (300);
-  standin_store_lapse (world->store);
-  standin_store_set_fault (world->store, STANDIN_STORE_SOUND);
+  standin_store_expire_leases (world->store);
+  standin_store_set_fault (world->store, STANDIN_STORE_HEALTHY);
   for (guint i = 0; i < 20; i++)
     {
       assert_int_equal (named (world, 0), 2);
@@ -195,8 +195,8 @@
 test_batch_on_faulty_workers (void **state)
 {
   static const StandinWorkerFault faults[]
-      = { STANDIN_WORKER_CUTS,    STANDIN_WORKER_SKIPS, STANDIN_WORKER_RESETS,
-          STANDIN_WORKER_REFUSES, STANDIN_WORKER_FAILS, STANDIN_WORKER_WRONG_ID };
+      = { STANDIN_WORKER_TRUNCATES, STANDIN_WORKER_SKIPS_EVENT, STANDIN_WORKER_RESETS,
+          STANDIN_WORKER_REFUSES,   STANDIN_WORKER_FAILS,       STANDIN_WORKER_WRONG_REQUEST_ID };
   PathWorld *world = path_world_new ("faulty");
   path_world_start (world);
   for (guint i = 0; i < G_N_ELEMENTS (faults); i++)
@@ -218,7 +218,7 @@
   PathWorld *world = path_world_new ("hopeless");
   path_world_start (world);
   for (guint j = 0; j < PATH_MODEL; j++)
-    standin_worker_set_fault (world->model[j], STANDIN_WORKER_HOPELESS, 1);
+    standin_worker_set_fault (world->model[j], STANDIN_WORKER_UNPROCESSABLE, 1);
   submit (world, 0, "b1", ITEMS);
   AWAIT (path_listed (world, 0, "b1") == ITEMS);
   g_autofree char *text = path_results (world, 0, "b1");
@@ -318,10 +318,10 @@
 test_streams (void **state)
 {
   static const StreamCase cases[] = {
-    { "sound", "/s/1", STANDIN_WORKER_SOUND, 200, TRUE, 1 },
-    { "sound, not to be resumed", "/u/1", STANDIN_WORKER_SOUND, 200, TRUE, 1 },
-    { "cut, resumed", "/s/1", STANDIN_WORKER_CUTS, 200, TRUE, 4 },
-    { "cut, not to be resumed", "/u/1", STANDIN_WORKER_CUTS, 200, FALSE, 1 },
+    { "sound", "/s/1", STANDIN_WORKER_HEALTHY, 200, TRUE, 1 },
+    { "sound, not to be resumed", "/u/1", STANDIN_WORKER_HEALTHY, 200, TRUE, 1 },
+    { "cut, resumed", "/s/1", STANDIN_WORKER_TRUNCATES, 200, TRUE, 4 },
+    { "cut, not to be resumed", "/u/1", STANDIN_WORKER_TRUNCATES, 200, FALSE, 1 },
     { "refused", "/u/1", STANDIN_WORKER_REFUSES, 503, FALSE, 0 },
     { "lost, resumed", "/s/1", STANDIN_WORKER_RESETS, 200, TRUE, 4 },
     { "lost, not to be resumed", "/u/1", STANDIN_WORKER_RESETS, 502, FALSE, 1 },
@@ -352,7 +352,7 @@
       path_answer_clear (&answer);
       /* Doubts about workers pass. */
       for (guint j = 0; j < PATH_MODEL; j++)
-        standin_worker_set_fault (world->model[j], STANDIN_WORKER_SOUND, 0);
+        standin_worker_set_fault (world->model[j], STANDIN_WORKER_HEALTHY, 0);
       run_for (500);
     }
   path_world_free (world);
@@ -419,7 +419,7 @@
         AWAIT (standin_worker_get_version (world->model[i]) == version);
     }
   for (guint i = 0; i < PATH_MODEL; i++)
-    assert_in_range (standin_worker_get_orders (world->model[i]), 1, 3);
+    assert_in_range (standin_worker_get_n_orders (world->model[i]), 1, 3);
   path_world_free (world);
 }
 
--- a/tests/platform/test-policy-accept.c
+++ b/tests/platform/test-policy-accept.c
@@ -64,11 +64,11 @@
 {
   accept_policy (&scene, open_policy);
   g_autofree char *path = write_policy (&scene, open_policy);
-  standin_store_set_fault (scene.world->path->store, STANDIN_STORE_LOSES);
+  standin_store_set_fault (scene.world->path->store, STANDIN_STORE_DROPS_WRITE_ANSWERS);
   g_autoptr (QuinceProcess) process = spawn_operator ("lost", path);
   AWAIT (standin_store_get_revision (scene.world->path->store, "quinceroute/policy") > scene.revision);
   note_accepted (&scene);
-  standin_store_set_fault (scene.world->path->store, STANDIN_STORE_SOUND);
+  standin_store_set_fault (scene.world->path->store, STANDIN_STORE_HEALTHY);
   assert_int_equal (await_operator (process), 0);
   assert_in_force (&scene, scene.accepted_us, TRUE);
   assert_int_equal (standin_store_get_revision (scene.world->path->store, "quinceroute/policy"),
@@ -108,21 +108,21 @@
     relayed_hold (scene.world, i, RELAYED_STORE, i != reader);
   accept_policy (&scene, open_policy);
   AWAIT (revision_in_force (&scene, reader) == scene.revision);
-  standin_store_set_fault (scene.world->path->store, STANDIN_STORE_BUSY);
-  standin_store_drop_connections (scene.world->path->store);
+  standin_store_set_fault (scene.world->path->store, STANDIN_STORE_UNAVAILABLE);
+  standin_store_close_connections (scene.world->path->store);
   assert_in_force (&scene, scene.accepted_us, TRUE);
   for (guint i = 0; i < RELAYED_PROCESSES; i++)
     relayed_hold (scene.world, i, RELAYED_STORE, FALSE);
-  standin_store_set_fault (scene.world->path->store, STANDIN_STORE_SOUND);
+  standin_store_set_fault (scene.world->path->store, STANDIN_STORE_HEALTHY);
 }
 
 static void
 test_dropped_and_frozen_watches (void **state)
 {
   accept_policy (&scene, open_policy);
-  standin_store_drop_connections (scene.world->path->store);
+  standin_store_close_connections (scene.world->path->store);
   assert_in_force (&scene, scene.accepted_us, TRUE);
-  standin_store_drop_connections (scene.world->path->store);
+  standin_store_close_connections (scene.world->path->store);
   accept_policy (&scene, open_policy);
   assert_in_force (&scene, scene.accepted_us, TRUE);
   standin_store_compact (scene.world->path->store);
@@ -140,10 +140,10 @@
 test_store_down_and_back (void **state)
 {
   accept_policy (&scene, open_policy);
-  standin_store_set_fault (scene.world->path->store, STANDIN_STORE_BUSY);
-  standin_store_drop_connections (scene.world->path->store);
+  standin_store_set_fault (scene.world->path->store, STANDIN_STORE_UNAVAILABLE);
+  standin_store_close_connections (scene.world->path->store);
   run_for (OUTAGE_MS);
-  standin_store_set_fault (scene.world->path->store, STANDIN_STORE_SOUND);
+  standin_store_set_fault (scene.world->path->store, STANDIN_STORE_HEALTHY);
   gint64 back_us = g_get_monotonic_time ();
   assert_in_force (&scene, back_us, TRUE);
   accept_policy (&scene, open_policy);
@@ -181,11 +181,11 @@
   standin_store_save (store);
   accept_policy (&scene, closed_policy);
   assert_in_force (&scene, scene.accepted_us, TRUE);
-  standin_store_set_fault (store, STANDIN_STORE_RESETS);
-  standin_store_drop_connections (store);
+  standin_store_set_fault (store, STANDIN_STORE_CLOSES_CONNECTIONS);
+  standin_store_close_connections (store);
   run_for (OUTAGE_MS);
   standin_store_restore (store);
-  standin_store_set_fault (store, STANDIN_STORE_SOUND);
+  standin_store_set_fault (store, STANDIN_STORE_HEALTHY);
   for (guint i = 0; i < OTHER_WRITES; i++)
     standin_store_put (store, "op/note", "x");
   run_for (OUTAGE_MS);
@@ -204,7 +204,7 @@
   accept_policy (&scene, closed_policy);
   assert_in_force (&scene, scene.accepted_us, TRUE);
   guint whole = 0, refused = 0;
-  standin_store_set_fault (scene.world->path->store, STANDIN_STORE_HIDES_OWN);
+  standin_store_set_fault (scene.world->path->store, STANDIN_STORE_FAILS_OWN_PREFIX);
   relayed_hold (scene.world, 0, RELAYED_REPLICA (0), TRUE);
   relayed_hold (scene.world, 0, RELAYED_REPLICA (1), TRUE);
   relayed_hold (scene.world, 0, RELAYED_REPLICA (2), TRUE);
@@ -218,7 +218,7 @@
   assert_int_equal (whole, 0);
   for (guint i = 0; i < PATH_REPLICAS; i++)
     relayed_hold (scene.world, 0, RELAYED_REPLICA (i), FALSE);
-  standin_store_set_fault (scene.world->path->store, STANDIN_STORE_SOUND);
+  standin_store_set_fault (scene.world->path->store, STANDIN_STORE_HEALTHY);
   AWAIT (is_in_force (&scene, TRUE));
   count_answers (0, &whole, &refused);
   assert_int_equal (whole, 0);
@@ -234,8 +234,8 @@
 {
   accept_policy (&scene, closed_policy);
   assert_in_force (&scene, scene.accepted_us, TRUE);
-  standin_store_set_fault (scene.world->path->store, STANDIN_STORE_BUSY);
-  standin_store_drop_connections (scene.world->path->store);
+  standin_store_set_fault (scene.world->path->store, STANDIN_STORE_UNAVAILABLE);
+  standin_store_close_connections (scene.world->path->store);
   quince_process_kill (scene.world->path->fronts[0]);
   relayed_start (scene.world, 0);
   guint whole = 0, refused = 0;
@@ -244,7 +244,7 @@
       count_answers (0, &whole, &refused);
       run_for (50);
     }
-  standin_store_set_fault (scene.world->path->store, STANDIN_STORE_SOUND);
+  standin_store_set_fault (scene.world->path->store, STANDIN_STORE_HEALTHY);
   gint64 back_us = g_get_monotonic_time ();
   while (!is_in_force (&scene, TRUE) && g_get_monotonic_time () - back_us < AWAIT_MS * 1000)
     {
--- a/tests/platform/test-policy-restored.c
+++ b/tests/platform/test-policy-restored.c
@@ -19,11 +19,11 @@
 restore_store (Scene *scene)
 {
   StandinStore *store = scene->world->path->store;
-  standin_store_set_fault (store, STANDIN_STORE_RESETS);
-  standin_store_drop_connections (store);
+  standin_store_set_fault (store, STANDIN_STORE_CLOSES_CONNECTIONS);
+  standin_store_close_connections (store);
   run_for (OUTAGE_MS);
   standin_store_restore (store);
-  standin_store_set_fault (store, STANDIN_STORE_SOUND);
+  standin_store_set_fault (store, STANDIN_STORE_HEALTHY);
   for (guint i = 0; i < OTHER_WRITES; i++)
     standin_store_put (store, "op/note", "x");
   run_for (OUTAGE_MS);
--- a/tests/platform/test-quarantine-cut.c
+++ b/tests/platform/test-quarantine-cut.c
@@ -109,7 +109,7 @@
   print_message ("  %u sends in all\n", runs);
   assert_in_range (runs, 1, SENDS_MAX);
   g_autofree char *all = NULL;
-  AWAIT ((g_free (all), all = standin_store_all_but (world.relayed->path->store, "none"),
+  AWAIT ((g_free (all), all = standin_store_dump_except (world.relayed->path->store, "none"),
           strstr (all, "quinceroute/suspects/") == NULL));
   cut_world_free (&world);
 }
--- a/tests/platform/test-quarantine-faults.c
+++ b/tests/platform/test-quarantine-faults.c
@@ -91,9 +91,10 @@
     {
       AWAIT (ends_both_serve (world));
       for (guint j = 0; j < PATH_PLAIN; j++)
-        standin_worker_set_fatal (world->path->plain[j], "unlucky", ENDS_FATAL_MS, i == 0 && j == 0 ? 1 : 0);
+        standin_worker_set_crash_trigger (world->path->plain[j], "unlucky", ENDS_FATAL_MS,
+                                          i == 0 && j == 0 ? 1 : 0);
       if (i > 0)
-        standin_worker_set_fatal (world->path->plain[i % PATH_PLAIN], "unlucky", ENDS_FATAL_MS, 1);
+        standin_worker_set_crash_trigger (world->path->plain[i % PATH_PLAIN], "unlucky", ENDS_FATAL_MS, 1);
       for (guint ends = world->ends; world->ends == ends;)
         ends_try (world, i % PATH_FRONTS, "/l/1", "unlucky");
     }
@@ -165,18 +166,19 @@
 {
   EndsWorld *world = ends_world_start ("store-away", "poison");
   AWAIT (ends_both_serve (world));
-  standin_store_set_fault (world->path->store, STANDIN_STORE_BUSY);
+  standin_store_set_fault (world->path->store, STANDIN_STORE_UNAVAILABLE);
   for (guint i = 0; i < 4; i++)
     {
       ends_try (world, i % PATH_FRONTS, "/l/1", "poison");
       run_for (ENDS_LOOK_MS * ENDS_BACK_LOOKS + 100);
     }
-  standin_store_set_fault (world->path->store, STANDIN_STORE_SOUND);
+  standin_store_set_fault (world->path->store, STANDIN_STORE_HEALTHY);
   AWAIT (ends_both_serve (world));
   assert_int_equal (try_until_held (world, "/l/1", "poison"), 502);
   assert_in_range (ends_runs (world, "poison"), 1, SENDS_MAX);
   g_autofree char *all = NULL;
-  AWAIT ((g_free (all), all = standin_store_all_but (world->path->store, "none"), strstr (all, "ended_ms=")));
+  AWAIT ((g_free (all), all = standin_store_dump_except (world->path->store, "none"),
+          strstr (all, "ended_ms=")));
   ends_world_free (world);
 }
 
@@ -221,9 +223,9 @@
   AWAIT (ends_both_serve (world));
   for (guint i = 0; i < PATH_PLAIN; i++)
     {
-      standin_worker_set_fatal (world->path->plain[i], NULL, 0, 0);
-      standin_worker_set_software (world->path->plain[i], "v2");
-      standin_worker_die (world->path->plain[i]);
+      standin_worker_set_crash_trigger (world->path->plain[i], NULL, 0, 0);
+      standin_worker_set_software_version (world->path->plain[i], "v2");
+      standin_worker_crash (world->path->plain[i]);
     }
   AWAIT (ends_both_serve (world));
   AWAIT (ends_try (world, 0, "/l/1", "poison") == 200);
--- a/tests/platform/test-quarantine-groups.c
+++ b/tests/platform/test-quarantine-groups.c
@@ -92,7 +92,7 @@
 any_dead (EndsWorld *world)
 {
   for (guint i = 0; i < PATH_MODEL; i++)
-    if (standin_worker_is_dead (world->path->model[i]))
+    if (standin_worker_is_down (world->path->model[i]))
       return TRUE;
   return FALSE;
 }
@@ -179,8 +179,8 @@
   EndsWorld *world = start ("groups-operator", "/poison/");
   groups_submit (world->path, 0, "b1", mixed, G_N_ELEMENTS (mixed));
   g_autofree char *all = NULL;
-  AWAIT (
-      (g_free (all), all = standin_store_all_but (world->path->store, "none"), strstr (all, "scope=prompt")));
+  AWAIT ((g_free (all), all = standin_store_dump_except (world->path->store, "none"),
+          strstr (all, "scope=prompt")));
   assert_int_equal (path_operate (world->path, (const char *const[]){ "quarantine", "list", NULL }), 0);
   ends_world_free (world);
 }
--- a/tests/platform/test-quarantine-small.c
+++ b/tests/platform/test-quarantine-small.c
@@ -68,7 +68,7 @@
 {
   EndsWorld *world = ends_world_start ("hedged", "poison");
   for (guint i = 0; i < PATH_PLAIN; i++)
-    standin_worker_set_fatal (world->path->plain[i], "poison", HEDGED_FATAL_MS, G_MAXUINT);
+    standin_worker_set_crash_trigger (world->path->plain[i], "poison", HEDGED_FATAL_MS, G_MAXUINT);
   for (guint i = 0; i < PATH_FRONTS; i++)
     AWAIT (ends_serves (world, i));
   ends_try (world, 0, "/l/1", "poison-first");
--- a/tests/platform/test-quarantine-soak.c
+++ b/tests/platform/test-quarantine-soak.c
@@ -127,7 +127,8 @@
 take_store_away (Soak *soak)
 {
   static const StandinStoreFault faults[]
-      = { STANDIN_STORE_SILENT, STANDIN_STORE_BUSY, STANDIN_STORE_RESETS, STANDIN_STORE_LOSES };
+      = { STANDIN_STORE_UNRESPONSIVE, STANDIN_STORE_UNAVAILABLE, STANDIN_STORE_CLOSES_CONNECTIONS,
+          STANDIN_STORE_DROPS_WRITE_ANSWERS };
   soak->outage_steps = OUTAGE_STEPS;
   standin_store_set_fault (soak->world->path->store,
                            faults[g_rand_int_range (soak->random, 0, G_N_ELEMENTS (faults))]);
@@ -144,7 +145,7 @@
   if (soak->outage_steps > 0 && (now || --soak->outage_steps == 0))
     {
       soak->outage_steps = 0;
-      standin_store_set_fault (soak->world->path->store, STANDIN_STORE_SOUND);
+      standin_store_set_fault (soak->world->path->store, STANDIN_STORE_HEALTHY);
     }
 }
 
@@ -163,7 +164,7 @@
   else if (lot < 86)
     take_store_away (soak);
   else if (lot < 89)
-    standin_worker_die (soak->world->path->plain[g_rand_int_range (soak->random, 0, PATH_PLAIN)]);
+    standin_worker_crash (soak->world->path->plain[g_rand_int_range (soak->random, 0, PATH_PLAIN)]);
   else if (lot < 92)
     begin_batch (soak);
   end_troubles (soak, FALSE);
--- a/tests/platform/test-recovery.c
+++ b/tests/platform/test-recovery.c
@@ -134,14 +134,14 @@
 test_store_away_at_the_first_start (void **state)
 {
   PathWorld *world = path_world_new ("founding");
-  standin_store_set_fault (world->store, STANDIN_STORE_BUSY);
+  standin_store_set_fault (world->store, STANDIN_STORE_UNAVAILABLE);
   path_configure (world, 7);
   path_list_workers (world);
   for (guint i = 0; i < PATH_REPLICAS; i++)
     path_start_replica (world, i);
   path_start_front (world, 0);
   run_for (1500); /* until the first question of each has failed */
-  standin_store_set_fault (world->store, STANDIN_STORE_SOUND);
+  standin_store_set_fault (world->store, STANDIN_STORE_HEALTHY);
   AWAIT (path_status (path_front (world, 0), "GET", "/quinceroute/lots/none", "q", NULL) == 404);
   path_world_free (world);
 }
--- a/tests/platform/test-residency.c
+++ b/tests/platform/test-residency.c
@@ -131,9 +131,9 @@
   for (guint i = 2; i < PATH_MODEL; i++)
     {
       refused[i] = residency_runs (world->model[i]);
-      standin_worker_set_fault (world->model[i], STANDIN_WORKER_SOUND, 0);
+      standin_worker_set_fault (world->model[i], STANDIN_WORKER_HEALTHY, 0);
     }
-  standin_worker_die (world->model[0]);
+  standin_worker_crash (world->model[0]);
   AWAIT (answer.done);
   assert_int_equal (answer.status, 200);
   assert_non_null (strstr (answer.body, "id: 6"));
@@ -250,7 +250,7 @@
   run_for (APPLY_MS);
   guint before = residency_runs (world->model[1]) + residency_runs (world->model[2]);
   for (guint i = 0; i < PATH_MODEL; i++)
-    standin_worker_set_fault (world->model[i], STANDIN_WORKER_SOUND, 0);
+    standin_worker_set_fault (world->model[i], STANDIN_WORKER_HEALTHY, 0);
   AWAIT (path_listed (world, 2, "b1") == ITEMS);
   assert_int_equal (residency_runs (world->model[1]) + residency_runs (world->model[2]), before);
   /* What disks outside held is gone, and the log says so. */
--- a/tests/platform/test-samples.c
+++ b/tests/platform/test-samples.c
@@ -71,7 +71,7 @@
   PathWorld *world = path_world_new ("cut");
   for (guint i = 0; i < PATH_MODEL; i++)
     {
-      standin_worker_set_fault (world->model[i], STANDIN_WORKER_CUTS, 1);
+      standin_worker_set_fault (world->model[i], STANDIN_WORKER_TRUNCATES, 1);
       standin_worker_set_events (world->model[i], 6, 30);
     }
   path_world_start (world);
@@ -304,8 +304,8 @@
 {
   for (guint i = 0; i < PATH_MODEL; i++)
     {
-      const GArray *fences = standin_worker_get_fences (world->model[i]);
-      const GPtrArray *holders = standin_worker_get_holders (world->model[i]);
+      const GArray *fences = standin_worker_get_fencing_tokens (world->model[i]);
+      const GPtrArray *holders = standin_worker_get_order_leaders (world->model[i]);
       for (guint j = 1; j < fences->len; j++)
         {
           guint64 before = g_array_index (fences, guint64, j - 1);
@@ -335,7 +335,7 @@
       run_for (QUIET_MS);
     }
   assert_fences_rise (world);
-  const GArray *fences = standin_worker_get_fences (world->model[0]);
+  const GArray *fences = standin_worker_get_fencing_tokens (world->model[0]);
   assert_true (g_array_index (fences, guint64, fences->len - 1) > g_array_index (fences, guint64, 0));
   path_world_free (world);
 }
@@ -348,15 +348,15 @@
   path_world_start (world);
   name_version (world, 2);
   await_version (world, 2);
-  guint orders = standin_worker_get_orders (world->model[0]);
+  guint orders = standin_worker_get_n_orders (world->model[0]);
   StandinWorker *added = standin_worker_new ("m9");
   standin_worker_set_events (added, 6, 5);
-  g_autofree char *entry = standin_worker_entry (added, "llm", "ready");
+  g_autofree char *entry = standin_worker_make_entry (added, "llm", "ready");
   standin_store_put (world->store, "servers/m9", entry);
   AWAIT (standin_worker_get_version (added) == 2);
   run_for (QUIET_MS);
-  assert_int_equal (standin_worker_get_orders (world->model[0]), orders);
-  assert_int_equal (standin_worker_get_orders (added), 1);
+  assert_int_equal (standin_worker_get_n_orders (world->model[0]), orders);
+  assert_int_equal (standin_worker_get_n_orders (added), 1);
   standin_worker_free (added);
   path_world_free (world);
 }
--- a/tests/platform/test-scaling.c
+++ b/tests/platform/test-scaling.c
@@ -95,7 +95,7 @@
   assert_int_equal (world->orders->len, 0);
   for (guint i = 0; i < 2; i++)
     {
-      standin_worker_die (world->path->model[i]);
+      standin_worker_crash (world->path->model[i]);
       scaling_list (world, i, NULL, FALSE);
     }
   AWAIT (scaling_count (world, NULL) == SCALING_STOOD);
--- a/tests/platform/test-steps-without-store.c
+++ b/tests/platform/test-steps-without-store.c
@@ -37,8 +37,8 @@
   trainer_submit (&trainer);
   AWAIT (count_in_progress (world->path) >= IN_PROGRESS);
   guint leader = (guint)path_leader (world->path);
-  standin_store_set_fault (world->path->store, STANDIN_STORE_BUSY);
-  standin_store_drop_connections (world->path->store);
+  standin_store_set_fault (world->path->store, STANDIN_STORE_UNAVAILABLE);
+  standin_store_close_connections (world->path->store);
   quince_process_kill (world->path->replicas[leader]);
   run_for (DOWN_MS);
   relayed_start (world, RELAYED_PROCESS_OF (leader));
@@ -46,7 +46,7 @@
     AWAIT (trainer_has_read (&trainer, trainer.steps->pdata[i]));
   trainer_submit (&trainer);
   AWAIT (trainer_has_read (&trainer, trainer.steps->pdata[2]));
-  standin_store_set_fault (world->path->store, STANDIN_STORE_SOUND);
+  standin_store_set_fault (world->path->store, STANDIN_STORE_HEALTHY);
   trainer_assert_all (&trainer);
   trainer_clear (&trainer);
   relayed_world_free (world);
--- a/tests/platform/test-steps.c
+++ b/tests/platform/test-steps.c
@@ -194,7 +194,7 @@
 hold_orders (Scene *scene, gboolean held)
 {
   for (guint i = 0; i < PATH_MODEL; i++)
-    standin_worker_set_orders_held (scene->world->path->model[i], held);
+    standin_worker_set_orders_delayed (scene->world->path->model[i], held);
 }
 
 static void
@@ -209,7 +209,7 @@
 {
   guint count = 0;
   for (guint i = 0; i < PATH_MODEL; i++)
-    count += standin_worker_count_held_orders (scene->world->path->model[i]);
+    count += standin_worker_count_delayed_orders (scene->world->path->model[i]);
   return count;
 }
 
@@ -227,7 +227,7 @@
 {
   guint count = 0;
   for (guint i = 0; i < PATH_MODEL; i++)
-    count += standin_worker_get_refused_orders (scene->world->path->model[i]);
+    count += standin_worker_get_n_refused_orders (scene->world->path->model[i]);
   return count;
 }
 
@@ -237,8 +237,8 @@
 {
   for (guint i = 0; i < PATH_MODEL; i++)
     {
-      const GArray *fences = standin_worker_get_fences (scene->world->path->model[i]);
-      const GPtrArray *holders = standin_worker_get_holders (scene->world->path->model[i]);
+      const GArray *fences = standin_worker_get_fencing_tokens (scene->world->path->model[i]);
+      const GPtrArray *holders = standin_worker_get_order_leaders (scene->world->path->model[i]);
       for (guint j = 1; j < fences->len; j++)
         {
           guint64 before = g_array_index (fences, guint64, j - 1);
--- a/tests/platform/test-succession.c
+++ b/tests/platform/test-succession.c
@@ -95,14 +95,14 @@
   await_members (world);
   guint64 shown = view_revision (world);
   assert_int_not_equal (shown, 0);
-  standin_store_set_fault (world->store, STANDIN_STORE_BUSY);
+  standin_store_set_fault (world->store, STANDIN_STORE_UNAVAILABLE);
   run_for (500);
   guint former = (guint)path_leader (world);
   quince_process_kill (world->replicas[former]);
   await_batches (world, "down", FOLLOWED_US);
   assert_true (count_lines (world, "event=ledger_led_without_store") >= 1);
   assert_int_equal (view_revision (world), shown);
-  standin_store_set_fault (world->store, STANDIN_STORE_SOUND);
+  standin_store_set_fault (world->store, STANDIN_STORE_HEALTHY);
   AWAIT (view_revision (world) > shown);
   path_start_replica (world, former);
   assert_whole (world, 0, "b0");
@@ -120,7 +120,7 @@
   path_fix_links (world);
   path_world_start (world);
   await_members (world);
-  standin_store_set_fault (world->store, STANDIN_STORE_RESETS);
+  standin_store_set_fault (world->store, STANDIN_STORE_CLOSES_CONNECTIONS);
   run_for (500);
   guint former = (guint)path_leader (world);
   quince_process_suspend (world->replicas[former]);
@@ -130,7 +130,7 @@
   run_for (1000);
   assert_int_not_equal (path_leader (world), (gint)former);
   assert_true (count_lines (world, "event=ledger_led_without_store") >= 1);
-  standin_store_set_fault (world->store, STANDIN_STORE_SOUND);
+  standin_store_set_fault (world->store, STANDIN_STORE_HEALTHY);
   assert_batches (world, "frozen");
   assert_batches (world, "thawed");
   path_world_free (world);
--- a/tests/platform/test-suspension.c
+++ b/tests/platform/test-suspension.c
@@ -102,7 +102,7 @@
   AWAIT (model_runs (world, "late") == 1);
   suspend (world->fronts[0]);
   for (guint i = 0; i < PATH_MODEL; i++)
-    standin_server_drop_all (standin_worker_get_server (world->model[i]));
+    standin_server_close_connections (standin_worker_get_server (world->model[i]));
   resume (world, world->fronts[0], "front-0");
   AWAIT (answer.done);
   run_for (AFTER_MS);
@@ -118,7 +118,7 @@
 {
   PathWorld *world = start_world ("front");
   suspend (world->fronts[0]);
-  standin_store_lapse (world->store);
+  standin_store_expire_leases (world->store);
   standin_store_put (world->store, "op/config",
                      "{\"version\":9,\"routes\":[],\"services\":[],\"limits\":{\"maxHeaderBytes\":16384,"
                      "\"maxBodyBytes\":100000,\"headerTimeoutMs\":3000,\"idleTimeoutMs\":15000}}");
@@ -134,7 +134,7 @@
 {
   for (guint i = 0; i < PATH_MODEL; i++)
     {
-      const GArray *fences = standin_worker_get_fences (world->model[i]);
+      const GArray *fences = standin_worker_get_fencing_tokens (world->model[i]);
       for (guint j = 1; j < fences->len; j++)
         if (g_array_index (fences, guint64, j) < g_array_index (fences, guint64, j - 1))
           return FALSE;
--- a/tests/platform/test-tenants.c
+++ b/tests/platform/test-tenants.c
@@ -208,7 +208,7 @@
   path_wipe_replica (world, (guint)leader);
   path_start_replica (world, (guint)leader);
   for (guint i = 0; i < PATH_MODEL; i++)
-    standin_worker_set_fault (world->model[i], STANDIN_WORKER_SOUND, 0);
+    standin_worker_set_fault (world->model[i], STANDIN_WORKER_HEALTHY, 0);
   AWAIT (listed (world, 0, "b2", KEY_A2) == ITEMS);
   assert_true (check_item_runs (world, "b2") >= ITEMS);
   assert_hidden_from_others (world, "b2");
@@ -254,7 +254,7 @@
   status_with_key (path_front (world, 0), "POST", "/l/1", "none", "x", KEY_NOBODY);
   status_with_key (path_front (world, 0), "GET", "/quinceroute/lots/b3", "none", NULL, KEY_B1);
   assert_no_key_below (world->folder);
-  g_autofree char *written = standin_store_all_but (world->store, "op/config");
+  g_autofree char *written = standin_store_dump_except (world->store, "op/config");
   assert_non_null (strstr (written, "quinceroute/"));
   assert_null (strstr (written, "key-a1"));
   assert_null (strstr (written, "key-b1"));
--- a/tests/platform/test-warmup-soak.c
+++ b/tests/platform/test-warmup-soak.c
@@ -40,7 +40,7 @@
 {
   StandinWorker *worker = soak->world->path->plain[index];
   g_autofree char *key = g_strdup_printf ("servers/%s", standin_worker_get_id (worker));
-  standin_worker_die (worker);
+  standin_worker_crash (worker);
   standin_store_remove (soak->world->path->store, key);
   soak->plain[index].dead_steps = DEAD_STEPS;
 }
@@ -50,7 +50,7 @@
 {
   StandinWorker *worker = soak->world->path->plain[index];
   g_autofree char *id = g_strdup_printf ("p%u-%u", index, ++soak->incarnations);
-  standin_worker_revive (worker, id);
+  standin_worker_restart (worker, id);
   soak->plain[index].first = cold_runs (worker);
   soak->plain[index].cold_steps = COLD_STEPS;
   cold_list_plain (soak->world, index, COLD_START_MS);
@@ -108,7 +108,8 @@
 take_store_away (Soak *soak)
 {
   static const StandinStoreFault faults[]
-      = { STANDIN_STORE_SILENT, STANDIN_STORE_BUSY, STANDIN_STORE_RESETS, STANDIN_STORE_LOSES };
+      = { STANDIN_STORE_UNRESPONSIVE, STANDIN_STORE_UNAVAILABLE, STANDIN_STORE_CLOSES_CONNECTIONS,
+          STANDIN_STORE_DROPS_WRITE_ANSWERS };
   soak->outage_steps = OUTAGE_STEPS;
   standin_store_set_fault (soak->world->path->store,
                            faults[g_rand_int_range (soak->random, 0, G_N_ELEMENTS (faults))]);
@@ -125,7 +126,7 @@
   if (soak->outage_steps > 0 && (now || --soak->outage_steps == 0))
     {
       soak->outage_steps = 0;
-      standin_store_set_fault (soak->world->path->store, STANDIN_STORE_SOUND);
+      standin_store_set_fault (soak->world->path->store, STANDIN_STORE_HEALTHY);
     }
 }
 
--- a/tests/platform/test-warmup.c
+++ b/tests/platform/test-warmup.c
@@ -276,9 +276,9 @@
   cold_load (world, LOAD_EVERY_MS, 1000);
   assert_true (cold_most (world->path->plain[0], before) > COLD_MAX);
   standin_store_remove (world->path->store, "servers/p0");
-  standin_worker_die (world->path->plain[0]);
+  standin_worker_crash (world->path->plain[0]);
   cold_load (world, LOAD_EVERY_MS, 500);
-  standin_worker_revive (world->path->plain[0], "p0-again");
+  standin_worker_restart (world->path->plain[0], "p0-again");
   before = cold_runs (world->path->plain[0]);
   cold_list_plain (world, 0, -1);
   cold_load (world, LOAD_EVERY_MS, COLD_START_MS);
--- a/tests/platform/test-worker-bodies.c
+++ b/tests/platform/test-worker-bodies.c
@@ -102,7 +102,7 @@
 {
   for (guint i = 0; i < PATH_MODEL; i++)
     if (standin_worker_get_runs (world->path->model[i])->len > 0
-        && !standin_worker_is_dead (world->path->model[i]))
+        && !standin_worker_is_down (world->path->model[i]))
       return i;
   return PATH_MODEL;
 }
@@ -117,7 +117,7 @@
   groups_submit (world->path, 0, "b1", groups, N_GROUPS);
   AWAIT (busy_worker (world) < PATH_MODEL);
   run_for (EVENT_MS * 3);
-  standin_worker_die (world->path->model[busy_worker (world)]);
+  standin_worker_crash (world->path->model[busy_worker (world)]);
   run_for (EVENT_MS * 3);
   gint leader = path_leader (world->path);
   quince_process_kill (world->path->replicas[leader]);
--- a/tests/platform/test-zone-loss-soak.c
+++ b/tests/platform/test-zone-loss-soak.c
@@ -116,7 +116,7 @@
   if (soak->lost != ZONES)
     return;
   soak->outage_steps = OUTAGE_STEPS;
-  standin_store_set_fault (soak->world->path->store, STANDIN_STORE_BUSY);
+  standin_store_set_fault (soak->world->path->store, STANDIN_STORE_UNAVAILABLE);
 }
 
 static void
@@ -125,7 +125,7 @@
   if (soak->outage_steps > 0 && (now || --soak->outage_steps == 0))
     {
       soak->outage_steps = 0;
-      standin_store_set_fault (soak->world->path->store, STANDIN_STORE_SOUND);
+      standin_store_set_fault (soak->world->path->store, STANDIN_STORE_HEALTHY);
     }
   if (soak->lost != ZONES && (now || --soak->lost_steps == 0))
     {
--- a/tests/platform/zone-world.h
+++ b/tests/platform/zone-world.h
@@ -236,7 +236,7 @@
       quince_process_kill (path->replicas[i]);
   quince_process_kill (path->fronts[zone]);
   for (guint i = zone; i < PATH_PLAIN + PATH_MODEL; i += ZONES)
-    standin_worker_die (zone_worker (world, i));
+    standin_worker_crash (zone_worker (world, i));
   for (guint i = 0; i < PATH_REPLICAS; i++)
     if (path->replicas[i] != NULL && zone_of_replica (world, i) == zone)
       path_wipe_replica (path, i);
@@ -254,7 +254,7 @@
   for (guint i = zone; i < PATH_PLAIN + PATH_MODEL; i += ZONES)
     {
       g_autofree char *id = g_strdup_printf ("w%u-%u", i, ++world->incarnations);
-      standin_worker_revive (zone_worker (world, i), id);
+      standin_worker_restart (zone_worker (world, i), id);
     }
   for (guint i = 0; i < PATH_REPLICAS; i++)
     if (path->replicas[i] != NULL && zone_of_replica (world, i) == zone)
@@ -264,7 +264,7 @@
     {
       g_autofree char *key = g_strconcat ("servers/", standin_worker_get_id (zone_worker (world, i)), NULL);
       g_autofree char *entry
-          = standin_worker_entry (zone_worker (world, i), i < PATH_PLAIN ? "svc" : "llm", "ready");
+          = standin_worker_make_entry (zone_worker (world, i), i < PATH_PLAIN ? "svc" : "llm", "ready");
       standin_store_put (path->store, key, entry);
     }
 }
