--- a/rehearsal/platform/standin-relay.c
+++ b/rehearsal/platform/standin-relay.c
@@ -239,7 +239,7 @@
 
 /* Returns: %FALSE when the connection is refused. */
 static gboolean
-open_upstream (Pair *pair)
+connect_upstream (Pair *pair)
 {
   g_autoptr (GSocket) socket
       = g_socket_new (G_SOCKET_FAMILY_IPV4, G_SOCKET_TYPE_STREAM, G_SOCKET_PROTOCOL_TCP, NULL);
@@ -256,7 +256,7 @@
 static void
 start_relaying (Pair *pair)
 {
-  if (pair->server == NULL && !open_upstream (pair))
+  if (pair->server == NULL && !connect_upstream (pair))
     {
       g_ptr_array_remove (pair->relay->pairs, pair);
       return;
@@ -357,7 +357,7 @@
 }
 
 void
-standin_relay_set_link (StandinRelay *relay, guint delay_ms, guint bytes_per_s)
+standin_relay_set_delay_and_rate (StandinRelay *relay, guint delay_ms, guint bytes_per_s)
 {
   relay->delay_ms = delay_ms;
   relay->bytes_per_s = bytes_per_s;
--- a/rehearsal/platform/standin-relay.h
+++ b/rehearsal/platform/standin-relay.h
@@ -29,7 +29,7 @@
 void standin_relay_set_paused_directions (StandinRelay *relay, gboolean up, gboolean down);
 /* What comes from now on arrives @delay_ms later, and no more than @bytes_per_s each way of each connection;
  * 0: any number. */
-void standin_relay_set_link (StandinRelay *relay, guint delay_ms, guint bytes_per_s);
+void standin_relay_set_delay_and_rate (StandinRelay *relay, guint delay_ms, guint bytes_per_s);
 /* Either way. */
 gboolean standin_relay_is_paused (const StandinRelay *relay);
 /* While it is cut all connections are closed, also new ones: as when a route is rejected. */
--- a/rehearsal/platform/standin-store-calls.c
+++ b/rehearsal/platform/standin-store-calls.c
@@ -13,7 +13,7 @@
 /* ---- JSON ------------------------------------------------------------- */
 
 static void
-append_item (GString *text, const StandinItem *item)
+append_item_json (GString *text, const StandinItem *item)
 {
   if (text->str[text->len - 1] != '[' && text->str[text->len - 1] != '{')
     g_string_append_c (text, ',');
@@ -35,7 +35,7 @@
 /* ---- Watches ---------------------------------------------------------- */
 
 static gboolean
-answer_watch (StandinStore *store, StandinWatch *watch, gboolean even_empty)
+answer_watch_if_due (StandinStore *store, StandinWatch *watch, gboolean even_empty)
 {
   g_autoptr (GString) text = g_string_new ("{\"events\":[");
   guint count = 0;
@@ -45,7 +45,7 @@
       const StandinItem *item = store->history->pdata[i];
       if (item->revision <= watch->after || !g_str_has_prefix (item->key, watch->prefix))
         continue;
-      append_item (text, item);
+      append_item_json (text, item);
       if (count++ == 0)
         first_us = item->at_us;
     }
@@ -69,7 +69,7 @@
       StandinWatch *watch = store->watches->pdata[i - 1];
       if (watch->call->gone)
         standin_call_finish (watch->call);
-      else if (!answer_watch (store, watch, now >= watch->end_us))
+      else if (!answer_watch_if_due (store, watch, now >= watch->end_us))
         continue;
       g_ptr_array_remove_index (store->watches, i - 1);
     }
@@ -99,7 +99,7 @@
       return;
     }
   g_autoptr (GString) text = g_string_new ("{");
-  append_item (text, item);
+  append_item_json (text, item);
   g_string_erase (text, 0, 1);
   g_string_truncate (text, text->len - 1);
   g_string_append_printf (text, ",\"at\":%" G_GUINT64_FORMAT "}", store->revision);
@@ -128,7 +128,7 @@
   g_ptr_array_sort (found, compare_keys);
   g_autoptr (GString) text = g_string_new ("{\"items\":[");
   for (guint i = 0; i < MIN (found->len, LIST_PAGE_MAX_ITEMS); i++)
-    append_item (text, found->pdata[i]);
+    append_item_json (text, found->pdata[i]);
   g_string_append_printf (text, "],\"more\":%s,\"at\":%" G_GUINT64_FORMAT "}",
                           found->len > LIST_PAGE_MAX_ITEMS ? "true" : "false", store->revision);
   answer_json (call, 200, text->str);
--- a/rehearsal/platform/standin-worker.c
+++ b/rehearsal/platform/standin-worker.c
@@ -307,7 +307,7 @@
 }
 
 void
-standin_worker_set_delay (StandinWorker *worker, guint delay_ms)
+standin_worker_set_answer_delay (StandinWorker *worker, guint delay_ms)
 {
   worker->delay_ms = delay_ms;
 }
@@ -353,7 +353,7 @@
 }
 
 void
-standin_worker_set_event_bytes (StandinWorker *worker, guint bytes)
+standin_worker_set_event_padding (StandinWorker *worker, guint bytes)
 {
   worker->event_bytes = bytes;
 }
--- a/rehearsal/platform/standin-worker.h
+++ b/rehearsal/platform/standin-worker.h
@@ -60,7 +60,7 @@
  * @times: how many requests do; G_MAXUINT: all */
 void standin_worker_set_crash_trigger (StandinWorker *worker, const char *text, guint after_ms, guint times);
 /* Time that plain answers take. */
-void standin_worker_set_delay (StandinWorker *worker, guint delay_ms);
+void standin_worker_set_answer_delay (StandinWorker *worker, guint delay_ms);
 /* It refuses requests, as not run, while it works on @requests; G_MAXUINT, the default: never. */
 void standin_worker_set_max_running (StandinWorker *worker, guint requests);
 /* As when its process dies. */
@@ -77,7 +77,7 @@
 void standin_worker_set_zone (StandinWorker *worker, const char *zone);
 void standin_worker_set_events (StandinWorker *worker, guint events, guint pause_ms);
 /* Each event has @bytes more after its name; 0 by default. */
-void standin_worker_set_event_bytes (StandinWorker *worker, guint bytes);
+void standin_worker_set_event_padding (StandinWorker *worker, guint bytes);
 /* Runs so far, StandinRun. */
 const GPtrArray *standin_worker_get_runs (const StandinWorker *worker);
 guint64 standin_worker_get_version (const StandinWorker *worker);
--- a/tests/platform/callers-faults.h
+++ b/tests/platform/callers-faults.h
@@ -74,7 +74,7 @@
 cut_lookups (Scene *scene)
 {
   for (guint i = 0; i < PATH_PLAIN; i++)
-    standin_worker_set_delay (scene->world->path->plain[i], 0);
+    standin_worker_set_answer_delay (scene->world->path->plain[i], 0);
   set_faults (scene, PATH_PLAIN, 0, STANDIN_WORKER_TRUNCATES, CUT_STREAMS);
 }
 
@@ -106,7 +106,7 @@
 set_pace (Scene *scene, guint event_every_ms)
 {
   for (guint i = 0; i < PATH_PLAIN; i++)
-    standin_worker_set_delay (scene->world->path->plain[i], LOOKUP_MS);
+    standin_worker_set_answer_delay (scene->world->path->plain[i], LOOKUP_MS);
   for (guint i = 0; i < PATH_MODEL; i++)
     standin_worker_set_events (scene->world->path->model[i], CALL_EVENTS, event_every_ms);
 }
--- a/tests/platform/regions-world.h
+++ b/tests/platform/regions-world.h
@@ -64,7 +64,7 @@
   for (guint i = 0; i < RELAYED_PROCESSES; i++)
     for (guint j = 0; j < RELAYED_ENDS; j++)
       if (region_of_process (world->path, i) != region_of_end (world->path, j))
-        standin_relay_set_link (world->relays[i][j], way_ms, bytes_per_s);
+        standin_relay_set_delay_and_rate (world->relays[i][j], way_ms, bytes_per_s);
 }
 
 /* Two regions in which no process runs yet. */
--- a/tests/platform/test-evacuation.c
+++ b/tests/platform/test-evacuation.c
@@ -226,7 +226,7 @@
   start (&world, TRUE);
   AWAIT (world.done);
   assert_int_equal (world.status, 200);
-  standin_worker_set_delay (world.workers[1], 2500);
+  standin_worker_set_answer_delay (world.workers[1], 2500);
   start (&world, TRUE);
   AWAIT (world.done);
   assert_int_equal (world.status, 200);
@@ -243,7 +243,7 @@
       World world;
       begin (&world);
       list_worker (&world, 0);
-      standin_worker_set_delay (world.workers[0], 2500);
+      standin_worker_set_answer_delay (world.workers[0], 2500);
       start (&world, repeatable == 1);
       AWAIT (runs (&world, 0) == 1);
       ask (&world, "z1", TRUE);
--- a/tests/platform/test-leaving.c
+++ b/tests/platform/test-leaving.c
@@ -507,7 +507,7 @@
   scene->batches = 0;
   call_load_configure (scene->world->path, 8);
   for (guint i = 0; i < PATH_PLAIN; i++)
-    standin_worker_set_delay (scene->world->path->plain[i], LOOKUP_MS);
+    standin_worker_set_answer_delay (scene->world->path->plain[i], LOOKUP_MS);
   for (guint i = 0; i < PATH_MODEL; i++)
     standin_worker_set_events (scene->world->path->model[i], CALL_EVENTS, EVENT_EVERY_MS);
   relayed_world_start (scene->world);
--- a/tests/platform/test-quarantine-faults.c
+++ b/tests/platform/test-quarantine-faults.c
@@ -57,7 +57,7 @@
 {
   EndsWorld *world = ends_world_start ("neighbours", "poison");
   for (guint i = 0; i < PATH_PLAIN; i++)
-    standin_worker_set_delay (world->path->plain[i], 100);
+    standin_worker_set_answer_delay (world->path->plain[i], 100);
   gboolean served[NEIGHBOURS] = { FALSE };
   for (guint round = 0; round < 10; round++)
     {
--- a/tests/platform/test-regions.c
+++ b/tests/platform/test-regions.c
@@ -130,7 +130,7 @@
 {
   RelayedWorld *world = start ("regions-slow", 0, WAY_MS);
   for (guint i = 0; i < PATH_MODEL; i++)
-    standin_worker_set_event_bytes (world->path->model[i], LONG_EVENT_BYTES);
+    standin_worker_set_event_padding (world->path->model[i], LONG_EVENT_BYTES);
   make_step (world, EAST_FRONT, "long");
   slow_link (world, SLOW_WAY_MS, SLOW_BYTES_PER_S);
   QuinceProcess *leader = world->path->replicas[path_leader (world->path)];
--- a/tests/platform/test-residency.c
+++ b/tests/platform/test-residency.c
@@ -33,9 +33,9 @@
   for (guint i = 0; i < MANY; i++)
     assert_int_equal (residency_lookup (world, i % PATH_FRONTS, NULL), 200);
   /* Neither a second run beside a slow one nor a retry goes elsewhere. */
-  standin_worker_set_delay (world->plain[0], 400);
+  standin_worker_set_answer_delay (world->plain[0], 400);
   assert_int_equal (residency_lookup (world, 0, NULL), 200);
-  standin_worker_set_delay (world->plain[0], 0);
+  standin_worker_set_answer_delay (world->plain[0], 0);
   standin_worker_set_fault (world->plain[0], STANDIN_WORKER_RESETS, 1);
   residency_lookup (world, 2, NULL);
   standin_worker_set_fault (world->plain[0], STANDIN_WORKER_REFUSES, G_MAXUINT);
