--- a/rehearsal/platform/standin-relay.c
+++ b/rehearsal/platform/standin-relay.c
@@ -14,28 +14,28 @@
 /* With a rate: size of the kernel's buffers, bytes: few wait there, as on a link that is full. */
 #define RATE_LIMITED_BUFFER_BYTES 16384
 
-typedef struct _Pair Pair;
+typedef struct _RelayedConnection RelayedConnection;
 
 /* One way of a connection: what came waits in `pending` until it is sent. */
 typedef struct
 {
-  Pair *pair;
+  RelayedConnection *connection;
   GSocket *from; /* not owned */
   GSocket *to;   /* not owned */
   GByteArray *pending;
-  GSource *source; /* NULL while the way is held */
-  gint64 due_us;   /* what is pending is sent then */
-  guint passed;    /* bytes */
-  gboolean ended;  /* the receiver's end is shut down */
+  GSource *source;       /* NULL while the way is held */
+  gint64 send_due_us;    /* what is pending is sent then */
+  guint forwarded_bytes; /* bytes */
+  gboolean is_shut_down; /* the receiver's end is shut down */
 } Flow;
 
-struct _Pair
+struct _RelayedConnection
 {
   StandinRelay *relay;
   GSocket *client;
   GSocket *server; /* NULL until the relay is held no more */
-  Flow up;
-  Flow down;
+  Flow upstream;
+  Flow downstream;
 };
 
 struct _StandinRelay
@@ -43,19 +43,19 @@
   GSocket *listener;
   GSource *source;
   char *address;
-  GSocketAddress *upstream;
-  GPtrArray *pairs; /* Pair, owned */
+  GSocketAddress *upstream_address;
+  GPtrArray *connections; /* Pair, owned */
   gboolean upstream_paused;
   gboolean downstream_paused;
   guint delay_ms;
   guint bytes_per_s; /* 0: no bound */
   gboolean cut;
-  guint limit;                       /* bytes on one connection; 0: none */
-  StandinRelayDirection limited;     /* which way they are counted */
-  StandinRelayDirection half_closed; /* which way */
+  guint byte_limit;                            /* bytes on one connection; 0: none */
+  StandinRelayDirection limited_direction;     /* which way they are counted */
+  StandinRelayDirection half_closed_direction; /* which way */
 };
 
-static void arm (Flow *way);
+static void arm_flow (Flow *flow);
 
 static void
 source_clear (GSource **source)
@@ -66,38 +66,38 @@
 }
 
 static void
-flow_clear (Flow *way)
+flow_clear (Flow *flow)
 {
-  source_clear (&way->source);
-  g_clear_pointer (&way->pending, g_byte_array_unref);
+  source_clear (&flow->source);
+  g_clear_pointer (&flow->pending, g_byte_array_unref);
 }
 
 static void
 relayed_connection_free (gpointer data)
 {
-  Pair *pair = data;
-  flow_clear (&pair->up);
-  flow_clear (&pair->down);
-  g_socket_close (pair->client, NULL);
-  g_object_unref (pair->client);
-  if (pair->server != NULL)
-    g_socket_close (pair->server, NULL);
-  g_clear_object (&pair->server);
-  g_free (pair);
+  RelayedConnection *connection = data;
+  flow_clear (&connection->upstream);
+  flow_clear (&connection->downstream);
+  g_socket_close (connection->client, NULL);
+  g_object_unref (connection->client);
+  if (connection->server != NULL)
+    g_socket_close (connection->server, NULL);
+  g_clear_object (&connection->server);
+  g_free (connection);
 }
 
 static StandinRelayDirection
-get_flow_direction (const Flow *way)
+get_flow_direction (const Flow *flow)
 {
-  return way == &way->pair->up ? STANDIN_RELAY_REQUESTS : STANDIN_RELAY_ANSWERS;
+  return flow == &flow->connection->upstream ? STANDIN_RELAY_REQUESTS : STANDIN_RELAY_ANSWERS;
 }
 
 static gboolean
-is_held (const Flow *way)
+is_paused (const Flow *flow)
 {
-  const StandinRelay *relay = way->pair->relay;
-  return get_flow_direction (way) == STANDIN_RELAY_REQUESTS ? relay->upstream_paused
-                                                            : relay->downstream_paused;
+  const StandinRelay *relay = flow->connection->relay;
+  return get_flow_direction (flow) == STANDIN_RELAY_REQUESTS ? relay->upstream_paused
+                                                             : relay->downstream_paused;
 }
 
 static gsize
@@ -109,160 +109,166 @@
 
 /* When what came just now is at the other end. */
 static void
-set_send_time (Flow *way, gsize length)
+set_send_time (Flow *flow, gsize length)
 {
-  const StandinRelay *relay = way->pair->relay;
-  gint64 passing_us = relay->bytes_per_s > 0 ? (gint64)length * G_USEC_PER_SEC / relay->bytes_per_s : 0;
-  way->due_us = g_get_monotonic_time () + relay->delay_ms * 1000 + passing_us;
+  const StandinRelay *relay = flow->connection->relay;
+  gint64 transfer_us = relay->bytes_per_s > 0 ? (gint64)length * G_USEC_PER_SEC / relay->bytes_per_s : 0;
+  flow->send_due_us = g_get_monotonic_time () + relay->delay_ms * 1000 + transfer_us;
 }
 
 /* Returns: whether the connection goes on. */
 static gboolean
-receive (Flow *way)
+receive_chunk (Flow *flow)
 {
   guint8 chunk[CHUNK_MAX_BYTES];
   g_autoptr (GError) error = NULL;
-  gssize length
-      = g_socket_receive (way->from, (char *)chunk, get_chunk_max_bytes (way->pair->relay), NULL, &error);
+  gssize length = g_socket_receive (flow->from, (char *)chunk, get_chunk_max_bytes (flow->connection->relay),
+                                    NULL, &error);
   if (length > 0)
     {
-      g_byte_array_append (way->pending, chunk, (guint)length);
-      set_send_time (way, (gsize)length);
+      g_byte_array_append (flow->pending, chunk, (guint)length);
+      set_send_time (flow, (gsize)length);
     }
   return length > 0 || g_error_matches (error, G_IO_ERROR, G_IO_ERROR_WOULD_BLOCK);
 }
 
 /* Returns: how many bytes may still pass. */
 static guint
-allowance (const Flow *way)
+get_sendable_bytes (const Flow *flow)
 {
-  const StandinRelay *relay = way->pair->relay;
-  if (relay->limit == 0 || relay->limited != get_flow_direction (way))
+  const StandinRelay *relay = flow->connection->relay;
+  if (relay->byte_limit == 0 || relay->limited_direction != get_flow_direction (flow))
     return G_MAXUINT;
-  return relay->limit > way->passed ? relay->limit - way->passed : 0;
+  return relay->byte_limit > flow->forwarded_bytes ? relay->byte_limit - flow->forwarded_bytes : 0;
 }
 
 /* Returns: whether the connection goes on. */
 static gboolean
-forward (Flow *way)
+send_pending (Flow *flow)
 {
-  if (way->pending->len == 0 || way->due_us > g_get_monotonic_time ())
+  if (flow->pending->len == 0 || flow->send_due_us > g_get_monotonic_time ())
     return TRUE;
-  guint allowed = MIN (way->pending->len, allowance (way));
-  if (allowed == 0)
+  guint sendable_bytes = MIN (flow->pending->len, get_sendable_bytes (flow));
+  if (sendable_bytes == 0)
     return FALSE;
   g_autoptr (GError) error = NULL;
-  gssize length = g_socket_send (way->to, (const char *)way->pending->data, allowed, NULL, &error);
+  gssize length = g_socket_send (flow->to, (const char *)flow->pending->data, sendable_bytes, NULL, &error);
   if (length > 0)
     {
-      g_byte_array_remove_range (way->pending, 0, (guint)length);
-      way->passed += (guint)length;
+      g_byte_array_remove_range (flow->pending, 0, (guint)length);
+      flow->forwarded_bytes += (guint)length;
     }
   return length > 0 || g_error_matches (error, G_IO_ERROR, G_IO_ERROR_WOULD_BLOCK);
 }
 
 static gboolean
-is_half_closed (const Flow *way)
+is_half_closed (const Flow *flow)
 {
-  return way->pair->relay->half_closed == get_flow_direction (way);
+  return flow->connection->relay->half_closed_direction == get_flow_direction (flow);
 }
 
 /* Drops what waits and shuts the receiver's end down. */
 static void
-shut_down_flow (Flow *way)
+shut_down_flow (Flow *flow)
 {
-  g_byte_array_set_size (way->pending, 0);
-  if (!way->ended)
-    g_socket_shutdown (way->to, FALSE, TRUE, NULL);
-  way->ended = TRUE;
+  g_byte_array_set_size (flow->pending, 0);
+  if (!flow->is_shut_down)
+    g_socket_shutdown (flow->to, FALSE, TRUE, NULL);
+  flow->is_shut_down = TRUE;
 }
 
 /* Returns: whether the connection goes on. */
 static gboolean
-pass (Flow *way)
+transfer (Flow *flow)
 {
-  if (is_half_closed (way))
-    shut_down_flow (way);
-  if (way->pending->len == 0 && !receive (way))
+  if (is_half_closed (flow))
+    shut_down_flow (flow);
+  if (flow->pending->len == 0 && !receive_chunk (flow))
     return FALSE;
-  if (way->ended || is_half_closed (way))
+  if (flow->is_shut_down || is_half_closed (flow))
     {
-      shut_down_flow (way);
+      shut_down_flow (flow);
       return TRUE;
     }
-  return forward (way);
+  return send_pending (flow);
 }
 
 static gboolean
-step (Flow *way)
+run_flow (Flow *flow)
 {
-  if (pass (way))
-    arm (way);
+  if (transfer (flow))
+    arm_flow (flow);
   else
-    g_ptr_array_remove (way->pair->relay->pairs, way->pair);
+    g_ptr_array_remove (flow->connection->relay->connections, flow->connection);
   return G_SOURCE_REMOVE;
 }
 
 static gboolean
 flow_ready (GSocket *socket, GIOCondition condition, gpointer data)
 {
-  return step (data);
+  return run_flow (data);
 }
 
 static gboolean
 flow_timer_fired (gpointer data)
 {
-  return step (data);
+  return run_flow (data);
 }
 
 /* Waits for more, or until what came can be sent. */
 static void
-arm (Flow *way)
+arm_flow (Flow *flow)
 {
-  source_clear (&way->source);
-  if (is_held (way) || way->pair->server == NULL)
+  source_clear (&flow->source);
+  if (is_paused (flow) || flow->connection->server == NULL)
     return;
-  gboolean sends = way->pending->len > 0;
-  gint64 wait_us = sends ? way->due_us - g_get_monotonic_time () : 0;
+  gboolean has_pending = flow->pending->len > 0;
+  gint64 wait_us = has_pending ? flow->send_due_us - g_get_monotonic_time () : 0;
   if (wait_us > 0)
     {
-      way->source = g_timeout_source_new ((guint)(wait_us / 1000) + 1);
-      g_source_set_callback (way->source, flow_timer_fired, way, NULL);
+      flow->source = g_timeout_source_new ((guint)(wait_us / 1000) + 1);
+      g_source_set_callback (flow->source, flow_timer_fired, flow, NULL);
     }
   else
     {
-      way->source = g_socket_create_source (sends ? way->to : way->from, sends ? G_IO_OUT : G_IO_IN, NULL);
-      g_source_set_callback (way->source, G_SOURCE_FUNC (flow_ready), way, NULL);
+      flow->source = g_socket_create_source (has_pending ? flow->to : flow->from,
+                                             has_pending ? G_IO_OUT : G_IO_IN, NULL);
+      g_source_set_callback (flow->source, G_SOURCE_FUNC (flow_ready), flow, NULL);
     }
-  g_source_attach (way->source, NULL);
+  g_source_attach (flow->source, NULL);
 }
 
 /* Returns: %FALSE when the connection is refused. */
 static gboolean
-connect_upstream (Pair *pair)
+connect_upstream (RelayedConnection *connection)
 {
   g_autoptr (GSocket) socket
       = g_socket_new (G_SOCKET_FAMILY_IPV4, G_SOCKET_TYPE_STREAM, G_SOCKET_PROTOCOL_TCP, NULL);
-  if (!g_socket_connect (socket, pair->relay->upstream, NULL, NULL))
+  if (!g_socket_connect (socket, connection->relay->upstream_address, NULL, NULL))
     return FALSE;
   g_socket_set_blocking (socket, FALSE);
-  pair->server = g_steal_pointer (&socket);
-  pair->up = (Flow){ .pair = pair, .from = pair->client, .to = pair->server, .pending = g_byte_array_new () };
-  pair->down
-      = (Flow){ .pair = pair, .from = pair->server, .to = pair->client, .pending = g_byte_array_new () };
+  connection->server = g_steal_pointer (&socket);
+  connection->upstream = (Flow){ .connection = connection,
+                                 .from = connection->client,
+                                 .to = connection->server,
+                                 .pending = g_byte_array_new () };
+  connection->downstream = (Flow){ .connection = connection,
+                                   .from = connection->server,
+                                   .to = connection->client,
+                                   .pending = g_byte_array_new () };
   return TRUE;
 }
 
 static void
-start_relaying (Pair *pair)
+start_relaying (RelayedConnection *connection)
 {
-  if (pair->server == NULL && !connect_upstream (pair))
+  if (connection->server == NULL && !connect_upstream (connection))
     {
-      g_ptr_array_remove (pair->relay->pairs, pair);
+      g_ptr_array_remove (connection->relay->connections, connection);
       return;
     }
-  arm (&pair->up);
-  arm (&pair->down);
+  arm_flow (&connection->upstream);
+  arm_flow (&connection->downstream);
 }
 
 static gboolean
@@ -281,29 +287,30 @@
     }
   if (relay->bytes_per_s > 0)
     g_socket_set_option (client, SOL_SOCKET, SO_RCVBUF, RATE_LIMITED_BUFFER_BYTES, NULL);
-  Pair *pair = g_new0 (Pair, 1);
-  pair->relay = relay;
-  pair->client = client;
-  g_ptr_array_add (relay->pairs, pair);
+  RelayedConnection *connection = g_new0 (RelayedConnection, 1);
+  connection->relay = relay;
+  connection->client = client;
+  g_ptr_array_add (relay->connections, connection);
   if (!relay->upstream_paused)
-    start_relaying (pair);
+    start_relaying (connection);
   return G_SOURCE_CONTINUE;
 }
 
 /* ---- Public ----------------------------------------------------------- */
 
 StandinRelay *
-standin_relay_new (const char *upstream)
+standin_relay_new (const char *upstream_address)
 {
   StandinRelay *relay = g_new0 (StandinRelay, 1);
-  g_auto (GStrv) parts = g_strsplit (upstream, ":", 2);
-  relay->upstream
+  g_auto (GStrv) parts = g_strsplit (upstream_address, ":", 2);
+  relay->upstream_address
       = g_inet_socket_address_new_from_string (parts[0], (guint)g_ascii_strtoull (parts[1], NULL, 10));
-  relay->pairs = g_ptr_array_new_with_free_func (relayed_connection_free);
-  g_autoptr (GSocketAddress) any = g_inet_socket_address_new_from_string ("127.0.0.1", 0);
+  relay->connections = g_ptr_array_new_with_free_func (relayed_connection_free);
+  g_autoptr (GSocketAddress) any_port = g_inet_socket_address_new_from_string ("127.0.0.1", 0);
   relay->listener = g_socket_new (G_SOCKET_FAMILY_IPV4, G_SOCKET_TYPE_STREAM, G_SOCKET_PROTOCOL_TCP, NULL);
   g_socket_set_blocking (relay->listener, FALSE);
-  g_assert_true (g_socket_bind (relay->listener, any, TRUE, NULL) && g_socket_listen (relay->listener, NULL));
+  g_assert_true (g_socket_bind (relay->listener, any_port, TRUE, NULL)
+                 && g_socket_listen (relay->listener, NULL));
   g_autoptr (GSocketAddress) local = g_socket_get_local_address (relay->listener, NULL);
   relay->address
       = g_strdup_printf ("127.0.0.1:%u", g_inet_socket_address_get_port (G_INET_SOCKET_ADDRESS (local)));
@@ -319,8 +326,8 @@
   source_clear (&relay->source);
   g_socket_close (relay->listener, NULL);
   g_object_unref (relay->listener);
-  g_ptr_array_unref (relay->pairs);
-  g_object_unref (relay->upstream);
+  g_ptr_array_unref (relay->connections);
+  g_object_unref (relay->upstream_address);
   g_free (relay->address);
   g_free (relay);
 }
@@ -332,28 +339,28 @@
 }
 
 void
-standin_relay_set_paused_directions (StandinRelay *relay, gboolean up, gboolean down)
+standin_relay_set_paused_directions (StandinRelay *relay, gboolean upstream, gboolean downstream)
 {
-  if (relay->upstream_paused == up && relay->downstream_paused == down)
+  if (relay->upstream_paused == upstream && relay->downstream_paused == downstream)
     return;
-  relay->upstream_paused = up;
-  relay->downstream_paused = down;
-  for (guint i = relay->pairs->len; i > 0; i--)
+  relay->upstream_paused = upstream;
+  relay->downstream_paused = downstream;
+  for (guint i = relay->connections->len; i > 0; i--)
     {
-      Pair *pair = relay->pairs->pdata[i - 1];
-      if (up)
-        source_clear (&pair->up.source);
-      if (down)
-        source_clear (&pair->down.source);
-      if (!up || pair->server != NULL)
-        start_relaying (pair);
+      RelayedConnection *connection = relay->connections->pdata[i - 1];
+      if (upstream)
+        source_clear (&connection->upstream.source);
+      if (downstream)
+        source_clear (&connection->downstream.source);
+      if (!upstream || connection->server != NULL)
+        start_relaying (connection);
     }
 }
 
 void
-standin_relay_set_paused (StandinRelay *relay, gboolean held)
+standin_relay_set_paused (StandinRelay *relay, gboolean paused)
 {
-  standin_relay_set_paused_directions (relay, held, held);
+  standin_relay_set_paused_directions (relay, paused, paused);
 }
 
 void
@@ -368,27 +375,27 @@
 {
   relay->cut = cut;
   if (cut)
-    g_ptr_array_set_size (relay->pairs, 0);
+    g_ptr_array_set_size (relay->connections, 0);
 }
 
 void
-standin_relay_set_byte_limit (StandinRelay *relay, StandinRelayDirection way, guint bytes)
+standin_relay_set_byte_limit (StandinRelay *relay, StandinRelayDirection direction, guint bytes)
 {
-  relay->limited = way;
-  relay->limit = bytes;
+  relay->limited_direction = direction;
+  relay->byte_limit = bytes;
 }
 
 void
-standin_relay_set_half_closed (StandinRelay *relay, StandinRelayDirection way)
+standin_relay_set_half_closed (StandinRelay *relay, StandinRelayDirection direction)
 {
-  relay->half_closed = way;
-  for (guint i = 0; i < relay->pairs->len; i++)
+  relay->half_closed_direction = direction;
+  for (guint i = 0; i < relay->connections->len; i++)
     {
-      Pair *pair = relay->pairs->pdata[i];
-      if (pair->server != NULL && way == STANDIN_RELAY_REQUESTS)
-        shut_down_flow (&pair->up);
-      if (pair->server != NULL && way == STANDIN_RELAY_ANSWERS)
-        shut_down_flow (&pair->down);
+      RelayedConnection *connection = relay->connections->pdata[i];
+      if (connection->server != NULL && direction == STANDIN_RELAY_REQUESTS)
+        shut_down_flow (&connection->upstream);
+      if (connection->server != NULL && direction == STANDIN_RELAY_ANSWERS)
+        shut_down_flow (&connection->downstream);
     }
 }
 
@@ -401,5 +408,5 @@
 guint
 standin_relay_get_n_connections (const StandinRelay *relay)
 {
-  return relay->pairs->len;
+  return relay->connections->len;
 }
--- a/rehearsal/platform/standin-relay.h
+++ b/rehearsal/platform/standin-relay.h
@@ -24,7 +24,7 @@
 const char *standin_relay_get_address (const StandinRelay *relay);
 /* While it is held nothing passes either way and no connection is closed, as in a network partition.  Bytes
  * on their way pass afterwards. */
-void standin_relay_set_paused (StandinRelay *relay, gboolean held);
+void standin_relay_set_paused (StandinRelay *relay, gboolean paused);
 /* The same for each way: @up from the connecting side. */
 void standin_relay_set_paused_directions (StandinRelay *relay, gboolean up, gboolean down);
 /* What comes from now on arrives @delay_ms later, and no more than @bytes_per_s each way of each connection;
@@ -35,9 +35,9 @@
 /* While it is cut all connections are closed, also new ones: as when a route is rejected. */
 void standin_relay_set_cut (StandinRelay *relay, gboolean cut);
 /* Each connection is closed instead of passing more than @bytes that way; 0: no limit. */
-void standin_relay_set_byte_limit (StandinRelay *relay, StandinRelayDirection way, guint bytes);
+void standin_relay_set_byte_limit (StandinRelay *relay, StandinRelayDirection direction, guint bytes);
 /* While it is set, bytes that come that way are dropped and the receiver's end of each connection is shut
  * down. */
-void standin_relay_set_half_closed (StandinRelay *relay, StandinRelayDirection way);
+void standin_relay_set_half_closed (StandinRelay *relay, StandinRelayDirection direction);
 /* Connections that are open, or wait to be opened until the relay is held no more. */
 guint standin_relay_get_n_connections (const StandinRelay *relay);
--- a/rehearsal/platform/standin-server.c
+++ b/rehearsal/platform/standin-server.c
@@ -21,7 +21,7 @@
 struct _StandinServer
 {
   QuinceAcceptor *acceptor; /* NULL while it is dead */
-  GSocket *reserved;        /* keeps the port of a dead server from others; NULL while it lives */
+  GSocket *reserved_socket; /* keeps the port of a dead server from others; NULL while it lives */
   char *address;
   GHashTable *connections;
   void (*handler) (StandinCall *, gpointer);
@@ -40,7 +40,7 @@
 connection_free (Connection *connection)
 {
   if (connection->call != NULL)
-    connection->call->gone = TRUE;
+    connection->call->disconnected = TRUE;
   g_hash_table_remove (connection->server->connections, connection);
   quince_http_connection_close (connection->http);
   quince_http_connection_unref (connection->http);
@@ -88,7 +88,7 @@
     = { .head = http_head, .body = http_body, .complete = http_complete, .closed = http_closed };
 
 static void
-accepted (GSocket *socket, gpointer data)
+handle_accepted (GSocket *socket, gpointer data)
 {
   StandinServer *server = data;
   Connection *connection = g_new0 (Connection, 1);
@@ -105,7 +105,7 @@
   server->connections = g_hash_table_new (NULL, NULL);
   server->handler = handler;
   server->user_data = user_data;
-  server->acceptor = quince_acceptor_new ("127.0.0.1:0", accepted, server, NULL);
+  server->acceptor = quince_acceptor_new ("127.0.0.1:0", handle_accepted, server, NULL);
   g_assert_nonnull (server->acceptor);
   server->address = g_strdup (quince_acceptor_get_address (server->acceptor));
   return server;
@@ -114,22 +114,23 @@
 void
 standin_server_close_connections (StandinServer *server)
 {
-  g_autoptr (GPtrArray) all = g_ptr_array_new ();
+  g_autoptr (GPtrArray) open_connections = g_ptr_array_new ();
   GHashTableIter iter;
   gpointer connection;
   g_hash_table_iter_init (&iter, server->connections);
   while (g_hash_table_iter_next (&iter, &connection, NULL))
-    g_ptr_array_add (all, connection);
-  for (guint i = 0; i < all->len; i++)
-    connection_free (all->pdata[i]);
+    g_ptr_array_add (open_connections, connection);
+  for (guint i = 0; i < open_connections->len; i++)
+    connection_free (open_connections->pdata[i]);
 }
 
 /* The next close of @connection is a reset. */
 static void
 enable_reset_on_close (const Connection *connection)
 {
-  const struct linger now = { .l_onoff = 1, .l_linger = 0 };
-  setsockopt (g_socket_get_fd (connection->socket), SOL_SOCKET, SO_LINGER, &now, sizeof now);
+  const struct linger reset_linger = { .l_onoff = 1, .l_linger = 0 };
+  setsockopt (g_socket_get_fd (connection->socket), SOL_SOCKET, SO_LINGER, &reset_linger,
+              sizeof reset_linger);
 }
 
 GSocket *
@@ -149,8 +150,8 @@
 standin_server_crash (StandinServer *server)
 {
   g_clear_pointer (&server->acceptor, quince_acceptor_free);
-  if (server->reserved == NULL)
-    server->reserved = standin_reserve_port (server->address);
+  if (server->reserved_socket == NULL)
+    server->reserved_socket = standin_reserve_port (server->address);
   GHashTableIter iter;
   gpointer connection;
   g_hash_table_iter_init (&iter, server->connections);
@@ -164,9 +165,9 @@
 {
   if (server->acceptor != NULL)
     return;
-  g_socket_close (server->reserved, NULL);
-  g_clear_object (&server->reserved);
-  server->acceptor = quince_acceptor_new (server->address, accepted, server, NULL);
+  g_socket_close (server->reserved_socket, NULL);
+  g_clear_object (&server->reserved_socket);
+  server->acceptor = quince_acceptor_new (server->address, handle_accepted, server, NULL);
   g_assert_nonnull (server->acceptor);
 }
 
@@ -176,7 +177,7 @@
   g_clear_pointer (&server->acceptor, quince_acceptor_free);
   standin_server_close_connections (server);
   g_hash_table_unref (server->connections);
-  g_clear_object (&server->reserved);
+  g_clear_object (&server->reserved_socket);
   g_free (server->address);
   g_free (server);
 }
@@ -204,7 +205,7 @@
 {
   GHashTableIter iter;
   gpointer value;
-  if (call->gone)
+  if (call->disconnected)
     return NULL; /* its server may be gone too */
   g_hash_table_iter_init (&iter, call->server->connections);
   while (g_hash_table_iter_next (&iter, &value, NULL))
@@ -216,7 +217,7 @@
 void
 standin_call_write (StandinCall *call, const char *bytes)
 {
-  if (!call->gone)
+  if (!call->disconnected)
     quince_http_connection_write (call->connection, bytes, strlen (bytes));
 }
 
@@ -238,7 +239,7 @@
   g_autofree char *head = g_strdup_printf (
       "HTTP/1.1 %u Status\r\n%sContent-Length: %" G_GSIZE_FORMAT "\r\n\r\n", status, headers, bytes);
   standin_call_write (call, head);
-  if (!call->gone)
+  if (!call->disconnected)
     quince_http_connection_write (call->connection, body, bytes);
   standin_call_finish (call);
 }
--- a/rehearsal/platform/standin-server.h
+++ b/rehearsal/platform/standin-server.h
@@ -18,7 +18,7 @@
   QuinceHttpConnection *connection;
   QuinceHttpHead *head;
   GByteArray *body;
-  gboolean gone; /* its caller closed */
+  gboolean disconnected; /* its caller closed */
 };
 
 /* @handler: called with each request; a call stays valid until a function below releases it, also when its
--- a/rehearsal/platform/standin-store-calls.c
+++ b/rehearsal/platform/standin-store-calls.c
@@ -21,7 +21,7 @@
                           item->revision);
   if (item->value != NULL)
     g_string_append_printf (text, ",\"value\":\"%s\",\"made\":1,\"lease\":%" G_GUINT64_FORMAT "}",
-                            item->value, item->lease);
+                            item->value, item->lease_id);
   else
     g_string_append (text, ",\"gone\":true}");
 }
@@ -35,23 +35,23 @@
 /* ---- Watches ---------------------------------------------------------- */
 
 static gboolean
-answer_watch_if_due (StandinStore *store, StandinWatch *watch, gboolean even_empty)
+answer_watch_if_due (StandinStore *store, StandinWatch *watch, gboolean allow_empty)
 {
   g_autoptr (GString) text = g_string_new ("{\"events\":[");
   guint count = 0;
-  gint64 first_us = 0;
+  gint64 first_change_us = 0;
   for (guint i = 0; i < store->history->len; i++)
     {
       const StandinItem *item = store->history->pdata[i];
-      if (item->revision <= watch->after || !g_str_has_prefix (item->key, watch->prefix))
+      if (item->revision <= watch->after_revision || !g_str_has_prefix (item->key, watch->prefix))
         continue;
       append_item_json (text, item);
       if (count++ == 0)
-        first_us = item->at_us;
+        first_change_us = item->changed_us;
     }
-  if (count == 0 && !even_empty)
+  if (count == 0 && !allow_empty)
     return FALSE;
-  if (count > 0 && g_get_monotonic_time () < first_us + store->watch_delay_us)
+  if (count > 0 && g_get_monotonic_time () < first_change_us + store->watch_delay_us)
     return FALSE;
   g_string_append_printf (text, "],\"at\":%" G_GUINT64_FORMAT "}", store->revision);
   answer_json (watch->call, 200, text->str);
@@ -67,9 +67,9 @@
   for (guint i = store->watches->len; i > 0; i--)
     {
       StandinWatch *watch = store->watches->pdata[i - 1];
-      if (watch->call->gone)
+      if (watch->call->disconnected)
         standin_call_finish (watch->call);
-      else if (!answer_watch_if_due (store, watch, now >= watch->end_us))
+      else if (!answer_watch_if_due (store, watch, now >= watch->deadline_us))
         continue;
       g_ptr_array_remove_index (store->watches, i - 1);
     }
@@ -78,7 +78,7 @@
 /* ---- Calls ------------------------------------------------------------ */
 
 static char *
-query (const StandinCall *call, const char *name)
+get_query_parameter (const StandinCall *call, const char *name)
 {
   const char *start = strchr (call->head->target, '?');
   if (start == NULL)
@@ -89,9 +89,9 @@
 }
 
 static void
-get_key (StandinStore *store, StandinCall *call)
+handle_key_read (StandinStore *store, StandinCall *call)
 {
-  g_autofree char *key = query (call, "tlsKey");
+  g_autofree char *key = get_query_parameter (call, "tlsKey");
   const StandinItem *item = g_hash_table_lookup (store->items, key);
   if (item == NULL)
     {
@@ -113,43 +113,43 @@
 }
 
 static void
-get_range (StandinStore *store, StandinCall *call)
+handle_list (StandinStore *store, StandinCall *call)
 {
-  g_autofree char *prefix = query (call, "pathPrefix");
-  g_autofree char *after = query (call, "afterRev");
-  g_autoptr (GPtrArray) found = g_ptr_array_new ();
+  g_autofree char *prefix = get_query_parameter (call, "pathPrefix");
+  g_autofree char *after_key = get_query_parameter (call, "afterRev");
+  g_autoptr (GPtrArray) matches = g_ptr_array_new ();
   GHashTableIter iter;
   gpointer value;
   g_hash_table_iter_init (&iter, store->items);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     if (g_str_has_prefix (((StandinItem *)value)->key, prefix)
-        && strcmp (((StandinItem *)value)->key, after) > 0)
-      g_ptr_array_add (found, value);
-  g_ptr_array_sort (found, compare_keys);
+        && strcmp (((StandinItem *)value)->key, after_key) > 0)
+      g_ptr_array_add (matches, value);
+  g_ptr_array_sort (matches, compare_keys);
   g_autoptr (GString) text = g_string_new ("{\"items\":[");
-  for (guint i = 0; i < MIN (found->len, LIST_PAGE_MAX_ITEMS); i++)
-    append_item_json (text, found->pdata[i]);
+  for (guint i = 0; i < MIN (matches->len, LIST_PAGE_MAX_ITEMS); i++)
+    append_item_json (text, matches->pdata[i]);
   g_string_append_printf (text, "],\"more\":%s,\"at\":%" G_GUINT64_FORMAT "}",
-                          found->len > LIST_PAGE_MAX_ITEMS ? "true" : "false", store->revision);
+                          matches->len > LIST_PAGE_MAX_ITEMS ? "true" : "false", store->revision);
   answer_json (call, 200, text->str);
 }
 
 static void
-begin_watch (StandinStore *store, StandinCall *call)
+handle_watch (StandinStore *store, StandinCall *call)
 {
-  g_autofree char *after = query (call, "afterRev");
-  g_autofree char *wait = query (call, "waitMs");
-  guint64 revision = g_ascii_strtoull (after, NULL, 10);
-  if (revision < store->oldest)
+  g_autofree char *revision_text = get_query_parameter (call, "afterRev");
+  g_autofree char *wait_ms_text = get_query_parameter (call, "waitMs");
+  guint64 revision = g_ascii_strtoull (revision_text, NULL, 10);
+  if (revision < store->oldest_revision)
     {
       answer_json (call, 410, "{}");
       return;
     }
   StandinWatch *watch = g_new0 (StandinWatch, 1);
   watch->call = call;
-  watch->prefix = query (call, "pathPrefix");
-  watch->after = revision;
-  watch->end_us = g_get_monotonic_time () + g_ascii_strtoll (wait, NULL, 10) * 1000;
+  watch->prefix = get_query_parameter (call, "pathPrefix");
+  watch->after_revision = revision;
+  watch->deadline_us = g_get_monotonic_time () + g_ascii_strtoll (wait_ms_text, NULL, 10) * 1000;
   g_ptr_array_add (store->watches, watch);
   standin_store_check_watches (store);
 }
@@ -184,10 +184,10 @@
   for (guint i = 0; i < json_array_get_length (puts); i++)
     {
       JsonObject *put = json_array_get_object_element (puts, i);
-      guint64 lease
+      guint64 lease_id
           = json_object_has_member (put, "lease") ? (guint64)json_object_get_int_member (put, "lease") : 0;
       standin_store_change (store, json_object_get_string_member (put, "tlsKey"),
-                            json_object_get_string_member (put, "value"), lease);
+                            json_object_get_string_member (put, "value"), lease_id);
     }
   JsonArray *removes = json_object_get_array_member (object, "remove");
   for (guint i = 0; i < json_array_get_length (removes); i++)
@@ -204,21 +204,21 @@
 }
 
 static void
-open_lease (StandinStore *store, StandinCall *call)
+handle_lease_open (StandinStore *store, StandinCall *call)
 {
   g_autofree char *body = g_strndup ((const char *)call->body->data, call->body->len);
-  const char *number = strchr (body, ':');
+  const char *ttl_text = strchr (body, ':');
   StandinLease *lease = g_new0 (StandinLease, 1);
-  lease->id = ++store->next_lease;
-  lease->ttl_us = g_ascii_strtoll (number + 1, NULL, 10) * 1000;
-  lease->end_us = g_get_monotonic_time () + lease->ttl_us;
+  lease->id = ++store->last_lease_id;
+  lease->ttl_us = g_ascii_strtoll (ttl_text + 1, NULL, 10) * 1000;
+  lease->expires_us = g_get_monotonic_time () + lease->ttl_us;
   g_hash_table_insert (store->leases, &lease->id, lease);
   g_autofree char *text = g_strdup_printf ("{\"lease\":%" G_GUINT64_FORMAT ",\"ttl_ms\":1000}", lease->id);
   answer_json (call, 200, text);
 }
 
 static void
-renew_lease (StandinStore *store, StandinCall *call, const char *id_text)
+handle_lease_renewal (StandinStore *store, StandinCall *call, const char *id_text)
 {
   gint64 id = g_ascii_strtoll (id_text, NULL, 10);
   StandinLease *lease = g_hash_table_lookup (store->leases, &id);
@@ -227,7 +227,7 @@
       answer_json (call, 404, "{}");
       return;
     }
-  lease->end_us = g_get_monotonic_time () + lease->ttl_us;
+  lease->expires_us = g_get_monotonic_time () + lease->ttl_us;
   answer_json (call, 200, "{\"ttl_ms\":1000}");
 }
 
@@ -242,12 +242,12 @@
 {
   StandinStore *store = data;
   const char *target = call->head->target;
-  store->calls++;
-  store->lists += g_str_has_prefix (target, "/quinceroute/kv-range?");
+  store->n_calls++;
+  store->n_list_calls += g_str_has_prefix (target, "/quinceroute/kv-range?");
   if (store->fault == STANDIN_STORE_UNRESPONSIVE)
-    g_ptr_array_add (store->unanswered, call);
+    g_ptr_array_add (store->unanswered_calls, call);
   else if (store->fault == STANDIN_STORE_MALFORMED_ANSWERS)
-    answer_json (call, 200, store->nonsense);
+    answer_json (call, 200, store->malformed_answer);
   else if (store->fault == STANDIN_STORE_UNAVAILABLE)
     answer_json (call, 503, "{}");
   else if (store->fault == STANDIN_STORE_CLOSES_CONNECTIONS)
@@ -260,17 +260,17 @@
            && g_str_has_prefix (target, "/quinceroute/kv-key?"))
     answer_json (call, 503, "{}");
   else if (g_str_has_prefix (target, "/quinceroute/kv-key?"))
-    get_key (store, call);
+    handle_key_read (store, call);
   else if (g_str_has_prefix (target, "/quinceroute/kv-range?"))
-    get_range (store, call);
+    handle_list (store, call);
   else if (g_str_has_prefix (target, "/quinceroute/kv-watch?"))
-    begin_watch (store, call);
+    handle_watch (store, call);
   else if (g_str_equal (target, "/quinceroute/kv-txn"))
     handle_transaction (store, call);
   else if (g_str_equal (target, "/quinceroute/kv-lease"))
-    open_lease (store, call);
+    handle_lease_open (store, call);
   else if (g_str_has_prefix (target, "/quinceroute/kv-keep/"))
-    renew_lease (store, call, target + strlen ("/quinceroute/kv-keep/"));
+    handle_lease_renewal (store, call, target + strlen ("/quinceroute/kv-keep/"));
   else if (g_str_has_prefix (target, "/quinceroute/kv-lease-end/"))
     {
       standin_store_remove_lease (
--- a/rehearsal/platform/standin-store-data.c
+++ b/rehearsal/platform/standin-store-data.c
@@ -21,20 +21,20 @@
   copy->key = g_strdup (item->key);
   copy->value = g_strdup (item->value);
   copy->revision = item->revision;
-  copy->lease = item->lease;
-  copy->at_us = item->at_us;
+  copy->lease_id = item->lease_id;
+  copy->changed_us = item->changed_us;
   return copy;
 }
 
 void
-standin_store_change (StandinStore *store, const char *key, const char *encoded, guint64 lease)
+standin_store_change (StandinStore *store, const char *key, const char *encoded, guint64 lease_id)
 {
   StandinItem *item = g_new0 (StandinItem, 1);
   item->key = g_strdup (key);
   item->value = g_strdup (encoded);
   item->revision = ++store->revision;
-  item->lease = lease;
-  item->at_us = g_get_monotonic_time ();
+  item->lease_id = lease_id;
+  item->changed_us = g_get_monotonic_time ();
   g_ptr_array_add (store->history, standin_item_copy (item));
   if (encoded != NULL)
     g_hash_table_replace (store->items, item->key, item);
@@ -46,18 +46,18 @@
 }
 
 void
-standin_store_remove_lease (StandinStore *store, guint64 lease)
+standin_store_remove_lease (StandinStore *store, guint64 lease_id)
 {
   g_autoptr (GPtrArray) keys = g_ptr_array_new_with_free_func (g_free);
   GHashTableIter iter;
   gpointer value;
   g_hash_table_iter_init (&iter, store->items);
   while (g_hash_table_iter_next (&iter, NULL, &value))
-    if (((StandinItem *)value)->lease == lease)
+    if (((StandinItem *)value)->lease_id == lease_id)
       g_ptr_array_add (keys, g_strdup (((StandinItem *)value)->key));
   for (guint i = 0; i < keys->len; i++)
     standin_store_change (store, keys->pdata[i], NULL, 0);
-  gint64 id = (gint64)lease;
+  gint64 id = (gint64)lease_id;
   g_hash_table_remove (store->leases, &id);
 }
 
@@ -65,15 +65,15 @@
 standin_store_remove_expired_leases (StandinStore *store)
 {
   gint64 now = g_get_monotonic_time ();
-  g_autoptr (GArray) over = g_array_new (FALSE, FALSE, sizeof (guint64));
+  g_autoptr (GArray) expired_ids = g_array_new (FALSE, FALSE, sizeof (guint64));
   GHashTableIter iter;
   gpointer value;
   g_hash_table_iter_init (&iter, store->leases);
   while (g_hash_table_iter_next (&iter, NULL, &value))
-    if (((StandinLease *)value)->end_us < now)
-      g_array_append_val (over, ((StandinLease *)value)->id);
-  for (guint i = 0; i < over->len; i++)
-    standin_store_remove_lease (store, g_array_index (over, guint64, i));
+    if (((StandinLease *)value)->expires_us < now)
+      g_array_append_val (expired_ids, ((StandinLease *)value)->id);
+  for (guint i = 0; i < expired_ids->len; i++)
+    standin_store_remove_lease (store, g_array_index (expired_ids, guint64, i));
 }
 
 /* ---- What a test reads and keeps ---------------------------------------- */
@@ -108,16 +108,16 @@
 {
   GString *text = g_string_new (NULL);
   GHashTableIter iter;
-  gpointer name;
+  gpointer item_key;
   gpointer value;
   g_hash_table_iter_init (&iter, store->items);
-  while (g_hash_table_iter_next (&iter, &name, &value))
+  while (g_hash_table_iter_next (&iter, &item_key, &value))
     {
-      if (g_str_equal (name, key))
+      if (g_str_equal (item_key, key))
         continue;
       gsize length;
       g_autofree guchar *bytes = g_base64_decode (((const StandinItem *)value)->value, &length);
-      g_string_append (text, name);
+      g_string_append (text, item_key);
       for (gsize i = 0; i < length; i++)
         g_string_append_c (text, g_ascii_isprint (bytes[i]) ? (char)bytes[i] : ' ');
     }
@@ -134,12 +134,12 @@
 void
 standin_store_save (StandinStore *store)
 {
-  g_clear_pointer (&store->saved, g_ptr_array_unref);
-  store->saved = g_ptr_array_new_with_free_func (standin_item_free);
+  g_clear_pointer (&store->saved_items, g_ptr_array_unref);
+  store->saved_items = g_ptr_array_new_with_free_func (standin_item_free);
   store->saved_revision = store->revision;
   GHashTableIter iter;
   gpointer value;
   g_hash_table_iter_init (&iter, store->items);
   while (g_hash_table_iter_next (&iter, NULL, &value))
-    g_ptr_array_add (store->saved, standin_item_copy (value));
+    g_ptr_array_add (store->saved_items, standin_item_copy (value));
 }
--- a/rehearsal/platform/standin-store.c
+++ b/rehearsal/platform/standin-store.c
@@ -33,7 +33,7 @@
   store->items = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, standin_item_free);
   store->history = g_ptr_array_new_with_free_func (standin_item_free);
   store->watches = g_ptr_array_new_with_free_func (watch_free);
-  store->unanswered = g_ptr_array_new ();
+  store->unanswered_calls = g_ptr_array_new ();
   store->leases = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, g_free);
   store->server = standin_server_new (standin_store_handle_call, store);
   store->timer = g_timeout_add (EXPIRY_CHECK_INTERVAL_MS, check_leases_and_watches, store);
@@ -47,13 +47,13 @@
   standin_server_free (store->server);
   for (guint i = 0; i < store->watches->len; i++)
     standin_call_finish (((StandinWatch *)store->watches->pdata[i])->call);
-  for (guint i = 0; i < store->unanswered->len; i++)
-    standin_call_finish (store->unanswered->pdata[i]);
-  g_ptr_array_unref (store->unanswered);
+  for (guint i = 0; i < store->unanswered_calls->len; i++)
+    standin_call_finish (store->unanswered_calls->pdata[i]);
+  g_ptr_array_unref (store->unanswered_calls);
   g_ptr_array_unref (store->watches);
   g_ptr_array_unref (store->history);
-  g_clear_pointer (&store->saved, g_ptr_array_unref);
-  g_free (store->nonsense);
+  g_clear_pointer (&store->saved_items, g_ptr_array_unref);
+  g_free (store->malformed_answer);
   g_hash_table_unref (store->items);
   g_hash_table_unref (store->leases);
   g_free (store);
@@ -87,16 +87,16 @@
 }
 
 void
-standin_store_set_malformed_answer (StandinStore *store, const char *text)
+standin_store_set_malformed_answer (StandinStore *store, const char *body)
 {
-  g_free (store->nonsense);
-  store->nonsense = g_strdup (text);
+  g_free (store->malformed_answer);
+  store->malformed_answer = g_strdup (body);
 }
 
 void
 standin_store_compact (StandinStore *store)
 {
-  store->oldest = store->revision + 1;
+  store->oldest_revision = store->revision + 1;
   store->revision++;
   g_ptr_array_set_size (store->history, 0);
   standin_server_close_connections (store->server);
@@ -120,14 +120,14 @@
 standin_store_restore (StandinStore *store)
 {
   g_hash_table_remove_all (store->items);
-  for (guint i = 0; i < store->saved->len; i++)
+  for (guint i = 0; i < store->saved_items->len; i++)
     {
-      StandinItem *item = standin_item_copy (store->saved->pdata[i]);
+      StandinItem *item = standin_item_copy (store->saved_items->pdata[i]);
       g_hash_table_replace (store->items, item->key, item);
     }
   g_hash_table_remove_all (store->leases);
   store->revision = store->saved_revision;
-  store->oldest = store->revision;
+  store->oldest_revision = store->revision;
   g_ptr_array_set_size (store->history, 0);
   standin_server_close_connections (store->server);
   standin_store_check_watches (store);
@@ -140,18 +140,18 @@
   gpointer value;
   g_hash_table_iter_init (&iter, store->leases);
   while (g_hash_table_iter_next (&iter, NULL, &value))
-    ((StandinLease *)value)->end_us = 0;
+    ((StandinLease *)value)->expires_us = 0;
   check_leases_and_watches (store);
 }
 
 guint
 standin_store_get_n_list_calls (const StandinStore *store)
 {
-  return store->lists;
+  return store->n_list_calls;
 }
 
 guint
 standin_store_get_n_calls (const StandinStore *store)
 {
-  return store->calls;
+  return store->n_calls;
 }
--- a/rehearsal/platform/standin-store.h
+++ b/rehearsal/platform/standin-store.h
@@ -40,7 +40,7 @@
 /* 0: not there */
 guint64 standin_store_get_revision (const StandinStore *store, const char *key);
 void standin_store_set_fault (StandinStore *store, StandinStoreFault fault);
-void standin_store_set_malformed_answer (StandinStore *store, const char *text);
+void standin_store_set_malformed_answer (StandinStore *store, const char *body);
 /* All history is forgotten and waiting watches are cut. */
 void standin_store_compact (StandinStore *store);
 /* Waiting watches are cut. */
--- a/rehearsal/platform/standin-worker-orders.c
+++ b/rehearsal/platform/standin-worker-orders.c
@@ -7,7 +7,7 @@
 
 /* An order of @version ends. */
 static void
-load (StandinWorker *worker, guint64 version)
+finish_load (StandinWorker *worker, guint64 version)
 {
   if (worker->failing_loads_left == 0)
     {
@@ -22,24 +22,24 @@
 }
 
 static void
-carry_out (StandinWorker *worker, StandinCall *call)
+execute_order (StandinWorker *worker, StandinCall *call)
 {
   g_autoptr (JsonParser) parser = json_parser_new ();
   g_assert_true (json_parser_load_from_data (parser, (const char *)call->body->data, call->body->len, NULL));
   JsonObject *order = json_node_get_object (json_parser_get_root (parser));
-  if ((guint64)json_object_get_int_member (order, "expected") != worker->orders)
+  if ((guint64)json_object_get_int_member (order, "expected") != worker->n_orders)
     {
-      worker->refused_orders++;
+      worker->n_refused_orders++;
       standin_call_answer (call, 409, "", "", 0);
       return;
     }
-  guint64 fence = (guint64)json_object_get_int_member (order, "fence");
-  worker->orders++;
-  g_array_append_val (worker->fences, fence);
-  g_ptr_array_add (worker->holders, g_strdup (json_object_get_string_member (order, "holder")));
-  g_free (worker->mode);
-  worker->mode = g_strdup (json_object_get_string_member (order, "mode"));
-  load (worker, (guint64)json_object_get_int_member (order, "version"));
+  guint64 fencing_token = (guint64)json_object_get_int_member (order, "fence");
+  worker->n_orders++;
+  g_array_append_val (worker->fencing_tokens, fencing_token);
+  g_ptr_array_add (worker->order_leaders, g_strdup (json_object_get_string_member (order, "holder")));
+  g_free (worker->order_mode);
+  worker->order_mode = g_strdup (json_object_get_string_member (order, "mode"));
+  finish_load (worker, (guint64)json_object_get_int_member (order, "version"));
   standin_call_answer (call, 202, "", "", 0);
 }
 
@@ -49,7 +49,7 @@
   if (worker->delays_orders)
     g_ptr_array_add (worker->delayed_orders, call);
   else
-    carry_out (worker, call);
+    execute_order (worker, call);
 }
 
 void
@@ -61,10 +61,10 @@
 }
 
 void
-standin_worker_fail_loads (StandinWorker *worker, guint64 version, guint times)
+standin_worker_fail_loads (StandinWorker *worker, guint64 version, guint n_loads)
 {
   worker->failed_load_version = version;
-  worker->failing_loads_left = times;
+  worker->failing_loads_left = n_loads;
 }
 
 guint
@@ -74,9 +74,9 @@
 }
 
 void
-standin_worker_set_orders_delayed (StandinWorker *worker, gboolean held)
+standin_worker_set_orders_delayed (StandinWorker *worker, gboolean delayed)
 {
-  worker->delays_orders = held;
+  worker->delays_orders = delayed;
 }
 
 guint
@@ -89,36 +89,36 @@
 standin_worker_deliver_orders (StandinWorker *worker)
 {
   for (guint i = 0; i < worker->delayed_orders->len; i++)
-    carry_out (worker, worker->delayed_orders->pdata[i]);
+    execute_order (worker, worker->delayed_orders->pdata[i]);
   g_ptr_array_set_size (worker->delayed_orders, 0);
 }
 
 guint
 standin_worker_get_n_refused_orders (const StandinWorker *worker)
 {
-  return worker->refused_orders;
+  return worker->n_refused_orders;
 }
 
 guint
 standin_worker_get_n_orders (const StandinWorker *worker)
 {
-  return (guint)worker->orders;
+  return (guint)worker->n_orders;
 }
 
 const GArray *
 standin_worker_get_fencing_tokens (const StandinWorker *worker)
 {
-  return worker->fences;
+  return worker->fencing_tokens;
 }
 
 const char *
 standin_worker_get_order_mode (const StandinWorker *worker)
 {
-  return worker->mode;
+  return worker->order_mode;
 }
 
 const GPtrArray *
 standin_worker_get_order_leaders (const StandinWorker *worker)
 {
-  return worker->holders;
+  return worker->order_leaders;
 }
--- a/rehearsal/platform/standin-worker-private.h
+++ b/rehearsal/platform/standin-worker-private.h
@@ -13,8 +13,8 @@
   StandinWorker *worker;
   StandinCall *call;
   StandinRun *run;
-  guint next;      /* event */
-  guint64 version; /* of its latest event */
+  guint next_event;     /* event */
+  guint64 last_version; /* of its latest event */
   guint timer;
   StandinWorkerFault fault;
 } StandinStream;
@@ -23,35 +23,35 @@
 {
   StandinServer *server;
   char *id;
-  char *software;
+  char *software_version;
   char *zone;
-  gint cold_ms;
+  gint cold_remaining_ms;
   guint slots;
   /* requests that end it */
   char *crash_text; /* NULL: none does */
   guint crash_delay_ms;
   guint crashes_left;
-  guint delay_ms;
-  guint most; /* requests that it works on at once */
-  gboolean dead;
-  GPtrArray *delayed; /* answers or ends that are due later, owned */
+  guint answer_delay_ms;
+  guint max_running; /* requests that it works on at once */
+  gboolean is_down;
+  GPtrArray *delayed_calls; /* answers or ends that are due later, owned */
   StandinWorkerFault fault;
-  guint fault_times;
-  guint events;
-  guint pause_ms;
-  guint event_bytes; /* more, after the name of each event */
+  guint faults_left;
+  guint n_events;
+  guint event_interval_ms;
+  guint event_padding_bytes; /* more, after the name of each event */
   GPtrArray *runs;
-  GPtrArray *streams; /* StandinStream, owned */
-  GPtrArray *silent;  /* StandinCall: never answered */
+  GPtrArray *streams;          /* StandinStream, owned */
+  GPtrArray *unanswered_calls; /* StandinCall: never answered */
   guint64 version;
-  guint64 orders;
-  GArray *fences;     /* guint64: of each order, in the order they came */
-  GPtrArray *holders; /* owned texts: of the same */
-  char *mode;         /* of the latest; NULL: none */
-  char *nonsense;     /* NULL: it makes sense */
+  guint64 n_orders;
+  GArray *fencing_tokens;   /* guint64: of each order, in the order they came */
+  GPtrArray *order_leaders; /* owned texts: of the same */
+  char *order_mode;         /* of the latest; NULL: none */
+  char *malformed_answer;   /* NULL: it makes sense */
   gboolean delays_orders;
   GPtrArray *delayed_orders; /* StandinCall: did not arrive */
-  guint refused_orders;
+  guint n_refused_orders;
   guint64 failed_load_version; /* that orders end on; 0: the version before */
   guint failing_loads_left;    /* orders that end so; G_MAXUINT: all */
   guint n_failed_loads;
--- a/rehearsal/platform/standin-worker-streams.c
+++ b/rehearsal/platform/standin-worker-streams.c
@@ -27,27 +27,27 @@
 write_event (StandinStream *stream)
 {
   const StandinWorker *worker = stream->worker;
-  g_autofree char *change
-      = stream->version == worker->version
+  g_autofree char *version_line
+      = stream->last_version == worker->version
             ? g_strdup ("")
             : g_strdup_printf ("weight-versions: %" G_GUINT64_FORMAT "\n", worker->version);
-  stream->version = worker->version;
-  g_autofree char *more = g_strnfill (worker->event_bytes, 'x');
-  g_autofree char *event
-      = g_strdup_printf ("%sid: %u\ndata: e%u%s\n\n", change, stream->next, stream->next, more);
+  stream->last_version = worker->version;
+  g_autofree char *padding = g_strnfill (worker->event_padding_bytes, 'x');
+  g_autofree char *event = g_strdup_printf ("%sid: %u\ndata: e%u%s\n\n", version_line, stream->next_event,
+                                            stream->next_event, padding);
   g_autofree char *chunk = g_strdup_printf ("%x\r\n%s\r\n", (guint)strlen (event), event);
   standin_call_write (stream->call, chunk);
-  const StandinEvent made = { .number = stream->next, .version = worker->version };
-  g_array_append_val (stream->run->events, made);
-  stream->next++;
+  const StandinEvent record = { .number = stream->next_event, .version = worker->version };
+  g_array_append_val (stream->run->events, record);
+  stream->next_event++;
 }
 
 /* In the middle of an event. */
 static void
 truncate_stream (StandinStream *stream)
 {
-  g_autofree char *part = g_strdup_printf ("10\r\nid: %u\nda", stream->next);
-  standin_call_write (stream->call, part);
+  g_autofree char *partial_event = g_strdup_printf ("10\r\nid: %u\nda", stream->next_event);
+  standin_call_write (stream->call, partial_event);
   standin_call_close_connection (stream->call);
   stream_remove (stream);
 }
@@ -64,25 +64,25 @@
 stream_step (gpointer data)
 {
   StandinStream *stream = data;
-  gboolean half = stream->next > stream->worker->events / 2;
-  if (stream->call->gone)
+  gboolean is_past_half = stream->next_event > stream->worker->n_events / 2;
+  if (stream->call->disconnected)
     {
-      stream->run->gone = TRUE;
+      stream->run->disconnected = TRUE;
       standin_call_finish (stream->call);
       stream_remove (stream);
       return G_SOURCE_REMOVE;
     }
-  if (half && stream->fault == STANDIN_WORKER_TRUNCATES)
+  if (is_past_half && stream->fault == STANDIN_WORKER_TRUNCATES)
     {
       truncate_stream (stream);
       return G_SOURCE_REMOVE;
     }
-  if (half && stream->fault == STANDIN_WORKER_SKIPS_EVENT)
+  if (is_past_half && stream->fault == STANDIN_WORKER_SKIPS_EVENT)
     {
-      stream->next++;
+      stream->next_event++;
       stream->fault = STANDIN_WORKER_HEALTHY;
     }
-  if (stream->next > stream->worker->events)
+  if (stream->next_event > stream->worker->n_events)
     {
       end_stream (stream);
       return G_SOURCE_REMOVE;
@@ -108,9 +108,10 @@
   stream->call = call;
   stream->run = run;
   stream->fault = fault;
-  stream->version = worker->version;
-  stream->next = run->resume != NULL ? (guint)g_ascii_strtoull (run->resume, NULL, 10) + 1 : 1;
-  stream->timer = g_timeout_add (MAX (worker->pause_ms, 1), stream_step, stream);
+  stream->last_version = worker->version;
+  stream->next_event
+      = run->last_event_id != NULL ? (guint)g_ascii_strtoull (run->last_event_id, NULL, 10) + 1 : 1;
+  stream->timer = g_timeout_add (MAX (worker->event_interval_ms, 1), stream_step, stream);
   g_ptr_array_add (worker->streams, stream);
 }
 
--- a/rehearsal/platform/standin-worker.c
+++ b/rehearsal/platform/standin-worker.c
@@ -23,10 +23,10 @@
   g_free (run->body);
   quince_http_headers_free (run->headers);
   g_free (run->deadline);
-  g_free (run->resume);
+  g_free (run->last_event_id);
   g_free (run->host);
   g_free (run->tenant);
-  g_free (run->key);
+  g_free (run->api_key);
   g_array_unref (run->events);
   g_free (run);
 }
@@ -35,7 +35,7 @@
 record_run (StandinWorker *worker, const StandinCall *call)
 {
   StandinRun *run = g_new0 (StandinRun, 1);
-  run->at_us = g_get_monotonic_time ();
+  run->received_us = g_get_monotonic_time ();
   run->events = g_array_new (FALSE, FALSE, sizeof (StandinEvent));
   run->id = g_strdup (standin_call_get_header (call, "Request-Id"));
   run->target = g_strdup (call->head->target);
@@ -45,10 +45,10 @@
     memcpy (run->body, call->body->data, call->body->len);
   run->headers = quince_http_headers_copy (call->head->headers);
   run->deadline = g_strdup (standin_call_get_header (call, "Request-Deadline-Ms"));
-  run->resume = g_strdup (standin_call_get_header (call, "Last-Event-Id"));
+  run->last_event_id = g_strdup (standin_call_get_header (call, "Last-Event-Id"));
   run->host = g_strdup (standin_call_get_header (call, "Host"));
   run->tenant = g_strdup (standin_call_get_header (call, "Tenant"));
-  run->key = g_strdup (standin_call_get_header (call, "Credential"));
+  run->api_key = g_strdup (standin_call_get_header (call, "Credential"));
   g_ptr_array_add (worker->runs, run);
   return run;
 }
@@ -70,18 +70,18 @@
   g_autofree char *body = g_strdup_printf ("%s by %s", run->body, worker->id);
   if (fault == STANDIN_WORKER_EXTRA_ANSWER)
     {
-      g_autofree char *twice = g_strdup_printf ("HTTP/1.1 200 OK\r\n%sContent-Length: %u\r\n\r\n%s"
-                                                "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nbad",
-                                                headers, (guint)strlen (body), body);
-      standin_call_write (call, twice);
+      g_autofree char *two_answers = g_strdup_printf ("HTTP/1.1 200 OK\r\n%sContent-Length: %u\r\n\r\n%s"
+                                                      "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nbad",
+                                                      headers, (guint)strlen (body), body);
+      standin_call_write (call, two_answers);
       standin_call_finish (call);
       return;
     }
   if (fault == STANDIN_WORKER_TRUNCATES)
     {
-      g_autofree char *part
+      g_autofree char *partial_answer
           = g_strdup_printf ("HTTP/1.1 200 OK\r\n%sContent-Length: 900\r\n\r\n%s", headers, body);
-      standin_call_write (call, part);
+      standin_call_write (call, partial_answer);
       standin_call_close_connection (call);
       return;
     }
@@ -91,43 +91,47 @@
 static void
 delayed_call_free (gpointer data)
 {
-  DelayedCall *delayed = data;
-  if (delayed->timer != 0)
-    g_source_remove (delayed->timer);
-  if (delayed->call != NULL)
-    standin_call_finish (delayed->call);
-  g_free (delayed);
+  DelayedCall *delayed_call = data;
+  if (delayed_call->timer != 0)
+    g_source_remove (delayed_call->timer);
+  if (delayed_call->call != NULL)
+    standin_call_finish (delayed_call->call);
+  g_free (delayed_call);
 }
 
 static void
-delay (StandinWorker *worker, StandinCall *call, StandinRun *run, guint delay_ms, GSourceFunc function)
+schedule_call (StandinWorker *worker,
+               StandinCall *call,
+               StandinRun *run,
+               guint delay_ms,
+               GSourceFunc function)
 {
-  DelayedCall *delayed = g_new0 (DelayedCall, 1);
-  delayed->worker = worker;
-  delayed->call = call;
-  delayed->run = run;
-  delayed->timer = g_timeout_add (delay_ms, function, delayed);
-  g_ptr_array_add (worker->delayed, delayed);
+  DelayedCall *delayed_call = g_new0 (DelayedCall, 1);
+  delayed_call->worker = worker;
+  delayed_call->call = call;
+  delayed_call->run = run;
+  delayed_call->timer = g_timeout_add (delay_ms, function, delayed_call);
+  g_ptr_array_add (worker->delayed_calls, delayed_call);
 }
 
 static gboolean
 crash_timer_fired (gpointer data)
 {
-  DelayedCall *delayed = data;
-  delayed->timer = 0;
-  standin_worker_crash (delayed->worker);
+  DelayedCall *delayed_call = data;
+  delayed_call->timer = 0;
+  standin_worker_crash (delayed_call->worker);
   return G_SOURCE_REMOVE;
 }
 
 static gboolean
 answer_timer_fired (gpointer data)
 {
-  DelayedCall *delayed = data;
-  StandinCall *call = g_steal_pointer (&delayed->call);
-  delayed->timer = 0;
-  delayed->run->gone = call->gone;
-  answer_plain (delayed->worker, call, delayed->run, STANDIN_WORKER_HEALTHY);
-  g_ptr_array_remove (delayed->worker->delayed, delayed);
+  DelayedCall *delayed_call = data;
+  StandinCall *call = g_steal_pointer (&delayed_call->call);
+  delayed_call->timer = 0;
+  delayed_call->run->disconnected = call->disconnected;
+  answer_plain (delayed_call->worker, call, delayed_call->run, STANDIN_WORKER_HEALTHY);
+  g_ptr_array_remove (delayed_call->worker->delayed_calls, delayed_call);
   return G_SOURCE_REMOVE;
 }
 
@@ -147,11 +151,11 @@
 static void
 handle_request (StandinWorker *worker, StandinCall *call)
 {
-  StandinWorkerFault fault = worker->fault_times > 0 ? worker->fault : STANDIN_WORKER_HEALTHY;
-  if (worker->fault_times > 0 && worker->fault_times != G_MAXUINT)
-    worker->fault_times--;
-  guint running = worker->streams->len + worker->silent->len + worker->delayed->len;
-  if (fault == STANDIN_WORKER_REFUSES || running >= worker->most)
+  StandinWorkerFault fault = worker->faults_left > 0 ? worker->fault : STANDIN_WORKER_HEALTHY;
+  if (worker->faults_left > 0 && worker->faults_left != G_MAXUINT)
+    worker->faults_left--;
+  guint running = worker->streams->len + worker->unanswered_calls->len + worker->delayed_calls->len;
+  if (fault == STANDIN_WORKER_REFUSES || running >= worker->max_running)
     {
       standin_call_answer (call, 503, "Not-Run: 1\r\n", "", 0);
       return;
@@ -159,19 +163,19 @@
   StandinRun *run = record_run (worker, call);
   g_autofree char *headers = answer_headers (worker, run->id, TRUE);
   if (triggers_crash (worker, run))
-    delay (worker, call, run, worker->crash_delay_ms, crash_timer_fired);
+    schedule_call (worker, call, run, worker->crash_delay_ms, crash_timer_fired);
   else if (fault == STANDIN_WORKER_UNRESPONSIVE)
-    g_ptr_array_add (worker->silent, call);
+    g_ptr_array_add (worker->unanswered_calls, call);
   else if (fault == STANDIN_WORKER_RESETS)
     standin_call_reset_connection (call);
   else if (fault == STANDIN_WORKER_UNPROCESSABLE)
     standin_call_answer (call, 422, headers, "", 0);
-  else if (worker->events > 0 && fault == STANDIN_WORKER_FAILS)
+  else if (worker->n_events > 0 && fault == STANDIN_WORKER_FAILS)
     standin_call_answer (call, 500, headers, "", 0);
-  else if (worker->events > 0)
+  else if (worker->n_events > 0)
     standin_worker_start_stream (worker, call, run, fault, headers);
-  else if (worker->delay_ms > 0)
-    delay (worker, call, run, worker->delay_ms, answer_timer_fired);
+  else if (worker->answer_delay_ms > 0)
+    schedule_call (worker, call, run, worker->answer_delay_ms, answer_timer_fired);
   else
     answer_plain (worker, call, run, fault);
 }
@@ -179,29 +183,29 @@
 /* ---- Calls ------------------------------------------------------------- */
 
 static void
-report (StandinWorker *worker, StandinCall *call)
+answer_report (StandinWorker *worker, StandinCall *call)
 {
   g_autofree char *text = g_strdup_printf (
       "{\"stage\":\"hybrid\",\"models\":[{\"name\":\"" STANDIN_MODEL_NAME "\",\"version\":%" G_GUINT64_FORMAT
       ",\"adapters\":[]}],\"busy\":false,\"seq\":%" G_GUINT64_FORMAT
       ",\"queuedRequests\":0,\"running\":0,\"kvUsed\":0,\"kvTotal\":1000,\"handles\":0}",
-      worker->version, worker->orders);
+      worker->version, worker->n_orders);
   standin_call_answer (call, 200, "Content-Type: application/json\r\n", text, -1);
 }
 
 static void
-handle (StandinCall *call, gpointer data)
+handle_call (StandinCall *call, gpointer data)
 {
   StandinWorker *worker = data;
   const char *expected = standin_call_get_header (call, "Expect-Instance");
   if (expected != NULL && !g_str_equal (expected, worker->id))
     standin_call_answer (call, 421, "Instance-Id: another\r\n", "", 0);
-  else if (worker->nonsense != NULL && g_str_has_prefix (call->head->target, "/quinceroute/"))
-    standin_call_answer (call, 200, "Content-Type: application/json\r\n", worker->nonsense, -1);
+  else if (worker->malformed_answer != NULL && g_str_has_prefix (call->head->target, "/quinceroute/"))
+    standin_call_answer (call, 200, "Content-Type: application/json\r\n", worker->malformed_answer, -1);
   else if (g_str_equal (call->head->target, "/quinceroute/order"))
     standin_worker_handle_order (worker, call);
   else if (g_str_equal (call->head->target, "/quinceroute/report"))
-    report (worker, call);
+    answer_report (worker, call);
   else
     handle_request (worker, call);
 }
@@ -213,18 +217,18 @@
 {
   StandinWorker *worker = g_new0 (StandinWorker, 1);
   worker->id = g_strdup (id);
-  worker->software = g_strdup ("v1");
+  worker->software_version = g_strdup ("v1");
   standin_worker_set_zone_and_slots (worker, "z1", 8);
-  worker->delayed = g_ptr_array_new_with_free_func (delayed_call_free);
+  worker->delayed_calls = g_ptr_array_new_with_free_func (delayed_call_free);
   worker->version = 1;
-  worker->most = G_MAXUINT;
+  worker->max_running = G_MAXUINT;
   worker->runs = g_ptr_array_new_with_free_func (run_free);
   worker->streams = g_ptr_array_new ();
-  worker->silent = g_ptr_array_new ();
+  worker->unanswered_calls = g_ptr_array_new ();
   worker->delayed_orders = g_ptr_array_new ();
-  worker->fences = g_array_new (FALSE, FALSE, sizeof (guint64));
-  worker->holders = g_ptr_array_new_with_free_func (g_free);
-  worker->server = standin_server_new (handle, worker);
+  worker->fencing_tokens = g_array_new (FALSE, FALSE, sizeof (guint64));
+  worker->order_leaders = g_ptr_array_new_with_free_func (g_free);
+  worker->server = standin_server_new (handle_call, worker);
   return worker;
 }
 
@@ -232,18 +236,18 @@
 static void
 release_calls (StandinWorker *worker)
 {
-  for (guint i = 0; i < worker->silent->len; i++)
-    standin_call_finish (worker->silent->pdata[i]);
+  for (guint i = 0; i < worker->unanswered_calls->len; i++)
+    standin_call_finish (worker->unanswered_calls->pdata[i]);
   standin_worker_drop_streams (worker);
   standin_worker_drop_orders (worker);
-  g_ptr_array_set_size (worker->silent, 0);
-  g_ptr_array_set_size (worker->delayed, 0);
+  g_ptr_array_set_size (worker->unanswered_calls, 0);
+  g_ptr_array_set_size (worker->delayed_calls, 0);
 }
 
 void
 standin_worker_crash (StandinWorker *worker)
 {
-  worker->dead = TRUE;
+  worker->is_down = TRUE;
   standin_server_crash (worker->server);
   release_calls (worker);
 }
@@ -251,7 +255,7 @@
 gboolean
 standin_worker_is_down (const StandinWorker *worker)
 {
-  return worker->dead;
+  return worker->is_down;
 }
 
 void
@@ -259,8 +263,8 @@
 {
   g_free (worker->id);
   worker->id = g_strdup (id);
-  worker->dead = FALSE;
-  worker->orders = 0;
+  worker->is_down = FALSE;
+  worker->n_orders = 0;
   standin_server_restart (worker->server);
 }
 
@@ -278,10 +282,10 @@
 }
 
 void
-standin_worker_set_software_version (StandinWorker *worker, const char *software)
+standin_worker_set_software_version (StandinWorker *worker, const char *software_version)
 {
-  g_free (worker->software);
-  worker->software = g_strdup (software);
+  g_free (worker->software_version);
+  worker->software_version = g_strdup (software_version);
 }
 
 void
@@ -292,24 +296,24 @@
 }
 
 void
-standin_worker_set_crash_trigger (StandinWorker *worker, const char *text, guint after_ms, guint times)
+standin_worker_set_crash_trigger (StandinWorker *worker, const char *text, guint delay_ms, guint n_requests)
 {
   g_free (worker->crash_text);
   worker->crash_text = g_strdup (text);
-  worker->crash_delay_ms = after_ms;
-  worker->crashes_left = times;
+  worker->crash_delay_ms = delay_ms;
+  worker->crashes_left = n_requests;
 }
 
 void
-standin_worker_set_max_running (StandinWorker *worker, guint requests)
+standin_worker_set_max_running (StandinWorker *worker, guint max_running)
 {
-  worker->most = requests;
+  worker->max_running = max_running;
 }
 
 void
 standin_worker_set_answer_delay (StandinWorker *worker, guint delay_ms)
 {
-  worker->delay_ms = delay_ms;
+  worker->answer_delay_ms = delay_ms;
 }
 
 void
@@ -317,18 +321,18 @@
 {
   standin_server_free (worker->server);
   release_calls (worker);
-  g_ptr_array_unref (worker->delayed);
-  g_ptr_array_unref (worker->silent);
+  g_ptr_array_unref (worker->delayed_calls);
+  g_ptr_array_unref (worker->unanswered_calls);
   g_ptr_array_unref (worker->delayed_orders);
-  g_free (worker->nonsense);
+  g_free (worker->malformed_answer);
   g_ptr_array_unref (worker->streams);
   g_free (worker->zone);
-  g_free (worker->software);
+  g_free (worker->software_version);
   g_free (worker->crash_text);
   g_ptr_array_unref (worker->runs);
-  g_array_unref (worker->fences);
-  g_ptr_array_unref (worker->holders);
-  g_free (worker->mode);
+  g_array_unref (worker->fencing_tokens);
+  g_ptr_array_unref (worker->order_leaders);
+  g_free (worker->order_mode);
   g_free (worker->id);
   g_free (worker);
 }
@@ -346,23 +350,23 @@
 }
 
 void
-standin_worker_set_fault (StandinWorker *worker, StandinWorkerFault fault, guint times)
+standin_worker_set_fault (StandinWorker *worker, StandinWorkerFault fault, guint n_requests)
 {
   worker->fault = fault;
-  worker->fault_times = times;
+  worker->faults_left = n_requests;
 }
 
 void
-standin_worker_set_event_padding (StandinWorker *worker, guint bytes)
+standin_worker_set_event_padding (StandinWorker *worker, guint padding_bytes)
 {
-  worker->event_bytes = bytes;
+  worker->event_padding_bytes = padding_bytes;
 }
 
 void
-standin_worker_set_events (StandinWorker *worker, guint events, guint pause_ms)
+standin_worker_set_events (StandinWorker *worker, guint n_events, guint interval_ms)
 {
-  worker->events = events;
-  worker->pause_ms = pause_ms;
+  worker->n_events = n_events;
+  worker->event_interval_ms = interval_ms;
 }
 
 const GPtrArray *
@@ -378,27 +382,28 @@
 }
 
 void
-standin_worker_set_malformed_answer (StandinWorker *worker, const char *text)
+standin_worker_set_malformed_answer (StandinWorker *worker, const char *body)
 {
-  g_free (worker->nonsense);
-  worker->nonsense = g_strdup (text);
+  g_free (worker->malformed_answer);
+  worker->malformed_answer = g_strdup (body);
 }
 
 void
-standin_worker_set_cold_remaining (StandinWorker *worker, gint cold_ms)
+standin_worker_set_cold_remaining (StandinWorker *worker, gint cold_remaining_ms)
 {
-  worker->cold_ms = cold_ms;
+  worker->cold_remaining_ms = cold_remaining_ms;
 }
 
 char *
 standin_worker_make_entry (const StandinWorker *worker, const char *service, const char *state)
 {
-  g_autofree char *cold
-      = worker->cold_ms >= 0 ? g_strdup_printf ("\"coldRemainingMs\":%d,", worker->cold_ms) : g_strdup ("");
+  g_autofree char *cold_member = worker->cold_remaining_ms >= 0
+                                     ? g_strdup_printf ("\"coldRemainingMs\":%d,", worker->cold_remaining_ms)
+                                     : g_strdup ("");
   return g_strdup_printf (
       "{\"service\":\"%s\",\"address\":\"%s\",\"zone\":\"%s\",\"version\":\"%s\",\"slots\":%u,"
       "\"state\":\"%s\",%s\"stage\":\"hybrid\",\"models\":[{\"name\":\"" STANDIN_MODEL_NAME
       "\",\"version\":%" G_GUINT64_FORMAT ",\"adapters\":[]}],\"seq\":1}",
-      service, standin_worker_get_address (worker), worker->zone, worker->software, worker->slots, state,
-      cold, worker->version);
+      service, standin_worker_get_address (worker), worker->zone, worker->software_version, worker->slots,
+      state, cold_member, worker->version);
 }
--- a/tests/platform/cold-world.h
+++ b/tests/platform/cold-world.h
@@ -140,8 +140,8 @@
   guint from = first;
   for (guint i = first; i < runs->len; i++)
     {
-      gint64 at_us = ((StandinRun *)runs->pdata[i])->at_us;
-      while (at_us - ((StandinRun *)runs->pdata[from])->at_us >= COLD_SECOND_US)
+      gint64 at_us = ((StandinRun *)runs->pdata[i])->received_us;
+      while (at_us - ((StandinRun *)runs->pdata[from])->received_us >= COLD_SECOND_US)
         from++;
       most = MAX (most, i - from + 1);
     }
--- a/tests/platform/test-front.c
+++ b/tests/platform/test-front.c
@@ -242,7 +242,7 @@
                     "\r\nRequest-Id: g1\r\nRequest-Deadline-Ms: 60000\r\nContent-Length: 1\r\n\r\nx");
   AWAIT (raw_has (caller, "data: e3"));
   raw_free (caller);
-  AWAIT (stream_run (world)->gone);
+  AWAIT (stream_run (world)->disconnected);
   path_world_free (world);
 }
 
--- a/tests/platform/test-http-pool.c
+++ b/tests/platform/test-http-pool.c
@@ -197,8 +197,8 @@
   QuinceHttpExchange *exchange = quince_http_pool_start (pool, &request, &callbacks, &seen);
   AWAIT (call != NULL);
   quince_http_exchange_cancel (exchange);
-  AWAIT (call->gone);
-  saw_gone = call->gone;
+  AWAIT (call->disconnected);
+  saw_gone = call->disconnected;
   standin_call_finish (call);
   assert_true (saw_gone);
   assert_false (seen.done);
--- a/tests/platform/test-leaving.c
+++ b/tests/platform/test-leaving.c
@@ -380,10 +380,10 @@
   for (guint i = 0; i < runs->len; i++)
     {
       const StandinRun *run = runs->pdata[i];
-      if (run->at_us <= time_us)
+      if (run->received_us <= time_us)
         continue;
       print_message ("  %s got %s %s %d ms after the bound\n", standin_worker_get_id (worker), run->target,
-                     run->id, (int)((run->at_us - time_us) / 1000));
+                     run->id, (int)((run->received_us - time_us) / 1000));
       count++;
     }
   return count;
--- a/tests/platform/test-path.c
+++ b/tests/platform/test-path.c
@@ -186,7 +186,7 @@
   assert_int_equal (path_status (path_front (world, 0), "DELETE", "/quinceroute/lots/b1", "q", NULL), 200);
   for (guint i = 0; i < PATH_MODEL; i++)
     for (guint j = 0; j < standin_worker_get_runs (world->model[i])->len; j++)
-      AWAIT (((StandinRun *)standin_worker_get_runs (world->model[i])->pdata[j])->gone);
+      AWAIT (((StandinRun *)standin_worker_get_runs (world->model[i])->pdata[j])->disconnected);
   path_world_free (world);
 }
 
@@ -283,7 +283,7 @@
   guint resumed = 0;
   for (guint i = 0; i < PATH_MODEL; i++)
     for (guint j = 0; j < standin_worker_get_runs (world->model[i])->len; j++)
-      resumed += ((StandinRun *)standin_worker_get_runs (world->model[i])->pdata[j])->resume != NULL;
+      resumed += ((StandinRun *)standin_worker_get_runs (world->model[i])->pdata[j])->last_event_id != NULL;
   assert_int_equal (resumed, 6);
   path_world_free (world);
 }
--- a/tests/platform/test-samples.c
+++ b/tests/platform/test-samples.c
@@ -188,7 +188,7 @@
   const GPtrArray *runs = standin_worker_get_runs (worker);
   guint count = 0;
   for (guint i = 0; i < runs->len; i++)
-    count += ((const StandinRun *)runs->pdata[i])->gone;
+    count += ((const StandinRun *)runs->pdata[i])->disconnected;
   return count;
 }
 
@@ -198,7 +198,7 @@
   const GPtrArray *runs = standin_worker_get_runs (worker);
   guint count = 0;
   for (guint i = 0; i < runs->len; i++)
-    count += ((const StandinRun *)runs->pdata[i])->resume != NULL;
+    count += ((const StandinRun *)runs->pdata[i])->last_event_id != NULL;
   return count;
 }
 
--- a/tests/platform/test-tenants.c
+++ b/tests/platform/test-tenants.c
@@ -46,7 +46,7 @@
   assert_null (find_run (world, "unknown"));
   assert_int_equal (status_with_key (front, "POST", "/l/1", "of-a", "x", KEY_A2), 200);
   assert_string_equal (find_run (world, "of-a")->tenant, "tenant-a");
-  assert_null (find_run (world, "of-a")->key);
+  assert_null (find_run (world, "of-a")->api_key);
   assert_int_equal (status_with_key (front, "POST", "/l/1", "of-b", "x", KEY_B1), 200);
   assert_string_equal (find_run (world, "of-b")->tenant, "tenant-b");
   /* A public route needs no key; what a caller says of its tenant is never passed on. */
@@ -58,7 +58,7 @@
   assert_null (find_run (world, "open")->tenant);
   assert_int_equal (status_with_key (front, "POST", "/p/1", "open-a", "x", KEY_A1), 200);
   assert_string_equal (find_run (world, "open-a")->tenant, "tenant-a");
-  assert_null (find_run (world, "open-a")->key);
+  assert_null (find_run (world, "open-a")->api_key);
   path_world_free (world);
 }
 
@@ -141,7 +141,7 @@
           count++;
           assert_non_null (run->tenant);
           assert_string_equal (run->tenant, "tenant-a");
-          assert_null (run->key);
+          assert_null (run->api_key);
         }
     }
   return count;
--- a/tests/platform/test-worker-bodies.c
+++ b/tests/platform/test-worker-bodies.c
@@ -64,7 +64,7 @@
             continue;
           assert_unchanged (run, group, member);
           count->runs++;
-          count->resumed += run->resume != NULL;
+          count->resumed += run->last_event_id != NULL;
         }
     }
 }
--- a/tests/platform/zone-world.h
+++ b/tests/platform/zone-world.h
@@ -358,8 +358,8 @@
           const StandinRun *run = runs->pdata[j];
           if (!g_str_has_prefix (run->id, prefix))
             continue;
-          if (first_us != NULL && (count == 0 || run->at_us < *first_us))
-            *first_us = run->at_us;
+          if (first_us != NULL && (count == 0 || run->received_us < *first_us))
+            *first_us = run->received_us;
           count++;
         }
     }
