--- a/rehearsal/platform/standin-relay.h
+++ b/rehearsal/platform/standin-relay.h
@@ -18,15 +18,15 @@
   STANDIN_RELAY_ANSWERS,  /* to the connecting side */
 } StandinRelayDirection;
 
-/* @upstream: where connections go; it need not listen yet. */
-StandinRelay *standin_relay_new (const char *upstream);
+/* @upstream_address: where connections go; it need not listen yet. */
+StandinRelay *standin_relay_new (const char *upstream_address);
 void standin_relay_free (StandinRelay *relay);
 const char *standin_relay_get_address (const StandinRelay *relay);
 /* While it is held nothing passes either way and no connection is closed, as in a network partition.  Bytes
  * on their way pass afterwards. */
 void standin_relay_set_paused (StandinRelay *relay, gboolean paused);
-/* The same for each way: @up from the connecting side. */
-void standin_relay_set_paused_directions (StandinRelay *relay, gboolean up, gboolean down);
+/* The same for each way: @upstream from the connecting side. */
+void standin_relay_set_paused_directions (StandinRelay *relay, gboolean upstream, gboolean downstream);
 /* What comes from now on arrives @delay_ms later, and no more than @bytes_per_s each way of each connection;
  * 0: any number. */
 void standin_relay_set_delay_and_rate (StandinRelay *relay, guint delay_ms, guint bytes_per_s);
