--- a/rehearsal/platform/standin-relay.c
+++ b/rehearsal/platform/standin-relay.c
@@ -1,39 +1,39 @@
 /*
- * standin-relay.c: see standin-relay.h.
+ * standin-relay.c: TCP relay with simulated network faults.
  */
 #include "standin-relay.h"
 
 #include <sys/socket.h>
 
-/* Bytes of one read, without a rate or at most. */
+/* Upper limit of one read, also without a rate limit. */
 #define CHUNK_MAX_BYTES 65536
-/* With a rate: a read is what passes in this time, ms. */
+/* With a rate limit, one read takes at most what the rate allows in this time. */
 #define RATE_LIMITED_READ_MS 100
-/* With a rate: bytes of one read at least. */
+/* Lower limit of one read with a rate limit. */
 #define CHUNK_MIN_BYTES 512
-/* With a rate: size of the kernel's buffers, bytes: few wait there, as on a link that is full. */
+/* Receive buffer of client sockets with a rate limit: small, so that senders see back-pressure. */
 #define RATE_LIMITED_BUFFER_BYTES 16384
 
 typedef struct _RelayedConnection RelayedConnection;
 
-/* One way of a connection: what came waits in `pending` until it is sent. */
+/* One direction of a connection.  Received bytes wait in `pending` until they are sent. */
 typedef struct
 {
   RelayedConnection *connection;
   GSocket *from; /* not owned */
   GSocket *to;   /* not owned */
   GByteArray *pending;
-  GSource *source;       /* NULL while the way is held */
-  gint64 send_due_us;    /* what is pending is sent then */
-  guint forwarded_bytes; /* bytes */
-  gboolean is_shut_down; /* the receiver's end is shut down */
+  GSource *source;    /* NULL while the flow is paused */
+  gint64 send_due_us; /* monotonic time when `pending` is sent */
+  guint forwarded_bytes;
+  gboolean is_shut_down; /* `to` is shut down for writing */
 } Flow;
 
 struct _RelayedConnection
 {
   StandinRelay *relay;
   GSocket *client;
-  GSocket *server; /* NULL until the relay is held no more */
+  GSocket *server; /* NULL until it is connected; connecting waits while upstream is paused */
   Flow upstream;
   Flow downstream;
 };
@@ -44,15 +44,15 @@
   GSource *source;
   char *address;
   GSocketAddress *upstream_address;
-  GPtrArray *connections; /* Pair, owned */
+  GPtrArray *connections; /* RelayedConnection, owned */
   gboolean upstream_paused;
   gboolean downstream_paused;
   guint delay_ms;
-  guint bytes_per_s; /* 0: no bound */
+  guint bytes_per_s; /* 0: no limit */
   gboolean cut;
-  guint byte_limit;                            /* bytes on one connection; 0: none */
-  StandinRelayDirection limited_direction;     /* which way they are counted */
-  StandinRelayDirection half_closed_direction; /* which way */
+  guint byte_limit;                        /* per connection; 0: no limit */
+  StandinRelayDirection limited_direction; /* direction that byte_limit applies to */
+  StandinRelayDirection half_closed_direction;
 };
 
 static void arm_flow (Flow *flow);
@@ -107,7 +107,7 @@
   return relay->bytes_per_s == 0 ? CHUNK_MAX_BYTES : CLAMP (slice, CHUNK_MIN_BYTES, CHUNK_MAX_BYTES);
 }
 
-/* When what came just now is at the other end. */
+/* Sets the time when the bytes received last are sent, by delay and rate. */
 static void
 set_send_time (Flow *flow, gsize length)
 {
@@ -116,7 +116,7 @@
   flow->send_due_us = g_get_monotonic_time () + relay->delay_ms * 1000 + transfer_us;
 }
 
-/* Returns: whether the connection goes on. */
+/* Returns FALSE if the connection must be closed. */
 static gboolean
 receive_chunk (Flow *flow)
 {
@@ -132,7 +132,7 @@
   return length > 0 || g_error_matches (error, G_IO_ERROR, G_IO_ERROR_WOULD_BLOCK);
 }
 
-/* Returns: how many bytes may still pass. */
+/* Returns how many more bytes the byte limit allows. */
 static guint
 get_sendable_bytes (const Flow *flow)
 {
@@ -142,7 +142,7 @@
   return relay->byte_limit > flow->forwarded_bytes ? relay->byte_limit - flow->forwarded_bytes : 0;
 }
 
-/* Returns: whether the connection goes on. */
+/* Returns FALSE if the connection must be closed. */
 static gboolean
 send_pending (Flow *flow)
 {
@@ -167,7 +167,7 @@
   return flow->connection->relay->half_closed_direction == get_flow_direction (flow);
 }
 
-/* Drops what waits and shuts the receiver's end down. */
+/* Drops pending bytes and shuts down the receiver's socket for writing. */
 static void
 shut_down_flow (Flow *flow)
 {
@@ -177,7 +177,7 @@
   flow->is_shut_down = TRUE;
 }
 
-/* Returns: whether the connection goes on. */
+/* Returns FALSE if the connection must be closed. */
 static gboolean
 transfer (Flow *flow)
 {
@@ -215,7 +215,7 @@
   return run_flow (data);
 }
 
-/* Waits for more, or until what came can be sent. */
+/* Waits until there is input, or until pending bytes are due and the receiver is writable. */
 static void
 arm_flow (Flow *flow)
 {
@@ -238,7 +238,7 @@
   g_source_attach (flow->source, NULL);
 }
 
-/* Returns: %FALSE when the connection is refused. */
+/* Returns FALSE if connecting fails. */
 static gboolean
 connect_upstream (RelayedConnection *connection)
 {
--- a/rehearsal/platform/standin-relay.h
+++ b/rehearsal/platform/standin-relay.h
@@ -1,9 +1,9 @@
 /*
- * standin-relay.h: the network from one process to one address, of which a test can cut, hold or slow either
- * way.
+ * standin-relay.h: TCP relay to one address that simulates network faults: partitions, delay, limited
+ * bandwidth, closed and half-closed connections.
  *
- * A relay owns its listening socket and a pair of sockets for each connection; belongs to the main context of
- * the test.
+ * A relay owns its listening socket and two sockets for each connection.  All functions are called from the
+ * main context of the test.
  */
 #pragma once
 
@@ -14,30 +14,30 @@
 typedef enum
 {
   STANDIN_RELAY_NEITHER,
-  STANDIN_RELAY_REQUESTS, /* from the connecting side */
-  STANDIN_RELAY_ANSWERS,  /* to the connecting side */
+  STANDIN_RELAY_REQUESTS, /* from the client */
+  STANDIN_RELAY_ANSWERS,  /* to the client */
 } StandinRelayDirection;
 
-/* @upstream_address: where connections go; it need not listen yet. */
+/* Listens on a free loopback port and relays connections to @upstream_address, which need not listen yet. */
 StandinRelay *standin_relay_new (const char *upstream_address);
 void standin_relay_free (StandinRelay *relay);
 const char *standin_relay_get_address (const StandinRelay *relay);
-/* While it is held nothing passes either way and no connection is closed, as in a network partition.  Bytes
- * on their way pass afterwards. */
+/* Simulates a network partition: while the relay is paused, nothing passes in either direction and no
+ * connection is closed.  Buffered bytes pass afterwards. */
 void standin_relay_set_paused (StandinRelay *relay, gboolean paused);
-/* The same for each way: @upstream from the connecting side. */
+/* Pauses each direction separately; @upstream: from the client, @downstream: to the client. */
 void standin_relay_set_paused_directions (StandinRelay *relay, gboolean upstream, gboolean downstream);
-/* What comes from now on arrives @delay_ms later, and no more than @bytes_per_s each way of each connection;
- * 0: any number. */
+/* Delays bytes received from now on by @delay_ms and limits each direction of each connection to
+ * @bytes_per_s; 0: no limit. */
 void standin_relay_set_delay_and_rate (StandinRelay *relay, guint delay_ms, guint bytes_per_s);
-/* Either way. */
+/* Returns TRUE if either direction is paused. */
 gboolean standin_relay_is_paused (const StandinRelay *relay);
-/* While it is cut all connections are closed, also new ones: as when a route is rejected. */
+/* Simulates a rejected route: while @cut is set, all connections are closed, including new ones. */
 void standin_relay_set_cut (StandinRelay *relay, gboolean cut);
-/* Each connection is closed instead of passing more than @bytes that way; 0: no limit. */
+/* Closes a connection instead of relaying more than @bytes in @direction; 0: no limit. */
 void standin_relay_set_byte_limit (StandinRelay *relay, StandinRelayDirection direction, guint bytes);
-/* While it is set, bytes that come that way are dropped and the receiver's end of each connection is shut
- * down. */
+/* Drops the bytes in @direction and shuts down the receiver's side of each connection, until another
+ * direction is set.  A side that is shut down stays so. */
 void standin_relay_set_half_closed (StandinRelay *relay, StandinRelayDirection direction);
-/* Connections that are open, or wait to be opened until the relay is held no more. */
+/* Returns the number of connections, including those that wait for the relay to resume. */
 guint standin_relay_get_n_connections (const StandinRelay *relay);
--- a/rehearsal/platform/standin-server.c
+++ b/rehearsal/platform/standin-server.c
@@ -1,5 +1,5 @@
 /*
- * standin-server.c: an HTTP server whose answers a test writes byte by byte.
+ * standin-server.c: HTTP server whose responses a test writes byte by byte.
  */
 #include "standin-server.h"
 
@@ -15,13 +15,13 @@
   GSocket *socket;
   QuinceHttpHead *head;
   GByteArray *body;
-  StandinCall *call; /* in progress */
+  StandinCall *call; /* the request in progress; NULL: none */
 } Connection;
 
 struct _StandinServer
 {
-  QuinceAcceptor *acceptor; /* NULL while it is dead */
-  GSocket *reserved_socket; /* keeps the port of a dead server from others; NULL while it lives */
+  QuinceAcceptor *acceptor; /* NULL while the server is crashed */
+  GSocket *reserved_socket; /* reserves the port of a crashed server; NULL while it runs */
   char *address;
   GHashTable *connections;
   void (*handler) (StandinCall *, gpointer);
@@ -124,7 +124,7 @@
     connection_free (open_connections->pdata[i]);
 }
 
-/* The next close of @connection is a reset. */
+/* Closing @connection sends a TCP reset from now on. */
 static void
 enable_reset_on_close (const Connection *connection)
 {
@@ -142,7 +142,7 @@
   GSocket *socket = g_socket_new (G_SOCKET_FAMILY_IPV4, G_SOCKET_TYPE_STREAM, G_SOCKET_PROTOCOL_TCP, NULL);
   g_autoptr (GError) error = NULL;
   if (!g_socket_bind (socket, local, TRUE, &error))
-    g_error ("%s cannot be kept: %s", address, error->message);
+    g_error ("cannot bind %s: %s", address, error->message);
   return socket;
 }
 
@@ -206,7 +206,7 @@
   GHashTableIter iter;
   gpointer value;
   if (call->disconnected)
-    return NULL; /* its server may be gone too */
+    return NULL; /* the server may be freed already */
   g_hash_table_iter_init (&iter, call->server->connections);
   while (g_hash_table_iter_next (&iter, &value, NULL))
     if (((Connection *)value)->call == call)
--- a/rehearsal/platform/standin-store-calls.c
+++ b/rehearsal/platform/standin-store-calls.c
@@ -1,5 +1,5 @@
 /*
- * standin-store-calls.c: calls and watches of the metadata store's stand-in, and its faults.
+ * standin-store-calls.c: calls, watches and injected faults of the metadata store stand-in.
  */
 #include "standin-store-private.h"
 
@@ -7,7 +7,7 @@
 
 #include <json-glib/json-glib.h>
 
-/* Items of one page of a list, so that every test sees pages. */
+/* Small, so that every test reads several pages. */
 #define LIST_PAGE_MAX_ITEMS 2
 
 /* ---- JSON ------------------------------------------------------------- */
@@ -34,6 +34,7 @@
 
 /* ---- Watches ---------------------------------------------------------- */
 
+/* Returns FALSE if there is nothing to report yet.  @allow_empty: answer even without changes. */
 static gboolean
 answer_watch_if_due (StandinStore *store, StandinWatch *watch, gboolean allow_empty)
 {
@@ -62,7 +63,7 @@
 standin_store_check_watches (StandinStore *store)
 {
   if (store->fault == STANDIN_STORE_UNRESPONSIVE)
-    return; /* nor are watches answered that waited before */
+    return; /* earlier watches are not answered either */
   gint64 now = g_get_monotonic_time ();
   for (guint i = store->watches->len; i > 0; i--)
     {
--- a/rehearsal/platform/standin-store-data.c
+++ b/rehearsal/platform/standin-store-data.c
@@ -1,5 +1,5 @@
 /*
- * standin-store-data.c: keys, their history and leases of the metadata store's stand-in.
+ * standin-store-data.c: keys, history and leases of the metadata store stand-in.
  */
 #include "standin-store-private.h"
 
@@ -76,7 +76,7 @@
     standin_store_remove_lease (store, g_array_index (expired_ids, guint64, i));
 }
 
-/* ---- What a test reads and keeps ---------------------------------------- */
+/* ---- Reads and snapshots ---------------------------------------------- */
 
 const char *
 standin_store_get (const StandinStore *store, const char *key)
--- a/rehearsal/platform/standin-store-private.h
+++ b/rehearsal/platform/standin-store-private.h
@@ -1,7 +1,8 @@
 /*
- * standin-store-private.h: the state of the metadata store's stand-in, shared by its files:
- * standin-store-data.c holds keys and leases, standin-store-calls.c answers calls and watches,
- * standin-store.c is what a test does.
+ * standin-store-private.h: state of the metadata store stand-in.
+ *
+ * standin-store-data.c keeps keys and leases, standin-store-calls.c answers calls and watches, and
+ * standin-store.c implements the functions that tests call.
  */
 #pragma once
 
@@ -10,10 +11,10 @@
 typedef struct
 {
   char *key;
-  char *value; /* base64; NULL: removed */
+  char *value; /* base64; NULL: the key was removed */
   guint64 revision;
   guint64 lease_id;
-  gint64 changed_us; /* monotonic; when it was changed */
+  gint64 changed_us; /* monotonic time of the change */
 } StandinItem;
 
 typedef struct
@@ -35,11 +36,11 @@
 {
   StandinServer *server;
   GHashTable *items;  /* StandinItem by key, owned */
-  GPtrArray *history; /* StandinItem, owned: every change since `oldest` */
+  GPtrArray *history; /* StandinItem, owned: all changes after oldest_revision */
   GPtrArray *watches;
-  GPtrArray *unanswered_calls; /* StandinCall, owned: taken while it was silent */
+  GPtrArray *unanswered_calls; /* StandinCall, owned: received while the store was unresponsive */
   GHashTable *leases;
-  GPtrArray *saved_items; /* StandinItem, owned; NULL: none */
+  GPtrArray *saved_items; /* StandinItem, owned; NULL: nothing is saved */
   guint64 saved_revision;
   gint64 watch_delay_us;
   guint64 revision;
@@ -48,21 +49,22 @@
   StandinStoreFault fault;
   char *malformed_answer;
   guint n_calls;
-  guint n_list_calls; /* of the calls; pages */
+  guint n_list_calls; /* list calls among n_calls; each page is one */
   guint timer;
 };
 
 void standin_item_free (gpointer item);
-/* (transfer full) */
+/* Returns a copy of @item (transfer full). */
 StandinItem *standin_item_copy (const StandinItem *item);
-/* Writes @key, or removes it where @encoded is %NULL, at the next revision.  Watches are not answered yet. */
+/* Writes the base64 text @encoded to @key, or removes @key if @encoded is NULL, at the next revision.  The
+ * caller calls standin_store_check_watches() afterwards. */
 void standin_store_change (StandinStore *store, const char *key, const char *encoded, guint64 lease_id);
 /* Removes the lease and its keys. */
 void standin_store_remove_lease (StandinStore *store, guint64 lease_id);
-/* Ends the leases whose time is over. */
+/* Removes expired leases and their keys. */
 void standin_store_remove_expired_leases (StandinStore *store);
 
-/* Takes one call; @data: the store */
+/* Handles one call to the store @data. */
 void standin_store_handle_call (StandinCall *call, gpointer data);
-/* Answers watches that have news or waited long enough. */
+/* Answers watches that have changes to report or that have timed out. */
 void standin_store_check_watches (StandinStore *store);
--- a/rehearsal/platform/standin-store.c
+++ b/rehearsal/platform/standin-store.c
@@ -1,12 +1,11 @@
 /*
- * standin-store.c: what a test does with the metadata store's stand-in.
+ * standin-store.c: functions of the metadata store stand-in that tests call.
  */
 #include "standin-store-private.h"
 
 #include <string.h>
 
-/* Between two checks of leases and watches, ms: short beside the leases (1 s and more) and waits of watches.
- */
+/* Short compared with leases and watch timeouts. */
 #define EXPIRY_CHECK_INTERVAL_MS 20
 
 static void
--- a/rehearsal/platform/standin-store.h
+++ b/rehearsal/platform/standin-store.h
@@ -1,9 +1,9 @@
 /*
- * standin-store.h: a stand-in of the platform's metadata store: keys, conditions, watches, leases, and its
- * faults.
+ * standin-store.h: stand-in for the platform's metadata store: keys, conditional writes, watches, leases and
+ * injected faults.
  *
- * Owns all keys with their history, leases, and the calls that wait.  Belongs to the main context of the
- * test.
+ * A store owns its keys, their history, the leases and the pending calls.  All functions are called from the
+ * main context of the test.
  */
 #pragma once
 
@@ -12,14 +12,14 @@
 typedef enum
 {
   STANDIN_STORE_HEALTHY,
-  STANDIN_STORE_UNRESPONSIVE,                    /* takes calls and never answers      */
-  STANDIN_STORE_UNAVAILABLE,                     /* 503 to all                         */
-  STANDIN_STORE_CLOSES_CONNECTIONS,              /* closes instead of an answer        */
-  STANDIN_STORE_DROPS_WRITE_ANSWERS,             /* does writes and does not answer    */
-  STANDIN_STORE_DROPS_WRITE_ANSWERS_FAILS_READS, /* as LOSES, and 503 to reads of one key */
-  STANDIN_STORE_FAILS_LISTS,                     /* 503 to lists of a prefix alone     */
-  STANDIN_STORE_FAILS_OWN_PREFIX,                /* 503 to reads of the product's own keys alone */
-  STANDIN_STORE_MALFORMED_ANSWERS, /* 200 with the text of standin_store_set_malformed_answer() to all */
+  STANDIN_STORE_UNRESPONSIVE,        /* accepts calls and never answers */
+  STANDIN_STORE_UNAVAILABLE,         /* 503 to all calls */
+  STANDIN_STORE_CLOSES_CONNECTIONS,  /* closes the connection without an answer */
+  STANDIN_STORE_DROPS_WRITE_ANSWERS, /* applies writes and closes the connection without an answer */
+  STANDIN_STORE_DROPS_WRITE_ANSWERS_FAILS_READS, /* also 503 to reads of a single key */
+  STANDIN_STORE_FAILS_LISTS,                     /* 503 to lists */
+  STANDIN_STORE_FAILS_OWN_PREFIX,                /* 503 to lists and watches of the prefix "quinceroute" */
+  STANDIN_STORE_MALFORMED_ANSWERS, /* 200 with the body of standin_store_set_malformed_answer() */
 } StandinStoreFault;
 
 typedef struct _StandinStore StandinStore;
@@ -27,33 +27,36 @@
 StandinStore *standin_store_new (void);
 void standin_store_free (StandinStore *store);
 const char *standin_store_get_address (const StandinStore *store);
-/* As the operator or a worker writes. */
+/* Writes a key unconditionally, as the operator or a worker does. */
 void standin_store_put (StandinStore *store, const char *key, const char *value);
 void standin_store_remove (StandinStore *store, const char *key);
-/* NULL: not there. Bytes that are no text are cut at the first zero. */
+/* Returns the value up to its first null byte, or NULL if the key does not exist.  Valid until the next call
+ * of this function. */
 const char *standin_store_get (const StandinStore *store, const char *key);
-/* NULL: not there. (transfer full) */
+/* Returns the value (transfer full), or NULL if the key does not exist. */
 GBytes *standin_store_get_bytes (const StandinStore *store, const char *key);
-/* All keys and values but those of @key, one after the other; bytes that are no text become spaces.
- * (transfer full) */
+/* Returns all other keys with their values as one string, in no particular order (transfer full).
+ * Non-printable bytes are replaced by spaces. */
 char *standin_store_dump_except (const StandinStore *store, const char *key);
-/* 0: not there */
+/* Returns the revision of the last write of @key, or 0 if it does not exist. */
 guint64 standin_store_get_revision (const StandinStore *store, const char *key);
 void standin_store_set_fault (StandinStore *store, StandinStoreFault fault);
 void standin_store_set_malformed_answer (StandinStore *store, const char *body);
-/* All history is forgotten and waiting watches are cut. */
+/* Advances the revision, discards the history and closes all connections.  A watch from an older revision
+ * gets status 410. */
 void standin_store_compact (StandinStore *store);
-/* Waiting watches are cut. */
+/* Closes all connections, including those of pending watches. */
 void standin_store_close_connections (StandinStore *store);
-/* Watches report a change @delay_ms late; reads do not. */
+/* Delays changes by @delay_ms in watches, but not in reads. */
 void standin_store_set_watch_delay (StandinStore *store, guint delay_ms);
-/* All that it holds now, for standin_store_restore(). */
+/* Saves all keys and the revision for standin_store_restore(). */
 void standin_store_save (StandinStore *store);
-/* It comes back with what it held when it was saved, also its revision; connections and history are gone. */
+/* Restores the saved keys and revision.  Requires standin_store_save() first.  Closes all connections and
+ * discards history and leases; restored keys no longer expire. */
 void standin_store_restore (StandinStore *store);
-/* All leases end at once. */
+/* Expires all leases. */
 void standin_store_expire_leases (StandinStore *store);
-/* Calls so far, of all kinds. */
+/* Returns the number of calls of all kinds so far. */
 guint standin_store_get_n_calls (const StandinStore *store);
-/* The same of lists alone, each page counted. */
+/* Returns the number of list calls so far; each page is one call. */
 guint standin_store_get_n_list_calls (const StandinStore *store);
--- a/rehearsal/platform/standin-worker-orders.c
+++ b/rehearsal/platform/standin-worker-orders.c
@@ -1,11 +1,11 @@
 /*
- * standin-worker-orders.c: a worker's answers to orders to load weights, and their faults.
+ * standin-worker-orders.c: orders to load weights and their injected faults.
  */
 #include "standin-worker-private.h"
 
 #include <json-glib/json-glib.h>
 
-/* An order of @version ends. */
+/* Completes a load: switches to @version, or to the version set for failed loads. */
 static void
 finish_load (StandinWorker *worker, guint64 version)
 {
--- a/rehearsal/platform/standin-worker-private.h
+++ b/rehearsal/platform/standin-worker-private.h
@@ -1,20 +1,22 @@
 /*
- * standin-worker-private.h: the state of a worker's stand-in, shared by its files: standin-worker.c takes
- * calls, standin-worker-streams.c streams answers, standin-worker-orders.c takes orders to load weights.
+ * standin-worker-private.h: state of a worker stand-in.
+ *
+ * standin-worker.c handles calls, standin-worker-streams.c streams answers, and standin-worker-orders.c
+ * handles orders to load weights.
  */
 #pragma once
 
 #include "standin-worker.h"
 
-#define STANDIN_MODEL_NAME "model-a" /* that every worker serves */
+#define STANDIN_MODEL_NAME "model-a" /* served by every worker */
 
 typedef struct
 {
   StandinWorker *worker;
   StandinCall *call;
   StandinRun *run;
-  guint next_event;     /* event */
-  guint64 last_version; /* of its latest event */
+  guint next_event;     /* number of the next event */
+  guint64 last_version; /* weight version of the last event */
   guint timer;
   StandinWorkerFault fault;
 } StandinStream;
@@ -27,46 +29,45 @@
   char *zone;
   gint cold_remaining_ms;
   guint slots;
-  /* requests that end it */
-  char *crash_text; /* NULL: none does */
+  char *crash_text; /* requests that contain it crash the worker; NULL: none */
   guint crash_delay_ms;
   guint crashes_left;
   guint answer_delay_ms;
-  guint max_running; /* requests that it works on at once */
+  guint max_running; /* limit of requests in flight */
   gboolean is_down;
-  GPtrArray *delayed_calls; /* answers or ends that are due later, owned */
+  GPtrArray *delayed_calls; /* DelayedCall, owned: answers and crashes that are due later */
   StandinWorkerFault fault;
   guint faults_left;
   guint n_events;
   guint event_interval_ms;
-  guint event_padding_bytes; /* more, after the name of each event */
+  guint event_padding_bytes; /* appended to the data of each event */
   GPtrArray *runs;
   GPtrArray *streams;          /* StandinStream, owned */
-  GPtrArray *unanswered_calls; /* StandinCall: never answered */
+  GPtrArray *unanswered_calls; /* StandinCall: received while the worker was unresponsive */
   guint64 version;
   guint64 n_orders;
-  GArray *fencing_tokens;   /* guint64: of each order, in the order they came */
-  GPtrArray *order_leaders; /* owned texts: of the same */
-  char *order_mode;         /* of the latest; NULL: none */
-  char *malformed_answer;   /* NULL: it makes sense */
+  GArray *fencing_tokens;   /* guint64: of each order, in order of arrival */
+  GPtrArray *order_leaders; /* strings, owned: leader of each order, in order of arrival */
+  char *order_mode;         /* of the latest order; NULL: none */
+  char *malformed_answer;   /* NULL: answers are well-formed */
   gboolean delays_orders;
-  GPtrArray *delayed_orders; /* StandinCall: did not arrive */
+  GPtrArray *delayed_orders; /* StandinCall: not executed yet */
   guint n_refused_orders;
-  guint64 failed_load_version; /* that orders end on; 0: the version before */
-  guint failing_loads_left;    /* orders that end so; G_MAXUINT: all */
+  guint64 failed_load_version; /* version after a failed load; 0: unchanged */
+  guint failing_loads_left;    /* loads still to fail; G_MAXUINT: all */
   guint n_failed_loads;
 };
 
-/* Writes the head with @headers, lines with their ends, and then an event at a time. */
+/* Writes the response head with @headers, lines that end with CRLF, and then one event per interval. */
 void standin_worker_start_stream (StandinWorker *worker,
                                   StandinCall *call,
                                   StandinRun *run,
                                   StandinWorkerFault fault,
                                   const char *headers);
-/* Ends all streams without an answer: their connections are gone. */
+/* Releases all streams.  Their connections must be closed already. */
 void standin_worker_drop_streams (StandinWorker *worker);
 
-/* Answers an order to load weights, or holds it. */
+/* Answers an order to load weights, or queues it while orders are delayed. */
 void standin_worker_handle_order (StandinWorker *worker, StandinCall *call);
-/* Drops orders that are held: their connections are gone. */
+/* Releases delayed orders.  Their connections must be closed already. */
 void standin_worker_drop_orders (StandinWorker *worker);
--- a/rehearsal/platform/standin-worker-streams.c
+++ b/rehearsal/platform/standin-worker-streams.c
@@ -1,5 +1,5 @@
 /*
- * standin-worker-streams.c: a worker's answers in events, one each pause, and their faults.
+ * standin-worker-streams.c: streamed answers, one event per interval, and their injected faults.
  */
 #include "standin-worker-private.h"
 
@@ -14,7 +14,7 @@
   g_free (stream);
 }
 
-/* The stream is over: nothing more is written to its call. */
+/* Removes a stream whose call is released. */
 static void
 stream_remove (StandinStream *stream)
 {
@@ -42,7 +42,7 @@
   stream->next_event++;
 }
 
-/* In the middle of an event. */
+/* Closes the connection in the middle of an event. */
 static void
 truncate_stream (StandinStream *stream)
 {
--- a/rehearsal/platform/standin-worker.c
+++ b/rehearsal/platform/standin-worker.c
@@ -1,11 +1,11 @@
 /*
- * standin-worker.c: a worker of the platform: takes calls, answers plain ones, reports, and dies.
+ * standin-worker.c: calls, plain answers, reports and crashes of a worker stand-in.
  */
 #include "standin-worker-private.h"
 
 #include <string.h>
 
-/* A plain request that is answered later, or that ends the worker. */
+/* A request that is answered later, or that crashes the worker. */
 typedef struct
 {
   StandinWorker *worker;
@@ -135,7 +135,7 @@
   return G_SOURCE_REMOVE;
 }
 
-/* Returns: whether @run ends the worker. */
+/* Returns TRUE if @run crashes the worker; counts it if so. */
 static gboolean
 triggers_crash (StandinWorker *worker, const StandinRun *run)
 {
@@ -232,7 +232,7 @@
   return worker;
 }
 
-/* Releases the calls in progress; their connections are gone. */
+/* Releases the calls in progress.  Their connections must be closed already. */
 static void
 release_calls (StandinWorker *worker)
 {
