--- a/tests/platform/test-evacuation.c
+++ b/tests/platform/test-evacuation.c
@@ -12,12 +12,12 @@
 #include "standin-worker.h"
 
 #define WORKERS 2
-#define TIME_MS 6000
+#define FORWARD_TIMEOUT_MS 6000
 /* Well under the time that the request has, and over what it takes to notice. */
-#define SOON_MS 3000
+#define ABORT_MAX_MS 3000
 /* More than the sockets of both sides hold. */
 #define LARGE_BYTES (16 * 1024 * 1024)
-#define SLOTS 8
+#define WORKER_SLOTS 8
 
 typedef struct
 {
@@ -32,7 +32,7 @@
 } World;
 
 static void
-list_entry (World *world, const char *id, const char *text)
+register_worker_entry (World *world, const char *id, const char *text)
 {
   g_autofree char *key = g_strconcat (QUINCE_PLATFORM_WORKERS_PREFIX, id, NULL);
   g_autoptr (GBytes) bytes = g_bytes_new (text, strlen (text));
@@ -45,7 +45,7 @@
 list_worker (World *world, guint index)
 {
   g_autofree char *entry = standin_worker_make_entry (world->workers[index], "svc", "ready");
-  list_entry (world, standin_worker_get_id (world->workers[index]), entry);
+  register_worker_entry (world, standin_worker_get_id (world->workers[index]), entry);
 }
 
 static void
@@ -97,12 +97,12 @@
 }
 
 static QuinceForward *
-start_with (World *world, gboolean repeatable, GBytes *body)
+start_forward_with_body (World *world, gboolean repeatable, GBytes *body)
 {
   g_autoptr (QuinceHttpHeaders) headers = quince_http_headers_new ();
   quince_http_headers_add (headers, "Host", "h.example");
   quince_platform_write_request_id (headers, "r1");
-  gint64 end_us = quince_now_us () + (gint64)TIME_MS * 1000;
+  gint64 end_us = quince_now_us () + (gint64)FORWARD_TIMEOUT_MS * 1000;
   const QuinceForwardRequest request = { .service = "svc",
                                          .kind = "kind",
                                          .method = "POST",
@@ -124,21 +124,21 @@
 start (World *world, gboolean repeatable)
 {
   g_autoptr (GBytes) body = g_bytes_new_static ("question", 8);
-  start_with (world, repeatable, body);
+  start_forward_with_body (world, repeatable, body);
 }
 
 static void
-assert_soon (World *world, gint64 since_us)
+assert_aborted_in_time (World *world, gint64 since_us)
 {
   AWAIT (world->done);
   gint64 took_ms = (quince_now_us () - since_us) / 1000;
-  if (took_ms > SOON_MS)
+  if (took_ms > ABORT_MAX_MS)
     fail_msg ("the request was over after %d ms", (int)took_ms);
 }
 
 /* A worker in z1 that takes connections but reads nothing of them; with @full none either. */
 static void
-list_deaf (World *world, gboolean full)
+register_stalled_worker (World *world, gboolean full)
 {
   g_autoptr (GInetAddress) loopback = g_inet_address_new_loopback (G_SOCKET_FAMILY_IPV4);
   g_autoptr (GSocketAddress) any = g_inet_socket_address_new (loopback, 0);
@@ -152,12 +152,12 @@
       "{\"service\":\"svc\",\"address\":\"127.0.0.1:%u\",\"zone\":\"z1\",\"version\":1,\"slots\":4,"
       "\"state\":\"ready\",\"coldRemainingMs\":0,\"seq\":1}",
       port);
-  list_entry (world, "deaf", entry);
+  register_worker_entry (world, "deaf", entry);
 }
 
 /* The queue of connections that nobody accepts is full: the next one is not made. (transfer full) */
 static GPtrArray *
-fill_queue (World *world)
+fill_listen_backlog (World *world)
 {
   GPtrArray *fillers = g_ptr_array_new_with_free_func (g_object_unref);
   g_autoptr (GSocketAddress) address = g_socket_get_local_address (world->deaf, NULL);
@@ -179,7 +179,7 @@
  * (transfer full)
  */
 static GSocket *
-await_request (World *world)
+accept_partial_request (World *world)
 {
   AWAIT (g_socket_condition_check (world->deaf, G_IO_IN) != 0);
   GSocket *accepted = g_socket_accept (world->deaf, NULL, NULL);
@@ -191,7 +191,7 @@
 /* ---- Cases -------------------------------------------------------------- */
 
 static void
-test_new_requests_go_elsewhere (void **state)
+test_new_requests_avoid_evacuated_zone (void **state)
 {
   World world;
   begin (&world);
@@ -215,7 +215,7 @@
 
 /* Retries and hedges too: the other worker fails, or takes long. */
 static void
-test_retries_and_hedges_go_elsewhere (void **state)
+test_retries_and_hedges_avoid_evacuated_zone (void **state)
 {
   World world;
   begin (&world);
@@ -236,7 +236,7 @@
 
 /* What runs there when the word comes is not lost, although nobody else may take it. */
 static void
-test_runs_end_where_they_are (void **state)
+test_running_requests_complete (void **state)
 {
   for (guint repeatable = 0; repeatable < 2; repeatable++)
     {
@@ -255,7 +255,7 @@
 }
 
 static void
-test_refused_where_all_are_evacuated (void **state)
+test_refused_when_all_zones_are_evacuated (void **state)
 {
   World world;
   begin (&world);
@@ -280,7 +280,7 @@
 
 /* A request that waits, since its only worker refuses it, is refused when that worker's zone is evacuated. */
 static void
-test_waiting_request_is_refused (void **state)
+test_queued_request_is_refused (void **state)
 {
   World world;
   begin (&world);
@@ -299,12 +299,12 @@
 
 /* The connection is not made yet: the request has not run, and goes elsewhere at once. */
 static void
-test_connection_not_made (void **state)
+test_connecting_request_is_rerouted (void **state)
 {
   World world;
   begin (&world);
-  list_deaf (&world, TRUE);
-  g_autoptr (GPtrArray) fillers = fill_queue (&world);
+  register_stalled_worker (&world, TRUE);
+  g_autoptr (GPtrArray) fillers = fill_listen_backlog (&world);
   start (&world, FALSE);
   run_for (100);
   assert_false (world.done);
@@ -320,19 +320,19 @@
 
 /* The request is on its way and does not arrive: it is cut, before a link that heals delivers it late. */
 static void
-test_request_that_does_not_arrive (void **state)
+test_partially_sent_request_is_aborted (void **state)
 {
   World world;
   begin (&world);
-  list_deaf (&world, FALSE);
+  register_stalled_worker (&world, FALSE);
   g_autofree char *large = g_malloc0 (LARGE_BYTES);
   g_autoptr (GBytes) body = g_bytes_new (large, LARGE_BYTES);
-  start_with (&world, FALSE, body);
-  g_autoptr (GSocket) accepted = await_request (&world);
+  start_forward_with_body (&world, FALSE, body);
+  g_autoptr (GSocket) accepted = accept_partial_request (&world);
   list_worker (&world, 1);
   gint64 since_us = quince_now_us ();
   ask (&world, "z1", TRUE);
-  assert_soon (&world, since_us);
+  assert_aborted_in_time (&world, since_us);
   assert_int_equal (world.outcome, QUINCE_FORWARD_FAILED); /* not repeatable, and it may have run */
   assert_int_equal (runs (&world, 1), 0);
   end (&world);
@@ -340,7 +340,7 @@
 
 /* How a connection ends, once all that came is read; -1: with a reset. */
 static gssize
-read_to_the_end (GSocket *accepted)
+read_until_closed (GSocket *accepted)
 {
   g_autofree char *buffer = g_malloc (LARGE_BYTES);
   gssize got = 1;
@@ -351,17 +351,17 @@
 
 /* A request that was given up on its way is not delivered by the kernel once its worker reads on. */
 static void
-test_given_up_on_its_way (void **state)
+test_cancelled_request_resets_connection (void **state)
 {
   World world;
   begin (&world);
-  list_deaf (&world, FALSE);
+  register_stalled_worker (&world, FALSE);
   g_autofree char *large = g_malloc0 (LARGE_BYTES);
   g_autoptr (GBytes) body = g_bytes_new (large, LARGE_BYTES);
-  QuinceForward *forward = start_with (&world, FALSE, body);
-  g_autoptr (GSocket) accepted = await_request (&world);
+  QuinceForward *forward = start_forward_with_body (&world, FALSE, body);
+  g_autoptr (GSocket) accepted = accept_partial_request (&world);
   quince_forward_cancel (forward);
-  assert_int_equal (read_to_the_end (accepted), -1);
+  assert_int_equal (read_until_closed (accepted), -1);
   end (&world);
 }
 
@@ -398,7 +398,7 @@
 
 /* Of 400 choices without a bound on running requests, those of w0. */
 static guint
-chosen_of_400 (World *world, gint64 now_us)
+count_chosen_of_400 (World *world, gint64 now_us)
 {
   guint count = 0;
   for (guint i = 0; i < 400; i++)
@@ -407,7 +407,7 @@
 }
 
 static void
-test_share_grows_after_the_return (void **state)
+test_share_ramps_up_after_return (void **state)
 {
   World world;
   begin (&world);
@@ -419,16 +419,16 @@
   QuinceWorkerTable *workers = quince_backends_get_workers (world.backends);
   QuinceWorker *returned = quince_worker_table_find (workers, "w0");
   QuinceWorker *other = quince_worker_table_find (workers, "w1");
-  other->running = SLOTS - 2;
-  returned->running = SLOTS / 2;
-  assert_string_equal (choose (&world, now + 100 * 1000, SLOTS), "w1");
-  assert_string_equal (choose (&world, now + 4 * G_USEC_PER_SEC, SLOTS), "w0");
-  other->running = SLOTS; /* there is no place elsewhere */
-  assert_string_equal (choose (&world, now + 100 * 1000, SLOTS), "w0");
+  other->running = WORKER_SLOTS - 2;
+  returned->running = WORKER_SLOTS / 2;
+  assert_string_equal (choose (&world, now + 100 * 1000, WORKER_SLOTS), "w1");
+  assert_string_equal (choose (&world, now + 4 * G_USEC_PER_SEC, WORKER_SLOTS), "w0");
+  other->running = WORKER_SLOTS; /* there is no place elsewhere */
+  assert_string_equal (choose (&world, now + 100 * 1000, WORKER_SLOTS), "w0");
   other->running = returned->running = 0;
-  guint early = chosen_of_400 (&world, now + 100 * 1000);
-  guint later = chosen_of_400 (&world, now + 1500 * 1000);
-  guint last = chosen_of_400 (&world, now + 4 * G_USEC_PER_SEC);
+  guint early = count_chosen_of_400 (&world, now + 100 * 1000);
+  guint later = count_chosen_of_400 (&world, now + 1500 * 1000);
+  guint last = count_chosen_of_400 (&world, now + 4 * G_USEC_PER_SEC);
   print_message ("  of 400: %u, %u, %u\n", early, later, last);
   assert_true (early < later && later < last);
   assert_in_range (early, 20, 120);
@@ -439,16 +439,16 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_new_requests_go_elsewhere),
-    cmocka_unit_test (test_retries_and_hedges_go_elsewhere),
-    cmocka_unit_test (test_runs_end_where_they_are),
-    cmocka_unit_test (test_refused_where_all_are_evacuated),
-    cmocka_unit_test (test_waiting_request_is_refused),
-    cmocka_unit_test (test_connection_not_made),
-    cmocka_unit_test (test_request_that_does_not_arrive),
-    cmocka_unit_test (test_given_up_on_its_way),
+    cmocka_unit_test (test_new_requests_avoid_evacuated_zone),
+    cmocka_unit_test (test_retries_and_hedges_avoid_evacuated_zone),
+    cmocka_unit_test (test_running_requests_complete),
+    cmocka_unit_test (test_refused_when_all_zones_are_evacuated),
+    cmocka_unit_test (test_queued_request_is_refused),
+    cmocka_unit_test (test_connecting_request_is_rerouted),
+    cmocka_unit_test (test_partially_sent_request_is_aborted),
+    cmocka_unit_test (test_cancelled_request_resets_connection),
     cmocka_unit_test (test_held_sends),
-    cmocka_unit_test (test_share_grows_after_the_return),
+    cmocka_unit_test (test_share_ramps_up_after_return),
   };
   return cmocka_run_group_tests_name ("evacuation", tests, NULL, NULL);
 }
--- a/tests/platform/test-feed-wait.c
+++ b/tests/platform/test-feed-wait.c
@@ -10,7 +10,7 @@
 
 /* A front whose leader does not feed it serves callers after this time, ms: the time that it waits, its
  * lists, and the start of a process on a busy machine. */
-#define UNFED_SERVES_MS 2500
+#define UNFED_START_MAX_MS 2500
 
 static gboolean
 serves (const PathWorld *world, guint front)
@@ -19,7 +19,7 @@
 }
 
 static gint64
-restart_until_served (PathWorld *world, guint front)
+measure_restart_ms (PathWorld *world, guint front)
 {
   quince_process_kill (world->fronts[front]);
   gint64 began_us = g_get_monotonic_time ();
@@ -30,20 +30,20 @@
 
 /* One key names the leader, which tells the rest. */
 static void
-test_leader_lives (void **state)
+test_restarts_with_healthy_leader (void **state)
 {
   PathWorld *world = path_world_new ("feed-wait");
   path_world_start (world);
   guint before = standin_store_get_n_list_calls (world->store);
   for (guint i = 0; i < PATH_FRONTS; i++)
-    restart_until_served (world, i);
+    measure_restart_ms (world, i);
   assert_in_range (standin_store_get_n_list_calls (world->store) - before, PATH_FRONTS, PATH_FRONTS);
   path_world_free (world);
 }
 
 /* Starts a new system with @fronts of its fronts.  Returns: lists of the store until all of it serves */
 static guint
-count_lists_of_a_start (guint fronts)
+count_startup_lists (guint fronts)
 {
   PathWorld *world = path_world_new ("feed-wait-new");
   path_configure (world, 7);
@@ -62,21 +62,21 @@
 
 /* All processes start together: fronts wait for the first leader, and list one key each. */
 static void
-test_new_system (void **state)
+test_whole_system_start (void **state)
 {
-  guint alone = count_lists_of_a_start (0);
-  assert_true (count_lists_of_a_start (PATH_FRONTS) <= alone + PATH_FRONTS);
+  guint alone = count_startup_lists (0);
+  assert_true (count_startup_lists (PATH_FRONTS) <= alone + PATH_FRONTS);
 }
 
 /* The store names a leader that says nothing: callers wait no longer than for a front's own lists. */
 static void
-test_leader_is_frozen (void **state)
+test_suspended_leader (void **state)
 {
   PathWorld *world = path_world_new ("feed-wait-frozen");
   path_world_start (world);
   for (guint i = 0; i < PATH_REPLICAS; i++)
     quince_process_suspend (world->replicas[i]);
-  assert_true (restart_until_served (world, 0) < UNFED_SERVES_MS);
+  assert_true (measure_restart_ms (world, 0) < UNFED_START_MAX_MS);
   for (guint i = 0; i < PATH_REPLICAS; i++)
     quince_process_resume (world->replicas[i]);
   path_world_free (world);
@@ -84,20 +84,20 @@
 
 /* All replicas are gone, and the store still names the last leader. */
 static void
-test_leader_is_gone (void **state)
+test_all_replicas_lost (void **state)
 {
   PathWorld *world = path_world_new ("feed-wait-gone");
   path_world_start (world);
   for (guint i = 0; i < PATH_REPLICAS; i++)
     quince_process_kill (world->replicas[i]);
-  assert_true (restart_until_served (world, 0) < UNFED_SERVES_MS);
+  assert_true (measure_restart_ms (world, 0) < UNFED_START_MAX_MS);
   path_world_free (world);
 }
 
 /* The store is away while a front starts beside a living leader, which it cannot find; once the store is back
  * it serves. */
 static void
-test_store_away_at_the_start (void **state)
+test_store_unavailable_at_start (void **state)
 {
   PathWorld *world = path_world_new ("feed-wait-away");
   path_world_start (world);
@@ -115,11 +115,11 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_leader_lives),
-    cmocka_unit_test (test_new_system),
-    cmocka_unit_test (test_leader_is_frozen),
-    cmocka_unit_test (test_leader_is_gone),
-    cmocka_unit_test (test_store_away_at_the_start),
+    cmocka_unit_test (test_restarts_with_healthy_leader),
+    cmocka_unit_test (test_whole_system_start),
+    cmocka_unit_test (test_suspended_leader),
+    cmocka_unit_test (test_all_replicas_lost),
+    cmocka_unit_test (test_store_unavailable_at_start),
   };
   return cmocka_run_group_tests_name ("feed-wait", tests, NULL, NULL);
 }
--- a/tests/platform/test-forward.c
+++ b/tests/platform/test-forward.c
@@ -67,7 +67,7 @@
 
 /* Whose they were: a run of another id came from another test on this machine. */
 static void
-print_runs (const World *world)
+print_all_runs (const World *world)
 {
   for (guint i = 0; i < WORKERS; i++)
     {
@@ -175,7 +175,7 @@
         standin_worker_set_fault (world.workers[j], c->fault, c->times);
       forward (&world, c->repeatable, 3, 3000);
       if (world.outcome != c->outcome || world.status != c->status || runs (&world) > c->runs)
-        print_runs (&world);
+        print_all_runs (&world);
       if (world.outcome != c->outcome || world.status != c->status || runs (&world) > c->runs)
         fail_msg ("%s: outcome %d status %u runs %u", c->name, world.outcome, world.status, runs (&world));
       if (!c->repeatable && runs (&world) > 1)
@@ -231,7 +231,7 @@
 
 /* Another worker at the address of one that is gone refuses; nothing runs there. */
 static void
-test_address_used_again (void **state)
+test_reused_address_is_refused (void **state)
 {
   World world;
   begin (&world);
@@ -260,7 +260,7 @@
 /* Failed first: while the store lost its list in an outage, requests were refused with 503 and all workers
  * free. */
 static void
-test_listing_vanished (void **state)
+test_lost_registration (void **state)
 {
   const char *id = NULL;
   World world;
@@ -292,7 +292,7 @@
 /* Failed first: the policy scores a few of many workers, and the one that keeps the prompt was often not
  * among them. */
 static void
-test_prompt_among_many (void **state)
+test_prompt_affinity_among_many_workers (void **state)
 {
   static const char *const prompt[] = { "aa01", "bb02", NULL };
   World world;
@@ -364,7 +364,7 @@
 
 /* Connections are kept: many requests, one connection each. */
 static void
-test_connections_kept (void **state)
+test_connections_are_reused (void **state)
 {
   World world;
   begin (&world);
@@ -382,11 +382,11 @@
 
 /* ---- Cold workers ---------------------------------------------------------- */
 
-#define GRANT_MS 30
+#define GRANT_DELAY_MS 30
 #define GRANT_VALID_US (200 * 1000)
-#define ASK_AGAIN_US (20 * 1000)
+#define LEASE_RETRY_DELAY_US (20 * 1000)
 
-/* Asks a giver that answers @GRANT_MS later. */
+/* Asks a giver that answers @GRANT_DELAY_MS later. */
 typedef struct
 {
   QuinceService *service;
@@ -407,28 +407,29 @@
 {
   ColdService *cold = data;
   quince_timer_clear (&cold->timer);
-  quince_warmup_sends_handle_answer (cold->sends, cold->worker, cold->ask, 1, GRANT_VALID_US, ASK_AGAIN_US);
+  quince_warmup_sends_handle_answer (cold->sends, cold->worker, cold->ask, 1, GRANT_VALID_US,
+                                     LEASE_RETRY_DELAY_US);
   return G_SOURCE_REMOVE;
 }
 
 static gboolean
-ask_for_sends (guint64 number, const char *worker, guint sends, gpointer data)
+schedule_grant (guint64 number, const char *worker, guint sends, gpointer data)
 {
   ColdService *cold = data;
   g_free (cold->worker);
   cold->worker = g_strdup (worker);
   cold->ask = number;
   quince_timer_clear (&cold->timer);
-  cold->timer = quince_timer_add (GRANT_MS, grant, cold);
+  cold->timer = quince_timer_add (GRANT_DELAY_MS, grant, cold);
   return TRUE;
 }
 
 static const QuinceWarmupSendsCallbacks cold_callbacks
-    = { .find_service = find_cold_service, .request_lease = ask_for_sends };
+    = { .find_service = find_cold_service, .request_lease = schedule_grant };
 
 /* Failed first: refused at once (503), and the sends that were granted a moment later went unused. */
 static void
-test_cold_workers_are_asked_for (void **state)
+test_request_waits_for_cold_sends (void **state)
 {
   World world;
   ColdService cold = { .service = quince_service_new ("svc") };
@@ -460,13 +461,13 @@
     cmocka_unit_test (test_slow_worker_is_hedged),
     cmocka_unit_test (test_faults),
     cmocka_unit_test (test_request_reaches_worker_unchanged),
-    cmocka_unit_test (test_address_used_again),
+    cmocka_unit_test (test_reused_address_is_refused),
     cmocka_unit_test (test_draining),
-    cmocka_unit_test (test_listing_vanished),
-    cmocka_unit_test (test_prompt_among_many),
+    cmocka_unit_test (test_lost_registration),
+    cmocka_unit_test (test_prompt_affinity_among_many_workers),
     cmocka_unit_test (test_cancel),
-    cmocka_unit_test (test_connections_kept),
-    cmocka_unit_test (test_cold_workers_are_asked_for),
+    cmocka_unit_test (test_connections_are_reused),
+    cmocka_unit_test (test_request_waits_for_cold_sends),
   };
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/tests/platform/test-freshness.c
+++ b/tests/platform/test-freshness.c
@@ -24,9 +24,9 @@
  * under the 4.9 s that the fault took. */
 #define IN_FORCE_MS 3000
 /* Of the 3 s in which an accepted policy must be in force everywhere, half a second is for a slow answer. */
-#define POLICY_IN_FORCE_MS 2500
+#define POLICY_MAX_DELAY_MS 2500
 /* Between the 0.9 s after which a silent leader is left and the 2 s for which own keys are trusted. */
-#define LEFT_MS 1800
+#define SILENT_LEADER_MAX_MS 1800
 #define WORKER_ENTRY                                                                                         \
   "{\"service\":\"s\",\"address\":\"127.0.0.1:1\",\"zone\":\"z1\",\"version\":1,\"slots\":4,"                \
   "\"state\":\"ready\",\"coldRemainingMs\":0,\"seq\":1}"
@@ -37,12 +37,12 @@
   QuinceMetaStore *store;
   QuinceBackends *backends;
   QuinceObserver *observer;
-  QuinceStoreFeed *feed;   /* NULL: does not lead */
-  gboolean reports;        /* a replica: tells the leader what it reads */
-  QuinceLink *link;        /* to the leader, or the last one that was accepted */
-  GPtrArray *accepted;     /* QuinceLink, owned */
-  guint own_keys;          /* changes of own keys */
-  QuinceTimer *beat_timer; /* of a leader */
+  QuinceStoreFeed *feed;               /* NULL: does not lead */
+  gboolean reports;                    /* a replica: tells the leader what it reads */
+  QuinceLink *link;                    /* to the leader, or the last one that was accepted */
+  GPtrArray *accepted;                 /* QuinceLink, owned */
+  guint own_keys;                      /* changes of own keys */
+  QuinceTimer *leader_heartbeat_timer; /* of a leader */
   QuinceLinkServer *server;
 } Process;
 
@@ -72,26 +72,26 @@
 }
 
 static guint64
-known_version (Process *process)
+get_known_version (Process *process)
 {
   return quince_observer_get_version (process->observer, MODEL);
 }
 
 static guint
-known_workers (Process *process)
+count_known_workers (Process *process)
 {
   return quince_worker_table_get_size (quince_backends_get_workers (process->backends));
 }
 
 static gboolean
-knows_evacuated (Process *process)
+knows_zone_evacuated (Process *process)
 {
   return quince_zone_table_is_evacuated (quince_backends_get_zones (process->backends), ZONE);
 }
 
 /* Of what it has of the workers' keys. */
 static guint64
-workers_revision (Process *process)
+get_workers_revision (Process *process)
 {
   guint64 revisions[QUINCE_OBSERVER_N_PREFIXES];
   quince_observer_get_revisions (process->observer, revisions);
@@ -119,7 +119,7 @@
 static void
 process_clear (Process *process)
 {
-  quince_timer_clear (&process->beat_timer);
+  quince_timer_clear (&process->leader_heartbeat_timer);
   if (process->link != NULL)
     quince_link_close (process->link);
   g_clear_pointer (&process->link, quince_link_unref);
@@ -171,7 +171,7 @@
 static void
 lead (Process *leader)
 {
-  leader->beat_timer = quince_timer_add (250, beat, leader);
+  leader->leader_heartbeat_timer = quince_timer_add (250, beat, leader);
   leader->feed = quince_store_feed_new (leader->observer);
   leader->server = quince_link_server_new ("127.0.0.1:0", &link_callbacks, on_accepted, leader, NULL);
   assert_non_null (leader->server);
@@ -189,10 +189,10 @@
 }
 
 static void
-assert_known_in_time (Process *process, guint64 version)
+assert_version_in_time (Process *process, guint64 version)
 {
   gint64 begin_us = g_get_monotonic_time ();
-  AWAIT (known_version (process) == version);
+  AWAIT (get_known_version (process) == version);
   gint64 took_ms = (g_get_monotonic_time () - begin_us) / 1000;
   if (took_ms > IN_FORCE_MS)
     fail_msg ("version %u was known after %d ms", (guint)version, (int)took_ms);
@@ -226,36 +226,36 @@
 
 /* The store stops answering the leader only: its followers notice and read the store themselves. */
 static void
-test_leader_that_is_not_answered (void **state)
+test_leader_cut_off_from_store (void **state)
 {
   follow (&follower, &leader);
   name_version (&follower, 3);
   name_version (&leader, 3);
-  AWAIT (known_version (&follower) == 3);
+  AWAIT (get_known_version (&follower) == 3);
   run_for (100); /* the follower is fed, the leader waits in a watch */
   standin_store_set_fault (leader.standin, STANDIN_STORE_UNRESPONSIVE);
   name_version (&follower, 4);
-  assert_known_in_time (&follower, 4);
+  assert_version_in_time (&follower, 4);
 }
 
 /* A watch that a silent store took does not outlive the outage. */
 static void
-test_watch_taken_by_a_silent_store (void **state)
+test_watch_on_unresponsive_store (void **state)
 {
   standin_store_set_fault (follower.standin, STANDIN_STORE_UNRESPONSIVE);
   standin_store_close_connections (follower.standin); /* it is noticed, and watches are begun meanwhile */
   run_for (700);
   standin_store_set_fault (follower.standin, STANDIN_STORE_HEALTHY);
   name_version (&follower, 3);
-  assert_known_in_time (&follower, 3);
+  assert_version_in_time (&follower, 3);
 }
 
 /* What the leader tells begins after what the follower has: the follower takes none of it, and reads. */
 static void
-test_gap_in_what_is_told (void **state)
+test_gap_in_feed (void **state)
 {
   name_version (&leader, 3);
-  AWAIT (known_version (&leader) == 3);
+  AWAIT (get_known_version (&leader) == 3);
   /* History is dropped and the leader's list fails: it cannot tell what the follower lacks. */
   standin_store_set_fault (leader.standin, STANDIN_STORE_FAILS_LISTS);
   standin_store_compact (leader.standin);
@@ -269,32 +269,33 @@
   AWAIT (quince_observer_is_synced (leader.observer));
   run_for (300);
   standin_store_set_fault (follower.standin, STANDIN_STORE_HEALTHY);
-  assert_known_in_time (&follower, 3);
+  assert_version_in_time (&follower, 3);
 }
 
 /* The store lost a worker's entry while it was away for the leader: who is told of it keeps the worker as a
  * last choice, as the leader does. */
 static void
-test_worker_lost_in_an_outage (void **state)
+test_worker_entry_lost_in_store_outage (void **state)
 {
   standin_store_put (leader.standin, "servers/w1", WORKER_ENTRY);
   standin_store_put (follower.standin, "servers/w1", WORKER_ENTRY);
-  AWAIT (known_workers (&leader) == 1 && known_workers (&follower) == 1);
+  AWAIT (count_known_workers (&leader) == 1 && count_known_workers (&follower) == 1);
   follow (&follower, &leader);
   standin_store_set_fault (leader.standin, STANDIN_STORE_UNAVAILABLE);
   standin_store_close_connections (leader.standin);
   AWAIT (quince_meta_store_is_failing (leader.store));
   standin_store_remove (leader.standin, "servers/w1");
   standin_store_set_fault (leader.standin, STANDIN_STORE_HEALTHY);
-  AWAIT (workers_revision (&follower) >= workers_revision (&leader) && workers_revision (&leader) >= 3);
-  assert_int_equal (known_workers (&leader), 1);
-  assert_int_equal (known_workers (&follower), 1);
+  AWAIT (get_workers_revision (&follower) >= get_workers_revision (&leader)
+         && get_workers_revision (&leader) >= 3);
+  assert_int_equal (count_known_workers (&leader), 1);
+  assert_int_equal (count_known_workers (&follower), 1);
 }
 
 /* A replica reads for a leader that the store does not answer, and for all that the leader tells: they know
  * what the operator wrote and which workers there are, and ask the store for nothing. */
 static void
-test_replica_reads_for_all (void **state)
+test_reserve_reader_feeds_all (void **state)
 {
   follow (&replica, &leader);
   follow (&follower, &leader);
@@ -303,57 +304,57 @@
   guint calls = standin_store_get_n_calls (follower.standin);
   name_version (&replica, 3);
   standin_store_put (replica.standin, "servers/w1", WORKER_ENTRY);
-  assert_known_in_time (&follower, 3);
-  AWAIT (known_workers (&follower) == 1);
-  assert_int_equal (known_version (&leader), 3);
-  assert_int_equal (known_workers (&leader), 1);
+  assert_version_in_time (&follower, 3);
+  AWAIT (count_known_workers (&follower) == 1);
+  assert_int_equal (get_known_version (&leader), 3);
+  assert_int_equal (count_known_workers (&leader), 1);
   run_for (2500); /* for longer than anybody's patience */
   assert_int_equal (standin_store_get_n_calls (follower.standin), calls);
   /* And on: the replica was not put off by what it told itself. */
   name_version (&replica, 4);
-  assert_known_in_time (&follower, 4);
+  assert_version_in_time (&follower, 4);
   standin_store_remove (replica.standin, "servers/w1");
-  AWAIT (known_workers (&follower) == 0);
+  AWAIT (count_known_workers (&follower) == 0);
   assert_int_equal (standin_store_get_n_calls (follower.standin), calls);
 }
 
 /* A leader that sends nothing at all is left sooner than one whose reads lag: among the own keys is the one
  * that names the next leader. */
 static void
-test_leader_that_sends_nothing (void **state)
+test_silent_leader (void **state)
 {
   follow (&follower, &leader);
   run_for (100);
   g_clear_pointer (&leader.feed, quince_store_feed_free);
-  quince_timer_clear (&leader.beat_timer);
+  quince_timer_clear (&leader.leader_heartbeat_timer);
   standin_store_put (follower.standin, "quinceroute/ledger", "view");
   gint64 begin_us = g_get_monotonic_time ();
   AWAIT (follower.own_keys > 0);
   gint64 took_ms = (g_get_monotonic_time () - begin_us) / 1000;
-  if (took_ms > LEFT_MS)
+  if (took_ms > SILENT_LEADER_MAX_MS)
     fail_msg ("the leader was left after %d ms", (int)took_ms);
 }
 
 /* Failed first: whoever lost its leader read all prefixes at once and again each half second, 250 fronts at
  * once.  What was told counts until the bound on changes asks for a read; only the own keys are read. */
 static void
-test_lost_feeder_costs_little (void **state)
+test_feeder_loss_store_load (void **state)
 {
   follow (&follower, &leader);
   run_for (700); /* until a page has come of each prefix */
   guint calls = standin_store_get_n_calls (follower.standin);
   g_clear_pointer (&leader.feed, quince_store_feed_free);
-  quince_timer_clear (&leader.beat_timer);
+  quince_timer_clear (&leader.leader_heartbeat_timer);
   quince_observer_handle_feeder_loss (follower.observer);
   run_for (800);
   assert_in_range (standin_store_get_n_calls (follower.standin) - calls, 0, 2);
   name_version (&follower, 3);
-  assert_known_in_time (&follower, 3);
+  assert_version_in_time (&follower, 3);
 }
 
 /* A leader that hears the store takes nothing from a replica, be it newer or older. */
 static void
-test_leader_reads_by_itself (void **state)
+test_healthy_leader_ignores_reports (void **state)
 {
   follow (&replica, &leader);
   guint64 revisions[QUINCE_OBSERVER_N_PREFIXES];
@@ -368,22 +369,22 @@
   const QuinceMetaPage page = { .items = items, .after = revisions[0], .revision = revisions[0] + 1 };
   quince_store_feed_report (replica.observer, replica.link, "op/", &page);
   run_for (200);
-  assert_int_equal (known_version (&leader), 2);
+  assert_int_equal (get_known_version (&leader), 2);
   name_version (&leader, 3);
-  AWAIT (known_version (&leader) == 3);
+  AWAIT (get_known_version (&leader) == 3);
   /* Once it hears nothing, an older page is refused all the same. */
   standin_store_set_fault (leader.standin, STANDIN_STORE_UNRESPONSIVE);
   run_for (1200);
   const QuinceMetaPage older = { .items = items, .after = 1, .revision = 1 };
   assert_false (quince_observer_apply_report (leader.observer, "op/", &older));
-  assert_int_equal (known_version (&leader), 3);
+  assert_int_equal (get_known_version (&leader), 3);
 }
 
 static void
 assert_evacuated_in_time (Process *process, gboolean evacuated)
 {
   gint64 begin_us = g_get_monotonic_time ();
-  AWAIT (knows_evacuated (process) == evacuated);
+  AWAIT (knows_zone_evacuated (process) == evacuated);
   gint64 took_ms = (g_get_monotonic_time () - begin_us) / 1000;
   if (took_ms > IN_FORCE_MS)
     fail_msg ("the zone's state was known after %d ms", (int)took_ms);
@@ -392,7 +393,7 @@
 /* The store answers neither the leader nor a follower: a replica reads that a zone is evacuated, and that it
  * is taken back, for both. */
 static void
-test_evacuation_read_by_a_replica (void **state)
+test_evacuation_through_reserve_reader (void **state)
 {
   follow (&replica, &leader);
   follow (&follower, &leader);
@@ -401,20 +402,20 @@
   standin_store_set_fault (follower.standin, STANDIN_STORE_UNRESPONSIVE);
   standin_store_put (replica.standin, EVACUATE_KEY, "{}");
   assert_evacuated_in_time (&follower, TRUE);
-  assert_true (knows_evacuated (&leader));
+  assert_true (knows_zone_evacuated (&leader));
   standin_store_remove (replica.standin, EVACUATE_KEY);
   assert_evacuated_in_time (&follower, FALSE);
-  assert_false (knows_evacuated (&leader));
+  assert_false (knows_zone_evacuated (&leader));
 }
 
 /* A leader that read of an evacuation and tells nobody: the others read by themselves. */
 static void
-test_leader_that_keeps_an_evacuation (void **state)
+test_leader_withholds_evacuation (void **state)
 {
   follow (&follower, &leader);
   run_for (100);
   g_clear_pointer (&leader.feed, quince_store_feed_free);
-  quince_timer_clear (&leader.beat_timer);
+  quince_timer_clear (&leader.leader_heartbeat_timer);
   standin_store_put (leader.standin, EVACUATE_KEY, "{}");
   standin_store_put (follower.standin, EVACUATE_KEY, "{}");
   assert_evacuated_in_time (&leader, TRUE);
@@ -423,7 +424,7 @@
 
 /* The zone was taken back, and history was forgotten, while the store was away: the key is not listed. */
 static void
-test_return_in_forgotten_history (void **state)
+test_evacuation_end_in_compacted_history (void **state)
 {
   standin_store_put (follower.standin, EVACUATE_KEY, "{}");
   assert_evacuated_in_time (&follower, TRUE);
@@ -432,14 +433,14 @@
   standin_store_remove (follower.standin, EVACUATE_KEY);
   standin_store_compact (follower.standin);
   run_for (300);
-  assert_true (knows_evacuated (&follower));
+  assert_true (knows_zone_evacuated (&follower));
   standin_store_set_fault (follower.standin, STANDIN_STORE_HEALTHY);
   assert_evacuated_in_time (&follower, FALSE);
 }
 
 /* Asked, taken back and asked again while nobody looks, and an older page told late. */
 static void
-test_evacuations_within_a_moment (void **state)
+test_rapid_evacuation_changes (void **state)
 {
   follow (&follower, &leader);
   guint64 revisions[QUINCE_OBSERVER_N_PREFIXES];
@@ -454,7 +455,7 @@
       standin_store_put (leader.standin, EVACUATE_KEY, "{}");
       assert_evacuated_in_time (&follower, TRUE);
       assert_false (quince_observer_feed (follower.observer, "op/", &before, TRUE));
-      assert_true (knows_evacuated (&follower));
+      assert_true (knows_zone_evacuated (&follower));
       standin_store_remove (leader.standin, EVACUATE_KEY);
       assert_evacuated_in_time (&follower, FALSE);
     }
@@ -462,7 +463,7 @@
 
 /* A process that starts sends nothing before it knows all that the operator asked. */
 static void
-test_start_in_an_evacuation (void **state)
+test_start_during_evacuation (void **state)
 {
   Process starter = { .standin = standin_store_new () };
   standin_store_put (starter.standin, EVACUATE_KEY, "{}");
@@ -479,7 +480,7 @@
   assert_true (quince_backends_holds_sends (starter.backends));
   standin_store_set_fault (starter.standin, STANDIN_STORE_HEALTHY);
   AWAIT (!quince_backends_holds_sends (starter.backends));
-  assert_true (knows_evacuated (&starter));
+  assert_true (knows_zone_evacuated (&starter));
   process_clear (&starter);
 }
 
@@ -497,18 +498,18 @@
   quince_observer_handle_resume (follower.observer);
   assert_true (quince_backends_holds_sends (follower.backends));
   AWAIT (!quince_backends_holds_sends (follower.backends));
-  assert_true (knows_evacuated (&follower));
+  assert_true (knows_zone_evacuated (&follower));
   standin_store_set_fault (follower.standin, STANDIN_STORE_UNRESPONSIVE);
   quince_observer_handle_resume (follower.observer);
   assert_true (quince_backends_holds_sends (follower.backends));
   AWAIT (!quince_backends_holds_sends (follower.backends));
-  assert_true (knows_evacuated (&follower));
+  assert_true (knows_zone_evacuated (&follower));
 }
 
 /* Failed first: own keys were trusted for 3 s and read after it, where an accepted policy must be in force at
  * 3 s: no replica reads for the others, and the store answers all but the leader. */
 static void
-test_own_keys_of_a_leader_that_is_not_answered (void **state)
+test_own_keys_with_leader_cut_off_from_store (void **state)
 {
   follow (&follower, &leader);
   run_for (700); /* until a page has come of each prefix */
@@ -520,7 +521,7 @@
   gint64 begin_us = g_get_monotonic_time ();
   AWAIT (follower.own_keys == 2);
   gint64 took_ms = (g_get_monotonic_time () - begin_us) / 1000;
-  if (took_ms > POLICY_IN_FORCE_MS)
+  if (took_ms > POLICY_MAX_DELAY_MS)
     fail_msg ("an own key was known after %d ms", (int)took_ms);
 }
 
@@ -530,20 +531,20 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    CASE (test_own_keys_of_a_leader_that_is_not_answered),
-    CASE (test_leader_that_is_not_answered),
-    CASE (test_watch_taken_by_a_silent_store),
-    CASE (test_gap_in_what_is_told),
-    CASE (test_worker_lost_in_an_outage),
-    CASE (test_replica_reads_for_all),
-    CASE (test_lost_feeder_costs_little),
-    CASE (test_leader_reads_by_itself),
-    CASE (test_leader_that_sends_nothing),
-    CASE (test_evacuation_read_by_a_replica),
-    CASE (test_leader_that_keeps_an_evacuation),
-    CASE (test_return_in_forgotten_history),
-    CASE (test_evacuations_within_a_moment),
-    CASE (test_start_in_an_evacuation),
+    CASE (test_own_keys_with_leader_cut_off_from_store),
+    CASE (test_leader_cut_off_from_store),
+    CASE (test_watch_on_unresponsive_store),
+    CASE (test_gap_in_feed),
+    CASE (test_worker_entry_lost_in_store_outage),
+    CASE (test_reserve_reader_feeds_all),
+    CASE (test_feeder_loss_store_load),
+    CASE (test_healthy_leader_ignores_reports),
+    CASE (test_silent_leader),
+    CASE (test_evacuation_through_reserve_reader),
+    CASE (test_leader_withholds_evacuation),
+    CASE (test_evacuation_end_in_compacted_history),
+    CASE (test_rapid_evacuation_changes),
+    CASE (test_start_during_evacuation),
     CASE (test_evacuation_while_suspended),
   };
   return cmocka_run_group_tests_name ("freshness", tests, NULL, NULL);
--- a/tests/platform/test-front.c
+++ b/tests/platform/test-front.c
@@ -5,8 +5,8 @@
 #include "raw.h"
 
 #define SPLIT_CALLS 200
-#define SPLIT_WARM_CALLS 20
-#define SPLIT_SLACK 10
+#define SPLIT_WARMUP_CALLS 20
+#define SPLIT_MAX_DEVIATION 10
 
 /* ---- Framing and limits ---------------------------------------------------- */
 
@@ -96,7 +96,7 @@
 }
 
 static char *
-request_text (const FramingCase *c)
+expand_request (const FramingCase *c)
 {
   g_autofree char *filler
       = g_strnfill (strstr (c->request, "186a1") != NULL ? 100001 : LONG_HEADER_BYTES, 'y');
@@ -113,7 +113,7 @@
       const FramingCase *c = &framing_cases[i];
       guint runs_before = runs_of (world, "");
       RawCaller *caller = raw_connect (path_front (world, 0));
-      g_autofree char *text = request_text (c);
+      g_autofree char *text = expand_request (c);
       raw_send (caller, text);
       AWAIT (raw_has (caller, c->answers[c->answers[1] != NULL ? 1 : 0]) || caller->closed);
       const char *first = strstr (caller->text->str, c->answers[0]);
@@ -132,7 +132,7 @@
 
 /* A connection serves one request after the other; each answer is that of its request. */
 static void
-test_kept_connection (void **state)
+test_persistent_connection (void **state)
 {
   PathWorld *world = start_fronts ("kept");
   RawCaller *caller = raw_connect (path_front (world, 0));
@@ -151,7 +151,7 @@
 
 /* A head that never ends is answered 408 and does not hold its connection. */
 static void
-test_slow_head (void **state)
+test_slow_request_head (void **state)
 {
   PathWorld *world = start_fronts ("slow-head");
   RawCaller *caller = raw_connect (path_front (world, 0));
@@ -166,7 +166,7 @@
 
 /* Workers are told what is left, never more than the route or the caller allows. */
 static void
-test_deadline_handed_on (void **state)
+test_deadline_propagated (void **state)
 {
   PathWorld *world = start_fronts ("deadline");
   for (guint i = 0; i < PATH_PLAIN; i++)
@@ -223,7 +223,7 @@
 /* ---- Callers that leave ------------------------------------------------------- */
 
 static const StandinRun *
-stream_run (PathWorld *world)
+find_stream_run (PathWorld *world)
 {
   for (guint i = 0; i < PATH_MODEL; i++)
     if (standin_worker_get_runs (world->model[i])->len > 0)
@@ -232,7 +232,7 @@
 }
 
 static void
-test_caller_leaves (void **state)
+test_caller_disconnects (void **state)
 {
   PathWorld *world = start_fronts ("leaves");
   for (guint i = 0; i < PATH_MODEL; i++)
@@ -242,7 +242,7 @@
                     "\r\nRequest-Id: g1\r\nRequest-Deadline-Ms: 60000\r\nContent-Length: 1\r\n\r\nx");
   AWAIT (raw_has (caller, "data: e3"));
   raw_free (caller);
-  AWAIT (stream_run (world)->disconnected);
+  AWAIT (find_stream_run (world)->disconnected);
   path_world_free (world);
 }
 
@@ -259,16 +259,16 @@
   "15000}}"
 
 static gboolean
-none_refused (PathWorld *world)
+all_calls_succeed (PathWorld *world)
 {
-  for (guint i = 0; i < SPLIT_WARM_CALLS; i++)
+  for (guint i = 0; i < SPLIT_WARMUP_CALLS; i++)
     if (path_status (path_front (world, 0), "POST", "/l/1", "warm", "x") != 200)
       return FALSE;
   return TRUE;
 }
 
 static void
-test_shares (void **state)
+test_traffic_split (void **state)
 {
   PathWorld *world = start_fronts ("shares");
   g_autofree char *entry = standin_worker_make_entry (world->plain[1], "other", "ready");
@@ -276,11 +276,12 @@
   standin_store_put (world->store, "op/config", SPLIT_CONFIGURATION);
   const GPtrArray *rare = standin_worker_get_runs (world->plain[1]);
   /* The shares and the worker come by ways of their own: all is known once none is refused any more. */
-  AWAIT (none_refused (world));
+  AWAIT (all_calls_succeed (world));
   guint before = rare->len;
   for (guint i = 0; i < SPLIT_CALLS; i++)
     assert_int_equal (path_status (path_front (world, 0), "POST", "/l/1", "s", "x"), 200);
-  assert_in_range (rare->len - before, SPLIT_CALLS / 4 - SPLIT_SLACK, SPLIT_CALLS / 4 + SPLIT_SLACK);
+  assert_in_range (rare->len - before, SPLIT_CALLS / 4 - SPLIT_MAX_DEVIATION,
+                   SPLIT_CALLS / 4 + SPLIT_MAX_DEVIATION);
   path_world_free (world);
 }
 
@@ -288,10 +289,14 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_framing),       cmocka_unit_test (test_kept_connection),
-    cmocka_unit_test (test_slow_head),     cmocka_unit_test (test_deadline_handed_on),
-    cmocka_unit_test (test_route_timeout), cmocka_unit_test (test_no_worker),
-    cmocka_unit_test (test_caller_leaves), cmocka_unit_test (test_shares),
+    cmocka_unit_test (test_framing),
+    cmocka_unit_test (test_persistent_connection),
+    cmocka_unit_test (test_slow_request_head),
+    cmocka_unit_test (test_deadline_propagated),
+    cmocka_unit_test (test_route_timeout),
+    cmocka_unit_test (test_no_worker),
+    cmocka_unit_test (test_caller_disconnects),
+    cmocka_unit_test (test_traffic_split),
   };
   return cmocka_run_group_tests_name ("front", tests, NULL, NULL);
 }
--- a/tests/platform/test-http-pool.c
+++ b/tests/platform/test-http-pool.c
@@ -13,42 +13,42 @@
 
 typedef enum
 {
-  END_KEEPS,  /* the connection stays       */
-  END_CLOSES, /* it ends in order           */
-  END_RESETS, /* it is reset                */
-  END_SILENT, /* nothing more comes         */
-} ScriptEnd;
+  END_KEEP_OPEN, /* the connection stays       */
+  END_CLOSE,     /* it ends in order           */
+  END_RESET,     /* it is reset                */
+  END_STALL,     /* nothing more comes         */
+} ResponseEnd;
 
 typedef struct
 {
   const char *name;
   const char *bytes;
-  ScriptEnd end;
+  ResponseEnd end;
   QuinceHttpOutcome outcome;
   guint status;
   const char *body;
   gboolean kept; /* the connection is used again */
-} Script;
+} ScriptedResponse;
 
 static void
 play (StandinCall *call, gpointer data)
 {
-  const Script *script = data;
+  const ScriptedResponse *script = data;
   standin_call_write (call, script->bytes);
   switch (script->end)
     {
-    case END_KEEPS:
+    case END_KEEP_OPEN:
       standin_call_finish (call);
       break;
-    case END_CLOSES:
+    case END_CLOSE:
       standin_call_close_connection (call);
       break;
-    case END_RESETS:
+    case END_RESET:
       /* The bytes arrive before the reset does. */
       run_for (30);
       standin_call_reset_connection (call);
       break;
-    case END_SILENT:
+    case END_STALL:
       break;
     }
 }
@@ -89,41 +89,41 @@
   AWAIT (seen->done);
 }
 
-static const Script scripts[] = {
-  { "whole answer", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nab", END_KEEPS, QUINCE_HTTP_ANSWERED, 200,
-    "ab", TRUE },
+static const ScriptedResponse scripts[] = {
+  { "whole answer", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nab", END_KEEP_OPEN, QUINCE_HTTP_ANSWERED,
+    200, "ab", TRUE },
   { "chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n1\r\nc\r\n0\r\n\r\n",
-    END_KEEPS, QUINCE_HTTP_ANSWERED, 200, "abc", TRUE },
+    END_KEEP_OPEN, QUINCE_HTTP_ANSWERED, 200, "abc", TRUE },
   { "an interim answer first", "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\na",
-    END_KEEPS, QUINCE_HTTP_ANSWERED, 200, "a", TRUE },
-  { "says close", "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 1\r\n\r\na", END_KEEPS,
+    END_KEEP_OPEN, QUINCE_HTTP_ANSWERED, 200, "a", TRUE },
+  { "says close", "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 1\r\n\r\na", END_KEEP_OPEN,
     QUINCE_HTTP_ANSWERED, 200, "a", FALSE },
   { "keep-alive is over at once", "HTTP/1.1 200 OK\r\nKeep-Alive: timeout=0\r\nContent-Length: 1\r\n\r\na",
-    END_KEEPS, QUINCE_HTTP_ANSWERED, 200, "a", FALSE },
+    END_KEEP_OPEN, QUINCE_HTTP_ANSWERED, 200, "a", FALSE },
   { "bytes after the answer",
-    "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\naHTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nb", END_KEEPS,
-    QUINCE_HTTP_ANSWERED, 200, "a", FALSE },
-  { "cut in the body", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nab", END_CLOSES, QUINCE_HTTP_BROKEN, 200,
+    "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\naHTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nb",
+    END_KEEP_OPEN, QUINCE_HTTP_ANSWERED, 200, "a", FALSE },
+  { "cut in the body", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nab", END_CLOSE, QUINCE_HTTP_BROKEN, 200,
     "ab", FALSE },
-  { "cut in chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n", END_CLOSES,
+  { "cut in chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n", END_CLOSE,
     QUINCE_HTTP_BROKEN, 200, "ab", FALSE },
-  { "cut in the head", "HTTP/1.1 200 OK\r\nContent-Le", END_CLOSES, QUINCE_HTTP_BROKEN, 0, "", FALSE },
-  { "closes without an answer", "", END_CLOSES, QUINCE_HTTP_BROKEN, 0, "", FALSE },
-  { "no length, ends in order", "HTTP/1.1 200 OK\r\n\r\nabc", END_CLOSES, QUINCE_HTTP_ANSWERED, 200, "abc",
+  { "cut in the head", "HTTP/1.1 200 OK\r\nContent-Le", END_CLOSE, QUINCE_HTTP_BROKEN, 0, "", FALSE },
+  { "closes without an answer", "", END_CLOSE, QUINCE_HTTP_BROKEN, 0, "", FALSE },
+  { "no length, ends in order", "HTTP/1.1 200 OK\r\n\r\nabc", END_CLOSE, QUINCE_HTTP_ANSWERED, 200, "abc",
     FALSE },
-  { "no length, reset", "HTTP/1.1 200 OK\r\n\r\nabc", END_RESETS, QUINCE_HTTP_BROKEN, 200, "abc", FALSE },
-  { "no HTTP", "hello\r\n\r\n", END_KEEPS, QUINCE_HTTP_BROKEN, 0, "", FALSE },
-  { "two lengths", "HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nab", END_KEEPS,
+  { "no length, reset", "HTTP/1.1 200 OK\r\n\r\nabc", END_RESET, QUINCE_HTTP_BROKEN, 200, "abc", FALSE },
+  { "no HTTP", "hello\r\n\r\n", END_KEEP_OPEN, QUINCE_HTTP_BROKEN, 0, "", FALSE },
+  { "two lengths", "HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nab", END_KEEP_OPEN,
     QUINCE_HTTP_BROKEN, 0, "", FALSE },
-  { "silent", "", END_SILENT, QUINCE_HTTP_BROKEN, 0, "", FALSE },
+  { "silent", "", END_STALL, QUINCE_HTTP_BROKEN, 0, "", FALSE },
 };
 
 static void
-test_scripts (void **state)
+test_scripted_responses (void **state)
 {
   for (guint i = 0; i < G_N_ELEMENTS (scripts); i++)
     {
-      const Script *script = &scripts[i];
+      const ScriptedResponse *script = &scripts[i];
       StandinServer *server = standin_server_new (play, (gpointer)script);
       QuinceHttpPool *pool = quince_http_pool_new (standin_server_get_address (server));
       Seen seen;
@@ -146,7 +146,7 @@
 }
 
 static void
-test_nobody_listens (void **state)
+test_connection_refused (void **state)
 {
   StandinServer *server = standin_server_new (play, NULL);
   QuinceHttpPool *pool = quince_http_pool_new (standin_server_get_address (server));
@@ -177,10 +177,10 @@
   standin_server_free (server);
 }
 
-static gboolean saw_gone;
+static gboolean call_was_gone;
 
 static void
-wait_for_cancel (StandinCall *call, gpointer data)
+capture_call (StandinCall *call, gpointer data)
 {
   *(StandinCall **)data = call;
 }
@@ -190,7 +190,7 @@
 test_cancel_closes (void **state)
 {
   StandinCall *call = NULL;
-  StandinServer *server = standin_server_new (wait_for_cancel, &call);
+  StandinServer *server = standin_server_new (capture_call, &call);
   QuinceHttpPool *pool = quince_http_pool_new (standin_server_get_address (server));
   const QuinceHttpRequest request = { .method = "GET", .target = "/" };
   Seen seen = { 0 };
@@ -198,9 +198,9 @@
   AWAIT (call != NULL);
   quince_http_exchange_cancel (exchange);
   AWAIT (call->disconnected);
-  saw_gone = call->disconnected;
+  call_was_gone = call->disconnected;
   standin_call_finish (call);
-  assert_true (saw_gone);
+  assert_true (call_was_gone);
   assert_false (seen.done);
   quince_http_pool_unref (pool);
   standin_server_free (server);
@@ -215,7 +215,7 @@
 
 /* A connection that comes too late carries nothing: the server never sees the request. */
 static void
-test_send_by (void **state)
+test_send_deadline (void **state)
 {
   guint calls = 0;
   StandinServer *server = standin_server_new (count_call, &calls);
@@ -244,26 +244,26 @@
   standin_server_free (server);
 }
 
-#define STOPPED_US (300 * 1000)
+#define STALL_US (300 * 1000)
 
 /* The process stands still while the answer arrives, until its time is over. */
 static void
-answer_and_stop (StandinCall *call, gpointer data)
+answer_and_stall (StandinCall *call, gpointer data)
 {
   standin_call_answer (call, 200, "", "ab", 2);
-  g_usleep (STOPPED_US);
+  g_usleep (STALL_US);
 }
 
 /* An answer that lies there when the process goes on is taken, though its time is over. */
 static void
-test_ready_answer_is_taken_late (void **state)
+test_received_answer_precedes_timeout (void **state)
 {
-  StandinServer *server = standin_server_new (answer_and_stop, NULL);
+  StandinServer *server = standin_server_new (answer_and_stall, NULL);
   QuinceHttpPool *pool = quince_http_pool_new (standin_server_get_address (server));
   for (guint i = 0; i < 4; i++) /* a new connection, and a kept one */
     {
       Seen seen;
-      ask (pool, &seen, STOPPED_US / 2);
+      ask (pool, &seen, STALL_US / 2);
       assert_int_equal (seen.outcome, QUINCE_HTTP_ANSWERED);
       assert_string_equal (seen.body, "ab");
       g_free (seen.body);
@@ -276,12 +276,9 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_scripts),
-    cmocka_unit_test (test_nobody_listens),
-    cmocka_unit_test (test_idle_connection_closed),
-    cmocka_unit_test (test_cancel_closes),
-    cmocka_unit_test (test_send_by),
-    cmocka_unit_test (test_ready_answer_is_taken_late),
+    cmocka_unit_test (test_scripted_responses),     cmocka_unit_test (test_connection_refused),
+    cmocka_unit_test (test_idle_connection_closed), cmocka_unit_test (test_cancel_closes),
+    cmocka_unit_test (test_send_deadline),          cmocka_unit_test (test_received_answer_precedes_timeout),
   };
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
