--- a/tests/platform/test-evacuation.c
+++ b/tests/platform/test-evacuation.c
@@ -23,7 +23,7 @@
 {
   QuinceBackends *backends;
   StandinWorker *workers[WORKERS]; /* w0 in z1, w1 in z2 */
-  GSocket *deaf;                   /* listens for a worker in z1 that reads nothing; NULL: there is none */
+  GSocket *stalled_listener;       /* listens for a worker in z1 that reads nothing; NULL: there is none */
   guint64 revision;
   gboolean done;
   QuinceForwardOutcome outcome;
@@ -42,14 +42,14 @@
 }
 
 static void
-list_worker (World *world, guint index)
+register_worker (World *world, guint index)
 {
   g_autofree char *entry = standin_worker_make_entry (world->workers[index], "svc", "ready");
   register_worker_entry (world, standin_worker_get_id (world->workers[index]), entry);
 }
 
 static void
-begin (World *world)
+world_init (World *world)
 {
   static const char *const ids[WORKERS] = { "w0", "w1" };
   static const char *const zones[WORKERS] = { "z1", "z2" };
@@ -63,24 +63,24 @@
 }
 
 static void
-end (World *world)
+world_clear (World *world)
 {
   quince_backends_free (world->backends);
   for (guint i = 0; i < WORKERS; i++)
     standin_worker_free (world->workers[i]);
-  g_clear_object (&world->deaf);
+  g_clear_object (&world->stalled_listener);
   g_free (world->cause);
 }
 
 static void
-ask (World *world, const char *zone, gboolean evacuated)
+set_zone_evacuated (World *world, const char *zone, gboolean evacuated)
 {
   assert_true (quince_backends_set_zone_evacuated (world->backends, quince_now_us (), zone, ++world->revision,
                                                    evacuated));
 }
 
 static guint
-runs (const World *world, guint index)
+count_runs (const World *world, guint index)
 {
   return standin_worker_get_runs (world->workers[index])->len;
 }
@@ -121,7 +121,7 @@
 }
 
 static void
-start (World *world, gboolean repeatable)
+start_forward (World *world, gboolean repeatable)
 {
   g_autoptr (GBytes) body = g_bytes_new_static ("question", 8);
   start_forward_with_body (world, repeatable, body);
@@ -142,11 +142,12 @@
 {
   g_autoptr (GInetAddress) loopback = g_inet_address_new_loopback (G_SOCKET_FAMILY_IPV4);
   g_autoptr (GSocketAddress) any = g_inet_socket_address_new (loopback, 0);
-  world->deaf = g_socket_new (G_SOCKET_FAMILY_IPV4, G_SOCKET_TYPE_STREAM, G_SOCKET_PROTOCOL_DEFAULT, NULL);
-  assert_true (g_socket_bind (world->deaf, any, FALSE, NULL));
-  g_socket_set_listen_backlog (world->deaf, full ? 0 : 4);
-  assert_true (g_socket_listen (world->deaf, NULL));
-  g_autoptr (GSocketAddress) local = g_socket_get_local_address (world->deaf, NULL);
+  world->stalled_listener
+      = g_socket_new (G_SOCKET_FAMILY_IPV4, G_SOCKET_TYPE_STREAM, G_SOCKET_PROTOCOL_DEFAULT, NULL);
+  assert_true (g_socket_bind (world->stalled_listener, any, FALSE, NULL));
+  g_socket_set_listen_backlog (world->stalled_listener, full ? 0 : 4);
+  assert_true (g_socket_listen (world->stalled_listener, NULL));
+  g_autoptr (GSocketAddress) local = g_socket_get_local_address (world->stalled_listener, NULL);
   guint port = g_inet_socket_address_get_port (G_INET_SOCKET_ADDRESS (local));
   g_autofree char *entry = g_strdup_printf (
       "{\"service\":\"svc\",\"address\":\"127.0.0.1:%u\",\"zone\":\"z1\",\"version\":1,\"slots\":4,"
@@ -160,7 +161,7 @@
 fill_listen_backlog (World *world)
 {
   GPtrArray *fillers = g_ptr_array_new_with_free_func (g_object_unref);
-  g_autoptr (GSocketAddress) address = g_socket_get_local_address (world->deaf, NULL);
+  g_autoptr (GSocketAddress) address = g_socket_get_local_address (world->stalled_listener, NULL);
   for (guint i = 0; i < 4; i++)
     {
       GSocket *filler
@@ -181,8 +182,8 @@
 static GSocket *
 accept_partial_request (World *world)
 {
-  AWAIT (g_socket_condition_check (world->deaf, G_IO_IN) != 0);
-  GSocket *accepted = g_socket_accept (world->deaf, NULL, NULL);
+  AWAIT (g_socket_condition_check (world->stalled_listener, G_IO_IN) != 0);
+  GSocket *accepted = g_socket_accept (world->stalled_listener, NULL, NULL);
   assert_non_null (accepted);
   AWAIT (g_socket_get_available_bytes (accepted) > 0);
   return accepted;
@@ -194,23 +195,23 @@
 test_new_requests_avoid_evacuated_zone (void **state)
 {
   World world;
-  begin (&world);
-  list_worker (&world, 0);
-  list_worker (&world, 1);
-  start (&world, TRUE);
+  world_init (&world);
+  register_worker (&world, 0);
+  register_worker (&world, 1);
+  start_forward (&world, TRUE);
   AWAIT (world.done);
-  start (&world, TRUE);
+  start_forward (&world, TRUE);
   AWAIT (world.done);
-  ask (&world, "z1", TRUE);
-  guint before = runs (&world, 0);
+  set_zone_evacuated (&world, "z1", TRUE);
+  guint before = count_runs (&world, 0);
   for (guint i = 0; i < 20; i++)
     {
-      start (&world, i % 2 == 0);
+      start_forward (&world, i % 2 == 0);
       AWAIT (world.done);
       assert_int_equal (world.status, 200);
     }
-  assert_int_equal (runs (&world, 0), before);
-  end (&world);
+  assert_int_equal (count_runs (&world, 0), before);
+  world_clear (&world);
 }
 
 /* Retries and hedges too: the other worker fails, or takes long. */
@@ -218,20 +219,20 @@
 test_retries_and_hedges_avoid_evacuated_zone (void **state)
 {
   World world;
-  begin (&world);
-  list_worker (&world, 0);
-  list_worker (&world, 1);
-  ask (&world, "z1", TRUE);
+  world_init (&world);
+  register_worker (&world, 0);
+  register_worker (&world, 1);
+  set_zone_evacuated (&world, "z1", TRUE);
   standin_worker_set_fault (world.workers[1], STANDIN_WORKER_RESETS, 1);
-  start (&world, TRUE);
+  start_forward (&world, TRUE);
   AWAIT (world.done);
   assert_int_equal (world.status, 200);
   standin_worker_set_answer_delay (world.workers[1], 2500);
-  start (&world, TRUE);
+  start_forward (&world, TRUE);
   AWAIT (world.done);
   assert_int_equal (world.status, 200);
-  assert_int_equal (runs (&world, 0), 0);
-  end (&world);
+  assert_int_equal (count_runs (&world, 0), 0);
+  world_clear (&world);
 }
 
 /* What runs there when the word comes is not lost, although nobody else may take it. */
@@ -241,16 +242,16 @@
   for (guint repeatable = 0; repeatable < 2; repeatable++)
     {
       World world;
-      begin (&world);
-      list_worker (&world, 0);
+      world_init (&world);
+      register_worker (&world, 0);
       standin_worker_set_answer_delay (world.workers[0], 2500);
-      start (&world, repeatable == 1);
-      AWAIT (runs (&world, 0) == 1);
-      ask (&world, "z1", TRUE);
+      start_forward (&world, repeatable == 1);
+      AWAIT (count_runs (&world, 0) == 1);
+      set_zone_evacuated (&world, "z1", TRUE);
       AWAIT (world.done);
       assert_int_equal (world.status, 200);
-      assert_int_equal (runs (&world, 0), 1);
-      end (&world);
+      assert_int_equal (count_runs (&world, 0), 1);
+      world_clear (&world);
     }
 }
 
@@ -258,24 +259,24 @@
 test_refused_when_all_zones_are_evacuated (void **state)
 {
   World world;
-  begin (&world);
-  list_worker (&world, 0);
-  list_worker (&world, 1);
-  ask (&world, "z1", TRUE);
-  ask (&world, "z2", TRUE);
+  world_init (&world);
+  register_worker (&world, 0);
+  register_worker (&world, 1);
+  set_zone_evacuated (&world, "z1", TRUE);
+  set_zone_evacuated (&world, "z2", TRUE);
   gint64 since_us = quince_now_us ();
-  start (&world, FALSE);
+  start_forward (&world, FALSE);
   AWAIT (world.done);
   assert_true (quince_now_us () - since_us < 500 * 1000);
   assert_int_equal (world.outcome, QUINCE_FORWARD_REFUSED);
   assert_string_equal (world.cause, QUINCE_FORWARD_CAUSE_EVACUATED);
-  ask (&world, "z2", FALSE);
-  start (&world, FALSE);
+  set_zone_evacuated (&world, "z2", FALSE);
+  start_forward (&world, FALSE);
   AWAIT (world.done);
   assert_int_equal (world.status, 200);
-  assert_int_equal (runs (&world, 0), 0);
-  assert_int_equal (runs (&world, 1), 1);
-  end (&world);
+  assert_int_equal (count_runs (&world, 0), 0);
+  assert_int_equal (count_runs (&world, 1), 1);
+  world_clear (&world);
 }
 
 /* A request that waits, since its only worker refuses it, is refused when that worker's zone is evacuated. */
@@ -283,18 +284,18 @@
 test_queued_request_is_refused (void **state)
 {
   World world;
-  begin (&world);
-  list_worker (&world, 0);
+  world_init (&world);
+  register_worker (&world, 0);
   standin_worker_set_fault (world.workers[0], STANDIN_WORKER_REFUSES, G_MAXUINT);
-  start (&world, FALSE);
+  start_forward (&world, FALSE);
   run_for (50);
-  ask (&world, "z1", TRUE);
+  set_zone_evacuated (&world, "z1", TRUE);
   gint64 since_us = quince_now_us ();
   AWAIT (world.done);
   assert_true (quince_now_us () - since_us < 500 * 1000);
   assert_int_equal (world.outcome, QUINCE_FORWARD_REFUSED);
   assert_string_equal (world.cause, QUINCE_FORWARD_CAUSE_EVACUATED);
-  end (&world);
+  world_clear (&world);
 }
 
 /* The connection is not made yet: the request has not run, and goes elsewhere at once. */
@@ -302,20 +303,20 @@
 test_connecting_request_is_rerouted (void **state)
 {
   World world;
-  begin (&world);
+  world_init (&world);
   register_stalled_worker (&world, TRUE);
   g_autoptr (GPtrArray) fillers = fill_listen_backlog (&world);
-  start (&world, FALSE);
+  start_forward (&world, FALSE);
   run_for (100);
   assert_false (world.done);
-  list_worker (&world, 1);
+  register_worker (&world, 1);
   gint64 since_us = quince_now_us ();
-  ask (&world, "z1", TRUE);
+  set_zone_evacuated (&world, "z1", TRUE);
   AWAIT (world.done);
   assert_true (quince_now_us () - since_us < 400 * 1000);
   assert_int_equal (world.status, 200);
-  assert_int_equal (runs (&world, 1), 1);
-  end (&world);
+  assert_int_equal (count_runs (&world, 1), 1);
+  world_clear (&world);
 }
 
 /* The request is on its way and does not arrive: it is cut, before a link that heals delivers it late. */
@@ -323,19 +324,19 @@
 test_partially_sent_request_is_aborted (void **state)
 {
   World world;
-  begin (&world);
+  world_init (&world);
   register_stalled_worker (&world, FALSE);
   g_autofree char *large = g_malloc0 (LARGE_BYTES);
   g_autoptr (GBytes) body = g_bytes_new (large, LARGE_BYTES);
   start_forward_with_body (&world, FALSE, body);
   g_autoptr (GSocket) accepted = accept_partial_request (&world);
-  list_worker (&world, 1);
+  register_worker (&world, 1);
   gint64 since_us = quince_now_us ();
-  ask (&world, "z1", TRUE);
+  set_zone_evacuated (&world, "z1", TRUE);
   assert_aborted_in_time (&world, since_us);
   assert_int_equal (world.outcome, QUINCE_FORWARD_FAILED); /* not repeatable, and it may have run */
-  assert_int_equal (runs (&world, 1), 0);
-  end (&world);
+  assert_int_equal (count_runs (&world, 1), 0);
+  world_clear (&world);
 }
 
 /* How a connection ends, once all that came is read; -1: with a reset. */
@@ -354,7 +355,7 @@
 test_cancelled_request_resets_connection (void **state)
 {
   World world;
-  begin (&world);
+  world_init (&world);
   register_stalled_worker (&world, FALSE);
   g_autofree char *large = g_malloc0 (LARGE_BYTES);
   g_autoptr (GBytes) body = g_bytes_new (large, LARGE_BYTES);
@@ -362,7 +363,7 @@
   g_autoptr (GSocket) accepted = accept_partial_request (&world);
   quince_forward_cancel (forward);
   assert_int_equal (read_until_closed (accepted), -1);
-  end (&world);
+  world_clear (&world);
 }
 
 /* Until the operator's word is known nothing is sent. */
@@ -370,23 +371,23 @@
 test_held_sends (void **state)
 {
   World world;
-  begin (&world);
-  list_worker (&world, 0);
+  world_init (&world);
+  register_worker (&world, 0);
   quince_backends_hold_sends (world.backends, 0);
-  start (&world, TRUE);
+  start_forward (&world, TRUE);
   run_for (200);
   assert_false (world.done);
-  assert_int_equal (runs (&world, 0), 0);
+  assert_int_equal (count_runs (&world, 0), 0);
   quince_backends_release_sends (world.backends);
   AWAIT (world.done);
   assert_int_equal (world.status, 200);
-  end (&world);
+  world_clear (&world);
 }
 
 /* ---- The return --------------------------------------------------------- */
 
 static const char *
-choose (World *world, gint64 now_us, guint running_max)
+choose_worker (World *world, gint64 now_us, guint running_max)
 {
   const QuincePolicyRequest request = { .service = "svc", .member = "", .kind = "kind" };
   const QuinceBackendQuery query = { .request = &request, .running_max = running_max };
@@ -402,7 +403,7 @@
 {
   guint count = 0;
   for (guint i = 0; i < 400; i++)
-    count += g_str_equal (choose (world, now_us, 0), "w0");
+    count += g_str_equal (choose_worker (world, now_us, 0), "w0");
   return count;
 }
 
@@ -410,21 +411,21 @@
 test_share_ramps_up_after_return (void **state)
 {
   World world;
-  begin (&world);
-  list_worker (&world, 0);
-  list_worker (&world, 1);
-  ask (&world, "z1", TRUE);
+  world_init (&world);
+  register_worker (&world, 0);
+  register_worker (&world, 1);
+  set_zone_evacuated (&world, "z1", TRUE);
   gint64 now = quince_now_us ();
-  ask (&world, "z1", FALSE);
+  set_zone_evacuated (&world, "z1", FALSE);
   QuinceWorkerTable *workers = quince_backends_get_workers (world.backends);
   QuinceWorker *returned = quince_worker_table_find (workers, "w0");
   QuinceWorker *other = quince_worker_table_find (workers, "w1");
   other->running = WORKER_SLOTS - 2;
   returned->running = WORKER_SLOTS / 2;
-  assert_string_equal (choose (&world, now + 100 * 1000, WORKER_SLOTS), "w1");
-  assert_string_equal (choose (&world, now + 4 * G_USEC_PER_SEC, WORKER_SLOTS), "w0");
+  assert_string_equal (choose_worker (&world, now + 100 * 1000, WORKER_SLOTS), "w1");
+  assert_string_equal (choose_worker (&world, now + 4 * G_USEC_PER_SEC, WORKER_SLOTS), "w0");
   other->running = WORKER_SLOTS; /* there is no place elsewhere */
-  assert_string_equal (choose (&world, now + 100 * 1000, WORKER_SLOTS), "w0");
+  assert_string_equal (choose_worker (&world, now + 100 * 1000, WORKER_SLOTS), "w0");
   other->running = returned->running = 0;
   guint early = count_chosen_of_400 (&world, now + 100 * 1000);
   guint later = count_chosen_of_400 (&world, now + 1500 * 1000);
@@ -432,7 +433,7 @@
   print_message ("  of 400: %u, %u, %u\n", early, later, last);
   assert_true (early < later && later < last);
   assert_in_range (early, 20, 120);
-  end (&world);
+  world_clear (&world);
 }
 
 int
--- a/tests/platform/test-feed-wait.c
+++ b/tests/platform/test-feed-wait.c
@@ -13,7 +13,7 @@
 #define UNFED_START_MAX_MS 2500
 
 static gboolean
-serves (const PathWorld *world, guint front)
+front_serves (const PathWorld *world, guint front)
 {
   return path_status (path_front (world, front), "POST", "/l/1", "q", "x") == 200;
 }
@@ -22,10 +22,10 @@
 measure_restart_ms (PathWorld *world, guint front)
 {
   quince_process_kill (world->fronts[front]);
-  gint64 began_us = g_get_monotonic_time ();
+  gint64 start_us = g_get_monotonic_time ();
   path_start_front (world, front);
-  AWAIT (serves (world, front));
-  return (g_get_monotonic_time () - began_us) / 1000;
+  AWAIT (front_serves (world, front));
+  return (g_get_monotonic_time () - start_us) / 1000;
 }
 
 /* One key names the leader, which tells the rest. */
@@ -54,7 +54,7 @@
     path_start_front (world, i);
   AWAIT (path_leader (world) >= 0);
   for (guint i = 0; i < fronts; i++)
-    AWAIT (serves (world, i));
+    AWAIT (front_serves (world, i));
   guint lists = standin_store_get_n_list_calls (world->store);
   path_world_free (world);
   return lists;
@@ -64,8 +64,8 @@
 static void
 test_whole_system_start (void **state)
 {
-  guint alone = count_startup_lists (0);
-  assert_true (count_startup_lists (PATH_FRONTS) <= alone + PATH_FRONTS);
+  guint lists_without_fronts = count_startup_lists (0);
+  assert_true (count_startup_lists (PATH_FRONTS) <= lists_without_fronts + PATH_FRONTS);
 }
 
 /* The store names a leader that says nothing: callers wait no longer than for a front's own lists. */
@@ -107,7 +107,7 @@
   run_for (2500);
   assert_int_equal (path_status (path_front (world, 0), "POST", "/l/1", "q", "x"), 503);
   standin_store_set_fault (world->store, STANDIN_STORE_HEALTHY);
-  AWAIT (serves (world, 0));
+  AWAIT (front_serves (world, 0));
   path_world_free (world);
 }
 
--- a/tests/platform/test-forward.c
+++ b/tests/platform/test-forward.c
@@ -27,7 +27,7 @@
 } World;
 
 static void
-list_worker (World *world, guint index, const char *state)
+register_worker (World *world, guint index, const char *state)
 {
   const char *const ids[] = { "w0", "w1" };
   g_autofree char *key = g_strconcat (QUINCE_PLATFORM_WORKERS_PREFIX, ids[index], NULL);
@@ -39,18 +39,18 @@
 }
 
 static void
-begin (World *world)
+world_init (World *world)
 {
   *world = (World){ 0 };
   world->backends = quince_backends_new (quince_topology_new ("z1", ""));
   world->workers[0] = standin_worker_new ("w0");
   world->workers[1] = standin_worker_new ("w1");
   for (guint i = 0; i < WORKERS; i++)
-    list_worker (world, i, "ready");
+    register_worker (world, i, "ready");
 }
 
 static void
-end (World *world)
+world_clear (World *world)
 {
   quince_backends_free (world->backends);
   for (guint i = 0; i < WORKERS; i++)
@@ -60,7 +60,7 @@
 }
 
 static guint
-runs (const World *world)
+count_runs (const World *world)
 {
   return standin_worker_get_runs (world->workers[0])->len + standin_worker_get_runs (world->workers[1])->len;
 }
@@ -95,7 +95,7 @@
 }
 
 static QuinceForward *
-start (World *world, gboolean repeatable, guint max_attempts, guint time_ms)
+start_forward (World *world, gboolean repeatable, guint max_attempts, guint time_ms)
 {
   g_autoptr (QuinceHttpHeaders) headers = quince_http_headers_new ();
   quince_http_headers_add (headers, "Host", "h.example");
@@ -119,9 +119,9 @@
 }
 
 static void
-forward (World *world, gboolean repeatable, guint max_attempts, guint time_ms)
+run_forward (World *world, gboolean repeatable, guint max_attempts, guint time_ms)
 {
-  start (world, repeatable, max_attempts, time_ms);
+  start_forward (world, repeatable, max_attempts, time_ms);
   AWAIT (world->done);
 }
 
@@ -136,9 +136,9 @@
   QuinceForwardOutcome outcome;
   guint status;
   guint runs;
-} Case;
+} FaultCase;
 
-static const Case cases[] = {
+static const FaultCase fault_cases[] = {
   { "sound", STANDIN_WORKER_HEALTHY, 0, FALSE, QUINCE_FORWARD_ANSWERED, 200, 1 },
   { "refused by one, may not be repeated", STANDIN_WORKER_REFUSES, 1, FALSE, QUINCE_FORWARD_ANSWERED, 200,
     1 },
@@ -166,26 +166,27 @@
 static void
 test_faults (void **state)
 {
-  for (guint i = 0; i < G_N_ELEMENTS (cases); i++)
+  for (guint i = 0; i < G_N_ELEMENTS (fault_cases); i++)
     {
-      const Case *c = &cases[i];
+      const FaultCase *c = &fault_cases[i];
       World world;
-      begin (&world);
+      world_init (&world);
       for (guint j = 0; j < WORKERS; j++)
         standin_worker_set_fault (world.workers[j], c->fault, c->times);
-      forward (&world, c->repeatable, 3, 3000);
-      if (world.outcome != c->outcome || world.status != c->status || runs (&world) > c->runs)
+      run_forward (&world, c->repeatable, 3, 3000);
+      if (world.outcome != c->outcome || world.status != c->status || count_runs (&world) > c->runs)
         print_all_runs (&world);
-      if (world.outcome != c->outcome || world.status != c->status || runs (&world) > c->runs)
-        fail_msg ("%s: outcome %d status %u runs %u", c->name, world.outcome, world.status, runs (&world));
-      if (!c->repeatable && runs (&world) > 1)
-        fail_msg ("%s: run %u times", c->name, runs (&world));
+      if (world.outcome != c->outcome || world.status != c->status || count_runs (&world) > c->runs)
+        fail_msg ("%s: outcome %d status %u runs %u", c->name, world.outcome, world.status,
+                  count_runs (&world));
+      if (!c->repeatable && count_runs (&world) > 1)
+        fail_msg ("%s: run %u times", c->name, count_runs (&world));
       if (world.status == 200)
         {
           assert_true (g_str_has_prefix (world.body, "question by w"));
           assert_true (g_str_has_prefix (world.signature, "stamp-w"));
         }
-      end (&world);
+      world_clear (&world);
     }
 }
 
@@ -194,20 +195,20 @@
 test_slow_worker_is_hedged (void **state)
 {
   World world;
-  begin (&world);
+  world_init (&world);
   for (guint i = 0; i < 20; i++)
     {
       world.done = FALSE;
       standin_worker_set_fault (world.workers[0], STANDIN_WORKER_UNRESPONSIVE, G_MAXUINT);
-      guint before = runs (&world);
-      forward (&world, TRUE, 2, 5000);
+      guint before = count_runs (&world);
+      run_forward (&world, TRUE, 2, 5000);
       assert_int_equal (world.outcome, QUINCE_FORWARD_ANSWERED);
       assert_string_equal (world.signature, "stamp-w1");
-      assert_in_range (runs (&world) - before, 1, 2);
+      assert_in_range (count_runs (&world) - before, 1, 2);
       g_clear_pointer (&world.body, g_free);
       g_clear_pointer (&world.signature, g_free);
     }
-  end (&world);
+  world_clear (&world);
 }
 
 /* ---- What a worker is told -------------------------------------------- */
@@ -216,8 +217,8 @@
 test_request_reaches_worker_unchanged (void **state)
 {
   World world;
-  begin (&world);
-  forward (&world, FALSE, 1, 1500);
+  world_init (&world);
+  run_forward (&world, FALSE, 1, 1500);
   const GPtrArray *first = standin_worker_get_runs (world.workers[0]);
   const GPtrArray *second = standin_worker_get_runs (world.workers[1]);
   const StandinRun *run = first->len > 0 ? first->pdata[0] : second->pdata[0];
@@ -226,7 +227,7 @@
   assert_string_equal (run->body, "question");
   assert_string_equal (run->host, "h.example");
   assert_in_range (g_ascii_strtoull (run->deadline, NULL, 10), 1, 1500);
-  end (&world);
+  world_clear (&world);
 }
 
 /* Another worker at the address of one that is gone refuses; nothing runs there. */
@@ -234,20 +235,20 @@
 test_reused_address_is_refused (void **state)
 {
   World world;
-  begin (&world);
+  world_init (&world);
   g_autofree char *text = standin_worker_make_entry (world.workers[1], "svc", "ready");
   g_autoptr (GBytes) bytes = g_bytes_new (text, strlen (text));
   quince_backends_remove (world.backends, "w0");
   quince_backends_remove (world.backends, "w1");
   quince_backends_update (world.backends, quince_platform_read_worker ("servers/ghost", bytes, NULL));
-  forward (&world, FALSE, 1, 600);
+  run_forward (&world, FALSE, 1, 600);
   assert_int_equal (world.outcome, QUINCE_FORWARD_REFUSED);
-  assert_int_equal (runs (&world), 0);
-  end (&world);
+  assert_int_equal (count_runs (&world), 0);
+  world_clear (&world);
 }
 
 static QuinceBackendOutcome
-choose (World *world, gint64 now_us, const char **id)
+choose_worker (World *world, gint64 now_us, const char **id)
 {
   const QuincePolicyRequest request = { .service = "svc", .member = "", .kind = "l", .attempt = 1 };
   const QuinceBackendQuery query = { .request = &request };
@@ -264,27 +265,27 @@
 {
   const char *id = NULL;
   World world;
-  begin (&world);
+  world_init (&world);
   gint64 now = quince_now_us ();
   quince_backends_mark_listing_stale (world.backends, now, now + G_USEC_PER_SEC, "w0");
   /* One that is listed goes first. */
   for (guint i = 0; i < 4; i++)
     {
-      assert_int_equal (choose (&world, now, &id), QUINCE_BACKEND_CHOSEN);
+      assert_int_equal (choose_worker (&world, now, &id), QUINCE_BACKEND_CHOSEN);
       assert_string_equal (id, "w1");
     }
   quince_backends_mark_listing_stale (world.backends, now, now + G_USEC_PER_SEC, "w1");
-  assert_int_equal (choose (&world, now, &id), QUINCE_BACKEND_CHOSEN);
+  assert_int_equal (choose_worker (&world, now, &id), QUINCE_BACKEND_CHOSEN);
   /* One is listed again and stays; the other one is gone after a moment. */
-  list_worker (&world, 0, "ready");
-  assert_int_equal (choose (&world, now + 3 * G_USEC_PER_SEC, &id), QUINCE_BACKEND_CHOSEN);
+  register_worker (&world, 0, "ready");
+  assert_int_equal (choose_worker (&world, now + 3 * G_USEC_PER_SEC, &id), QUINCE_BACKEND_CHOSEN);
   assert_string_equal (id, "w0");
   assert_null (quince_worker_table_find (quince_backends_get_workers (world.backends), "w1"));
   /* One that leaves is no such case. */
-  list_worker (&world, 0, "draining");
+  register_worker (&world, 0, "draining");
   quince_backends_mark_listing_stale (world.backends, now, now + G_USEC_PER_SEC, "w0");
-  assert_int_equal (choose (&world, now, &id), QUINCE_BACKEND_NONE);
-  end (&world);
+  assert_int_equal (choose_worker (&world, now, &id), QUINCE_BACKEND_NONE);
+  world_clear (&world);
 }
 
 #define MANY_WORKERS 60
@@ -296,7 +297,7 @@
 {
   static const char *const prompt[] = { "aa01", "bb02", NULL };
   World world;
-  begin (&world);
+  world_init (&world);
   for (guint i = 0; i < MANY_WORKERS; i++)
     {
       g_autofree char *id = g_strdup_printf ("many-%02u", i);
@@ -317,7 +318,7 @@
       assert_int_equal (quince_backends_choose (world.backends, 0, &query, &worker), QUINCE_BACKEND_CHOSEN);
       assert_ptr_equal (worker, first);
     }
-  end (&world);
+  world_clear (&world);
 }
 
 /* A draining worker, and one that is gone, get nothing new. */
@@ -325,12 +326,12 @@
 test_draining (void **state)
 {
   World world;
-  begin (&world);
-  list_worker (&world, 0, "draining");
+  world_init (&world);
+  register_worker (&world, 0, "draining");
   for (guint i = 0; i < 6; i++)
     {
       world.done = FALSE;
-      forward (&world, FALSE, 1, 1000);
+      run_forward (&world, FALSE, 1, 1000);
       assert_int_equal (world.outcome, QUINCE_FORWARD_ANSWERED);
       g_clear_pointer (&world.body, g_free);
       g_clear_pointer (&world.signature, g_free);
@@ -338,28 +339,28 @@
   assert_int_equal (standin_worker_get_runs (world.workers[0])->len, 0);
   quince_backends_remove (world.backends, "w1");
   world.done = FALSE;
-  forward (&world, FALSE, 1, 1000);
+  run_forward (&world, FALSE, 1, 1000);
   assert_int_equal (world.outcome, QUINCE_FORWARD_REFUSED);
   assert_int_equal (standin_worker_get_runs (world.workers[0])->len, 0);
-  end (&world);
+  world_clear (&world);
 }
 
 /* The caller leaves: the worker's connection is closed. */
 static void
-test_cancel (void **state)
+test_cancel_closes_connection (void **state)
 {
   World world;
-  begin (&world);
+  world_init (&world);
   for (guint j = 0; j < WORKERS; j++)
     standin_worker_set_fault (world.workers[j], STANDIN_WORKER_UNRESPONSIVE, G_MAXUINT);
-  QuinceForward *handle = start (&world, TRUE, 3, 5000);
-  AWAIT (runs (&world) == 1);
-  quince_forward_cancel (handle);
+  QuinceForward *forward = start_forward (&world, TRUE, 3, 5000);
+  AWAIT (count_runs (&world) == 1);
+  quince_forward_cancel (forward);
   AWAIT (standin_server_get_n_connections (standin_worker_get_server (world.workers[0]))
              + standin_server_get_n_connections (standin_worker_get_server (world.workers[1]))
          == 0);
   assert_false (world.done);
-  end (&world);
+  world_clear (&world);
 }
 
 /* Connections are kept: many requests, one connection each. */
@@ -367,17 +368,17 @@
 test_connections_are_reused (void **state)
 {
   World world;
-  begin (&world);
+  world_init (&world);
   for (guint i = 0; i < 40; i++)
     {
       world.done = FALSE;
-      forward (&world, TRUE, 3, 1000);
+      run_forward (&world, TRUE, 3, 1000);
       assert_int_equal (world.outcome, QUINCE_FORWARD_ANSWERED);
       g_clear_pointer (&world.body, g_free);
       g_clear_pointer (&world.signature, g_free);
     }
   assert_in_range (quince_backends_get_n_connections_opened (world.backends), 1, WORKERS);
-  end (&world);
+  world_clear (&world);
 }
 
 /* ---- Cold workers ---------------------------------------------------------- */
@@ -392,7 +393,7 @@
   QuinceService *service;
   QuinceWarmupSends *sends;
   char *worker;
-  guint64 ask;
+  guint64 request_id;
   QuinceTimer *timer;
 } ColdService;
 
@@ -403,24 +404,24 @@
 }
 
 static gboolean
-grant (gpointer data)
+deliver_grant (gpointer data)
 {
   ColdService *cold = data;
   quince_timer_clear (&cold->timer);
-  quince_warmup_sends_handle_answer (cold->sends, cold->worker, cold->ask, 1, GRANT_VALID_US,
+  quince_warmup_sends_handle_answer (cold->sends, cold->worker, cold->request_id, 1, GRANT_VALID_US,
                                      LEASE_RETRY_DELAY_US);
   return G_SOURCE_REMOVE;
 }
 
 static gboolean
-schedule_grant (guint64 number, const char *worker, guint sends, gpointer data)
+schedule_grant (guint64 request_id, const char *worker, guint sends, gpointer data)
 {
   ColdService *cold = data;
   g_free (cold->worker);
   cold->worker = g_strdup (worker);
-  cold->ask = number;
+  cold->request_id = request_id;
   quince_timer_clear (&cold->timer);
-  cold->timer = quince_timer_add (GRANT_DELAY_MS, grant, cold);
+  cold->timer = quince_timer_add (GRANT_DELAY_MS, deliver_grant, cold);
   return TRUE;
 }
 
@@ -434,21 +435,21 @@
   World world;
   ColdService cold = { .service = quince_service_new ("svc") };
   const QuinceWarmupBounds bounds = { .overage = 1, .slack = 0 };
-  begin (&world);
+  world_init (&world);
   cold.service->cold_max_requests_per_s = 2;
   cold.sends = quince_warmup_sends_new (&bounds, &cold_callbacks, &cold);
   quince_backends_set_warmup (world.backends, cold.sends);
   for (guint i = 0; i < WORKERS; i++)
     {
       standin_worker_set_cold_remaining (world.workers[i], 3000);
-      list_worker (&world, i, "ready");
+      register_worker (&world, i, "ready");
     }
-  forward (&world, TRUE, 3, 1000);
+  run_forward (&world, TRUE, 3, 1000);
   assert_int_equal (world.outcome, QUINCE_FORWARD_ANSWERED);
   assert_int_equal (world.status, 200);
-  assert_int_equal (runs (&world), 1);
+  assert_int_equal (count_runs (&world), 1);
   quince_timer_clear (&cold.timer);
-  end (&world);
+  world_clear (&world);
   quince_warmup_sends_free (cold.sends);
   quince_service_free (cold.service);
   g_free (cold.worker);
@@ -465,7 +466,7 @@
     cmocka_unit_test (test_draining),
     cmocka_unit_test (test_lost_registration),
     cmocka_unit_test (test_prompt_affinity_among_many_workers),
-    cmocka_unit_test (test_cancel),
+    cmocka_unit_test (test_cancel_closes_connection),
     cmocka_unit_test (test_connections_are_reused),
     cmocka_unit_test (test_request_waits_for_cold_sends),
   };
--- a/tests/platform/test-freshness.c
+++ b/tests/platform/test-freshness.c
@@ -22,7 +22,7 @@
 #define VERSION_KEY "op/version/" MODEL
 /* Longer than the 2 s in which an operator's change must be in force, by what a busy machine may take; well
  * under the 4.9 s that the fault took. */
-#define IN_FORCE_MS 3000
+#define CHANGE_MAX_DELAY_MS 3000
 /* Of the 3 s in which an accepted policy must be in force everywhere, half a second is for a slow answer. */
 #define POLICY_MAX_DELAY_MS 2500
 /* Between the 0.9 s after which a silent leader is left and the 2 s for which own keys are trusted. */
@@ -38,34 +38,35 @@
   QuinceBackends *backends;
   QuinceObserver *observer;
   QuinceStoreFeed *feed;               /* NULL: does not lead */
-  gboolean reports;                    /* a replica: tells the leader what it reads */
+  gboolean is_reserve_reader;          /* a replica: tells the leader what it reads */
   QuinceLink *link;                    /* to the leader, or the last one that was accepted */
   GPtrArray *accepted;                 /* QuinceLink, owned */
-  guint own_keys;                      /* changes of own keys */
+  guint n_own_key_changes;             /* changes of own keys */
   QuinceTimer *leader_heartbeat_timer; /* of a leader */
   QuinceLinkServer *server;
 } Process;
 
 static void
-store_read (const char *prefix, const QuinceMetaPage *page, gpointer data)
+handle_store_read (const char *prefix, const QuinceMetaPage *page, gpointer data)
 {
   Process *process = data;
   if (process->feed != NULL)
     quince_store_feed_publish (process->feed, prefix, page);
-  else if (process->reports && process->link != NULL)
+  else if (process->is_reserve_reader && process->link != NULL)
     quince_store_feed_report (process->observer, process->link, prefix, page);
 }
 
 static void
-own_key (const char *key, GBytes *value, guint64 revision, gpointer data)
+count_own_key (const char *key, GBytes *value, guint64 revision, gpointer data)
 {
-  ((Process *)data)->own_keys++;
+  ((Process *)data)->n_own_key_changes++;
 }
 
-static const QuinceObserverCallbacks observer_callbacks = { .read = store_read, .own_key = own_key };
+static const QuinceObserverCallbacks observer_callbacks
+    = { .read = handle_store_read, .own_key = count_own_key };
 
 static void
-name_version (Process *process, guint version)
+publish_version (Process *process, guint version)
 {
   g_autofree char *value = g_strdup_printf ("{\"model\":\"" MODEL "\",\"version\":%u}", version);
   standin_store_put (process->standin, VERSION_KEY, value);
@@ -99,12 +100,12 @@
 }
 
 static void
-process_init (Process *process, gboolean reports)
+process_init (Process *process, gboolean is_reserve_reader)
 {
-  *process = (Process){ .reports = reports };
+  *process = (Process){ .is_reserve_reader = is_reserve_reader };
   process->accepted = g_ptr_array_new_with_free_func ((GDestroyNotify)quince_link_unref);
   process->standin = standin_store_new ();
-  name_version (process, 2);
+  publish_version (process, 2);
   process->store
       = quince_meta_store_new (standin_store_get_address (process->standin), &quince_platform_meta_codec);
   process->backends = quince_backends_new (quince_topology_new ("z1", ""));
@@ -112,7 +113,7 @@
       = { .workers_read_interval_min_ms = 100, .change_bound_ms = QUINCE_OBSERVER_CHANGE_BOUND_MIN_MS };
   process->observer = quince_observer_new (process->store, process->backends, &quince_platform_observer_codec,
                                            &options, &observer_callbacks, process);
-  quince_observer_set_reserve_reader (process->observer, reports);
+  quince_observer_set_reserve_reader (process->observer, is_reserve_reader);
   AWAIT (quince_observer_is_synced (process->observer));
 }
 
@@ -159,7 +160,7 @@
 
 /* The leader lives, whatever the store does to it. */
 static gboolean
-beat (gpointer data)
+send_heartbeats (gpointer data)
 {
   Process *leader = data;
   QuinceMessage message = { .kind = QUINCE_MESSAGE_HEARTBEAT };
@@ -169,16 +170,16 @@
 }
 
 static void
-lead (Process *leader)
+start_leading (Process *leader)
 {
-  leader->leader_heartbeat_timer = quince_timer_add (250, beat, leader);
+  leader->leader_heartbeat_timer = quince_timer_add (250, send_heartbeats, leader);
   leader->feed = quince_store_feed_new (leader->observer);
   leader->server = quince_link_server_new ("127.0.0.1:0", &link_callbacks, on_accepted, leader, NULL);
   assert_non_null (leader->server);
 }
 
 static void
-follow (Process *follower, Process *leader)
+connect_to_leader (Process *follower, Process *leader)
 {
   guint before = leader->accepted->len;
   follower->link
@@ -194,7 +195,7 @@
   gint64 begin_us = g_get_monotonic_time ();
   AWAIT (get_known_version (process) == version);
   gint64 took_ms = (g_get_monotonic_time () - begin_us) / 1000;
-  if (took_ms > IN_FORCE_MS)
+  if (took_ms > CHANGE_MAX_DELAY_MS)
     fail_msg ("version %u was known after %d ms", (guint)version, (int)took_ms);
 }
 
@@ -211,7 +212,7 @@
   process_init (&leader, TRUE);
   process_init (&replica, TRUE);
   process_init (&follower, FALSE);
-  lead (&leader);
+  start_leading (&leader);
   return 0;
 }
 
@@ -228,13 +229,13 @@
 static void
 test_leader_cut_off_from_store (void **state)
 {
-  follow (&follower, &leader);
-  name_version (&follower, 3);
-  name_version (&leader, 3);
+  connect_to_leader (&follower, &leader);
+  publish_version (&follower, 3);
+  publish_version (&leader, 3);
   AWAIT (get_known_version (&follower) == 3);
   run_for (100); /* the follower is fed, the leader waits in a watch */
   standin_store_set_fault (leader.standin, STANDIN_STORE_UNRESPONSIVE);
-  name_version (&follower, 4);
+  publish_version (&follower, 4);
   assert_version_in_time (&follower, 4);
 }
 
@@ -246,7 +247,7 @@
   standin_store_close_connections (follower.standin); /* it is noticed, and watches are begun meanwhile */
   run_for (700);
   standin_store_set_fault (follower.standin, STANDIN_STORE_HEALTHY);
-  name_version (&follower, 3);
+  publish_version (&follower, 3);
   assert_version_in_time (&follower, 3);
 }
 
@@ -254,7 +255,7 @@
 static void
 test_gap_in_feed (void **state)
 {
-  name_version (&leader, 3);
+  publish_version (&leader, 3);
   AWAIT (get_known_version (&leader) == 3);
   /* History is dropped and the leader's list fails: it cannot tell what the follower lacks. */
   standin_store_set_fault (leader.standin, STANDIN_STORE_FAILS_LISTS);
@@ -263,8 +264,8 @@
   /* The follower's own store is away for a moment, so that only the leader could tell it. */
   standin_store_set_fault (follower.standin, STANDIN_STORE_UNAVAILABLE);
   standin_store_close_connections (follower.standin);
-  name_version (&follower, 3);
-  follow (&follower, &leader);
+  publish_version (&follower, 3);
+  connect_to_leader (&follower, &leader);
   standin_store_set_fault (leader.standin, STANDIN_STORE_HEALTHY);
   AWAIT (quince_observer_is_synced (leader.observer));
   run_for (300);
@@ -280,7 +281,7 @@
   standin_store_put (leader.standin, "servers/w1", WORKER_ENTRY);
   standin_store_put (follower.standin, "servers/w1", WORKER_ENTRY);
   AWAIT (count_known_workers (&leader) == 1 && count_known_workers (&follower) == 1);
-  follow (&follower, &leader);
+  connect_to_leader (&follower, &leader);
   standin_store_set_fault (leader.standin, STANDIN_STORE_UNAVAILABLE);
   standin_store_close_connections (leader.standin);
   AWAIT (quince_meta_store_is_failing (leader.store));
@@ -297,12 +298,12 @@
 static void
 test_reserve_reader_feeds_all (void **state)
 {
-  follow (&replica, &leader);
-  follow (&follower, &leader);
+  connect_to_leader (&replica, &leader);
+  connect_to_leader (&follower, &leader);
   run_for (100);
   standin_store_set_fault (leader.standin, STANDIN_STORE_UNRESPONSIVE);
   guint calls = standin_store_get_n_calls (follower.standin);
-  name_version (&replica, 3);
+  publish_version (&replica, 3);
   standin_store_put (replica.standin, "servers/w1", WORKER_ENTRY);
   assert_version_in_time (&follower, 3);
   AWAIT (count_known_workers (&follower) == 1);
@@ -311,7 +312,7 @@
   run_for (2500); /* for longer than anybody's patience */
   assert_int_equal (standin_store_get_n_calls (follower.standin), calls);
   /* And on: the replica was not put off by what it told itself. */
-  name_version (&replica, 4);
+  publish_version (&replica, 4);
   assert_version_in_time (&follower, 4);
   standin_store_remove (replica.standin, "servers/w1");
   AWAIT (count_known_workers (&follower) == 0);
@@ -323,13 +324,13 @@
 static void
 test_silent_leader (void **state)
 {
-  follow (&follower, &leader);
+  connect_to_leader (&follower, &leader);
   run_for (100);
   g_clear_pointer (&leader.feed, quince_store_feed_free);
   quince_timer_clear (&leader.leader_heartbeat_timer);
   standin_store_put (follower.standin, "quinceroute/ledger", "view");
   gint64 begin_us = g_get_monotonic_time ();
-  AWAIT (follower.own_keys > 0);
+  AWAIT (follower.n_own_key_changes > 0);
   gint64 took_ms = (g_get_monotonic_time () - begin_us) / 1000;
   if (took_ms > SILENT_LEADER_MAX_MS)
     fail_msg ("the leader was left after %d ms", (int)took_ms);
@@ -340,7 +341,7 @@
 static void
 test_feeder_loss_store_load (void **state)
 {
-  follow (&follower, &leader);
+  connect_to_leader (&follower, &leader);
   run_for (700); /* until a page has come of each prefix */
   guint calls = standin_store_get_n_calls (follower.standin);
   g_clear_pointer (&leader.feed, quince_store_feed_free);
@@ -348,7 +349,7 @@
   quince_observer_handle_feeder_loss (follower.observer);
   run_for (800);
   assert_in_range (standin_store_get_n_calls (follower.standin) - calls, 0, 2);
-  name_version (&follower, 3);
+  publish_version (&follower, 3);
   assert_version_in_time (&follower, 3);
 }
 
@@ -356,7 +357,7 @@
 static void
 test_healthy_leader_ignores_reports (void **state)
 {
-  follow (&replica, &leader);
+  connect_to_leader (&replica, &leader);
   guint64 revisions[QUINCE_OBSERVER_N_PREFIXES];
   quince_observer_get_revisions (leader.observer, revisions);
   g_autoptr (GPtrArray) items = g_ptr_array_new_with_free_func ((GDestroyNotify)quince_meta_item_free);
@@ -370,7 +371,7 @@
   quince_store_feed_report (replica.observer, replica.link, "op/", &page);
   run_for (200);
   assert_int_equal (get_known_version (&leader), 2);
-  name_version (&leader, 3);
+  publish_version (&leader, 3);
   AWAIT (get_known_version (&leader) == 3);
   /* Once it hears nothing, an older page is refused all the same. */
   standin_store_set_fault (leader.standin, STANDIN_STORE_UNRESPONSIVE);
@@ -386,7 +387,7 @@
   gint64 begin_us = g_get_monotonic_time ();
   AWAIT (knows_zone_evacuated (process) == evacuated);
   gint64 took_ms = (g_get_monotonic_time () - begin_us) / 1000;
-  if (took_ms > IN_FORCE_MS)
+  if (took_ms > CHANGE_MAX_DELAY_MS)
     fail_msg ("the zone's state was known after %d ms", (int)took_ms);
 }
 
@@ -395,8 +396,8 @@
 static void
 test_evacuation_through_reserve_reader (void **state)
 {
-  follow (&replica, &leader);
-  follow (&follower, &leader);
+  connect_to_leader (&replica, &leader);
+  connect_to_leader (&follower, &leader);
   run_for (100);
   standin_store_set_fault (leader.standin, STANDIN_STORE_UNRESPONSIVE);
   standin_store_set_fault (follower.standin, STANDIN_STORE_UNRESPONSIVE);
@@ -412,7 +413,7 @@
 static void
 test_leader_withholds_evacuation (void **state)
 {
-  follow (&follower, &leader);
+  connect_to_leader (&follower, &leader);
   run_for (100);
   g_clear_pointer (&leader.feed, quince_store_feed_free);
   quince_timer_clear (&leader.leader_heartbeat_timer);
@@ -442,11 +443,11 @@
 static void
 test_rapid_evacuation_changes (void **state)
 {
-  follow (&follower, &leader);
+  connect_to_leader (&follower, &leader);
   guint64 revisions[QUINCE_OBSERVER_N_PREFIXES];
   quince_observer_get_revisions (leader.observer, revisions);
-  g_autoptr (GPtrArray) none = g_ptr_array_new ();
-  const QuinceMetaPage before = { .items = none, .after = revisions[0], .revision = revisions[0] };
+  g_autoptr (GPtrArray) no_items = g_ptr_array_new ();
+  const QuinceMetaPage stale_page = { .items = no_items, .after = revisions[0], .revision = revisions[0] };
   for (guint i = 0; i < 2; i++)
     {
       standin_store_put (leader.standin, EVACUATE_KEY, "{}");
@@ -454,7 +455,7 @@
       standin_store_put (leader.standin, EVACUATE_KEY, "{}");
       standin_store_put (leader.standin, EVACUATE_KEY, "{}");
       assert_evacuated_in_time (&follower, TRUE);
-      assert_false (quince_observer_feed (follower.observer, "op/", &before, TRUE));
+      assert_false (quince_observer_feed (follower.observer, "op/", &stale_page, TRUE));
       assert_true (knows_zone_evacuated (&follower));
       standin_store_remove (leader.standin, EVACUATE_KEY);
       assert_evacuated_in_time (&follower, FALSE);
@@ -511,15 +512,15 @@
 static void
 test_own_keys_with_leader_cut_off_from_store (void **state)
 {
-  follow (&follower, &leader);
+  connect_to_leader (&follower, &leader);
   run_for (700); /* until a page has come of each prefix */
   standin_store_put (follower.standin, "quinceroute/ledger", "view");
   standin_store_put (leader.standin, "quinceroute/ledger", "view");
-  AWAIT (follower.own_keys == 1); /* it was told just now, and trusts that for as long as ever */
+  AWAIT (follower.n_own_key_changes == 1); /* it was told just now, and trusts that for as long as ever */
   standin_store_set_fault (leader.standin, STANDIN_STORE_UNRESPONSIVE);
   standin_store_put (follower.standin, "quinceroute/ledger", "another view");
   gint64 begin_us = g_get_monotonic_time ();
-  AWAIT (follower.own_keys == 2);
+  AWAIT (follower.n_own_key_changes == 2);
   gint64 took_ms = (g_get_monotonic_time () - begin_us) / 1000;
   if (took_ms > POLICY_MAX_DELAY_MS)
     fail_msg ("an own key was known after %d ms", (int)took_ms);
--- a/tests/platform/test-front.c
+++ b/tests/platform/test-front.c
@@ -71,7 +71,7 @@
 };
 
 static PathWorld *
-start_fronts (const char *name)
+start_front_world (const char *name)
 {
   PathWorld *world = path_world_new (name);
   path_configure (world, 3);
@@ -83,7 +83,7 @@
 
 /* Lookups that ran at the plain workers and whose id begins so. */
 static guint
-runs_of (PathWorld *world, const char *prefix)
+count_lookups (PathWorld *world, const char *prefix)
 {
   guint count = 0;
   for (guint i = 0; i < PATH_PLAIN; i++)
@@ -107,11 +107,11 @@
 static void
 test_framing (void **state)
 {
-  PathWorld *world = start_fronts ("framing");
+  PathWorld *world = start_front_world ("framing");
   for (guint i = 0; i < G_N_ELEMENTS (framing_cases); i++)
     {
       const FramingCase *c = &framing_cases[i];
-      guint runs_before = runs_of (world, "");
+      guint runs_before = count_lookups (world, "");
       RawCaller *caller = raw_connect (path_front (world, 0));
       g_autofree char *text = expand_request (c);
       raw_send (caller, text);
@@ -123,8 +123,8 @@
         AWAIT ((raw_read (caller), caller->closed));
       else if (caller->closed)
         fail_msg ("%s: closed", c->name);
-      if (runs_of (world, "") != runs_before + c->runs)
-        fail_msg ("%s: %u runs", c->name, runs_of (world, "") - runs_before);
+      if (count_lookups (world, "") != runs_before + c->runs)
+        fail_msg ("%s: %u runs", c->name, count_lookups (world, "") - runs_before);
       raw_free (caller);
     }
   path_world_free (world);
@@ -134,7 +134,7 @@
 static void
 test_persistent_connection (void **state)
 {
-  PathWorld *world = start_fronts ("kept");
+  PathWorld *world = start_front_world ("kept");
   RawCaller *caller = raw_connect (path_front (world, 0));
   for (guint i = 0; i < 20; i++)
     {
@@ -153,7 +153,7 @@
 static void
 test_slow_request_head (void **state)
 {
-  PathWorld *world = start_fronts ("slow-head");
+  PathWorld *world = start_front_world ("slow-head");
   RawCaller *caller = raw_connect (path_front (world, 0));
   raw_send (caller, "POST /l/1 HTTP/1.1\r\nHost: ");
   AWAIT ((raw_read (caller), caller->closed));
@@ -168,11 +168,11 @@
 static void
 test_deadline_propagated (void **state)
 {
-  PathWorld *world = start_fronts ("deadline");
+  PathWorld *world = start_front_world ("deadline");
   for (guint i = 0; i < PATH_PLAIN; i++)
     standin_worker_set_fault (world->plain[i], STANDIN_WORKER_FAILS, 1);
   assert_int_equal (path_status (path_front (world, 0), "POST", "/l/1", "d1", "x"), 200);
-  assert_in_range (runs_of (world, "d1"), 2, 3);
+  assert_in_range (count_lookups (world, "d1"), 2, 3);
   for (guint i = 0; i < PATH_PLAIN; i++)
     {
       const GPtrArray *runs = standin_worker_get_runs (world->plain[i]);
@@ -190,11 +190,11 @@
 static void
 test_route_timeout (void **state)
 {
-  PathWorld *world = start_fronts ("timeout");
+  PathWorld *world = start_front_world ("timeout");
   for (guint i = 0; i < PATH_PLAIN; i++)
     standin_worker_set_fault (world->plain[i], STANDIN_WORKER_UNRESPONSIVE, G_MAXUINT);
   assert_int_equal (path_status (path_front (world, 0), "POST", "/l/1", "t1", "x"), 504);
-  assert_in_range (runs_of (world, "t1"), 1, 3);
+  assert_in_range (count_lookups (world, "t1"), 1, 3);
   path_world_free (world);
 }
 
@@ -202,7 +202,7 @@
 static void
 test_no_worker (void **state)
 {
-  PathWorld *world = start_fronts ("no-worker");
+  PathWorld *world = start_front_world ("no-worker");
   for (guint i = 0; i < PATH_PLAIN; i++)
     {
       g_autofree char *key = g_strdup_printf ("servers/p%u", i);
@@ -214,9 +214,9 @@
          || (path_answer_clear (&answer), FALSE));
   assert_non_null (answer.retry_after);
   path_answer_clear (&answer);
-  guint runs = runs_of (world, "");
+  guint runs = count_lookups (world, "");
   assert_int_equal (path_status (path_front (world, 0), "POST", "/l/1", "n2", "x"), 503);
-  assert_int_equal (runs_of (world, ""), runs);
+  assert_int_equal (count_lookups (world, ""), runs);
   path_world_free (world);
 }
 
@@ -234,7 +234,7 @@
 static void
 test_caller_disconnects (void **state)
 {
-  PathWorld *world = start_fronts ("leaves");
+  PathWorld *world = start_front_world ("leaves");
   for (guint i = 0; i < PATH_MODEL; i++)
     standin_worker_set_events (world->model[i], 100000, 20);
   RawCaller *caller = raw_connect (path_front (world, 0));
@@ -270,17 +270,17 @@
 static void
 test_traffic_split (void **state)
 {
-  PathWorld *world = start_fronts ("shares");
+  PathWorld *world = start_front_world ("shares");
   g_autofree char *entry = standin_worker_make_entry (world->plain[1], "other", "ready");
   standin_store_put (world->store, "servers/p1", entry);
   standin_store_put (world->store, "op/config", SPLIT_CONFIGURATION);
-  const GPtrArray *rare = standin_worker_get_runs (world->plain[1]);
+  const GPtrArray *other_runs = standin_worker_get_runs (world->plain[1]);
   /* The shares and the worker come by ways of their own: all is known once none is refused any more. */
   AWAIT (all_calls_succeed (world));
-  guint before = rare->len;
+  guint before = other_runs->len;
   for (guint i = 0; i < SPLIT_CALLS; i++)
     assert_int_equal (path_status (path_front (world, 0), "POST", "/l/1", "s", "x"), 200);
-  assert_in_range (rare->len - before, SPLIT_CALLS / 4 - SPLIT_MAX_DEVIATION,
+  assert_in_range (other_runs->len - before, SPLIT_CALLS / 4 - SPLIT_MAX_DEVIATION,
                    SPLIT_CALLS / 4 + SPLIT_MAX_DEVIATION);
   path_world_free (world);
 }
--- a/tests/platform/test-http-pool.c
+++ b/tests/platform/test-http-pool.c
@@ -27,15 +27,15 @@
   QuinceHttpOutcome outcome;
   guint status;
   const char *body;
-  gboolean kept; /* the connection is used again */
+  gboolean reused; /* the connection is used again */
 } ScriptedResponse;
 
 static void
-play (StandinCall *call, gpointer data)
+send_response (StandinCall *call, gpointer data)
 {
-  const ScriptedResponse *script = data;
-  standin_call_write (call, script->bytes);
-  switch (script->end)
+  const ScriptedResponse *response = data;
+  standin_call_write (call, response->bytes);
+  switch (response->end)
     {
     case END_KEEP_OPEN:
       standin_call_finish (call);
@@ -60,36 +60,36 @@
   int error;
   guint status;
   char *body;
-} Seen;
+} ExchangeResult;
 
 static void
 exchange_done (QuinceHttpExchange *exchange, QuinceHttpOutcome outcome, const GError *error, gpointer data)
 {
-  Seen *seen = data;
+  ExchangeResult *result = data;
   const GByteArray *body = quince_http_exchange_get_body (exchange);
-  seen->done = TRUE;
-  seen->outcome = outcome;
-  seen->error = error != NULL ? error->code : -1;
-  seen->status = quince_http_exchange_get_head (exchange) != NULL
-                     ? quince_http_exchange_get_head (exchange)->status
-                     : 0;
-  seen->body = g_strndup (body->len > 0 ? (const char *)body->data : "", body->len);
+  result->done = TRUE;
+  result->outcome = outcome;
+  result->error = error != NULL ? error->code : -1;
+  result->status = quince_http_exchange_get_head (exchange) != NULL
+                       ? quince_http_exchange_get_head (exchange)->status
+                       : 0;
+  result->body = g_strndup (body->len > 0 ? (const char *)body->data : "", body->len);
 }
 
 static const QuinceHttpExchangeCallbacks callbacks = { .done = exchange_done };
 
 static void
-ask (QuinceHttpPool *pool, Seen *seen, gint64 timeout_us)
+run_exchange (QuinceHttpPool *pool, ExchangeResult *result, gint64 timeout_us)
 {
   g_autoptr (GBytes) body = g_bytes_new_static ("question", 8);
   const QuinceHttpRequest request
       = { .method = "POST", .target = "/a/b?c=d", .body = body, .timeout_us = timeout_us };
-  *seen = (Seen){ 0 };
-  quince_http_pool_start (pool, &request, &callbacks, seen);
-  AWAIT (seen->done);
+  *result = (ExchangeResult){ 0 };
+  quince_http_pool_start (pool, &request, &callbacks, result);
+  AWAIT (result->done);
 }
 
-static const ScriptedResponse scripts[] = {
+static const ScriptedResponse scripted_responses[] = {
   { "whole answer", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nab", END_KEEP_OPEN, QUINCE_HTTP_ANSWERED,
     200, "ab", TRUE },
   { "chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n1\r\nc\r\n0\r\n\r\n",
@@ -121,23 +121,24 @@
 static void
 test_scripted_responses (void **state)
 {
-  for (guint i = 0; i < G_N_ELEMENTS (scripts); i++)
+  for (guint i = 0; i < G_N_ELEMENTS (scripted_responses); i++)
     {
-      const ScriptedResponse *script = &scripts[i];
-      StandinServer *server = standin_server_new (play, (gpointer)script);
+      const ScriptedResponse *response = &scripted_responses[i];
+      StandinServer *server = standin_server_new (send_response, (gpointer)response);
       QuinceHttpPool *pool = quince_http_pool_new (standin_server_get_address (server));
-      Seen seen;
-      ask (pool, &seen, 500 * 1000);
-      if (seen.outcome != script->outcome || seen.status != script->status
-          || strcmp (seen.body, script->body) != 0)
-        fail_msg ("%s: outcome %d status %u body '%s'", script->name, seen.outcome, seen.status, seen.body);
-      g_free (seen.body);
+      ExchangeResult result;
+      run_exchange (pool, &result, 500 * 1000);
+      if (result.outcome != response->outcome || result.status != response->status
+          || strcmp (result.body, response->body) != 0)
+        fail_msg ("%s: outcome %d status %u body '%s'", response->name, result.outcome, result.status,
+                  result.body);
+      g_free (result.body);
       run_for (20);
-      ask (pool, &seen, 500 * 1000);
-      g_free (seen.body);
-      guint expected = script->kept ? 1 : 2;
+      run_exchange (pool, &result, 500 * 1000);
+      g_free (result.body);
+      guint expected = response->reused ? 1 : 2;
       if (quince_http_pool_get_n_connections_opened (pool) != expected)
-        fail_msg ("%s: %u connections were made", script->name,
+        fail_msg ("%s: %u connections were made", response->name,
                   (guint)quince_http_pool_get_n_connections_opened (pool));
       assert_int_equal (quince_http_pool_get_n_busy (pool), 0);
       quince_http_pool_unref (pool);
@@ -148,13 +149,13 @@
 static void
 test_connection_refused (void **state)
 {
-  StandinServer *server = standin_server_new (play, NULL);
+  StandinServer *server = standin_server_new (send_response, NULL);
   QuinceHttpPool *pool = quince_http_pool_new (standin_server_get_address (server));
   standin_server_free (server);
-  Seen seen;
-  ask (pool, &seen, 500 * 1000);
-  assert_int_equal (seen.outcome, QUINCE_HTTP_NOT_SENT);
-  g_free (seen.body);
+  ExchangeResult result;
+  run_exchange (pool, &result, 500 * 1000);
+  assert_int_equal (result.outcome, QUINCE_HTTP_NOT_SENT);
+  g_free (result.body);
   quince_http_pool_unref (pool);
 }
 
@@ -162,17 +163,17 @@
 static void
 test_idle_connection_closed (void **state)
 {
-  StandinServer *server = standin_server_new (play, (gpointer)&scripts[0]);
+  StandinServer *server = standin_server_new (send_response, (gpointer)&scripted_responses[0]);
   QuinceHttpPool *pool = quince_http_pool_new (standin_server_get_address (server));
-  Seen seen;
-  ask (pool, &seen, 500 * 1000);
-  g_free (seen.body);
+  ExchangeResult result;
+  run_exchange (pool, &result, 500 * 1000);
+  g_free (result.body);
   assert_int_equal (quince_http_pool_get_n_idle (pool), 1);
   standin_server_close_connections (server);
   AWAIT (quince_http_pool_get_n_idle (pool) == 0);
-  ask (pool, &seen, 500 * 1000);
-  assert_int_equal (seen.outcome, QUINCE_HTTP_ANSWERED);
-  g_free (seen.body);
+  run_exchange (pool, &result, 500 * 1000);
+  assert_int_equal (result.outcome, QUINCE_HTTP_ANSWERED);
+  g_free (result.body);
   quince_http_pool_unref (pool);
   standin_server_free (server);
 }
@@ -187,21 +188,21 @@
 
 /* A cancelled exchange closes its connection: the work behind it ends. */
 static void
-test_cancel_closes (void **state)
+test_cancel_closes_connection (void **state)
 {
   StandinCall *call = NULL;
   StandinServer *server = standin_server_new (capture_call, &call);
   QuinceHttpPool *pool = quince_http_pool_new (standin_server_get_address (server));
   const QuinceHttpRequest request = { .method = "GET", .target = "/" };
-  Seen seen = { 0 };
-  QuinceHttpExchange *exchange = quince_http_pool_start (pool, &request, &callbacks, &seen);
+  ExchangeResult result = { 0 };
+  QuinceHttpExchange *exchange = quince_http_pool_start (pool, &request, &callbacks, &result);
   AWAIT (call != NULL);
   quince_http_exchange_cancel (exchange);
   AWAIT (call->disconnected);
   call_was_gone = call->disconnected;
   standin_call_finish (call);
   assert_true (call_was_gone);
-  assert_false (seen.done);
+  assert_false (result.done);
   quince_http_pool_unref (pool);
   standin_server_free (server);
 }
@@ -221,24 +222,24 @@
   StandinServer *server = standin_server_new (count_call, &calls);
   QuinceHttpPool *pool = quince_http_pool_new (standin_server_get_address (server));
   QuinceHttpRequest request = { .method = "GET", .target = "/", .send_by_us = quince_now_us () - 1 };
-  Seen seen = { 0 };
-  quince_http_pool_start (pool, &request, &callbacks, &seen);
-  AWAIT (seen.done);
-  assert_int_equal (seen.outcome, QUINCE_HTTP_NOT_SENT);
-  g_free (seen.body);
+  ExchangeResult result = { 0 };
+  quince_http_pool_start (pool, &request, &callbacks, &result);
+  AWAIT (result.done);
+  assert_int_equal (result.outcome, QUINCE_HTTP_NOT_SENT);
+  g_free (result.body);
   run_for (50);
   assert_int_equal (calls, 0);
   assert_int_equal (quince_http_pool_get_n_busy (pool), 0);
   request.send_by_us = quince_now_us () + G_USEC_PER_SEC;
   for (guint i = 1; i <= 2; i++) /* a new connection, and a kept one */
     {
-      seen = (Seen){ 0 };
-      quince_http_pool_start (pool, &request, &callbacks, &seen);
-      AWAIT (seen.done);
-      assert_int_equal (seen.outcome, QUINCE_HTTP_ANSWERED);
-      assert_string_equal (seen.body, "ab");
+      result = (ExchangeResult){ 0 };
+      quince_http_pool_start (pool, &request, &callbacks, &result);
+      AWAIT (result.done);
+      assert_int_equal (result.outcome, QUINCE_HTTP_ANSWERED);
+      assert_string_equal (result.body, "ab");
       assert_int_equal (calls, i);
-      g_free (seen.body);
+      g_free (result.body);
     }
   quince_http_pool_unref (pool);
   standin_server_free (server);
@@ -262,11 +263,11 @@
   QuinceHttpPool *pool = quince_http_pool_new (standin_server_get_address (server));
   for (guint i = 0; i < 4; i++) /* a new connection, and a kept one */
     {
-      Seen seen;
-      ask (pool, &seen, STALL_US / 2);
-      assert_int_equal (seen.outcome, QUINCE_HTTP_ANSWERED);
-      assert_string_equal (seen.body, "ab");
-      g_free (seen.body);
+      ExchangeResult result;
+      run_exchange (pool, &result, STALL_US / 2);
+      assert_int_equal (result.outcome, QUINCE_HTTP_ANSWERED);
+      assert_string_equal (result.body, "ab");
+      g_free (result.body);
     }
   quince_http_pool_unref (pool);
   standin_server_free (server);
@@ -277,7 +278,7 @@
 {
   const struct CMUnitTest tests[] = {
     cmocka_unit_test (test_scripted_responses),     cmocka_unit_test (test_connection_refused),
-    cmocka_unit_test (test_idle_connection_closed), cmocka_unit_test (test_cancel_closes),
+    cmocka_unit_test (test_idle_connection_closed), cmocka_unit_test (test_cancel_closes_connection),
     cmocka_unit_test (test_send_deadline),          cmocka_unit_test (test_received_answer_precedes_timeout),
   };
   return cmocka_run_group_tests (tests, NULL, NULL);
