--- a/tests/platform/test-evacuation.c
+++ b/tests/platform/test-evacuation.c
@@ -1,6 +1,6 @@
 /*
- * test-evacuation.c: one process and the workers of two zones, of which one is evacuated: what is sent there,
- * what of it is given up, and how the zone comes back.
+ * test-evacuation.c: guards against requests that are sent to an evacuated zone, requests that an evacuation
+ * loses, and a zone that gets its full load as soon as it returns.
  */
 #include "forward/forward.h"
 #include "runtime/clock.h"
@@ -13,9 +13,9 @@
 
 #define WORKERS 2
 #define FORWARD_TIMEOUT_MS 6000
-/* Well under the time that the request has, and over what it takes to notice. */
+/* Well below FORWARD_TIMEOUT_MS, and above the time to detect a stalled request. */
 #define ABORT_MAX_MS 3000
-/* More than the sockets of both sides hold. */
+/* More than the socket buffers of both sides hold. */
 #define LARGE_BYTES (16 * 1024 * 1024)
 #define WORKER_SLOTS 8
 
@@ -23,7 +23,7 @@
 {
   QuinceBackends *backends;
   StandinWorker *workers[WORKERS]; /* w0 in z1, w1 in z2 */
-  GSocket *stalled_listener;       /* listens for a worker in z1 that reads nothing; NULL: there is none */
+  GSocket *stalled_listener;       /* owned; the listener of a worker in z1 that reads nothing; NULL: none */
   guint64 revision;
   gboolean done;
   QuinceForwardOutcome outcome;
@@ -133,10 +133,11 @@
   AWAIT (world->done);
   gint64 took_ms = (quince_now_us () - since_us) / 1000;
   if (took_ms > ABORT_MAX_MS)
-    fail_msg ("the request was over after %d ms", (int)took_ms);
+    fail_msg ("the request was aborted after %d ms", (int)took_ms);
 }
 
-/* A worker in z1 that takes connections but reads nothing of them; with @full none either. */
+/* Registers a worker in z1 whose connections are established but never read. If @full, its listen backlog is
+ * 0, for fill_listen_backlog(). */
 static void
 register_stalled_worker (World *world, gboolean full)
 {
@@ -156,7 +157,8 @@
   register_worker_entry (world, "deaf", entry);
 }
 
-/* The queue of connections that nobody accepts is full: the next one is not made. (transfer full) */
+/* Fills the listen backlog, so that the next connection stays in progress. Returns the connections that
+ * fill it. (transfer full) */
 static GPtrArray *
 fill_listen_backlog (World *world)
 {
@@ -174,11 +176,9 @@
   return fillers;
 }
 
-/*
- * The deaf worker's connection with the first bytes of a request, which it leaves unread. Until they are
- * there the request may still count as not sent, on a machine where other processes run first.
- * (transfer full)
- */
+/* Accepts the connection to the stalled worker and waits until the first bytes of a request have arrived;
+ * before that, the request may count as not sent. Returns the connection, with the bytes unread.
+ * (transfer full) */
 static GSocket *
 accept_partial_request (World *world)
 {
@@ -214,7 +214,7 @@
   world_clear (&world);
 }
 
-/* Retries and hedges too: the other worker fails, or takes long. */
+/* Retries and hedges avoid the zone too, when the other worker fails or is slow. */
 static void
 test_retries_and_hedges_avoid_evacuated_zone (void **state)
 {
@@ -235,7 +235,7 @@
   world_clear (&world);
 }
 
-/* What runs there when the word comes is not lost, although nobody else may take it. */
+/* A request that runs when the evacuation starts completes, whether or not it may be repeated. */
 static void
 test_running_requests_complete (void **state)
 {
@@ -279,7 +279,7 @@
   world_clear (&world);
 }
 
-/* A request that waits, since its only worker refuses it, is refused when that worker's zone is evacuated. */
+/* A request is queued since its only worker refuses it. Evacuating the worker's zone refuses the request. */
 static void
 test_queued_request_is_refused (void **state)
 {
@@ -298,7 +298,7 @@
   world_clear (&world);
 }
 
-/* The connection is not made yet: the request has not run, and goes elsewhere at once. */
+/* The connection is still in progress, so the request has not run and is rerouted without delay. */
 static void
 test_connecting_request_is_rerouted (void **state)
 {
@@ -319,7 +319,7 @@
   world_clear (&world);
 }
 
-/* The request is on its way and does not arrive: it is cut, before a link that heals delivers it late. */
+/* A partially sent request is aborted, so that a link that recovers does not deliver it late. */
 static void
 test_partially_sent_request_is_aborted (void **state)
 {
@@ -334,12 +334,12 @@
   gint64 since_us = quince_now_us ();
   set_zone_evacuated (&world, "z1", TRUE);
   assert_aborted_in_time (&world, since_us);
-  assert_int_equal (world.outcome, QUINCE_FORWARD_FAILED); /* not repeatable, and it may have run */
+  assert_int_equal (world.outcome, QUINCE_FORWARD_FAILED); /* may have run, so it is not retried */
   assert_int_equal (count_runs (&world, 1), 0);
   world_clear (&world);
 }
 
-/* How a connection ends, once all that came is read; -1: with a reset. */
+/* Reads and discards all data. Returns 0 if the peer closed the connection, or -1 if it was reset. */
 static gssize
 read_until_closed (GSocket *accepted)
 {
@@ -350,7 +350,7 @@
   return got;
 }
 
-/* A request that was given up on its way is not delivered by the kernel once its worker reads on. */
+/* The kernel does not deliver the rest of a cancelled request when the worker resumes reading. */
 static void
 test_cancelled_request_resets_connection (void **state)
 {
@@ -366,7 +366,7 @@
   world_clear (&world);
 }
 
-/* Until the operator's word is known nothing is sent. */
+/* No request is sent until the operator's settings are known. */
 static void
 test_held_sends (void **state)
 {
@@ -384,7 +384,7 @@
   world_clear (&world);
 }
 
-/* ---- The return --------------------------------------------------------- */
+/* ---- Return of a zone --------------------------------------------------- */
 
 static const char *
 choose_worker (World *world, gint64 now_us, guint running_max)
@@ -397,7 +397,7 @@
   return worker->id;
 }
 
-/* Of 400 choices without a bound on running requests, those of w0. */
+/* Returns how often w0 is chosen in 400 choices without a limit on running requests. */
 static guint
 count_chosen_of_400 (World *world, gint64 now_us)
 {
@@ -424,13 +424,13 @@
   returned->running = WORKER_SLOTS / 2;
   assert_string_equal (choose_worker (&world, now + 100 * 1000, WORKER_SLOTS), "w1");
   assert_string_equal (choose_worker (&world, now + 4 * G_USEC_PER_SEC, WORKER_SLOTS), "w0");
-  other->running = WORKER_SLOTS; /* there is no place elsewhere */
+  other->running = WORKER_SLOTS; /* the other zone has no free slot */
   assert_string_equal (choose_worker (&world, now + 100 * 1000, WORKER_SLOTS), "w0");
   other->running = returned->running = 0;
   guint early = count_chosen_of_400 (&world, now + 100 * 1000);
   guint later = count_chosen_of_400 (&world, now + 1500 * 1000);
   guint last = count_chosen_of_400 (&world, now + 4 * G_USEC_PER_SEC);
-  print_message ("  of 400: %u, %u, %u\n", early, later, last);
+  print_message ("  chosen of 400 after 0.1 s, 1.5 s and 4 s: %u, %u, %u\n", early, later, last);
   assert_true (early < later && later < last);
   assert_in_range (early, 20, 120);
   world_clear (&world);
--- a/tests/platform/test-feed-wait.c
+++ b/tests/platform/test-feed-wait.c
@@ -1,15 +1,13 @@
 /*
- * test-feed-wait.c: what fronts that start ask of the metadata store, and how soon they serve callers.
- *
- * Each front listed three prefixes when it started, whoever else knew them: of 250 fronts that were restarted
- * in turn, or all at once, most calls to the store were these lists.
+ * test-feed-wait.c: guards against starting fronts that overload the metadata store with lists of all
+ * prefixes, and against fronts that serve callers late because their leader does not feed them.
  */
 #define PATH_FRONTS 6
 
 #include "path-world.h"
 
-/* A front whose leader does not feed it serves callers after this time, ms: the time that it waits, its
- * lists, and the start of a process on a busy machine. */
+/* Longest time until a front without a feed serves callers: its wait for the leader, its own lists, and the
+ * start of a process on a busy machine. */
 #define UNFED_START_MAX_MS 2500
 
 static gboolean
@@ -28,7 +26,7 @@
   return (g_get_monotonic_time () - start_us) / 1000;
 }
 
-/* One key names the leader, which tells the rest. */
+/* Each front reads the key that names the leader; the leader feeds it the rest. */
 static void
 test_restarts_with_healthy_leader (void **state)
 {
@@ -41,7 +39,7 @@
   path_world_free (world);
 }
 
-/* Starts a new system with @fronts of its fronts.  Returns: lists of the store until all of it serves */
+/* Starts a new system with @fronts fronts. Returns the number of store lists until all fronts serve. */
 static guint
 count_startup_lists (guint fronts)
 {
@@ -60,7 +58,7 @@
   return lists;
 }
 
-/* All processes start together: fronts wait for the first leader, and list one key each. */
+/* All processes start together: each front waits for the first leader and makes a single list call. */
 static void
 test_whole_system_start (void **state)
 {
@@ -68,7 +66,7 @@
   assert_true (count_startup_lists (PATH_FRONTS) <= lists_without_fronts + PATH_FRONTS);
 }
 
-/* The store names a leader that says nothing: callers wait no longer than for a front's own lists. */
+/* The store names a leader that does not respond: the front falls back to its own lists. */
 static void
 test_suspended_leader (void **state)
 {
@@ -82,7 +80,7 @@
   path_world_free (world);
 }
 
-/* All replicas are gone, and the store still names the last leader. */
+/* All replicas are killed while the store still names the last leader. */
 static void
 test_all_replicas_lost (void **state)
 {
@@ -94,8 +92,8 @@
   path_world_free (world);
 }
 
-/* The store is away while a front starts beside a living leader, which it cannot find; once the store is back
- * it serves. */
+/* The store is unavailable while a front starts, so the front cannot find the leader. It serves once the
+ * store is back. */
 static void
 test_store_unavailable_at_start (void **state)
 {
--- a/tests/platform/test-forward.c
+++ b/tests/platform/test-forward.c
@@ -1,6 +1,6 @@
 /*
- * test-forward.c: one request brought to workers that misbehave: what is sent again, what is refused, what is
- * failed.
+ * test-forward.c: guards against requests to faulty workers that are lost, run twice although they may not be
+ * repeated, or refused although a worker is available.
  */
 #include "forward/forward.h"
 #include "runtime/clock.h"
@@ -65,7 +65,7 @@
   return standin_worker_get_runs (world->workers[0])->len + standin_worker_get_runs (world->workers[1])->len;
 }
 
-/* Whose they were: a run of another id came from another test on this machine. */
+/* Prints all runs; one with an unexpected id comes from another test on this machine. */
 static void
 print_all_runs (const World *world)
 {
@@ -125,13 +125,13 @@
   AWAIT (world->done);
 }
 
-/* ---- A table of faults -------------------------------------------------- */
+/* ---- Worker faults ------------------------------------------------------ */
 
 typedef struct
 {
   const char *name;
   StandinWorkerFault fault; /* of both workers */
-  guint times;              /* at each of them */
+  guint times;              /* per worker */
   gboolean repeatable;
   QuinceForwardOutcome outcome;
   guint status;
@@ -139,27 +139,28 @@
 } FaultCase;
 
 static const FaultCase fault_cases[] = {
-  { "sound", STANDIN_WORKER_HEALTHY, 0, FALSE, QUINCE_FORWARD_ANSWERED, 200, 1 },
-  { "refused by one, may not be repeated", STANDIN_WORKER_REFUSES, 1, FALSE, QUINCE_FORWARD_ANSWERED, 200,
-    1 },
-  { "refused by all", STANDIN_WORKER_REFUSES, G_MAXUINT, FALSE, QUINCE_FORWARD_REFUSED, 0, 0 },
-  { "lost, may be repeated", STANDIN_WORKER_RESETS, 1, TRUE, QUINCE_FORWARD_ANSWERED, 200, 3 },
-  { "lost, may not be repeated", STANDIN_WORKER_RESETS, 1, FALSE, QUINCE_FORWARD_FAILED, 0, 1 },
-  { "always lost", STANDIN_WORKER_RESETS, G_MAXUINT, TRUE, QUINCE_FORWARD_FAILED, 0, 3 },
-  { "cut, may be repeated", STANDIN_WORKER_TRUNCATES, 1, TRUE, QUINCE_FORWARD_ANSWERED, 200, 3 },
-  { "cut, may not be repeated", STANDIN_WORKER_TRUNCATES, 1, FALSE, QUINCE_FORWARD_FAILED, 0, 1 },
-  { "another's answer, may be repeated", STANDIN_WORKER_WRONG_REQUEST_ID, 1, TRUE, QUINCE_FORWARD_ANSWERED,
+  { "no fault", STANDIN_WORKER_HEALTHY, 0, FALSE, QUINCE_FORWARD_ANSWERED, 200, 1 },
+  { "refused once by each worker, not repeatable", STANDIN_WORKER_REFUSES, 1, FALSE, QUINCE_FORWARD_ANSWERED,
+    200, 1 },
+  { "always refused", STANDIN_WORKER_REFUSES, G_MAXUINT, FALSE, QUINCE_FORWARD_REFUSED, 0, 0 },
+  { "connection reset, repeatable", STANDIN_WORKER_RESETS, 1, TRUE, QUINCE_FORWARD_ANSWERED, 200, 3 },
+  { "connection reset, not repeatable", STANDIN_WORKER_RESETS, 1, FALSE, QUINCE_FORWARD_FAILED, 0, 1 },
+  { "connection always reset", STANDIN_WORKER_RESETS, G_MAXUINT, TRUE, QUINCE_FORWARD_FAILED, 0, 3 },
+  { "truncated response, repeatable", STANDIN_WORKER_TRUNCATES, 1, TRUE, QUINCE_FORWARD_ANSWERED, 200, 3 },
+  { "truncated response, not repeatable", STANDIN_WORKER_TRUNCATES, 1, FALSE, QUINCE_FORWARD_FAILED, 0, 1 },
+  { "response to another request, repeatable", STANDIN_WORKER_WRONG_REQUEST_ID, 1, TRUE,
+    QUINCE_FORWARD_ANSWERED, 200, 3 },
+  { "response to another request, not repeatable", STANDIN_WORKER_WRONG_REQUEST_ID, 1, FALSE,
+    QUINCE_FORWARD_FAILED, 0, 1 },
+  { "response without signature, repeatable", STANDIN_WORKER_MISSING_STAMP, 1, TRUE, QUINCE_FORWARD_ANSWERED,
     200, 3 },
-  { "another's answer, may not be repeated", STANDIN_WORKER_WRONG_REQUEST_ID, 1, FALSE, QUINCE_FORWARD_FAILED,
-    0, 1 },
-  { "unsigned, may be repeated", STANDIN_WORKER_MISSING_STAMP, 1, TRUE, QUINCE_FORWARD_ANSWERED, 200, 3 },
-  { "a surplus answer", STANDIN_WORKER_EXTRA_ANSWER, G_MAXUINT, FALSE, QUINCE_FORWARD_ANSWERED, 200, 1 },
-  { "fails, may be repeated", STANDIN_WORKER_FAILS, 1, TRUE, QUINCE_FORWARD_ANSWERED, 200, 3 },
-  { "fails, may not be repeated", STANDIN_WORKER_FAILS, G_MAXUINT, FALSE, QUINCE_FORWARD_ANSWERED, 500, 1 },
-  { "always fails", STANDIN_WORKER_FAILS, G_MAXUINT, TRUE, QUINCE_FORWARD_ANSWERED, 500, 3 },
-  { "silent, may not be repeated", STANDIN_WORKER_UNRESPONSIVE, G_MAXUINT, FALSE, QUINCE_FORWARD_TIMEOUT, 0,
+  { "additional response", STANDIN_WORKER_EXTRA_ANSWER, G_MAXUINT, FALSE, QUINCE_FORWARD_ANSWERED, 200, 1 },
+  { "status 500, repeatable", STANDIN_WORKER_FAILS, 1, TRUE, QUINCE_FORWARD_ANSWERED, 200, 3 },
+  { "status 500, not repeatable", STANDIN_WORKER_FAILS, G_MAXUINT, FALSE, QUINCE_FORWARD_ANSWERED, 500, 1 },
+  { "always status 500", STANDIN_WORKER_FAILS, G_MAXUINT, TRUE, QUINCE_FORWARD_ANSWERED, 500, 3 },
+  { "no response, not repeatable", STANDIN_WORKER_UNRESPONSIVE, G_MAXUINT, FALSE, QUINCE_FORWARD_TIMEOUT, 0,
     1 },
-  { "silent at first, may be repeated", STANDIN_WORKER_UNRESPONSIVE, 1, TRUE, QUINCE_FORWARD_ANSWERED, 200,
+  { "no response at first, repeatable", STANDIN_WORKER_UNRESPONSIVE, 1, TRUE, QUINCE_FORWARD_ANSWERED, 200,
     3 },
 };
 
@@ -190,7 +191,7 @@
     }
 }
 
-/* A slow first worker does not make the answer late: a second one is asked beside it, and no third. */
+/* A request to a slow worker is hedged to one other worker. */
 static void
 test_slow_worker_is_hedged (void **state)
 {
@@ -211,7 +212,7 @@
   world_clear (&world);
 }
 
-/* ---- What a worker is told -------------------------------------------- */
+/* ---- Requests and choice of workers ----------------------------------- */
 
 static void
 test_request_reaches_worker_unchanged (void **state)
@@ -230,7 +231,7 @@
   world_clear (&world);
 }
 
-/* Another worker at the address of one that is gone refuses; nothing runs there. */
+/* A worker that now listens at the address of a removed one refuses the request and does not run it. */
 static void
 test_reused_address_is_refused (void **state)
 {
@@ -258,8 +259,8 @@
   return outcome;
 }
 
-/* Failed first: while the store lost its list in an outage, requests were refused with 503 and all workers
- * free. */
+/* Guards against refusing requests with 503 after the store lost the registrations of free workers in an
+ * outage. */
 static void
 test_lost_registration (void **state)
 {
@@ -268,7 +269,7 @@
   world_init (&world);
   gint64 now = quince_now_us ();
   quince_backends_mark_listing_stale (world.backends, now, now + G_USEC_PER_SEC, "w0");
-  /* One that is listed goes first. */
+  /* A registered worker is preferred. */
   for (guint i = 0; i < 4; i++)
     {
       assert_int_equal (choose_worker (&world, now, &id), QUINCE_BACKEND_CHOSEN);
@@ -276,12 +277,12 @@
     }
   quince_backends_mark_listing_stale (world.backends, now, now + G_USEC_PER_SEC, "w1");
   assert_int_equal (choose_worker (&world, now, &id), QUINCE_BACKEND_CHOSEN);
-  /* One is listed again and stays; the other one is gone after a moment. */
+  /* A worker that is registered again stays; the other one is removed when its grace time expires. */
   register_worker (&world, 0, "ready");
   assert_int_equal (choose_worker (&world, now + 3 * G_USEC_PER_SEC, &id), QUINCE_BACKEND_CHOSEN);
   assert_string_equal (id, "w0");
   assert_null (quince_worker_table_find (quince_backends_get_workers (world.backends), "w1"));
-  /* One that leaves is no such case. */
+  /* A draining worker is not kept. */
   register_worker (&world, 0, "draining");
   quince_backends_mark_listing_stale (world.backends, now, now + G_USEC_PER_SEC, "w0");
   assert_int_equal (choose_worker (&world, now, &id), QUINCE_BACKEND_NONE);
@@ -290,8 +291,7 @@
 
 #define MANY_WORKERS 60
 
-/* Failed first: the policy scores a few of many workers, and the one that keeps the prompt was often not
- * among them. */
+/* The policy scores a sample of the workers; the one that has the prompt cached must be in it. */
 static void
 test_prompt_affinity_among_many_workers (void **state)
 {
@@ -321,7 +321,7 @@
   world_clear (&world);
 }
 
-/* A draining worker, and one that is gone, get nothing new. */
+/* Draining and removed workers get no new requests. */
 static void
 test_draining (void **state)
 {
@@ -345,7 +345,7 @@
   world_clear (&world);
 }
 
-/* The caller leaves: the worker's connection is closed. */
+/* Cancelling a request closes the worker's connection. */
 static void
 test_cancel_closes_connection (void **state)
 {
@@ -363,7 +363,7 @@
   world_clear (&world);
 }
 
-/* Connections are kept: many requests, one connection each. */
+/* Many requests share at most one connection per worker. */
 static void
 test_connections_are_reused (void **state)
 {
@@ -387,7 +387,7 @@
 #define GRANT_VALID_US (200 * 1000)
 #define LEASE_RETRY_DELAY_US (20 * 1000)
 
-/* Asks a giver that answers @GRANT_DELAY_MS later. */
+/* Grants one send to a cold worker GRANT_DELAY_MS after the last request for a lease. */
 typedef struct
 {
   QuinceService *service;
@@ -428,7 +428,7 @@
 static const QuinceWarmupSendsCallbacks cold_callbacks
     = { .find_service = find_cold_service, .request_lease = schedule_grant };
 
-/* Failed first: refused at once (503), and the sends that were granted a moment later went unused. */
+/* Guards against refusing a request with 503 while the lease for a cold worker is being requested. */
 static void
 test_request_waits_for_cold_sends (void **state)
 {
--- a/tests/platform/test-freshness.c
+++ b/tests/platform/test-freshness.c
@@ -1,9 +1,6 @@
 /*
- * test-freshness.c: how old what a process holds of the metadata store may become while something is wrong
- * with whoever reads it.
- *
- * Each process has a stand-in of the store for itself, with the same keys and revisions, so that the store
- * can turn away one of them alone.
+ * test-freshness.c: guards against stale metadata while the store, the leader or the feed of a process fails.
+ * Each process has its own stand-in of the store, so that the store can fail for one process alone.
  */
 #include "observer/store-feed.h"
 
@@ -20,12 +17,12 @@
 #define ZONE "z1"
 #define EVACUATE_KEY "op/evacuate/" ZONE
 #define VERSION_KEY "op/version/" MODEL
-/* Longer than the 2 s in which an operator's change must be in force, by what a busy machine may take; well
- * under the 4.9 s that the fault took. */
+/* An operator's change must be in force within 2 s; the rest allows for a busy machine. */
 #define CHANGE_MAX_DELAY_MS 3000
-/* Of the 3 s in which an accepted policy must be in force everywhere, half a second is for a slow answer. */
+/* An accepted policy must be in force everywhere within 3 s; 0.5 s of them is left for a slow response. */
 #define POLICY_MAX_DELAY_MS 2500
-/* Between the 0.9 s after which a silent leader is left and the 2 s for which own keys are trusted. */
+/* Between the 0.9 s after which a follower abandons a silent leader and the 2 s for which it trusts own keys
+ * that were fed. */
 #define SILENT_LEADER_MAX_MS 1800
 #define WORKER_ENTRY                                                                                         \
   "{\"service\":\"s\",\"address\":\"127.0.0.1:1\",\"zone\":\"z1\",\"version\":1,\"slots\":4,"                \
@@ -37,12 +34,12 @@
   QuinceMetaStore *store;
   QuinceBackends *backends;
   QuinceObserver *observer;
-  QuinceStoreFeed *feed;               /* NULL: does not lead */
-  gboolean is_reserve_reader;          /* a replica: tells the leader what it reads */
-  QuinceLink *link;                    /* to the leader, or the last one that was accepted */
+  QuinceStoreFeed *feed;               /* NULL: the process is not the leader */
+  gboolean is_reserve_reader;          /* reports what it reads from the store to the leader */
+  QuinceLink *link;                    /* to the leader; NULL: none */
   GPtrArray *accepted;                 /* QuinceLink, owned */
-  guint n_own_key_changes;             /* changes of own keys */
-  QuinceTimer *leader_heartbeat_timer; /* of a leader */
+  guint n_own_key_changes;             /* observed changes of the product's own keys */
+  QuinceTimer *leader_heartbeat_timer; /* NULL: the process is not the leader */
   QuinceLinkServer *server;
 } Process;
 
@@ -90,7 +87,7 @@
   return quince_zone_table_is_evacuated (quince_backends_get_zones (process->backends), ZONE);
 }
 
-/* Of what it has of the workers' keys. */
+/* Returns the revision of the workers' keys that the process has applied. */
 static guint64
 get_workers_revision (Process *process)
 {
@@ -158,7 +155,7 @@
 
 static const QuinceLinkCallbacks link_callbacks = { .message = on_message };
 
-/* The leader lives, whatever the store does to it. */
+/* Sends heartbeats to all followers, also while the store is unavailable to the leader. */
 static gboolean
 send_heartbeats (gpointer data)
 {
@@ -196,12 +193,12 @@
   AWAIT (get_known_version (process) == version);
   gint64 took_ms = (g_get_monotonic_time () - begin_us) / 1000;
   if (took_ms > CHANGE_MAX_DELAY_MS)
-    fail_msg ("version %u was known after %d ms", (guint)version, (int)took_ms);
+    fail_msg ("version %u was observed after %d ms", (guint)version, (int)took_ms);
 }
 
 /* ---- Cases ------------------------------------------------------------ */
 
-/* Kept apart from the cases, so that they are cleared after one that failed too. */
+/* Static, so that the teardown also clears them after a failed case. */
 static Process leader;
 static Process replica;
 static Process follower;
@@ -225,7 +222,7 @@
   return 0;
 }
 
-/* The store stops answering the leader only: its followers notice and read the store themselves. */
+/* The store stops responding to the leader only: the follower detects it and reads the store itself. */
 static void
 test_leader_cut_off_from_store (void **state)
 {
@@ -233,35 +230,35 @@
   publish_version (&follower, 3);
   publish_version (&leader, 3);
   AWAIT (get_known_version (&follower) == 3);
-  run_for (100); /* the follower is fed, the leader waits in a watch */
+  run_for (100); /* the follower gets the feed, and the leader has a watch in flight */
   standin_store_set_fault (leader.standin, STANDIN_STORE_UNRESPONSIVE);
   publish_version (&follower, 4);
   assert_version_in_time (&follower, 4);
 }
 
-/* A watch that a silent store took does not outlive the outage. */
+/* A watch that an unresponsive store accepted is replaced after the outage. */
 static void
 test_watch_on_unresponsive_store (void **state)
 {
   standin_store_set_fault (follower.standin, STANDIN_STORE_UNRESPONSIVE);
-  standin_store_close_connections (follower.standin); /* it is noticed, and watches are begun meanwhile */
+  standin_store_close_connections (follower.standin); /* the follower reconnects and starts new watches */
   run_for (700);
   standin_store_set_fault (follower.standin, STANDIN_STORE_HEALTHY);
   publish_version (&follower, 3);
   assert_version_in_time (&follower, 3);
 }
 
-/* What the leader tells begins after what the follower has: the follower takes none of it, and reads. */
+/* The feed starts after the revision that the follower has: it ignores the feed and reads the store. */
 static void
 test_gap_in_feed (void **state)
 {
   publish_version (&leader, 3);
   AWAIT (get_known_version (&leader) == 3);
-  /* History is dropped and the leader's list fails: it cannot tell what the follower lacks. */
+  /* The history is compacted and lists fail, so the leader cannot feed the missing changes. */
   standin_store_set_fault (leader.standin, STANDIN_STORE_FAILS_LISTS);
   standin_store_compact (leader.standin);
   AWAIT (!quince_observer_is_synced (leader.observer));
-  /* The follower's own store is away for a moment, so that only the leader could tell it. */
+  /* The follower's own store is unavailable, so that only the leader could feed it. */
   standin_store_set_fault (follower.standin, STANDIN_STORE_UNAVAILABLE);
   standin_store_close_connections (follower.standin);
   publish_version (&follower, 3);
@@ -273,8 +270,8 @@
   assert_version_in_time (&follower, 3);
 }
 
-/* The store lost a worker's entry while it was away for the leader: who is told of it keeps the worker as a
- * last choice, as the leader does. */
+/* The store loses a worker's entry during an outage that only the leader sees. The leader and its follower
+ * keep the worker as a last resort. */
 static void
 test_worker_entry_lost_in_store_outage (void **state)
 {
@@ -293,8 +290,8 @@
   assert_int_equal (count_known_workers (&follower), 1);
 }
 
-/* A replica reads for a leader that the store does not answer, and for all that the leader tells: they know
- * what the operator wrote and which workers there are, and ask the store for nothing. */
+/* The store does not respond to the leader: a replica reports what it reads, and the leader feeds it to its
+ * followers, which make no calls to the store. */
 static void
 test_reserve_reader_feeds_all (void **state)
 {
@@ -309,9 +306,9 @@
   AWAIT (count_known_workers (&follower) == 1);
   assert_int_equal (get_known_version (&leader), 3);
   assert_int_equal (count_known_workers (&leader), 1);
-  run_for (2500); /* for longer than anybody's patience */
+  run_for (2500); /* longer than the timeouts of the feed */
   assert_int_equal (standin_store_get_n_calls (follower.standin), calls);
-  /* And on: the replica was not put off by what it told itself. */
+  /* The replica continues to read although the leader feeds its own reports back to it. */
   publish_version (&replica, 4);
   assert_version_in_time (&follower, 4);
   standin_store_remove (replica.standin, "servers/w1");
@@ -319,8 +316,8 @@
   assert_int_equal (standin_store_get_n_calls (follower.standin), calls);
 }
 
-/* A leader that sends nothing at all is left sooner than one whose reads lag: among the own keys is the one
- * that names the next leader. */
+/* A follower abandons a leader that sends nothing sooner than one whose reads lag, since one of the own keys
+ * names the next leader. */
 static void
 test_silent_leader (void **state)
 {
@@ -333,16 +330,16 @@
   AWAIT (follower.n_own_key_changes > 0);
   gint64 took_ms = (g_get_monotonic_time () - begin_us) / 1000;
   if (took_ms > SILENT_LEADER_MAX_MS)
-    fail_msg ("the leader was left after %d ms", (int)took_ms);
+    fail_msg ("the silent leader was abandoned after %d ms", (int)took_ms);
 }
 
-/* Failed first: whoever lost its leader read all prefixes at once and again each half second, 250 fronts at
- * once.  What was told counts until the bound on changes asks for a read; only the own keys are read. */
+/* Guards against overload of the store when many fronts lose the leader together: at first they read only the
+ * own keys, and other prefixes when the bound on changes requires it. */
 static void
 test_feeder_loss_store_load (void **state)
 {
   connect_to_leader (&follower, &leader);
-  run_for (700); /* until a page has come of each prefix */
+  run_for (700); /* until the feed has sent a page of each prefix */
   guint calls = standin_store_get_n_calls (follower.standin);
   g_clear_pointer (&leader.feed, quince_store_feed_free);
   quince_timer_clear (&leader.leader_heartbeat_timer);
@@ -353,7 +350,7 @@
   assert_version_in_time (&follower, 3);
 }
 
-/* A leader that hears the store takes nothing from a replica, be it newer or older. */
+/* A leader that reads the store itself ignores the reports of replicas, newer or older. */
 static void
 test_healthy_leader_ignores_reports (void **state)
 {
@@ -373,7 +370,7 @@
   assert_int_equal (get_known_version (&leader), 2);
   publish_version (&leader, 3);
   AWAIT (get_known_version (&leader) == 3);
-  /* Once it hears nothing, an older page is refused all the same. */
+  /* An older page is rejected also while the store does not respond to the leader. */
   standin_store_set_fault (leader.standin, STANDIN_STORE_UNRESPONSIVE);
   run_for (1200);
   const QuinceMetaPage older = { .items = items, .after = 1, .revision = 1 };
@@ -388,11 +385,11 @@
   AWAIT (knows_zone_evacuated (process) == evacuated);
   gint64 took_ms = (g_get_monotonic_time () - begin_us) / 1000;
   if (took_ms > CHANGE_MAX_DELAY_MS)
-    fail_msg ("the zone's state was known after %d ms", (int)took_ms);
+    fail_msg ("the state of the zone was observed after %d ms", (int)took_ms);
 }
 
-/* The store answers neither the leader nor a follower: a replica reads that a zone is evacuated, and that it
- * is taken back, for both. */
+/* The store responds neither to the leader nor to the follower: both learn from a replica that the
+ * evacuation starts and that it ends. */
 static void
 test_evacuation_through_reserve_reader (void **state)
 {
@@ -409,7 +406,7 @@
   assert_false (knows_zone_evacuated (&leader));
 }
 
-/* A leader that read of an evacuation and tells nobody: the others read by themselves. */
+/* The leader reads an evacuation but does not feed it: the follower reads it from the store. */
 static void
 test_leader_withholds_evacuation (void **state)
 {
@@ -423,7 +420,7 @@
   assert_evacuated_in_time (&follower, TRUE);
 }
 
-/* The zone was taken back, and history was forgotten, while the store was away: the key is not listed. */
+/* The evacuation ends and the history is compacted during a store outage: the list lacks the key. */
 static void
 test_evacuation_end_in_compacted_history (void **state)
 {
@@ -439,7 +436,7 @@
   assert_evacuated_in_time (&follower, FALSE);
 }
 
-/* Asked, taken back and asked again while nobody looks, and an older page told late. */
+/* An evacuation starts, ends and starts again in quick succession, and an older page is fed late. */
 static void
 test_rapid_evacuation_changes (void **state)
 {
@@ -462,7 +459,7 @@
     }
 }
 
-/* A process that starts sends nothing before it knows all that the operator asked. */
+/* A starting process sends no requests until it has read the operator's settings. */
 static void
 test_start_during_evacuation (void **state)
 {
@@ -485,8 +482,8 @@
   process_clear (&starter);
 }
 
-/* After a suspension nothing is sent before the store was read again, but a process that the store turns away
- * goes on with what it knew. */
+/* After a suspension no request is sent until the store was read again. If the store does not respond, the
+ * process continues with the last known state. */
 static void
 test_evacuation_while_suspended (void **state)
 {
@@ -507,23 +504,23 @@
   assert_true (knows_zone_evacuated (&follower));
 }
 
-/* Failed first: own keys were trusted for 3 s and read after it, where an accepted policy must be in force at
- * 3 s: no replica reads for the others, and the store answers all but the leader. */
+/* Guards against trusting fed own keys for so long that an accepted policy is in force late. The store does
+ * not respond to the leader, and no replica reports to it. */
 static void
 test_own_keys_with_leader_cut_off_from_store (void **state)
 {
   connect_to_leader (&follower, &leader);
-  run_for (700); /* until a page has come of each prefix */
+  run_for (700); /* until the feed has sent a page of each prefix */
   standin_store_put (follower.standin, "quinceroute/ledger", "view");
   standin_store_put (leader.standin, "quinceroute/ledger", "view");
-  AWAIT (follower.n_own_key_changes == 1); /* it was told just now, and trusts that for as long as ever */
+  AWAIT (follower.n_own_key_changes == 1); /* the trust period of the fed keys starts here */
   standin_store_set_fault (leader.standin, STANDIN_STORE_UNRESPONSIVE);
   standin_store_put (follower.standin, "quinceroute/ledger", "another view");
   gint64 begin_us = g_get_monotonic_time ();
   AWAIT (follower.n_own_key_changes == 2);
   gint64 took_ms = (g_get_monotonic_time () - begin_us) / 1000;
   if (took_ms > POLICY_MAX_DELAY_MS)
-    fail_msg ("an own key was known after %d ms", (int)took_ms);
+    fail_msg ("the change of the own key was observed after %d ms", (int)took_ms);
 }
 
 #define CASE(function) cmocka_unit_test_setup_teardown (function, set_up, tear_down)
--- a/tests/platform/test-front.c
+++ b/tests/platform/test-front.c
@@ -1,5 +1,6 @@
 /*
- * test-front.c: what a front takes from callers and passes on: framing, limits, deadlines, leaving, shares.
+ * test-front.c: guards against faults in how a front handles requests of callers: HTTP framing, size limits,
+ * deadlines, disconnects and traffic splits.
  */
 #include "path-world.h"
 #include "raw.h"
@@ -17,46 +18,46 @@
 {
   const char *name;
   const char *request;
-  const char *answers[2]; /* parts that come, in this order */
+  const char *answers[2]; /* expected parts of the output, in this order; NULL: no second part */
   guint runs;
   gboolean closes;
 } FramingCase;
 
 static const FramingCase framing_cases[] = {
-  { "a length", HEAD "a1\r\nContent-Length: 3\r\n\r\nabc", { "abc by p" }, 1, FALSE },
-  { "chunks",
+  { "Content-Length", HEAD "a1\r\nContent-Length: 3\r\n\r\nabc", { "abc by p" }, 1, FALSE },
+  { "chunked body",
     HEAD "a2\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n1;x=y\r\nc\r\n0\r\n\r\n",
     { "abc by p" },
     1,
     FALSE },
-  { "two at once",
+  { "two pipelined requests",
     HEAD "a3\r\nContent-Length: 3\r\n\r\none" HEAD "a4\r\nContent-Length: 3\r\n\r\ntwo",
     { "one by p", "two by p" },
     2,
     FALSE },
-  { "the caller ends the connection",
+  { "Connection: close",
     HEAD "a5\r\nConnection: close\r\nContent-Length: 3\r\n\r\nabc",
     { "abc by p" },
     1,
     TRUE },
-  { "waits to go on",
+  { "Expect: 100-continue",
     HEAD "a6\r\nExpect: 100-continue\r\nContent-Length: 3\r\n\r\nabc",
     { "HTTP/1.1 100 ", "abc by p" },
     1,
     FALSE },
-  { "two lengths",
+  { "two Content-Length headers",
     HEAD "b1\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\nabcd",
     { "HTTP/1.1 400 " },
     0,
     TRUE },
-  { "a length and chunks, with a request behind",
+  { "Content-Length and chunked body, followed by a request",
     HEAD "b2\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" HEAD
          "b3\r\nContent-Length: 0\r\n\r\n",
     { "HTTP/1.1 400 " },
     0,
     TRUE },
-  { "no HTTP", "hello\r\n\r\n", { "HTTP/1.1 400 " }, 0, TRUE },
-  { "a chunk whose length is none",
+  { "not HTTP", "hello\r\n\r\n", { "HTTP/1.1 400 " }, 0, TRUE },
+  { "invalid chunk size",
     HEAD "b4\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nab\r\n0\r\n\r\n",
     { "HTTP/1.1 400 " },
     0,
@@ -81,7 +82,7 @@
   return world;
 }
 
-/* Lookups that ran at the plain workers and whose id begins so. */
+/* Returns the number of lookups with this id prefix that ran on plain workers. */
 static guint
 count_lookups (PathWorld *world, const char *prefix)
 {
@@ -122,7 +123,7 @@
       if (c->closes)
         AWAIT ((raw_read (caller), caller->closed));
       else if (caller->closed)
-        fail_msg ("%s: closed", c->name);
+        fail_msg ("%s: the front closed the connection", c->name);
       if (count_lookups (world, "") != runs_before + c->runs)
         fail_msg ("%s: %u runs", c->name, count_lookups (world, "") - runs_before);
       raw_free (caller);
@@ -130,7 +131,7 @@
   path_world_free (world);
 }
 
-/* A connection serves one request after the other; each answer is that of its request. */
+/* One connection serves many requests in order; each response matches its request. */
 static void
 test_persistent_connection (void **state)
 {
@@ -149,7 +150,7 @@
   path_world_free (world);
 }
 
-/* A head that never ends is answered 408 and does not hold its connection. */
+/* An incomplete request head gets status 408, and its connection is closed. */
 static void
 test_slow_request_head (void **state)
 {
@@ -162,9 +163,9 @@
   path_world_free (world);
 }
 
-/* ---- Time -------------------------------------------------------------------- */
+/* ---- Deadlines and unavailable workers ---------------------------------------- */
 
-/* Workers are told what is left, never more than the route or the caller allows. */
+/* Workers get the remaining time as deadline, at most what the route and the caller allow. */
 static void
 test_deadline_propagated (void **state)
 {
@@ -186,7 +187,7 @@
   path_world_free (world);
 }
 
-/* Nobody answers: the caller is told at the route's time, and not that nothing ran. */
+/* No worker responds: the caller gets 504 at the route's timeout, not 503, since the lookup may have run. */
 static void
 test_route_timeout (void **state)
 {
@@ -198,7 +199,7 @@
   path_world_free (world);
 }
 
-/* No worker is there: refused at once, with the time to come back. */
+/* No worker is available: lookups are refused with 503 and Retry-After, and do not run. */
 static void
 test_no_worker (void **state)
 {
@@ -220,7 +221,7 @@
   path_world_free (world);
 }
 
-/* ---- Callers that leave ------------------------------------------------------- */
+/* ---- Callers that disconnect -------------------------------------------------- */
 
 static const StandinRun *
 find_stream_run (PathWorld *world)
@@ -246,7 +247,7 @@
   path_world_free (world);
 }
 
-/* ---- Shares ------------------------------------------------------------------- */
+/* ---- Traffic splits ----------------------------------------------------------- */
 
 #define SPLIT_CONFIGURATION                                                                                  \
   "{\"version\":9,\"routes\":[{\"name\":\"l\",\"host\":\"" PATH_HOST                                         \
@@ -275,7 +276,7 @@
   standin_store_put (world->store, "servers/p1", entry);
   standin_store_put (world->store, "op/config", SPLIT_CONFIGURATION);
   const GPtrArray *other_runs = standin_worker_get_runs (world->plain[1]);
-  /* The shares and the worker come by ways of their own: all is known once none is refused any more. */
+  /* The configuration and the worker entry arrive separately; both are applied once no lookup is refused. */
   AWAIT (all_calls_succeed (world));
   guint before = other_runs->len;
   for (guint i = 0; i < SPLIT_CALLS; i++)
--- a/tests/platform/test-http-pool.c
+++ b/tests/platform/test-http-pool.c
@@ -1,5 +1,6 @@
 /*
- * test-http-pool.c: exchanges on kept connections, against a server that misbehaves byte by byte.
+ * test-http-pool.c: guards against a client pool that accepts truncated or malformed responses, or reuses a
+ * connection that is no longer usable.
  */
 #include "http1/http-client.h"
 #include "runtime/clock.h"
@@ -9,14 +10,14 @@
 #include "await.h"
 #include "standin-server.h"
 
-/* ---- A server whose answer is a script --------------------------------- */
+/* ---- Scripted responses ------------------------------------------------ */
 
 typedef enum
 {
-  END_KEEP_OPEN, /* the connection stays       */
-  END_CLOSE,     /* it ends in order           */
-  END_RESET,     /* it is reset                */
-  END_STALL,     /* nothing more comes         */
+  END_KEEP_OPEN, /* the connection stays open */
+  END_CLOSE,     /* the connection is closed cleanly */
+  END_RESET,     /* the connection is reset */
+  END_STALL,     /* the connection stays open, the response unfinished */
 } ResponseEnd;
 
 typedef struct
@@ -27,7 +28,7 @@
   QuinceHttpOutcome outcome;
   guint status;
   const char *body;
-  gboolean reused; /* the connection is used again */
+  gboolean reused; /* the connection is used for the next request */
 } ScriptedResponse;
 
 static void
@@ -44,7 +45,7 @@
       standin_call_close_connection (call);
       break;
     case END_RESET:
-      /* The bytes arrive before the reset does. */
+      /* Lets the client read the bytes before the reset. */
       run_for (30);
       standin_call_reset_connection (call);
       break;
@@ -90,32 +91,32 @@
 }
 
 static const ScriptedResponse scripted_responses[] = {
-  { "whole answer", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nab", END_KEEP_OPEN, QUINCE_HTTP_ANSWERED,
-    200, "ab", TRUE },
-  { "chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n1\r\nc\r\n0\r\n\r\n",
+  { "complete response", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nab", END_KEEP_OPEN,
+    QUINCE_HTTP_ANSWERED, 200, "ab", TRUE },
+  { "chunked response", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n1\r\nc\r\n0\r\n\r\n",
     END_KEEP_OPEN, QUINCE_HTTP_ANSWERED, 200, "abc", TRUE },
-  { "an interim answer first", "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\na",
+  { "interim response first", "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\na",
     END_KEEP_OPEN, QUINCE_HTTP_ANSWERED, 200, "a", TRUE },
-  { "says close", "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 1\r\n\r\na", END_KEEP_OPEN,
+  { "Connection: close", "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 1\r\n\r\na", END_KEEP_OPEN,
     QUINCE_HTTP_ANSWERED, 200, "a", FALSE },
-  { "keep-alive is over at once", "HTTP/1.1 200 OK\r\nKeep-Alive: timeout=0\r\nContent-Length: 1\r\n\r\na",
+  { "Keep-Alive: timeout=0", "HTTP/1.1 200 OK\r\nKeep-Alive: timeout=0\r\nContent-Length: 1\r\n\r\na",
     END_KEEP_OPEN, QUINCE_HTTP_ANSWERED, 200, "a", FALSE },
-  { "bytes after the answer",
+  { "extra bytes after the response",
     "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\naHTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nb",
     END_KEEP_OPEN, QUINCE_HTTP_ANSWERED, 200, "a", FALSE },
-  { "cut in the body", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nab", END_CLOSE, QUINCE_HTTP_BROKEN, 200,
-    "ab", FALSE },
-  { "cut in chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n", END_CLOSE,
-    QUINCE_HTTP_BROKEN, 200, "ab", FALSE },
-  { "cut in the head", "HTTP/1.1 200 OK\r\nContent-Le", END_CLOSE, QUINCE_HTTP_BROKEN, 0, "", FALSE },
-  { "closes without an answer", "", END_CLOSE, QUINCE_HTTP_BROKEN, 0, "", FALSE },
-  { "no length, ends in order", "HTTP/1.1 200 OK\r\n\r\nabc", END_CLOSE, QUINCE_HTTP_ANSWERED, 200, "abc",
+  { "closed within the body", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nab", END_CLOSE, QUINCE_HTTP_BROKEN,
+    200, "ab", FALSE },
+  { "closed within a chunked body", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n",
+    END_CLOSE, QUINCE_HTTP_BROKEN, 200, "ab", FALSE },
+  { "closed within the head", "HTTP/1.1 200 OK\r\nContent-Le", END_CLOSE, QUINCE_HTTP_BROKEN, 0, "", FALSE },
+  { "closed without a response", "", END_CLOSE, QUINCE_HTTP_BROKEN, 0, "", FALSE },
+  { "no length, closed cleanly", "HTTP/1.1 200 OK\r\n\r\nabc", END_CLOSE, QUINCE_HTTP_ANSWERED, 200, "abc",
     FALSE },
   { "no length, reset", "HTTP/1.1 200 OK\r\n\r\nabc", END_RESET, QUINCE_HTTP_BROKEN, 200, "abc", FALSE },
-  { "no HTTP", "hello\r\n\r\n", END_KEEP_OPEN, QUINCE_HTTP_BROKEN, 0, "", FALSE },
-  { "two lengths", "HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nab", END_KEEP_OPEN,
-    QUINCE_HTTP_BROKEN, 0, "", FALSE },
-  { "silent", "", END_STALL, QUINCE_HTTP_BROKEN, 0, "", FALSE },
+  { "not HTTP", "hello\r\n\r\n", END_KEEP_OPEN, QUINCE_HTTP_BROKEN, 0, "", FALSE },
+  { "two Content-Length headers", "HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nab",
+    END_KEEP_OPEN, QUINCE_HTTP_BROKEN, 0, "", FALSE },
+  { "no response", "", END_STALL, QUINCE_HTTP_BROKEN, 0, "", FALSE },
 };
 
 static void
@@ -138,7 +139,7 @@
       g_free (result.body);
       guint expected = response->reused ? 1 : 2;
       if (quince_http_pool_get_n_connections_opened (pool) != expected)
-        fail_msg ("%s: %u connections were made", response->name,
+        fail_msg ("%s: %u connections were opened", response->name,
                   (guint)quince_http_pool_get_n_connections_opened (pool));
       assert_int_equal (quince_http_pool_get_n_busy (pool), 0);
       quince_http_pool_unref (pool);
@@ -159,7 +160,7 @@
   quince_http_pool_unref (pool);
 }
 
-/* An idle connection that its server closes is not used again. */
+/* An idle connection that the server closed is not reused. */
 static void
 test_idle_connection_closed (void **state)
 {
@@ -186,7 +187,7 @@
   *(StandinCall **)data = call;
 }
 
-/* A cancelled exchange closes its connection: the work behind it ends. */
+/* Cancelling an exchange closes its connection, so that the server can stop its work. */
 static void
 test_cancel_closes_connection (void **state)
 {
@@ -214,7 +215,7 @@
   standin_call_answer (call, 200, "", "ab", 2);
 }
 
-/* A connection that comes too late carries nothing: the server never sees the request. */
+/* A request is not sent after its send deadline. */
 static void
 test_send_deadline (void **state)
 {
@@ -231,7 +232,7 @@
   assert_int_equal (calls, 0);
   assert_int_equal (quince_http_pool_get_n_busy (pool), 0);
   request.send_by_us = quince_now_us () + G_USEC_PER_SEC;
-  for (guint i = 1; i <= 2; i++) /* a new connection, and a kept one */
+  for (guint i = 1; i <= 2; i++) /* on a new connection, then on reused ones */
     {
       result = (ExchangeResult){ 0 };
       quince_http_pool_start (pool, &request, &callbacks, &result);
@@ -247,7 +248,7 @@
 
 #define STALL_US (300 * 1000)
 
-/* The process stands still while the answer arrives, until its time is over. */
+/* Answers, then blocks the main loop of the client until the client's timeout has passed. */
 static void
 answer_and_stall (StandinCall *call, gpointer data)
 {
@@ -255,13 +256,13 @@
   g_usleep (STALL_US);
 }
 
-/* An answer that lies there when the process goes on is taken, though its time is over. */
+/* A response that arrived while the process was blocked is accepted although its timeout has passed. */
 static void
 test_received_answer_precedes_timeout (void **state)
 {
   StandinServer *server = standin_server_new (answer_and_stall, NULL);
   QuinceHttpPool *pool = quince_http_pool_new (standin_server_get_address (server));
-  for (guint i = 0; i < 4; i++) /* a new connection, and a kept one */
+  for (guint i = 0; i < 4; i++) /* on a new connection, then on reused ones */
     {
       ExchangeResult result;
       run_exchange (pool, &result, STALL_US / 2);
