--- a/daemons/front/caller-connection.c
+++ b/daemons/front/caller-connection.c
@@ -299,7 +299,7 @@
       return;
     }
   g_autoptr (GBytes) body
-      = quince_platform_format_addresses ((const char *const *)addresses, context->directory_keep_s);
+      = quince_platform_format_addresses ((const char *const *)addresses, context->directory_ttl_s);
   const QuinceCallerAnswer result = { .status = 200,
                                       .content_type = "application/json",
                                       .body = g_bytes_get_data (body, NULL),
--- a/daemons/front/front-context.h
+++ b/daemons/front/front-context.h
@@ -24,7 +24,7 @@
  * @directory: fronts that callers may use
  * @replica_zones: zones of the machines that run ledger replicas
  * @splits: state of the split of routes between services
- * @directory_keep_s: how long callers may cache an answer of the directory, s
+ * @directory_ttl_s: how long callers may cache an answer of the directory, s
  * @in_progress: number of callers' requests in flight
  * @stopping: %TRUE once the planned stop has begun: each connection closes after its next answer, and the
  *   readiness check fails
@@ -40,7 +40,7 @@
   QuinceDirectory *directory;
   QuinceMachineZones *replica_zones;
   QuinceRouteSplits *splits;
-  guint directory_keep_s;
+  guint directory_ttl_s;
   guint in_progress;
   gboolean stopping;
 } QuinceFrontContext;
--- a/daemons/front/front.c
+++ b/daemons/front/front.c
@@ -241,7 +241,7 @@
 /* ---- Start -------------------------------------------------------------- */
 
 static guint
-read_directory_keep_s (const QuinceSettings *settings)
+read_directory_ttl_s (const QuinceSettings *settings)
 {
   return (guint)(quince_settings_get_duration_us (settings, "directory", "keep") / G_USEC_PER_SEC);
 }
@@ -275,7 +275,7 @@
   front->context.backends = quince_backends_new (topology);
   front->name = g_strdup (quince_settings_get_text (settings, "node", "name"));
   front->zone = g_strdup (quince_settings_get_text (settings, "node", "zone"));
-  front->context.directory_keep_s = read_directory_keep_s (settings);
+  front->context.directory_ttl_s = read_directory_ttl_s (settings);
   front->context.splits = quince_route_splits_new ();
   front->context.usage = quince_usage_reporter_new ();
   create_send_limiters (front, settings);
@@ -373,7 +373,7 @@
 {
   Front *front = self;
   quince_planned_stop_set_grace (front->stop, read_grace_us (settings));
-  front->context.directory_keep_s = read_directory_keep_s (settings);
+  front->context.directory_ttl_s = read_directory_ttl_s (settings);
 }
 
 /* ---- Stop --------------------------------------------------------------- */
