--- a/daemons/daemon-settings.h
+++ b/daemons/daemon-settings.h
@@ -38,13 +38,13 @@
   { "listen", "metrics", QUINCE_SETTING_ADDRESS, FALSE, NULL, 0, 0, NULL, \
     "address of /metrics; none where absent" }
 
-/* @workers_pace: default of store.workers_pace.
+/* @workers_read_interval: default of store.workers_pace.
  * The smallest of the three bounds applies; deployments set their own.  The default of 2 s is the smallest that
  * the observer can keep (QUINCE_OBSERVER_CHANGE_BOUND_MIN_MS).  The default of evacuation_bound is its maximum,
  * so that the other two apply. */
-#define QUINCE_STORE_SETTINGS(workers_pace) \
+#define QUINCE_STORE_SETTINGS(workers_read_interval) \
   { "store", "address", QUINCE_SETTING_ADDRESS, TRUE, NULL, 0, 0, NULL, "address of the metadata store" }, \
-  { "store", "workers_pace", QUINCE_SETTING_DURATION, FALSE, workers_pace, 10 * QUINCE_MILLISECOND_US, \
+  { "store", "workers_pace", QUINCE_SETTING_DURATION, FALSE, workers_read_interval, 10 * QUINCE_MILLISECOND_US, \
     QUINCE_SECOND_US, NULL, "least time between two looks at the list of workers" }, \
   { "store", "change_bound", QUINCE_SETTING_DURATION, FALSE, "2s", QUINCE_BOUND_MIN_US, QUINCE_BOUND_MAX_US, \
     NULL, "a change of the operator is in force so long after the store took it" }, \
--- a/daemons/front/front.c
+++ b/daemons/front/front.c
@@ -321,7 +321,7 @@
 
 /* Registers this front in the metadata store, so that the directories of other fronts list it. */
 static void
-announce (Front *front, const QuinceSettings *settings)
+register_presence (Front *front, const QuinceSettings *settings)
 {
   g_autofree char *key = g_strconcat (QUINCE_FRONTS_PREFIX, front->name, NULL);
   g_autoptr (GBytes) entry = format_entry (front, FALSE);
@@ -340,7 +340,7 @@
   observe_store (front, settings);
   if (!open_metrics (front, quince_settings_get_text (settings, "listen", "metrics"), error))
     return FALSE;
-  announce (front, settings);
+  register_presence (front, settings);
   front->suspension = quince_suspension_watch_new (handle_resume, front);
   return TRUE;
 }
--- a/daemons/replica/batch-service.c
+++ b/daemons/replica/batch-service.c
@@ -80,7 +80,7 @@
 }
 
 static void
-handle_result_added (QuinceBatchEntry *entry, gpointer data)
+batch_result_added (QuinceBatchEntry *entry, gpointer data)
 {
   QuinceBatchService *service = data;
   service->samples_without_result--;
@@ -111,7 +111,7 @@
 }
 
 static const QuinceBatchTableCallbacks batch_table_callbacks = { .submitted = batch_submitted,
-                                                                 .listed = handle_result_added,
+                                                                 .result_added = batch_result_added,
                                                                  .ended = batch_ended,
                                                                  .forgotten = batch_forgotten };
 
--- a/lib/core/batches/batch-table.c
+++ b/lib/core/batches/batch-table.c
@@ -94,7 +94,7 @@
   encoded_result->item = item;
   encoded_result->body = g_steal_pointer (&owned);
   g_ptr_array_add (entry->results, encoded_result);
-  notify (table, table->callbacks->listed, entry);
+  notify (table, table->callbacks->result_added, entry);
 }
 
 /* Applies a RESULT record, which logs of earlier versions hold.  Newer versions write LISTED records, whose
--- a/lib/core/batches/batch-table.h
+++ b/lib/core/batches/batch-table.h
@@ -34,14 +34,14 @@
 /**
  * QuinceBatchTableCallbacks: called when a record changes a batch; each is nullable
  * @submitted: the batch was added
- * @listed: a result was added as the last one of the batch
+ * @result_added: a result was added as the last one of the batch
  * @ended: the submitter ended the batch
  * @forgotten: the batch is about to be removed and freed; @entry is valid until the callback returns
  */
 typedef struct
 {
   void (*submitted) (QuinceBatchEntry *entry, gpointer user_data);
-  void (*listed) (QuinceBatchEntry *entry, gpointer user_data);
+  void (*result_added) (QuinceBatchEntry *entry, gpointer user_data);
   void (*ended) (QuinceBatchEntry *entry, gpointer user_data);
   void (*forgotten) (QuinceBatchEntry *entry, gpointer user_data);
 } QuinceBatchTableCallbacks;
