--- a/daemons/replica/worker-scaler.c
+++ b/daemons/replica/worker-scaler.c
@@ -167,7 +167,7 @@
 quince_worker_scaler_start_leading (QuinceWorkerScaler *scaler)
 {
   scaler->leads = TRUE;
-  quince_scale_plan_lead (scaler->plan, quince_now_us ());
+  quince_scale_plan_start_leading (scaler->plan, quince_now_us ());
 }
 
 void
--- a/lib/core/scaling/scale-plan.c
+++ b/lib/core/scaling/scale-plan.c
@@ -256,7 +256,7 @@
 }
 
 void
-quince_scale_plan_lead (QuinceScalePlan *plan, gint64 now_us)
+quince_scale_plan_start_leading (QuinceScalePlan *plan, gint64 now_us)
 {
   plan->leader_since_us = now_us;
   GHashTableIter iter;
--- a/lib/core/scaling/scale-plan.h
+++ b/lib/core/scaling/scale-plan.h
@@ -52,7 +52,7 @@
 
 /* Starts a term of this process as leader.  The plan issues no order for the boot time of a worker plus
  * QUINCE_SCALE_LISTING_DELAY_US, since workers that the previous leader ordered may not be listed yet. */
-void quince_scale_plan_lead (QuinceScalePlan *plan, gint64 now_us);
+void quince_scale_plan_start_leading (QuinceScalePlan *plan, gint64 now_us);
 
 /**
  * quince_scale_plan_step:
--- a/tests/unit/test-scale-plan.c
+++ b/tests/unit/test-scale-plan.c
@@ -62,7 +62,7 @@
   simulation->service->scaling = scaling;
   simulation->now_us = 100 * G_USEC_PER_SEC;
   simulation->needed = NEEDED_WORKERS;
-  quince_scale_plan_lead (simulation->plan, simulation->now_us);
+  quince_scale_plan_start_leading (simulation->plan, simulation->now_us);
   return simulation;
 }
 
@@ -484,7 +484,7 @@
 {
   Simulation *simulation = settled_simulation (4000);
   simulation->evacuated[1] = TRUE;
-  quince_scale_plan_lead (simulation->plan, simulation->now_us);
+  quince_scale_plan_start_leading (simulation->plan, simulation->now_us);
   run (simulation, 5.5);
   assert_int_equal (simulation->n_orders, 0);
   run (simulation, 2);
@@ -495,7 +495,7 @@
   /* The workers that the previous leader ordered arrive during the wait. */
   simulation = settled_simulation (4000);
   simulation->evacuated[1] = TRUE;
-  quince_scale_plan_lead (simulation->plan, simulation->now_us);
+  quince_scale_plan_start_leading (simulation->plan, simulation->now_us);
   run (simulation, 3);
   simulation->on_demand[2] = 2 * INITIAL_WORKERS;
   run (simulation, 30);
@@ -510,7 +510,7 @@
   QuinceScalePlan *before = simulation->plan;
   simulation->plan = simulation->standby;
   simulation->standby = before;
-  quince_scale_plan_lead (simulation->plan, simulation->now_us);
+  quince_scale_plan_start_leading (simulation->plan, simulation->now_us);
 }
 
 /* Workers that an operator added are not released, even after their zone was lost and has returned. */
@@ -537,7 +537,7 @@
   Simulation *simulation = settled_simulation (4000);
   g_clear_pointer (&simulation->plan, quince_scale_plan_free);
   simulation->plan = quince_scale_plan_new ();
-  quince_scale_plan_lead (simulation->plan, simulation->now_us);
+  quince_scale_plan_start_leading (simulation->plan, simulation->now_us);
   simulation->on_demand[1] = 0;
   run (simulation, 10);
   simulation->on_demand[0] -= 1;
