--- a/daemons/front/directory.c
+++ b/daemons/front/directory.c
@@ -14,11 +14,12 @@
 
 #include "runtime/log.h"
 
-/* How long a front stays listed after its lease may have expired in an outage of the store, us.  A running
- * front writes its key again within a second once the store answers. */
+/* Time for which a front stays listed after its key was removed, us, if its lease may have expired only
+ * because of an outage of the store.  A running front writes its key again within a second once the store
+ * answers. */
 #define REMOVED_RETENTION_US (4 * G_USEC_PER_SEC)
-/* How long the leader's list of silent fronts is valid, us.  The leader sends it with every heartbeat; the
- * TTL is longer than the election of a new leader. */
+/* Time for which the leader's list of silent fronts is valid, us.  The leader sends it with every heartbeat.
+ * Longer than the election of a new leader. */
 #define SILENT_TTL_US (5 * G_USEC_PER_SEC)
 /* Maximum number of addresses in one answer, which keeps it small with hundreds of fronts. */
 #define ADDRESSES_MAX 64
--- a/daemons/front/directory.h
+++ b/daemons/front/directory.h
@@ -1,7 +1,7 @@
 /*
  * directory.h: the list of fronts that callers may use.
  *
- * The directory owns the fronts read from the metadata store and the set of silent fronts: those that do not
+ * The directory owns the fronts read from the metadata store and the set of silent fronts, which do not
  * answer the heartbeats of the ledger's leader.  It orders fronts by the topology.  All times are monotonic,
  * us.
  */
--- a/daemons/replica/ledger-replication.h
+++ b/daemons/replica/ledger-replication.h
@@ -1,9 +1,9 @@
 /*
- * ledger-replication.h: the backups connected to this leader, and the choice of those that receive records.
+ * ledger-replication.h: replication of the leader's log to the connected backups.
  *
- * Holds the connected backups and the machines that may store records.  The ledger group chooses the
- * recipients.  Does nothing while this replica does not lead.  All functions must be called in the main
- * context.
+ * Holds the connected backups and the machines that may store records.  The ledger group chooses which
+ * backups receive records.  Does nothing while this replica does not lead.  All functions must be called in
+ * the main context.
  */
 #pragma once
 
@@ -29,11 +29,11 @@
 
 /* Starts to lead @epoch, with no backup connected yet. */
 void quince_ledger_replication_start_leading (QuinceLedgerReplication *replication, guint64 epoch);
-/* Reports that the leader has read its log.  Required, in addition to the allowed nodes, to decide which
- * replicas may receive records. */
+/* Records that the leader has read its log.  With several regions, the leader determines which machines may
+ * store records only after this call and quince_ledger_replication_set_allowed_nodes(). */
 void quince_ledger_replication_set_recovered (QuinceLedgerReplication *replication);
-/* Stops leading and closes the links of all backups.  @forget_allowed_nodes: whether the next term must wait
- * until the allowed nodes are set again */
+/* Stops leading and closes the links of all backups.  @forget_allowed_nodes: whether the allowed nodes must
+ * be set again in the next term */
 void quince_ledger_replication_stop_leading (QuinceLedgerReplication *replication,
                                              gboolean forget_allowed_nodes);
 /* See quince_ledger_node_set_allowed_nodes(). */
@@ -51,10 +51,11 @@
 /* Removes the backup of @link, which closed, if there is one. */
 void quince_ledger_replication_remove_backup (QuinceLedgerReplication *replication, QuinceLink *link);
 
-/* Chooses the backups that receive records, and orders those that may not store any to remove their logs. */
+/* Chooses the backups that receive records.  Orders backups on machines that may not store records to remove
+ * their logs. */
 void quince_ledger_replication_choose_recipients (QuinceLedgerReplication *replication);
-/* Sends each recipient the records that it does not have.  @heartbeat: whether to choose the recipients again
- * first, and to send a message to each backup even if there is no record to send */
+/* Sends each chosen backup the records that it does not have.  @heartbeat: whether to choose the backups
+ * again first, and to send a message to each backup even if there is no record to send */
 void quince_ledger_replication_send (QuinceLedgerReplication *replication, gboolean heartbeat);
 
 /* Returns %TRUE if @replica is connected as a backup. */
--- a/daemons/replica/quarantine-coordinator.c
+++ b/daemons/replica/quarantine-coordinator.c
@@ -14,8 +14,8 @@
 #include "quarantine-keys.h"
 #include "suspect-reporter.h"
 
-/* Duration of a permit, us, after which another process may send the request even if the holder failed or was
- * disconnected.  Longer than the deadlines of lookups. */
+/* Time after which a permit expires, us.  Another process may then send the request, even if the holder
+ * failed or was disconnected.  Longer than the deadlines of lookups. */
 #define PERMIT_TTL_US (3 * G_USEC_PER_SEC)
 
 struct _QuinceQuarantineCoordinator
@@ -169,8 +169,8 @@
   coordinator->permits = quince_permits_new ();
   check_former_leader_sends (coordinator);
   /* The election lasts longer than the yield time (quince_quarantine_should_yield()), and nothing was sent
-   * during it.  Without a restart, each new leader would first send the same request of a suspected prompt,
-   * whose end would not count against the prompt. */
+   * during it.  Without a restart, each new leader would first send the same request of a suspected prompt
+   * again.  Further ends with that request do not count against the prompt. */
   quince_quarantine_restart_yield_time (get_quarantine (coordinator), quince_now_us ());
   quince_suspect_reporter_send_all (coordinator->reporter);
 }
--- a/daemons/replica/sample-demand.h
+++ b/daemons/replica/sample-demand.h
@@ -11,6 +11,6 @@
 
 /* Records the waiting and running samples in @plan. */
 void quince_sample_demand_fill_load_plan (QuinceSampleSet *set, QuinceLoadPlan *plan);
-/* Returns how many slots at workers of @service its waiting and running samples need to end before their
- * deadlines; see quince_scale_slots_needed(). */
+/* Returns the number of worker slots that the waiting and running samples of @service need to complete by
+ * their deadlines; see quince_scale_slots_needed(). */
 double quince_sample_demand_get_slots_needed (QuinceSampleSet *set, const char *service);
--- a/daemons/replica/sample-outcome.h
+++ b/daemons/replica/sample-outcome.h
@@ -1,8 +1,8 @@
 /*
  * sample-outcome.h: handles the end of a run of a sample: another run, the reward call, or the result.
  *
- * The next step is decided by core/decisions/sample-next.h.  The send guard is informed of each end, since a
- * sample may be the reason why its workers end.
+ * The next step is decided by core/decisions/sample-next.h.  Each end is reported to the send guard, since a
+ * sample may crash the workers that run it.
  */
 #pragma once
 
--- a/daemons/replica/suspect-reporter.c
+++ b/daemons/replica/suspect-reporter.c
@@ -30,7 +30,7 @@
   char *name;
   QuinceLedgerNode *ledger;   /* not owned; NULL: not set yet */
   GHashTable *links;          /* set of QuinceLink, not owned; NULL: not leading */
-  guint64 informed_successor; /* number of the successor link on which all suspects were sent; 0: none */
+  guint64 informed_successor; /* serial of the successor link on which all suspects were sent; 0: none */
   ChangeQueue all_queue;
   ChangeQueue successor_queue;
 };
@@ -204,7 +204,8 @@
     quince_link_send_bytes (link, encoded);
 }
 
-/* A new successor has no reports of requests at which a single worker ended. */
+/* Sends all suspects to a new successor.  Unlike other processes, the successor needs the suspects with a
+ * single end too. */
 void
 quince_suspect_reporter_step (QuinceSuspectReporter *reporter, const GPtrArray *suspects)
 {
--- a/lib/core/batches/batch-table.h
+++ b/lib/core/batches/batch-table.h
@@ -34,7 +34,7 @@
 /**
  * QuinceBatchTableCallbacks: called when a record changes a batch; each is nullable
  * @submitted: the batch was added
- * @result_added: a result was added as the last one of the batch
+ * @result_added: a result was appended to the results of the batch
  * @ended: the submitter ended the batch
  * @forgotten: the batch is about to be removed and freed; @entry is valid until the callback returns
  */
--- a/lib/core/group/ledger-leases.c
+++ b/lib/core/group/ledger-leases.c
@@ -52,8 +52,8 @@
   return get_index_held_by_all_except (group, replicas, replicas->len - group->limits.quorum);
 }
 
-/* Returns how many replicas of all proposed views together may lack a record, or be silent, while each of
- * these views still has a quorum. */
+/* Returns the maximum number of replicas, counted over all proposed views, that may lack a record or be
+ * silent while each of these views still has a quorum. */
 static guint
 get_proposed_failures_max (const QuinceLedgerGroup *group)
 {
@@ -128,7 +128,7 @@
          && now_us - group->confirmed_us <= group->limits.lease_duration_us;
 }
 
-/* Returns from how many other members a message has arrived within the leader silence timeout. */
+/* Returns the number of other members whose latest message arrived within the leader timeout. */
 static guint
 count_in_contact (const QuinceLedgerGroup *group, gint64 now_us)
 {
--- a/lib/core/request/expected-ends.c
+++ b/lib/core/request/expected-ends.c
@@ -3,7 +3,7 @@
  */
 #include "core/request/expected-ends.h"
 
-/* Longest send under a permit, us: the lifetime of a permit, see quarantine-coordinator.c. */
+/* Maximum duration of a send under a permit, us: the TTL of a permit, see quarantine-coordinator.c. */
 #define SEND_MAX_US (3 * G_USEC_PER_SEC)
 /* Bounds memory use.  A digest has at most one permit at a time, and few requests are suspects. */
 #define ENTRIES_MAX 256
--- a/lib/core/routing/failure-detector.h
+++ b/lib/core/routing/failure-detector.h
@@ -27,7 +27,7 @@
 /* Records a heartbeat from the front @name; adds the front if it is unknown. */
 void
 quince_failure_detector_record_heartbeat (QuinceFailureDetector *detector, gint64 now_us, const char *name);
-/* Starts monitoring anew, for example when this process becomes the leader.  No front is reported as silent
+/* Restarts monitoring, for example when this process becomes the leader.  No front is reported as silent
  * until the heartbeat timeout has passed. */
 void quince_failure_detector_restart (QuinceFailureDetector *detector, gint64 now_us);
 
--- a/lib/core/weights/load-plan.c
+++ b/lib/core/weights/load-plan.c
@@ -9,8 +9,8 @@
 /* Time after the announcement of a version during which usable workers do not load it, us.  The samples of
  * the trainer's next batch arrive after 0.1 to 0.3 s and need workers that accept them. */
 #define NEXT_STEP_WAIT_US (400 * 1000)
-/* Longest time for which a load is deferred, us: about two training steps.  A version that follows would make
- * the worker unusable. */
+/* Longest time for which a load is deferred, us: about two training steps.  One more version would make the
+ * worker unusable. */
 #define DEFER_MAX_US (8 * G_USEC_PER_SEC)
 /* Number of versions by which a worker may be behind and still serve the next step. */
 #define VERSIONS_BEHIND_MAX 1
--- a/lib/core/weights/model-placement.c
+++ b/lib/core/weights/model-placement.c
@@ -32,7 +32,7 @@
 #define PEAK_HALF_LIFE_US (60 * G_USEC_PER_SEC)
 /* Factor of headroom above that peak when the number of workers of a model is limited. */
 #define PEAK_HEADROOM 1.5
-/* Workers that a model may have beyond those that its samples can fill. */
+/* Number of workers that a model may have in addition to the workers that its samples can fill. */
 #define SPARE_WORKERS_PER_MODEL 2
 /* Minimum surplus, in workers, at which a model returns a worker to the reserve; above
  * SPARE_WORKERS_PER_MODEL. */
--- a/lib/forward/send-guard.h
+++ b/lib/forward/send-guard.h
@@ -1,6 +1,6 @@
 /*
- * send-guard.h: admission of requests to workers, so that a request that crashes workers is not sent again
- * and again.
+ * send-guard.h: admission of requests to workers; prevents a request that crashes workers from being sent
+ * repeatedly.
  *
  * Each process has one guard.  When a connection to a worker breaks, the guard checks whether the worker
  * ended.  If so, the requests that ran on it become suspects in the quarantine (quarantine.h), and the guard
@@ -65,7 +65,7 @@
 typedef struct
 {
   gboolean taken;             /* FALSE: the request is sent without a permit */
-  gboolean alone;             /* it excludes other such permits of the service, see quince_permits_take() */
+  gboolean alone;             /* excludes other such permits of the service, see quince_permits_take() */
   QuinceRequestDigest digest; /* of the request or of its prompt */
 } QuinceSendPermit;
 
@@ -104,7 +104,7 @@
 /* Drops all permit requests and unused permits, since the leader has changed or is lost. */
 void quince_send_guard_drop_permit_requests (QuinceSendGuard *guard);
 
-/* Reports a send to @worker_id by QuinceSendGuardCallbacks.sending(), if the request has a permit. */
+/* Calls QuinceSendGuardCallbacks.sending() for a send to @worker_id, if the request has a permit. */
 void quince_send_guard_report_send (QuinceSendGuard *guard,
                                     gint64 now_us,
                                     const QuinceRequestIdentity *identity,
--- a/lib/forward/suspect-entry.c
+++ b/lib/forward/suspect-entry.c
@@ -1,5 +1,5 @@
 /*
- * suspect-entry.c: entries of the metadata store that hold held suspects.
+ * suspect-entry.c: entries of the metadata store for suspects that are held.
  */
 #include "forward/suspect-entry.h"
 
--- a/lib/forward/suspect-entry.h
+++ b/lib/forward/suspect-entry.h
@@ -1,8 +1,8 @@
 /*
- * suspect-entry.h: entries of the metadata store that hold held suspects (quarantine.h).
+ * suspect-entry.h: entries of the metadata store for suspects that are held (quarantine.h).
  *
- * Operators delete an entry to release its suspect.  Processes that are not connected to the leader learn
- * from the entries what is held.
+ * Operators delete an entry to release its suspect.  Processes that are not connected to the leader read
+ * the entries to know which requests are held.
  */
 #pragma once
 
--- a/lib/forward/suspect-message.h
+++ b/lib/forward/suspect-message.h
@@ -14,11 +14,13 @@
  * encoded */
 GBytes *quince_suspect_reports_encode (const GPtrArray *suspects, gint64 now_us, const char *own_name);
 /* Encodes the report of a suspect that is being sent.  @expected: its state if the worker ends, see
- * quince_quarantine_expect_end().  Returns: (transfer full) (nullable): the message */
+ * quince_quarantine_expect_end().  Returns: (transfer full) (nullable): the message, or %NULL if it cannot be
+ * encoded */
 GBytes *quince_suspect_sending_encode (const QuinceSuspect *expected, gint64 now_us, const char *own_name);
 /* Converts a report to a suspect.  @suspect: (out): borrows its strings from @report */
 void quince_suspect_read_report (const QuinceSuspectReport *report, gint64 now_us, QuinceSuspect *suspect);
-/* Encodes the report that a suspect was cleared.  Returns: (transfer full) (nullable): the message */
+/* Encodes the report that a suspect was cleared.  Returns: (transfer full) (nullable): the message, or %NULL
+ * if it cannot be encoded */
 GBytes *quince_suspect_cleared_encode (const QuinceRequestDigest *digest, QuinceSuspectScope scope);
 
 /* A suspect that was cleared because a worker answered it. */
--- a/lib/meta/meta-item.h
+++ b/lib/meta/meta-item.h
@@ -15,10 +15,10 @@
 typedef enum
 {
   QUINCE_META_ERROR_UNAVAILABLE, /* not sent, or rejected with status 429 or 503 */
-  QUINCE_META_ERROR_UNKNOWN,     /* no usable answer: a change may have been applied, or may be later */
-  QUINCE_META_ERROR_CONFLICT,    /* a key does not have the expected revision */
-  QUINCE_META_ERROR_GONE,        /* no such item or lease, or the store has compacted the revision */
-  QUINCE_META_ERROR_MALFORMED,   /* not set: an answer that cannot be decoded has an error of the codec */
+  QUINCE_META_ERROR_UNKNOWN,   /* no usable answer: a change may have been applied or may still be applied */
+  QUINCE_META_ERROR_CONFLICT,  /* a key does not have the expected revision */
+  QUINCE_META_ERROR_GONE,      /* no such item or lease, or the store has compacted the revision */
+  QUINCE_META_ERROR_MALFORMED, /* never set: an answer that cannot be decoded has an error of the codec */
 } QuinceMetaError;
 
 /* A written or removed key. */
--- a/lib/meta/meta-mirror.h
+++ b/lib/meta/meta-mirror.h
@@ -78,7 +78,7 @@
                                           guint first_read_wait_ms,
                                           const QuinceMetaMirrorCallbacks *callbacks,
                                           gpointer user_data);
-void quince_meta_mirror_free (QuinceMetaMirror *mirror);
+void quince_meta_mirror_free (QuinceMetaMirror *mirror); /* (nullable) */
 /* Reads the store immediately after a suspension of the machine, since the copy may be stale and a watch may
  * be lost. */
 void quince_meta_mirror_handle_resume (QuinceMetaMirror *mirror);
--- a/lib/meta/meta-presence.h
+++ b/lib/meta/meta-presence.h
@@ -31,7 +31,8 @@
 /* Ends the lease, which removes the key.  A lease that is being opened expires by itself, without a key.
  * Further calls do nothing. */
 void quince_meta_presence_withdraw (QuinceMetaPresence *presence);
-/* Stops the renewals.  Without quince_meta_presence_withdraw() the key remains until the lease expires. */
+/* Stops the renewals.  Without quince_meta_presence_withdraw() the key remains until the lease expires.
+ * @presence: (nullable) */
 void quince_meta_presence_free (QuinceMetaPresence *presence);
 
 G_END_DECLS
--- a/lib/meta/meta-private.h
+++ b/lib/meta/meta-private.h
@@ -17,7 +17,7 @@
 void quince_meta_store_remove_listener (QuinceMetaStore *store, gpointer user_data);
 /* Lists one page of the keys with @prefix.
  * @after_key: (nullable): the last key of the previous page
- * @reason: why this process reads the store itself, for the metric; static
+ * @reason: why this process reads the store itself, for the metric; a static string
  * Returns: the call, owned by the store until its reply */
 QuinceMetaCall *quince_meta_store_list (QuinceMetaStore *store,
                                         const char *prefix,
@@ -26,6 +26,7 @@
                                         QuinceMetaReply reply,
                                         gpointer user_data);
 /* Waits up to @wait_ms for changes of the keys with @prefix after @after_revision.
+ * @reason: see quince_meta_store_list()
  * Returns: the call, owned by the store until its reply */
 QuinceMetaCall *quince_meta_store_watch (QuinceMetaStore *store,
                                          const char *prefix,
--- a/lib/meta/meta-store.h
+++ b/lib/meta/meta-store.h
@@ -53,7 +53,7 @@
 
 /* Returns: (transfer full): a client of the store at @address.  @codec must outlive it. */
 QuinceMetaStore *quince_meta_store_new (const char *address, const QuinceMetaCodec *codec);
-/* Cancels the calls in progress; their reply functions are not called. */
+/* Cancels the calls in progress; their reply functions are not called.  @store: (nullable) */
 void quince_meta_store_free (QuinceMetaStore *store);
 /* Returns: (transfer none): when the store answered; updated with each call. */
 const QuinceMetaContact *quince_meta_store_get_contact (const QuinceMetaStore *store);
--- a/lib/observer/store-feed.h
+++ b/lib/observer/store-feed.h
@@ -32,7 +32,8 @@
 
 /* ---- At subscribers --------------------------------------------------- */
 
-/* Subscribes to the feed of the process at the other end of @link, from the revisions of @observer on. */
+/* Subscribes to the feed of the process at the other end of @link, starting at the revisions that @observer
+ * has read. */
 void quince_store_feed_subscribe (QuinceObserver *observer, QuinceLink *link);
 /* Sends the active policy over @link if it is newer than the policy revision in @subscribe. */
 void quince_store_feed_send_newer_policy (QuinceObserver *observer,
