--- a/tests/platform/test-warmup.c
+++ b/tests/platform/test-warmup.c
@@ -16,15 +16,15 @@
 test_one_is_cold (void **state)
 {
   ColdWorld *world = cold_world_start ("one-cold");
-  cold_list_plain (world, 0, COLD_START_MS);
-  run_for (COLD_NEWS_MS);
-  guint cold_before = cold_runs (world->path->plain[0]);
+  cold_register_plain_worker (world, 0, COLD_START_MS);
+  run_for (COLD_PROPAGATION_MS);
+  guint cold_before = cold_count_runs (world->path->plain[0]);
   guint first = world->answers->len;
-  cold_load (world, LOAD_EVERY_MS, LOAD_MS);
+  cold_send_lookups (world, LOAD_EVERY_MS, LOAD_MS);
   AWAIT (cold_all_answered (world));
   assert_int_equal (cold_count_status (world, first, 200), world->answers->len - first);
-  assert_in_range (cold_most (world->path->plain[0], cold_before), 1, COLD_MAX);
-  assert_true (cold_runs (world->path->plain[0]) - cold_before >= LOAD_MS / 1000);
+  assert_in_range (cold_max_runs_per_window (world->path->plain[0], cold_before), 1, COLD_MAX_PER_WINDOW);
+  assert_true (cold_count_runs (world->path->plain[0]) - cold_before >= LOAD_MS / 1000);
   cold_world_free (world);
 }
 
@@ -35,12 +35,12 @@
   ColdWorld *world = cold_world_start ("all-cold");
   guint before[PATH_PLAIN];
   for (guint i = 0; i < PATH_PLAIN; i++)
-    cold_list_plain (world, i, COLD_START_MS);
-  run_for (COLD_NEWS_MS);
+    cold_register_plain_worker (world, i, COLD_START_MS);
+  run_for (COLD_PROPAGATION_MS);
   for (guint i = 0; i < PATH_PLAIN; i++)
-    before[i] = cold_runs (world->path->plain[i]);
+    before[i] = cold_count_runs (world->path->plain[i]);
   guint first = world->answers->len;
-  cold_load (world, LOAD_EVERY_MS, LOAD_MS);
+  cold_send_lookups (world, LOAD_EVERY_MS, LOAD_MS);
   gint64 end = g_get_monotonic_time ();
   AWAIT (cold_all_answered (world));
   assert_true (g_get_monotonic_time () - end < REFUSED_MS * 1000);
@@ -51,8 +51,8 @@
   guint runs = 0;
   for (guint i = 0; i < PATH_PLAIN; i++)
     {
-      assert_in_range (cold_most (world->path->plain[i], before[i]), 1, COLD_MAX);
-      runs += cold_runs (world->path->plain[i]) - before[i];
+      assert_in_range (cold_max_runs_per_window (world->path->plain[i], before[i]), 1, COLD_MAX_PER_WINDOW);
+      runs += cold_count_runs (world->path->plain[i]) - before[i];
     }
   assert_int_equal (runs, served); /* what was refused has not run */
   /* At least the 4 a second that each bears, but for the first second. */
@@ -72,15 +72,15 @@
   ColdWorld *world = cold_world_start ("samples");
   guint before[PATH_MODEL];
   for (guint i = 0; i < PATH_MODEL; i++)
-    cold_list_model (world, i, COLD_START_MS);
-  run_for (COLD_NEWS_MS);
+    cold_register_model_worker (world, i, COLD_START_MS);
+  run_for (COLD_PROPAGATION_MS);
   for (guint i = 0; i < PATH_MODEL; i++)
-    before[i] = cold_runs (world->path->model[i]);
-  g_autofree char *text = path_batch_text ("lot-cold", 60);
+    before[i] = cold_count_runs (world->path->model[i]);
+  g_autofree char *text = path_make_batch ("lot-cold", 60);
   AWAIT (path_status (path_front (world->path, 0), "POST", "/r/lot", "lot-cold", text) == 202);
-  AWAIT (path_listed (world->path, 0, "lot-cold") == 60);
+  AWAIT (path_count_results (world->path, 0, "lot-cold") == 60);
   for (guint i = 0; i < PATH_MODEL; i++)
-    assert_in_range (cold_most (world->path->model[i], before[i]), 1, COLD_MAX);
+    assert_in_range (cold_max_runs_per_window (world->path->model[i], before[i]), 1, COLD_MAX_PER_WINDOW);
   cold_world_free (world);
 }
 
@@ -91,24 +91,24 @@
   ColdWorld *world = cold_world_start ("streams");
   guint before[PATH_MODEL];
   for (guint i = 0; i < PATH_MODEL; i++)
-    cold_list_model (world, i, COLD_START_MS);
-  run_for (COLD_NEWS_MS);
+    cold_register_model_worker (world, i, COLD_START_MS);
+  run_for (COLD_PROPAGATION_MS);
   for (guint i = 0; i < PATH_MODEL; i++)
-    before[i] = cold_runs (world->path->model[i]);
+    before[i] = cold_count_runs (world->path->model[i]);
   guint first = world->answers->len;
-  g_autofree char *text = path_batch_text ("lot-both", 30);
+  g_autofree char *text = path_make_batch ("lot-both", 30);
   AWAIT (path_status (path_front (world->path, 0), "POST", "/r/lot", "lot-both", text) == 202);
   for (guint i = 0; i < 2 * LOAD_MS / LOAD_EVERY_MS; i++)
     {
-      cold_ask_at (world, "/u/1");
+      cold_send_request (world, "/u/1");
       run_for (LOAD_EVERY_MS);
     }
   AWAIT (cold_all_answered (world));
-  AWAIT (path_listed (world->path, 0, "lot-both") == 30);
+  AWAIT (path_count_results (world->path, 0, "lot-both") == 30);
   assert_true (cold_count_status (world, first, 200) > 0);
   assert_true (cold_count_status (world, first, 503) > 0);
   for (guint i = 0; i < PATH_MODEL; i++)
-    assert_in_range (cold_most (world->path->model[i], before[i]), 1, COLD_MAX);
+    assert_in_range (cold_max_runs_per_window (world->path->model[i], before[i]), 1, COLD_MAX_PER_WINDOW);
   for (guint i = first; i < world->answers->len; i++)
     {
       const PathAnswer *answer = world->answers->pdata[i];
@@ -122,8 +122,8 @@
 static gint
 await_leader (ColdWorld *world)
 {
-  AWAIT (path_leader (world->path) >= 0);
-  return path_leader (world->path);
+  AWAIT (path_find_leader (world->path) >= 0);
+  return path_find_leader (world->path);
 }
 
 static void
@@ -131,17 +131,17 @@
 {
   AWAIT (cold_all_answered (world));
   for (guint i = 0; i < PATH_PLAIN; i++)
-    assert_in_range (cold_most (world->path->plain[i], before[i]), 1, COLD_MAX);
+    assert_in_range (cold_max_runs_per_window (world->path->plain[i], before[i]), 1, COLD_MAX_PER_WINDOW);
 }
 
 static void
 make_all_cold (ColdWorld *world, guint *before)
 {
   for (guint i = 0; i < PATH_PLAIN; i++)
-    cold_list_plain (world, i, COLD_START_MS);
-  run_for (COLD_NEWS_MS);
+    cold_register_plain_worker (world, i, COLD_START_MS);
+  run_for (COLD_PROPAGATION_MS);
   for (guint i = 0; i < PATH_PLAIN; i++)
-    before[i] = cold_runs (world->path->plain[i]);
+    before[i] = cold_count_runs (world->path->plain[i]);
 }
 
 static void
@@ -151,13 +151,13 @@
   guint before[PATH_PLAIN];
   gint leader = await_leader (world);
   make_all_cold (world, before);
-  cold_load (world, LOAD_EVERY_MS, 1500);
+  cold_send_lookups (world, LOAD_EVERY_MS, 1500);
   quince_process_kill (world->path->replicas[leader]);
-  cold_load (world, LOAD_EVERY_MS, LOAD_MS);
+  cold_send_lookups (world, LOAD_EVERY_MS, LOAD_MS);
   AWAIT (await_leader (world) != leader);
-  guint served = cold_runs (world->path->plain[0]);
-  cold_load (world, LOAD_EVERY_MS, LOAD_MS);
-  assert_true (cold_runs (world->path->plain[0]) > served); /* the next one gives */
+  guint served = cold_count_runs (world->path->plain[0]);
+  cold_send_lookups (world, LOAD_EVERY_MS, LOAD_MS);
+  assert_true (cold_count_runs (world->path->plain[0]) > served); /* the next one gives */
   assert_bound (world, before);
   cold_world_free (world);
 }
@@ -170,11 +170,11 @@
   guint before[PATH_PLAIN];
   gint leader = await_leader (world);
   make_all_cold (world, before);
-  cold_load (world, LOAD_EVERY_MS, 1500);
+  cold_send_lookups (world, LOAD_EVERY_MS, 1500);
   quince_process_suspend (world->path->replicas[leader]);
-  cold_load (world, LOAD_EVERY_MS, LOAD_MS);
+  cold_send_lookups (world, LOAD_EVERY_MS, LOAD_MS);
   quince_process_resume (world->path->replicas[leader]);
-  cold_load (world, LOAD_EVERY_MS, LOAD_MS);
+  cold_send_lookups (world, LOAD_EVERY_MS, LOAD_MS);
   assert_bound (world, before);
   cold_world_free (world);
 }
@@ -190,9 +190,9 @@
   for (guint i = 0; i < 12; i++)
     {
       quince_process_suspend (world->path->replicas[leader]);
-      cold_load (world, LOAD_EVERY_MS, 150);
+      cold_send_lookups (world, LOAD_EVERY_MS, 150);
       quince_process_resume (world->path->replicas[leader]);
-      cold_load (world, LOAD_EVERY_MS, 200);
+      cold_send_lookups (world, LOAD_EVERY_MS, 200);
     }
   assert_bound (world, before);
   cold_world_free (world);
@@ -209,13 +209,13 @@
     quince_process_kill (world->path->replicas[i]);
   run_for (500); /* the last lease ends */
   guint first = world->answers->len;
-  guint runs = cold_runs (world->path->plain[0]) + cold_runs (world->path->plain[1]);
-  cold_load (world, LOAD_EVERY_MS, 1000);
+  guint runs = cold_count_runs (world->path->plain[0]) + cold_count_runs (world->path->plain[1]);
+  cold_send_lookups (world, LOAD_EVERY_MS, 1000);
   gint64 end = g_get_monotonic_time ();
   AWAIT (cold_all_answered (world));
   assert_true (g_get_monotonic_time () - end < REFUSED_MS * 1000);
   assert_int_equal (cold_count_status (world, first, 503), world->answers->len - first);
-  assert_int_equal (cold_runs (world->path->plain[0]) + cold_runs (world->path->plain[1]), runs);
+  assert_int_equal (cold_count_runs (world->path->plain[0]) + cold_count_runs (world->path->plain[1]), runs);
   cold_world_free (world);
 }
 
@@ -228,9 +228,9 @@
   make_all_cold (world, before);
   for (guint i = 0; i < 8; i++)
     {
-      cold_load (world, LOAD_EVERY_MS, 200);
+      cold_send_lookups (world, LOAD_EVERY_MS, 200);
       quince_process_suspend (world->path->fronts[i % PATH_FRONTS]);
-      cold_load (world, LOAD_EVERY_MS, 700);
+      cold_send_lookups (world, LOAD_EVERY_MS, 700);
       quince_process_resume (world->path->fronts[i % PATH_FRONTS]);
     }
   assert_bound (world, before);
@@ -247,17 +247,17 @@
   for (guint round = 0; round < 2; round++)
     {
       for (guint i = 0; i < PATH_PLAIN; i++)
-        cold_list_plain (world, i, 0);
-      run_for (COLD_NEWS_MS);
-      guint warm_before = cold_runs (world->path->plain[0]);
-      cold_load (world, LOAD_EVERY_MS, 1000);
+        cold_register_plain_worker (world, i, 0);
+      run_for (COLD_PROPAGATION_MS);
+      guint warm_before = cold_count_runs (world->path->plain[0]);
+      cold_send_lookups (world, LOAD_EVERY_MS, 1000);
       AWAIT (cold_all_answered (world));
-      assert_true (cold_most (world->path->plain[0], warm_before) > COLD_MAX);
+      assert_true (cold_max_runs_per_window (world->path->plain[0], warm_before) > COLD_MAX_PER_WINDOW);
       guint before[PATH_PLAIN];
       make_all_cold (world, before);
-      cold_load (world, LOAD_EVERY_MS, 1500);
-      cold_list_plain (world, 0, COLD_START_MS / 2); /* a heartbeat */
-      cold_load (world, LOAD_EVERY_MS, 1500);
+      cold_send_lookups (world, LOAD_EVERY_MS, 1500);
+      cold_register_plain_worker (world, 0, COLD_START_MS / 2); /* a heartbeat */
+      cold_send_lookups (world, LOAD_EVERY_MS, 1500);
       assert_bound (world, before);
     }
   cold_world_free (world);
@@ -270,24 +270,24 @@
 {
   ColdWorld *world = cold_world_start ("untold");
   for (guint i = 0; i < PATH_PLAIN; i++)
-    cold_list_plain (world, i, -1);
-  run_for (COLD_NEWS_MS);
-  guint before = cold_runs (world->path->plain[0]);
-  cold_load (world, LOAD_EVERY_MS, 1000);
-  assert_true (cold_most (world->path->plain[0], before) > COLD_MAX);
+    cold_register_plain_worker (world, i, -1);
+  run_for (COLD_PROPAGATION_MS);
+  guint before = cold_count_runs (world->path->plain[0]);
+  cold_send_lookups (world, LOAD_EVERY_MS, 1000);
+  assert_true (cold_max_runs_per_window (world->path->plain[0], before) > COLD_MAX_PER_WINDOW);
   standin_store_remove (world->path->store, "servers/p0");
   standin_worker_crash (world->path->plain[0]);
-  cold_load (world, LOAD_EVERY_MS, 500);
+  cold_send_lookups (world, LOAD_EVERY_MS, 500);
   standin_worker_restart (world->path->plain[0], "p0-again");
-  before = cold_runs (world->path->plain[0]);
-  cold_list_plain (world, 0, -1);
-  cold_load (world, LOAD_EVERY_MS, COLD_START_MS);
+  before = cold_count_runs (world->path->plain[0]);
+  cold_register_plain_worker (world, 0, -1);
+  cold_send_lookups (world, LOAD_EVERY_MS, COLD_START_MS);
   AWAIT (cold_all_answered (world));
-  assert_in_range (cold_most (world->path->plain[0], before), 1, COLD_MAX);
-  run_for (COLD_NEWS_MS);
-  before = cold_runs (world->path->plain[0]);
-  cold_load (world, LOAD_EVERY_MS, 1000);
-  assert_true (cold_most (world->path->plain[0], before) > COLD_MAX);
+  assert_in_range (cold_max_runs_per_window (world->path->plain[0], before), 1, COLD_MAX_PER_WINDOW);
+  run_for (COLD_PROPAGATION_MS);
+  before = cold_count_runs (world->path->plain[0]);
+  cold_send_lookups (world, LOAD_EVERY_MS, 1000);
+  assert_true (cold_max_runs_per_window (world->path->plain[0], before) > COLD_MAX_PER_WINDOW);
   cold_world_free (world);
 }
 
--- a/tests/platform/test-worker-bodies.c
+++ b/tests/platform/test-worker-bodies.c
@@ -52,7 +52,7 @@
 } Count;
 
 static void
-check_item (EndsWorld *world, const char *id, const char *group, guint member, Count *count)
+check_item (CrashWorld *world, const char *id, const char *group, guint member, Count *count)
 {
   for (guint i = 0; i < PATH_MODEL; i++)
     {
@@ -70,7 +70,7 @@
 }
 
 static void
-check_all (EndsWorld *world, const char *batch, Count *count)
+check_all (CrashWorld *world, const char *batch, Count *count)
 {
   for (guint i = 0; i < N_GROUPS; i++)
     for (guint j = 0; j < groups[i].members; j++)
@@ -82,7 +82,7 @@
 
 /* What a caller reads of an item is what was submitted too; members of the last group are not listed. */
 static void
-check_read_back (EndsWorld *world, const char *batch, guint front)
+check_read_back (CrashWorld *world, const char *batch, guint front)
 {
   const char *group = groups[N_GROUPS - 1].name;
   for (guint i = 0; i < MEMBERS; i++)
@@ -98,7 +98,7 @@
 }
 
 static guint
-busy_worker (EndsWorld *world)
+busy_worker (CrashWorld *world)
 {
   for (guint i = 0; i < PATH_MODEL; i++)
     if (standin_worker_get_runs (world->path->model[i])->len > 0
@@ -111,7 +111,7 @@
 static void
 test_bodies (void **state)
 {
-  EndsWorld *world = ends_world_start ("bodies", "/fatal/");
+  CrashWorld *world = crash_world_start ("bodies", "/fatal/");
   for (guint i = 0; i < PATH_MODEL; i++)
     standin_worker_set_events (world->path->model[i], EVENTS, EVENT_MS);
   groups_submit (world->path, 0, "b1", groups, N_GROUPS);
@@ -119,11 +119,11 @@
   run_for (EVENT_MS * 3);
   standin_worker_crash (world->path->model[busy_worker (world)]);
   run_for (EVENT_MS * 3);
-  gint leader = path_leader (world->path);
+  gint leader = path_find_leader (world->path);
   quince_process_kill (world->path->replicas[leader]);
-  AWAIT (path_leader (world->path) != leader);
+  AWAIT (path_find_leader (world->path) != leader);
   path_start_replica (world->path, (guint)leader);
-  AWAIT (path_listed (world->path, 1, "b1") >= 2 * MEMBERS);
+  AWAIT (path_count_results (world->path, 1, "b1") >= 2 * MEMBERS);
   Count count = { 0 };
   check_all (world, "b1", &count);
   check_read_back (world, "b1", 0);
@@ -132,7 +132,7 @@
   assert_true (count.runs > N_GROUPS * MEMBERS);
   assert_true (count.resumed > 0);
   assert_true (world->ends > 1);
-  ends_world_free (world);
+  crash_world_free (world);
 }
 
 int
--- a/tests/platform/test-zone-cut.c
+++ b/tests/platform/test-zone-cut.c
@@ -54,9 +54,9 @@
   cut.zone = zone_of_leader (cut.zones);
   cut_set (&cut, TRUE);
   g_autofree char *id = g_strdup_printf ("b%u", cut.zones->batches->len);
-  g_autofree char *text = path_batch_text (id, ZONE_ITEMS);
+  g_autofree char *text = path_make_batch (id, ZONE_ITEMS);
   PathAnswer inside;
-  path_begin (path_front (cut.relayed->path, cut.zone), "POST", "/r/batch", id, text, &inside);
+  path_start_call (path_front (cut.relayed->path, cut.zone), "POST", "/r/batch", id, text, &inside);
   ZoneBatch *batch = zone_submit (cut.zones, cut.zone);
   assert_string_equal (batch->id, id);
   zone_await_whole (cut.zones, (cut.zone + 1) % ZONES, batch);
--- a/tests/platform/test-zone-loss-soak.c
+++ b/tests/platform/test-zone-loss-soak.c
@@ -55,9 +55,9 @@
     return;
   guint number = soak->batches++;
   g_autofree char *id = g_strdup_printf ("b%u", number);
-  g_autofree char *text = path_batch_text (id, ZONE_ITEMS);
+  g_autofree char *text = path_make_batch (id, ZONE_ITEMS);
   const char *front = path_front (soak->world->path, front_that_is_up (soak));
-  path_begin (front, "POST", "/r/batch", id, text, &soak->answers[number]);
+  path_start_call (front, "POST", "/r/batch", id, text, &soak->answers[number]);
 }
 
 /* Some batch that was acknowledged is read, from any zone that is up. */
--- a/tests/platform/test-zone-loss.c
+++ b/tests/platform/test-zone-loss.c
@@ -149,7 +149,7 @@
   guint gone = (zone + 1) % ZONES;
   world->path->replica_zones[ZONE_ADDED] = zone_names[gone];
   quince_process_kill (world->path->replicas[gone]);
-  path_wipe_replica (world->path, gone);
+  path_delete_replica_data (world->path, gone);
   path_start_replica (world->path, ZONE_ADDED);
   AWAIT (!zone_is_member (world, gone) && zone_is_spread (world));
   zone = zone_of_leader (world);
--- a/tests/platform/zone-cut-world.h
+++ b/tests/platform/zone-cut-world.h
@@ -38,10 +38,10 @@
 static inline void
 cut_set (Cut *cut, gboolean held)
 {
-  for (guint i = 0; i < RELAYED_PROCESSES; i++)
-    for (guint j = RELAYED_STORE + 1; j < RELAYED_ENDS; j++)
+  for (guint i = 0; i < RELAYED_N_PROCESSES; i++)
+    for (guint j = RELAYED_STORE + 1; j < RELAYED_N_TARGETS; j++)
       if ((cut_zone_of_process (cut, i) == cut->zone) != (cut_zone_of_end (cut, j) == cut->zone))
-        relayed_hold (cut->relayed, i, j, held);
+        relayed_set_paused (cut->relayed, i, j, held);
 }
 
 static inline Cut
@@ -49,11 +49,11 @@
 {
   Cut cut = { .relayed = relayed_world_new (name) };
   cut.zones = zone_world_of (cut.relayed->path);
-  path_list_workers (cut.relayed->path);
+  path_register_workers (cut.relayed->path);
   for (guint i = 0; i < replicas; i++)
-    relayed_start (cut.relayed, RELAYED_PROCESS_OF (i));
+    relayed_start_process (cut.relayed, RELAYED_REPLICA_PROCESS (i));
   for (guint i = 0; i < PATH_FRONTS; i++)
-    relayed_start (cut.relayed, i);
+    relayed_start_process (cut.relayed, i);
   cut.relayed->path->founded = TRUE;
   relayed_await_service (cut.relayed);
   AWAIT (zone_is_spread (cut.zones));
@@ -69,8 +69,8 @@
   PathWorld *path = cut->relayed->path;
   g_ptr_array_unref (cut->zones->batches);
   g_free (cut->zones);
-  for (guint i = 0; i < RELAYED_PROCESSES; i++)
-    for (guint j = 0; j < RELAYED_ENDS; j++)
+  for (guint i = 0; i < RELAYED_N_PROCESSES; i++)
+    for (guint j = 0; j < RELAYED_N_TARGETS; j++)
       standin_relay_free (cut->relayed->relays[i][j]);
   g_free (cut->relayed);
   path_world_free (path);
--- a/tests/platform/zone-world.h
+++ b/tests/platform/zone-world.h
@@ -95,7 +95,7 @@
 zone_world_new (const char *name)
 {
   ZoneWorld *world = zone_world_of (path_world_new (name));
-  path_fix_links (world->path);
+  path_reserve_links (world->path);
   return world;
 }
 
@@ -196,7 +196,7 @@
 {
   PathWorld *path = world->path;
   path_configure (path, 7);
-  path_list_workers (path);
+  path_register_workers (path);
   for (guint i = 0; i < ZONE_REPLICAS; i++)
     path_start_replica (path, i);
   for (guint i = 0; i < PATH_FRONTS; i++)
@@ -239,7 +239,7 @@
     standin_worker_crash (zone_worker (world, i));
   for (guint i = 0; i < PATH_REPLICAS; i++)
     if (path->replicas[i] != NULL && zone_of_replica (world, i) == zone)
-      path_wipe_replica (path, i);
+      path_delete_replica_data (path, i);
   ZoneLapse *lapse = g_new0 (ZoneLapse, 1);
   *lapse = (ZoneLapse){ world, zone };
   world->lapses[zone] = g_timeout_add_full (G_PRIORITY_DEFAULT, ZONE_LAPSE_MS, zone_lapse, lapse, g_free);
@@ -291,7 +291,7 @@
   ZoneBatch *batch = g_new0 (ZoneBatch, 1);
   batch->id = g_strdup_printf ("b%u", world->batches->len);
   batch->texts = g_ptr_array_new_with_free_func (g_free);
-  g_autofree char *text = path_batch_text (batch->id, ZONE_ITEMS);
+  g_autofree char *text = path_make_batch (batch->id, ZONE_ITEMS);
   guint front = world->batches->len;
   AWAIT (++front % ZONES != lost
          && path_status (path_front (world->path, front % ZONES), "POST", "/r/batch", batch->id, text)
@@ -317,7 +317,7 @@
 static inline guint
 zone_read (ZoneWorld *world, guint front, ZoneBatch *batch)
 {
-  g_autofree char *text = path_results (world->path, front, batch->id);
+  g_autofree char *text = path_fetch_results (world->path, front, batch->id);
   if (text == NULL)
     return G_MAXUINT;
   const char *at = strstr (text, "\"results\":[");
