--- a/tests/platform/boot-clock.c
+++ b/tests/platform/boot-clock.c
@@ -17,22 +17,22 @@
 read_offset_us (void)
 {
   const char *path = getenv ("QUINCE_BOOT_CLOCK");
-  int file = path != NULL ? open (path, O_RDONLY | O_CLOEXEC) : -1;
-  if (file < 0)
+  int descriptor = path != NULL ? open (path, O_RDONLY | O_CLOEXEC) : -1;
+  if (descriptor < 0)
     return 0;
   char text[32] = { 0 };
-  ssize_t length = read (file, text, sizeof text - 1);
-  close (file);
+  ssize_t length = read (descriptor, text, sizeof text - 1);
+  close (descriptor);
   return length > 0 ? atoll (text) : 0;
 }
 
 int
 clock_gettime (clockid_t clock, struct timespec *time)
 {
-  static int (*next) (clockid_t, struct timespec *);
-  if (next == NULL)
-    next = (int (*) (clockid_t, struct timespec *))dlsym (RTLD_NEXT, "clock_gettime");
-  int status = next (clock, time);
+  static int (*real_clock_gettime) (clockid_t, struct timespec *);
+  if (real_clock_gettime == NULL)
+    real_clock_gettime = (int (*) (clockid_t, struct timespec *))dlsym (RTLD_NEXT, "clock_gettime");
+  int status = real_clock_gettime (clock, time);
   if (status != 0 || clock != CLOCK_BOOTTIME)
     return status;
   long long nanoseconds = time->tv_nsec + read_offset_us () % 1000000 * 1000;
--- a/tests/platform/call-load.h
+++ b/tests/platform/call-load.h
@@ -30,7 +30,7 @@
   char *id;
   CallKind kind;
   guint front;
-  gint64 begun_us;
+  gint64 started_us;
   gint64 done_us; /* 0: not yet */
   PathAnswer answer;
 } Call;
@@ -39,7 +39,7 @@
 {
   PathWorld *world;
   GPtrArray *calls; /* Call, owned */
-  guint wanted;     /* calls of the load that runs; no more begin */
+  guint total;      /* calls of the load that runs; no more begin */
   guint timer;
   char *name; /* its ids begin with it */
 } CallLoad;
@@ -47,7 +47,7 @@
 typedef struct
 {
   guint calls;
-  guint whole;
+  guint complete;
   guint refused; /* told that it did not run */
   guint failed;  /* an answer that says neither */
   guint cut;     /* no answer, or a part */
@@ -86,7 +86,7 @@
   call->id = g_strdup_printf ("%s-%u", load->name, load->calls->len);
   call->kind = kind;
   call->front = front;
-  call->begun_us = g_get_monotonic_time ();
+  call->started_us = g_get_monotonic_time ();
   g_ptr_array_add (load->calls, call);
   path_start_call (path_front (load->world, front), "POST", call_targets[kind], call->id, call->id,
                    &call->answer);
@@ -98,7 +98,7 @@
 {
   CallLoad *load = data;
   guint index = load->calls->len;
-  if (index == load->wanted)
+  if (index == load->total)
     {
       load->timer = 0;
       return G_SOURCE_REMOVE;
@@ -107,17 +107,17 @@
   return G_SOURCE_CONTINUE;
 }
 
-/* @wanted calls of all kinds through all fronts in turn, one each @every_ms. */
+/* @total calls of all kinds through all fronts in turn, one each @interval_ms. */
 static inline CallLoad *
-call_load_new (PathWorld *world, const char *name, guint wanted, guint every_ms)
+call_load_new (PathWorld *world, const char *name, guint total, guint interval_ms)
 {
   CallLoad *load = g_new0 (CallLoad, 1);
   load->world = world;
   load->name = g_strdup (name);
   load->calls = g_ptr_array_new_with_free_func (call_free);
-  load->wanted = wanted;
-  if (wanted > 0)
-    load->timer = g_timeout_add (every_ms, call_load_start_next, load);
+  load->total = total;
+  if (total > 0)
+    load->timer = g_timeout_add (interval_ms, call_load_start_next, load);
   return load;
 }
 
@@ -128,7 +128,7 @@
   if (load->timer != 0)
     g_source_remove (load->timer);
   load->timer = 0;
-  load->wanted = load->calls->len;
+  load->total = load->calls->len;
 }
 
 static inline void
@@ -158,7 +158,7 @@
 static inline void
 call_load_await (CallLoad *load)
 {
-  AWAIT (call_load_count_done (load) == load->wanted);
+  AWAIT (call_load_count_done (load) == load->total);
 }
 
 /* ---- Judging ------------------------------------------------------------ */
@@ -176,10 +176,10 @@
   GHashTable *runs = g_hash_table_new (g_str_hash, g_str_equal);
   for (guint i = 0; i < PATH_PLAIN + PATH_MODEL; i++)
     {
-      const GPtrArray *of_worker = standin_worker_get_runs (call_load_worker (world, i));
-      for (guint j = 0; j < of_worker->len; j++)
+      const GPtrArray *worker_runs = standin_worker_get_runs (call_load_worker (world, i));
+      for (guint j = 0; j < worker_runs->len; j++)
         {
-          char *id = ((StandinRun *)of_worker->pdata[j])->id;
+          char *id = ((StandinRun *)worker_runs->pdata[j])->id;
           guint count = GPOINTER_TO_UINT (g_hash_table_lookup (runs, id));
           g_hash_table_replace (runs, id, GUINT_TO_POINTER (count + 1));
         }
@@ -194,9 +194,9 @@
   guint count = 0;
   for (guint i = 0; i < PATH_PLAIN + PATH_MODEL; i++)
     {
-      const GPtrArray *of_worker = standin_worker_get_runs (call_load_worker (load->world, i));
-      for (guint j = 0; j < of_worker->len; j++)
-        count += g_str_has_prefix (((StandinRun *)of_worker->pdata[j])->id, load->name);
+      const GPtrArray *worker_runs = standin_worker_get_runs (call_load_worker (load->world, i));
+      for (guint j = 0; j < worker_runs->len; j++)
+        count += g_str_has_prefix (((StandinRun *)worker_runs->pdata[j])->id, load->name);
     }
   return count;
 }
@@ -226,15 +226,15 @@
 static inline gboolean
 call_has_valid_prefix (const Call *call)
 {
-  g_autofree char *whole
+  g_autofree char *expected
       = call_is_stream (call) ? call_expected_stream () : g_strdup_printf ("%s by p", call->id);
   gsize compared
-      = call_is_stream (call) ? call->answer.body_length : MIN (call->answer.body_length, strlen (whole));
-  return strncmp (call->answer.body, whole, compared) == 0;
+      = call_is_stream (call) ? call->answer.body_length : MIN (call->answer.body_length, strlen (expected));
+  return strncmp (call->answer.body, expected, compared) == 0;
 }
 
 static inline gboolean
-call_is_whole (const Call *call)
+call_is_complete (const Call *call)
 {
   if (call->answer.outcome != QUINCE_HTTP_ANSWERED || call->answer.status != 200
       || call->answer.signature == NULL)
@@ -261,16 +261,16 @@
 {
   fail_msg ("%s %s at front %u: %s; outcome=%d status=%u runs=%u took_ms=%d body=%s", call->id,
             call_targets[call->kind], call->front, reason, (int)call->answer.outcome, call->answer.status,
-            runs, (int)((call->done_us - call->begun_us) / 1000), call->answer.body);
+            runs, (int)((call->done_us - call->started_us) / 1000), call->answer.body);
 }
 
 static inline void
-call_check (const Call *call, guint runs, CallLoadCounts *verdict)
+call_check (const Call *call, guint runs, CallLoadCounts *counts)
 {
   gboolean answered = call->answer.outcome == QUINCE_HTTP_ANSWERED;
-  gboolean whole = call_is_whole (call);
+  gboolean complete = call_is_complete (call);
   gboolean refused = answered && call_is_refused (call);
-  if (call->answer.status == 200 && answered && !whole)
+  if (call->answer.status == 200 && answered && !complete)
     call_fail (call, runs, "looks whole and is not");
   if (call->answer.status == 200 && !call_has_valid_prefix (call))
     call_fail (call, runs, "bytes that are not of its answer");
@@ -278,16 +278,16 @@
     call_fail (call, runs, "told that it did not run, but it did");
   if (refused && call->answer.retry_after == NULL)
     call_fail (call, runs, "refused without a time to come back");
-  if (whole && runs == 0)
+  if (complete && runs == 0)
     call_fail (call, runs, "an answer that no worker gave");
   if (call_must_run_at_most_once (call) && runs > 1)
     call_fail (call, runs, "ran again");
-  verdict->calls++;
-  verdict->whole += whole;
-  verdict->refused += refused;
-  verdict->cut += !answered;
-  verdict->failed += answered && !whole && !refused;
-  verdict->repeated += runs > 1;
+  counts->calls++;
+  counts->complete += complete;
+  counts->refused += refused;
+  counts->cut += !answered;
+  counts->failed += answered && !complete && !refused;
+  counts->repeated += runs > 1;
 }
 
 /* Asserts the promises to callers. */
@@ -295,16 +295,16 @@
 call_load_check (CallLoad *load)
 {
   g_autoptr (GHashTable) runs = call_load_collect_runs (load->world);
-  CallLoadCounts verdict = { 0 };
+  CallLoadCounts counts = { 0 };
   for (guint i = 0; i < load->calls->len; i++)
     {
       const Call *call = load->calls->pdata[i];
       assert_true (call->answer.done);
-      call_check (call, GPOINTER_TO_UINT (g_hash_table_lookup (runs, call->id)), &verdict);
+      call_check (call, GPOINTER_TO_UINT (g_hash_table_lookup (runs, call->id)), &counts);
     }
-  print_message ("  calls=%u whole=%u refused=%u failed=%u cut=%u repeated=%u\n", verdict.calls,
-                 verdict.whole, verdict.refused, verdict.failed, verdict.cut, verdict.repeated);
-  return verdict;
+  print_message ("  calls=%u whole=%u refused=%u failed=%u cut=%u repeated=%u\n", counts.calls,
+                 counts.complete, counts.refused, counts.failed, counts.cut, counts.repeated);
+  return counts;
 }
 
 /* Nobody is left waiting: what never ran was refused before its deadline, and what ran is told by then. */
@@ -315,9 +315,9 @@
   for (guint i = 0; i < load->calls->len; i++)
     {
       const Call *call = load->calls->pdata[i];
-      guint of_call = GPOINTER_TO_UINT (g_hash_table_lookup (runs, call->id));
-      gint64 took_ms = (call->done_us - call->begun_us) / 1000;
-      if (took_ms > CALL_DEADLINE_MS + (of_call > 0 ? CALL_ANSWER_GRACE_MS : 0))
-        call_fail (call, of_call, "waited for its deadline");
+      guint call_runs = GPOINTER_TO_UINT (g_hash_table_lookup (runs, call->id));
+      gint64 took_ms = (call->done_us - call->started_us) / 1000;
+      if (took_ms > CALL_DEADLINE_MS + (call_runs > 0 ? CALL_ANSWER_GRACE_MS : 0))
+        call_fail (call, call_runs, "waited for its deadline");
     }
 }
--- a/tests/platform/callers-faults.h
+++ b/tests/platform/callers-faults.h
@@ -7,20 +7,20 @@
 #include "relayed-world.h"
 
 #define LOOKUP_MS 80
-#define EVENT_EVERY_MS 40
-#define LATE_EVENT_MS 300
-#define CUT_STREAMS 8
+#define EVENT_INTERVAL_MS 40
+#define SLOW_EVENT_INTERVAL_MS 300
+#define FAULTY_ANSWERS 8
 /* Of answers on one connection; a stream of these workers has some 300. */
-#define LIMIT_BYTES 900
+#define CONNECTION_LIMIT_BYTES 900
 
 typedef struct _Scene Scene;
 
 /**
  * FaultCase:
  * @begin: makes the fault while calls are in progress
- * @end: (nullable): ends it @hold_ms later
- * @is_held: relays are held meanwhile, and must hold some connection
- * @breaks: the fault must cost some call its answer, or have it run again
+ * @end: (nullable): ends it @duration_ms later
+ * @pauses_relays: relays are held meanwhile, and must hold some connection
+ * @must_break_calls: the fault must cost some call its answer, or have it run again
  * @stops_front: calls at front 0 may hear nothing until it is over
  * @min_complete_calls: of 100 calls
  */
@@ -29,9 +29,9 @@
   const char *name;
   void (*begin) (Scene *scene);
   void (*end) (Scene *scene);
-  guint hold_ms;
-  gboolean is_held;
-  gboolean breaks;
+  guint duration_ms;
+  gboolean pauses_relays;
+  gboolean must_break_calls;
   gboolean stops_front;
   guint min_complete_calls;
 } FaultCase;
@@ -43,8 +43,8 @@
   const FaultCase *running;
   guint leader; /* struck by the running case */
   guint loads;  /* so far */
-  guint revived;
-  gboolean sound; /* the last case came to its end */
+  guint restarts;
+  gboolean last_case_passed; /* the last case came to its end */
 };
 
 /* ---- Workers ------------------------------------------------------------ */
@@ -65,33 +65,33 @@
 }
 
 static void
-cut_streams (Scene *scene)
+truncate_streams (Scene *scene)
 {
-  set_faults (scene, 0, PATH_MODEL, STANDIN_WORKER_TRUNCATES, CUT_STREAMS);
+  set_faults (scene, 0, PATH_MODEL, STANDIN_WORKER_TRUNCATES, FAULTY_ANSWERS);
 }
 
 static void
-cut_lookups (Scene *scene)
+truncate_lookups (Scene *scene)
 {
   for (guint i = 0; i < PATH_PLAIN; i++)
     standin_worker_set_answer_delay (scene->world->path->plain[i], 0);
-  set_faults (scene, PATH_PLAIN, 0, STANDIN_WORKER_TRUNCATES, CUT_STREAMS);
+  set_faults (scene, PATH_PLAIN, 0, STANDIN_WORKER_TRUNCATES, FAULTY_ANSWERS);
 }
 
 static void
 reset_before_answers (Scene *scene)
 {
-  set_faults (scene, 1, 1, STANDIN_WORKER_RESETS, CUT_STREAMS);
+  set_faults (scene, 1, 1, STANDIN_WORKER_RESETS, FAULTY_ANSWERS);
 }
 
 static void
-hang_one (Scene *scene)
+hang_workers (Scene *scene)
 {
   set_faults (scene, 1, 1, STANDIN_WORKER_UNRESPONSIVE, G_MAXUINT);
 }
 
 static void
-refuse_at_one (Scene *scene)
+refuse_at_one_of_each (Scene *scene)
 {
   set_faults (scene, 1, 1, STANDIN_WORKER_REFUSES, G_MAXUINT);
 }
@@ -103,18 +103,18 @@
 }
 
 static void
-set_pace (Scene *scene, guint event_every_ms)
+set_pace (Scene *scene, guint event_interval_ms)
 {
   for (guint i = 0; i < PATH_PLAIN; i++)
     standin_worker_set_answer_delay (scene->world->path->plain[i], LOOKUP_MS);
   for (guint i = 0; i < PATH_MODEL; i++)
-    standin_worker_set_events (scene->world->path->model[i], CALL_EVENTS, event_every_ms);
+    standin_worker_set_events (scene->world->path->model[i], CALL_EVENTS, event_interval_ms);
 }
 
 static void
 delay_events (Scene *scene)
 {
-  set_pace (scene, LATE_EVENT_MS);
+  set_pace (scene, SLOW_EVENT_INTERVAL_MS);
 }
 
 static void
@@ -125,10 +125,10 @@
 }
 
 static void
-revive (Scene *scene, StandinWorker *worker, const char *kind, const char *service)
+restart_worker (Scene *scene, StandinWorker *worker, const char *kind, const char *service)
 {
   g_autofree char *old_key = g_strdup_printf ("servers/%s", standin_worker_get_id (worker));
-  g_autofree char *id = g_strdup_printf ("%s0-%u", kind, ++scene->revived);
+  g_autofree char *id = g_strdup_printf ("%s0-%u", kind, ++scene->restarts);
   g_autofree char *key = g_strdup_printf ("servers/%s", id);
   standin_worker_restart (worker, id);
   g_autofree char *entry = standin_worker_make_entry (worker, service, "ready");
@@ -137,16 +137,19 @@
 }
 
 static void
-revive_workers (Scene *scene)
+restart_workers (Scene *scene)
 {
-  revive (scene, scene->world->path->plain[0], "p", "svc");
-  revive (scene, scene->world->path->model[0], "m", "llm");
+  restart_worker (scene, scene->world->path->plain[0], "p", "svc");
+  restart_worker (scene, scene->world->path->model[0], "m", "llm");
 }
 
 /* ---- Networks between fronts and workers ------------------------------------ */
 
 static void
-for_each_route (Scene *scene, gboolean all, void (*set) (StandinRelay *relay, guint value), guint value)
+for_each_worker_relay (Scene *scene,
+                       gboolean all,
+                       void (*set) (StandinRelay *relay, guint value),
+                       guint value)
 {
   for (guint front = 0; front < PATH_FRONTS; front++)
     {
@@ -164,15 +167,15 @@
 }
 
 static void
-set_held (StandinRelay *relay, guint held)
+set_paused (StandinRelay *relay, guint paused)
 {
-  standin_relay_set_paused (relay, held != 0);
+  standin_relay_set_paused (relay, paused != 0);
 }
 
 static void
-set_half_closed (StandinRelay *relay, guint way)
+set_half_closed (StandinRelay *relay, guint direction)
 {
-  standin_relay_set_half_closed (relay, way);
+  standin_relay_set_half_closed (relay, direction);
 }
 
 static void
@@ -184,55 +187,55 @@
 static void
 cut_routes (Scene *scene)
 {
-  for_each_route (scene, FALSE, set_cut, TRUE);
+  for_each_worker_relay (scene, FALSE, set_cut, TRUE);
 }
 
 static void
-join_routes (Scene *scene)
+restore_routes (Scene *scene)
 {
-  for_each_route (scene, FALSE, set_cut, FALSE);
+  for_each_worker_relay (scene, FALSE, set_cut, FALSE);
 }
 
 static void
-hold_routes (Scene *scene)
+pause_routes (Scene *scene)
 {
-  for_each_route (scene, FALSE, set_held, TRUE);
+  for_each_worker_relay (scene, FALSE, set_paused, TRUE);
 }
 
 static void
-release_routes (Scene *scene)
+resume_routes (Scene *scene)
 {
-  for_each_route (scene, FALSE, set_held, FALSE);
+  for_each_worker_relay (scene, FALSE, set_paused, FALSE);
 }
 
 static void
 half_close_answers (Scene *scene)
 {
-  for_each_route (scene, FALSE, set_half_closed, STANDIN_RELAY_ANSWERS);
+  for_each_worker_relay (scene, FALSE, set_half_closed, STANDIN_RELAY_ANSWERS);
 }
 
 static void
 half_close_requests (Scene *scene)
 {
-  for_each_route (scene, FALSE, set_half_closed, STANDIN_RELAY_REQUESTS);
+  for_each_worker_relay (scene, FALSE, set_half_closed, STANDIN_RELAY_REQUESTS);
 }
 
 static void
-open_halves (Scene *scene)
+clear_half_closed (Scene *scene)
 {
-  for_each_route (scene, FALSE, set_half_closed, STANDIN_RELAY_NEITHER);
+  for_each_worker_relay (scene, FALSE, set_half_closed, STANDIN_RELAY_NEITHER);
 }
 
 static void
-limit_routes (Scene *scene)
+set_route_limits (Scene *scene)
 {
-  for_each_route (scene, TRUE, set_limit, LIMIT_BYTES);
+  for_each_worker_relay (scene, TRUE, set_limit, CONNECTION_LIMIT_BYTES);
 }
 
 static void
-unlimit_routes (Scene *scene)
+clear_route_limits (Scene *scene)
 {
-  for_each_route (scene, TRUE, set_limit, 0);
+  for_each_worker_relay (scene, TRUE, set_limit, 0);
 }
 
 /* ---- Processes ---------------------------------------------------------- */
@@ -250,13 +253,13 @@
 }
 
 static void
-freeze_front (Scene *scene)
+suspend_front (Scene *scene)
 {
   quince_process_suspend (scene->world->path->fronts[0]);
 }
 
 static void
-thaw_front (Scene *scene)
+resume_front (Scene *scene)
 {
   quince_process_resume (scene->world->path->fronts[0]);
 }
@@ -274,54 +277,54 @@
 }
 
 static void
-freeze_leader (Scene *scene)
+suspend_leader (Scene *scene)
 {
   quince_process_suspend (scene->world->path->replicas[scene->leader]);
 }
 
 static void
-thaw_leader (Scene *scene)
+resume_leader (Scene *scene)
 {
   quince_process_resume (scene->world->path->replicas[scene->leader]);
 }
 
 static void
-cut_leader (Scene *scene)
+isolate_leader (Scene *scene)
 {
   relayed_set_replica_isolated (scene->world, scene->leader, TRUE);
 }
 
 static void
-join_leader (Scene *scene)
+reconnect_leader (Scene *scene)
 {
   relayed_set_replica_isolated (scene->world, scene->leader, FALSE);
 }
 
 static void
-stop_store (Scene *scene)
+make_store_unavailable (Scene *scene)
 {
   standin_store_set_fault (scene->world->path->store, STANDIN_STORE_UNAVAILABLE);
   standin_store_close_connections (scene->world->path->store);
 }
 
 static void
-resume_store (Scene *scene)
+restore_store (Scene *scene)
 {
   standin_store_set_fault (scene->world->path->store, STANDIN_STORE_HEALTHY);
 }
 
 static void
-kill_workers_freeze_leader (Scene *scene)
+kill_workers_suspend_leader (Scene *scene)
 {
-  freeze_leader (scene);
+  suspend_leader (scene);
   kill_workers (scene);
 }
 
 static void
-revive_workers_thaw_leader (Scene *scene)
+restart_workers_resume_leader (Scene *scene)
 {
-  thaw_leader (scene);
-  revive_workers (scene);
+  resume_leader (scene);
+  restart_workers (scene);
 }
 
 static void
@@ -344,119 +347,119 @@
   { .name = "nothing fails", .min_complete_calls = 100 },
   { .name = "workers die and come back",
     .begin = kill_workers,
-    .end = revive_workers,
-    .hold_ms = 300,
-    .breaks = TRUE,
+    .end = restart_workers,
+    .duration_ms = 300,
+    .must_break_calls = TRUE,
     .min_complete_calls = 70 },
   { .name = "workers run it and reset",
     .begin = reset_before_answers,
     .end = end_faults,
-    .hold_ms = 500,
-    .breaks = TRUE,
+    .duration_ms = 500,
+    .must_break_calls = TRUE,
     .min_complete_calls = 70 },
   { .name = "streams cut",
-    .begin = cut_streams,
+    .begin = truncate_streams,
     .end = end_faults,
-    .hold_ms = 500,
-    .breaks = TRUE,
+    .duration_ms = 500,
+    .must_break_calls = TRUE,
     .min_complete_calls = 60 },
   { .name = "answers cut",
-    .begin = cut_lookups,
+    .begin = truncate_lookups,
     .end = end_faults,
-    .hold_ms = 500,
-    .breaks = TRUE,
+    .duration_ms = 500,
+    .must_break_calls = TRUE,
     .min_complete_calls = 60 },
-  { .name = "events delayed", .begin = delay_events, .hold_ms = 600, .min_complete_calls = 100 },
+  { .name = "events delayed", .begin = delay_events, .duration_ms = 600, .min_complete_calls = 100 },
   { .name = "workers' routes cut",
     .begin = cut_routes,
-    .end = join_routes,
-    .hold_ms = 400,
-    .breaks = TRUE,
+    .end = restore_routes,
+    .duration_ms = 400,
+    .must_break_calls = TRUE,
     .min_complete_calls = 70 },
   { .name = "workers' answers half-closed",
     .begin = half_close_answers,
-    .end = open_halves,
-    .hold_ms = 300,
-    .breaks = TRUE,
+    .end = clear_half_closed,
+    .duration_ms = 300,
+    .must_break_calls = TRUE,
     .min_complete_calls = 60 },
   { .name = "workers' requests half-closed",
     .begin = half_close_requests,
-    .end = open_halves,
-    .hold_ms = 300,
+    .end = clear_half_closed,
+    .duration_ms = 300,
     .min_complete_calls = 60 },
   { .name = "workers' routes held",
-    .begin = hold_routes,
-    .end = release_routes,
-    .hold_ms = 1500,
-    .is_held = TRUE,
+    .begin = pause_routes,
+    .end = resume_routes,
+    .duration_ms = 1500,
+    .pauses_relays = TRUE,
     .min_complete_calls = 70 },
   { .name = "connections cut after some bytes",
-    .begin = limit_routes,
-    .end = unlimit_routes,
-    .hold_ms = 500,
-    .breaks = TRUE,
+    .begin = set_route_limits,
+    .end = clear_route_limits,
+    .duration_ms = 500,
+    .must_break_calls = TRUE,
     .min_complete_calls = 30 },
   { .name = "workers hang",
-    .begin = hang_one,
+    .begin = hang_workers,
     .end = end_faults,
-    .hold_ms = 1000,
-    .breaks = TRUE,
+    .duration_ms = 1000,
+    .must_break_calls = TRUE,
     .min_complete_calls = 60 },
   { .name = "workers refuse",
-    .begin = refuse_at_one,
+    .begin = refuse_at_one_of_each,
     .end = end_faults,
-    .hold_ms = 500,
+    .duration_ms = 500,
     .min_complete_calls = 70 },
   { .name = "all workers refuse",
     .begin = refuse_at_all,
     .end = end_faults,
-    .hold_ms = 500,
+    .duration_ms = 500,
     .min_complete_calls = 30 },
   { .name = "front killed and started again",
     .begin = kill_front,
     .end = restart_front,
-    .hold_ms = 300,
-    .breaks = TRUE,
+    .duration_ms = 300,
+    .must_break_calls = TRUE,
     .stops_front = TRUE,
     .min_complete_calls = 40 },
   { .name = "front frozen for three seconds",
-    .begin = freeze_front,
-    .end = thaw_front,
-    .hold_ms = 3000,
+    .begin = suspend_front,
+    .end = resume_front,
+    .duration_ms = 3000,
     .stops_front = TRUE,
     .min_complete_calls = 40 },
   { .name = "leader killed",
     .begin = kill_leader,
     .end = restart_leader,
-    .hold_ms = 800,
+    .duration_ms = 800,
     .min_complete_calls = 100 },
   { .name = "leader frozen for three seconds",
-    .begin = freeze_leader,
-    .end = thaw_leader,
-    .hold_ms = 3000,
+    .begin = suspend_leader,
+    .end = resume_leader,
+    .duration_ms = 3000,
     .min_complete_calls = 100 },
   { .name = "leader cut from all others",
-    .begin = cut_leader,
-    .end = join_leader,
-    .hold_ms = 1500,
-    .is_held = TRUE,
+    .begin = isolate_leader,
+    .end = reconnect_leader,
+    .duration_ms = 1500,
+    .pauses_relays = TRUE,
     .min_complete_calls = 100 },
   { .name = "store down",
-    .begin = stop_store,
-    .end = resume_store,
-    .hold_ms = 1000,
+    .begin = make_store_unavailable,
+    .end = restore_store,
+    .duration_ms = 1000,
     .min_complete_calls = 100 },
   { .name = "workers die, leader frozen",
-    .begin = kill_workers_freeze_leader,
-    .end = revive_workers_thaw_leader,
-    .hold_ms = 3000,
-    .breaks = TRUE,
+    .begin = kill_workers_suspend_leader,
+    .end = restart_workers_resume_leader,
+    .duration_ms = 3000,
+    .must_break_calls = TRUE,
     .min_complete_calls = 50 },
   { .name = "front and leader killed",
     .begin = kill_front_and_leader,
     .end = restart_front_and_leader,
-    .hold_ms = 500,
-    .breaks = TRUE,
+    .duration_ms = 500,
+    .must_break_calls = TRUE,
     .stops_front = TRUE,
     .min_complete_calls = 30 },
 };
--- a/tests/platform/cold-world.h
+++ b/tests/platform/cold-world.h
@@ -34,9 +34,9 @@
 {
   g_autofree char *text = g_strdup_printf (PATH_CONFIGURATION, version);
   g_auto (GStrv) parts = g_strsplit (text, "\"healthPath\":", -1);
-  g_autofree char *bounded
+  g_autofree char *configuration
       = g_strjoinv ("\"coldStartS\":3.0,\"coldPerS\":" COLD_PER_S ",\"healthPath\":", parts);
-  standin_store_put (path->store, "op/config", bounded);
+  standin_store_put (path->store, "op/config", configuration);
 }
 
 static inline void
@@ -66,7 +66,7 @@
   ColdWorld *world = g_new0 (ColdWorld, 1);
   world->answers = g_ptr_array_new_with_free_func (cold_answer_free);
   world->path = path_world_new (name);
-  world->path->duties = g_strdup (COLD_SETTINGS);
+  world->path->extra_replica_settings = g_strdup (COLD_SETTINGS);
   world->path->extra_front_settings = g_strdup (COLD_SETTINGS);
   path_reserve_links (world->path);
   path_world_start (world->path);
@@ -111,14 +111,14 @@
   cold_send_request (world, "/l/1");
 }
 
-/* Lookups at all fronts, one each @every_ms, for @for_ms. */
+/* Lookups at all fronts, one each @interval_ms, for @duration_ms. */
 static inline void
-cold_send_lookups (ColdWorld *world, guint every_ms, guint for_ms)
+cold_send_lookups (ColdWorld *world, guint interval_ms, guint duration_ms)
 {
-  for (guint i = 0; i < for_ms / every_ms; i++)
+  for (guint i = 0; i < duration_ms / interval_ms; i++)
     {
       cold_send_lookup (world);
-      run_for (every_ms);
+      run_for (interval_ms);
     }
 }
 
@@ -136,16 +136,16 @@
 cold_max_runs_per_window (const StandinWorker *worker, guint first)
 {
   const GPtrArray *runs = standin_worker_get_runs (worker);
-  guint most = 0;
-  guint from = first;
+  guint max_runs = 0;
+  guint window_start = first;
   for (guint i = first; i < runs->len; i++)
     {
       gint64 at_us = ((StandinRun *)runs->pdata[i])->received_us;
-      while (at_us - ((StandinRun *)runs->pdata[from])->received_us >= COLD_WINDOW_US)
-        from++;
-      most = MAX (most, i - from + 1);
+      while (at_us - ((StandinRun *)runs->pdata[window_start])->received_us >= COLD_WINDOW_US)
+        window_start++;
+      max_runs = MAX (max_runs, i - window_start + 1);
     }
-  return most;
+  return max_runs;
 }
 
 static inline guint
--- a/tests/platform/ends-world.h
+++ b/tests/platform/crash-world.h
@@ -1,12 +1,12 @@
 /*
- * ends-world.h: workers that end under requests and come back as other incarnations.
+ * crash-world.h: workers that end under requests and come back as other incarnations.
  */
 #pragma once
 
 #include "path-world.h"
 
 #define CRASH_POLL_INTERVAL_MS 20
-/* A dead worker's entry lapses, and another incarnation is listed, after so many looks. */
+/* A dead worker's entry lapses, and another incarnation is listed, after so many polls. */
 #define CRASH_UNREGISTER_POLLS 8
 #define CRASH_RESTART_POLLS 16
 #define CRASH_DELAY_MS 10
@@ -17,7 +17,7 @@
   PathWorld *path;
   guint polls_down[CRASH_N_WORKERS];
   guint incarnations;
-  guint ends;              /* workers that ended so far */
+  guint crashes;           /* workers that ended so far */
   guint min_plain_running; /* plain workers that lived at the worst look */
   guint timer;
 } CrashWorld;
@@ -43,14 +43,14 @@
   StandinWorker *worker = crash_world_get_worker (world, index);
   if (!standin_worker_is_down (worker))
     return;
-  guint looks = ++world->polls_down[index];
-  world->ends += looks == 1;
-  if (looks == CRASH_UNREGISTER_POLLS)
+  guint polls = ++world->polls_down[index];
+  world->crashes += polls == 1;
+  if (polls == CRASH_UNREGISTER_POLLS)
     {
       g_autofree char *key = g_strdup_printf ("servers/%s", standin_worker_get_id (worker));
       standin_store_remove (world->path->store, key);
     }
-  if (looks < CRASH_RESTART_POLLS)
+  if (polls < CRASH_RESTART_POLLS)
     return;
   g_autofree char *id = g_strdup_printf ("w%u-%u", index, ++world->incarnations);
   world->polls_down[index] = 0;
@@ -62,35 +62,36 @@
 crash_world_poll (gpointer data)
 {
   CrashWorld *world = data;
-  guint live = 0;
+  guint running = 0;
   for (guint i = 0; i < PATH_PLAIN; i++)
-    live += !standin_worker_is_down (world->path->plain[i]);
-  world->min_plain_running = MIN (world->min_plain_running, live);
+    running += !standin_worker_is_down (world->path->plain[i]);
+  world->min_plain_running = MIN (world->min_plain_running, running);
   for (guint i = 0; i < CRASH_N_WORKERS; i++)
     crash_world_poll_worker (world, i);
   return G_SOURCE_CONTINUE;
 }
 
-/* In a deployment that runs: requests that hold @fatal end their workers. */
+/* In a deployment that runs: requests that hold @crash_trigger end their workers. */
 static inline CrashWorld *
-crash_world_watch (PathWorld *path, const char *fatal)
+crash_world_watch (PathWorld *path, const char *crash_trigger)
 {
   CrashWorld *world = g_new0 (CrashWorld, 1);
   world->path = path;
   world->min_plain_running = PATH_PLAIN;
   for (guint i = 0; i < CRASH_N_WORKERS; i++)
-    standin_worker_set_crash_trigger (crash_world_get_worker (world, i), fatal, CRASH_DELAY_MS, G_MAXUINT);
+    standin_worker_set_crash_trigger (crash_world_get_worker (world, i), crash_trigger, CRASH_DELAY_MS,
+                                      G_MAXUINT);
   world->timer = g_timeout_add (CRASH_POLL_INTERVAL_MS, crash_world_poll, world);
   return world;
 }
 
 static inline CrashWorld *
-crash_world_start (const char *name, const char *fatal)
+crash_world_start (const char *name, const char *crash_trigger)
 {
   PathWorld *path = path_world_new (name);
   path_reserve_links (path);
   path_world_start (path);
-  return crash_world_watch (path, fatal);
+  return crash_world_watch (path, crash_trigger);
 }
 
 static inline void
--- a/tests/platform/path-world.h
+++ b/tests/platform/path-world.h
@@ -37,15 +37,15 @@
   StandinWorker *model[PATH_MODEL];
   QuinceProcess *fronts[PATH_FRONTS];
   QuinceProcess *replicas[PATH_REPLICAS];
-  gboolean founded;
+  gboolean bootstrapped;
   const char *zones; /* all zones with their regions, as processes are told; NULL: they are not */
   const char *front_zones[PATH_FRONTS];     /* NULL: z1 */
   const char *replica_zones[PATH_REPLICAS]; /* NULL: z1 */
-  const char *losses;         /* the losses that the ledger bears, lines of its settings; NULL: one machine */
-  char *duties;               /* more settings of replicas; NULL: none */
-  char *extra_front_settings; /* more settings of fronts; NULL: none */
+  const char *losses; /* the losses that the ledger bears, lines of its settings; NULL: one machine */
+  char *extra_replica_settings; /* more settings of replicas; NULL: none */
+  char *extra_front_settings;   /* more settings of fronts; NULL: none */
   char *links[PATH_REPLICAS]; /* where each replica listens, at every start; NULL: where the kernel chooses */
-  GSocket *ports[PATH_REPLICAS]; /* owned: keep these ports from others */
+  GSocket *reserved_ports[PATH_REPLICAS]; /* owned: keep these ports from others */
 } PathWorld;
 
 typedef struct
@@ -190,11 +190,11 @@
 path_start_front (PathWorld *world, guint index)
 {
   g_autofree char *name = g_strdup_printf ("front-%u", index);
-  g_autofree char *place = path_format_zone_settings (world, world->front_zones[index]);
+  g_autofree char *zone_settings = path_format_zone_settings (world, world->front_zones[index]);
   g_autofree char *settings = g_strdup_printf (
       "[node]\nname=%s\n%s[listen]\ncallers=127.0.0.1:0\nready=127.0.0.1:0\n"
       "directory=127.0.0.1:0\n[store]\naddress=%s\n[stop]\ngrace=8s\n[policy]\nfile=%s/deploy/policy.lua\n%s",
-      name, place, standin_store_get_address (world->store), g_getenv ("QUINCE_SOURCE_DIR"),
+      name, zone_settings, standin_store_get_address (world->store), g_getenv ("QUINCE_SOURCE_DIR"),
       world->extra_front_settings != NULL ? world->extra_front_settings : "");
   g_clear_pointer (&world->fronts[index], quince_process_free);
   world->fronts[index] = path_spawn (world, "quinceroute-front", name, settings);
@@ -204,16 +204,16 @@
 path_start_replica (PathWorld *world, guint index)
 {
   g_autofree char *name = g_strdup_printf ("replica-%u", index);
-  g_autofree char *place = path_format_zone_settings (world, world->replica_zones[index]);
+  g_autofree char *zone_settings = path_format_zone_settings (world, world->replica_zones[index]);
   g_autofree char *data = g_strdup_printf ("%s/data-%u", world->folder, index);
   g_mkdir_with_parents (data, 0700);
   g_autofree char *settings = g_strdup_printf (
       "[node]\nname=%s\n%s[listen]\nlink=%s\n[store]\naddress=%s\n[ledger]\n"
       "folder=%s\nfound=%s\n%s\n[orders]\npause=500ms\n[policy]\nfile=%s/deploy/policy.lua\n%s",
-      name, place, world->links[index] != NULL ? world->links[index] : "127.0.0.1:0",
-      standin_store_get_address (world->store), data, world->founded ? "false" : "true",
+      name, zone_settings, world->links[index] != NULL ? world->links[index] : "127.0.0.1:0",
+      standin_store_get_address (world->store), data, world->bootstrapped ? "false" : "true",
       world->losses != NULL ? world->losses : "losses=1", g_getenv ("QUINCE_SOURCE_DIR"),
-      world->duties != NULL ? world->duties : "");
+      world->extra_replica_settings != NULL ? world->extra_replica_settings : "");
   g_clear_pointer (&world->replicas[index], quince_process_free);
   world->replicas[index] = path_spawn (world, "quinceroute-replica", name, settings);
 }
@@ -224,8 +224,8 @@
 {
   for (guint i = 0; i < PATH_REPLICAS; i++)
     {
-      world->ports[i] = standin_reserve_port ("127.0.0.1:0");
-      g_autoptr (GSocketAddress) local = g_socket_get_local_address (world->ports[i], NULL);
+      world->reserved_ports[i] = standin_reserve_port ("127.0.0.1:0");
+      g_autoptr (GSocketAddress) local = g_socket_get_local_address (world->reserved_ports[i], NULL);
       world->links[i]
           = g_strdup_printf ("127.0.0.1:%u", g_inet_socket_address_get_port (G_INET_SOCKET_ADDRESS (local)));
     }
@@ -235,11 +235,11 @@
 static inline void
 path_delete_replica_data (PathWorld *world, guint index)
 {
-  static const char *const endings[] = { "", "-wal", "-journal" };
-  for (guint i = 0; i < G_N_ELEMENTS (endings); i++)
+  static const char *const suffixes[] = { "", "-wal", "-journal" };
+  for (guint i = 0; i < G_N_ELEMENTS (suffixes); i++)
     {
       g_autofree char *file
-          = g_strdup_printf ("%s/data-%u/batches.sqlite%s", world->folder, index, endings[i]);
+          = g_strdup_printf ("%s/data-%u/batches.sqlite%s", world->folder, index, suffixes[i]);
       g_remove (file);
     }
 }
@@ -249,20 +249,20 @@
 path_find_leader (PathWorld *world)
 {
   gint leader = -1;
-  guint64 greatest = 0;
+  guint64 latest_epoch = 0;
   for (guint i = 0; i < PATH_REPLICAS; i++)
     {
       g_autofree char *file = g_strdup_printf ("%s/replica-%u.out", world->folder, i);
       g_autofree char *text = NULL;
       if (!g_file_get_contents (file, &text, NULL, NULL))
         continue;
-      for (const char *at = strstr (text, "event=ledger_recovered epoch="); at != NULL;
-           at = strstr (at + 1, "event=ledger_recovered epoch="))
+      for (const char *match = strstr (text, "event=ledger_recovered epoch="); match != NULL;
+           match = strstr (match + 1, "event=ledger_recovered epoch="))
         {
-          guint64 epoch = g_ascii_strtoull (at + strlen ("event=ledger_recovered epoch="), NULL, 10);
-          if (epoch <= greatest)
+          guint64 epoch = g_ascii_strtoull (match + strlen ("event=ledger_recovered epoch="), NULL, 10);
+          if (epoch <= latest_epoch)
             continue;
-          greatest = epoch;
+          latest_epoch = epoch;
           leader = (gint)i;
         }
     }
@@ -352,7 +352,7 @@
     path_start_replica (world, i);
   for (guint i = 0; i < PATH_FRONTS; i++)
     path_start_front (world, i);
-  world->founded = TRUE;
+  world->bootstrapped = TRUE;
   for (guint i = 0; i < PATH_FRONTS; i++)
     {
       AWAIT (path_status (path_front (world, i), "GET", "/quinceroute/lots/none", "q", NULL) == 404);
@@ -386,12 +386,12 @@
   g_autofree char *remove = g_strdup_printf ("rm -rf '%s'", world->folder);
   g_assert_cmpint (system (remove), ==, 0);
   g_free (world->folder);
-  g_free (world->duties);
+  g_free (world->extra_replica_settings);
   g_free (world->extra_front_settings);
   for (guint i = 0; i < PATH_REPLICAS; i++)
     {
       g_free (world->links[i]);
-      g_clear_object (&world->ports[i]);
+      g_clear_object (&world->reserved_ports[i]);
     }
   g_free (world);
 }
@@ -443,7 +443,7 @@
 path_count_occurrences (const char *text, const char *part)
 {
   guint count = 0;
-  for (const char *at = strstr (text, part); at != NULL; at = strstr (at + 1, part))
+  for (const char *match = strstr (text, part); match != NULL; match = strstr (match + 1, part))
     count++;
   return count;
 }
--- a/tests/platform/policy-scene.h
+++ b/tests/platform/policy-scene.h
@@ -7,10 +7,10 @@
 
 #include "relayed-world.h"
 
-#define PROMISE_MS 3000
-#define CALL_EVERY_MS 50
+#define IN_FORCE_MAX_MS 3000
+#define CALL_INTERVAL_MS 50
 #define EVENTS 6
-#define EVENT_EVERY_MS 40
+#define EVENT_INTERVAL_MS 40
 
 static const char admit_all_policy[] = "function admit(request) return { priority = 1 } end\n-- %u\n";
 static const char refuse_lookups_policy[]
@@ -37,7 +37,7 @@
   guint policies;   /* written so far, so that no two texts are the same */
   GPtrArray *calls; /* Call, owned */
   guint timer;
-  gboolean deaf[RELAYED_N_PROCESSES]; /* hears neither the store nor the leader */
+  gboolean isolated[RELAYED_N_PROCESSES]; /* hears neither the store nor the leader */
 } Scene;
 
 /* ---- What is in force --------------------------------------------------- */
@@ -54,16 +54,16 @@
 static inline guint64
 revision_in_force (const Scene *scene, guint process)
 {
-  static const char mark[] = "event=policy_in_force revision=";
+  static const char key[] = "event=policy_in_force revision=";
   g_autofree char *name = process_name (process);
   g_autofree char *file = g_strdup_printf ("%s/%s.out", scene->world->path->folder, name);
   g_autofree char *text = NULL;
   guint64 latest = 0;
   if (!g_file_get_contents (file, &text, NULL, NULL))
     return 0;
-  for (const char *at = strstr (text, mark); at != NULL; at = strstr (at + 1, mark))
+  for (const char *match = strstr (text, key); match != NULL; match = strstr (match + 1, key))
     {
-      guint64 revision = g_ascii_strtoull (at + strlen (mark), NULL, 10);
+      guint64 revision = g_ascii_strtoull (match + strlen (key), NULL, 10);
       if (revision <= latest)
         fail_msg ("%s went back from revision %u to %u", name, (guint)latest, (guint)revision);
       latest = revision;
@@ -75,40 +75,40 @@
 is_in_force (const Scene *scene, gboolean include_isolated)
 {
   for (guint i = 0; i < RELAYED_N_PROCESSES; i++)
-    if ((include_isolated || !scene->deaf[i]) && revision_in_force (scene, i) != scene->revision)
+    if ((include_isolated || !scene->isolated[i]) && revision_in_force (scene, i) != scene->revision)
       return FALSE;
   return TRUE;
 }
 
 /* For who reads of a failure: which process was late, and in which order. */
 static inline void
-print_processes_in_force (const Scene *scene, gboolean *seen, gint64 since_us)
+print_processes_in_force (const Scene *scene, gboolean *reported, gint64 since_us)
 {
   for (guint i = 0; i < RELAYED_N_PROCESSES; i++)
-    if (!seen[i] && revision_in_force (scene, i) == scene->revision)
+    if (!reported[i] && revision_in_force (scene, i) == scene->revision)
       {
         g_autofree char *name = process_name (i);
-        seen[i] = TRUE;
+        reported[i] = TRUE;
         print_message ("    %s after %d ms\n", name, (int)((g_get_monotonic_time () - since_us) / 1000));
       }
 }
 
 static inline gboolean
-check_all (const Scene *scene, gboolean include_isolated, gboolean *seen, gint64 since_us)
+check_in_force (const Scene *scene, gboolean include_isolated, gboolean *reported, gint64 since_us)
 {
-  print_processes_in_force (scene, seen, since_us);
+  print_processes_in_force (scene, reported, since_us);
   return is_in_force (scene, include_isolated);
 }
 
 static inline void
 assert_in_force (const Scene *scene, gint64 since_us, gboolean include_isolated)
 {
-  gboolean seen[RELAYED_N_PROCESSES] = { FALSE };
-  AWAIT (check_all (scene, include_isolated, seen, since_us));
+  gboolean reported[RELAYED_N_PROCESSES] = { FALSE };
+  AWAIT (check_in_force (scene, include_isolated, reported, since_us));
   gint64 took_ms = (g_get_monotonic_time () - since_us) / 1000;
   print_message ("  revision=%u in_force_ms=%d everywhere=%d\n", (guint)scene->revision, (int)took_ms,
                  include_isolated);
-  if (took_ms > PROMISE_MS)
+  if (took_ms > IN_FORCE_MAX_MS)
     fail_msg ("in force after %d ms", (int)took_ms);
 }
 
@@ -156,7 +156,7 @@
 
 /* Each front gets Lookups, streams that may go on elsewhere and streams that may not be repeated. */
 static inline gboolean
-begin_call (gpointer data)
+start_call (gpointer data)
 {
   Scene *scene = data;
   guint index = scene->calls->len;
@@ -189,7 +189,7 @@
 }
 
 static inline gboolean
-is_whole (const Call *call)
+is_complete (const Call *call)
 {
   if (call->answer.outcome != QUINCE_HTTP_ANSWERED || call->answer.status != 200)
     return FALSE;
@@ -201,13 +201,13 @@
 }
 
 static inline guint
-count_whole (const Scene *scene)
+count_complete (const Scene *scene)
 {
   guint count = 0;
   for (guint i = 0; i < scene->calls->len; i++)
     {
       const Call *call = scene->calls->pdata[i];
-      count += call->answer.done && is_whole (call);
+      count += call->answer.done && is_complete (call);
     }
   return count;
 }
@@ -216,7 +216,7 @@
 static inline void
 assert_calls (const Scene *scene)
 {
-  guint whole = 0, refused = 0, unknown = 0;
+  guint complete = 0, refused = 0, unknown = 0;
   for (guint i = 0; i < scene->calls->len; i++)
     {
       const Call *call = scene->calls->pdata[i];
@@ -227,12 +227,13 @@
       if (call->target == call_targets[2])
         assert_in_range (runs, 0, 1);
       if (call->answer.status == 200 && call->answer.outcome == QUINCE_HTTP_ANSWERED)
-        assert_true (is_whole (call));
-      whole += is_whole (call);
+        assert_true (is_complete (call));
+      complete += is_complete (call);
       refused += call->answer.status == 503;
-      unknown += !is_whole (call) && call->answer.status != 503;
+      unknown += !is_complete (call) && call->answer.status != 503;
     }
-  print_message ("  calls=%u whole=%u refused=%u unknown=%u\n", scene->calls->len, whole, refused, unknown);
+  print_message ("  calls=%u whole=%u refused=%u unknown=%u\n", scene->calls->len, complete, refused,
+                 unknown);
 }
 
 /* ---- Scenes ------------------------------------------------------------- */
@@ -243,7 +244,7 @@
   *scene = (Scene){ .world = relayed_world_new (name) };
   scene->calls = g_ptr_array_new_with_free_func (call_free);
   for (guint i = 0; i < PATH_MODEL; i++)
-    standin_worker_set_events (scene->world->path->model[i], EVENTS, EVENT_EVERY_MS);
+    standin_worker_set_events (scene->world->path->model[i], EVENTS, EVENT_INTERVAL_MS);
   relayed_world_start (scene->world);
   scene->leader = (guint)path_find_leader (scene->world->path);
 }
--- a/tests/platform/raw.h
+++ b/tests/platform/raw.h
@@ -42,9 +42,9 @@
   gsize length = strlen (text);
   while (sent < length)
     {
-      gssize now = g_socket_send (caller->socket, text + sent, length - sent, NULL, NULL);
-      if (now > 0)
-        sent += (gsize)now;
+      gssize written = g_socket_send (caller->socket, text + sent, length - sent, NULL, NULL);
+      if (written > 0)
+        sent += (gsize)written;
       else if (!g_main_context_iteration (NULL, FALSE))
         g_usleep (1000);
       if (g_socket_condition_check (caller->socket, G_IO_HUP | G_IO_ERR) != 0)
--- a/tests/platform/regions-world.h
+++ b/tests/platform/regions-world.h
@@ -18,7 +18,7 @@
 /* From a submission until all is listed, beside the time of the texts: one change of the leader (2 s), and
  * the time after which a silent worker's samples go elsewhere. */
 #define STEP_MAX_MS 15000
-#define TROUBLE_MS 2000
+#define REGIONAL_SERVICE_MS 2000
 
 static inline guint
 region_of_zone (const char *zone)
@@ -35,13 +35,13 @@
 
 /* Workers stand in the regions by turns. */
 static inline guint
-region_of_target (const PathWorld *path, guint end)
+region_of_target (const PathWorld *path, guint target)
 {
-  if (end == RELAYED_STORE)
+  if (target == RELAYED_STORE)
     return EAST;
-  if (end < RELAYED_PLAIN (0))
-    return region_of_zone (path->replica_zones[end - RELAYED_REPLICA (0)]);
-  return (end < RELAYED_MODEL (0) ? end - RELAYED_PLAIN (0) : end - RELAYED_MODEL (0)) % 2;
+  if (target < RELAYED_PLAIN (0))
+    return region_of_zone (path->replica_zones[target - RELAYED_REPLICA (0)]);
+  return (target < RELAYED_MODEL (0) ? target - RELAYED_PLAIN (0) : target - RELAYED_MODEL (0)) % 2;
 }
 
 /* What passes from the east to the west, and back. */
@@ -95,7 +95,7 @@
     }
   for (guint i = 0; i < PATH_FRONTS; i++)
     relayed_start_process (world, i);
-  world->path->founded = TRUE;
+  world->path->bootstrapped = TRUE;
   relayed_await_service (world);
   return world;
 }
@@ -107,22 +107,22 @@
          || residency_lookup (world->path, front, NULL) == 200;
 }
 
-/* Submits a batch at @first or, where that does not take it, at @other, and waits until all of it is listed.
- * Returns: how long that took, ms */
+/* Submits a batch at @preferred or, where that does not take it, at @fallback, and waits until all of it is
+ * listed. Returns: how long that took, ms */
 static inline gint64
-run_batch_with_fallback (RelayedWorld *world, guint first, guint other, const char *batch)
+run_batch_with_fallback (RelayedWorld *world, guint preferred, guint fallback, const char *batch)
 {
   g_autofree char *text = path_make_batch (batch, ITEMS);
-  gint64 from_us = g_get_monotonic_time ();
-  guint front = other;
-  AWAIT ((front = front == first ? other : first,
+  gint64 started_us = g_get_monotonic_time ();
+  guint front = fallback;
+  AWAIT ((front = front == preferred ? fallback : preferred,
           path_status (path_front (world->path, front), "POST", "/r/batch", batch, text) == 202));
-  gint64 taken_us = g_get_monotonic_time ();
+  gint64 accepted_us = g_get_monotonic_time ();
   AWAIT (path_count_results (world->path, front, batch) == ITEMS);
-  gint64 whole_us = g_get_monotonic_time ();
+  gint64 complete_us = g_get_monotonic_time ();
   print_message ("  %s: taken after %" G_GINT64_FORMAT " ms, whole after %" G_GINT64_FORMAT " ms\n", batch,
-                 (taken_us - from_us) / 1000, (whole_us - from_us) / 1000);
-  return (whole_us - from_us) / 1000;
+                 (accepted_us - started_us) / 1000, (complete_us - started_us) / 1000);
+  return (complete_us - started_us) / 1000;
 }
 
 static inline gint64
@@ -132,7 +132,7 @@
 }
 
 static inline guint
-named (RelayedWorld *world, guint front, const char *query)
+resolve_fronts (RelayedWorld *world, guint front, const char *query)
 {
   g_autofree char *target = g_strdup_printf ("/quinceroute/resolve?name=" PATH_HOST "%s", query);
   PathAnswer answer;
@@ -153,13 +153,13 @@
   static const guint fronts[] = { EAST_FRONT, WEST_FRONT };
   static const char *const queries[] = { "&region=east&zone=e1", "&region=west&zone=w1" };
   static const guint expected[] = { 1U << 0 | 1U << 1, 1U << WEST_FRONT };
-  for (gint64 end = g_get_monotonic_time () + TROUBLE_MS * 1000; g_get_monotonic_time () < end;)
+  for (gint64 end = g_get_monotonic_time () + REGIONAL_SERVICE_MS * 1000; g_get_monotonic_time () < end;)
     for (guint i = 0; i < G_N_ELEMENTS (fronts); i++)
       {
         assert_true (serves (world, fronts[i]));
-        guint names = named (world, fronts[i], queries[i]);
-        assert_int_not_equal (names, 0);
-        assert_int_equal (names & ~expected[i], 0);
+        guint mask = resolve_fronts (world, fronts[i], queries[i]);
+        assert_int_not_equal (mask, 0);
+        assert_int_equal (mask & ~expected[i], 0);
         run_for (50);
       }
 }
--- a/tests/platform/relayed-network.c
+++ b/tests/platform/relayed-network.c
@@ -15,15 +15,15 @@
 
 /* Returns: the port to connect to. */
 static unsigned
-relay_port (unsigned wanted)
+get_relay_port (unsigned requested_port)
 {
   const char *path = getenv ("QUINCE_RELAYS");
   FILE *file = path != NULL ? fopen (path, "re") : NULL;
-  unsigned port = wanted;
-  unsigned from, to;
-  while (file != NULL && fscanf (file, "%u %u", &from, &to) == 2)
-    if (from == wanted)
-      port = to;
+  unsigned port = requested_port;
+  unsigned target_port, relay_port;
+  while (file != NULL && fscanf (file, "%u %u", &target_port, &relay_port) == 2)
+    if (target_port == requested_port)
+      port = relay_port;
   if (file != NULL)
     fclose (file);
   return port;
@@ -32,12 +32,12 @@
 int
 connect (int socket, const struct sockaddr *address, socklen_t length)
 {
-  static int (*next) (int, const struct sockaddr *, socklen_t);
-  if (next == NULL)
-    next = (int (*) (int, const struct sockaddr *, socklen_t))dlsym (RTLD_NEXT, "connect");
+  static int (*real_connect) (int, const struct sockaddr *, socklen_t);
+  if (real_connect == NULL)
+    real_connect = (int (*) (int, const struct sockaddr *, socklen_t))dlsym (RTLD_NEXT, "connect");
   if (address->sa_family != AF_INET || length < sizeof (struct sockaddr_in))
-    return next (socket, address, length);
-  struct sockaddr_in relayed = *(const struct sockaddr_in *)address;
-  relayed.sin_port = htons ((in_port_t)relay_port (ntohs (relayed.sin_port)));
-  return next (socket, (const struct sockaddr *)&relayed, sizeof relayed);
+    return real_connect (socket, address, length);
+  struct sockaddr_in relay_address = *(const struct sockaddr_in *)address;
+  relay_address.sin_port = htons ((in_port_t)get_relay_port (ntohs (relay_address.sin_port)));
+  return real_connect (socket, (const struct sockaddr *)&relay_address, sizeof relay_address);
 }
--- a/tests/platform/relayed-world.h
+++ b/tests/platform/relayed-world.h
@@ -25,15 +25,15 @@
 } RelayedWorld;
 
 static inline const char *
-relayed_target_address (const RelayedWorld *world, guint end)
+relayed_target_address (const RelayedWorld *world, guint target)
 {
-  if (end == RELAYED_STORE)
+  if (target == RELAYED_STORE)
     return standin_store_get_address (world->path->store);
-  if (end < RELAYED_PLAIN (0))
-    return world->path->links[end - RELAYED_REPLICA (0)];
-  if (end < RELAYED_MODEL (0))
-    return standin_worker_get_address (world->path->plain[end - RELAYED_PLAIN (0)]);
-  return standin_worker_get_address (world->path->model[end - RELAYED_MODEL (0)]);
+  if (target < RELAYED_PLAIN (0))
+    return world->path->links[target - RELAYED_REPLICA (0)];
+  if (target < RELAYED_MODEL (0))
+    return standin_worker_get_address (world->path->plain[target - RELAYED_PLAIN (0)]);
+  return standin_worker_get_address (world->path->model[target - RELAYED_MODEL (0)]);
 }
 
 static inline const char *
@@ -48,8 +48,8 @@
 {
   g_autofree char *file = g_strdup_printf ("%s/relays-%u", world->path->folder, process);
   g_autoptr (GString) text = g_string_new (NULL);
-  guint ends = world->direct ? RELAYED_PLAIN (0) : RELAYED_N_TARGETS;
-  for (guint i = 0; i < ends; i++)
+  guint n_targets = world->direct ? RELAYED_PLAIN (0) : RELAYED_N_TARGETS;
+  for (guint i = 0; i < n_targets; i++)
     {
       const char *relay = standin_relay_get_address (world->relays[process][i]);
       g_string_append_printf (text, "%s %s\n", relayed_get_port (relayed_target_address (world, i)),
@@ -94,7 +94,7 @@
 {
   for (guint i = 0; i < RELAYED_N_PROCESSES; i++)
     relayed_start_process (world, (PATH_FRONTS + i) % RELAYED_N_PROCESSES);
-  world->path->founded = TRUE;
+  world->path->bootstrapped = TRUE;
   relayed_await_service (world);
 }
 
@@ -110,26 +110,26 @@
 }
 
 static inline void
-relayed_set_paused (RelayedWorld *world, guint process, guint end, gboolean held)
+relayed_set_paused (RelayedWorld *world, guint process, guint target, gboolean paused)
 {
-  standin_relay_set_paused (world->relays[process][end], held);
+  standin_relay_set_paused (world->relays[process][target], paused);
 }
 
 /* All that one process reaches others by: the store, replicas and workers. */
 static inline void
-relayed_set_process_paused (RelayedWorld *world, guint process, gboolean held)
+relayed_set_process_paused (RelayedWorld *world, guint process, gboolean paused)
 {
   for (guint i = 0; i < RELAYED_N_TARGETS; i++)
-    relayed_set_paused (world, process, i, held);
+    relayed_set_paused (world, process, i, paused);
 }
 
 /* What others reach a replica by, and it them. */
 static inline void
-relayed_set_replica_isolated (RelayedWorld *world, guint replica, gboolean held)
+relayed_set_replica_isolated (RelayedWorld *world, guint replica, gboolean isolated)
 {
-  relayed_set_process_paused (world, RELAYED_REPLICA_PROCESS (replica), held);
+  relayed_set_process_paused (world, RELAYED_REPLICA_PROCESS (replica), isolated);
   for (guint i = 0; i < RELAYED_N_PROCESSES; i++)
-    relayed_set_paused (world, i, RELAYED_REPLICA (replica), held);
+    relayed_set_paused (world, i, RELAYED_REPLICA (replica), isolated);
 }
 
 /* Connections that the relays which are held keep from passing anything. */
--- a/tests/platform/residency-world.h
+++ b/tests/platform/residency-world.h
@@ -13,7 +13,7 @@
 #define ZONE_REGIONS "e1=east,e2=east,w1=west"
 #define ALL_REGIONS "\"east\",\"west\""
 /* The bound for changes of the configuration that the users' deployments set, ms. */
-#define APPLY_MS 3000
+#define APPLY_MAX_MS 3000
 
 /* A plain worker and a model worker stand in e1, the others in w1; the fronts in e1, e2 and w1. */
 static inline void
@@ -54,9 +54,9 @@
   for (const char *route = routes; *route != '\0'; route++)
     {
       g_autofree char *name = g_strdup_printf ("{\"name\":\"%c\",\"host\"", *route);
-      g_autofree char *bound
+      g_autofree char *restricted
           = g_strdup_printf ("{\"name\":\"%c\",\"allowedRegions\":[%s],\"host\"", *route, regions);
-      assert_int_equal (g_string_replace (text, name, bound, 1), 1);
+      assert_int_equal (g_string_replace (text, name, restricted, 1), 1);
     }
   if (tenant_regions != NULL)
     {
@@ -77,7 +77,7 @@
     path_start_replica (world, i);
   for (guint i = 0; i < PATH_FRONTS; i++)
     path_start_front (world, i);
-  world->founded = TRUE;
+  world->bootstrapped = TRUE;
 }
 
 /* Of a request under an id of its own, with the tenant's key where @key is given. */
--- a/tests/platform/scaling-world.h
+++ b/tests/platform/scaling-world.h
@@ -224,8 +224,9 @@
   world->server = standin_server_new (scaling_called, world);
   world->dry = "";
   world->boot_ms = boot_ms;
-  world->path->duties = g_strdup_printf ("[duties]\naddress=%s\nnames=metering,scaling\norder_workers=%s\n",
-                                         standin_server_get_address (world->server), setting);
+  world->path->extra_replica_settings
+      = g_strdup_printf ("[duties]\naddress=%s\nnames=metering,scaling\norder_workers=%s\n",
+                         standin_server_get_address (world->server), setting);
   scaling_configure (world);
   for (guint i = 0; i < PATH_MODEL; i++)
     standin_worker_set_events (world->path->model[i], SCALING_EVENTS, SCALING_PAUSE_MS);
@@ -240,7 +241,7 @@
   for (guint i = 0; i < PATH_REPLICAS; i++)
     path_start_replica (world->path, i);
   path_start_front (world->path, 0);
-  world->path->founded = TRUE;
+  world->path->bootstrapped = TRUE;
   AWAIT (path_status (path_front (world->path, 0), "GET", "/quinceroute/lots/none", "q", NULL) == 404);
   return world;
 }
--- a/tests/platform/tenants-world.h
+++ b/tests/platform/tenants-world.h
@@ -80,7 +80,7 @@
     path_start_replica (world, i);
   for (guint i = 0; i < PATH_FRONTS; i++)
     path_start_front (world, i);
-  world->founded = TRUE;
+  world->bootstrapped = TRUE;
   for (guint i = 0; i < PATH_FRONTS; i++)
     {
       AWAIT (status_with_key (path_front (world, i), "GET", "/quinceroute/lots/none", "q", NULL, KEY_A1)
--- a/tests/platform/test-append-gap.c
+++ b/tests/platform/test-append-gap.c
@@ -119,7 +119,7 @@
   assert_non_null (leader->server);
   leader->store
       = quince_meta_store_new (standin_store_get_address (leader->world->store), &quince_platform_meta_codec);
-  leader->world->founded = TRUE;
+  leader->world->bootstrapped = TRUE;
   write_view (leader, 1);
   path_start_replica (leader->world, 0);
   AWAIT (leader->hellos == 1 && leader->link != NULL);
--- a/tests/platform/test-callers.c
+++ b/tests/platform/test-callers.c
@@ -29,7 +29,7 @@
 await_recovered (Scene *scene)
 {
   PathWorld *path = scene->world->path;
-  set_pace (scene, EVENT_EVERY_MS);
+  set_pace (scene, EVENT_INTERVAL_MS);
   for (guint i = 0; i < PATH_FRONTS; i++)
     {
       for (guint kind = 0; kind < CALL_KINDS; kind++)
@@ -42,9 +42,9 @@
 assert_case (const FaultCase *fault, CallLoad *load)
 {
   CallLoadCounts verdict = call_load_check (load);
-  if (verdict.whole * 100 < CALLS * fault->min_complete_calls)
-    fail_msg ("only %u of %u calls got a whole answer", verdict.whole, CALLS);
-  if (fault->breaks && verdict.cut + verdict.failed + verdict.repeated == 0)
+  if (verdict.complete * 100 < CALLS * fault->min_complete_calls)
+    fail_msg ("only %u of %u calls got a whole answer", verdict.complete, CALLS);
+  if (fault->must_break_calls && verdict.cut + verdict.failed + verdict.repeated == 0)
     fail_msg ("the fault hit no call");
   if (!fault->stops_front)
     call_load_assert_deadlines (load);
@@ -60,13 +60,13 @@
   AWAIT (call_load_count_runs (load) >= IN_PROGRESS);
   if (fault->begin != NULL)
     fault->begin (scene);
-  gint64 end_us = g_get_monotonic_time () + (gint64)fault->hold_ms * 1000;
+  gint64 end_us = g_get_monotonic_time () + (gint64)fault->duration_ms * 1000;
   while (g_get_monotonic_time () < end_us)
     {
       run_for (1);
       call_load_count_done (load);
     }
-  if (fault->is_held)
+  if (fault->pauses_relays)
     assert_true (relayed_count_paused_connections (scene->world) > 0);
   if (fault->end != NULL)
     fault->end (scene);
@@ -75,7 +75,7 @@
   await_recovered (scene);
   call_load_check (load); /* nothing of it ran later */
   call_load_free (load);
-  scene->sound = TRUE;
+  scene->last_case_passed = TRUE;
 }
 
 /* ---- Refusals ----------------------------------------------------------- */
@@ -113,7 +113,7 @@
   for (guint i = 0; i < BURST; i++)
     call_load_start_call (load, i % 2 == 0 ? CALL_NON_IDEMPOTENT_LOOKUP : CALL_NON_RESUMABLE_STREAM,
                           i / 2 % PATH_FRONTS);
-  load->wanted = BURST;
+  load->total = BURST;
   gint64 begun_us = g_get_monotonic_time ();
   AWAIT (count_refused (load) >= BURST_REFUSED);
   assert_int_equal (call_load_count_done (load), count_refused (load));
@@ -124,11 +124,11 @@
   end_faults (scene);
   set_places (scene, G_MAXUINT);
   CallLoadCounts verdict = call_load_check (load);
-  assert_int_equal (verdict.whole, 0);
+  assert_int_equal (verdict.complete, 0);
   await_recovered (scene);
   call_load_check (load);
   call_load_free (load);
-  scene->sound = TRUE;
+  scene->last_case_passed = TRUE;
 }
 
 /* What a worker was sent may run, also when its deadline passes before the worker says anything: nobody is
@@ -141,7 +141,7 @@
   set_faults (scene, PATH_PLAIN, PATH_MODEL, STANDIN_WORKER_UNRESPONSIVE, G_MAXUINT);
   for (guint i = 0; i < 10 * CALL_KINDS; i++)
     call_load_start_call (load, i % CALL_KINDS, i / CALL_KINDS % PATH_FRONTS);
-  load->wanted = load->calls->len;
+  load->total = load->calls->len;
   call_load_await (load);
   CallLoadCounts verdict = call_load_check (load);
   assert_true (verdict.failed + verdict.cut > 0);
@@ -149,7 +149,7 @@
   await_recovered (scene);
   call_load_check (load);
   call_load_free (load);
-  scene->sound = TRUE;
+  scene->last_case_passed = TRUE;
 }
 
 /* ---- Running ------------------------------------------------------------ */
@@ -169,15 +169,15 @@
   Scene *scene = &scene_of_tests;
   const FaultCase *fault = *state;
   *state = scene;
-  if (!scene->sound)
+  if (!scene->last_case_passed)
     {
       stop_scene (scene);
       scene->world = relayed_world_new ("callers");
       call_load_configure (scene->world->path, 8);
-      set_pace (scene, EVENT_EVERY_MS);
+      set_pace (scene, EVENT_INTERVAL_MS);
       relayed_world_start (scene->world);
     }
-  scene->sound = FALSE;
+  scene->last_case_passed = FALSE;
   scene->running = fault;
   await_recovered (scene);
   return 0;
--- a/tests/platform/test-duties.c
+++ b/tests/platform/test-duties.c
@@ -132,7 +132,7 @@
 start_world (const char *name, const Platform *platform)
 {
   PathWorld *world = path_world_new (name);
-  world->duties
+  world->extra_replica_settings
       = g_strdup_printf ("[duties]\naddress=%s\nnames=metering,scaling\nusage_window=%ds\nusage_late=%ds\n",
                          standin_server_get_address (platform->server), WINDOW_S, LATE_S);
   tenants_world_start (world);
--- a/tests/platform/test-leaving.c
+++ b/tests/platform/test-leaving.c
@@ -436,7 +436,7 @@
   CallLoadCounts verdict = call_load_check (load);
   assert_int_equal (verdict.cut + verdict.failed, 0);
   if (scene->running->burst == 0)
-    assert_int_equal (verdict.whole, verdict.calls);
+    assert_int_equal (verdict.complete, verdict.calls);
 }
 
 /* Work comes on after the bound, to the others. */
@@ -472,7 +472,7 @@
     one->hinder (scene);
   for (guint i = 0; i < one->burst; i++)
     call_load_start_call (load, i % CALL_KINDS, 0);
-  load->wanted += one->burst;
+  load->total += one->burst;
   gint64 bound_us = g_get_monotonic_time () + PROMISE_MS * 1000;
   list_leaving (scene, one->state);
   if (one->strike != NULL)
--- a/tests/platform/test-policy-in-force.c
+++ b/tests/platform/test-policy-in-force.c
@@ -56,7 +56,7 @@
     relayed_set_paused (scene->world, RELAYED_REPLICA_PROCESS (i), RELAYED_STORE, held);
   /* Who hears of it neither from the store nor from a leader that does. */
   for (guint i = 0; i < PATH_REPLICAS; i++)
-    scene->deaf[RELAYED_REPLICA_PROCESS (i)] = held;
+    scene->isolated[RELAYED_REPLICA_PROCESS (i)] = held;
 }
 
 static void
@@ -79,20 +79,20 @@
 {
   QuinceProcess *leader = scene->world->path->replicas[scene->leader];
   (held ? quince_process_suspend : quince_process_resume) (leader);
-  scene->deaf[RELAYED_REPLICA_PROCESS (scene->leader)] = held;
+  scene->isolated[RELAYED_REPLICA_PROCESS (scene->leader)] = held;
 }
 
 static void
 freeze_front (Scene *scene, gboolean held)
 {
   (held ? quince_process_suspend : quince_process_resume) (scene->world->path->fronts[0]);
-  scene->deaf[0] = held;
+  scene->isolated[0] = held;
 }
 
 static void
 kill_leader (Scene *scene, gboolean held)
 {
-  scene->deaf[RELAYED_REPLICA_PROCESS (scene->leader)] = held;
+  scene->isolated[RELAYED_REPLICA_PROCESS (scene->leader)] = held;
   if (held)
     quince_process_kill (scene->world->path->replicas[scene->leader]);
   else
@@ -103,14 +103,14 @@
 isolate_leader (Scene *scene, gboolean held)
 {
   relayed_set_replica_isolated (scene->world, scene->leader, held);
-  scene->deaf[RELAYED_REPLICA_PROCESS (scene->leader)] = held;
+  scene->isolated[RELAYED_REPLICA_PROCESS (scene->leader)] = held;
 }
 
 static void
 isolate_front (Scene *scene, gboolean held)
 {
   relayed_set_process_paused (scene->world, 0, held);
-  scene->deaf[0] = held;
+  scene->isolated[0] = held;
 }
 
 /* The leader, a front and two workers on one side; the store and all others on the other. */
@@ -127,8 +127,8 @@
         if (from_here != to_here)
           relayed_set_paused (scene->world, i, j, held);
       }
-  scene->deaf[0] = held;
-  scene->deaf[leader] = held;
+  scene->isolated[0] = held;
+  scene->isolated[leader] = held;
 }
 
 /**
@@ -208,13 +208,13 @@
   standin_store_put (scene->world->path->store, "op/version/model-a",
                      "{\"model\":\"model-a\",\"version\":2}");
   accept_policy (scene, one->policy);
-  gint64 bound_us = scene->accepted_us + PROMISE_MS * 1000;
+  gint64 bound_us = scene->accepted_us + IN_FORCE_MAX_MS * 1000;
   assert_in_force (scene, scene->accepted_us, FALSE);
-  AWAIT (g_get_monotonic_time () > bound_us || one->hold_ms < PROMISE_MS);
+  AWAIT (g_get_monotonic_time () > bound_us || one->hold_ms < IN_FORCE_MAX_MS);
   guint runs_before = count_runs (scene, NULL);
   run_for (one->hold_ms);
   assert_true (!one->is_cut || relayed_count_paused_connections (scene->world) > 0);
-  if (one->policy == refuse_lookups_policy && one->hold_ms > PROMISE_MS)
+  if (one->policy == refuse_lookups_policy && one->hold_ms > IN_FORCE_MAX_MS)
     assert_int_equal (count_runs (scene, NULL), runs_before);
   one->set (scene, FALSE);
   assert_in_force (scene, g_get_monotonic_time (), TRUE);
@@ -233,8 +233,8 @@
   start_scene (&scene, "apart");
   submit (&scene, 0, "b1", 1);
   submit (&scene, 1, "b2", 2);
-  scene.timer = g_timeout_add (CALL_EVERY_MS, begin_call, &scene);
-  AWAIT (count_whole (&scene) > EARLY_ANSWERS);
+  scene.timer = g_timeout_add (CALL_INTERVAL_MS, start_call, &scene);
+  AWAIT (count_complete (&scene) > EARLY_ANSWERS);
   run_apart (&scene, one);
   g_source_remove (scene.timer);
   accept_policy (&scene, admit_all_policy);
--- a/tests/platform/test-quarantine-cut.c
+++ b/tests/platform/test-quarantine-cut.c
@@ -11,7 +11,7 @@
 
 #include "relayed-world.h"
 
-#include "ends-world.h"
+#include "crash-world.h"
 
 /* Three may be chance, and three more may be sent later. */
 #define SENDS_MAX 6
--- a/tests/platform/test-quarantine-faults.c
+++ b/tests/platform/test-quarantine-faults.c
@@ -6,7 +6,7 @@
 #define PATH_PLAIN 8
 #include "core/request/quarantine.h"
 
-#include "ends-world.h"
+#include "crash-world.h"
 
 #define SENDS_MAX 6
 #define NEIGHBOURS 5
@@ -95,7 +95,7 @@
                                           i == 0 && j == 0 ? 1 : 0);
       if (i > 0)
         standin_worker_set_crash_trigger (world->path->plain[i % PATH_PLAIN], "unlucky", CRASH_DELAY_MS, 1);
-      for (guint ends = world->ends; world->ends == ends;)
+      for (guint ends = world->crashes; world->crashes == ends;)
         crash_world_call (world, i % PATH_FRONTS, "/l/1", "unlucky");
     }
   AWAIT (crash_world_all_serve (world));
--- a/tests/platform/test-quarantine-groups.c
+++ b/tests/platform/test-quarantine-groups.c
@@ -5,7 +5,7 @@
 #define PATH_MODEL 10
 #include "core/request/quarantine.h"
 
-#include "ends-world.h"
+#include "crash-world.h"
 #include "groups.h"
 
 #define MEMBERS 8
@@ -39,7 +39,7 @@
 assert_few_sends (CrashWorld *world, guint first_sends)
 {
   guint runs = crash_world_count_runs (world, "/poison/");
-  print_message ("  %u sends, %u workers ended\n", runs, world->ends);
+  print_message ("  %u sends, %u workers ended\n", runs, world->crashes);
   assert_in_range (runs, 3, first_sends + FURTHER_SENDS_MAX);
 }
 
--- a/tests/platform/test-quarantine-many.c
+++ b/tests/platform/test-quarantine-many.c
@@ -1,7 +1,7 @@
 /*
  * test-quarantine-many.c: a request that ends its workers, seen once by each of sixty fronts.
  */
-#include "ends-world.h"
+#include "crash-world.h"
 
 #define MANY 60
 /* Rules bound machines that were left alone for so long. */
--- a/tests/platform/test-quarantine-small.c
+++ b/tests/platform/test-quarantine-small.c
@@ -4,7 +4,7 @@
 #define PATH_PLAIN 3
 #include "core/request/quarantine.h"
 
-#include "ends-world.h"
+#include "crash-world.h"
 
 #define TRIES 40
 /* Until it is held: it waits for workers to be back and listed after each end. */
--- a/tests/platform/test-quarantine-soak.c
+++ b/tests/platform/test-quarantine-soak.c
@@ -8,7 +8,7 @@
  */
 #include <stdlib.h>
 
-#include "ends-world.h"
+#include "crash-world.h"
 #include "groups.h"
 
 #define TROUBLE_MS 9000
--- a/tests/platform/test-quarantine.c
+++ b/tests/platform/test-quarantine.c
@@ -3,7 +3,7 @@
  */
 /* So many that their service bears four ends at once: what it does with fewer is tested elsewhere. */
 #define PATH_PLAIN 8
-#include "ends-world.h"
+#include "crash-world.h"
 
 /* Three ends, and no more than three sends after them, whatever is tried afterwards. */
 #define SENDS_MAX 6
--- a/tests/platform/test-regions-members.c
+++ b/tests/platform/test-regions-members.c
@@ -59,7 +59,7 @@
 {
   for (guint i = 0; i < PATH_FRONTS; i++)
     relayed_start_process (world, i);
-  world->path->founded = TRUE;
+  world->path->bootstrapped = TRUE;
   relayed_await_service (world);
 }
 
--- a/tests/platform/test-residency.c
+++ b/tests/platform/test-residency.c
@@ -250,7 +250,7 @@
   AWAIT (
       residency_count_replica_log_lines (world, "event=ledger_confined nodes=replica-0,replica-2,replica-4")
       > 0);
-  run_for (APPLY_MS);
+  run_for (APPLY_MAX_MS);
   guint before = residency_count_runs (world->model[1]) + residency_count_runs (world->model[2]);
   for (guint i = 0; i < PATH_MODEL; i++)
     standin_worker_set_fault (world->model[i], STANDIN_WORKER_HEALTHY, 0);
@@ -347,7 +347,7 @@
     path_start_replica (world, inside[i]);
   path_start_front (world, 0);
   AWAIT (members (world) == G_N_ELEMENTS (inside));
-  world->founded = TRUE;
+  world->bootstrapped = TRUE;
   for (guint i = 0; i < PATH_REPLICAS; i++)
     if (is_outside (world, i))
       path_start_replica (world, i);
--- a/tests/platform/test-suspension.c
+++ b/tests/platform/test-suspension.c
@@ -63,7 +63,7 @@
       path_start_front (world, i);
     }
   g_unsetenv ("LD_PRELOAD");
-  world->founded = TRUE;
+  world->bootstrapped = TRUE;
   for (guint i = 0; i < PATH_FRONTS; i++)
     AWAIT (path_status (path_front (world, i), "GET", "/quinceroute/lots/none", "q", NULL) == 404);
   return world;
--- a/tests/platform/test-worker-bodies.c
+++ b/tests/platform/test-worker-bodies.c
@@ -10,7 +10,7 @@
  * which other work on the machine makes likely.
  */
 #define PATH_MODEL 4
-#include "ends-world.h"
+#include "crash-world.h"
 #include "groups.h"
 
 #define MEMBERS 4
@@ -128,10 +128,11 @@
   check_all (world, "b1", &count);
   check_read_back (world, "b1", 0);
   check_read_back (world, "b1", 1);
-  print_message ("  %u runs, %u of them resumed, %u workers ended\n", count.runs, count.resumed, world->ends);
+  print_message ("  %u runs, %u of them resumed, %u workers ended\n", count.runs, count.resumed,
+                 world->crashes);
   assert_true (count.runs > N_GROUPS * MEMBERS);
   assert_true (count.resumed > 0);
-  assert_true (world->ends > 1);
+  assert_true (world->crashes > 1);
   crash_world_free (world);
 }
 
--- a/tests/platform/zone-cut-world.h
+++ b/tests/platform/zone-cut-world.h
@@ -54,7 +54,7 @@
     relayed_start_process (cut.relayed, RELAYED_REPLICA_PROCESS (i));
   for (guint i = 0; i < PATH_FRONTS; i++)
     relayed_start_process (cut.relayed, i);
-  cut.relayed->path->founded = TRUE;
+  cut.relayed->path->bootstrapped = TRUE;
   relayed_await_service (cut.relayed);
   AWAIT (zone_is_spread (cut.zones));
   zone_await_whole (cut.zones, 0, zone_submit (cut.zones, ZONES));
--- a/tests/platform/zone-world.h
+++ b/tests/platform/zone-world.h
@@ -201,7 +201,7 @@
     path_start_replica (path, i);
   for (guint i = 0; i < PATH_FRONTS; i++)
     path_start_front (path, i);
-  path->founded = TRUE;
+  path->bootstrapped = TRUE;
   AWAIT (zone_is_spread (world));
   for (guint i = 0; i < PATH_FRONTS; i++)
     {
