--- a/tests/platform/await.h
+++ b/tests/platform/await.h
@@ -1,5 +1,5 @@
 /*
- * await.h: waits for a condition while the test's own main context runs; bounded.
+ * await.h: waits for a condition, up to a timeout, while the default main context runs.
  */
 #pragma once
 
@@ -11,10 +11,9 @@
 #include <cmocka.h>
 #include <gio/gio.h>
 
-/* Longest wait; far above what any condition needs. */
 #define AWAIT_TIMEOUT_MS 30000
 
-/* @condition may itself make a call: its first success counts. */
+/* Evaluates @condition until it is true; fails the test after AWAIT_TIMEOUT_MS. */
 #define AWAIT(condition)                                                                                     \
   G_STMT_START                                                                                               \
   {                                                                                                          \
@@ -24,11 +23,11 @@
       if (!g_main_context_iteration (NULL, FALSE))                                                           \
         g_usleep (1000);                                                                                     \
     if (!await_met)                                                                                          \
-      fail_msg ("never came true: %s", #condition);                                                          \
+      fail_msg ("timed out waiting for: %s", #condition);                                                    \
   }                                                                                                          \
   G_STMT_END
 
-/* Lets the main context run for a while, for what must not happen. */
+/* Runs the default main context for @milliseconds, for example while a test checks that nothing happens. */
 static inline void
 run_for (guint milliseconds)
 {
--- a/tests/platform/boot-clock.c
+++ b/tests/platform/boot-clock.c
@@ -1,9 +1,9 @@
 /*
- * boot-clock.c: a clock that a test moves on under a stopped process, as a suspension does: CLOCK_BOOTTIME
- * goes on, the steady clock stands still.
+ * boot-clock.c: simulates a suspended machine: advances CLOCK_BOOTTIME of a process and leaves its other
+ * clocks as they are.
  *
- * Loaded before the C library by tests alone.  The file that QUINCE_BOOT_CLOCK names holds how far, as
- * microseconds in decimal digits.
+ * Only tests load this library, with LD_PRELOAD.  The environment variable QUINCE_BOOT_CLOCK names a file
+ * that contains the offset in microseconds, as decimal digits.
  */
 #include <dlfcn.h>
 #include <fcntl.h>
@@ -13,6 +13,7 @@
 
 int clock_gettime (clockid_t clock, struct timespec *time);
 
+/* Returns the offset, or 0 if there is no file or it is empty. */
 static long long
 read_offset_us (void)
 {
--- a/tests/platform/call-load.h
+++ b/tests/platform/call-load.h
@@ -1,25 +1,23 @@
 /*
- * call-load.h: lookups and streams, repeatable and not, through both fronts while something fails, and what
- * callers are promised: whole answers of their own, "not run" only of what did not run, at most once.
- *
- * The judges are the workers' own records of runs and every byte that callers got.
+ * call-load.h: sends lookups and streams through all fronts and checks their answers against the runs that
+ * the workers recorded.
  */
 #pragma once
 
 #include "path-world.h"
 
 #define CALL_EVENTS 6
-/* Of each request, and of the routes' own timeouts; path_start_call() sends it. */
+/* Deadline of each request; path_start_call() sends it in a header. */
 #define CALL_DEADLINE_MS 3000
-/* After its deadline a request must have been answered. */
+/* A request that ran must be answered this long after its deadline at the latest. */
 #define CALL_ANSWER_GRACE_MS 500
 
 typedef enum
 {
-  CALL_LOOKUP,                /* may be repeated             */
-  CALL_NON_IDEMPOTENT_LOOKUP, /* must not be                 */
-  CALL_STREAM,                /* may go on at another worker */
-  CALL_NON_RESUMABLE_STREAM,  /* must not                    */
+  CALL_LOOKUP,                /* idempotent: may be retried             */
+  CALL_NON_IDEMPOTENT_LOOKUP, /* must run at most once                  */
+  CALL_STREAM,                /* may be resumed at another worker       */
+  CALL_NON_RESUMABLE_STREAM,  /* must run at most once                  */
   CALL_KINDS
 } CallKind;
 
@@ -31,7 +29,7 @@
   CallKind kind;
   guint front;
   gint64 started_us;
-  gint64 done_us; /* 0: not yet */
+  gint64 done_us; /* 0 while the call is in flight */
   PathAnswer answer;
 } Call;
 
@@ -39,22 +37,22 @@
 {
   PathWorld *world;
   GPtrArray *calls; /* Call, owned */
-  guint total;      /* calls of the load that runs; no more begin */
+  guint total;      /* calls to start in all */
   guint timer;
-  char *name; /* its ids begin with it */
+  char *name; /* prefix of the request ids */
 } CallLoad;
 
 typedef struct
 {
   guint calls;
   guint complete;
-  guint refused; /* told that it did not run */
-  guint failed;  /* an answer that says neither */
-  guint cut;     /* no answer, or a part */
+  guint refused; /* answered with a status that means: not run */
+  guint failed;  /* complete answers with any other status */
+  guint cut;     /* no answer, or a partial one */
   guint repeated;
 } CallLoadCounts;
 
-/* The services of path-world.h, and a route of lookups that must not be repeated. */
+/* Writes the configuration of path-world.h with an additional route for non-idempotent lookups. */
 static inline void
 call_load_configure (PathWorld *world, guint version)
 {
@@ -77,7 +75,7 @@
   g_free (call);
 }
 
-/* ---- Sending ------------------------------------------------------------ */
+/* ---- Sending calls ------------------------------------------------------------ */
 
 static inline Call *
 call_load_start_call (CallLoad *load, CallKind kind, guint front)
@@ -107,7 +105,8 @@
   return G_SOURCE_CONTINUE;
 }
 
-/* @total calls of all kinds through all fronts in turn, one each @interval_ms. */
+/* Starts @total calls, one every @interval_ms, alternating between kinds and fronts.  If @total is 0, the
+ * caller starts them itself. */
 static inline CallLoad *
 call_load_new (PathWorld *world, const char *name, guint total, guint interval_ms)
 {
@@ -121,7 +120,7 @@
   return load;
 }
 
-/* No more calls begin. */
+/* Starts no more calls; those in flight continue. */
 static inline void
 call_load_stop (CallLoad *load)
 {
@@ -140,7 +139,7 @@
   g_free (load);
 }
 
-/* Returns: how many are answered; notes when. */
+/* Returns the number of calls that have ended; records the time at which each is first seen to have ended. */
 static inline guint
 call_load_count_done (CallLoad *load)
 {
@@ -161,7 +160,7 @@
   AWAIT (call_load_count_done (load) == load->total);
 }
 
-/* ---- Judging ------------------------------------------------------------ */
+/* ---- Checking answers ------------------------------------------------------------ */
 
 static inline const StandinWorker *
 call_load_worker (const PathWorld *world, guint index)
@@ -169,7 +168,7 @@
   return index < PATH_PLAIN ? world->plain[index] : world->model[index - PATH_PLAIN];
 }
 
-/* Runs by id, at all workers. (transfer full) */
+/* Returns: (transfer full): the number of runs at all workers by request id; the ids belong to the workers */
 static inline GHashTable *
 call_load_collect_runs (const PathWorld *world)
 {
@@ -187,7 +186,7 @@
   return runs;
 }
 
-/* Runs of any call so far, for who waits until some are in progress. */
+/* Returns the number of runs of all calls of @load so far. */
 static inline guint
 call_load_count_runs (const CallLoad *load)
 {
@@ -222,7 +221,8 @@
   return call->kind == CALL_NON_IDEMPOTENT_LOOKUP || call->kind == CALL_NON_RESUMABLE_STREAM;
 }
 
-/* Each byte is of the call's own answer, in order; nothing is said of its end. */
+/* Returns TRUE if the received body is a prefix of the expected one.  For a lookup, only the bytes up to
+ * "ID by p" are compared. */
 static inline gboolean
 call_has_valid_prefix (const Call *call)
 {
@@ -245,7 +245,7 @@
   return g_str_equal (call->answer.body, stream);
 }
 
-/* Statuses that say: it did not run and never will. */
+/* Returns TRUE if the status means that the call has not run and will not run. */
 static inline gboolean
 call_is_refused (const Call *call)
 {
@@ -271,17 +271,17 @@
   gboolean complete = call_is_complete (call);
   gboolean refused = answered && call_is_refused (call);
   if (call->answer.status == 200 && answered && !complete)
-    call_fail (call, runs, "looks whole and is not");
+    call_fail (call, runs, "status 200 with an incomplete answer");
   if (call->answer.status == 200 && !call_has_valid_prefix (call))
-    call_fail (call, runs, "bytes that are not of its answer");
+    call_fail (call, runs, "the body has bytes of another answer");
   if (refused && runs > 0)
-    call_fail (call, runs, "told that it did not run, but it did");
+    call_fail (call, runs, "refused as not run, but it ran");
   if (refused && call->answer.retry_after == NULL)
-    call_fail (call, runs, "refused without a time to come back");
+    call_fail (call, runs, "refused without a Retry-After header");
   if (complete && runs == 0)
-    call_fail (call, runs, "an answer that no worker gave");
+    call_fail (call, runs, "complete answer, but no worker ran it");
   if (call_must_run_at_most_once (call) && runs > 1)
-    call_fail (call, runs, "ran again");
+    call_fail (call, runs, "ran more than once");
   counts->calls++;
   counts->complete += complete;
   counts->refused += refused;
@@ -290,7 +290,8 @@
   counts->repeated += runs > 1;
 }
 
-/* Asserts the promises to callers. */
+/* Asserts that complete answers are correct, that refused calls did not run, and that calls which must run at
+ * most once did. */
 static inline CallLoadCounts
 call_load_check (CallLoad *load)
 {
@@ -302,12 +303,13 @@
       assert_true (call->answer.done);
       call_check (call, GPOINTER_TO_UINT (g_hash_table_lookup (runs, call->id)), &counts);
     }
-  print_message ("  calls=%u whole=%u refused=%u failed=%u cut=%u repeated=%u\n", counts.calls,
+  print_message ("  calls=%u complete=%u refused=%u failed=%u cut=%u repeated=%u\n", counts.calls,
                  counts.complete, counts.refused, counts.failed, counts.cut, counts.repeated);
   return counts;
 }
 
-/* Nobody is left waiting: what never ran was refused before its deadline, and what ran is told by then. */
+/* Asserts that calls that did not run ended by their deadline, and the others by CALL_ANSWER_GRACE_MS after
+ * it. */
 static inline void
 call_load_assert_deadlines (CallLoad *load)
 {
@@ -318,6 +320,6 @@
       guint call_runs = GPOINTER_TO_UINT (g_hash_table_lookup (runs, call->id));
       gint64 took_ms = (call->done_us - call->started_us) / 1000;
       if (took_ms > CALL_DEADLINE_MS + (call_runs > 0 ? CALL_ANSWER_GRACE_MS : 0))
-        call_fail (call, call_runs, "waited for its deadline");
+        call_fail (call, call_runs, "ended too long after its deadline");
     }
 }
--- a/tests/platform/callers-faults.h
+++ b/tests/platform/callers-faults.h
@@ -1,5 +1,6 @@
 /*
- * callers-faults.h: what test-callers.c does to workers, fronts, replicas, the store and the networks.
+ * callers-faults.h: the faults that test-callers.c injects into workers, processes, the store and the
+ * network.
  */
 #pragma once
 
@@ -10,19 +11,19 @@
 #define EVENT_INTERVAL_MS 40
 #define SLOW_EVENT_INTERVAL_MS 300
 #define FAULTY_ANSWERS 8
-/* Of answers on one connection; a stream of these workers has some 300. */
+/* Answer bytes on one connection before it is closed; one stream has about 300. */
 #define CONNECTION_LIMIT_BYTES 900
 
 typedef struct _Scene Scene;
 
 /**
  * FaultCase:
- * @begin: makes the fault while calls are in progress
- * @end: (nullable): ends it @duration_ms later
- * @pauses_relays: relays are held meanwhile, and must hold some connection
- * @must_break_calls: the fault must cost some call its answer, or have it run again
- * @stops_front: calls at front 0 may hear nothing until it is over
- * @min_complete_calls: of 100 calls
+ * @begin: (nullable): injects the fault while calls are in flight
+ * @end: (nullable): ends the fault, @duration_ms after @begin
+ * @pauses_relays: the fault pauses relays, and must affect at least one connection
+ * @must_break_calls: at least one call must fail, be cut off or run more than once
+ * @stops_front: calls at front 0 may exceed their deadline
+ * @min_complete_calls: minimum of calls with a complete answer, in percent
  */
 typedef struct
 {
@@ -36,15 +37,15 @@
   guint min_complete_calls;
 } FaultCase;
 
-/* One deployment, shared by the cases until one of them fails. */
+/* One deployment, shared by all cases; a failed case causes a new one to be created. */
 struct _Scene
 {
   RelayedWorld *world;
   const FaultCase *running;
-  guint leader; /* struck by the running case */
-  guint loads;  /* so far */
+  guint leader; /* replica that led when the case started */
+  guint loads;  /* created so far */
   guint restarts;
-  gboolean last_case_passed; /* the last case came to its end */
+  gboolean last_case_passed;
 };
 
 /* ---- Workers ------------------------------------------------------------ */
@@ -143,7 +144,7 @@
   restart_worker (scene, scene->world->path->model[0], "m", "llm");
 }
 
-/* ---- Networks between fronts and workers ------------------------------------ */
+/* ---- Network between fronts and workers ----------------------------------- */
 
 static void
 for_each_worker_relay (Scene *scene,
@@ -344,85 +345,85 @@
 /* ---- Cases -------------------------------------------------------------- */
 
 static const FaultCase fault_cases[] = {
-  { .name = "nothing fails", .min_complete_calls = 100 },
-  { .name = "workers die and come back",
+  { .name = "no fault", .min_complete_calls = 100 },
+  { .name = "workers crash and restart",
     .begin = kill_workers,
     .end = restart_workers,
     .duration_ms = 300,
     .must_break_calls = TRUE,
     .min_complete_calls = 70 },
-  { .name = "workers run it and reset",
+  { .name = "workers run the request and reset the connection",
     .begin = reset_before_answers,
     .end = end_faults,
     .duration_ms = 500,
     .must_break_calls = TRUE,
     .min_complete_calls = 70 },
-  { .name = "streams cut",
+  { .name = "streams truncated",
     .begin = truncate_streams,
     .end = end_faults,
     .duration_ms = 500,
     .must_break_calls = TRUE,
     .min_complete_calls = 60 },
-  { .name = "answers cut",
+  { .name = "lookup answers truncated",
     .begin = truncate_lookups,
     .end = end_faults,
     .duration_ms = 500,
     .must_break_calls = TRUE,
     .min_complete_calls = 60 },
   { .name = "events delayed", .begin = delay_events, .duration_ms = 600, .min_complete_calls = 100 },
-  { .name = "workers' routes cut",
+  { .name = "connections to workers closed",
     .begin = cut_routes,
     .end = restore_routes,
     .duration_ms = 400,
     .must_break_calls = TRUE,
     .min_complete_calls = 70 },
-  { .name = "workers' answers half-closed",
+  { .name = "answers of workers half-closed",
     .begin = half_close_answers,
     .end = clear_half_closed,
     .duration_ms = 300,
     .must_break_calls = TRUE,
     .min_complete_calls = 60 },
-  { .name = "workers' requests half-closed",
+  { .name = "requests to workers half-closed",
     .begin = half_close_requests,
     .end = clear_half_closed,
     .duration_ms = 300,
     .min_complete_calls = 60 },
-  { .name = "workers' routes held",
+  { .name = "network to workers partitioned",
     .begin = pause_routes,
     .end = resume_routes,
     .duration_ms = 1500,
     .pauses_relays = TRUE,
     .min_complete_calls = 70 },
-  { .name = "connections cut after some bytes",
+  { .name = "connections closed after a byte limit",
     .begin = set_route_limits,
     .end = clear_route_limits,
     .duration_ms = 500,
     .must_break_calls = TRUE,
     .min_complete_calls = 30 },
-  { .name = "workers hang",
+  { .name = "workers do not answer",
     .begin = hang_workers,
     .end = end_faults,
     .duration_ms = 1000,
     .must_break_calls = TRUE,
     .min_complete_calls = 60 },
-  { .name = "workers refuse",
+  { .name = "workers refuse requests",
     .begin = refuse_at_one_of_each,
     .end = end_faults,
     .duration_ms = 500,
     .min_complete_calls = 70 },
-  { .name = "all workers refuse",
+  { .name = "all workers refuse requests",
     .begin = refuse_at_all,
     .end = end_faults,
     .duration_ms = 500,
     .min_complete_calls = 30 },
-  { .name = "front killed and started again",
+  { .name = "front killed and restarted",
     .begin = kill_front,
     .end = restart_front,
     .duration_ms = 300,
     .must_break_calls = TRUE,
     .stops_front = TRUE,
     .min_complete_calls = 40 },
-  { .name = "front frozen for three seconds",
+  { .name = "front suspended for three seconds",
     .begin = suspend_front,
     .end = resume_front,
     .duration_ms = 3000,
@@ -433,23 +434,23 @@
     .end = restart_leader,
     .duration_ms = 800,
     .min_complete_calls = 100 },
-  { .name = "leader frozen for three seconds",
+  { .name = "leader suspended for three seconds",
     .begin = suspend_leader,
     .end = resume_leader,
     .duration_ms = 3000,
     .min_complete_calls = 100 },
-  { .name = "leader cut from all others",
+  { .name = "leader partitioned from all others",
     .begin = isolate_leader,
     .end = reconnect_leader,
     .duration_ms = 1500,
     .pauses_relays = TRUE,
     .min_complete_calls = 100 },
-  { .name = "store down",
+  { .name = "store unavailable",
     .begin = make_store_unavailable,
     .end = restore_store,
     .duration_ms = 1000,
     .min_complete_calls = 100 },
-  { .name = "workers die, leader frozen",
+  { .name = "workers crash, leader suspended",
     .begin = kill_workers_suspend_leader,
     .end = restart_workers_resume_leader,
     .duration_ms = 3000,
--- a/tests/platform/cold-world.h
+++ b/tests/platform/cold-world.h
@@ -1,23 +1,23 @@
 /*
- * cold-world.h: workers that are cold, and the requests that reach them in any second.
+ * cold-world.h: a deployment with cold workers; counts the requests that reach them in any second.
  */
 #pragma once
 
 #include "path-world.h"
 
-/* At a cold worker, in any second: 4 x 1.5 + 2. */
 #define COLD_PER_S "4"
 #define COLD_START_MS 3000
+/* Requests to a cold worker in any second: COLD_PER_S times overage, plus slack. */
 #define COLD_MAX_PER_WINDOW 8
 #define COLD_SETTINGS "[warmup]\noverage=1.5\nslack=2\n"
-/* News of entries reach all processes within it. */
+/* Changes of worker entries reach all processes within this time. */
 #define COLD_PROPAGATION_MS 2500
 #define COLD_WINDOW_US G_USEC_PER_SEC
 
 typedef struct
 {
   PathWorld *path;
-  GPtrArray *answers; /* PathAnswer, owned: callers keep their connections until they end */
+  GPtrArray *answers; /* PathAnswer, owned; freed after all requests have ended */
   guint sent;
 } ColdWorld;
 
@@ -28,7 +28,7 @@
   g_free (data);
 }
 
-/* The services of path-world.h, with cold workers that bear little. */
+/* Writes the configuration of path-world.h with a rate limit for cold workers. */
 static inline void
 cold_configure (PathWorld *path, guint version)
 {
@@ -59,7 +59,7 @@
   standin_store_put (world->path->store, key, entry);
 }
 
-/* All workers are warm at first; then those that a test needs turn cold. */
+/* Starts the deployment with warm workers; the cold_register_ functions make workers cold. */
 static inline ColdWorld *
 cold_world_start (const char *name)
 {
@@ -93,7 +93,7 @@
   g_free (world);
 }
 
-/* One request at a front, by turns. */
+/* Sends a request, without waiting for the answer, to the fronts in turn. */
 static inline void
 cold_send_request (ColdWorld *world, const char *target)
 {
@@ -104,14 +104,13 @@
   path_start_call (path_front (world->path, front), "POST", target, id, "x", answer);
 }
 
-/* One lookup. */
 static inline void
 cold_send_lookup (ColdWorld *world)
 {
   cold_send_request (world, "/l/1");
 }
 
-/* Lookups at all fronts, one each @interval_ms, for @duration_ms. */
+/* Sends a lookup every @interval_ms for @duration_ms, to the fronts in turn. */
 static inline void
 cold_send_lookups (ColdWorld *world, guint interval_ms, guint duration_ms)
 {
@@ -122,6 +121,7 @@
     }
 }
 
+/* Counts the answers with @status, from index @first on. */
 static inline guint
 cold_count_status (const ColdWorld *world, guint first, guint status)
 {
@@ -131,7 +131,7 @@
   return count;
 }
 
-/* The most arrivals at @worker in any second, of those from number @first on. */
+/* Returns the maximum number of runs at @worker in any second, from index @first on. */
 static inline guint
 cold_max_runs_per_window (const StandinWorker *worker, guint first)
 {
--- a/tests/platform/crash-world.h
+++ b/tests/platform/crash-world.h
@@ -1,12 +1,12 @@
 /*
- * crash-world.h: workers that end under requests and come back as other incarnations.
+ * crash-world.h: workers that crash on certain requests and restart under a new id.
  */
 #pragma once
 
 #include "path-world.h"
 
 #define CRASH_POLL_INTERVAL_MS 20
-/* A dead worker's entry lapses, and another incarnation is listed, after so many polls. */
+/* Polls after a crash until the worker's entry is removed, and until the worker is restarted. */
 #define CRASH_UNREGISTER_POLLS 8
 #define CRASH_RESTART_POLLS 16
 #define CRASH_DELAY_MS 10
@@ -17,8 +17,8 @@
   PathWorld *path;
   guint polls_down[CRASH_N_WORKERS];
   guint incarnations;
-  guint crashes;           /* workers that ended so far */
-  guint min_plain_running; /* plain workers that lived at the worst look */
+  guint crashes;           /* so far, as seen by polls */
+  guint min_plain_running; /* minimum of running plain workers in any poll */
   guint timer;
 } CrashWorld;
 
@@ -71,7 +71,8 @@
   return G_SOURCE_CONTINUE;
 }
 
-/* In a deployment that runs: requests that hold @crash_trigger end their workers. */
+/* Makes the workers of a running deployment crash on requests that contain @crash_trigger, and starts polling
+ * and restarting them.  @path is freed by crash_world_free(). */
 static inline CrashWorld *
 crash_world_watch (PathWorld *path, const char *crash_trigger)
 {
@@ -111,7 +112,7 @@
   return TRUE;
 }
 
-/* Runs at all workers whose body or target holds @text. */
+/* Counts the runs at all workers whose body or target contains @text. */
 static inline guint
 crash_world_count_runs (CrashWorld *world, const char *text)
 {
@@ -128,7 +129,7 @@
   return count;
 }
 
-/* One try under an id of its own. */
+/* Sends a request with a unique id and returns the status of the answer. */
 static inline guint
 crash_world_call (CrashWorld *world, guint front, const char *target, const char *body)
 {
@@ -137,14 +138,14 @@
   return path_status (path_front (world->path, front), "POST", target, id, body);
 }
 
-/* An innocent lookup is answered: all fronts know living workers again. */
+/* Returns TRUE if @front answers a lookup that crashes no worker. */
 static inline gboolean
 crash_world_serves (CrashWorld *world, guint front)
 {
   return crash_world_call (world, front, "/l/innocent", "x") == 200;
 }
 
-/* All workers live, and both fronts know it. */
+/* Returns TRUE if all workers are running and fronts 0 and 1 answer lookups. */
 static inline gboolean
 crash_world_all_serve (CrashWorld *world)
 {
--- a/tests/platform/groups.h
+++ b/tests/platform/groups.h
@@ -1,5 +1,5 @@
 /*
- * groups.h: batches whose items come in groups that share a prompt.
+ * groups.h: makes and submits batches of groups whose items share a prompt prefix.
  */
 #pragma once
 
@@ -7,8 +7,8 @@
 
 /**
  * Group:
- * @name: stands in the path of each item, and in the name of the prompt
- * @members: items
+ * @name: part of the path and of the prompt prefix of each item
+ * @members: number of items
  */
 typedef struct
 {
@@ -18,7 +18,7 @@
 
 #define GROUP_BODY_BYTES 300
 
-/* The same bytes for the same item, of all values. */
+/* Returns: (transfer full): pseudo-random bytes, the same for the same item */
 static inline GBytes *
 group_item_body (const char *group, guint member)
 {
@@ -58,7 +58,7 @@
                           prompt, encoded, batch, group->name, batch, group->name, member, member, encoded);
 }
 
-/* (transfer full) */
+/* Returns: (transfer full): the batch as JSON */
 static inline char *
 groups_make_batch (const char *batch, const Group *groups, guint n_groups)
 {
@@ -71,6 +71,7 @@
   return g_string_free (g_steal_pointer (&text), FALSE);
 }
 
+/* Submits the batch at @front until it is accepted. */
 static inline void
 groups_submit (PathWorld *world, guint front, const char *batch, const Group *groups, guint n_groups)
 {
--- a/tests/platform/path-world.h
+++ b/tests/platform/path-world.h
@@ -1,5 +1,6 @@
 /*
- * path-world.h: fronts and replicas as real processes, against stand-ins of the platform's store and workers.
+ * path-world.h: a deployment of real fronts and replicas, with stand-ins for the platform's store and
+ * workers.
  */
 #pragma once
 
@@ -13,14 +14,13 @@
 #include "standin-store.h"
 #include "standin-worker.h"
 
-/* A test may have its own numbers. */
+/* A test may define other numbers before it includes this file. */
 #ifndef PATH_FRONTS
 #define PATH_FRONTS 2
 #endif
 #ifndef PATH_REPLICAS
 #define PATH_REPLICAS 3
 #endif
-/* A test that needs other numbers of workers names them before it includes this. */
 #ifndef PATH_PLAIN
 #define PATH_PLAIN 2
 #endif
@@ -38,14 +38,14 @@
   QuinceProcess *fronts[PATH_FRONTS];
   QuinceProcess *replicas[PATH_REPLICAS];
   gboolean bootstrapped;
-  const char *zones; /* all zones with their regions, as processes are told; NULL: they are not */
+  const char *zones;                        /* value of the setting "zones"; NULL: not set */
   const char *front_zones[PATH_FRONTS];     /* NULL: z1 */
   const char *replica_zones[PATH_REPLICAS]; /* NULL: z1 */
-  const char *losses; /* the losses that the ledger bears, lines of its settings; NULL: one machine */
-  char *extra_replica_settings; /* more settings of replicas; NULL: none */
-  char *extra_front_settings;   /* more settings of fronts; NULL: none */
-  char *links[PATH_REPLICAS]; /* where each replica listens, at every start; NULL: where the kernel chooses */
-  GSocket *reserved_ports[PATH_REPLICAS]; /* owned: keep these ports from others */
+  const char *losses;           /* settings of [ledger] for the losses it tolerates; NULL: losses=1 */
+  char *extra_replica_settings; /* appended to the settings of replicas; NULL: none */
+  char *extra_front_settings;   /* appended to the settings of fronts; NULL: none */
+  char *links[PATH_REPLICAS];   /* listen addresses; NULL: a free port at each start */
+  GSocket *reserved_ports[PATH_REPLICAS]; /* owned; bound so that no other test gets the ports */
 } PathWorld;
 
 typedef struct
@@ -53,7 +53,7 @@
   gboolean done;
   QuinceHttpOutcome outcome;
   guint status;
-  char *body; /* ends with a zero that is not part of it */
+  char *body; /* NUL-terminated; body_length excludes the NUL */
   gsize body_length;
   char *connection;
   char *signature;
@@ -95,7 +95,8 @@
 
 static const QuinceHttpExchangeCallbacks path_callbacks = { .done = path_exchange_done };
 
-/* Sends without waiting, with one more header where @name is given; @answer lives until it is done. */
+/* Sends a request without waiting for the answer, with the header @name if it is not NULL.  @answer must stay
+ * valid until its field done is TRUE. */
 static inline void
 path_start_call_with_header (const char *address,
                              const char *method,
@@ -133,6 +134,7 @@
   path_start_call_with_header (address, method, target, id, text, NULL, NULL, answer);
 }
 
+/* Sends a request, waits for the answer and returns its status.  The caller clears @answer. */
 static inline guint
 path_call (const char *address,
            const char *method,
@@ -146,7 +148,7 @@
   return answer->status;
 }
 
-/* The status alone. */
+/* Sends a request, waits for the answer and returns its status. */
 static inline guint
 path_status (const char *address, const char *method, const char *target, const char *id, const char *text)
 {
@@ -156,6 +158,7 @@
   return status;
 }
 
+/* Returns the address at which the front accepts callers. */
 static inline const char *
 path_front (const PathWorld *world, guint index)
 {
@@ -174,11 +177,11 @@
   g_autoptr (GError) error = NULL;
   QuinceProcess *process = quince_process_spawn (world->folder, name, arguments, &error);
   if (process == NULL || !quince_process_await_ready (process, &error))
-    fail_msg ("%s does not start: %s", name, error->message);
+    fail_msg ("%s failed to start: %s", name, error->message);
   return process;
 }
 
-/* The settings that tell a process where it stands. (transfer full) */
+/* Returns: (transfer full): the settings for the zone of a process */
 static inline char *
 path_format_zone_settings (const PathWorld *world, const char *zone)
 {
@@ -218,7 +221,7 @@
   world->replicas[index] = path_spawn (world, "quinceroute-replica", name, settings);
 }
 
-/* Replicas come back where they were, at ports that the kernel finds free and that nobody else gets. */
+/* Reserves a free port for each replica, so that a restarted replica has the same address. */
 static inline void
 path_reserve_links (PathWorld *world)
 {
@@ -231,7 +234,7 @@
     }
 }
 
-/* The disk of a replica that is down is lost. */
+/* Deletes the database of a replica that is not running. */
 static inline void
 path_delete_replica_data (PathWorld *world, guint index)
 {
@@ -244,7 +247,7 @@
     }
 }
 
-/* Which replica led last, by what the processes wrote; the epoch is part of the line. */
+/* Returns the replica that logged the latest epoch as leader, or -1 if none did. */
 static inline gint
 path_find_leader (PathWorld *world)
 {
@@ -342,7 +345,7 @@
   return world;
 }
 
-/* All processes run, and the ledger takes batches. */
+/* Starts all processes and waits until each front answers reads of the ledger and lookups. */
 static inline void
 path_world_start (PathWorld *world)
 {
@@ -382,7 +385,7 @@
   standin_store_free (world->store);
   guint failures = quince_process_get_and_reset_failures ();
   if (failures > 0)
-    fail_msg ("%u processes ended by themselves; logs in %s", failures, world->folder);
+    fail_msg ("%u processes exited unexpectedly; logs in %s", failures, world->folder);
   g_autofree char *remove = g_strdup_printf ("rm -rf '%s'", world->folder);
   g_assert_cmpint (system (remove), ==, 0);
   g_free (world->folder);
@@ -398,7 +401,7 @@
 
 /* ---- The operator ----------------------------------------------------- */
 
-/* Runs the operator's program on the metadata store. Returns: its exit status */
+/* Runs the command-line tool against the metadata store and returns its exit status. */
 static inline int
 path_run_operator_tool (PathWorld *world, const char *const *words)
 {
@@ -438,7 +441,6 @@
   return g_string_free (g_steal_pointer (&text), FALSE);
 }
 
-/* Occurrences of @part in @text. */
 static inline guint
 path_count_occurrences (const char *text, const char *part)
 {
@@ -448,7 +450,7 @@
   return count;
 }
 
-/* All results, read from the start; NULL while they cannot be read. (transfer full) */
+/* Returns: (transfer full) (nullable): all results of the batch as JSON, or NULL if the read failed */
 static inline char *
 path_fetch_results (PathWorld *world, guint front, const char *batch)
 {
@@ -460,6 +462,7 @@
   return text;
 }
 
+/* Returns the number of results of the batch, or 0 if the read failed. */
 static inline guint
 path_count_results (PathWorld *world, guint front, const char *batch)
 {
--- a/tests/platform/policy-scene.h
+++ b/tests/platform/policy-scene.h
@@ -1,7 +1,6 @@
 /*
- * policy-scene.h: policies that operators accept while callers come, and the judges of what is in force.
- *
- * The judges are the revisions that each process logged as in force, the workers' runs, and what callers got.
+ * policy-scene.h: accepts policies while calls are in flight and checks when each process applies them, by
+ * its log, the runs of workers and the answers to callers.
  */
 #pragma once
 
@@ -18,7 +17,7 @@
       "  if request.kind == \"l\" then return { refuse = \"closed\" } end\n"
       "  return { priority = 1 }\nend\n-- %u\n";
 
-/* Lookups, streams that may go on elsewhere, streams that may not be repeated. */
+/* Lookups, resumable streams, non-resumable streams. */
 static const char *const call_targets[] = { "/l/call", "/s/call", "/u/call" };
 
 typedef struct
@@ -34,10 +33,10 @@
   guint leader; /* replica that led at the start */
   guint64 revision;
   gint64 accepted_us;
-  guint policies;   /* written so far, so that no two texts are the same */
+  guint policies;   /* written so far; makes each policy text unique */
   GPtrArray *calls; /* Call, owned */
   guint timer;
-  gboolean isolated[RELAYED_N_PROCESSES]; /* hears neither the store nor the leader */
+  gboolean isolated[RELAYED_N_PROCESSES]; /* gets no updates from the store or the leader */
 } Scene;
 
 /* ---- What is in force --------------------------------------------------- */
@@ -49,8 +48,8 @@
                                : g_strdup_printf ("replica-%u", process - PATH_FRONTS);
 }
 
-/* What @process has logged since its start; each entry is checked to be later than the one before.
- * Returns: the latest revision, 0: none */
+/* Returns the latest revision that @process logged as in force, or 0 if there is none.  Fails the test if the
+ * logged revisions do not increase. */
 static inline guint64
 revision_in_force (const Scene *scene, guint process)
 {
@@ -80,7 +79,7 @@
   return TRUE;
 }
 
-/* For who reads of a failure: which process was late, and in which order. */
+/* Prints each process that has newly applied the policy, and after what time. */
 static inline void
 print_processes_in_force (const Scene *scene, gboolean *reported, gint64 since_us)
 {
@@ -109,12 +108,12 @@
   print_message ("  revision=%u in_force_ms=%d everywhere=%d\n", (guint)scene->revision, (int)took_ms,
                  include_isolated);
   if (took_ms > IN_FORCE_MAX_MS)
-    fail_msg ("in force after %d ms", (int)took_ms);
+    fail_msg ("the policy was in force only after %d ms", (int)took_ms);
 }
 
 /* ---- Operators ------------------------------------------------------------ */
 
-/* A policy file with a text of its own. (transfer full) */
+/* Returns: (transfer full): the path of a new policy file with a unique text */
 static inline char *
 write_policy (Scene *scene, const char *format)
 {
@@ -154,7 +153,7 @@
   g_free (call);
 }
 
-/* Each front gets Lookups, streams that may go on elsewhere and streams that may not be repeated. */
+/* Starts a call; alternates between the fronts, then between the targets. */
 static inline gboolean
 start_call (gpointer data)
 {
@@ -169,7 +168,7 @@
   return G_SOURCE_CONTINUE;
 }
 
-/* Runs of Lookups at all workers, of all calls when @id is %NULL. */
+/* Counts the runs of call @id at all workers, or the runs of all lookups if @id is NULL. */
 static inline guint
 count_runs (const Scene *scene, const char *id)
 {
@@ -212,7 +211,8 @@
   return count;
 }
 
-/* What is refused has not run, what may run once has, and a success is whole. */
+/* Asserts that refused calls did not run, that non-resumable streams ran at most once, and that answers with
+ * status 200 are complete. */
 static inline void
 assert_calls (const Scene *scene)
 {
@@ -232,7 +232,7 @@
       refused += call->answer.status == 503;
       unknown += !is_complete (call) && call->answer.status != 503;
     }
-  print_message ("  calls=%u whole=%u refused=%u unknown=%u\n", scene->calls->len, complete, refused,
+  print_message ("  calls=%u complete=%u refused=%u unknown=%u\n", scene->calls->len, complete, refused,
                  unknown);
 }
 
--- a/tests/platform/raw.h
+++ b/tests/platform/raw.h
@@ -1,5 +1,5 @@
 /*
- * raw.h: a caller that writes its own bytes.
+ * raw.h: a caller that sends arbitrary bytes, such as malformed requests.
  */
 #pragma once
 
@@ -8,7 +8,7 @@
 typedef struct
 {
   GSocket *socket; /* owned */
-  GString *text;   /* what came */
+  GString *text;   /* received so far */
   gboolean closed;
 } RawCaller;
 
@@ -48,7 +48,7 @@
       else if (!g_main_context_iteration (NULL, FALSE))
         g_usleep (1000);
       if (g_socket_condition_check (caller->socket, G_IO_HUP | G_IO_ERR) != 0)
-        return; /* the front refused before all was sent */
+        return; /* the front closed the connection */
     }
 }
 
@@ -71,6 +71,7 @@
   return strstr (caller->text->str, part) != NULL;
 }
 
+/* Returns the number of HTTP answers received so far. */
 static inline guint
 raw_count_answers (RawCaller *caller)
 {
--- a/tests/platform/regions-world.h
+++ b/tests/platform/regions-world.h
@@ -1,6 +1,6 @@
 /*
- * regions-world.h: two regions and the link between them, as processes.  The metadata store stands in the
- * east.
+ * regions-world.h: a deployment of two regions with a simulated link between them.  The metadata store is in
+ * the east.
  */
 #pragma once
 
@@ -13,10 +13,10 @@
 #define EAST_FRONT 0
 #define WEST_FRONT 2
 #define ITEMS 8
-/* One way between the regions of the users' deployments, ms. */
+/* One-way delay between the regions of the users' deployments. */
 #define REGION_DELAY_MS 12
-/* From a submission until all is listed, beside the time of the texts: one change of the leader (2 s), and
- * the time after which a silent worker's samples go elsewhere. */
+/* From the submission of a batch to its last result: allows for one change of leader (2 s) and for moving
+ * samples away from an unresponsive worker. */
 #define STEP_MAX_MS 15000
 #define REGIONAL_SERVICE_MS 2000
 
@@ -33,7 +33,7 @@
                                                : path->replica_zones[process - PATH_FRONTS]);
 }
 
-/* Workers stand in the regions by turns. */
+/* Workers alternate between the regions. */
 static inline guint
 region_of_target (const PathWorld *path, guint target)
 {
@@ -44,7 +44,7 @@
   return (target < RELAYED_MODEL (0) ? target - RELAYED_PLAIN (0) : target - RELAYED_MODEL (0)) % 2;
 }
 
-/* What passes from the east to the west, and back. */
+/* Pauses or resumes each direction of the traffic between the regions. */
 static inline void
 pause_region_link (RelayedWorld *world, gboolean to_west, gboolean to_east)
 {
@@ -67,7 +67,7 @@
         standin_relay_set_delay_and_rate (world->relays[i][j], link_delay_ms, bytes_per_s);
 }
 
-/* Two regions in which no process runs yet. */
+/* Makes a deployment of two regions; starts no process. */
 static inline RelayedWorld *
 place (const char *name, guint link_delay_ms)
 {
@@ -82,7 +82,7 @@
   return world;
 }
 
-/* @leader: the replica that founds the ledger */
+/* Starts all processes; replica @leader starts first and bootstraps the ledger. */
 static inline RelayedWorld *
 start (const char *name, guint leader, guint link_delay_ms)
 {
@@ -107,8 +107,8 @@
          || residency_lookup (world->path, front, NULL) == 200;
 }
 
-/* Submits a batch at @preferred or, where that does not take it, at @fallback, and waits until all of it is
- * listed. Returns: how long that took, ms */
+/* Submits a batch to @preferred and @fallback in turn until one accepts it, and waits for all results.
+ * Returns the time that took, in ms. */
 static inline gint64
 run_batch_with_fallback (RelayedWorld *world, guint preferred, guint fallback, const char *batch)
 {
@@ -120,8 +120,8 @@
   gint64 accepted_us = g_get_monotonic_time ();
   AWAIT (path_count_results (world->path, front, batch) == ITEMS);
   gint64 complete_us = g_get_monotonic_time ();
-  print_message ("  %s: taken after %" G_GINT64_FORMAT " ms, whole after %" G_GINT64_FORMAT " ms\n", batch,
-                 (accepted_us - started_us) / 1000, (complete_us - started_us) / 1000);
+  print_message ("  %s: accepted after %" G_GINT64_FORMAT " ms, complete after %" G_GINT64_FORMAT " ms\n",
+                 batch, (accepted_us - started_us) / 1000, (complete_us - started_us) / 1000);
   return (complete_us - started_us) / 1000;
 }
 
@@ -131,6 +131,7 @@
   return run_batch_with_fallback (world, front, front, batch);
 }
 
+/* Returns the fronts that the directory of @front returns for @query, as a bit mask. */
 static inline guint
 resolve_fronts (RelayedWorld *world, guint front, const char *query)
 {
@@ -146,7 +147,8 @@
   return mask;
 }
 
-/* Lookups are served in each region, by its own workers, and callers are told of its own fronts. */
+/* Asserts for a while that each region serves lookups and that its directory returns only fronts of that
+ * region. */
 static inline void
 assert_regional_service (RelayedWorld *world)
 {
@@ -164,7 +166,8 @@
       }
 }
 
-/* What was acknowledged is read whole from both regions. */
+/* Waits until all results of all batches can be read at each front.
+ * @batches: NULL-terminated */
 static inline void
 await_results_everywhere (RelayedWorld *world, const char *const *batches)
 {
--- a/tests/platform/relayed-network.c
+++ b/tests/platform/relayed-network.c
@@ -1,8 +1,9 @@
 /*
- * relayed-network.c: sends a process's connections to relays, so that a test can cut it from others.
+ * relayed-network.c: redirects the connections of a process to relays, so that a test can partition it from
+ * others.
  *
- * Loaded before the C library by tests alone.  The file that QUINCE_RELAYS names holds one line for each
- * relay: the port that is asked for, a blank, and the port that is connected to instead.
+ * Only tests load this library, with LD_PRELOAD.  The environment variable QUINCE_RELAYS names a file with
+ * one line per relay: the requested port, a space and the port of the relay.
  */
 #include <arpa/inet.h>
 #include <dlfcn.h>
@@ -13,7 +14,7 @@
 
 int connect (int socket, const struct sockaddr *address, socklen_t length);
 
-/* Returns: the port to connect to. */
+/* Returns the port of the relay, or @requested_port if it has none. */
 static unsigned
 get_relay_port (unsigned requested_port)
 {
--- a/tests/platform/relayed-world.h
+++ b/tests/platform/relayed-world.h
@@ -1,13 +1,14 @@
 /*
- * relayed-world.h: fronts and replicas whose every connection to the store, to replicas and to workers passes
- * a relay of its own, so that any of them can be cut from any other.
+ * relayed-world.h: a deployment in which each process has its own relays to the store, the replicas and the
+ * workers, so that a test can interrupt the traffic between any two of them.
  */
 #pragma once
 
 #include "path-world.h"
 #include "standin-relay.h"
 
-/* Processes: fronts, then replicas.  Ends, where connections go: the store, replicas, workers. */
+/* Processes are numbered fronts first, then replicas; targets of connections are numbered store, replicas,
+ * plain workers, model workers. */
 #define RELAYED_N_PROCESSES (PATH_FRONTS + PATH_REPLICAS)
 #define RELAYED_STORE 0
 #define RELAYED_REPLICA(index) (1 + (index))
@@ -19,8 +20,8 @@
 typedef struct
 {
   PathWorld *path;
-  gboolean
-      direct; /* workers are reached without relays: a relay's port listens also while its worker does not */
+  gboolean direct; /* connect to workers without relays, because a relay accepts connections while its worker
+                      is down */
   StandinRelay *relays[RELAYED_N_PROCESSES][RELAYED_N_TARGETS];
 } RelayedWorld;
 
@@ -42,7 +43,7 @@
   return strchr (address, ':') + 1;
 }
 
-/* Starts a process, or starts it again, with its relays. */
+/* Starts or restarts a process whose connections go through its relays. */
 static inline void
 relayed_start_process (RelayedWorld *world, guint process)
 {
@@ -79,6 +80,7 @@
   return world;
 }
 
+/* Waits until each front answers reads of the ledger and lookups. */
 static inline void
 relayed_await_service (RelayedWorld *world)
 {
@@ -115,7 +117,7 @@
   standin_relay_set_paused (world->relays[process][target], paused);
 }
 
-/* All that one process reaches others by: the store, replicas and workers. */
+/* Pauses or resumes all outgoing connections of a process. */
 static inline void
 relayed_set_process_paused (RelayedWorld *world, guint process, gboolean paused)
 {
@@ -123,7 +125,7 @@
     relayed_set_paused (world, process, i, paused);
 }
 
-/* What others reach a replica by, and it them. */
+/* Pauses or resumes all connections from and to a replica. */
 static inline void
 relayed_set_replica_isolated (RelayedWorld *world, guint replica, gboolean isolated)
 {
@@ -132,7 +134,7 @@
     relayed_set_paused (world, i, RELAYED_REPLICA (replica), isolated);
 }
 
-/* Connections that the relays which are held keep from passing anything. */
+/* Returns the number of open connections of paused relays. */
 static inline guint
 relayed_count_paused_connections (const RelayedWorld *world)
 {
@@ -144,7 +146,7 @@
   return count;
 }
 
-/* A sanitizer would refuse the library that is loaded before it. */
+/* AddressSanitizer rejects libraries in LD_PRELOAD that are loaded before it, unless told otherwise. */
 static inline void
 relayed_allow_preload (void)
 {
--- a/tests/platform/residency-world.h
+++ b/tests/platform/residency-world.h
@@ -1,21 +1,23 @@
 /*
- * residency-world.h: a deployment of two regions: "east" with the zones e1 and e2, "west" with w1.
+ * residency-world.h: a deployment of two regions: "east" with the zones e1 and e2, "west" with w1; routes and
+ * tenants may be restricted to regions.
  */
 #pragma once
 
 #define PATH_FRONTS 3
 #define PATH_REPLICAS 5
 
-/* So many that the service bears the loss of one worker, and the next send of what that worker ran. */
+/* Enough workers that the service tolerates the loss of one and the retry of the requests it ran. */
 #define PATH_MODEL 5
 #include "path-world.h"
 
 #define ZONE_REGIONS "e1=east,e2=east,w1=west"
 #define ALL_REGIONS "\"east\",\"west\""
-/* The bound for changes of the configuration that the users' deployments set, ms. */
+/* Maximum time in which a change of the configuration must take effect. */
 #define APPLY_MAX_MS 3000
 
-/* A plain worker and a model worker stand in e1, the others in w1; the fronts in e1, e2 and w1. */
+/* Assigns the first plain and the first model worker to e1, the other workers to w1, and spreads the fronts
+ * and replicas over all zones. */
 static inline void
 residency_world_assign_zones (PathWorld *world)
 {
@@ -40,8 +42,10 @@
   return world;
 }
 
-/* A configuration where each route whose name is in @routes may be served in @regions alone (JSON texts), and
- * the tenant of the key "key-t" in @tenant_regions; NULL: there are no tenants. */
+/* Writes a configuration that restricts routes and a tenant to regions.
+ * @routes: names of the restricted routes, one character each
+ * @regions: the regions of these routes, as elements of a JSON array
+ * @tenant_regions: (nullable): the regions of the tenant with the key "key-t"; NULL: there are no tenants */
 static inline void
 residency_configure (PathWorld *world,
                      guint version,
@@ -68,7 +72,7 @@
   standin_store_put (world->store, "op/config", text->str);
 }
 
-/* All processes run, the ledger has its members, and each front knows the configuration. */
+/* Registers the workers and starts all processes; doesn't write a configuration. */
 static inline void
 residency_world_start (PathWorld *world)
 {
@@ -80,7 +84,8 @@
   world->bootstrapped = TRUE;
 }
 
-/* Of a request under an id of its own, with the tenant's key where @key is given. */
+/* Sends a request with a unique id, waits for the answer and returns its status.
+ * @key: (nullable): API key of the tenant */
 static inline guint
 residency_status (PathWorld *world, guint front, const char *target, const char *key, PathAnswer *answer)
 {
@@ -107,7 +112,7 @@
   return standin_worker_get_runs (worker)->len;
 }
 
-/* Lines of the log of process @name that hold @text. */
+/* Counts the occurrences of @text in the log of process @name. */
 static inline guint
 residency_count_log_lines (const PathWorld *world, const char *name, const char *text)
 {
