--- a/tests/platform/call-load.h
+++ b/tests/platform/call-load.h
@@ -14,10 +14,10 @@
 
 typedef enum
 {
-  CALL_LOOKUP,                /* idempotent: may be retried             */
-  CALL_NON_IDEMPOTENT_LOOKUP, /* must run at most once                  */
-  CALL_STREAM,                /* may be resumed at another worker       */
-  CALL_NON_RESUMABLE_STREAM,  /* must run at most once                  */
+  CALL_LOOKUP,                /* may be retried                   */
+  CALL_NON_IDEMPOTENT_LOOKUP, /* must run at most once            */
+  CALL_STREAM,                /* may be resumed at another worker */
+  CALL_NON_RESUMABLE_STREAM,  /* must run at most once            */
   CALL_KINDS
 } CallKind;
 
@@ -46,10 +46,10 @@
 {
   guint calls;
   guint complete;
-  guint refused; /* answered with a status that means: not run */
-  guint failed;  /* complete answers with any other status */
-  guint cut;     /* no answer, or a partial one */
-  guint repeated;
+  guint refused;  /* answered with a status that means: not run */
+  guint failed;   /* any other answer */
+  guint cut;      /* no answer, or a partial one */
+  guint repeated; /* ran more than once */
 } CallLoadCounts;
 
 /* Writes the configuration of path-world.h with an additional route for non-idempotent lookups. */
--- a/tests/platform/callers-faults.h
+++ b/tests/platform/callers-faults.h
@@ -22,7 +22,7 @@
  * @end: (nullable): ends the fault, @duration_ms after @begin
  * @pauses_relays: the fault pauses relays, and must affect at least one connection
  * @must_break_calls: at least one call must fail, be cut off or run more than once
- * @stops_front: calls at front 0 may exceed their deadline
+ * @stops_front: calls at front 0 may exceed their deadline, so deadlines are not checked
  * @min_complete_calls: minimum of calls with a complete answer, in percent
  */
 typedef struct
--- a/tests/platform/cold-world.h
+++ b/tests/platform/cold-world.h
@@ -5,6 +5,7 @@
 
 #include "path-world.h"
 
+/* Setting coldPerS of the services. */
 #define COLD_PER_S "4"
 #define COLD_START_MS 3000
 /* Requests to a cold worker in any second: COLD_PER_S times overage, plus slack. */
--- a/tests/platform/path-world.h
+++ b/tests/platform/path-world.h
@@ -37,8 +37,8 @@
   StandinWorker *model[PATH_MODEL];
   QuinceProcess *fronts[PATH_FRONTS];
   QuinceProcess *replicas[PATH_REPLICAS];
-  gboolean bootstrapped;
-  const char *zones;                        /* value of the setting "zones"; NULL: not set */
+  gboolean bootstrapped; /* replicas that start from now on join the ledger instead of creating it */
+  const char *zones;     /* value of the setting "zones"; NULL: not set */
   const char *front_zones[PATH_FRONTS];     /* NULL: z1 */
   const char *replica_zones[PATH_REPLICAS]; /* NULL: z1 */
   const char *losses;           /* settings of [ledger] for the losses it tolerates; NULL: losses=1 */
--- a/tests/platform/policy-scene.h
+++ b/tests/platform/policy-scene.h
@@ -30,8 +30,8 @@
 typedef struct
 {
   RelayedWorld *world;
-  guint leader; /* replica that led at the start */
-  guint64 revision;
+  guint leader;     /* replica that led at the start */
+  guint64 revision; /* of the latest accepted policy */
   gint64 accepted_us;
   guint policies;   /* written so far; makes each policy text unique */
   GPtrArray *calls; /* Call, owned */
--- a/tests/platform/regions-world.h
+++ b/tests/platform/regions-world.h
@@ -58,6 +58,7 @@
       }
 }
 
+/* Sets the one-way delay and the rate of each connection between the regions; a rate of 0 is unlimited. */
 static inline void
 limit_region_link (RelayedWorld *world, guint link_delay_ms, guint bytes_per_s)
 {
@@ -100,6 +101,7 @@
   return world;
 }
 
+/* Returns TRUE if one of two lookups at @front succeeds. */
 static inline gboolean
 serves (RelayedWorld *world, guint front)
 {
@@ -147,8 +149,8 @@
   return mask;
 }
 
-/* Asserts for a while that each region serves lookups and that its directory returns only fronts of that
- * region. */
+/* Asserts for REGIONAL_SERVICE_MS that each region serves lookups and that its directory returns only fronts
+ * of that region. */
 static inline void
 assert_regional_service (RelayedWorld *world)
 {
