--- a/daemons/front/directory.c
+++ b/daemons/front/directory.c
@@ -25,7 +25,7 @@
 #define ADDRESSES_MAX 64
 /* The entry of a front in the metadata store is "STATE ADDRESS ZONE". */
 #define ENTRY_SEPARATOR " "
-#define N_ENTRY_FIELDS 3
+#define N_ENTRY_FIELDS 3 /* an entry with fewer fields is refused */
 #define STATE_LEAVING "leaving"
 #define STATE_SERVING "serving"
 
--- a/daemons/replica/ledger-node.c
+++ b/daemons/replica/ledger-node.c
@@ -1,15 +1,12 @@
 /*
- * ledger-node.c: connects the parts of a ledger replica.
- *
- * Election, membership, replication, follower and records do not call each other: each reports events to the
- * node by callbacks, and the node applies changes of the role to all of them.
+ * ledger-node.c: connects election, membership, replication, follower and records of a ledger replica.  They
+ * do not call each other: each reports events to the node, which applies changes of the role to all of them.
  */
 #include "ledger-node.h"
 
 #include "runtime/clock.h"
 #include "runtime/timer.h"
 #include "runtime/log.h"
-
 #include "ledger-election.h"
 #include "ledger-follower.h"
 #include "ledger-member-links.h"
@@ -18,8 +15,7 @@
 #include "ledger-replication.h"
 #include "ledger-storage.h"
 
-/* Interval of the periodic work and of a leader's heartbeats, ms.  Backups miss several heartbeats before the
- * 1 s leader timeout. */
+/* Interval of periodic work and of a leader's heartbeats, ms; several fit in the leader timeout of 1 s. */
 #define TICK_INTERVAL_MS 150
 
 struct _QuinceLedgerNode
@@ -44,8 +40,6 @@
   QuinceTimer *tick;
 };
 
-/* ---- The role ----------------------------------------------------------- */
-
 static void
 start_leading (QuinceLedgerNode *node, guint64 epoch)
 {
@@ -193,7 +187,7 @@
 static const QuinceLedgerRecordsCallbacks records_callbacks
     = { .committed = record_committed, .written = records_written, .recovered = records_recovered };
 
-/* ---- Links --------------------------------------------------------------- */
+/* ---- Links and timer ----------------------------------------------------- */
 
 static void
 handle_hello (QuinceLedgerNode *node, QuinceLink *link, const QuinceLedgerHello *hello)
@@ -203,8 +197,7 @@
       quince_ledger_replication_add_backup (node->replication, link, hello);
       return;
     }
-  /* A restarted former leader needs promises from the members that reconnect to it; their addresses may have
-   * changed. */
+  /* A restarted former leader needs promises from members that reconnect, possibly from new addresses. */
   gboolean address_changed = quince_ledger_member_links_set_address (node->member_links, &hello->member);
   quince_link_close (link);
   if (address_changed)
@@ -263,8 +256,6 @@
   g_hash_table_add (node->incoming_links, link);
 }
 
-/* ---- Timer --------------------------------------------------------------- */
-
 static void
 run_leader_tasks (QuinceLedgerNode *node, gint64 now_us)
 {
--- a/daemons/replica/progress-file.c
+++ b/daemons/replica/progress-file.c
@@ -32,6 +32,7 @@
   PROGRESS_FILE_ERROR_ENCODE, /* the progress cannot be encoded */
 } ProgressFileError;
 
+/* The files are filled in turn, so that the full one is kept while the other is rewritten. */
 #define N_FILES 2
 /* Size of one file, bytes.  Large enough for the text of all samples that run at once: about 0.5 MB/s for
  * 10 s. */
--- a/lib/meta/meta-mirror.c
+++ b/lib/meta/meta-mirror.c
@@ -2,19 +2,15 @@
  * meta-mirror.c: keeps a copy of a prefix up to date by a list and watches, or by pages from another process.
  */
 #include <string.h>
-
 #include "runtime/log.h"
 #include "runtime/clock.h"
 #include "runtime/timer.h"
-
 #include "core/decisions/store-reads.h"
-
 #include "meta-copy.h"
 #include "meta/meta-mirror.h"
 #include "meta-private.h"
 
-/* Delay after a failed read, ms; doubled with each consecutive failure, since failed calls count towards the
- * limit of the store too. */
+/* Delay after a failed read, ms; doubled per consecutive failure: these count towards the store limit too. */
 #define RETRY_DELAY_MIN_MS 100
 /* Maximum delay after a failed read, ms; the default maximum interval between probes of the store client. */
 #define RETRY_DELAY_MAX_MS 800
@@ -50,8 +46,6 @@
 static void begin_list (QuinceMetaMirror *mirror);
 static void begin_watch (QuinceMetaMirror *mirror, guint wait_ms);
 
-/* ---- Reports to the owner --------------------------------------------- */
-
 static QuinceMetaItem *
 copy_item (const QuinceMetaItem *item)
 {
@@ -103,10 +97,7 @@
     mirror->callbacks->read (page, mirror->user_data);
 }
 
-/* ---- Calls ------------------------------------------------------------ */
-
-/* Returns how long the store may hold a watch that begins after the read interval.  The interval has already
- * passed and counts towards the maximum. */
+/* Returns how long the store may hold the next watch: the maximum less the read interval that has passed. */
 static guint
 get_watch_wait_ms (const QuinceMetaMirror *mirror)
 {
@@ -260,7 +251,7 @@
                                          mirror->reason, handle_list_reply, mirror);
 }
 
-/* ---- Feeds ------------------------------------------------------------ */
+/* ---- Feeds and recovery of the store ---------------------------------- */
 
 QuinceMetaPage *
 quince_meta_mirror_get_changes_since (const QuinceMetaMirror *mirror, guint64 after_revision, gboolean *whole)
@@ -286,8 +277,7 @@
   drop_list (mirror);
 }
 
-/* Ends the feed, if there is one, and reads the store.
- * @wait_ms: how long the store may hold the first watch */
+/* Ends the feed, if there is one, and reads the store, which may hold the first watch for @wait_ms. */
 static void
 resume_store_reads (QuinceMetaMirror *mirror, const char *reason, guint wait_ms)
 {
@@ -300,9 +290,8 @@
   start_store_read (mirror, wait_ms);
 }
 
-/* Returns how long the store may hold the first watch after a feed.  The store returns missed changes
- * immediately in any case.  A reader does not wait, since it also has to report to other processes that
- * nothing has changed. */
+/* Returns how long the store may hold the first watch after a feed; it answers immediately if changes were
+ * missed.  A reader does not wait, as it also has to report to other processes that nothing has changed. */
 static guint
 get_first_watch_wait_ms (const QuinceMetaMirror *mirror)
 {
@@ -344,8 +333,7 @@
   mirror->feed_timer = quince_timer_add (mirror->times.feed_timeout_ms, handle_feed_timeout, mirror);
 }
 
-/* Returns whether the page begins after the mirror's revision, so that the changes between must be read from
- * the store. */
+/* Returns whether changes between the mirror's revision and the page must be read from the store. */
 static gboolean
 has_gap (const QuinceMetaMirror *mirror, const QuinceMetaPage *page, gboolean whole)
 {
@@ -388,8 +376,6 @@
   return TRUE;
 }
 
-/* ---- Recovery of the store -------------------------------------------- */
-
 /* Restarts a watch that began before the store recovered: its connection may be broken without an error, so
  * that no answer arrives.  Also starts the read of a mirror that waits for the store. */
 static void
--- a/rehearsal/kit/process.c
+++ b/rehearsal/kit/process.c
@@ -16,6 +16,7 @@
 #define READY_TIMEOUT_US (30 * G_USEC_PER_SEC)
 /* Shorter than the start of a program, which takes about 10 ms. */
 #define POLL_INTERVAL_US 2000
+/* Maximum wait for a process to exit after SIGKILL. */
 #define KILL_TIMEOUT_MS 10000
 
 G_DEFINE_QUARK (quince - process - error - quark, quince_process_error)
