--- a/tests/platform/scaling-world.h
+++ b/tests/platform/scaling-world.h
@@ -9,16 +9,16 @@
 #include "path-world.h"
 
 /* Workers m0 to m5 stand there at first, two in each zone; the others are brought when they are ordered. */
-#define SCALING_STOOD 6
-#define SCALING_ZONES 3
+#define SCALING_N_INITIAL_WORKERS 6
+#define SCALING_N_ZONES 3
 #define SCALING_MIN 1
 #define SCALING_MAX 5
 /* More samples than places, for as long as a test takes. */
 #define SCALING_SAMPLES 120
-#define SCALING_EVENTS 40
-#define SCALING_PAUSE_MS 50
+#define SCALING_EVENTS_PER_SAMPLE 40
+#define SCALING_EVENT_INTERVAL_MS 50
 
-static const char *const scaling_zones[SCALING_ZONES] = { "z1", "z2", "z3" };
+static const char *const scaling_zones[SCALING_N_ZONES] = { "z1", "z2", "z3" };
 
 typedef struct
 {
@@ -38,9 +38,9 @@
   guint boot_ms;                  /* from an order until its workers are listed; told in the configuration */
   GPtrArray *orders;              /* ScalingOrder, owned: all that came, as they came */
   guint refuse;                   /* as many are answered 503 */
-  guint swallow;                  /* as many are taken and get no answer */
+  guint n_calls_to_reset;         /* as many are taken and get no answer */
   guint silent;                   /* as many are taken and are never answered, on a connection that stays */
-  const char *dry;                /* none are to be had in this zone; "": in none */
+  const char *exhausted_zone;     /* none are to be had in this zone; "": in none */
   const char *listed[PATH_MODEL]; /* zone in which a worker is listed; NULL: it is not */
   gboolean spot[PATH_MODEL];
   GPtrArray *boots; /* ScalingBoot, owned */
@@ -65,7 +65,7 @@
 }
 
 static inline void
-scaling_list (ScalingWorld *world, guint index, const char *zone, gboolean spot)
+scaling_set_registration (ScalingWorld *world, guint index, const char *zone, gboolean spot)
 {
   g_autofree char *key = g_strdup_printf ("servers/m%u", index);
   world->listed[index] = zone;
@@ -84,7 +84,7 @@
 }
 
 static inline guint
-scaling_count (const ScalingWorld *world, const char *zone)
+scaling_count_registered (const ScalingWorld *world, const char *zone)
 {
   guint count = 0;
   for (guint i = 0; i < PATH_MODEL; i++)
@@ -93,7 +93,7 @@
 }
 
 static inline guint
-scaling_count_kind (const ScalingWorld *world, const char *zone, gboolean spot)
+scaling_count_registered_kind (const ScalingWorld *world, const char *zone, gboolean spot)
 {
   guint count = 0;
   for (guint i = 0; i < PATH_MODEL; i++)
@@ -104,7 +104,7 @@
 static inline const char *
 scaling_find_zone (const char *zone)
 {
-  for (guint i = 0; i < SCALING_ZONES; i++)
+  for (guint i = 0; i < SCALING_N_ZONES; i++)
     if (g_str_equal (scaling_zones[i], zone))
       return scaling_zones[i];
   fail_msg ("workers ordered in '%s'", zone);
@@ -113,18 +113,18 @@
 
 /* The time of a start is over: as many stand there as were ordered. */
 static inline gboolean
-scaling_booted (gpointer data)
+scaling_apply_order (gpointer data)
 {
   ScalingBoot *boot = data;
   ScalingWorld *world = boot->world;
   boot->timer = 0;
   const char *zone = scaling_find_zone (boot->zone);
-  for (guint i = 0; i < PATH_MODEL && scaling_count_kind (world, zone, FALSE) < boot->desired; i++)
-    if (world->listed[i] == NULL && i >= SCALING_STOOD)
-      scaling_list (world, i, zone, FALSE);
-  for (guint i = PATH_MODEL; i > 0 && scaling_count_kind (world, zone, FALSE) > boot->desired; i--)
+  for (guint i = 0; i < PATH_MODEL && scaling_count_registered_kind (world, zone, FALSE) < boot->desired; i++)
+    if (world->listed[i] == NULL && i >= SCALING_N_INITIAL_WORKERS)
+      scaling_set_registration (world, i, zone, FALSE);
+  for (guint i = PATH_MODEL; i > 0 && scaling_count_registered_kind (world, zone, FALSE) > boot->desired; i--)
     if (world->listed[i - 1] == zone && !world->spot[i - 1])
-      scaling_list (world, i - 1, NULL, FALSE);
+      scaling_set_registration (world, i - 1, NULL, FALSE);
   return G_SOURCE_REMOVE;
 }
 
@@ -139,7 +139,7 @@
 }
 
 static inline void
-scaling_carry_out (ScalingWorld *world, ScalingOrder *order)
+scaling_schedule_order (ScalingWorld *world, ScalingOrder *order)
 {
   ScalingBoot *boot = g_new0 (ScalingBoot, 1);
   boot->world = world;
@@ -147,11 +147,11 @@
   boot->desired = order->desired;
   order->taken = TRUE;
   g_ptr_array_add (world->boots, boot);
-  boot->timer = g_timeout_add (world->boot_ms, scaling_booted, boot);
+  boot->timer = g_timeout_add (world->boot_ms, scaling_apply_order, boot);
 }
 
 static inline ScalingOrder *
-scaling_read (const StandinCall *call)
+scaling_parse_order (const StandinCall *call)
 {
   ScalingOrder *order = g_new0 (ScalingOrder, 1);
   order->body = g_strndup ((const char *)call->body->data, call->body->len);
@@ -168,32 +168,32 @@
 }
 
 static inline void
-scaling_called (StandinCall *call, gpointer data)
+scaling_handle_call (StandinCall *call, gpointer data)
 {
   ScalingWorld *world = data;
   assert_string_equal (call->head->target, "/scale");
-  ScalingOrder *order = scaling_read (call);
+  ScalingOrder *order = scaling_parse_order (call);
   g_ptr_array_add (world->orders, order);
   assert_in_range (order->desired, 0, SCALING_MAX);
   const char *zone = scaling_find_zone (order->zone);
-  gboolean more = order->desired > scaling_count_kind (world, zone, FALSE);
+  gboolean more = order->desired > scaling_count_registered_kind (world, zone, FALSE);
   if (world->refuse > 0)
     {
       world->refuse--;
       standin_call_answer (call, 503, "", "", 0);
       return;
     }
-  if (more && g_strcmp0 (world->dry, zone) == 0)
+  if (more && g_strcmp0 (world->exhausted_zone, zone) == 0)
     {
       standin_call_answer (call, 409, "", "", 0);
       return;
     }
-  scaling_carry_out (world, order);
+  scaling_schedule_order (world, order);
   if (world->silent > 0)
     world->silent--;
-  else if (world->swallow > 0)
+  else if (world->n_calls_to_reset > 0)
     {
-      world->swallow--;
+      world->n_calls_to_reset--;
       standin_call_reset_connection (call);
     }
   else
@@ -221,23 +221,23 @@
   world->path = path_world_new (name);
   world->orders = g_ptr_array_new_with_free_func (scaling_order_free);
   world->boots = g_ptr_array_new_with_free_func (scaling_boot_free);
-  world->server = standin_server_new (scaling_called, world);
-  world->dry = "";
+  world->server = standin_server_new (scaling_handle_call, world);
+  world->exhausted_zone = "";
   world->boot_ms = boot_ms;
   world->path->extra_replica_settings
       = g_strdup_printf ("[duties]\naddress=%s\nnames=metering,scaling\norder_workers=%s\n",
                          standin_server_get_address (world->server), setting);
   scaling_configure (world);
   for (guint i = 0; i < PATH_MODEL; i++)
-    standin_worker_set_events (world->path->model[i], SCALING_EVENTS, SCALING_PAUSE_MS);
+    standin_worker_set_events (world->path->model[i], SCALING_EVENTS_PER_SAMPLE, SCALING_EVENT_INTERVAL_MS);
   for (guint i = 0; i < PATH_PLAIN; i++)
     {
       g_autofree char *key = g_strdup_printf ("servers/p%u", i);
       g_autofree char *entry = standin_worker_make_entry (world->path->plain[i], "svc", "ready");
       standin_store_put (world->path->store, key, entry);
     }
-  for (guint i = 0; i < SCALING_STOOD; i++)
-    scaling_list (world, i, scaling_zones[i % SCALING_ZONES], FALSE);
+  for (guint i = 0; i < SCALING_N_INITIAL_WORKERS; i++)
+    scaling_set_registration (world, i, scaling_zones[i % SCALING_N_ZONES], FALSE);
   for (guint i = 0; i < PATH_REPLICAS; i++)
     path_start_replica (world->path, i);
   path_start_front (world->path, 0);
@@ -247,7 +247,7 @@
 }
 
 static inline void
-scaling_submit (ScalingWorld *world, const char *batch, guint samples)
+scaling_submit_batch (ScalingWorld *world, const char *batch, guint samples)
 {
   g_autofree char *text = path_make_batch (batch, samples);
   assert_int_equal (path_status (path_front (world->path, 0), "POST", "/r/batch", batch, text), 202);
@@ -264,7 +264,7 @@
 }
 
 static inline const ScalingOrder *
-scaling_order (const ScalingWorld *world, guint index)
+scaling_get_order (const ScalingWorld *world, guint index)
 {
   assert_true (index < world->orders->len);
   return world->orders->pdata[index];
@@ -272,7 +272,7 @@
 
 /* Fences only rise, a fence is of one holder, and holders do not take turns. */
 static inline void
-scaling_assert_one_holder (const ScalingWorld *world)
+scaling_assert_single_holder (const ScalingWorld *world)
 {
   for (guint i = 1; i < world->orders->len; i++)
     {
--- a/tests/platform/steps-faults.h
+++ b/tests/platform/steps-faults.h
@@ -6,12 +6,12 @@
 
 #include "steps.h"
 
-#define FAILED_SWAPS 2       /* of each worker */
-#define WRONG_VERSION 9999   /* nobody named it */
-#define SUBMIT_BYTES 600     /* below the length of a submit */
-#define RESULTS_BYTES 900    /* above an answer to a submit, below that of a whole step */
-#define GATES_MS 1200        /* the trainer is hindered for so long */
-#define WIPED_SETTLE_MS 2500 /* the others hold all before the next disk goes */
+#define FAILED_SWAPS_PER_WORKER 2  /* of each worker */
+#define WRONG_VERSION 9999         /* nobody named it */
+#define REQUEST_LIMIT_BYTES 600    /* below the length of a submit */
+#define RESPONSE_LIMIT_BYTES 900   /* above an answer to a submit, below that of a whole step */
+#define RELAY_FAULT_MS 1200        /* the trainer is hindered for so long */
+#define REPLICATION_SETTLE_MS 2500 /* the others hold all before the next disk goes */
 
 typedef struct _Scene Scene;
 
@@ -40,7 +40,7 @@
   RelayedWorld *world;
   Trainer trainer;
   guint leader;      /* struck */
-  guint gates_timer; /* ends what is wrong with the trainer's connections */
+  guint relay_timer; /* ends what is wrong with the trainer's connections */
 };
 
 /* ---- Weights ------------------------------------------------------------ */
@@ -49,17 +49,17 @@
 fail_swaps (Scene *scene, guint64 version)
 {
   for (guint i = 0; i < PATH_MODEL; i++)
-    standin_worker_fail_loads (scene->world->path->model[i], version, FAILED_SWAPS);
+    standin_worker_fail_loads (scene->world->path->model[i], version, FAILED_SWAPS_PER_WORKER);
 }
 
 static void
-fail_swaps_keeping (Scene *scene)
+fail_swaps_keeping_version (Scene *scene)
 {
   fail_swaps (scene, 0);
 }
 
 static void
-fail_swaps_elsewhere (Scene *scene)
+fail_swaps_to_wrong_version (Scene *scene)
 {
   fail_swaps (scene, WRONG_VERSION);
 }
@@ -107,7 +107,7 @@
 }
 
 static guint
-other_replica (const Scene *scene)
+get_follower (const Scene *scene)
 {
   return (scene->leader + 1) % PATH_REPLICAS;
 }
@@ -227,14 +227,14 @@
 lose_disk_of_follower (Scene *scene)
 {
   find_leader (scene);
-  lose_disk (scene, other_replica (scene));
+  lose_disk (scene, get_follower (scene));
 }
 
 /* Of whoever leads now. */
 static void
 lose_another_disk (Scene *scene)
 {
-  run_for (WIPED_SETTLE_MS);
+  run_for (REPLICATION_SETTLE_MS);
   lose_disk_of_leader (scene);
 }
 
@@ -248,50 +248,53 @@
 /* ---- The trainer's connections ---------------------------------------------- */
 
 static void
-set_gates (Scene *scene, StandinRelayDirection limited, guint limit, StandinRelayDirection half_closed)
+set_relay_faults (Scene *scene, StandinRelayDirection limited, guint limit, StandinRelayDirection half_closed)
 {
   for (guint i = 0; i < PATH_FRONTS; i++)
     {
-      standin_relay_set_byte_limit (scene->trainer.gates[i], limited, limit);
-      standin_relay_set_half_closed (scene->trainer.gates[i], half_closed);
+      standin_relay_set_byte_limit (scene->trainer.front_relays[i], limited, limit);
+      standin_relay_set_half_closed (scene->trainer.front_relays[i], half_closed);
     }
 }
 
 static gboolean
-end_gates (gpointer data)
+clear_relay_faults (gpointer data)
 {
   Scene *scene = data;
-  scene->gates_timer = 0;
-  set_gates (scene, STANDIN_RELAY_NEITHER, 0, STANDIN_RELAY_NEITHER);
+  scene->relay_timer = 0;
+  set_relay_faults (scene, STANDIN_RELAY_NEITHER, 0, STANDIN_RELAY_NEITHER);
   return G_SOURCE_REMOVE;
 }
 
 /* The trainer waits in its calls meanwhile: the fault ends by itself. */
 static void
-set_gates_for (Scene *scene, StandinRelayDirection limited, guint limit, StandinRelayDirection half_closed)
+inject_relay_faults (Scene *scene,
+                     StandinRelayDirection limited,
+                     guint limit,
+                     StandinRelayDirection half_closed)
 {
-  if (scene->trainer.gates[0] == NULL)
-    trainer_open_gates (&scene->trainer);
-  set_gates (scene, limited, limit, half_closed);
-  scene->gates_timer = g_timeout_add (GATES_MS, end_gates, scene);
+  if (scene->trainer.front_relays[0] == NULL)
+    trainer_open_relays (&scene->trainer);
+  set_relay_faults (scene, limited, limit, half_closed);
+  scene->relay_timer = g_timeout_add (RELAY_FAULT_MS, clear_relay_faults, scene);
 }
 
 static void
-cut_requests (Scene *scene)
+truncate_requests (Scene *scene)
 {
-  set_gates_for (scene, STANDIN_RELAY_REQUESTS, SUBMIT_BYTES, STANDIN_RELAY_NEITHER);
+  inject_relay_faults (scene, STANDIN_RELAY_REQUESTS, REQUEST_LIMIT_BYTES, STANDIN_RELAY_NEITHER);
 }
 
 static void
-cut_answers (Scene *scene)
+truncate_responses (Scene *scene)
 {
-  set_gates_for (scene, STANDIN_RELAY_ANSWERS, RESULTS_BYTES, STANDIN_RELAY_NEITHER);
+  inject_relay_faults (scene, STANDIN_RELAY_ANSWERS, RESPONSE_LIMIT_BYTES, STANDIN_RELAY_NEITHER);
 }
 
 static void
-lose_answers (Scene *scene)
+drop_responses (Scene *scene)
 {
-  set_gates_for (scene, STANDIN_RELAY_NEITHER, 0, STANDIN_RELAY_ANSWERS);
+  inject_relay_faults (scene, STANDIN_RELAY_NEITHER, 0, STANDIN_RELAY_ANSWERS);
 }
 
 /* ---- Cases -------------------------------------------------------------- */
@@ -300,10 +303,10 @@
   { .name = "nothing fails" },
   { .name = "swaps fail, the old version stays",
     .at_start = TRUE,
-    .begin = fail_swaps_keeping,
+    .begin = fail_swaps_keeping_version,
     .recover = assert_swaps_failed },
   { .name = "swaps end on another version",
-    .begin = fail_swaps_elsewhere,
+    .begin = fail_swaps_to_wrong_version,
     .recover = assert_swaps_failed,
     .wrong = TRUE },
   { .name = "workers die and come back", .begin = kill_workers, .end = revive_workers, .hold_ms = 500 },
@@ -319,10 +322,10 @@
     .end = lose_another_disk,
     .hold_ms = 300 },
   { .name = "front killed and started again", .begin = kill_front, .end = restart_front, .hold_ms = 300 },
-  { .name = "submit cut in the request", .at_start = TRUE, .repeats = TRUE, .begin = cut_requests },
-  { .name = "submit's answer lost", .at_start = TRUE, .repeats = TRUE, .begin = lose_answers },
-  { .name = "reading cut in the results", .repeats = TRUE, .begin = cut_answers },
-  { .name = "results lost", .repeats = TRUE, .begin = lose_answers },
+  { .name = "submit cut in the request", .at_start = TRUE, .repeats = TRUE, .begin = truncate_requests },
+  { .name = "submit's answer lost", .at_start = TRUE, .repeats = TRUE, .begin = drop_responses },
+  { .name = "reading cut in the results", .repeats = TRUE, .begin = truncate_responses },
+  { .name = "results lost", .repeats = TRUE, .begin = drop_responses },
   { .name = "store down, leader killed",
     .begin = stop_store_kill_leader,
     .end = restart_leader_resume_store,
--- a/tests/platform/steps.h
+++ b/tests/platform/steps.h
@@ -13,7 +13,7 @@
 #define STEP_ITEMS 12
 #define STEP_EVENTS 6
 /* Newest version when a step is submitted, less the oldest that may make a part of it. */
-#define STEP_STALENESS 1
+#define STEP_MAX_STALENESS 1
 
 typedef struct
 {
@@ -25,11 +25,11 @@
 typedef struct
 {
   RelayedWorld *world;
-  GPtrArray *steps;                 /* Step, owned; as they were submitted */
-  guint64 version;                  /* named last */
-  guint front;                      /* asked next */
-  guint repeats;                    /* calls that got no answer and were made again */
-  StandinRelay *gates[PATH_FRONTS]; /* what the trainer reaches fronts by; NULL: directly */
+  GPtrArray *steps;                        /* Step, owned; as they were submitted */
+  guint64 version;                         /* named last */
+  guint front;                             /* asked next */
+  guint repeats;                           /* calls that got no answer and were made again */
+  StandinRelay *front_relays[PATH_FRONTS]; /* what the trainer reaches fronts by; NULL: directly */
 } Trainer;
 
 static inline void
@@ -49,23 +49,23 @@
 }
 
 static inline void
-trainer_open_gates (Trainer *trainer)
+trainer_open_relays (Trainer *trainer)
 {
   for (guint i = 0; i < PATH_FRONTS; i++)
-    trainer->gates[i] = standin_relay_new (path_front (trainer->world->path, i));
+    trainer->front_relays[i] = standin_relay_new (path_front (trainer->world->path, i));
 }
 
 static inline void
-trainer_close_gates (Trainer *trainer)
+trainer_close_relays (Trainer *trainer)
 {
   for (guint i = 0; i < PATH_FRONTS; i++)
-    g_clear_pointer (&trainer->gates[i], standin_relay_free);
+    g_clear_pointer (&trainer->front_relays[i], standin_relay_free);
 }
 
 static inline void
 trainer_clear (Trainer *trainer)
 {
-  trainer_close_gates (trainer);
+  trainer_close_relays (trainer);
   g_ptr_array_unref (trainer->steps);
 }
 
@@ -81,7 +81,7 @@
               PathAnswer *answer)
 {
   guint front = trainer->front++ % PATH_FRONTS;
-  StandinRelay *gate = trainer->gates[front];
+  StandinRelay *gate = trainer->front_relays[front];
   const char *address
       = gate != NULL ? standin_relay_get_address (gate) : path_front (trainer->world->path, front);
   guint status = path_call (address, method, target, id, text, answer);
@@ -90,7 +90,7 @@
 }
 
 static inline gboolean
-trainer_is_accepted (Trainer *trainer, const Step *step, const char *text)
+trainer_try_submit (Trainer *trainer, const Step *step, const char *text)
 {
   PathAnswer answer;
   guint status = trainer_call (trainer, "POST", "/r/batch", step->name, text, &answer);
@@ -104,17 +104,17 @@
 {
   Step *step = g_new0 (Step, 1);
   step->name = g_strdup_printf ("step%u", trainer->steps->len);
-  step->oldest = MAX (trainer->version, 1 + STEP_STALENESS) - STEP_STALENESS;
+  step->oldest = MAX (trainer->version, 1 + STEP_MAX_STALENESS) - STEP_MAX_STALENESS;
   g_ptr_array_add (trainer->steps, step);
   g_autofree char *text = path_make_batch (step->name, STEP_ITEMS);
   g_autofree char *wanted = g_strdup_printf ("\"minVersion\":%u", (guint)step->oldest);
   g_auto (GStrv) parts = g_strsplit (text, "\"minVersion\":1", 2);
   g_autofree char *changed = g_strjoinv (wanted, parts);
-  AWAIT (trainer_is_accepted (trainer, step, changed));
+  AWAIT (trainer_try_submit (trainer, step, changed));
 }
 
 static inline void
-trainer_name_version (Trainer *trainer, guint64 version)
+trainer_publish_version (Trainer *trainer, guint64 version)
 {
   g_autofree char *text
       = g_strdup_printf ("{\"model\":\"model-a\",\"version\":%" G_GUINT64_FORMAT "}", version);
@@ -124,7 +124,7 @@
 
 /* All that is listed of @step; NULL while it cannot be read. (transfer full) */
 static inline char *
-trainer_read (Trainer *trainer, const Step *step)
+trainer_fetch_results (Trainer *trainer, const Step *step)
 {
   g_autofree char *target = g_strdup_printf ("/quinceroute/lots/%s?afterRev=0", step->name);
   PathAnswer answer;
@@ -136,9 +136,9 @@
 
 /* Returns: whether all of @step was read; a part of it stands where it stands in the end. */
 static inline gboolean
-trainer_has_read (Trainer *trainer, Step *step)
+trainer_try_read_all (Trainer *trainer, Step *step)
 {
-  g_autofree char *text = trainer_read (trainer, step);
+  g_autofree char *text = trainer_fetch_results (trainer, step);
   if (text == NULL || path_count_occurrences (text, "\"state\":") < STEP_ITEMS)
     return FALSE;
   step->results = g_steal_pointer (&text);
@@ -147,9 +147,9 @@
 
 /* How many samples of @step are listed. */
 static inline guint
-trainer_count_listed (Trainer *trainer, const Step *step)
+trainer_count_results (Trainer *trainer, const Step *step)
 {
-  g_autofree char *text = trainer_read (trainer, step);
+  g_autofree char *text = trainer_fetch_results (trainer, step);
   return text != NULL ? path_count_occurrences (text, "\"state\":") : 0;
 }
 
@@ -158,7 +158,7 @@
 /* Whether event @number of @item was made under @version at some worker, by the worker's own record;
  * @number 0: any event. */
 static inline gboolean
-trainer_was_made (const PathWorld *path, const char *item, guint number, guint64 version)
+trainer_was_event_generated (const PathWorld *path, const char *item, guint number, guint64 version)
 {
   for (guint i = 0; i < PATH_MODEL; i++)
     {
@@ -191,14 +191,15 @@
       guint64 version = (guint64)json_array_get_int_element (versions, i);
       if (version < step->oldest)
         fail_msg ("%s names version %u, below %u", item, (guint)version, (guint)step->oldest);
-      if (!trainer_was_made (path, item, 0, version))
+      if (!trainer_was_event_generated (path, item, 0, version))
         fail_msg ("%s names version %u, which made no part of it", item, (guint)version);
     }
   for (guint number = 1; number <= STEP_EVENTS; number++)
     {
       gboolean named = FALSE;
       for (guint i = 0; i < count; i++)
-        named |= trainer_was_made (path, item, number, (guint64)json_array_get_int_element (versions, i));
+        named |= trainer_was_event_generated (path, item, number,
+                                              (guint64)json_array_get_int_element (versions, i));
       if (!named)
         fail_msg ("event %u of %s was made under no version that it names", number, item);
     }
@@ -240,7 +241,7 @@
 
 /* All steps, as they were first read and as each front tells them now: the same. */
 static inline void
-trainer_assert_all (Trainer *trainer)
+trainer_assert_all_steps (Trainer *trainer)
 {
   for (guint i = 0; i < trainer->steps->len; i++)
     {
--- a/tests/platform/tenants-world.h
+++ b/tests/platform/tenants-world.h
@@ -8,13 +8,13 @@
 #define KEY_A1 "key-a1-k3j9d8f7s6"
 #define KEY_A2 "key-a2-p0o9i8u7y6"
 #define KEY_B1 "key-b1-q1w2e3r4t5"
-#define KEY_NOBODY "key-nobody-z9x8c7"
+#define KEY_UNKNOWN "key-nobody-z9x8c7"
 
 #define TENANTS_ALL                                                                                          \
   "{\"name\":\"tenant-a\",\"apiKeys\":[\"" KEY_A1 "\",\"" KEY_A2 "\"],\"priority\":3},"                      \
   "{\"name\":\"tenant-b\",\"apiKeys\":[\"" KEY_B1 "\"],\"priority\":1}"
 /* The first key of the first tenant is withdrawn. */
-#define TENANTS_LESS                                                                                         \
+#define TENANTS_KEY_REVOKED                                                                                  \
   "{\"name\":\"tenant-a\",\"apiKeys\":[\"" KEY_A2 "\"],\"priority\":3},"                                     \
   "{\"name\":\"tenant-b\",\"apiKeys\":[\"" KEY_B1 "\"],\"priority\":1}"
 #define PUBLIC_ROUTE                                                                                         \
@@ -23,7 +23,7 @@
   "\"public\":true}"
 
 static inline void
-configure (PathWorld *world, guint version, const char *tenants)
+tenants_configure (PathWorld *world, guint version, const char *tenants)
 {
   g_autofree char *plain = g_strdup_printf (PATH_CONFIGURATION, version);
   g_auto (GStrv) parts = g_strsplit (plain, "\"routes\":[", 2);
@@ -74,7 +74,7 @@
 static inline void
 tenants_world_start (PathWorld *world)
 {
-  configure (world, 7, TENANTS_ALL);
+  tenants_configure (world, 7, TENANTS_ALL);
   path_register_workers (world);
   for (guint i = 0; i < PATH_REPLICAS; i++)
     path_start_replica (world, i);
--- a/tests/platform/test-duties.c
+++ b/tests/platform/test-duties.c
@@ -25,9 +25,9 @@
 typedef struct
 {
   StandinServer *server;
-  GPtrArray *reports; /* Report, owned, in the order in which they came */
-  guint refuse;       /* as many are answered 503 */
-  guint swallow;      /* as many are taken and not answered */
+  GPtrArray *reports;     /* Report, owned, in the order in which they came */
+  guint refuse;           /* as many are answered 503 */
+  guint n_calls_to_reset; /* as many are taken and not answered */
 } Platform;
 
 static void
@@ -56,9 +56,9 @@
   report->fence = g_ascii_strtoull (standin_call_get_header (call, "Fence-Token"), NULL, 10);
   report->window = g_ascii_strtoull (strstr (report->body, "\"windowId\":") + 11, NULL, 10);
   g_ptr_array_add (platform->reports, report);
-  if (platform->swallow > 0)
+  if (platform->n_calls_to_reset > 0)
     {
-      platform->swallow--;
+      platform->n_calls_to_reset--;
       standin_call_reset_connection (call);
       return;
     }
@@ -183,7 +183,7 @@
   run_for (WINDOW_S * 1000);
   call_some (world);
   /* Refused requests and samples are no usage. */
-  status_with_key (path_front (world, 0), "POST", "/l/1", "nobody", "x", KEY_NOBODY);
+  status_with_key (path_front (world, 0), "POST", "/l/1", "nobody", "x", KEY_UNKNOWN);
   g_autofree char *batch = path_make_batch ("b1", 4);
   assert_int_equal (status_with_key (path_front (world, 0), "POST", "/r/batch", "b1", batch, KEY_A1), 202);
   await_all_told (world, platform);
@@ -201,7 +201,7 @@
   Platform *platform = platform_new ();
   PathWorld *world = start_world ("again", platform);
   platform->refuse = 2;
-  platform->swallow = 1;
+  platform->n_calls_to_reset = 1;
   call_some (world);
   await_all_told (world, platform);
   assert_int_equal (platform->refuse, 0);
--- a/tests/platform/test-scaling.c
+++ b/tests/platform/test-scaling.c
@@ -21,7 +21,7 @@
 busy_world (const char *name, guint boot_ms)
 {
   ScalingWorld *world = scaling_world_new (name, "replace", boot_ms);
-  scaling_submit (world, "b1", SCALING_SAMPLES);
+  scaling_submit_batch (world, "b1", SCALING_SAMPLES);
   run_for (LEARNED_MS + boot_ms);
   assert_int_equal (world->orders->len, 0);
   return world;
@@ -49,16 +49,18 @@
 {
   ScalingWorld *world = busy_world ("scaling", BOOT_MS);
   evacuate (world, "z3", TRUE);
-  AWAIT (scaling_count (world, "z2") == 4);
+  AWAIT (scaling_count_registered (world, "z2") == 4);
   assert_int_equal (world->orders->len, 1);
-  assert_string_equal (scaling_order (world, 0)->body, "{\"service\":\"llm\",\"zone\":\"z2\",\"desired\":4}");
-  AWAIT (runs_at (world, SCALING_STOOD) > 0 && runs_at (world, SCALING_STOOD + 1) > 0);
+  assert_string_equal (scaling_get_order (world, 0)->body,
+                       "{\"service\":\"llm\",\"zone\":\"z2\",\"desired\":4}");
+  AWAIT (runs_at (world, SCALING_N_INITIAL_WORKERS) > 0
+         && runs_at (world, SCALING_N_INITIAL_WORKERS + 1) > 0);
   run_for (QUIET_MS);
   assert_int_equal (world->orders->len, 1);
   evacuate (world, "z3", FALSE);
-  AWAIT (scaling_count (world, NULL) == SCALING_STOOD);
-  assert_int_equal (scaling_count (world, "z2"), 2);
-  scaling_assert_one_holder (world);
+  AWAIT (scaling_count_registered (world, NULL) == SCALING_N_INITIAL_WORKERS);
+  assert_int_equal (scaling_count_registered (world, "z2"), 2);
+  scaling_assert_single_holder (world);
   scaling_world_free (world);
 }
 
@@ -67,19 +69,19 @@
 test_in_time_without (void **state)
 {
   ScalingWorld *world = scaling_world_new ("in-time", "replace", BOOT_MS);
-  scaling_submit (world, "b1", FEW_SAMPLES);
+  scaling_submit_batch (world, "b1", FEW_SAMPLES);
   run_for (LEARNED_MS + BOOT_MS);
   for (guint i = 2; i < 5; i++)
     {
       g_autofree char *batch = g_strdup_printf ("b%u", i);
-      scaling_submit (world, batch, FEW_SAMPLES);
+      scaling_submit_batch (world, batch, FEW_SAMPLES);
       run_for (300);
       evacuate (world, "z3", TRUE);
       run_for (3000);
     }
   assert_int_equal (world->orders->len, 0);
-  scaling_submit (world, "late", SCALING_SAMPLES);
-  AWAIT (scaling_count (world, "z2") == 4);
+  scaling_submit_batch (world, "late", SCALING_SAMPLES);
+  AWAIT (scaling_count_registered (world, "z2") == 4);
   scaling_world_free (world);
 }
 
@@ -88,17 +90,17 @@
 test_crashed_for_good (void **state)
 {
   ScalingWorld *world = busy_world ("crashed", BOOT_MS);
-  scaling_list (world, 0, NULL, FALSE);
+  scaling_set_registration (world, 0, NULL, FALSE);
   run_for (1000);
-  scaling_list (world, 0, "z1", FALSE);
+  scaling_set_registration (world, 0, "z1", FALSE);
   run_for (QUIET_MS);
   assert_int_equal (world->orders->len, 0);
   for (guint i = 0; i < 2; i++)
     {
       standin_worker_crash (world->path->model[i]);
-      scaling_list (world, i, NULL, FALSE);
+      scaling_set_registration (world, i, NULL, FALSE);
     }
-  AWAIT (scaling_count (world, NULL) == SCALING_STOOD);
+  AWAIT (scaling_count_registered (world, NULL) == SCALING_N_INITIAL_WORKERS);
   run_for (QUIET_MS);
   assert_int_equal (world->orders->len, 1);
   scaling_world_free (world);
@@ -109,12 +111,12 @@
 test_none_there (void **state)
 {
   ScalingWorld *world = busy_world ("dry", BOOT_MS);
-  world->dry = "z2";
+  world->exhausted_zone = "z2";
   evacuate (world, "z3", TRUE);
-  AWAIT (scaling_count (world, "z1") == 4);
+  AWAIT (scaling_count_registered (world, "z1") == 4);
   assert_int_equal (world->orders->len, 2);
-  assert_string_equal (scaling_order (world, 0)->zone, "z2");
-  scaling_assert_one_holder (world);
+  assert_string_equal (scaling_get_order (world, 0)->zone, "z2");
+  scaling_assert_single_holder (world);
   scaling_world_free (world);
 }
 
@@ -124,16 +126,17 @@
 test_reclaimed (void **state)
 {
   ScalingWorld *world = scaling_world_new ("reclaimed", "replace", BOOT_MS);
-  for (guint i = 0; i < SCALING_ZONES; i++)
-    scaling_list (world, SCALING_STOOD + i, scaling_zones[i], TRUE);
-  scaling_submit (world, "b1", SCALING_SAMPLES);
+  for (guint i = 0; i < SCALING_N_ZONES; i++)
+    scaling_set_registration (world, SCALING_N_INITIAL_WORKERS + i, scaling_zones[i], TRUE);
+  scaling_submit_batch (world, "b1", SCALING_SAMPLES);
   run_for (LEARNED_MS);
-  for (guint i = 0; i < SCALING_ZONES; i++)
-    scaling_list (world, SCALING_STOOD + i, NULL, FALSE);
-  AWAIT (scaling_count (world, NULL) == SCALING_STOOD + SCALING_ZONES);
+  for (guint i = 0; i < SCALING_N_ZONES; i++)
+    scaling_set_registration (world, SCALING_N_INITIAL_WORKERS + i, NULL, FALSE);
+  AWAIT (scaling_count_registered (world, NULL) == SCALING_N_INITIAL_WORKERS + SCALING_N_ZONES);
   assert_int_equal (world->orders->len, 1);
-  assert_string_equal (scaling_order (world, 0)->body, "{\"service\":\"llm\",\"zone\":\"z2\",\"desired\":5}");
-  scaling_assert_one_holder (world);
+  assert_string_equal (scaling_get_order (world, 0)->body,
+                       "{\"service\":\"llm\",\"zone\":\"z2\",\"desired\":5}");
+  scaling_assert_single_holder (world);
   scaling_world_free (world);
 }
 
@@ -145,13 +148,13 @@
   world->refuse = 1;
   world->silent = 1;
   evacuate (world, "z3", TRUE);
-  AWAIT (scaling_count (world, "z2") == 4);
+  AWAIT (scaling_count_registered (world, "z2") == 4);
   run_for (QUIET_MS);
   assert_in_range (world->orders->len, 2, 3);
   for (guint i = 1; i < world->orders->len; i++)
-    assert_string_equal (scaling_order (world, i)->body, scaling_order (world, 0)->body);
-  assert_int_equal (scaling_count (world, NULL), SCALING_STOOD + 2);
-  scaling_assert_one_holder (world);
+    assert_string_equal (scaling_get_order (world, i)->body, scaling_get_order (world, 0)->body);
+  assert_int_equal (scaling_count_registered (world, NULL), SCALING_N_INITIAL_WORKERS + 2);
+  scaling_assert_single_holder (world);
   scaling_world_free (world);
 }
 
@@ -167,10 +170,10 @@
   gint leader = path_find_leader (world->path);
   quince_process_kill (world->path->replicas[leader]);
   AWAIT (path_find_leader (world->path) != leader);
-  assert_int_equal (scaling_count (world, "z2"), 2);
+  assert_int_equal (scaling_count_registered (world, "z2"), 2);
   run_for (LEARNED_MS + LONG_BOOT_MS + QUIET_MS);
   assert_int_equal (world->orders->len, 1);
-  assert_int_equal (scaling_count (world, "z2"), 4);
+  assert_int_equal (scaling_count_registered (world, "z2"), 4);
   scaling_world_free (world);
 }
 
@@ -186,9 +189,10 @@
   quince_process_kill (world->path->replicas[leader]);
   AWAIT (path_find_leader (world->path) != leader);
   world->refuse = 0;
-  AWAIT (scaling_count (world, "z2") == 4);
-  assert_true (scaling_order (world, world->orders->len - 1)->fence > scaling_order (world, 0)->fence);
-  scaling_assert_one_holder (world);
+  AWAIT (scaling_count_registered (world, "z2") == 4);
+  assert_true (scaling_get_order (world, world->orders->len - 1)->fence
+               > scaling_get_order (world, 0)->fence);
+  scaling_assert_single_holder (world);
   scaling_world_free (world);
 }
 
@@ -207,10 +211,10 @@
   AWAIT (world->orders->len > before);
   quince_process_resume (world->path->replicas[leader]);
   world->refuse = 0;
-  AWAIT (scaling_count (world, "z2") == 4);
+  AWAIT (scaling_count_registered (world, "z2") == 4);
   run_for (QUIET_MS);
-  assert_int_equal (scaling_count (world, NULL), SCALING_STOOD + 2);
-  scaling_assert_one_holder (world);
+  assert_int_equal (scaling_count_registered (world, NULL), SCALING_N_INITIAL_WORKERS + 2);
+  scaling_assert_single_holder (world);
   scaling_world_free (world);
 }
 
@@ -220,16 +224,16 @@
 {
   ScalingWorld *world = busy_world ("heir", BOOT_MS);
   evacuate (world, "z3", TRUE);
-  AWAIT (scaling_count (world, "z2") == 4);
+  AWAIT (scaling_count_registered (world, "z2") == 4);
   gint leader = path_find_leader (world->path);
   quince_process_kill (world->path->replicas[leader]);
   AWAIT (path_find_leader (world->path) != leader);
   evacuate (world, "z3", FALSE);
-  AWAIT (scaling_count (world, NULL) == SCALING_STOOD);
+  AWAIT (scaling_count_registered (world, NULL) == SCALING_N_INITIAL_WORKERS);
   run_for (QUIET_MS);
-  for (guint i = 0; i < SCALING_ZONES; i++)
-    assert_int_equal (scaling_count (world, scaling_zones[i]), 2);
-  scaling_assert_one_holder (world);
+  for (guint i = 0; i < SCALING_N_ZONES; i++)
+    assert_int_equal (scaling_count_registered (world, scaling_zones[i]), 2);
+  scaling_assert_single_holder (world);
   scaling_world_free (world);
 }
 
@@ -237,7 +241,7 @@
 test_switched_off (void **state)
 {
   ScalingWorld *world = scaling_world_new ("off", "none", BOOT_MS);
-  scaling_submit (world, "b1", SCALING_SAMPLES);
+  scaling_submit_batch (world, "b1", SCALING_SAMPLES);
   run_for (LEARNED_MS);
   evacuate (world, "z3", TRUE);
   run_for (QUIET_MS);
--- a/tests/platform/test-steps-without-store.c
+++ b/tests/platform/test-steps-without-store.c
@@ -43,11 +43,11 @@
   run_for (DOWN_MS);
   relayed_start_process (world, RELAYED_REPLICA_PROCESS (leader));
   for (guint i = 0; i < trainer.steps->len; i++)
-    AWAIT (trainer_has_read (&trainer, trainer.steps->pdata[i]));
+    AWAIT (trainer_try_read_all (&trainer, trainer.steps->pdata[i]));
   trainer_submit (&trainer);
-  AWAIT (trainer_has_read (&trainer, trainer.steps->pdata[2]));
+  AWAIT (trainer_try_read_all (&trainer, trainer.steps->pdata[2]));
   standin_store_set_fault (world->path->store, STANDIN_STORE_HEALTHY);
-  trainer_assert_all (&trainer);
+  trainer_assert_all_steps (&trainer);
   trainer_clear (&trainer);
   relayed_world_free (world);
 }
--- a/tests/platform/test-steps.c
+++ b/tests/platform/test-steps.c
@@ -55,8 +55,8 @@
   trainer_submit (trainer);
   for (guint i = 0; i < STEPS; i++)
     {
-      AWAIT (trainer_has_read (trainer, trainer->steps->pdata[i]));
-      trainer_name_version (trainer, trainer->version + 1);
+      AWAIT (trainer_try_read_all (trainer, trainer->steps->pdata[i]));
+      trainer_publish_version (trainer, trainer->version + 1);
       if (trainer->steps->len < STEPS)
         trainer_submit (trainer);
       if (i == 0 && !fault->at_start)
@@ -81,8 +81,8 @@
 static void
 start_scene (Scene *scene)
 {
-  if (scene->gates_timer != 0)
-    g_source_remove (scene->gates_timer);
+  if (scene->relay_timer != 0)
+    g_source_remove (scene->relay_timer);
   *scene = (Scene){ .world = relayed_world_new ("steps") };
   for (guint i = 0; i < PATH_MODEL; i++)
     standin_worker_set_events (scene->world->path->model[i], STEP_EVENTS, EVENT_EVERY_MS);
@@ -101,8 +101,8 @@
   train (&scene, fault);
   if (fault->recover != NULL)
     fault->recover (&scene);
-  AWAIT (scene.gates_timer == 0);
-  trainer_assert_all (&scene.trainer);
+  AWAIT (scene.relay_timer == 0);
+  trainer_assert_all_steps (&scene.trainer);
   guint wrong = count_naming (&scene.trainer, WRONG_VERSION);
   print_message ("  samples=%u wrong=%u repeats=%u\n", STEPS * STEP_ITEMS, wrong, scene.trainer.repeats);
   assert_true (!fault->wrong || wrong > 0);
@@ -123,9 +123,9 @@
   for (guint i = 0; i < STEPS; i++)
     trainer_submit (&scene.trainer);
   for (guint i = 0; i < STEPS; i++)
-    AWAIT (trainer_has_read (&scene.trainer, scene.trainer.steps->pdata[i]));
+    AWAIT (trainer_try_read_all (&scene.trainer, scene.trainer.steps->pdata[i]));
   resume_store (&scene);
-  trainer_assert_all (&scene.trainer);
+  trainer_assert_all_steps (&scene.trainer);
   trainer_clear (&scene.trainer);
   relayed_world_free (scene.world);
 }
@@ -152,8 +152,8 @@
       quince_process_resume (path->replicas[i]);
   restart_leader (&scene);
   trainer_submit (&scene.trainer);
-  AWAIT (trainer_has_read (&scene.trainer, scene.trainer.steps->pdata[0]));
-  trainer_assert_all (&scene.trainer);
+  AWAIT (trainer_try_read_all (&scene.trainer, scene.trainer.steps->pdata[0]));
+  trainer_assert_all_steps (&scene.trainer);
   trainer_clear (&scene.trainer);
   relayed_world_free (scene.world);
 }
@@ -172,17 +172,17 @@
       static Scene scene;
       start_scene (&scene);
       trainer_submit (&scene.trainer);
-      AWAIT (trainer_has_read (&scene.trainer, scene.trainer.steps->pdata[0]));
+      AWAIT (trainer_try_read_all (&scene.trainer, scene.trainer.steps->pdata[0]));
       scene.trainer.version = 3; /* as the trainer has it; the store hears of it later */
       trainer_submit (&scene.trainer);
       if (faults[i][0] != NULL)
         faults[i][0](&scene);
       run_for (500);
-      trainer_name_version (&scene.trainer, 3);
-      AWAIT (trainer_has_read (&scene.trainer, scene.trainer.steps->pdata[1]));
+      trainer_publish_version (&scene.trainer, 3);
+      AWAIT (trainer_try_read_all (&scene.trainer, scene.trainer.steps->pdata[1]));
       if (faults[i][1] != NULL)
         faults[i][1](&scene);
-      trainer_assert_all (&scene.trainer);
+      trainer_assert_all_steps (&scene.trainer);
       trainer_clear (&scene.trainer);
       relayed_world_free (scene.world);
     }
@@ -261,12 +261,12 @@
   trainer_submit (trainer);
   find_leader (&scene);
   hold_orders (&scene, TRUE);
-  trainer_name_version (trainer, 2);
+  trainer_publish_version (trainer, 2);
   AWAIT (count_held_orders (&scene) > 0);
   quince_process_suspend (scene.world->path->replicas[scene.leader]);
   AWAIT (path_find_leader (scene.world->path) != (gint)scene.leader);
   hold_orders (&scene, FALSE);
-  trainer_name_version (trainer, 3);
+  trainer_publish_version (trainer, 3);
   AWAIT (run_version (&scene, 3));
   assert_int_equal (count_refused_orders (&scene), 0);
   deliver_orders (&scene);
@@ -275,12 +275,12 @@
   print_message ("  refused_orders=%u\n", count_refused_orders (&scene));
   run_for (1000);
   assert_true (run_version (&scene, 3));
-  trainer_name_version (trainer, 4);
+  trainer_publish_version (trainer, 4);
   AWAIT (run_version (&scene, 4));
   trainer_submit (trainer);
   for (guint i = 0; i < 2; i++)
-    AWAIT (trainer_has_read (trainer, trainer->steps->pdata[i]));
-  trainer_assert_all (trainer);
+    AWAIT (trainer_try_read_all (trainer, trainer->steps->pdata[i]));
+  trainer_assert_all_steps (trainer);
   assert_fences_rise (&scene);
   trainer_clear (trainer);
   relayed_world_free (scene.world);
--- a/tests/platform/test-tenants.c
+++ b/tests/platform/test-tenants.c
@@ -40,7 +40,7 @@
   PathWorld *world = start_world ("keys");
   const char *front = path_front (world, 0);
   assert_int_equal (status_with_key (front, "POST", "/l/1", "none", "x", NULL), 401);
-  assert_int_equal (status_with_key (front, "POST", "/l/1", "unknown", "x", KEY_NOBODY), 401);
+  assert_int_equal (status_with_key (front, "POST", "/l/1", "unknown", "x", KEY_UNKNOWN), 401);
   assert_int_equal (status_with_key (front, "POST", "/nowhere/1", "lost", "x", KEY_A1), 404);
   assert_null (find_run (world, "none"));
   assert_null (find_run (world, "unknown"));
@@ -69,8 +69,8 @@
   PathWorld *world = path_world_new ("unconfigured");
   path_start_front (world, 0);
   const char *front = path_front (world, 0);
-  assert_int_equal (status_with_key (front, "POST", "/l/1", "r", "x", KEY_NOBODY), 503);
-  assert_int_equal (status_with_key (front, "GET", "/quinceroute/lots/b", "r", NULL, KEY_NOBODY), 503);
+  assert_int_equal (status_with_key (front, "POST", "/l/1", "r", "x", KEY_UNKNOWN), 503);
+  assert_int_equal (status_with_key (front, "GET", "/quinceroute/lots/b", "r", NULL, KEY_UNKNOWN), 503);
   path_world_free (world);
 }
 
@@ -89,15 +89,15 @@
 test_withdrawn_key (void **state)
 {
   PathWorld *world = start_world ("withdrawn");
-  configure (world, 8, TENANTS_LESS);
+  tenants_configure (world, 8, TENANTS_KEY_REVOKED);
   await_refused (world, KEY_A1);
   for (guint i = 0; i < PATH_FRONTS; i++)
     assert_int_equal (status_with_key (path_front (world, i), "POST", "/l/1", "s", "x", KEY_A2), 200);
   /* An older configuration never brings it back, a front that starts anew neither. */
-  configure (world, 7, TENANTS_ALL);
+  tenants_configure (world, 7, TENANTS_ALL);
   quince_process_kill (world->fronts[0]);
   path_start_front (world, 0);
-  configure (world, 9, TENANTS_LESS);
+  tenants_configure (world, 9, TENANTS_KEY_REVOKED);
   AWAIT (status_with_key (path_front (world, 0), "POST", "/l/1", "t", "x", KEY_A2) == 200);
   await_refused (world, KEY_A1);
   path_world_free (world);
@@ -156,7 +156,7 @@
   {
     const char *key;
     guint status;
-  } cases[] = { { KEY_B1, 404 }, { KEY_NOBODY, 401 }, { NULL, 401 } };
+  } cases[] = { { KEY_B1, 404 }, { KEY_UNKNOWN, 401 }, { NULL, 401 } };
   for (guint i = 0; i < G_N_ELEMENTS (cases); i++)
     for (guint front = 0; front < PATH_FRONTS; front++)
       {
@@ -200,7 +200,7 @@
   for (guint i = 0; i < PATH_MODEL; i++)
     standin_worker_set_fault (world->model[i], STANDIN_WORKER_REFUSES, G_MAXUINT);
   submit (world, "b2");
-  configure (world, 8, TENANTS_LESS);
+  tenants_configure (world, 8, TENANTS_KEY_REVOKED);
   await_refused (world, KEY_A1);
   gint leader = path_find_leader (world);
   assert_true (leader >= 0);
@@ -220,7 +220,7 @@
 static void
 assert_no_key_in_file (const char *path)
 {
-  static const char *const keys[] = { KEY_A1, KEY_A2, KEY_B1, KEY_NOBODY };
+  static const char *const keys[] = { KEY_A1, KEY_A2, KEY_B1, KEY_UNKNOWN };
   g_autofree char *data = NULL;
   gsize length = 0;
   if (!g_file_get_contents (path, &data, &length, NULL))
@@ -251,7 +251,7 @@
   PathWorld *world = start_world ("nowhere");
   submit (world, "b3");
   AWAIT (listed (world, 1, "b3", KEY_A2) == ITEMS);
-  status_with_key (path_front (world, 0), "POST", "/l/1", "none", "x", KEY_NOBODY);
+  status_with_key (path_front (world, 0), "POST", "/l/1", "none", "x", KEY_UNKNOWN);
   status_with_key (path_front (world, 0), "GET", "/quinceroute/lots/b3", "none", NULL, KEY_B1);
   assert_no_key_below (world->folder);
   g_autofree char *written = standin_store_dump_except (world->store, "op/config");
