--- a/tests/platform/scaling-world.h
+++ b/tests/platform/scaling-world.h
@@ -27,8 +27,8 @@
   char *body;
   char *holder;
   guint64 fence;
-  gint64 at_us;
-  gboolean taken;
+  gint64 received_us;
+  gboolean is_accepted;
 } ScalingOrder;
 
 typedef struct
@@ -145,7 +145,7 @@
   boot->world = world;
   boot->zone = g_strdup (order->zone);
   boot->desired = order->desired;
-  order->taken = TRUE;
+  order->is_accepted = TRUE;
   g_ptr_array_add (world->boots, boot);
   boot->timer = g_timeout_add (world->boot_ms, scaling_apply_order, boot);
 }
@@ -157,11 +157,11 @@
   order->body = g_strndup ((const char *)call->body->data, call->body->len);
   order->holder = g_strdup (standin_call_get_header (call, "Duty-Holder"));
   order->fence = g_ascii_strtoull (standin_call_get_header (call, "Fence-Token"), NULL, 10);
-  order->at_us = g_get_monotonic_time ();
+  order->received_us = g_get_monotonic_time ();
   assert_non_null (strstr (order->body, "\"service\":\"llm\""));
-  char **parts = g_strsplit (strstr (order->body, "\"zone\":\"") + 8, "\"", 2);
-  order->zone = g_strdup (parts[0]);
-  g_strfreev (parts);
+  char **fields = g_strsplit (strstr (order->body, "\"zone\":\"") + 8, "\"", 2);
+  order->zone = g_strdup (fields[0]);
+  g_strfreev (fields);
   order->desired = (guint)g_ascii_strtoull (strstr (order->body, "\"desired\":") + 10, NULL, 10);
   assert_null (strstr (order->body, "spot"));
   return order;
@@ -176,14 +176,14 @@
   g_ptr_array_add (world->orders, order);
   assert_in_range (order->desired, 0, SCALING_MAX);
   const char *zone = scaling_find_zone (order->zone);
-  gboolean more = order->desired > scaling_count_registered_kind (world, zone, FALSE);
+  gboolean is_scale_up = order->desired > scaling_count_registered_kind (world, zone, FALSE);
   if (world->refuse > 0)
     {
       world->refuse--;
       standin_call_answer (call, 503, "", "", 0);
       return;
     }
-  if (more && g_strcmp0 (world->exhausted_zone, zone) == 0)
+  if (is_scale_up && g_strcmp0 (world->exhausted_zone, zone) == 0)
     {
       standin_call_answer (call, 409, "", "", 0);
       return;
@@ -204,12 +204,12 @@
 scaling_configure (ScalingWorld *world)
 {
   g_autofree char *plain = g_strdup_printf (PATH_CONFIGURATION, 7u);
-  g_autofree char *engine
+  g_autofree char *scaling_config
       = g_strdup_printf ("\"scaling\":{\"min\":%d,\"max\":%d,\"bootTimeoutS\":%.1f,\"spotPrice\":0.2,"
                          "\"zonePrices\":{\"z1\":1.0,\"z2\":0.8,\"z3\":1.2}},\"engine\":{\"slots\":1,",
                          SCALING_MIN, SCALING_MAX, world->boot_ms / 1000.0);
   g_autoptr (GString) text = g_string_new (plain);
-  assert_int_equal (g_string_replace (text, "\"engine\":{\"slots\":8,", engine, 1), 1);
+  assert_int_equal (g_string_replace (text, "\"engine\":{\"slots\":8,", scaling_config, 1), 1);
   standin_store_put (world->path->store, "op/config", text->str);
 }
 
@@ -276,10 +276,10 @@
 {
   for (guint i = 1; i < world->orders->len; i++)
     {
-      const ScalingOrder *before = world->orders->pdata[i - 1];
+      const ScalingOrder *previous = world->orders->pdata[i - 1];
       const ScalingOrder *order = world->orders->pdata[i];
-      assert_true (order->fence >= before->fence);
-      assert_int_equal (order->fence == before->fence, g_str_equal (order->holder, before->holder));
-      assert_true (order->fence > before->fence || order->at_us - before->at_us > 400 * 1000);
+      assert_true (order->fence >= previous->fence);
+      assert_int_equal (order->fence == previous->fence, g_str_equal (order->holder, previous->holder));
+      assert_true (order->fence > previous->fence || order->received_us - previous->received_us > 400 * 1000);
     }
 }
--- a/tests/platform/steps.h
+++ b/tests/platform/steps.h
@@ -18,8 +18,8 @@
 typedef struct
 {
   char *name;
-  guint64 oldest; /* weights that may make a part of it */
-  char *results;  /* as they were first read whole; NULL: not yet */
+  guint64 min_version; /* weights that may make a part of it */
+  char *results;       /* as they were first read whole; NULL: not yet */
 } Step;
 
 typedef struct
@@ -104,13 +104,13 @@
 {
   Step *step = g_new0 (Step, 1);
   step->name = g_strdup_printf ("step%u", trainer->steps->len);
-  step->oldest = MAX (trainer->version, 1 + STEP_MAX_STALENESS) - STEP_MAX_STALENESS;
+  step->min_version = MAX (trainer->version, 1 + STEP_MAX_STALENESS) - STEP_MAX_STALENESS;
   g_ptr_array_add (trainer->steps, step);
   g_autofree char *text = path_make_batch (step->name, STEP_ITEMS);
-  g_autofree char *wanted = g_strdup_printf ("\"minVersion\":%u", (guint)step->oldest);
+  g_autofree char *min_version_field = g_strdup_printf ("\"minVersion\":%u", (guint)step->min_version);
   g_auto (GStrv) parts = g_strsplit (text, "\"minVersion\":1", 2);
-  g_autofree char *changed = g_strjoinv (wanted, parts);
-  AWAIT (trainer_try_submit (trainer, step, changed));
+  g_autofree char *request_body = g_strjoinv (min_version_field, parts);
+  AWAIT (trainer_try_submit (trainer, step, request_body));
 }
 
 static inline void
@@ -170,8 +170,8 @@
             continue;
           for (guint k = 0; k < run->events->len; k++)
             {
-              const StandinEvent *made = &g_array_index (run->events, StandinEvent, k);
-              if (made->version == version && (number == 0 || made->number == number))
+              const StandinEvent *generated_event = &g_array_index (run->events, StandinEvent, k);
+              if (generated_event->version == version && (number == 0 || generated_event->number == number))
                 return TRUE;
             }
         }
@@ -189,8 +189,8 @@
   for (guint i = 0; i < count; i++)
     {
       guint64 version = (guint64)json_array_get_int_element (versions, i);
-      if (version < step->oldest)
-        fail_msg ("%s names version %u, below %u", item, (guint)version, (guint)step->oldest);
+      if (version < step->min_version)
+        fail_msg ("%s names version %u, below %u", item, (guint)version, (guint)step->min_version);
       if (!trainer_was_event_generated (path, item, 0, version))
         fail_msg ("%s names version %u, which made no part of it", item, (guint)version);
     }
@@ -249,10 +249,10 @@
       trainer_assert_step (trainer, step);
       for (guint j = 0; j < PATH_FRONTS; j++)
         {
-          char *again = NULL;
-          AWAIT ((again = path_fetch_results (trainer->world->path, j, step->name)) != NULL);
-          assert_string_equal (again, step->results);
-          g_free (again);
+          char *current_results = NULL;
+          AWAIT ((current_results = path_fetch_results (trainer->world->path, j, step->name)) != NULL);
+          assert_string_equal (current_results, step->results);
+          g_free (current_results);
         }
     }
 }
--- a/tests/platform/tenants-world.h
+++ b/tests/platform/tenants-world.h
@@ -25,8 +25,8 @@
 static inline void
 tenants_configure (PathWorld *world, guint version, const char *tenants)
 {
-  g_autofree char *plain = g_strdup_printf (PATH_CONFIGURATION, version);
-  g_auto (GStrv) parts = g_strsplit (plain, "\"routes\":[", 2);
+  g_autofree char *base_config = g_strdup_printf (PATH_CONFIGURATION, version);
+  g_auto (GStrv) parts = g_strsplit (base_config, "\"routes\":[", 2);
   g_autofree char *text
       = g_strdup_printf ("%s\"tenants\":[%s],\"routes\":[" PUBLIC_ROUTE ",%s", parts[0], tenants, parts[1]);
   standin_store_put (world->store, "op/config", text);
--- a/tests/platform/test-append-gap.c
+++ b/tests/platform/test-append-gap.c
@@ -11,47 +11,47 @@
 #include "runtime/link.h"
 
 /* Replica id of the leader that the test plays. */
-#define LEADER 11
-#define RECORDS 3
+#define LEADER_REPLICA_ID 11
+#define N_RECORDS 3
 /* Between two heartbeats, ms: a fraction of the 1 s of silence that backups bear. */
-#define HEARTBEAT_MS 50
+#define HEARTBEAT_INTERVAL_MS 50
 /* Far more than a message takes on loopback, ms. */
-#define ARRIVAL_MS 300
+#define DELIVERY_WAIT_MS 300
 
 typedef struct
 {
   PathWorld *world;
   QuinceMetaStore *store;
   QuinceLinkServer *server;
-  QuinceLink *link; /* the backup's newest */
-  GPtrArray *links; /* all, owned */
-  guint hellos;
-  guint64 backup;      /* replica id of the backup */
-  guint64 has_index;   /* end of its log, as it introduced itself last */
-  guint64 acked;       /* greatest index that it acknowledged */
-  gboolean is_written; /* the last change of the view was answered */
-} Leader;
+  QuinceLink *link;          /* the backup's newest */
+  GPtrArray *accepted_links; /* all, owned */
+  guint n_hellos;
+  guint64 backup_replica;    /* replica id of the backup */
+  guint64 backup_last_index; /* end of its log, as it introduced itself last */
+  guint64 acked_index;       /* greatest index that it acknowledged */
+  gboolean view_is_written;  /* the last change of the view was answered */
+} FakeLeader;
 
 static void
 link_message (QuinceLink *link, QuinceMessage *message, gpointer data)
 {
-  Leader *leader = data;
+  FakeLeader *leader = data;
   if (message->kind == QUINCE_MESSAGE_LEDGER_HELLO)
     {
       leader->link = link;
-      leader->hellos++;
-      leader->backup = message->QuinceMessage_u.ledger_hello.member.replica;
-      leader->has_index = message->QuinceMessage_u.ledger_hello.last_index;
+      leader->n_hellos++;
+      leader->backup_replica = message->QuinceMessage_u.ledger_hello.member.replica;
+      leader->backup_last_index = message->QuinceMessage_u.ledger_hello.last_index;
     }
   else if (message->kind == QUINCE_MESSAGE_LEDGER_ACK)
-    leader->acked = MAX (leader->acked, message->QuinceMessage_u.ledger_ack.last_index);
+    leader->acked_index = MAX (leader->acked_index, message->QuinceMessage_u.ledger_ack.last_index);
   quince_message_free (message);
 }
 
 static void
 link_closed (QuinceLink *link, const GError *error, gpointer data)
 {
-  Leader *leader = data;
+  FakeLeader *leader = data;
   if (leader->link == link)
     leader->link = NULL;
 }
@@ -61,38 +61,38 @@
 static void
 link_accepted (QuinceLink *link, gpointer data)
 {
-  g_ptr_array_add (((Leader *)data)->links, link);
+  g_ptr_array_add (((FakeLeader *)data)->accepted_links, link);
 }
 
 static void
 view_written (const QuinceMetaPage *page, guint64 number, const GError *error, gpointer data)
 {
   assert_null (error);
-  ((Leader *)data)->is_written = TRUE;
+  ((FakeLeader *)data)->view_is_written = TRUE;
 }
 
 /* The view of @epoch, whose one member is the leader. */
 static void
-write_view (Leader *leader, guint64 epoch)
+write_view (FakeLeader *leader, guint64 epoch)
 {
-  QuinceLedgerMember member = { .replica = LEADER,
+  QuinceLedgerMember member = { .replica = LEADER_REPLICA_ID,
                                 .node = (char *)"leader",
                                 .address = (char *)quince_link_server_get_address (leader->server) };
-  QuinceLedgerView view = { .epoch = epoch, .primary = LEADER };
+  QuinceLedgerView view = { .epoch = epoch, .primary = LEADER_REPLICA_ID };
   view.members.members_len = 1;
   view.members.members_val = &member;
   g_autoptr (GBytes) value = quince_ledger_view_encode (&view, NULL);
   const QuinceMetaChange change = { .key = "quinceroute/ledger", .expected_revision = -1, .value = value };
-  leader->is_written = FALSE;
+  leader->view_is_written = FALSE;
   quince_meta_store_change (leader->store, &change, 1, view_written, leader);
-  AWAIT (leader->is_written);
+  AWAIT (leader->view_is_written);
 }
 
 /* @n_records: from the first one on; 0: a heartbeat.  All RECORDS count as sent on this link. */
 static void
-send_append (Leader *leader, guint64 epoch, guint n_records)
+send_append (FakeLeader *leader, guint64 epoch, guint n_records)
 {
-  QuinceLogEntry entries[RECORDS] = { 0 };
+  QuinceLogEntry entries[N_RECORDS] = { 0 };
   for (guint i = 0; i < n_records; i++)
     {
       entries[i] = (QuinceLogEntry){ .index = i + 1, .epoch = epoch };
@@ -102,9 +102,9 @@
   QuinceMessage message = { .kind = QUINCE_MESSAGE_LEDGER_APPEND };
   QuinceLedgerAppend *append = &message.QuinceMessage_u.ledger_append;
   append->epoch = epoch;
-  append->replica = leader->backup;
-  append->end_index = RECORDS;
-  append->held_index = RECORDS;
+  append->replica = leader->backup_replica;
+  append->end_index = N_RECORDS;
+  append->held_index = N_RECORDS;
   append->entries.entries_val = entries;
   append->entries.entries_len = n_records;
   if (leader->link != NULL)
@@ -112,9 +112,9 @@
 }
 
 static void
-leader_start (Leader *leader)
+leader_start (FakeLeader *leader)
 {
-  *leader = (Leader){ .world = path_world_new ("append-gap"), .links = g_ptr_array_new () };
+  *leader = (FakeLeader){ .world = path_world_new ("append-gap"), .accepted_links = g_ptr_array_new () };
   leader->server = quince_link_server_new ("127.0.0.1:0", &link_callbacks, link_accepted, leader, NULL);
   assert_non_null (leader->server);
   leader->store
@@ -122,18 +122,18 @@
   leader->world->bootstrapped = TRUE;
   write_view (leader, 1);
   path_start_replica (leader->world, 0);
-  AWAIT (leader->hellos == 1 && leader->link != NULL);
+  AWAIT (leader->n_hellos == 1 && leader->link != NULL);
 }
 
 static void
-leader_stop (Leader *leader)
+leader_stop (FakeLeader *leader)
 {
-  for (guint i = 0; i < leader->links->len; i++)
+  for (guint i = 0; i < leader->accepted_links->len; i++)
     {
-      quince_link_close (leader->links->pdata[i]);
-      quince_link_unref (leader->links->pdata[i]);
+      quince_link_close (leader->accepted_links->pdata[i]);
+      quince_link_unref (leader->accepted_links->pdata[i]);
     }
-  g_ptr_array_unref (leader->links);
+  g_ptr_array_unref (leader->accepted_links);
   quince_link_server_free (leader->server);
   quince_meta_store_free (leader->store);
   path_world_free (leader->world);
@@ -143,24 +143,24 @@
  * earlier epoch refuses the records, and then learns of the later one.  Failed first: it acknowledged what it
  * had refused, so that its log lacked records that the leader counted as held there. */
 static void
-test_records_before_the_view (void **state)
+test_append_before_view_change (void **state)
 {
-  Leader leader;
+  FakeLeader leader;
   leader_start (&leader);
-  send_append (&leader, 2, RECORDS);
-  run_for (ARRIVAL_MS);
-  assert_int_equal (leader.acked, 0);
+  send_append (&leader, 2, N_RECORDS);
+  run_for (DELIVERY_WAIT_MS);
+  assert_int_equal (leader.acked_index, 0);
   write_view (&leader, 2);
-  while (leader.hellos == 1 && leader.acked == 0)
+  while (leader.n_hellos == 1 && leader.acked_index == 0)
     {
       send_append (&leader, 2, 0);
-      run_for (HEARTBEAT_MS);
+      run_for (HEARTBEAT_INTERVAL_MS);
     }
-  assert_int_equal (leader.acked, 0);
-  AWAIT (leader.link != NULL && leader.hellos >= 2);
-  assert_int_equal (leader.has_index, 0);
-  send_append (&leader, 2, RECORDS);
-  AWAIT (leader.acked == RECORDS);
+  assert_int_equal (leader.acked_index, 0);
+  AWAIT (leader.link != NULL && leader.n_hellos >= 2);
+  assert_int_equal (leader.backup_last_index, 0);
+  send_append (&leader, 2, N_RECORDS);
+  AWAIT (leader.acked_index == N_RECORDS);
   leader_stop (&leader);
 }
 
@@ -168,7 +168,7 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_records_before_the_view),
+    cmocka_unit_test (test_append_before_view_change),
   };
   return cmocka_run_group_tests_name ("append-gap", tests, NULL, NULL);
 }
--- a/tests/platform/test-callers.c
+++ b/tests/platform/test-callers.c
@@ -6,22 +6,22 @@
  */
 #include "callers-faults.h"
 
-#define CALLS 240
-#define CALL_EVERY_MS 5
-#define IN_PROGRESS 40 /* runs of the load when its fault is made */
-#define BURST 700
-#define BURST_REFUSED 200
-#define PLACES 20 /* of each worker, under the burst */
+#define N_CALLS 240
+#define CALL_INTERVAL_MS 5
+#define MIN_RUNS_BEFORE_FAULT 40 /* runs of the load when its fault is made */
+#define BURST_CALLS 700
+#define MIN_REFUSED_CALLS 200
+#define WORKER_CAPACITY 20 /* of each worker, under the burst */
 /* No caller waits for as long; half of the deadline. */
-#define REFUSED_WITHIN_MS 1500
+#define REFUSAL_MAX_MS 1500
 
-static Scene scene_of_tests;
+static Scene shared_scene;
 
 static CallLoad *
 new_load (Scene *scene, guint calls)
 {
   g_autofree char *name = g_strdup_printf ("load%u", scene->loads++);
-  return call_load_new (scene->world->path, name, calls, CALL_EVERY_MS);
+  return call_load_new (scene->world->path, name, calls, CALL_INTERVAL_MS);
 }
 
 /* Every kind is answered at every front, and the ledger has a leader. */
@@ -39,11 +39,11 @@
 }
 
 static void
-assert_case (const FaultCase *fault, CallLoad *load)
+assert_fault_case (const FaultCase *fault, CallLoad *load)
 {
   CallLoadCounts verdict = call_load_check (load);
-  if (verdict.complete * 100 < CALLS * fault->min_complete_calls)
-    fail_msg ("only %u of %u calls got a whole answer", verdict.complete, CALLS);
+  if (verdict.complete * 100 < N_CALLS * fault->min_complete_calls)
+    fail_msg ("only %u of %u calls got a whole answer", verdict.complete, N_CALLS);
   if (fault->must_break_calls && verdict.cut + verdict.failed + verdict.repeated == 0)
     fail_msg ("the fault hit no call");
   if (!fault->stops_front)
@@ -56,8 +56,8 @@
   Scene *scene = *state;
   const FaultCase *fault = scene->running;
   scene->leader = (guint)path_find_leader (scene->world->path);
-  CallLoad *load = new_load (scene, CALLS);
-  AWAIT (call_load_count_runs (load) >= IN_PROGRESS);
+  CallLoad *load = new_load (scene, N_CALLS);
+  AWAIT (call_load_count_runs (load) >= MIN_RUNS_BEFORE_FAULT);
   if (fault->begin != NULL)
     fault->begin (scene);
   gint64 end_us = g_get_monotonic_time () + (gint64)fault->duration_ms * 1000;
@@ -71,7 +71,7 @@
   if (fault->end != NULL)
     fault->end (scene);
   call_load_await (load);
-  assert_case (fault, load);
+  assert_fault_case (fault, load);
   await_recovered (scene);
   call_load_check (load); /* nothing of it ran later */
   call_load_free (load);
@@ -93,12 +93,12 @@
 }
 
 static void
-set_places (Scene *scene, guint places)
+set_worker_capacity (Scene *scene, guint capacity)
 {
   for (guint i = 0; i < PATH_PLAIN; i++)
-    standin_worker_set_max_running (scene->world->path->plain[i], places);
+    standin_worker_set_max_running (scene->world->path->plain[i], capacity);
   for (guint i = 0; i < PATH_MODEL; i++)
-    standin_worker_set_max_running (scene->world->path->model[i], places);
+    standin_worker_set_max_running (scene->world->path->model[i], capacity);
 }
 
 /* A burst far above what workers take, while none of those that they took can end: what is refused is told
@@ -108,21 +108,21 @@
 {
   Scene *scene = *state;
   CallLoad *load = new_load (scene, 0);
-  set_places (scene, PLACES);
+  set_worker_capacity (scene, WORKER_CAPACITY);
   set_faults (scene, PATH_PLAIN, PATH_MODEL, STANDIN_WORKER_UNRESPONSIVE, G_MAXUINT);
-  for (guint i = 0; i < BURST; i++)
+  for (guint i = 0; i < BURST_CALLS; i++)
     call_load_start_call (load, i % 2 == 0 ? CALL_NON_IDEMPOTENT_LOOKUP : CALL_NON_RESUMABLE_STREAM,
                           i / 2 % PATH_FRONTS);
-  load->total = BURST;
-  gint64 begun_us = g_get_monotonic_time ();
-  AWAIT (count_refused (load) >= BURST_REFUSED);
+  load->total = BURST_CALLS;
+  gint64 start_us = g_get_monotonic_time ();
+  AWAIT (count_refused (load) >= MIN_REFUSED_CALLS);
   assert_int_equal (call_load_count_done (load), count_refused (load));
-  gint64 took_ms = (g_get_monotonic_time () - begun_us) / 1000;
-  print_message ("  refused=%u after_ms=%d\n", count_refused (load), (int)took_ms);
-  assert_true (took_ms < REFUSED_WITHIN_MS);
+  gint64 elapsed_ms = (g_get_monotonic_time () - start_us) / 1000;
+  print_message ("  refused=%u after_ms=%d\n", count_refused (load), (int)elapsed_ms);
+  assert_true (elapsed_ms < REFUSAL_MAX_MS);
   call_load_await (load);
   end_faults (scene);
-  set_places (scene, G_MAXUINT);
+  set_worker_capacity (scene, G_MAXUINT);
   CallLoadCounts verdict = call_load_check (load);
   assert_int_equal (verdict.complete, 0);
   await_recovered (scene);
@@ -155,7 +155,7 @@
 /* ---- Running ------------------------------------------------------------ */
 
 static void
-stop_scene (Scene *scene)
+free_scene_world (Scene *scene)
 {
   if (scene->world != NULL)
     relayed_world_free (scene->world);
@@ -166,12 +166,12 @@
 static int
 prepare_case (void **state)
 {
-  Scene *scene = &scene_of_tests;
+  Scene *scene = &shared_scene;
   const FaultCase *fault = *state;
   *state = scene;
   if (!scene->last_case_passed)
     {
-      stop_scene (scene);
+      free_scene_world (scene);
       scene->world = relayed_world_new ("callers");
       call_load_configure (scene->world->path, 8);
       set_pace (scene, EVENT_INTERVAL_MS);
@@ -184,9 +184,9 @@
 }
 
 static int
-stop_all (void **state)
+free_shared_scene (void **state)
 {
-  stop_scene (&scene_of_tests);
+  free_scene_world (&shared_scene);
   return 0;
 }
 
@@ -213,5 +213,5 @@
                                     .initial_state = (gpointer)&fault_cases[i] };
   for (guint i = 0; i < REFUSALS; i++)
     tests[FAULTS + i] = refusals[i];
-  return _cmocka_run_group_tests ("callers", tests, FAULTS + REFUSALS, NULL, stop_all);
+  return _cmocka_run_group_tests ("callers", tests, FAULTS + REFUSALS, NULL, free_shared_scene);
 }
--- a/tests/platform/test-duties.c
+++ b/tests/platform/test-duties.c
@@ -8,9 +8,9 @@
 #include <json-glib/json-glib.h>
 
 /* Windows are short here; a report is due half a minute of them later. */
-#define WINDOW_S 1
-#define LATE_S 4
-#define CALLS 12
+#define USAGE_WINDOW_S 1
+#define USAGE_LATE_S 4
+#define N_LOOKUPS 12
 
 /* ---- A stand-in of the platform ------------------------------------------- */
 
@@ -25,9 +25,9 @@
 typedef struct
 {
   StandinServer *server;
-  GPtrArray *reports;     /* Report, owned, in the order in which they came */
-  guint refuse;           /* as many are answered 503 */
-  guint n_calls_to_reset; /* as many are taken and not answered */
+  GPtrArray *reports;      /* Report, owned, in the order in which they came */
+  guint n_calls_to_refuse; /* as many are answered 503 */
+  guint n_calls_to_reset;  /* as many are taken and not answered */
 } Platform;
 
 static void
@@ -40,13 +40,13 @@
 }
 
 static void
-platform_called (StandinCall *call, gpointer data)
+platform_handle_call (StandinCall *call, gpointer data)
 {
   Platform *platform = data;
   assert_string_equal (call->head->target, "/usage");
-  if (platform->refuse > 0)
+  if (platform->n_calls_to_refuse > 0)
     {
-      platform->refuse--;
+      platform->n_calls_to_refuse--;
       standin_call_answer (call, 503, "", "", 0);
       return;
     }
@@ -70,7 +70,7 @@
 {
   Platform *platform = g_new0 (Platform, 1);
   platform->reports = g_ptr_array_new_with_free_func (report_free);
-  platform->server = standin_server_new (platform_called, platform);
+  platform->server = standin_server_new (platform_handle_call, platform);
   return platform;
 }
 
@@ -83,7 +83,7 @@
 }
 
 static guint
-count_of (const Report *report, const char *tenant)
+get_reported_count (const Report *report, const char *tenant)
 {
   g_autoptr (JsonParser) parser = json_parser_new ();
   assert_true (json_parser_load_from_data (parser, report->body, -1, NULL));
@@ -94,7 +94,7 @@
 
 /* Over all windows, each of them once. */
 static guint
-told (const Platform *platform, const char *tenant)
+count_reported (const Platform *platform, const char *tenant)
 {
   g_autoptr (GHashTable) seen = g_hash_table_new (g_int64_hash, g_int64_equal);
   guint count = 0;
@@ -102,14 +102,14 @@
     {
       Report *report = platform->reports->pdata[i];
       if (g_hash_table_add (seen, &report->window))
-        count += count_of (report, tenant);
+        count += get_reported_count (report, tenant);
     }
   return count;
 }
 
 /* A window is told with the same bytes each time, and fences only rise. */
 static void
-assert_one_holder (const Platform *platform)
+assert_consistent_reports (const Platform *platform)
 {
   guint64 fence = 0;
   for (guint i = 0; i < platform->reports->len; i++)
@@ -119,11 +119,11 @@
       fence = report->fence;
       for (guint j = 0; j < i; j++)
         {
-          const Report *before = platform->reports->pdata[j];
-          if (before->window == report->window)
-            assert_string_equal (before->body, report->body);
-          if (before->fence == report->fence)
-            assert_string_equal (before->holder, report->holder);
+          const Report *earlier = platform->reports->pdata[j];
+          if (earlier->window == report->window)
+            assert_string_equal (earlier->body, report->body);
+          if (earlier->fence == report->fence)
+            assert_string_equal (earlier->holder, report->holder);
         }
     }
 }
@@ -134,14 +134,14 @@
   PathWorld *world = path_world_new (name);
   world->extra_replica_settings
       = g_strdup_printf ("[duties]\naddress=%s\nnames=metering,scaling\nusage_window=%ds\nusage_late=%ds\n",
-                         standin_server_get_address (platform->server), WINDOW_S, LATE_S);
+                         standin_server_get_address (platform->server), USAGE_WINDOW_S, USAGE_LATE_S);
   tenants_world_start (world);
   return world;
 }
 
 /* Requests of @tenant that began: one that takes long runs at two workers and counts once. */
 static guint
-requests_of (PathWorld *world, const char *tenant)
+count_requests (PathWorld *world, const char *tenant)
 {
   g_autoptr (GHashTable) requests = g_hash_table_new (g_str_hash, g_str_equal);
   for (guint i = 0; i < PATH_PLAIN; i++)
@@ -158,37 +158,37 @@
 }
 
 static void
-call_some (PathWorld *world)
+send_lookups (PathWorld *world)
 {
-  for (guint i = 0; i < CALLS; i++)
+  for (guint i = 0; i < N_LOOKUPS; i++)
     assert_int_equal (lookup_status (world, i % PATH_FRONTS, i % 3 == 0 ? KEY_B1 : KEY_A1), 200);
 }
 
 static void
-await_all_told (PathWorld *world, const Platform *platform)
+await_usage_reported (PathWorld *world, const Platform *platform)
 {
-  AWAIT (told (platform, "tenant-a") == requests_of (world, "tenant-a")
-         && told (platform, "tenant-b") == requests_of (world, "tenant-b"));
-  assert_one_holder (platform);
+  AWAIT (count_reported (platform, "tenant-a") == count_requests (world, "tenant-a")
+         && count_reported (platform, "tenant-b") == count_requests (world, "tenant-b"));
+  assert_consistent_reports (platform);
 }
 
 /* ---- Tests ------------------------------------------------------------------ */
 
 static void
-test_usage_is_told_once (void **state)
+test_usage_is_reported_once (void **state)
 {
   Platform *platform = platform_new ();
   PathWorld *world = start_world ("usage", platform);
-  call_some (world);
-  run_for (WINDOW_S * 1000);
-  call_some (world);
+  send_lookups (world);
+  run_for (USAGE_WINDOW_S * 1000);
+  send_lookups (world);
   /* Refused requests and samples are no usage. */
   status_with_key (path_front (world, 0), "POST", "/l/1", "nobody", "x", KEY_UNKNOWN);
   g_autofree char *batch = path_make_batch ("b1", 4);
   assert_int_equal (status_with_key (path_front (world, 0), "POST", "/r/batch", "b1", batch, KEY_A1), 202);
-  await_all_told (world, platform);
+  await_usage_reported (world, platform);
   guint reports = platform->reports->len;
-  run_for (2000 * WINDOW_S);
+  run_for (2000 * USAGE_WINDOW_S);
   assert_int_equal (platform->reports->len, reports);
   path_world_free (world);
   platform_free (platform);
@@ -196,42 +196,42 @@
 
 /* A platform that refuses, and one that takes a report and does not answer. */
 static void
-test_report_is_sent_again (void **state)
+test_report_is_retried (void **state)
 {
   Platform *platform = platform_new ();
   PathWorld *world = start_world ("again", platform);
-  platform->refuse = 2;
+  platform->n_calls_to_refuse = 2;
   platform->n_calls_to_reset = 1;
-  call_some (world);
-  await_all_told (world, platform);
-  assert_int_equal (platform->refuse, 0);
+  send_lookups (world);
+  await_usage_reported (world, platform);
+  assert_int_equal (platform->n_calls_to_refuse, 0);
   path_world_free (world);
   platform_free (platform);
 }
 
 /* The leader and its disk are lost with what it was told; all processes are killed. */
 static void
-test_usage_outlives_leaders (void **state)
+test_usage_survives_leader_loss (void **state)
 {
   Platform *platform = platform_new ();
   PathWorld *world = start_world ("heirs", platform);
-  call_some (world);
+  send_lookups (world);
   run_for (700); /* the leader keeps what it is told each 0.2 s */
   gint leader = path_find_leader (world);
   quince_process_kill (world->replicas[leader]);
   path_delete_replica_data (world, (guint)leader);
   path_start_replica (world, (guint)leader);
-  call_some (world);
+  send_lookups (world);
   run_for (700);
-  await_all_told (world, platform);
-  call_some (world);
+  await_usage_reported (world, platform);
+  send_lookups (world);
   AWAIT (path_find_leader (world) != leader);
   run_for (2500);
   for (guint i = 0; i < PATH_REPLICAS; i++)
     quince_process_kill (world->replicas[i]);
   for (guint i = 0; i < PATH_REPLICAS; i++)
     path_start_replica (world, i);
-  await_all_told (world, platform);
+  await_usage_reported (world, platform);
   path_world_free (world);
   platform_free (platform);
 }
@@ -239,21 +239,21 @@
 /* Nobody leads until every window so far is overdue: what fronts could not tell meanwhile counts all the
  * same. */
 static void
-test_usage_waits_for_a_late_leader (void **state)
+test_usage_survives_long_leader_outage (void **state)
 {
   Platform *platform = platform_new ();
   PathWorld *world = start_world ("late", platform);
   for (guint round = 0; round < 3; round++)
     {
-      call_some (world);
+      send_lookups (world);
       run_for (700);
       for (guint i = 0; i < PATH_REPLICAS; i++)
         quince_process_kill (world->replicas[i]);
-      call_some (world);
-      run_for (LATE_S * 1000);
+      send_lookups (world);
+      run_for (USAGE_LATE_S * 1000);
       for (guint i = 0; i < PATH_REPLICAS; i++)
         path_start_replica (world, i);
-      await_all_told (world, platform);
+      await_usage_reported (world, platform);
     }
   path_world_free (world);
   platform_free (platform);
@@ -263,10 +263,10 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_usage_is_told_once),
-    cmocka_unit_test (test_report_is_sent_again),
-    cmocka_unit_test (test_usage_outlives_leaders),
-    cmocka_unit_test (test_usage_waits_for_a_late_leader),
+    cmocka_unit_test (test_usage_is_reported_once),
+    cmocka_unit_test (test_report_is_retried),
+    cmocka_unit_test (test_usage_survives_leader_loss),
+    cmocka_unit_test (test_usage_survives_long_leader_outage),
   };
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/tests/platform/test-evacuation-path.c
+++ b/tests/platform/test-evacuation-path.c
@@ -6,18 +6,18 @@
  */
 #include "path-world.h"
 
-#define ITEMS 6
-#define HAMMERED 30
+#define N_SAMPLES 6
+#define N_LOOKUPS 30
 /* Well within the 5 s of a deployment's bound, by what a busy machine may take. */
-#define IN_FORCE_MS 3500
+#define EVACUATION_MAX_MS 3500
 /* Long enough for a wrong send to come, where none must. */
-#define QUIET_MS 1200
-#define AWAY_MS 12000
-#define Z1 "op/evacuate/z1"
-#define Z2 "op/evacuate/z2"
+#define NO_SEND_WAIT_MS 1200
+#define SUSPENSION_MS 12000
+#define Z1_EVACUATION_KEY "op/evacuate/z1"
+#define Z2_EVACUATION_KEY "op/evacuate/z2"
 
 static PathWorld *
-make_world (const char *name)
+world_new (const char *name)
 {
   PathWorld *world = path_world_new (name);
   standin_worker_set_zone (world->plain[1], "z2");
@@ -26,9 +26,9 @@
 }
 
 static PathWorld *
-start_world (const char *name)
+world_new_started (const char *name)
 {
-  PathWorld *world = make_world (name);
+  PathWorld *world = world_new (name);
   path_world_start (world);
   return world;
 }
@@ -36,62 +36,62 @@
 /* ---- What processes logged ---------------------------------------------- */
 
 static guint
-count_logged (const PathWorld *world, const char *name, const char *part)
+count_log_matches (const PathWorld *world, const char *name, const char *pattern)
 {
   g_autofree char *file = g_strdup_printf ("%s/%s.out", world->folder, name);
   g_autofree char *text = NULL;
-  return g_file_get_contents (file, &text, NULL, NULL) ? path_count_occurrences (text, part) : 0;
+  return g_file_get_contents (file, &text, NULL, NULL) ? path_count_occurrences (text, pattern) : 0;
 }
 
 static guint
-count_logged_by_all (const PathWorld *world, const char *part)
+count_processes_with_log (const PathWorld *world, const char *pattern)
 {
   guint count = 0;
   for (guint i = 0; i < PATH_FRONTS + PATH_REPLICAS; i++)
     {
       g_autofree char *name = i < PATH_FRONTS ? g_strdup_printf ("front-%u", i)
                                               : g_strdup_printf ("replica-%u", i - PATH_FRONTS);
-      count += count_logged (world, name, part) > 0;
+      count += count_log_matches (world, name, pattern) > 0;
     }
   return count;
 }
 
 /* All processes but @away know it in time. */
 static void
-await_evacuated (const PathWorld *world, const char *zone, guint away)
+await_evacuation_logged (const PathWorld *world, const char *zone, guint n_unavailable)
 {
-  g_autofree char *part = g_strdup_printf ("event=zone_evacuated zone=%s", zone);
+  g_autofree char *pattern = g_strdup_printf ("event=zone_evacuated zone=%s", zone);
   gint64 begin_us = g_get_monotonic_time ();
-  AWAIT (count_logged_by_all (world, part) + away >= PATH_FRONTS + PATH_REPLICAS);
-  gint64 took_ms = (g_get_monotonic_time () - begin_us) / 1000;
-  if (took_ms > IN_FORCE_MS)
-    fail_msg ("the evacuation was known everywhere after %d ms", (int)took_ms);
+  AWAIT (count_processes_with_log (world, pattern) + n_unavailable >= PATH_FRONTS + PATH_REPLICAS);
+  gint64 elapsed_ms = (g_get_monotonic_time () - begin_us) / 1000;
+  if (elapsed_ms > EVACUATION_MAX_MS)
+    fail_msg ("the evacuation was known everywhere after %d ms", (int)elapsed_ms);
 }
 
 /* ---- Work --------------------------------------------------------------- */
 
 static guint
-plain_runs (const PathWorld *world, guint index)
+count_plain_runs (const PathWorld *world, guint index)
 {
   return standin_worker_get_runs (world->plain[index])->len;
 }
 
 static guint
-model_runs (const PathWorld *world, guint index)
+count_model_runs (const PathWorld *world, guint index)
 {
   return standin_worker_get_runs (world->model[index])->len;
 }
 
 /* All that was sent to the workers of z1. */
 static guint
-sent_to_z1 (const PathWorld *world)
+count_sends_to_z1 (const PathWorld *world)
 {
-  return plain_runs (world, 0) + model_runs (world, 0) + model_runs (world, 1)
+  return count_plain_runs (world, 0) + count_model_runs (world, 0) + count_model_runs (world, 1)
          + standin_worker_get_n_orders (world->model[0]) + standin_worker_get_n_orders (world->model[1]);
 }
 
 static guint
-look_up (PathWorld *world, guint front)
+send_lookup (PathWorld *world, guint front)
 {
   static guint serial;
   g_autofree char *id = g_strdup_printf ("look-%u", ++serial);
@@ -99,21 +99,21 @@
 }
 
 static void
-hammer (PathWorld *world)
+send_lookups (PathWorld *world)
 {
-  for (guint i = 0; i < HAMMERED; i++)
-    AWAIT (look_up (world, i % PATH_FRONTS) == 200);
+  for (guint i = 0; i < N_LOOKUPS; i++)
+    AWAIT (send_lookup (world, i % PATH_FRONTS) == 200);
 }
 
 static void
-submit (PathWorld *world, const char *batch)
+submit_batch (PathWorld *world, const char *batch)
 {
-  g_autofree char *text = path_make_batch (batch, ITEMS);
+  g_autofree char *text = path_make_batch (batch, N_SAMPLES);
   AWAIT (path_status (path_front (world, 0), "POST", "/r/batch", batch, text) == 202);
 }
 
 static void
-name_version (PathWorld *world, guint version)
+publish_version (PathWorld *world, guint version)
 {
   g_autofree char *text = g_strdup_printf ("{\"model\":\"model-a\",\"version\":%u}", version);
   standin_store_put (world->store, "op/version/model-a", text);
@@ -123,27 +123,28 @@
 
 /* Lookups, streams, items, reward calls and orders keep away; after the return the zone works again. */
 static void
-test_nothing_is_sent (void **state)
+test_no_sends_to_evacuated_zone (void **state)
 {
-  PathWorld *world = start_world ("evacuated");
-  standin_store_put (world->store, Z1, "{}");
-  await_evacuated (world, "z1", 0);
+  PathWorld *world = world_new_started ("evacuated");
+  standin_store_put (world->store, Z1_EVACUATION_KEY, "{}");
+  await_evacuation_logged (world, "z1", 0);
   assert_int_equal (path_run_operator_tool (world, (const char *const[]){ "zones", NULL }), 0);
-  guint before = sent_to_z1 (world);
-  submit (world, "b1");
-  name_version (world, 2);
-  hammer (world);
+  guint before = count_sends_to_z1 (world);
+  submit_batch (world, "b1");
+  publish_version (world, 2);
+  send_lookups (world);
   for (guint i = 0; i < 6; i++)
     {
       g_autofree char *id = g_strdup_printf ("stream-%u", i);
       AWAIT (path_status (path_front (world, i % PATH_FRONTS), "POST", "/s/1", id, "x") == 200);
     }
-  AWAIT (path_count_results (world, 0, "b1") == ITEMS);
+  AWAIT (path_count_results (world, 0, "b1") == N_SAMPLES);
   AWAIT (standin_worker_get_version (world->model[2]) == 2);
-  run_for (QUIET_MS);
-  assert_int_equal (sent_to_z1 (world), before);
-  standin_store_remove (world->store, Z1);
-  AWAIT (look_up (world, 0) == 200 && plain_runs (world, 0) > 0 && sent_to_z1 (world) > before);
+  run_for (NO_SEND_WAIT_MS);
+  assert_int_equal (count_sends_to_z1 (world), before);
+  standin_store_remove (world->store, Z1_EVACUATION_KEY);
+  AWAIT (send_lookup (world, 0) == 200 && count_plain_runs (world, 0) > 0
+         && count_sends_to_z1 (world) > before);
   for (guint i = 0; i < PATH_MODEL; i++)
     AWAIT (standin_worker_get_version (world->model[i]) == 2);
   path_world_free (world);
@@ -151,9 +152,9 @@
 
 /* Texts that are under way in the zone end there, whole and once. */
 static void
-test_streams_end_where_they_are (void **state)
+test_running_streams_complete (void **state)
 {
-  PathWorld *world = start_world ("under-way");
+  PathWorld *world = world_new_started ("under-way");
   for (guint i = 0; i < PATH_MODEL; i++)
     standin_worker_set_events (world->model[i], 24, 100); /* less than the callers' 3 s */
   PathAnswer answers[6];
@@ -162,8 +163,9 @@
       g_autofree char *id = g_strdup_printf ("long-%u", i);
       path_start_call (path_front (world, 0), "POST", "/s/1", id, "x", &answers[i]);
     }
-  AWAIT (model_runs (world, 0) + model_runs (world, 1) + model_runs (world, 2) == G_N_ELEMENTS (answers));
-  standin_store_put (world->store, Z1, "{}");
+  AWAIT (count_model_runs (world, 0) + count_model_runs (world, 1) + count_model_runs (world, 2)
+         == G_N_ELEMENTS (answers));
+  standin_store_put (world->store, Z1_EVACUATION_KEY, "{}");
   for (guint i = 0; i < G_N_ELEMENTS (answers); i++)
     {
       AWAIT (answers[i].done);
@@ -171,7 +173,7 @@
       assert_int_equal (answers[i].status, 200);
       path_answer_clear (&answers[i]);
     }
-  assert_int_equal (model_runs (world, 0) + model_runs (world, 1) + model_runs (world, 2),
+  assert_int_equal (count_model_runs (world, 0) + count_model_runs (world, 1) + count_model_runs (world, 2),
                     G_N_ELEMENTS (answers));
   path_world_free (world);
 }
@@ -179,14 +181,14 @@
 /* Nobody is left: lookups and streams are refused at once with a time to come back, items wait and are run
  * once a zone is back. */
 static void
-test_all_zones (void **state)
+test_all_zones_evacuated (void **state)
 {
-  PathWorld *world = start_world ("all-zones");
-  standin_store_put (world->store, Z1, "{}");
-  standin_store_put (world->store, Z2, "{}");
-  await_evacuated (world, "z1", 0);
-  await_evacuated (world, "z2", 0);
-  guint before = sent_to_z1 (world) + plain_runs (world, 1) + model_runs (world, 2);
+  PathWorld *world = world_new_started ("all-zones");
+  standin_store_put (world->store, Z1_EVACUATION_KEY, "{}");
+  standin_store_put (world->store, Z2_EVACUATION_KEY, "{}");
+  await_evacuation_logged (world, "z1", 0);
+  await_evacuation_logged (world, "z2", 0);
+  guint before = count_sends_to_z1 (world) + count_plain_runs (world, 1) + count_model_runs (world, 2);
   static const char *const targets[] = { "/l/1", "/s/1", "/u/1" };
   for (guint i = 0; i < G_N_ELEMENTS (targets); i++)
     {
@@ -198,144 +200,146 @@
       assert_string_equal (answer.retry_after, "2.000");
       path_answer_clear (&answer);
     }
-  submit (world, "b1");
-  run_for (QUIET_MS);
+  submit_batch (world, "b1");
+  run_for (NO_SEND_WAIT_MS);
   assert_int_equal (path_count_results (world, 0, "b1"), 0);
-  assert_int_equal (sent_to_z1 (world) + plain_runs (world, 1) + model_runs (world, 2), before);
-  standin_store_remove (world->store, Z2);
-  AWAIT (path_count_results (world, 0, "b1") == ITEMS);
-  hammer (world);
-  assert_int_equal (plain_runs (world, 0) + model_runs (world, 0) + model_runs (world, 1),
-                    sent_to_z1 (world) - standin_worker_get_n_orders (world->model[0])
+  assert_int_equal (count_sends_to_z1 (world) + count_plain_runs (world, 1) + count_model_runs (world, 2),
+                    before);
+  standin_store_remove (world->store, Z2_EVACUATION_KEY);
+  AWAIT (path_count_results (world, 0, "b1") == N_SAMPLES);
+  send_lookups (world);
+  assert_int_equal (count_plain_runs (world, 0) + count_model_runs (world, 0) + count_model_runs (world, 1),
+                    count_sends_to_z1 (world) - standin_worker_get_n_orders (world->model[0])
                         - standin_worker_get_n_orders (world->model[1]));
   path_world_free (world);
 }
 
 /* A front and the leader start anew in an evacuation: neither sends anything there, not even first. */
 static void
-test_processes_that_start (void **state)
+test_processes_started_during_evacuation (void **state)
 {
-  PathWorld *world = start_world ("starts");
-  standin_store_put (world->store, Z1, "{}");
-  await_evacuated (world, "z1", 0);
-  guint before = sent_to_z1 (world);
+  PathWorld *world = world_new_started ("starts");
+  standin_store_put (world->store, Z1_EVACUATION_KEY, "{}");
+  await_evacuation_logged (world, "z1", 0);
+  guint before = count_sends_to_z1 (world);
   gint leader = path_find_leader (world);
   quince_process_kill (world->fronts[0]);
   quince_process_kill (world->replicas[leader]);
   path_start_front (world, 0);
   path_start_replica (world, (guint)leader);
-  name_version (world, 2);
-  hammer (world);
-  submit (world, "b1");
-  AWAIT (path_count_results (world, 0, "b1") == ITEMS);
-  run_for (QUIET_MS);
-  assert_int_equal (sent_to_z1 (world), before);
+  publish_version (world, 2);
+  send_lookups (world);
+  submit_batch (world, "b1");
+  AWAIT (path_count_results (world, 0, "b1") == N_SAMPLES);
+  run_for (NO_SEND_WAIT_MS);
+  assert_int_equal (count_sends_to_z1 (world), before);
   path_world_free (world);
 }
 
 /* Whoever reads for all is killed, or stands still, at the moment of the word. */
 static void
-test_leader_away (void **state)
+test_evacuation_while_leader_is_unavailable (void **state)
 {
   for (guint killed = 0; killed < 2; killed++)
     {
-      PathWorld *world = start_world (killed ? "leader-killed" : "leader-frozen");
+      PathWorld *world = world_new_started (killed ? "leader-killed" : "leader-frozen");
       gint leader = path_find_leader (world);
       if (killed)
         quince_process_kill (world->replicas[leader]);
       else
         quince_process_suspend (world->replicas[leader]);
-      standin_store_put (world->store, Z1, "{}");
-      await_evacuated (world, "z1", 1);
-      guint before = sent_to_z1 (world);
+      standin_store_put (world->store, Z1_EVACUATION_KEY, "{}");
+      await_evacuation_logged (world, "z1", 1);
+      guint before = count_sends_to_z1 (world);
       if (killed)
         path_start_replica (world, (guint)leader);
       else
         quince_process_resume (world->replicas[leader]);
-      hammer (world);
-      submit (world, "b1");
-      AWAIT (path_count_results (world, 0, "b1") == ITEMS);
-      run_for (QUIET_MS);
-      assert_int_equal (sent_to_z1 (world), before);
+      send_lookups (world);
+      submit_batch (world, "b1");
+      AWAIT (path_count_results (world, 0, "b1") == N_SAMPLES);
+      run_for (NO_SEND_WAIT_MS);
+      assert_int_equal (count_sends_to_z1 (world), before);
       path_world_free (world);
     }
 }
 
 /* Asked twice, taken back and asked again at once, beside forgotten history: the last word counts. */
 static void
-test_last_word_counts (void **state)
+test_latest_evacuation_state_applies (void **state)
 {
-  PathWorld *world = start_world ("last-word");
-  standin_store_put (world->store, Z1, "{}");
-  standin_store_put (world->store, Z1, "{}");
-  standin_store_remove (world->store, Z1);
+  PathWorld *world = world_new_started ("last-word");
+  standin_store_put (world->store, Z1_EVACUATION_KEY, "{}");
+  standin_store_put (world->store, Z1_EVACUATION_KEY, "{}");
+  standin_store_remove (world->store, Z1_EVACUATION_KEY);
   standin_store_compact (world->store);
-  standin_store_put (world->store, Z1, "{}");
-  await_evacuated (world, "z1", 0);
-  run_for (IN_FORCE_MS); /* until every process has heard the last word */
-  guint before = sent_to_z1 (world);
-  hammer (world);
-  assert_int_equal (sent_to_z1 (world), before);
-  standin_store_put (world->store, Z1, "{}");
-  standin_store_remove (world->store, Z1);
+  standin_store_put (world->store, Z1_EVACUATION_KEY, "{}");
+  await_evacuation_logged (world, "z1", 0);
+  run_for (EVACUATION_MAX_MS); /* until every process has heard the last word */
+  guint before = count_sends_to_z1 (world);
+  send_lookups (world);
+  assert_int_equal (count_sends_to_z1 (world), before);
+  standin_store_put (world->store, Z1_EVACUATION_KEY, "{}");
+  standin_store_remove (world->store, Z1_EVACUATION_KEY);
   standin_store_compact (world->store);
-  AWAIT (look_up (world, 0) == 200 && plain_runs (world, 0) > 0 && sent_to_z1 (world) > before);
+  AWAIT (send_lookup (world, 0) == 200 && count_plain_runs (world, 0) > 0
+         && count_sends_to_z1 (world) > before);
   path_world_free (world);
 }
 
 /* The workers of the evacuated zone are lost as well: their entries lapse and come back in the evacuation. */
 static void
-test_zone_is_cut_too (void **state)
+test_evacuated_worker_is_replaced (void **state)
 {
-  PathWorld *world = start_world ("cut-too");
-  standin_store_put (world->store, Z1, "{}");
-  await_evacuated (world, "z1", 0);
-  guint before = sent_to_z1 (world);
+  PathWorld *world = world_new_started ("cut-too");
+  standin_store_put (world->store, Z1_EVACUATION_KEY, "{}");
+  await_evacuation_logged (world, "z1", 0);
+  guint before = count_sends_to_z1 (world);
   standin_worker_crash (world->plain[0]);
   standin_store_remove (world->store, "servers/p0");
-  hammer (world);
+  send_lookups (world);
   standin_worker_restart (world->plain[0], "p0-2");
   g_autofree char *entry = standin_worker_make_entry (world->plain[0], "svc", "ready");
   standin_store_put (world->store, "servers/p0-2", entry);
-  AWAIT (count_logged_by_all (world, "worker=p0-2") == PATH_FRONTS + PATH_REPLICAS);
-  hammer (world);
-  assert_int_equal (sent_to_z1 (world), before);
+  AWAIT (count_processes_with_log (world, "worker=p0-2") == PATH_FRONTS + PATH_REPLICAS);
+  send_lookups (world);
+  assert_int_equal (count_sends_to_z1 (world), before);
   path_world_free (world);
 }
 
 /* A front is suspended over the word: it sends nothing there when it goes on. */
 static void
-test_suspended_front (void **state)
+test_front_resumed_after_evacuation (void **state)
 {
-  PathWorld *world = make_world ("suspended");
-  g_autofree char *clock = g_strdup_printf ("%s/front-0.clock", world->folder);
-  g_autofree char *moved = g_strdup_printf ("%d", AWAY_MS * 1000);
+  PathWorld *world = world_new ("suspended");
+  g_autofree char *clock_file = g_strdup_printf ("%s/front-0.clock", world->folder);
+  g_autofree char *suspension_us_text = g_strdup_printf ("%d", SUSPENSION_MS * 1000);
   path_configure (world, 7);
   path_register_workers (world);
   path_start_front (world, 1);
   g_setenv ("LD_PRELOAD", g_getenv ("QUINCE_BOOT_CLOCK_LIBRARY"), TRUE);
-  g_setenv ("QUINCE_BOOT_CLOCK", clock, TRUE);
+  g_setenv ("QUINCE_BOOT_CLOCK", clock_file, TRUE);
   path_start_front (world, 0);
   g_unsetenv ("LD_PRELOAD");
-  AWAIT (look_up (world, 0) == 200 && look_up (world, 1) == 200);
+  AWAIT (send_lookup (world, 0) == 200 && send_lookup (world, 1) == 200);
   quince_process_suspend (world->fronts[0]);
   run_for (50);
-  standin_store_put (world->store, Z1, "{}");
-  AWAIT (count_logged (world, "front-1", "event=zone_evacuated") == 1);
-  guint before = sent_to_z1 (world);
-  PathAnswer answers[HAMMERED]; /* wait at the front when it goes on */
-  for (guint i = 0; i < HAMMERED; i++)
+  standin_store_put (world->store, Z1_EVACUATION_KEY, "{}");
+  AWAIT (count_log_matches (world, "front-1", "event=zone_evacuated") == 1);
+  guint before = count_sends_to_z1 (world);
+  PathAnswer answers[N_LOOKUPS]; /* wait at the front when it goes on */
+  for (guint i = 0; i < N_LOOKUPS; i++)
     path_start_call (path_front (world, 0), "POST", "/l/1", "waits", "x", &answers[i]);
   run_for (100);
-  g_assert_true (g_file_set_contents (clock, moved, -1, NULL));
+  g_assert_true (g_file_set_contents (clock_file, suspension_us_text, -1, NULL));
   quince_process_resume (world->fronts[0]);
-  for (guint i = 0; i < HAMMERED; i++)
+  for (guint i = 0; i < N_LOOKUPS; i++)
     {
       AWAIT (answers[i].done);
       path_answer_clear (&answers[i]);
     }
-  AWAIT (look_up (world, 0) == 200);
-  assert_int_equal (sent_to_z1 (world), before);
+  AWAIT (send_lookup (world, 0) == 200);
+  assert_int_equal (count_sends_to_z1 (world), before);
   path_world_free (world);
 }
 
@@ -343,14 +347,18 @@
 main (void)
 {
   const char *options = g_getenv ("ASAN_OPTIONS");
-  g_autofree char *with_preload
+  g_autofree char *asan_options
       = g_strconcat (options != NULL ? options : "", ":verify_asan_link_order=0", NULL);
-  g_setenv ("ASAN_OPTIONS", with_preload, TRUE);
+  g_setenv ("ASAN_OPTIONS", asan_options, TRUE);
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_nothing_is_sent), cmocka_unit_test (test_streams_end_where_they_are),
-    cmocka_unit_test (test_all_zones),       cmocka_unit_test (test_processes_that_start),
-    cmocka_unit_test (test_leader_away),     cmocka_unit_test (test_last_word_counts),
-    cmocka_unit_test (test_zone_is_cut_too), cmocka_unit_test (test_suspended_front),
+    cmocka_unit_test (test_no_sends_to_evacuated_zone),
+    cmocka_unit_test (test_running_streams_complete),
+    cmocka_unit_test (test_all_zones_evacuated),
+    cmocka_unit_test (test_processes_started_during_evacuation),
+    cmocka_unit_test (test_evacuation_while_leader_is_unavailable),
+    cmocka_unit_test (test_latest_evacuation_state_applies),
+    cmocka_unit_test (test_evacuated_worker_is_replaced),
+    cmocka_unit_test (test_front_resumed_after_evacuation),
   };
   return cmocka_run_group_tests_name ("evacuation-path", tests, NULL, NULL);
 }
--- a/tests/platform/test-evacuation-soak.c
+++ b/tests/platform/test-evacuation-soak.c
@@ -9,30 +9,31 @@
 
 #include "path-world.h"
 
-#define TROUBLE_MS 14000
-#define STEP_MS 50
+#define FAULT_PHASE_MS 14000
+#define STEP_INTERVAL_MS 50
 /* Longer than an operator's word takes to be known, by what a busy machine may take. */
-#define BOUND_MS 3500
+#define EVACUATION_MAX_MS 3500
 #define FREEZE_STEPS 16
 #define OUTAGE_STEPS 12
-#define ITEMS 6
-#define ZONES 2
+#define N_SAMPLES 6
+#define N_ZONES 2
 
-static const char *const zone_names[ZONES] = { "z1", "z2" };
+static const char *const zone_names[N_ZONES] = { "z1", "z2" };
 
 typedef struct
 {
   PathWorld *world;
   GRand *random;
   GPtrArray *answers; /* PathAnswer, owned: callers keep their connections until they end */
-  guint batches;
-  gint64 since_ms[ZONES]; /* since when it is evacuated and nothing else was wrong; 0: it is not */
-  guint runs_at[ZONES];   /* runs there once the bound was over; G_MAXUINT: it is not over */
-  guint evacuations;
-  guint judged; /* evacuations that outlasted the bound */
-  QuinceProcess *frozen;
-  guint frozen_steps;
-  guint outage_steps;
+  guint n_batches;
+  gint64
+      evacuated_since_ms[N_ZONES];  /* since when it is evacuated and nothing else was wrong; 0: it is not */
+  guint sends_after_bound[N_ZONES]; /* runs there once the bound was over; G_MAXUINT: it is not over */
+  guint n_evacuations;
+  guint n_checked; /* evacuations that outlasted the bound */
+  QuinceProcess *frozen_process;
+  guint frozen_steps_left;
+  guint outage_steps_left;
 } Soak;
 
 static void
@@ -51,7 +52,7 @@
 /* All that was sent to the workers of a zone: plain worker i and model worker i stand in zone i, and model
  * worker 2 in the second. */
 static guint
-sent_to (const Soak *soak, guint zone)
+count_sends_to (const Soak *soak, guint zone)
 {
   const PathWorld *world = soak->world;
   guint count = standin_worker_get_runs (world->plain[zone])->len;
@@ -62,20 +63,20 @@
 
 /* Rules bound processes that were left alone: the time begins anew. */
 static void
-begin_bounds_anew (Soak *soak)
+restart_bounds (Soak *soak)
 {
-  for (guint i = 0; i < ZONES; i++)
+  for (guint i = 0; i < N_ZONES; i++)
     {
-      soak->runs_at[i] = G_MAXUINT;
-      if (soak->since_ms[i] != 0)
-        soak->since_ms[i] = now_ms ();
+      soak->sends_after_bound[i] = G_MAXUINT;
+      if (soak->evacuated_since_ms[i] != 0)
+        soak->evacuated_since_ms[i] = now_ms ();
     }
 }
 
 /* ---- Work ------------------------------------------------------------------- */
 
 static void
-begin_request (Soak *soak, const char *target)
+start_request (Soak *soak, const char *target)
 {
   static guint serial;
   g_autofree char *id = g_strdup_printf ("soak-%u", ++serial);
@@ -86,10 +87,10 @@
 }
 
 static void
-begin_batch (Soak *soak)
+start_batch (Soak *soak)
 {
-  g_autofree char *id = g_strdup_printf ("b%u", soak->batches++);
-  g_autofree char *text = path_make_batch (id, ITEMS);
+  g_autofree char *id = g_strdup_printf ("b%u", soak->n_batches++);
+  g_autofree char *text = path_make_batch (id, N_SAMPLES);
   PathAnswer *answer = g_new0 (PathAnswer, 1);
   g_ptr_array_add (soak->answers, answer);
   path_start_call (path_front (soak->world, 0), "POST", "/r/batch", id, text, answer);
@@ -98,26 +99,26 @@
 /* ---- Trouble ---------------------------------------------------------------- */
 
 static void
-change_zone (Soak *soak, guint zone)
+toggle_evacuation (Soak *soak, guint zone)
 {
   g_autofree char *key = g_strconcat ("op/evacuate/", zone_names[zone], NULL);
-  soak->runs_at[zone] = G_MAXUINT;
-  if (soak->since_ms[zone] != 0)
+  soak->sends_after_bound[zone] = G_MAXUINT;
+  if (soak->evacuated_since_ms[zone] != 0)
     {
       standin_store_remove (soak->world->store, key);
-      soak->since_ms[zone] = 0;
+      soak->evacuated_since_ms[zone] = 0;
       return;
     }
   standin_store_put (soak->world->store, key, "{}");
-  soak->since_ms[zone] = now_ms ();
-  soak->evacuations++;
+  soak->evacuated_since_ms[zone] = now_ms ();
+  soak->n_evacuations++;
 }
 
 static void
-restart_one (Soak *soak)
+restart_random_process (Soak *soak)
 {
   PathWorld *world = soak->world;
-  if (soak->frozen != NULL)
+  if (soak->frozen_process != NULL)
     return; /* one process at a time is away */
   guint index = (guint)g_rand_int_range (soak->random, 0, PATH_FRONTS + PATH_REPLICAS);
   if (index < PATH_FRONTS)
@@ -131,87 +132,87 @@
 }
 
 static void
-freeze_one (Soak *soak)
+freeze_random_process (Soak *soak)
 {
-  if (soak->frozen != NULL)
+  if (soak->frozen_process != NULL)
     return;
   gint index = g_rand_int_range (soak->random, 0, PATH_FRONTS + PATH_REPLICAS);
-  soak->frozen
+  soak->frozen_process
       = index < PATH_FRONTS ? soak->world->fronts[index] : soak->world->replicas[index - PATH_FRONTS];
-  soak->frozen_steps = FREEZE_STEPS;
-  quince_process_suspend (soak->frozen);
+  soak->frozen_steps_left = FREEZE_STEPS;
+  quince_process_suspend (soak->frozen_process);
 }
 
 static void
-take_store_away (Soak *soak)
+start_store_outage (Soak *soak)
 {
   static const StandinStoreFault faults[]
       = { STANDIN_STORE_UNRESPONSIVE, STANDIN_STORE_UNAVAILABLE, STANDIN_STORE_CLOSES_CONNECTIONS,
           STANDIN_STORE_DROPS_WRITE_ANSWERS };
-  soak->outage_steps = OUTAGE_STEPS;
+  soak->outage_steps_left = OUTAGE_STEPS;
   standin_store_set_fault (soak->world->store,
                            faults[g_rand_int_range (soak->random, 0, G_N_ELEMENTS (faults))]);
 }
 
 static void
-end_troubles (Soak *soak, gboolean now)
+end_expired_faults (Soak *soak, gboolean end_all)
 {
-  if (soak->frozen != NULL && (now || --soak->frozen_steps == 0))
+  if (soak->frozen_process != NULL && (end_all || --soak->frozen_steps_left == 0))
     {
-      quince_process_resume (soak->frozen);
-      soak->frozen = NULL;
+      quince_process_resume (soak->frozen_process);
+      soak->frozen_process = NULL;
     }
-  if (soak->outage_steps > 0 && (now || --soak->outage_steps == 0))
+  if (soak->outage_steps_left > 0 && (end_all || --soak->outage_steps_left == 0))
     {
-      soak->outage_steps = 0;
+      soak->outage_steps_left = 0;
       standin_store_set_fault (soak->world->store, STANDIN_STORE_HEALTHY);
     }
-  if (soak->frozen != NULL || soak->outage_steps > 0)
-    begin_bounds_anew (soak);
+  if (soak->frozen_process != NULL || soak->outage_steps_left > 0)
+    restart_bounds (soak);
 }
 
 static void
-step (Soak *soak)
+run_random_step (Soak *soak)
 {
-  gint lot = g_rand_int_range (soak->random, 0, 1000);
-  if (lot < 600)
-    begin_request (soak, "/l/1");
-  else if (lot < 700)
-    begin_request (soak, "/s/1");
-  else if (lot < 720)
-    begin_batch (soak);
-  else if (lot < 735)
-    restart_one (soak);
-  else if (lot < 743)
-    freeze_one (soak);
-  else if (lot < 748)
-    take_store_away (soak);
-  else if (lot < 752)
+  gint draw = g_rand_int_range (soak->random, 0, 1000);
+  if (draw < 600)
+    start_request (soak, "/l/1");
+  else if (draw < 700)
+    start_request (soak, "/s/1");
+  else if (draw < 720)
+    start_batch (soak);
+  else if (draw < 735)
+    restart_random_process (soak);
+  else if (draw < 743)
+    freeze_random_process (soak);
+  else if (draw < 748)
+    start_store_outage (soak);
+  else if (draw < 752)
     standin_store_compact (soak->world->store);
-  else if (lot < 790)
-    change_zone (soak, (guint)g_rand_int_range (soak->random, 0, ZONES));
-  end_troubles (soak, FALSE);
-  run_for (STEP_MS);
+  else if (draw < 790)
+    toggle_evacuation (soak, (guint)g_rand_int_range (soak->random, 0, N_ZONES));
+  end_expired_faults (soak, FALSE);
+  run_for (STEP_INTERVAL_MS);
 }
 
 /* ---- What must hold ------------------------------------------------------------- */
 
 static void
-judge (Soak *soak)
+assert_no_sends_after_bound (Soak *soak)
 {
-  for (guint i = 0; i < ZONES; i++)
+  for (guint i = 0; i < N_ZONES; i++)
     {
-      if (soak->since_ms[i] == 0 || now_ms () - soak->since_ms[i] < BOUND_MS)
+      if (soak->evacuated_since_ms[i] == 0 || now_ms () - soak->evacuated_since_ms[i] < EVACUATION_MAX_MS)
         continue;
-      guint sent = sent_to (soak, i);
-      if (soak->runs_at[i] == G_MAXUINT)
+      guint n_sent = count_sends_to (soak, i);
+      if (soak->sends_after_bound[i] == G_MAXUINT)
         {
-          soak->runs_at[i] = sent;
-          soak->judged++;
+          soak->sends_after_bound[i] = n_sent;
+          soak->n_checked++;
         }
-      else if (sent != soak->runs_at[i])
-        fail_msg ("%u sends to %s after its evacuation; logs in %s", sent - soak->runs_at[i], zone_names[i],
-                  soak->world->folder);
+      else if (n_sent != soak->sends_after_bound[i])
+        fail_msg ("%u sends to %s after its evacuation; logs in %s", n_sent - soak->sends_after_bound[i],
+                  zone_names[i], soak->world->folder);
     }
 }
 
@@ -228,39 +229,39 @@
 test_soak (void **state)
 {
   const char *seed = g_getenv ("SOAK_SEED");
-  Soak soak = { .world = path_world_new ("evacuation-soak"), .runs_at = { G_MAXUINT, G_MAXUINT } };
+  Soak soak = { .world = path_world_new ("evacuation-soak"), .sends_after_bound = { G_MAXUINT, G_MAXUINT } };
   standin_worker_set_zone (soak.world->plain[1], "z2");
   standin_worker_set_zone (soak.world->model[1], "z2");
   standin_worker_set_zone (soak.world->model[2], "z2");
   path_world_start (soak.world);
   soak.random = g_rand_new_with_seed (seed != NULL ? (guint32)atoi (seed) : 1);
   soak.answers = g_ptr_array_new_with_free_func (answer_free);
-  for (guint i = 0; i < TROUBLE_MS / STEP_MS; i++)
+  for (guint i = 0; i < FAULT_PHASE_MS / STEP_INTERVAL_MS; i++)
     {
-      step (&soak);
-      judge (&soak);
+      run_random_step (&soak);
+      assert_no_sends_after_bound (&soak);
     }
-  end_troubles (&soak, TRUE);
-  begin_bounds_anew (&soak);
-  if (soak.since_ms[0] == 0)
-    change_zone (&soak, 0);
-  for (gint64 end = now_ms () + 2 * BOUND_MS; now_ms () < end;)
+  end_expired_faults (&soak, TRUE);
+  restart_bounds (&soak);
+  if (soak.evacuated_since_ms[0] == 0)
+    toggle_evacuation (&soak, 0);
+  for (gint64 end = now_ms () + 2 * EVACUATION_MAX_MS; now_ms () < end;)
     {
-      begin_request (&soak, "/l/1");
-      run_for (STEP_MS);
-      judge (&soak);
+      start_request (&soak, "/l/1");
+      run_for (STEP_INTERVAL_MS);
+      assert_no_sends_after_bound (&soak);
     }
-  for (guint i = 0; i < ZONES; i++)
-    if (soak.since_ms[i] != 0)
-      change_zone (&soak, i);
-  print_message ("  %u evacuations, %u judged\n", soak.evacuations, soak.judged);
-  assert_true (soak.judged > 0);
+  for (guint i = 0; i < N_ZONES; i++)
+    if (soak.evacuated_since_ms[i] != 0)
+      toggle_evacuation (&soak, i);
+  print_message ("  %u evacuations, %u judged\n", soak.n_evacuations, soak.n_checked);
+  assert_true (soak.n_checked > 0);
   AWAIT (all_answered (&soak));
   for (guint i = 0; i < PATH_FRONTS; i++)
     AWAIT (path_status (path_front (soak.world, i), "POST", "/l/1", "after", "x") == 200);
-  g_autofree char *text = path_make_batch ("last", ITEMS);
+  g_autofree char *text = path_make_batch ("last", N_SAMPLES);
   AWAIT (path_status (path_front (soak.world, 0), "POST", "/r/batch", "last", text) == 202);
-  AWAIT (path_count_results (soak.world, 0, "last") == ITEMS);
+  AWAIT (path_count_results (soak.world, 0, "last") == N_SAMPLES);
   g_ptr_array_unref (soak.answers);
   g_rand_free (soak.random);
   path_world_free (soak.world);
