--- a/tests/platform/scaling-world.h
+++ b/tests/platform/scaling-world.h
@@ -203,12 +203,12 @@
 static inline void
 scaling_configure (ScalingWorld *world)
 {
-  g_autofree char *plain = g_strdup_printf (PATH_CONFIGURATION, 7u);
+  g_autofree char *base_config = g_strdup_printf (PATH_CONFIGURATION, 7u);
   g_autofree char *scaling_config
       = g_strdup_printf ("\"scaling\":{\"min\":%d,\"max\":%d,\"bootTimeoutS\":%.1f,\"spotPrice\":0.2,"
                          "\"zonePrices\":{\"z1\":1.0,\"z2\":0.8,\"z3\":1.2}},\"engine\":{\"slots\":1,",
                          SCALING_MIN, SCALING_MAX, world->boot_ms / 1000.0);
-  g_autoptr (GString) text = g_string_new (plain);
+  g_autoptr (GString) text = g_string_new (base_config);
   assert_int_equal (g_string_replace (text, "\"engine\":{\"slots\":8,", scaling_config, 1), 1);
   standin_store_put (world->path->store, "op/config", text->str);
 }
--- a/tests/platform/steps.h
+++ b/tests/platform/steps.h
@@ -158,7 +158,7 @@
 /* Whether event @number of @item was made under @version at some worker, by the worker's own record;
  * @number 0: any event. */
 static inline gboolean
-trainer_was_event_generated (const PathWorld *path, const char *item, guint number, guint64 version)
+trainer_was_event_generated (const PathWorld *path, const char *sample_id, guint number, guint64 version)
 {
   for (guint i = 0; i < PATH_MODEL; i++)
     {
@@ -166,7 +166,7 @@
       for (guint j = 0; j < runs->len; j++)
         {
           const StandinRun *run = runs->pdata[j];
-          if (g_strcmp0 (run->id, item) != 0)
+          if (g_strcmp0 (run->id, sample_id) != 0)
             continue;
           for (guint k = 0; k < run->events->len; k++)
             {
@@ -181,7 +181,7 @@
 
 /* The versions that a sample names are those that made it, and none is too old. */
 static inline void
-trainer_assert_versions (const Trainer *trainer, const Step *step, const char *item, JsonArray *versions)
+trainer_assert_versions (const Trainer *trainer, const Step *step, const char *sample_id, JsonArray *versions)
 {
   const PathWorld *path = trainer->world->path;
   guint count = json_array_get_length (versions);
@@ -190,29 +190,29 @@
     {
       guint64 version = (guint64)json_array_get_int_element (versions, i);
       if (version < step->min_version)
-        fail_msg ("%s names version %u, below %u", item, (guint)version, (guint)step->min_version);
-      if (!trainer_was_event_generated (path, item, 0, version))
-        fail_msg ("%s names version %u, which made no part of it", item, (guint)version);
+        fail_msg ("%s names version %u, below %u", sample_id, (guint)version, (guint)step->min_version);
+      if (!trainer_was_event_generated (path, sample_id, 0, version))
+        fail_msg ("%s names version %u, which made no part of it", sample_id, (guint)version);
     }
   for (guint number = 1; number <= STEP_EVENTS; number++)
     {
-      gboolean named = FALSE;
+      gboolean is_covered = FALSE;
       for (guint i = 0; i < count; i++)
-        named |= trainer_was_event_generated (path, item, number,
-                                              (guint64)json_array_get_int_element (versions, i));
-      if (!named)
-        fail_msg ("event %u of %s was made under no version that it names", number, item);
+        is_covered |= trainer_was_event_generated (path, sample_id, number,
+                                                   (guint64)json_array_get_int_element (versions, i));
+      if (!is_covered)
+        fail_msg ("event %u of %s was made under no version that it names", number, sample_id);
     }
 }
 
 static inline void
 trainer_assert_sample (const Trainer *trainer, const Step *step, JsonObject *sample)
 {
-  const char *item = json_object_get_string_member (sample, "id");
+  const char *sample_id = json_object_get_string_member (sample, "id");
   assert_string_equal (json_object_get_string_member (sample, "state"), "completed");
   assert_string_equal (json_object_get_string_member (sample, "message"), "e1\ne2\ne3\ne4\ne5\ne6");
   assert_true (g_str_has_prefix (json_object_get_string_member (sample, "score"), "stamp-p"));
-  trainer_assert_versions (trainer, step, item, json_object_get_array_member (sample, "versions"));
+  trainer_assert_versions (trainer, step, sample_id, json_object_get_array_member (sample, "versions"));
 }
 
 /* Each sample of @step was listed once, whole, with its versions. */
--- a/tests/platform/test-callers.c
+++ b/tests/platform/test-callers.c
@@ -202,16 +202,16 @@
   };
   enum
   {
-    FAULTS = G_N_ELEMENTS (fault_cases),
-    REFUSALS = G_N_ELEMENTS (refusals)
+    N_FAULT_TESTS = G_N_ELEMENTS (fault_cases),
+    N_REFUSAL_TESTS = G_N_ELEMENTS (refusals)
   };
-  struct CMUnitTest tests[FAULTS + REFUSALS] = { 0 };
-  for (guint i = 0; i < FAULTS; i++)
+  struct CMUnitTest tests[N_FAULT_TESTS + N_REFUSAL_TESTS] = { 0 };
+  for (guint i = 0; i < N_FAULT_TESTS; i++)
     tests[i] = (struct CMUnitTest){ .name = fault_cases[i].name,
                                     .test_func = test_fault_case,
                                     .setup_func = prepare_case,
                                     .initial_state = (gpointer)&fault_cases[i] };
-  for (guint i = 0; i < REFUSALS; i++)
-    tests[FAULTS + i] = refusals[i];
-  return _cmocka_run_group_tests ("callers", tests, FAULTS + REFUSALS, NULL, free_shared_scene);
+  for (guint i = 0; i < N_REFUSAL_TESTS; i++)
+    tests[N_FAULT_TESTS + i] = refusals[i];
+  return _cmocka_run_group_tests ("callers", tests, N_FAULT_TESTS + N_REFUSAL_TESTS, NULL, free_shared_scene);
 }
--- a/tests/platform/test-evacuation-path.c
+++ b/tests/platform/test-evacuation-path.c
@@ -129,7 +129,7 @@
   standin_store_put (world->store, Z1_EVACUATION_KEY, "{}");
   await_evacuation_logged (world, "z1", 0);
   assert_int_equal (path_run_operator_tool (world, (const char *const[]){ "zones", NULL }), 0);
-  guint before = count_sends_to_z1 (world);
+  guint sends_before = count_sends_to_z1 (world);
   submit_batch (world, "b1");
   publish_version (world, 2);
   send_lookups (world);
@@ -141,10 +141,10 @@
   AWAIT (path_count_results (world, 0, "b1") == N_SAMPLES);
   AWAIT (standin_worker_get_version (world->model[2]) == 2);
   run_for (NO_SEND_WAIT_MS);
-  assert_int_equal (count_sends_to_z1 (world), before);
+  assert_int_equal (count_sends_to_z1 (world), sends_before);
   standin_store_remove (world->store, Z1_EVACUATION_KEY);
   AWAIT (send_lookup (world, 0) == 200 && count_plain_runs (world, 0) > 0
-         && count_sends_to_z1 (world) > before);
+         && count_sends_to_z1 (world) > sends_before);
   for (guint i = 0; i < PATH_MODEL; i++)
     AWAIT (standin_worker_get_version (world->model[i]) == 2);
   path_world_free (world);
@@ -188,7 +188,7 @@
   standin_store_put (world->store, Z2_EVACUATION_KEY, "{}");
   await_evacuation_logged (world, "z1", 0);
   await_evacuation_logged (world, "z2", 0);
-  guint before = count_sends_to_z1 (world) + count_plain_runs (world, 1) + count_model_runs (world, 2);
+  guint sends_before = count_sends_to_z1 (world) + count_plain_runs (world, 1) + count_model_runs (world, 2);
   static const char *const targets[] = { "/l/1", "/s/1", "/u/1" };
   for (guint i = 0; i < G_N_ELEMENTS (targets); i++)
     {
@@ -204,7 +204,7 @@
   run_for (NO_SEND_WAIT_MS);
   assert_int_equal (path_count_results (world, 0, "b1"), 0);
   assert_int_equal (count_sends_to_z1 (world) + count_plain_runs (world, 1) + count_model_runs (world, 2),
-                    before);
+                    sends_before);
   standin_store_remove (world->store, Z2_EVACUATION_KEY);
   AWAIT (path_count_results (world, 0, "b1") == N_SAMPLES);
   send_lookups (world);
@@ -221,7 +221,7 @@
   PathWorld *world = world_new_started ("starts");
   standin_store_put (world->store, Z1_EVACUATION_KEY, "{}");
   await_evacuation_logged (world, "z1", 0);
-  guint before = count_sends_to_z1 (world);
+  guint sends_before = count_sends_to_z1 (world);
   gint leader = path_find_leader (world);
   quince_process_kill (world->fronts[0]);
   quince_process_kill (world->replicas[leader]);
@@ -232,7 +232,7 @@
   submit_batch (world, "b1");
   AWAIT (path_count_results (world, 0, "b1") == N_SAMPLES);
   run_for (NO_SEND_WAIT_MS);
-  assert_int_equal (count_sends_to_z1 (world), before);
+  assert_int_equal (count_sends_to_z1 (world), sends_before);
   path_world_free (world);
 }
 
@@ -250,7 +250,7 @@
         quince_process_suspend (world->replicas[leader]);
       standin_store_put (world->store, Z1_EVACUATION_KEY, "{}");
       await_evacuation_logged (world, "z1", 1);
-      guint before = count_sends_to_z1 (world);
+      guint sends_before = count_sends_to_z1 (world);
       if (killed)
         path_start_replica (world, (guint)leader);
       else
@@ -259,7 +259,7 @@
       submit_batch (world, "b1");
       AWAIT (path_count_results (world, 0, "b1") == N_SAMPLES);
       run_for (NO_SEND_WAIT_MS);
-      assert_int_equal (count_sends_to_z1 (world), before);
+      assert_int_equal (count_sends_to_z1 (world), sends_before);
       path_world_free (world);
     }
 }
@@ -276,14 +276,14 @@
   standin_store_put (world->store, Z1_EVACUATION_KEY, "{}");
   await_evacuation_logged (world, "z1", 0);
   run_for (EVACUATION_MAX_MS); /* until every process has heard the last word */
-  guint before = count_sends_to_z1 (world);
+  guint sends_before = count_sends_to_z1 (world);
   send_lookups (world);
-  assert_int_equal (count_sends_to_z1 (world), before);
+  assert_int_equal (count_sends_to_z1 (world), sends_before);
   standin_store_put (world->store, Z1_EVACUATION_KEY, "{}");
   standin_store_remove (world->store, Z1_EVACUATION_KEY);
   standin_store_compact (world->store);
   AWAIT (send_lookup (world, 0) == 200 && count_plain_runs (world, 0) > 0
-         && count_sends_to_z1 (world) > before);
+         && count_sends_to_z1 (world) > sends_before);
   path_world_free (world);
 }
 
@@ -294,7 +294,7 @@
   PathWorld *world = world_new_started ("cut-too");
   standin_store_put (world->store, Z1_EVACUATION_KEY, "{}");
   await_evacuation_logged (world, "z1", 0);
-  guint before = count_sends_to_z1 (world);
+  guint sends_before = count_sends_to_z1 (world);
   standin_worker_crash (world->plain[0]);
   standin_store_remove (world->store, "servers/p0");
   send_lookups (world);
@@ -303,7 +303,7 @@
   standin_store_put (world->store, "servers/p0-2", entry);
   AWAIT (count_processes_with_log (world, "worker=p0-2") == PATH_FRONTS + PATH_REPLICAS);
   send_lookups (world);
-  assert_int_equal (count_sends_to_z1 (world), before);
+  assert_int_equal (count_sends_to_z1 (world), sends_before);
   path_world_free (world);
 }
 
@@ -326,7 +326,7 @@
   run_for (50);
   standin_store_put (world->store, Z1_EVACUATION_KEY, "{}");
   AWAIT (count_log_matches (world, "front-1", "event=zone_evacuated") == 1);
-  guint before = count_sends_to_z1 (world);
+  guint sends_before = count_sends_to_z1 (world);
   PathAnswer answers[N_LOOKUPS]; /* wait at the front when it goes on */
   for (guint i = 0; i < N_LOOKUPS; i++)
     path_start_call (path_front (world, 0), "POST", "/l/1", "waits", "x", &answers[i]);
@@ -339,7 +339,7 @@
       path_answer_clear (&answers[i]);
     }
   AWAIT (send_lookup (world, 0) == 200);
-  assert_int_equal (count_sends_to_z1 (world), before);
+  assert_int_equal (count_sends_to_z1 (world), sends_before);
   path_world_free (world);
 }
 
