--- a/tests/platform/scaling-world.h
+++ b/tests/platform/scaling-world.h
@@ -1,5 +1,5 @@
 /*
- * scaling-world.h: workers of three zones, and a platform that brings and takes away workers as ordered.
+ * scaling-world.h: workers in three zones, and a stand-in platform that carries out scaling orders.
  */
 #pragma once
 
@@ -8,12 +8,12 @@
 
 #include "path-world.h"
 
-/* Workers m0 to m5 stand there at first, two in each zone; the others are brought when they are ordered. */
+/* Workers m0 to m5 are registered at first, two in each zone.  Scaling orders add the others. */
 #define SCALING_N_INITIAL_WORKERS 6
 #define SCALING_N_ZONES 3
 #define SCALING_MIN 1
 #define SCALING_MAX 5
-/* More samples than places, for as long as a test takes. */
+/* Enough samples to keep all slots busy for the whole test. */
 #define SCALING_SAMPLES 120
 #define SCALING_EVENTS_PER_SAMPLE 40
 #define SCALING_EVENT_INTERVAL_MS 50
@@ -35,13 +35,13 @@
 {
   PathWorld *path;
   StandinServer *server;
-  guint boot_ms;                  /* from an order until its workers are listed; told in the configuration */
-  GPtrArray *orders;              /* ScalingOrder, owned: all that came, as they came */
-  guint refuse;                   /* as many are answered 503 */
-  guint n_calls_to_reset;         /* as many are taken and get no answer */
-  guint silent;                   /* as many are taken and are never answered, on a connection that stays */
-  const char *exhausted_zone;     /* none are to be had in this zone; "": in none */
-  const char *listed[PATH_MODEL]; /* zone in which a worker is listed; NULL: it is not */
+  guint boot_ms;                  /* from an order to the registration of its workers; also bootTimeoutS */
+  GPtrArray *orders;              /* ScalingOrder, owned; all received orders, in order of arrival */
+  guint refuse;                   /* number of orders to answer with 503 */
+  guint n_calls_to_reset;         /* number of orders to accept and then reset the connection */
+  guint silent;                   /* number of orders to accept and leave unanswered on an open connection */
+  const char *exhausted_zone;     /* zone without capacity for new workers; "": none */
+  const char *listed[PATH_MODEL]; /* zone in which the worker is registered; NULL: not registered */
   gboolean spot[PATH_MODEL];
   GPtrArray *boots; /* ScalingBoot, owned */
 } ScalingWorld;
@@ -51,7 +51,7 @@
   ScalingWorld *world;
   char *zone;
   guint desired;
-  guint timer; /* 0: over */
+  guint timer; /* 0: expired */
 } ScalingBoot;
 
 static inline void
@@ -107,11 +107,11 @@
   for (guint i = 0; i < SCALING_N_ZONES; i++)
     if (g_str_equal (scaling_zones[i], zone))
       return scaling_zones[i];
-  fail_msg ("workers ordered in '%s'", zone);
+  fail_msg ("order names the unknown zone '%s'", zone);
   return NULL;
 }
 
-/* The time of a start is over: as many stand there as were ordered. */
+/* Registers or unregisters on-demand workers until the zone has the ordered number of them. */
 static inline gboolean
 scaling_apply_order (gpointer data)
 {
@@ -213,7 +213,7 @@
   standin_store_put (world->path->store, "op/config", text->str);
 }
 
-/* All processes run; the workers that stand there are listed. */
+/* Starts the replicas and front 0 with the initial workers registered.  @setting: duties.order_workers. */
 static inline ScalingWorld *
 scaling_world_new (const char *name, const char *setting, guint boot_ms)
 {
@@ -270,7 +270,8 @@
   return world->orders->pdata[index];
 }
 
-/* Fences only rise, a fence is of one holder, and holders do not take turns. */
+/* Fence tokens never decrease, each belongs to one holder, and orders of one holder are more than 400 ms
+ * apart. */
 static inline void
 scaling_assert_single_holder (const ScalingWorld *world)
 {
--- a/tests/platform/steps-faults.h
+++ b/tests/platform/steps-faults.h
@@ -1,27 +1,28 @@
 /*
- * steps-faults.h: what test-steps.c does to workers, fronts, replicas, their disks, the store and the
- * networks.
+ * steps-faults.h: faults that test-steps.c injects into workers, fronts, replicas, disks, the store and
+ * connections.
  */
 #pragma once
 
 #include "steps.h"
 
-#define FAILED_SWAPS_PER_WORKER 2  /* of each worker */
-#define WRONG_VERSION 9999         /* nobody named it */
-#define REQUEST_LIMIT_BYTES 600    /* below the length of a submit */
-#define RESPONSE_LIMIT_BYTES 900   /* above an answer to a submit, below that of a whole step */
-#define RELAY_FAULT_MS 1200        /* the trainer is hindered for so long */
-#define REPLICATION_SETTLE_MS 2500 /* the others hold all before the next disk goes */
+#define FAILED_SWAPS_PER_WORKER 2
+#define WRONG_VERSION 9999       /* never published */
+#define REQUEST_LIMIT_BYTES 600  /* less than a submit request */
+#define RESPONSE_LIMIT_BYTES 900 /* more than a response to a submit, less than complete results */
+#define RELAY_FAULT_MS 1200
+#define REPLICATION_SETTLE_MS 2500 /* the replicas hold all records before the next disk is lost */
 
 typedef struct _Scene Scene;
 
 /**
  * FaultCase:
- * @at_start: the fault is made before the first step is submitted
- * @repeats: the trainer must have had to repeat a call
- * @wrong: some sample must name WRONG_VERSION
- * @end: (nullable): ends it @hold_ms later
- * @recover: (nullable): ends what outlasts the training
+ * @at_start: inject the fault before the first step is submitted
+ * @repeats: the trainer must have retried a call
+ * @wrong: a sample must name WRONG_VERSION
+ * @begin: (nullable): injects the fault
+ * @end: (nullable): ends the fault @hold_ms later
+ * @recover: (nullable): called after the training
  */
 typedef struct
 {
@@ -39,8 +40,8 @@
 {
   RelayedWorld *world;
   Trainer trainer;
-  guint leader;      /* struck */
-  guint relay_timer; /* ends what is wrong with the trainer's connections */
+  guint leader;      /* index of the replica that led when the fault began */
+  guint relay_timer; /* ends the fault of the trainer's relays; 0: none */
 };
 
 /* ---- Weights ------------------------------------------------------------ */
@@ -207,7 +208,7 @@
 
 /* ---- Disks -------------------------------------------------------------- */
 
-/* @replica dies and comes back with an empty disk. */
+/* Kills @replica and restarts it with an empty disk. */
 static void
 lose_disk (Scene *scene, guint replica)
 {
@@ -230,7 +231,7 @@
   lose_disk (scene, get_follower (scene));
 }
 
-/* Of whoever leads now. */
+/* Loses the disk of the current leader. */
 static void
 lose_another_disk (Scene *scene)
 {
@@ -266,7 +267,7 @@
   return G_SOURCE_REMOVE;
 }
 
-/* The trainer waits in its calls meanwhile: the fault ends by itself. */
+/* Ends the fault after RELAY_FAULT_MS by a timer, since the trainer blocks in its calls meanwhile. */
 static void
 inject_relay_faults (Scene *scene,
                      StandinRelayDirection limited,
@@ -300,31 +301,31 @@
 /* ---- Cases -------------------------------------------------------------- */
 
 static const FaultCase fault_cases[] = {
-  { .name = "nothing fails" },
-  { .name = "swaps fail, the old version stays",
+  { .name = "no fault" },
+  { .name = "swaps keep the old version",
     .at_start = TRUE,
     .begin = fail_swaps_keeping_version,
     .recover = assert_swaps_failed },
-  { .name = "swaps end on another version",
+  { .name = "swaps load a wrong version",
     .begin = fail_swaps_to_wrong_version,
     .recover = assert_swaps_failed,
     .wrong = TRUE },
-  { .name = "workers die and come back", .begin = kill_workers, .end = revive_workers, .hold_ms = 500 },
+  { .name = "workers killed and restarted", .begin = kill_workers, .end = revive_workers, .hold_ms = 500 },
   { .name = "leader killed", .begin = kill_leader, .end = restart_leader, .hold_ms = 1000 },
   { .name = "leader frozen for three seconds", .begin = freeze_leader, .end = thaw_leader, .hold_ms = 3000 },
-  { .name = "leader cut from all others", .begin = cut_leader, .end = join_leader, .hold_ms = 1500 },
-  { .name = "leader's disk lost, then another's",
+  { .name = "leader partitioned", .begin = cut_leader, .end = join_leader, .hold_ms = 1500 },
+  { .name = "leader's disk lost, then the new leader's",
     .begin = lose_disk_of_leader,
     .end = lose_another_disk,
     .hold_ms = 300 },
-  { .name = "follower's disk lost, then another's",
+  { .name = "follower's disk lost, then the leader's",
     .begin = lose_disk_of_follower,
     .end = lose_another_disk,
     .hold_ms = 300 },
-  { .name = "front killed and started again", .begin = kill_front, .end = restart_front, .hold_ms = 300 },
-  { .name = "submit cut in the request", .at_start = TRUE, .repeats = TRUE, .begin = truncate_requests },
-  { .name = "submit's answer lost", .at_start = TRUE, .repeats = TRUE, .begin = drop_responses },
-  { .name = "reading cut in the results", .repeats = TRUE, .begin = truncate_responses },
+  { .name = "front killed and restarted", .begin = kill_front, .end = restart_front, .hold_ms = 300 },
+  { .name = "submit request truncated", .at_start = TRUE, .repeats = TRUE, .begin = truncate_requests },
+  { .name = "submit response lost", .at_start = TRUE, .repeats = TRUE, .begin = drop_responses },
+  { .name = "results truncated", .repeats = TRUE, .begin = truncate_responses },
   { .name = "results lost", .repeats = TRUE, .begin = drop_responses },
   { .name = "store down, leader killed",
     .begin = stop_store_kill_leader,
@@ -334,7 +335,7 @@
     .begin = freeze_leader_kill_front,
     .end = thaw_leader_restart_front,
     .hold_ms = 2500 },
-  { .name = "follower's disk lost, workers die",
+  { .name = "follower's disk lost, workers killed",
     .begin = lose_disk_of_follower_kill_workers,
     .end = revive_workers,
     .hold_ms = 500 },
--- a/tests/platform/steps.h
+++ b/tests/platform/steps.h
@@ -1,8 +1,8 @@
 /*
- * steps.h: a trainer's steps, submitted and read through the fronts while something fails, and what trainers
- * are promised: true weight versions, none too old, each sample exactly once.
+ * steps.h: a trainer that submits steps and reads their results through the fronts during faults.
  *
- * The judges are what the trainer read, and the workers' own records of which weights made each event.
+ * Checks that each sample is returned exactly once, with the weight versions that generated it according to
+ * the workers' records, and that no version is too old.
  */
 #pragma once
 
@@ -12,24 +12,24 @@
 
 #define STEP_ITEMS 12
 #define STEP_EVENTS 6
-/* Newest version when a step is submitted, less the oldest that may make a part of it. */
+/* Versions by which a step's samples may be older than the newest version at its submit. */
 #define STEP_MAX_STALENESS 1
 
 typedef struct
 {
   char *name;
-  guint64 min_version; /* weights that may make a part of it */
-  char *results;       /* as they were first read whole; NULL: not yet */
+  guint64 min_version; /* oldest weights that may generate a part of it */
+  char *results;       /* first complete results; NULL: not read yet */
 } Step;
 
 typedef struct
 {
   RelayedWorld *world;
-  GPtrArray *steps;                        /* Step, owned; as they were submitted */
-  guint64 version;                         /* named last */
-  guint front;                             /* asked next */
-  guint repeats;                           /* calls that got no answer and were made again */
-  StandinRelay *front_relays[PATH_FRONTS]; /* what the trainer reaches fronts by; NULL: directly */
+  GPtrArray *steps;                        /* Step, owned; in order of submission */
+  guint64 version;                         /* last published */
+  guint front;                             /* number of calls; selects the next front */
+  guint repeats;                           /* calls that got no answer and were retried */
+  StandinRelay *front_relays[PATH_FRONTS]; /* between the trainer and the fronts; NULL: none */
 } Trainer;
 
 static inline void
@@ -71,7 +71,7 @@
 
 /* ---- Calls -------------------------------------------------------------- */
 
-/* Through the fronts in turn. */
+/* Calls the fronts in turn.  Returns the status, or 0 if the call got no complete answer. */
 static inline guint
 trainer_call (Trainer *trainer,
               const char *method,
@@ -98,7 +98,7 @@
   return status == 202;
 }
 
-/* The next step; its samples may be older by the bound than the version named last. */
+/* Submits the next step.  Its minimum version is STEP_MAX_STALENESS below the last published version. */
 static inline void
 trainer_submit (Trainer *trainer)
 {
@@ -122,7 +122,7 @@
   standin_store_put (trainer->world->path->store, "op/version/model-a", text);
 }
 
-/* All that is listed of @step; NULL while it cannot be read. (transfer full) */
+/* Returns: (transfer full) (nullable): the available results of @step, or NULL if the call fails. */
 static inline char *
 trainer_fetch_results (Trainer *trainer, const Step *step)
 {
@@ -134,7 +134,7 @@
   return text;
 }
 
-/* Returns: whether all of @step was read; a part of it stands where it stands in the end. */
+/* Stores the results of @step once they are complete.  Returns: whether they are. */
 static inline gboolean
 trainer_try_read_all (Trainer *trainer, Step *step)
 {
@@ -145,7 +145,7 @@
   return TRUE;
 }
 
-/* How many samples of @step are listed. */
+/* Returns the number of available results of @step, or 0 if the call fails. */
 static inline guint
 trainer_count_results (Trainer *trainer, const Step *step)
 {
@@ -153,10 +153,10 @@
   return text != NULL ? path_count_occurrences (text, "\"state\":") : 0;
 }
 
-/* ---- Judging ------------------------------------------------------------ */
+/* ---- Checks ------------------------------------------------------------- */
 
-/* Whether event @number of @item was made under @version at some worker, by the worker's own record;
- * @number 0: any event. */
+/* Returns whether the records of some worker show that @version generated event @number of @sample_id.
+ * @number: 0 for any event */
 static inline gboolean
 trainer_was_event_generated (const PathWorld *path, const char *sample_id, guint number, guint64 version)
 {
@@ -179,7 +179,7 @@
   return FALSE;
 }
 
-/* The versions that a sample names are those that made it, and none is too old. */
+/* @versions are exactly the versions that generated @sample_id, and none is below the step's minimum. */
 static inline void
 trainer_assert_versions (const Trainer *trainer, const Step *step, const char *sample_id, JsonArray *versions)
 {
@@ -190,9 +190,10 @@
     {
       guint64 version = (guint64)json_array_get_int_element (versions, i);
       if (version < step->min_version)
-        fail_msg ("%s names version %u, below %u", sample_id, (guint)version, (guint)step->min_version);
+        fail_msg ("%s names version %u, which is below the minimum %u", sample_id, (guint)version,
+                  (guint)step->min_version);
       if (!trainer_was_event_generated (path, sample_id, 0, version))
-        fail_msg ("%s names version %u, which made no part of it", sample_id, (guint)version);
+        fail_msg ("%s names version %u, which generated none of its events", sample_id, (guint)version);
     }
   for (guint number = 1; number <= STEP_EVENTS; number++)
     {
@@ -201,7 +202,8 @@
         is_covered |= trainer_was_event_generated (path, sample_id, number,
                                                    (guint64)json_array_get_int_element (versions, i));
       if (!is_covered)
-        fail_msg ("event %u of %s was made under no version that it names", number, sample_id);
+        fail_msg ("event %u of %s was generated by none of the versions that the sample names", number,
+                  sample_id);
     }
 }
 
@@ -215,7 +217,7 @@
   trainer_assert_versions (trainer, step, sample_id, json_object_get_array_member (sample, "versions"));
 }
 
-/* Each sample of @step was listed once, whole, with its versions. */
+/* The results contain each sample of @step exactly once, complete, with its versions. */
 static inline void
 trainer_assert_step (const Trainer *trainer, const Step *step)
 {
@@ -239,7 +241,7 @@
     }
 }
 
-/* All steps, as they were first read and as each front tells them now: the same. */
+/* All steps have correct results, and each front still returns the same results as at the first read. */
 static inline void
 trainer_assert_all_steps (Trainer *trainer)
 {
--- a/tests/platform/tenants-world.h
+++ b/tests/platform/tenants-world.h
@@ -1,5 +1,5 @@
 /*
- * tenants-world.h: a deployment whose callers show API keys.
+ * tenants-world.h: a deployment whose callers authenticate with API keys.
  */
 #pragma once
 
@@ -13,7 +13,7 @@
 #define TENANTS_ALL                                                                                          \
   "{\"name\":\"tenant-a\",\"apiKeys\":[\"" KEY_A1 "\",\"" KEY_A2 "\"],\"priority\":3},"                      \
   "{\"name\":\"tenant-b\",\"apiKeys\":[\"" KEY_B1 "\"],\"priority\":1}"
-/* The first key of the first tenant is withdrawn. */
+/* TENANTS_ALL without the revoked KEY_A1. */
 #define TENANTS_KEY_REVOKED                                                                                  \
   "{\"name\":\"tenant-a\",\"apiKeys\":[\"" KEY_A2 "\"],\"priority\":3},"                                     \
   "{\"name\":\"tenant-b\",\"apiKeys\":[\"" KEY_B1 "\"],\"priority\":1}"
@@ -61,7 +61,7 @@
   return status;
 }
 
-/* A lookup under an id of its own: AWAIT asks twice. */
+/* Sends a lookup with a new id, so that AWAIT can retry it.  Returns its status. */
 static inline guint
 lookup_status (PathWorld *world, guint front, const char *key)
 {
@@ -70,7 +70,7 @@
   return status_with_key (path_front (world, front), "POST", "/l/1", id, "x", key);
 }
 
-/* All processes run, under @world that was made before. */
+/* Configures @world, starts its processes and waits until all fronts serve lookups. */
 static inline void
 tenants_world_start (PathWorld *world)
 {
--- a/tests/platform/test-append-gap.c
+++ b/tests/platform/test-append-gap.c
@@ -1,8 +1,6 @@
 /*
- * test-append-gap.c: a backup acknowledges no record that it lacks.
- *
- * The test is the leader: it listens for the backup's link, and writes the view into the metadata store
- * itself.
+ * test-append-gap.c: guards against a backup that acknowledges records which its log lacks.  The test acts
+ * as the leader.
  */
 #include "path-world.h"
 
@@ -10,12 +8,11 @@
 #include "platform.h"
 #include "runtime/link.h"
 
-/* Replica id of the leader that the test plays. */
 #define LEADER_REPLICA_ID 11
 #define N_RECORDS 3
-/* Between two heartbeats, ms: a fraction of the 1 s of silence that backups bear. */
+/* Less than the 1 s without heartbeats after which backups consider a leader failed. */
 #define HEARTBEAT_INTERVAL_MS 50
-/* Far more than a message takes on loopback, ms. */
+/* Longer than the delivery of a message over loopback. */
 #define DELIVERY_WAIT_MS 300
 
 typedef struct
@@ -23,13 +20,13 @@
   PathWorld *world;
   QuinceMetaStore *store;
   QuinceLinkServer *server;
-  QuinceLink *link;          /* the backup's newest */
-  GPtrArray *accepted_links; /* all, owned */
+  QuinceLink *link;          /* the backup's newest link; NULL: closed */
+  GPtrArray *accepted_links; /* QuinceLink, owned */
   guint n_hellos;
-  guint64 backup_replica;    /* replica id of the backup */
-  guint64 backup_last_index; /* end of its log, as it introduced itself last */
-  guint64 acked_index;       /* greatest index that it acknowledged */
-  gboolean view_is_written;  /* the last change of the view was answered */
+  guint64 backup_replica;
+  guint64 backup_last_index; /* last index of its log in its latest hello */
+  guint64 acked_index;       /* highest acknowledged index */
+  gboolean view_is_written;  /* the store has confirmed the last write of the view */
 } FakeLeader;
 
 static void
@@ -71,7 +68,7 @@
   ((FakeLeader *)data)->view_is_written = TRUE;
 }
 
-/* The view of @epoch, whose one member is the leader. */
+/* Writes a view of @epoch with the leader as its only member. */
 static void
 write_view (FakeLeader *leader, guint64 epoch)
 {
@@ -88,7 +85,7 @@
   AWAIT (leader->view_is_written);
 }
 
-/* @n_records: from the first one on; 0: a heartbeat.  All RECORDS count as sent on this link. */
+/* Sends the first @n_records records, or a heartbeat if it is 0.  The message states an end of N_RECORDS. */
 static void
 send_append (FakeLeader *leader, guint64 epoch, guint n_records)
 {
@@ -139,9 +136,8 @@
   path_world_free (leader->world);
 }
 
-/* A leader that was restarted leads again, with a later epoch: a backup that links to it by the view of the
- * earlier epoch refuses the records, and then learns of the later one.  Failed first: it acknowledged what it
- * had refused, so that its log lacked records that the leader counted as held there. */
+/* A restarted leader sends records of a new epoch to a backup that still has the previous view.  The backup
+ * rejects them, and must not acknowledge them once it reads the new view. */
 static void
 test_append_before_view_change (void **state)
 {
--- a/tests/platform/test-callers.c
+++ b/tests/platform/test-callers.c
@@ -1,18 +1,16 @@
 /*
- * test-callers.c: what callers are promised while workers, fronts, replicas, the store and the networks
- * between them fail: whole own answers, "not run" only when it did not run, at most once.
- *
- * Each case runs the same mixed load and makes its fault while calls are in progress.
+ * test-callers.c: guards against truncated or foreign answers, false "not run" refusals and repeated runs
+ * when workers, fronts, replicas, the store or connections fail during calls.
  */
 #include "callers-faults.h"
 
 #define N_CALLS 240
 #define CALL_INTERVAL_MS 5
-#define MIN_RUNS_BEFORE_FAULT 40 /* runs of the load when its fault is made */
+#define MIN_RUNS_BEFORE_FAULT 40 /* runs of the load before its fault is injected */
 #define BURST_CALLS 700
 #define MIN_REFUSED_CALLS 200
-#define WORKER_CAPACITY 20 /* of each worker, under the burst */
-/* No caller waits for as long; half of the deadline. */
+#define WORKER_CAPACITY 20 /* concurrent requests per worker during the burst */
+/* Half of the callers' deadline. */
 #define REFUSAL_MAX_MS 1500
 
 static Scene shared_scene;
@@ -24,7 +22,7 @@
   return call_load_new (scene->world->path, name, calls, CALL_INTERVAL_MS);
 }
 
-/* Every kind is answered at every front, and the ledger has a leader. */
+/* Waits until each front answers each kind of call and the ledger has a leader. */
 static void
 await_recovered (Scene *scene)
 {
@@ -43,9 +41,9 @@
 {
   CallLoadCounts verdict = call_load_check (load);
   if (verdict.complete * 100 < N_CALLS * fault->min_complete_calls)
-    fail_msg ("only %u of %u calls got a whole answer", verdict.complete, N_CALLS);
+    fail_msg ("only %u of %u calls got a complete answer", verdict.complete, N_CALLS);
   if (fault->must_break_calls && verdict.cut + verdict.failed + verdict.repeated == 0)
-    fail_msg ("the fault hit no call");
+    fail_msg ("the fault affected no call");
   if (!fault->stops_front)
     call_load_assert_deadlines (load);
 }
@@ -73,7 +71,7 @@
   call_load_await (load);
   assert_fault_case (fault, load);
   await_recovered (scene);
-  call_load_check (load); /* nothing of it ran later */
+  call_load_check (load); /* no call has run after the load ended */
   call_load_free (load);
   scene->last_case_passed = TRUE;
 }
@@ -101,8 +99,8 @@
     standin_worker_set_max_running (scene->world->path->model[i], capacity);
 }
 
-/* A burst far above what workers take, while none of those that they took can end: what is refused is told
- * so meanwhile, with a time to come back. */
+/* During a burst far above the workers' capacity, fronts refuse the excess calls while the accepted ones are
+ * still in flight. */
 static void
 test_overload_refused_at_once (void **state)
 {
@@ -131,8 +129,8 @@
   scene->last_case_passed = TRUE;
 }
 
-/* What a worker was sent may run, also when its deadline passes before the worker says anything: nobody is
- * told that it did not. */
+/* A call that was sent to a worker may run.  It must not be reported as not run, even if its deadline expires
+ * before the worker answers. */
 static void
 test_deadline_after_dispatch (void **state)
 {
@@ -152,7 +150,7 @@
   scene->last_case_passed = TRUE;
 }
 
-/* ---- Running ------------------------------------------------------------ */
+/* ---- Setup -------------------------------------------------------------- */
 
 static void
 free_scene_world (Scene *scene)
@@ -162,7 +160,7 @@
   scene->world = NULL;
 }
 
-/* A failed case may leave anything behind: the next one gets a deployment of its own. */
+/* Creates a new deployment if the previous case failed, since its state is then undefined. */
 static int
 prepare_case (void **state)
 {
--- a/tests/platform/test-directory.c
+++ b/tests/platform/test-directory.c
@@ -1,9 +1,9 @@
 /*
- * test-directory.c: which fronts the directory names while fronts, leaders and the metadata store fail.
+ * test-directory.c: guards against a directory that lists a frozen front while the metadata store is down.
  */
 #include "path-world.h"
 
-/* Whether the directory of front @asked names front @named. */
+/* Returns whether the directory of front @queried_front lists front @listed_front. */
 static gboolean
 directory_lists_front (PathWorld *world, guint queried_front, guint listed_front)
 {
@@ -15,7 +15,8 @@
   return is_listed;
 }
 
-/* Its lease cannot run out while the store is silent: the leader's heartbeats tell. */
+/* The front's lease cannot expire while the store is unresponsive, so the leader must detect the frozen front
+ * by its missing heartbeats. */
 static void
 test_frozen_front_is_unlisted (void **state)
 {
--- a/tests/platform/test-duties.c
+++ b/tests/platform/test-duties.c
@@ -1,5 +1,6 @@
 /*
- * test-duties.c: calls that one machine makes for all: usage of tenants, told once a window, whoever leads.
+ * test-duties.c: guards against lost, repeated or differing usage reports when the platform refuses them or
+ * the leader changes.
  */
 #include "tenants-world.h"
 
@@ -7,12 +8,12 @@
 
 #include <json-glib/json-glib.h>
 
-/* Windows are short here; a report is due half a minute of them later. */
+/* Windows are short to keep the test short.  A report is sent USAGE_LATE_S after the end of its window. */
 #define USAGE_WINDOW_S 1
 #define USAGE_LATE_S 4
 #define N_LOOKUPS 12
 
-/* ---- A stand-in of the platform ------------------------------------------- */
+/* ---- Stand-in platform ---------------------------------------------------- */
 
 typedef struct
 {
@@ -25,9 +26,9 @@
 typedef struct
 {
   StandinServer *server;
-  GPtrArray *reports;      /* Report, owned, in the order in which they came */
-  guint n_calls_to_refuse; /* as many are answered 503 */
-  guint n_calls_to_reset;  /* as many are taken and not answered */
+  GPtrArray *reports;      /* Report, owned; in order of arrival */
+  guint n_calls_to_refuse; /* number of calls to answer with 503 */
+  guint n_calls_to_reset;  /* number of calls to accept and then reset the connection */
 } Platform;
 
 static void
@@ -92,7 +93,7 @@
   return json_object_has_member (counts, tenant) ? (guint)json_object_get_int_member (counts, tenant) : 0;
 }
 
-/* Over all windows, each of them once. */
+/* Returns the sum over all windows; a repeated report of a window counts once. */
 static guint
 count_reported (const Platform *platform, const char *tenant)
 {
@@ -107,7 +108,7 @@
   return count;
 }
 
-/* A window is told with the same bytes each time, and fences only rise. */
+/* Repeated reports of a window are identical, fence tokens never decrease, and each has one holder. */
 static void
 assert_consistent_reports (const Platform *platform)
 {
@@ -139,7 +140,8 @@
   return world;
 }
 
-/* Requests of @tenant that began: one that takes long runs at two workers and counts once. */
+/* Returns the number of requests of @tenant that ran.  A hedged request may run at two workers; it counts
+ * once. */
 static guint
 count_requests (PathWorld *world, const char *tenant)
 {
@@ -182,7 +184,7 @@
   send_lookups (world);
   run_for (USAGE_WINDOW_S * 1000);
   send_lookups (world);
-  /* Refused requests and samples are no usage. */
+  /* Refused requests and samples do not count as usage. */
   status_with_key (path_front (world, 0), "POST", "/l/1", "nobody", "x", KEY_UNKNOWN);
   g_autofree char *batch = path_make_batch ("b1", 4);
   assert_int_equal (status_with_key (path_front (world, 0), "POST", "/r/batch", "b1", batch, KEY_A1), 202);
@@ -194,12 +196,12 @@
   platform_free (platform);
 }
 
-/* A platform that refuses, and one that takes a report and does not answer. */
+/* The platform refuses two reports and accepts one without an answer. */
 static void
 test_report_is_retried (void **state)
 {
   Platform *platform = platform_new ();
-  PathWorld *world = start_world ("again", platform);
+  PathWorld *world = start_world ("report-retry", platform);
   platform->n_calls_to_refuse = 2;
   platform->n_calls_to_reset = 1;
   send_lookups (world);
@@ -209,14 +211,14 @@
   platform_free (platform);
 }
 
-/* The leader and its disk are lost with what it was told; all processes are killed. */
+/* The leader loses its disk; later all replicas are killed and restarted. */
 static void
 test_usage_survives_leader_loss (void **state)
 {
   Platform *platform = platform_new ();
-  PathWorld *world = start_world ("heirs", platform);
+  PathWorld *world = start_world ("leader-loss", platform);
   send_lookups (world);
-  run_for (700); /* the leader keeps what it is told each 0.2 s */
+  run_for (700); /* the leader saves reported usage every 0.2 s */
   gint leader = path_find_leader (world);
   quince_process_kill (world->replicas[leader]);
   path_delete_replica_data (world, (guint)leader);
@@ -236,13 +238,13 @@
   platform_free (platform);
 }
 
-/* Nobody leads until every window so far is overdue: what fronts could not tell meanwhile counts all the
- * same. */
+/* There is no leader until all windows so far are overdue.  Usage that fronts could not report meanwhile must
+ * still count. */
 static void
 test_usage_survives_long_leader_outage (void **state)
 {
   Platform *platform = platform_new ();
-  PathWorld *world = start_world ("late", platform);
+  PathWorld *world = start_world ("leader-outage", platform);
   for (guint round = 0; round < 3; round++)
     {
       send_lookups (world);
--- a/tests/platform/test-evacuation-path.c
+++ b/tests/platform/test-evacuation-path.c
@@ -1,21 +1,20 @@
 /*
- * test-evacuation-path.c: evacuated zones on the whole path, with real processes: lookups, streams, items,
- * reward calls and orders, beside processes that start, are killed, frozen or suspended.
- *
- * Two plain workers, one in each of two zones; of three model workers the first two are in z1.
+ * test-evacuation-path.c: guards against requests that are sent to an evacuated zone, also while processes
+ * start, are killed, frozen or suspended.
  */
 #include "path-world.h"
 
 #define N_SAMPLES 6
 #define N_LOOKUPS 30
-/* Well within the 5 s of a deployment's bound, by what a busy machine may take. */
+/* Below the 5 s within which a deployment must apply an evacuation. */
 #define EVACUATION_MAX_MS 3500
-/* Long enough for a wrong send to come, where none must. */
+/* Long enough for an erroneous send to arrive. */
 #define NO_SEND_WAIT_MS 1200
 #define SUSPENSION_MS 12000
 #define Z1_EVACUATION_KEY "op/evacuate/z1"
 #define Z2_EVACUATION_KEY "op/evacuate/z2"
 
+/* Plain worker 1 and model worker 2 are in z2, all others in z1. */
 static PathWorld *
 world_new (const char *name)
 {
@@ -33,7 +32,7 @@
   return world;
 }
 
-/* ---- What processes logged ---------------------------------------------- */
+/* ---- Logs --------------------------------------------------------------- */
 
 static guint
 count_log_matches (const PathWorld *world, const char *name, const char *pattern)
@@ -56,7 +55,7 @@
   return count;
 }
 
-/* All processes but @away know it in time. */
+/* Waits until all processes but @n_unavailable have logged the evacuation of @zone. */
 static void
 await_evacuation_logged (const PathWorld *world, const char *zone, guint n_unavailable)
 {
@@ -65,7 +64,7 @@
   AWAIT (count_processes_with_log (world, pattern) + n_unavailable >= PATH_FRONTS + PATH_REPLICAS);
   gint64 elapsed_ms = (g_get_monotonic_time () - begin_us) / 1000;
   if (elapsed_ms > EVACUATION_MAX_MS)
-    fail_msg ("the evacuation was known everywhere after %d ms", (int)elapsed_ms);
+    fail_msg ("all processes logged the evacuation only after %d ms", (int)elapsed_ms);
 }
 
 /* ---- Work --------------------------------------------------------------- */
@@ -82,7 +81,7 @@
   return standin_worker_get_runs (world->model[index])->len;
 }
 
-/* All that was sent to the workers of z1. */
+/* Returns the number of requests and orders that were sent to workers in z1. */
 static guint
 count_sends_to_z1 (const PathWorld *world)
 {
@@ -94,7 +93,7 @@
 send_lookup (PathWorld *world, guint front)
 {
   static guint serial;
-  g_autofree char *id = g_strdup_printf ("look-%u", ++serial);
+  g_autofree char *id = g_strdup_printf ("lookup-%u", ++serial);
   return path_status (path_front (world, front), "POST", "/l/1", id, "x");
 }
 
@@ -121,7 +120,8 @@
 
 /* ---- Cases -------------------------------------------------------------- */
 
-/* Lookups, streams, items, reward calls and orders keep away; after the return the zone works again. */
+/* No lookups, streams, samples, reward calls or load orders are sent to an evacuated zone until its
+ * evacuation ends. */
 static void
 test_no_sends_to_evacuated_zone (void **state)
 {
@@ -150,13 +150,13 @@
   path_world_free (world);
 }
 
-/* Texts that are under way in the zone end there, whole and once. */
+/* Streams that run in the zone complete there and run only once. */
 static void
 test_running_streams_complete (void **state)
 {
-  PathWorld *world = world_new_started ("under-way");
+  PathWorld *world = world_new_started ("running-streams");
   for (guint i = 0; i < PATH_MODEL; i++)
-    standin_worker_set_events (world->model[i], 24, 100); /* less than the callers' 3 s */
+    standin_worker_set_events (world->model[i], 24, 100); /* shorter than the callers' timeout of 3 s */
   PathAnswer answers[6];
   for (guint i = 0; i < G_N_ELEMENTS (answers); i++)
     {
@@ -178,8 +178,8 @@
   path_world_free (world);
 }
 
-/* Nobody is left: lookups and streams are refused at once with a time to come back, items wait and are run
- * once a zone is back. */
+/* If all zones are evacuated, lookups and streams are refused immediately with Retry-After, and samples wait
+ * until a zone is available. */
 static void
 test_all_zones_evacuated (void **state)
 {
@@ -214,11 +214,11 @@
   path_world_free (world);
 }
 
-/* A front and the leader start anew in an evacuation: neither sends anything there, not even first. */
+/* A front and the leader that restart during an evacuation never send to the zone. */
 static void
 test_processes_started_during_evacuation (void **state)
 {
-  PathWorld *world = world_new_started ("starts");
+  PathWorld *world = world_new_started ("restarted");
   standin_store_put (world->store, Z1_EVACUATION_KEY, "{}");
   await_evacuation_logged (world, "z1", 0);
   guint sends_before = count_sends_to_z1 (world);
@@ -236,7 +236,7 @@
   path_world_free (world);
 }
 
-/* Whoever reads for all is killed, or stands still, at the moment of the word. */
+/* The leader, which reads the store for all processes, is killed or frozen when the evacuation is written. */
 static void
 test_evacuation_while_leader_is_unavailable (void **state)
 {
@@ -264,18 +264,18 @@
     }
 }
 
-/* Asked twice, taken back and asked again at once, beside forgotten history: the last word counts. */
+/* After repeated changes and a compaction of the store, the latest state of the evacuation applies. */
 static void
 test_latest_evacuation_state_applies (void **state)
 {
-  PathWorld *world = world_new_started ("last-word");
+  PathWorld *world = world_new_started ("latest-state");
   standin_store_put (world->store, Z1_EVACUATION_KEY, "{}");
   standin_store_put (world->store, Z1_EVACUATION_KEY, "{}");
   standin_store_remove (world->store, Z1_EVACUATION_KEY);
   standin_store_compact (world->store);
   standin_store_put (world->store, Z1_EVACUATION_KEY, "{}");
   await_evacuation_logged (world, "z1", 0);
-  run_for (EVACUATION_MAX_MS); /* until every process has heard the last word */
+  run_for (EVACUATION_MAX_MS); /* until every process has read the latest state */
   guint sends_before = count_sends_to_z1 (world);
   send_lookups (world);
   assert_int_equal (count_sends_to_z1 (world), sends_before);
@@ -287,11 +287,11 @@
   path_world_free (world);
 }
 
-/* The workers of the evacuated zone are lost as well: their entries lapse and come back in the evacuation. */
+/* A worker of the evacuated zone dies and a new incarnation registers; the zone stays evacuated. */
 static void
 test_evacuated_worker_is_replaced (void **state)
 {
-  PathWorld *world = world_new_started ("cut-too");
+  PathWorld *world = world_new_started ("worker-replaced");
   standin_store_put (world->store, Z1_EVACUATION_KEY, "{}");
   await_evacuation_logged (world, "z1", 0);
   guint sends_before = count_sends_to_z1 (world);
@@ -307,7 +307,7 @@
   path_world_free (world);
 }
 
-/* A front is suspended over the word: it sends nothing there when it goes on. */
+/* A front that is suspended while a zone is evacuated sends nothing there after it resumes. */
 static void
 test_front_resumed_after_evacuation (void **state)
 {
@@ -327,7 +327,7 @@
   standin_store_put (world->store, Z1_EVACUATION_KEY, "{}");
   AWAIT (count_log_matches (world, "front-1", "event=zone_evacuated") == 1);
   guint sends_before = count_sends_to_z1 (world);
-  PathAnswer answers[N_LOOKUPS]; /* wait at the front when it goes on */
+  PathAnswer answers[N_LOOKUPS]; /* pending at the front when it resumes */
   for (guint i = 0; i < N_LOOKUPS; i++)
     path_start_call (path_front (world, 0), "POST", "/l/1", "waits", "x", &answers[i]);
   run_for (100);
--- a/tests/platform/test-evacuation-soak.c
+++ b/tests/platform/test-evacuation-soak.c
@@ -1,9 +1,6 @@
 /*
- * test-evacuation-soak.c: two zones that are evacuated and taken back in series and at once, beside processes
- * that are killed or frozen and outages of the store; seeded by SOAK_SEED (1 where it is not set).
- *
- * What must hold all the time: what reaches a worker in a zone that has been evacuated for longer than the
- * bound, while the store answered and no process stood still, is nothing.  Afterwards everything is served.
+ * test-evacuation-soak.c: guards against sends to evacuated zones during random kills, freezes and store
+ * outages.  SOAK_SEED sets the random seed; the default is 1.
  */
 #include <stdlib.h>
 
@@ -11,7 +8,7 @@
 
 #define FAULT_PHASE_MS 14000
 #define STEP_INTERVAL_MS 50
-/* Longer than an operator's word takes to be known, by what a busy machine may take. */
+/* Time within which all processes must apply an evacuation. */
 #define EVACUATION_MAX_MS 3500
 #define FREEZE_STEPS 16
 #define OUTAGE_STEPS 12
@@ -24,13 +21,12 @@
 {
   PathWorld *world;
   GRand *random;
-  GPtrArray *answers; /* PathAnswer, owned: callers keep their connections until they end */
+  GPtrArray *answers; /* PathAnswer, owned; must outlive the calls */
   guint n_batches;
-  gint64
-      evacuated_since_ms[N_ZONES];  /* since when it is evacuated and nothing else was wrong; 0: it is not */
-  guint sends_after_bound[N_ZONES]; /* runs there once the bound was over; G_MAXUINT: it is not over */
+  gint64 evacuated_since_ms[N_ZONES]; /* start of the evacuation or end of the last fault; 0: not evacuated */
+  guint sends_after_bound[N_ZONES];   /* sends when the bound expired; G_MAXUINT: not expired */
   guint n_evacuations;
-  guint n_checked; /* evacuations that outlasted the bound */
+  guint n_checked; /* number of expired bounds */
   QuinceProcess *frozen_process;
   guint frozen_steps_left;
   guint outage_steps_left;
@@ -49,8 +45,8 @@
   return g_get_monotonic_time () / 1000;
 }
 
-/* All that was sent to the workers of a zone: plain worker i and model worker i stand in zone i, and model
- * worker 2 in the second. */
+/* Returns the number of requests and orders sent to the workers of @zone.  Plain worker i and model worker i
+ * are in zone i; model worker 2 is in zone index 1 (z2). */
 static guint
 count_sends_to (const Soak *soak, guint zone)
 {
@@ -61,7 +57,7 @@
   return count;
 }
 
-/* Rules bound processes that were left alone: the time begins anew. */
+/* Restarts the bounds after a fault, since they hold only without faults. */
 static void
 restart_bounds (Soak *soak)
 {
@@ -96,7 +92,7 @@
   path_start_call (path_front (soak->world, 0), "POST", "/r/batch", id, text, answer);
 }
 
-/* ---- Trouble ---------------------------------------------------------------- */
+/* ---- Faults ----------------------------------------------------------------- */
 
 static void
 toggle_evacuation (Soak *soak, guint zone)
@@ -119,7 +115,7 @@
 {
   PathWorld *world = soak->world;
   if (soak->frozen_process != NULL)
-    return; /* one process at a time is away */
+    return; /* at most one process is unavailable at a time */
   guint index = (guint)g_rand_int_range (soak->random, 0, PATH_FRONTS + PATH_REPLICAS);
   if (index < PATH_FRONTS)
     {
@@ -195,7 +191,7 @@
   run_for (STEP_INTERVAL_MS);
 }
 
-/* ---- What must hold ------------------------------------------------------------- */
+/* ---- Checks ----------------------------------------------------------------- */
 
 static void
 assert_no_sends_after_bound (Soak *soak)
@@ -211,7 +207,7 @@
           soak->n_checked++;
         }
       else if (n_sent != soak->sends_after_bound[i])
-        fail_msg ("%u sends to %s after its evacuation; logs in %s", n_sent - soak->sends_after_bound[i],
+        fail_msg ("%u sends to %s after it was evacuated; logs in %s", n_sent - soak->sends_after_bound[i],
                   zone_names[i], soak->world->folder);
     }
 }
@@ -254,7 +250,7 @@
   for (guint i = 0; i < N_ZONES; i++)
     if (soak.evacuated_since_ms[i] != 0)
       toggle_evacuation (&soak, i);
-  print_message ("  %u evacuations, %u judged\n", soak.n_evacuations, soak.n_checked);
+  print_message ("  %u evacuations, %u checked\n", soak.n_evacuations, soak.n_checked);
   assert_true (soak.n_checked > 0);
   AWAIT (all_answered (&soak));
   for (guint i = 0; i < PATH_FRONTS; i++)
