--- a/tests/platform/test-duties.c
+++ b/tests/platform/test-duties.c
@@ -218,7 +218,7 @@
   Platform *platform = platform_new ();
   PathWorld *world = start_world ("leader-loss", platform);
   send_lookups (world);
-  run_for (700); /* the leader saves reported usage every 0.2 s */
+  run_for (700); /* the leader appends reported usage to its log every 0.2 s */
   gint leader = path_find_leader (world);
   quince_process_kill (world->replicas[leader]);
   path_delete_replica_data (world, (guint)leader);
