--- a/tests/platform/test-leaving.c
+++ b/tests/platform/test-leaving.c
@@ -31,9 +31,9 @@
 typedef struct _Scene Scene;
 
 /**
- * SignCase:
+ * LeavingCase:
  * @state: as the workers are listed; %NULL: they are listed no more
- * @hinder: (nullable): a fault before the sign
+ * @inject_before: (nullable): a fault before the sign
  * @strike: (nullable): a fault right after the sign
  * @mend: (nullable): ends both, later than the promised time
  * @is_held: relays are held meanwhile, and must hold some connection
@@ -43,18 +43,18 @@
 {
   const char *name;
   const char *state;
-  void (*hinder) (Scene *scene);
+  void (*inject_before) (Scene *scene);
   void (*strike) (Scene *scene);
   void (*mend) (Scene *scene);
   gboolean is_held;
   guint burst;
-} SignCase;
+} LeavingCase;
 
 /* One deployment, shared by the cases until one of them fails. */
 struct _Scene
 {
   RelayedWorld *world;
-  const SignCase *running;
+  const LeavingCase *running;
   guint leader; /* when the running case began */
   guint loads;
   guint batches;
@@ -80,7 +80,7 @@
 }
 
 static void
-list_leaving (Scene *scene, const char *state)
+set_leaving_registrations (Scene *scene, const char *state)
 {
   list_worker (scene, scene->world->path->plain[LEAVING_PLAIN], "svc", state);
   list_worker (scene, scene->world->path->model[LEAVING_MODEL], "llm", state);
@@ -95,48 +95,48 @@
 }
 
 static void
-hold_store (Scene *scene, guint process, gboolean held)
+pause_store_link (Scene *scene, guint process, gboolean held)
 {
   relayed_set_paused (scene->world, process, RELAYED_STORE, held);
 }
 
 static void
-hold_store_of_leader (Scene *scene)
+pause_store_for_leader (Scene *scene)
 {
-  hold_store (scene, RELAYED_REPLICA_PROCESS (scene->leader), TRUE);
+  pause_store_link (scene, RELAYED_REPLICA_PROCESS (scene->leader), TRUE);
 }
 
 static void
-hold_store_of_fronts (Scene *scene)
+pause_store_for_fronts (Scene *scene)
 {
   for (guint i = 0; i < PATH_FRONTS; i++)
-    hold_store (scene, i, TRUE);
+    pause_store_link (scene, i, TRUE);
 }
 
 static void
-hold_store_of_all_but (Scene *scene, guint process)
+pause_store_for_all_except (Scene *scene, guint process)
 {
   for (guint i = 0; i < RELAYED_N_PROCESSES; i++)
-    hold_store (scene, i, i != process);
+    pause_store_link (scene, i, i != process);
 }
 
 static void
-hold_store_of_all_but_leader (Scene *scene)
+pause_store_for_all_except_leader (Scene *scene)
 {
-  hold_store_of_all_but (scene, RELAYED_REPLICA_PROCESS (scene->leader));
+  pause_store_for_all_except (scene, RELAYED_REPLICA_PROCESS (scene->leader));
 }
 
 static void
-hold_store_of_all_but_follower (Scene *scene)
+pause_store_for_all_except_follower (Scene *scene)
 {
-  hold_store_of_all_but (scene, RELAYED_REPLICA_PROCESS (follower (scene)));
+  pause_store_for_all_except (scene, RELAYED_REPLICA_PROCESS (follower (scene)));
 }
 
 static void
-release_stores (Scene *scene)
+resume_store_links (Scene *scene)
 {
   for (guint i = 0; i < RELAYED_N_PROCESSES; i++)
-    hold_store (scene, i, FALSE);
+    pause_store_link (scene, i, FALSE);
 }
 
 static void
@@ -146,7 +146,7 @@
 }
 
 static void
-release_front_and_leader (Scene *scene)
+resume_front_leader_link (Scene *scene)
 {
   relayed_set_paused (scene->world, 0, RELAYED_REPLICA (scene->leader), FALSE);
 }
@@ -176,14 +176,14 @@
 }
 
 static void
-freeze_leader_and_follower (Scene *scene)
+suspend_leader_and_follower (Scene *scene)
 {
   freeze_leader (scene);
   quince_process_suspend (scene->world->path->replicas[follower (scene)]);
 }
 
 static void
-thaw_leader_and_follower (Scene *scene)
+resume_leader_and_follower (Scene *scene)
 {
   thaw_leader (scene);
   quince_process_resume (scene->world->path->replicas[follower (scene)]);
@@ -215,7 +215,7 @@
 
 /* Whether @process has heard of both workers that they leave, by its own log. */
 static gboolean
-knows_leaving (Scene *scene, guint process)
+knows_draining_workers (Scene *scene, guint process)
 {
   const PathWorld *path = scene->world->path;
   const StandinWorker *const workers[] = { path->plain[LEAVING_PLAIN], path->model[LEAVING_MODEL] };
@@ -235,86 +235,86 @@
 }
 
 static gboolean
-all_know_leaving (Scene *scene)
+all_know_draining_workers (Scene *scene)
 {
   for (guint i = 0; i < RELAYED_N_PROCESSES; i++)
-    if (!knows_leaving (scene, i))
+    if (!knows_draining_workers (scene, i))
       return FALSE;
   return TRUE;
 }
 
 /* The others have it from the leader alone, which then dies. */
 static void
-kill_leader_that_told (Scene *scene)
+kill_leader_after_propagation (Scene *scene)
 {
-  AWAIT (all_know_leaving (scene));
+  AWAIT (all_know_draining_workers (scene));
   kill_leader (scene);
 }
 
 static void
-restart_leader_and_release (Scene *scene)
+restart_leader_and_resume_links (Scene *scene)
 {
   restart_leader (scene);
-  release_stores (scene);
+  resume_store_links (scene);
 }
 
 /* The store is away for all as soon as one of them has read the sign. */
 static void
-stop_store_once_read (Scene *scene)
+fail_store_after_follower_read (Scene *scene)
 {
-  AWAIT (knows_leaving (scene, RELAYED_REPLICA_PROCESS (follower (scene))));
+  AWAIT (knows_draining_workers (scene, RELAYED_REPLICA_PROCESS (follower (scene))));
   standin_store_set_fault (scene->world->path->store, STANDIN_STORE_UNAVAILABLE);
   standin_store_close_connections (scene->world->path->store);
 }
 
 static void
-resume_store_and_release (Scene *scene)
+restore_store_and_resume_links (Scene *scene)
 {
   standin_store_set_fault (scene->world->path->store, STANDIN_STORE_HEALTHY);
-  release_stores (scene);
+  resume_store_links (scene);
 }
 
 static void
-forget_history (Scene *scene)
+compact_store (Scene *scene)
 {
   standin_store_compact (scene->world->path->store);
 }
 
-static const SignCase sign_cases[] = {
+static const LeavingCase leaving_cases[] = {
   { .name = "draining", .state = "draining" },
   { .name = "listed no more" },
-  { .name = "draining, the store forgets its history", .state = "draining", .strike = forget_history },
+  { .name = "draining, the store forgets its history", .state = "draining", .strike = compact_store },
   { .name = "draining, the leader is cut from the store",
     .state = "draining",
-    .hinder = hold_store_of_leader,
-    .mend = release_stores,
+    .inject_before = pause_store_for_leader,
+    .mend = resume_store_links,
     .is_held = TRUE },
   { .name = "draining, fronts are cut from the store",
     .state = "draining",
-    .hinder = hold_store_of_fronts,
-    .mend = release_stores,
+    .inject_before = pause_store_for_fronts,
+    .mend = resume_store_links,
     .is_held = TRUE },
   { .name = "draining, all but the leader are cut from the store",
     .state = "draining",
-    .hinder = hold_store_of_all_but_leader,
-    .mend = release_stores,
+    .inject_before = pause_store_for_all_except_leader,
+    .mend = resume_store_links,
     .is_held = TRUE },
   { .name = "draining, a front is cut from the leader",
     .state = "draining",
-    .hinder = hold_front_and_leader,
-    .mend = release_front_and_leader,
+    .inject_before = hold_front_and_leader,
+    .mend = resume_front_leader_link,
     .is_held = TRUE },
   { .name = "draining, who read it alone told the others and is killed",
     .state = "draining",
-    .hinder = hold_store_of_all_but_leader,
-    .strike = kill_leader_that_told,
-    .mend = restart_leader_and_release,
+    .inject_before = pause_store_for_all_except_leader,
+    .strike = kill_leader_after_propagation,
+    .mend = restart_leader_and_resume_links,
     .is_held = TRUE },
   { .name = "draining, the store goes down once a follower has read it",
     .state = "draining",
-    .hinder = hold_store_of_all_but_follower,
-    .strike = stop_store_once_read,
-    .mend = resume_store_and_release,
+    .inject_before = pause_store_for_all_except_follower,
+    .strike = fail_store_after_follower_read,
+    .mend = restore_store_and_resume_links,
     .is_held = TRUE },
   { .name = "draining, the leader is killed at the sign",
     .state = "draining",
@@ -331,11 +331,11 @@
     .is_held = TRUE },
   { .name = "draining, the leader and a follower are frozen at the sign",
     .state = "draining",
-    .strike = freeze_leader_and_follower,
-    .mend = thaw_leader_and_follower },
+    .strike = suspend_leader_and_follower,
+    .mend = resume_leader_and_follower },
   { .name = "draining, a front is frozen across it",
     .state = "draining",
-    .hinder = freeze_front,
+    .inject_before = freeze_front,
     .mend = thaw_front,
     .burst = BURST },
 };
@@ -397,7 +397,7 @@
 
 /* Both workers get work. */
 static gboolean
-are_used (Scene *scene, guint plain_before, guint model_before)
+have_new_runs (Scene *scene, guint plain_before, guint model_before)
 {
   const PathWorld *path = scene->world->path;
   return runs_of (path->plain[LEAVING_PLAIN]) > plain_before
@@ -405,14 +405,14 @@
 }
 
 static void
-assert_works_again (Scene *scene)
+assert_workers_used_after_return (Scene *scene)
 {
   const PathWorld *path = scene->world->path;
   guint plain = runs_of (path->plain[LEAVING_PLAIN]);
   guint model = runs_of (path->model[LEAVING_MODEL]);
-  list_leaving (scene, "ready");
+  set_leaving_registrations (scene, "ready");
   CallLoad *load = new_load (scene, CALLS);
-  AWAIT (are_used (scene, plain, model));
+  AWAIT (have_new_runs (scene, plain, model));
   call_load_stop (load);
   call_load_await (load);
   call_load_check (load);
@@ -441,7 +441,7 @@
 
 /* Work comes on after the bound, to the others. */
 static void
-run_on (Scene *scene, CallLoad *load)
+assert_service_continues (Scene *scene, CallLoad *load)
 {
   const PathWorld *path = scene->world->path;
   guint plain = runs_of (path->plain[0]);
@@ -456,10 +456,10 @@
 }
 
 static void
-test_sign (void **state)
+test_leaving_workers (void **state)
 {
   Scene *scene = *state;
-  const SignCase *one = scene->running;
+  const LeavingCase *one = scene->running;
   const PathWorld *path = scene->world->path;
   scene->leader = (guint)path_find_leader (scene->world->path);
   scene->first_batch = scene->batches;
@@ -467,26 +467,26 @@
   guint model = runs_of (path->model[LEAVING_MODEL]);
   submit (scene);
   CallLoad *load = new_load (scene, CALLS);
-  AWAIT (are_used (scene, plain, model));
-  if (one->hinder != NULL)
-    one->hinder (scene);
+  AWAIT (have_new_runs (scene, plain, model));
+  if (one->inject_before != NULL)
+    one->inject_before (scene);
   for (guint i = 0; i < one->burst; i++)
     call_load_start_call (load, i % CALL_KINDS, 0);
   load->total += one->burst;
   gint64 bound_us = g_get_monotonic_time () + PROMISE_MS * 1000;
-  list_leaving (scene, one->state);
+  set_leaving_registrations (scene, one->state);
   if (one->strike != NULL)
     one->strike (scene);
   AWAIT (g_get_monotonic_time () > bound_us);
   assert_true (!one->is_held || relayed_count_paused_connections (scene->world) > 0);
   if (one->mend != NULL)
     one->mend (scene);
-  run_on (scene, load);
+  assert_service_continues (scene, load);
   assert_served (scene, load);
   assert_batches_whole (scene);
   assert_no_new_work (scene, bound_us);
   call_load_free (load);
-  assert_works_again (scene);
+  assert_workers_used_after_return (scene);
   scene->sound = TRUE;
 }
 
@@ -518,7 +518,7 @@
 prepare_case (void **state)
 {
   Scene *scene = &scene_of_tests;
-  const SignCase *one = *state;
+  const LeavingCase *one = *state;
   *state = scene;
   if (!scene->sound)
     {
@@ -544,11 +544,11 @@
   relayed_allow_preload ();
   if (argc > 1)
     cmocka_set_test_filter (argv[1]);
-  struct CMUnitTest tests[G_N_ELEMENTS (sign_cases)] = { 0 };
-  for (guint i = 0; i < G_N_ELEMENTS (sign_cases); i++)
-    tests[i] = (struct CMUnitTest){ .name = sign_cases[i].name,
-                                    .test_func = test_sign,
+  struct CMUnitTest tests[G_N_ELEMENTS (leaving_cases)] = { 0 };
+  for (guint i = 0; i < G_N_ELEMENTS (leaving_cases); i++)
+    tests[i] = (struct CMUnitTest){ .name = leaving_cases[i].name,
+                                    .test_func = test_leaving_workers,
                                     .setup_func = prepare_case,
-                                    .initial_state = (gpointer)&sign_cases[i] };
+                                    .initial_state = (gpointer)&leaving_cases[i] };
   return cmocka_run_group_tests_name ("leaving", tests, NULL, stop_all);
 }
--- a/tests/platform/test-malformed.c
+++ b/tests/platform/test-malformed.c
@@ -14,9 +14,9 @@
 #else
 #define GROWTH_MAX_BYTES (48u << 20)
 #endif
-#define PROCESSES (PATH_FRONTS + PATH_REPLICAS)
-#define DEEP_BYTES 90000    /* below the limit on bodies */
-#define LARGE_BYTES 2000000 /* above it */
+#define N_PROCESSES (PATH_FRONTS + PATH_REPLICAS)
+#define NESTED_JSON_BYTES 90000 /* below the limit on bodies */
+#define LARGE_BYTES 2000000     /* above it */
 #define RANDOM_REQUESTS 200
 #define RANDOM_FRAMES 1500
 #define RANDOM_BYTES_MAX 600
@@ -27,14 +27,14 @@
 typedef struct
 {
   PathWorld *world;
-  guint64 memory[PROCESSES]; /* at the start, bytes */
+  guint64 memory[N_PROCESSES]; /* at the start, bytes */
   guint batches;
 } Scene;
 
 static Scene scene;
 
 static QuinceProcess *
-process_of (guint index)
+get_process (guint index)
 {
   return index < PATH_FRONTS ? scene.world->fronts[index] : scene.world->replicas[index - PATH_FRONTS];
 }
@@ -45,8 +45,8 @@
   scene = (Scene){ .world = path_world_new ("malformed") };
   path_reserve_links (scene.world);
   path_world_start (scene.world);
-  for (guint i = 0; i < PROCESSES; i++)
-    scene.memory[i] = quince_process_get_memory (process_of (i));
+  for (guint i = 0; i < N_PROCESSES; i++)
+    scene.memory[i] = quince_process_get_memory (get_process (i));
   return 0;
 }
 
@@ -60,11 +60,11 @@
 /* ---- Judging ------------------------------------------------------------ */
 
 static void
-assert_serves (const char *after)
+assert_healthy (const char *after)
 {
-  for (guint i = 0; i < PROCESSES; i++)
+  for (guint i = 0; i < N_PROCESSES; i++)
     {
-      QuinceProcess *process = process_of (i);
+      QuinceProcess *process = get_process (i);
       if (!quince_process_is_running (process))
         fail_msg ("%s ended after: %s", quince_process_get_name (process), after);
       guint64 memory = quince_process_get_memory (process);
@@ -77,7 +77,7 @@
 }
 
 static void
-assert_trains (void)
+assert_batch_completes (void)
 {
   g_autofree char *batch = g_strdup_printf ("good%u", scene.batches++);
   g_autofree char *text = path_make_batch (batch, ITEMS);
@@ -91,13 +91,13 @@
 static void
 finish (void)
 {
-  assert_serves ("all");
-  assert_trains ();
-  for (guint i = 0; i < PROCESSES; i++)
+  assert_healthy ("all");
+  assert_batch_completes ();
+  for (guint i = 0; i < N_PROCESSES; i++)
     {
       int status = -1;
-      quince_process_stop (process_of (i));
-      AWAIT (quince_process_wait (process_of (i), 1, &status));
+      quince_process_stop (get_process (i));
+      AWAIT (quince_process_wait (get_process (i), 1, &status));
       assert_int_equal (status, 0);
     }
 }
@@ -130,7 +130,7 @@
 
 /* @text with a few bytes changed, left out or doubled. */
 static void
-send_changed (const char *address, GRand *random, const char *text)
+send_mutated (const char *address, GRand *random, const char *text)
 {
   g_autoptr (GString) bytes = g_string_new (text);
   for (gint changes = g_rand_int_range (random, 1, 5); changes > 0; changes--)
@@ -153,12 +153,12 @@
 
 /* ---- Callers ------------------------------------------------------------ */
 
-#define GOOD_REQUEST                                                                                         \
+#define VALID_REQUEST                                                                                        \
   "POST /l/changed HTTP/1.1\r\nHost: " PATH_HOST "\r\nRequest-Id: changed\r\nRequest-Deadline-Ms: 2000\r\n"  \
   "Content-Length: 4\r\nConnection: close\r\n\r\nbody"
 
 static void
-test_requests (void **state)
+test_malformed_requests (void **state)
 {
   static const char *const doors[] = { "callers", "ready", "directory" };
   g_autoptr (GRand) random = g_rand_new_with_seed (17);
@@ -168,16 +168,16 @@
       for (guint j = 0; j < RANDOM_REQUESTS; j++)
         {
           send_random (address, random);
-          send_changed (address, random, GOOD_REQUEST);
+          send_mutated (address, random, VALID_REQUEST);
         }
-      assert_serves (doors[i]);
+      assert_healthy (doors[i]);
     }
   finish ();
 }
 
 /* A body that has begun and never ends holds its connection, and no more than that. */
 static void
-test_endless_bodies (void **state)
+test_incomplete_bodies (void **state)
 {
   static const char head[] = "POST /l/endless HTTP/1.1\r\nHost: " PATH_HOST "\r\nRequest-Id: endless\r\n"
                              "Transfer-Encoding: chunked\r\n\r\nfffffff\r\n";
@@ -188,7 +188,7 @@
       RawCaller *endless = raw_connect (quince_process_get_ready_value (scene.world->fronts[0], doors[i]));
       raw_send (endless, head);
       raw_send (endless, large);
-      assert_serves (doors[i]);
+      assert_healthy (doors[i]);
       raw_free (endless);
     }
   finish ();
@@ -196,7 +196,7 @@
 
 /* ---- Trainers ----------------------------------------------------------- */
 
-static const char *const bad_batches[] = {
+static const char *const malformed_batches[] = {
   "",
   "null",
   "[]",
@@ -217,7 +217,7 @@
 };
 
 static void
-expect_refused (const char *text)
+assert_rejected (const char *text)
 {
   guint status = path_status (path_front (scene.world, 0), "POST", "/r/batch", "bad", text);
   if (status != 400 && status != 413)
@@ -225,17 +225,17 @@
 }
 
 static void
-test_batches (void **state)
+test_malformed_batches (void **state)
 {
-  g_autofree char *deep = g_strnfill (DEEP_BYTES, '[');
+  g_autofree char *deep = g_strnfill (NESTED_JSON_BYTES, '[');
   g_autofree char *nested = g_strconcat ("{\"items\":", deep, NULL);
   g_autofree char *large = g_strnfill (LARGE_BYTES, '[');
-  for (guint i = 0; i < G_N_ELEMENTS (bad_batches); i++)
-    expect_refused (bad_batches[i]);
-  expect_refused (deep);
-  expect_refused (nested);
-  expect_refused (large);
-  assert_serves ("bad batches");
+  for (guint i = 0; i < G_N_ELEMENTS (malformed_batches); i++)
+    assert_rejected (malformed_batches[i]);
+  assert_rejected (deep);
+  assert_rejected (nested);
+  assert_rejected (large);
+  assert_healthy ("bad batches");
   /* Odd, and taken or refused; nothing may end by it. */
   static const char *const odd[] = {
     "{\"items\":[{\"id\":\"odd\",\"path\":\"/r/1\",\"scorer\":[]}],\"model\":{}}",
@@ -252,7 +252,7 @@
       run_for (SETTLE_MS / 3);
       g_autofree char *target = g_strdup_printf ("/quinceroute/lots/%s", batch);
       path_status (path_front (scene.world, 0), "DELETE", target, "q", NULL);
-      assert_serves (odd[i]);
+      assert_healthy (odd[i]);
     }
   finish ();
 }
@@ -260,7 +260,7 @@
 /* ---- The store ---------------------------------------------------------- */
 
 static void
-test_values (void **state)
+test_malformed_store_values (void **state)
 {
   static const char *const keys[] = { "op/config",
                                       "op/version/model-a",
@@ -273,7 +273,7 @@
                                       "quinceroute/events/x9",
                                       "quinceroute/quarantine/x9",
                                       "quinceroute/places/x9" };
-  g_autofree char *deep = g_strnfill (DEEP_BYTES, '[');
+  g_autofree char *deep = g_strnfill (NESTED_JSON_BYTES, '[');
   const char *const values[]
       = { "", "null", "[]", "{}", "7", "\"x\"", "{\"version\":\"x\"}", "\xff\xfe", deep };
   for (guint i = 0; i < G_N_ELEMENTS (values); i++)
@@ -281,15 +281,15 @@
       for (guint j = 0; j < G_N_ELEMENTS (keys); j++)
         standin_store_put (scene.world->store, keys[j], values[i]);
       run_for (SETTLE_MS / 5);
-      assert_serves (keys[i % G_N_ELEMENTS (keys)]);
+      assert_healthy (keys[i % G_N_ELEMENTS (keys)]);
     }
   finish ();
 }
 
 static void
-test_answers_of_the_store (void **state)
+test_malformed_store_answers (void **state)
 {
-  g_autofree char *deep = g_strnfill (DEEP_BYTES, '[');
+  g_autofree char *deep = g_strnfill (NESTED_JSON_BYTES, '[');
   const char *const answers[] = { "",
                                   "null",
                                   "[]",
@@ -306,7 +306,7 @@
       standin_store_close_connections (scene.world->store);
       run_for (SETTLE_MS);
       standin_store_set_fault (scene.world->store, STANDIN_STORE_HEALTHY);
-      assert_serves (answers[i]);
+      assert_healthy (answers[i]);
     }
   finish ();
 }
@@ -316,7 +316,7 @@
 static void
 test_answers_of_workers (void **state)
 {
-  g_autofree char *deep = g_strnfill (DEEP_BYTES, '[');
+  g_autofree char *deep = g_strnfill (NESTED_JSON_BYTES, '[');
   const char *const answers[]
       = { "", "null", "[]", "{}", deep, "\xff\xfe", "{\"models\":7}", "{\"models\":[[]],\"seq\":\"x\"}" };
   for (guint i = 0; i < G_N_ELEMENTS (answers); i++)
@@ -328,7 +328,7 @@
       run_for (SETTLE_MS);
       for (guint j = 0; j < PATH_MODEL; j++)
         standin_worker_set_malformed_answer (scene.world->model[j], NULL);
-      assert_serves (answers[i]);
+      assert_healthy (answers[i]);
     }
   for (guint i = 0; i < PATH_MODEL; i++)
     AWAIT (standin_worker_get_version (scene.world->model[i]) == G_N_ELEMENTS (answers) + 1);
@@ -342,12 +342,12 @@
   const char *name;
   const char *bytes;
   gsize length;
-} BadFrame;
+} MalformedFrame;
 
 /* A frame's bytes and how many they are. */
 #define FRAME(text) text, sizeof (text) - 1
 
-static const BadFrame bad_frames[] = {
+static const MalformedFrame malformed_frames[] = {
   { "empty frame", FRAME ("\0\0\0\0") },
   { "unknown kind", FRAME ("\0\0\0\4\0\0\0\x63") },
   { "no whole word", FRAME ("\0\0\0\3\0\0\0") },
@@ -360,7 +360,7 @@
 
 /* Bytes of the empty message of @kind: as many zeros as it needs.  Returns: %FALSE when it has none */
 static gboolean
-find_empty_message (guint kind, GByteArray *bytes)
+find_zero_message (guint kind, GByteArray *bytes)
 {
   const guint8 zeros[4] = { 0 };
   const guint8 first[4] = { 0, 0, 0, (guint8)kind };
@@ -379,7 +379,7 @@
 /* One to three bits flipped, in the lower half of each word: numbers that tell of epochs and revisions stay
  * small, since a greater one is believed, whoever tells it. */
 static void
-flip (GRand *random, GByteArray *bytes)
+flip_bits (GRand *random, GByteArray *bytes)
 {
   for (gint flips = g_rand_int_range (random, 1, 4); flips > 0; flips--)
     {
@@ -399,16 +399,16 @@
 }
 
 static void
-test_frames (void **state)
+test_malformed_frames (void **state)
 {
   g_autoptr (GRand) random = g_rand_new_with_seed (23);
   for (guint i = 0; i < PATH_REPLICAS; i++)
     {
-      for (guint j = 0; j < G_N_ELEMENTS (bad_frames); j++)
-        send_bytes (scene.world->links[i], bad_frames[j].bytes, bad_frames[j].length);
+      for (guint j = 0; j < G_N_ELEMENTS (malformed_frames); j++)
+        send_bytes (scene.world->links[i], malformed_frames[j].bytes, malformed_frames[j].length);
       for (guint j = 0; j < RANDOM_REQUESTS; j++)
         send_random (scene.world->links[i], random);
-      assert_serves ("bad frames");
+      assert_healthy ("bad frames");
     }
   finish ();
 }
@@ -416,16 +416,16 @@
 /* Whole messages of each kind from a stranger, with bits flipped, to a replica that leads and to the others.
  */
 static void
-test_flipped_frames (void **state)
+test_messages_with_flipped_bits (void **state)
 {
   g_autoptr (GRand) random = g_rand_new_with_seed (29);
   g_autoptr (GByteArray) message = g_byte_array_new ();
   guint sent = 0;
   for (guint i = 0; i < RANDOM_FRAMES; i++)
     {
-      if (!find_empty_message (i % (QUINCE_MESSAGE_LEDGER_LEAD + 1), message))
+      if (!find_zero_message (i % (QUINCE_MESSAGE_LEDGER_LEAD + 1), message))
         continue;
-      flip (random, message);
+      flip_bits (random, message);
       send_frame (scene.world->links[i / 40 % PATH_REPLICAS], message);
       sent++;
     }
@@ -442,9 +442,10 @@
   if (argc > 1)
     cmocka_set_test_filter (argv[1]);
   const struct CMUnitTest tests[] = {
-    CASE (test_requests), CASE (test_endless_bodies),       CASE (test_batches),
-    CASE (test_values),   CASE (test_answers_of_the_store), CASE (test_answers_of_workers),
-    CASE (test_frames),   CASE (test_flipped_frames),
+    CASE (test_malformed_requests),      CASE (test_incomplete_bodies),
+    CASE (test_malformed_batches),       CASE (test_malformed_store_values),
+    CASE (test_malformed_store_answers), CASE (test_answers_of_workers),
+    CASE (test_malformed_frames),        CASE (test_messages_with_flipped_bits),
   };
   return cmocka_run_group_tests_name ("malformed", tests, NULL, NULL);
 }
--- a/tests/platform/test-member-thawed.c
+++ b/tests/platform/test-member-thawed.c
@@ -30,7 +30,7 @@
 }
 
 static void
-test_member_reads_first (void **state)
+test_resumed_member_reads_before_campaigning (void **state)
 {
   PathWorld *world = path_world_new ("member-thawed");
   path_world_start (world);
@@ -52,6 +52,6 @@
 int
 main (void)
 {
-  const struct CMUnitTest tests[] = { cmocka_unit_test (test_member_reads_first) };
+  const struct CMUnitTest tests[] = { cmocka_unit_test (test_resumed_member_reads_before_campaigning) };
   return cmocka_run_group_tests_name ("member-thawed", tests, NULL, NULL);
 }
--- a/tests/platform/test-meta.c
+++ b/tests/platform/test-meta.c
@@ -11,7 +11,7 @@
 #include "platform.h"
 #include "standin-store.h"
 
-#define READ_EVERY_MS 700
+#define READ_INTERVAL_MAX_MS 700
 #define PATIENCE_MS 1300
 /* After an outage a change is in force 2 s after the store took it; and what a busy machine may take. */
 #define KNOWN_AGAIN_US (3 * G_USEC_PER_SEC)
@@ -68,7 +68,7 @@
   world->store
       = quince_meta_store_new (standin_store_get_address (world->standin), &quince_platform_meta_codec);
   const QuinceMetaMirrorTimes times = { .read_interval_min_ms = read_interval_min_ms,
-                                        .read_interval_max_ms = READ_EVERY_MS,
+                                        .read_interval_max_ms = READ_INTERVAL_MAX_MS,
                                         .feed_timeout_ms = PATIENCE_MS };
   world->mirror = quince_meta_mirror_new (world->store, "a/", 0, &mirror_callbacks, &world->reports);
   quince_meta_mirror_set_times (world->mirror, &times);
@@ -113,16 +113,16 @@
  * would wait for its end.  A leader that had just begun told a front 0.3 s late of the ledger's members, and
  * the front, cut off meanwhile, found no other of them. */
 static void
-test_pace_of_a_new_reader (void **state)
+test_read_interval_of_new_reader (void **state)
 {
   World world;
   begin (&world, 20);
   const QuinceMetaMirrorTimes grown = { .read_interval_min_ms = 20,
                                         .read_interval_burst_max_ms = 5000,
-                                        .read_interval_max_ms = READ_EVERY_MS,
+                                        .read_interval_max_ms = READ_INTERVAL_MAX_MS,
                                         .feed_timeout_ms = PATIENCE_MS };
   const QuinceMetaMirrorTimes reader = { .read_interval_min_ms = 20,
-                                         .read_interval_max_ms = READ_EVERY_MS,
+                                         .read_interval_max_ms = READ_INTERVAL_MAX_MS,
                                          .feed_timeout_ms = PATIENCE_MS,
                                          .reader = TRUE };
   quince_meta_mirror_set_times (world.mirror, &grown);
@@ -167,7 +167,7 @@
 #define OUTAGE_MS 6000
 
 static guint
-calls_in_outage (gboolean relaxed)
+count_calls_in_outage (gboolean relaxed)
 {
   World world;
   begin (&world, 0);
@@ -191,34 +191,34 @@
 
 /* Failed first: each process probed the store as often as the one that feeds the others. */
 static void
-test_outage_costs_little_where_others_tell (void **state)
+test_slow_probes_in_outage (void **state)
 {
-  guint by_itself = calls_in_outage (FALSE);
-  guint relaxed = calls_in_outage (TRUE);
-  assert_true (by_itself >= 7);
+  guint default_calls = count_calls_in_outage (FALSE);
+  guint relaxed = count_calls_in_outage (TRUE);
+  assert_true (default_calls >= 7);
   assert_true (relaxed <= 5);
 }
 
 static void
-test_silent_store (void **state)
+test_unresponsive_store (void **state)
 {
   outage (STANDIN_STORE_UNRESPONSIVE, 2500);
 }
 
 static void
-test_busy_store (void **state)
+test_unavailable_store (void **state)
 {
   outage (STANDIN_STORE_UNAVAILABLE, 300);
 }
 
 static void
-test_store_that_resets (void **state)
+test_store_that_closes_connections (void **state)
 {
   outage (STANDIN_STORE_CLOSES_CONNECTIONS, 300);
 }
 
 static void
-test_dropped_history (void **state)
+test_compacted_history (void **state)
 {
   World world;
   begin (&world, 0);
@@ -232,7 +232,7 @@
 
 /* Keys that change all the time cost no more calls than the pace allows. */
 static void
-test_pace (void **state)
+test_read_interval (void **state)
 {
   World world;
   begin (&world, 300);
@@ -251,7 +251,7 @@
 /* ---- Feeds ------------------------------------------------------------ */
 
 static QuinceMetaPage *
-page_of (guint64 revision, const char *key, const char *text, guint64 key_revision)
+make_page (guint64 revision, const char *key, const char *text, guint64 key_revision)
 {
   QuinceMetaPage *page = g_new0 (QuinceMetaPage, 1);
   page->items = g_ptr_array_new_with_free_func ((GDestroyNotify)quince_meta_item_free);
@@ -271,10 +271,10 @@
 {
   World world;
   begin (&world, 0);
-  g_autoptr (QuinceMetaPage) update = page_of (100, "a/1", "fed", 100);
+  g_autoptr (QuinceMetaPage) update = make_page (100, "a/1", "fed", 100);
   quince_meta_mirror_feed (world.mirror, update, FALSE);
   assert_string_equal (value (&world, "a/1"), "fed");
-  g_autoptr (QuinceMetaPage) older = page_of (50, "a/1", "older", 50);
+  g_autoptr (QuinceMetaPage) older = make_page (50, "a/1", "older", 50);
   quince_meta_mirror_feed (world.mirror, older, TRUE);
   assert_string_equal (value (&world, "a/1"), "fed");
   guint before = standin_store_get_n_calls (world.standin);
@@ -296,10 +296,10 @@
 {
   World world;
   begin (&world, 0);
-  g_autoptr (QuinceMetaPage) update = page_of (100, "a/1", "fed", 100);
+  g_autoptr (QuinceMetaPage) update = make_page (100, "a/1", "fed", 100);
   quince_meta_mirror_feed (world.mirror, update, FALSE);
   guint before = standin_store_get_n_calls (world.standin);
-  g_autoptr (QuinceMetaPage) late = page_of (120, "a/2", "late", 120);
+  g_autoptr (QuinceMetaPage) late = make_page (120, "a/2", "late", 120);
   late->after = 110;
   quince_meta_mirror_feed (world.mirror, late, FALSE);
   assert_string_equal (value (&world, "a/2"), "first");
@@ -311,18 +311,18 @@
 
 /* A whole feed takes away what is not in it. */
 static void
-test_whole_feed (void **state)
+test_full_feed (void **state)
 {
   World world;
   begin (&world, 0);
-  g_autoptr (QuinceMetaPage) all = page_of (100, "a/1", "fed", 100);
+  g_autoptr (QuinceMetaPage) all = make_page (100, "a/1", "fed", 100);
   quince_meta_mirror_feed (world.mirror, all, TRUE);
   assert_int_equal (g_hash_table_size (world.reports.values), 1);
   end (&world);
 }
 
 static guint
-items_since (World *world, guint64 revision, gboolean *whole)
+count_changes_since (World *world, guint64 revision, gboolean *whole)
 {
   g_autoptr (QuinceMetaPage) page = quince_meta_mirror_get_changes_since (world->mirror, revision, whole);
   return page->items->len;
@@ -331,31 +331,31 @@
 /* One who has all up to a revision is told what came and what went since then; everything where that is not
  * known any more. */
 static void
-test_what_another_lacks (void **state)
+test_changes_since_revision (void **state)
 {
   World world;
   begin (&world, 0);
   gboolean whole = FALSE;
-  assert_int_equal (items_since (&world, 0, &whole), 5);
+  assert_int_equal (count_changes_since (&world, 0, &whole), 5);
   assert_true (whole);
   guint64 start = quince_meta_mirror_get_revision (world.mirror);
-  assert_int_equal (items_since (&world, start, &whole), 0);
+  assert_int_equal (count_changes_since (&world, start, &whole), 0);
   assert_false (whole);
   standin_store_put (world.standin, "a/1", "second");
   standin_store_remove (world.standin, "a/2");
   AWAIT (g_hash_table_size (world.reports.values) == 4);
-  assert_int_equal (items_since (&world, start, &whole), 2);
+  assert_int_equal (count_changes_since (&world, start, &whole), 2);
   assert_false (whole);
   /* A key that went and came back is reported as it is. */
   standin_store_put (world.standin, "a/2", "again");
   AWAIT (g_hash_table_size (world.reports.values) == 5);
-  assert_int_equal (items_since (&world, start, &whole), 2);
+  assert_int_equal (count_changes_since (&world, start, &whole), 2);
   assert_false (whole);
   /* After a new list it is unknown which keys were removed in between. */
   standin_store_compact (world.standin);
   standin_store_remove (world.standin, "a/3");
   AWAIT (g_hash_table_size (world.reports.values) == 4);
-  assert_int_equal (items_since (&world, start, &whole), 4);
+  assert_int_equal (count_changes_since (&world, start, &whole), 4);
   assert_true (whole);
   end (&world);
 }
@@ -379,7 +379,7 @@
 /* Heartbeats of workers are read, and neither told nor passed on; that a worker is cold, or is no longer, is
  * news. */
 static void
-test_heartbeats_are_no_news (void **state)
+test_heartbeats_are_not_reported (void **state)
 {
   static const char *const entries[]
       = { "{\"state\":\"ready\",\"coldRemainingMs\":900,\"seq\":1,\"zone\":\"z1\"}",
@@ -399,7 +399,7 @@
   read_pages = 0;
   read_items = 0;
   const QuinceMetaMirrorTimes times
-      = { .read_interval_max_ms = READ_EVERY_MS, .feed_timeout_ms = PATIENCE_MS };
+      = { .read_interval_max_ms = READ_INTERVAL_MAX_MS, .feed_timeout_ms = PATIENCE_MS };
   QuinceMetaMirror *mirror = quince_meta_mirror_new (world.store, "w/", 0, &worker_callbacks, &reports);
   quince_meta_mirror_set_times (mirror, &times);
   AWAIT (reports.synced > 0);
@@ -454,7 +454,7 @@
 } Outcome;
 
 static void
-change_done (const QuinceMetaPage *page, guint64 number, const GError *error, gpointer data)
+handle_change_result (const QuinceMetaPage *page, guint64 number, const GError *error, gpointer data)
 {
   Outcome *outcome = data;
   outcome->done = TRUE;
@@ -469,18 +469,18 @@
   g_autoptr (GBytes) text = g_bytes_new_static ("new", 3);
   QuinceMetaChange change = { .key = "a/9", .expected_revision = 0, .value = text };
   Outcome outcome = { 0 };
-  quince_meta_store_change (world.store, &change, 1, change_done, &outcome);
+  quince_meta_store_change (world.store, &change, 1, handle_change_result, &outcome);
   AWAIT (outcome.done);
   assert_int_equal (outcome.error, -1);
   outcome.done = FALSE;
-  quince_meta_store_change (world.store, &change, 1, change_done, &outcome);
+  quince_meta_store_change (world.store, &change, 1, handle_change_result, &outcome);
   AWAIT (outcome.done);
   assert_int_equal (outcome.error, QUINCE_META_ERROR_CONFLICT);
   /* A write whose answer is lost is done all the same, and said to be unknown. */
   standin_store_set_fault (world.standin, STANDIN_STORE_DROPS_WRITE_ANSWERS);
   change.key = "a/8";
   outcome.done = FALSE;
-  quince_meta_store_change (world.store, &change, 1, change_done, &outcome);
+  quince_meta_store_change (world.store, &change, 1, handle_change_result, &outcome);
   AWAIT (outcome.done);
   assert_int_equal (outcome.error, QUINCE_META_ERROR_UNKNOWN);
   assert_string_equal (standin_store_get (world.standin, "a/8"), "new");
@@ -538,18 +538,18 @@
 {
   const struct CMUnitTest tests[] = {
     cmocka_unit_test (test_list_and_changes),
-    cmocka_unit_test (test_outage_costs_little_where_others_tell),
-    cmocka_unit_test (test_silent_store),
-    cmocka_unit_test (test_busy_store),
-    cmocka_unit_test (test_store_that_resets),
-    cmocka_unit_test (test_dropped_history),
-    cmocka_unit_test (test_pace),
+    cmocka_unit_test (test_slow_probes_in_outage),
+    cmocka_unit_test (test_unresponsive_store),
+    cmocka_unit_test (test_unavailable_store),
+    cmocka_unit_test (test_store_that_closes_connections),
+    cmocka_unit_test (test_compacted_history),
+    cmocka_unit_test (test_read_interval),
     cmocka_unit_test (test_feed),
     cmocka_unit_test (test_feed_with_gap),
-    cmocka_unit_test (test_whole_feed),
-    cmocka_unit_test (test_what_another_lacks),
-    cmocka_unit_test (test_heartbeats_are_no_news),
-    cmocka_unit_test (test_pace_of_a_new_reader),
+    cmocka_unit_test (test_full_feed),
+    cmocka_unit_test (test_changes_since_revision),
+    cmocka_unit_test (test_heartbeats_are_not_reported),
+    cmocka_unit_test (test_read_interval_of_new_reader),
     cmocka_unit_test (test_presence),
     cmocka_unit_test (test_conditions),
     cmocka_unit_test (test_calls_by_purpose),
--- a/tests/platform/test-operator-command.c
+++ b/tests/platform/test-operator-command.c
@@ -11,7 +11,7 @@
 #include "standin-store.h"
 
 #define OK 0
-#define FAILED 1
+#define STATUS_FAILED 1
 #define USAGE 2
 #define CONFLICT 3
 #define UNKNOWN 4
@@ -112,14 +112,14 @@
   { { "--config", "absent.conf", "event", "list" }, USAGE, NULL, "absent.conf" },
   { { "--help" }, OK, "policy accept FILE", NULL },
   { { "policy", "accept", "--help" }, OK, "--expect", NULL },
-  { { "policy", "check", "absent.lua" }, FAILED, NULL, "quinceroute: file: " },
-  { { "policy", "check", "bad.lua" }, FAILED, NULL, "quinceroute: policy_syntax: bad.lua" },
-  { { "policy", "check", "large.lua" }, FAILED, NULL, "quinceroute: policy_too_large: " },
+  { { "policy", "check", "absent.lua" }, STATUS_FAILED, NULL, "quinceroute: file: " },
+  { { "policy", "check", "bad.lua" }, STATUS_FAILED, NULL, "quinceroute: policy_syntax: bad.lua" },
+  { { "policy", "check", "large.lua" }, STATUS_FAILED, NULL, "quinceroute: policy_too_large: " },
   { { "policy", "check", "one.lua" }, OK, "ok, ", NULL },
   { { "policy", "show" }, OK, "no policy was accepted yet", NULL },
   { { "policy", "show", "--json" }, OK, "\"revision\" : 0", NULL },
   { { "policy", "accept", "one.lua" }, USAGE, NULL, "--comment" },
-  { { "policy", "accept", "bad.lua", "--comment", "x" }, FAILED, NULL, "policy_syntax" },
+  { { "policy", "accept", "bad.lua", "--comment", "x" }, STATUS_FAILED, NULL, "policy_syntax" },
   { { "policy", "accept", "one.lua", "--comment", "x", "--expect", "-1" }, USAGE, NULL, "--expect" },
   { { "policy", "accept", "one.lua", "--comment", "x", "--expect", "two" }, USAGE, NULL, "--expect" },
   { { "policy", "accept", "one.lua", "--comment", "first", "--author", "anna" },
@@ -130,7 +130,7 @@
     CONFLICT,
     NULL,
     "quinceroute: conflict: revision 1 by anna (\"first\") was accepted meanwhile, revision 0 was expected" },
-  { { "policy", "diff", "absent.lua" }, FAILED, NULL, "quinceroute: file: " },
+  { { "policy", "diff", "absent.lua" }, STATUS_FAILED, NULL, "quinceroute: file: " },
   { { "policy", "diff", "one.lua" }, OK, "", NULL },
   { { "policy", "diff", "one.lua", "--json" }, OK, "\"same\" : true", NULL },
   { { "policy", "diff", "two.lua" },
@@ -199,7 +199,7 @@
 
 /* Every command on the store says that it needs one. */
 static void
-test_no_store (void **state)
+test_missing_store_address (void **state)
 {
   static const char *const commands[][WORDS_MAX] = {
     { "policy", "diff", "one.lua" },
@@ -226,14 +226,14 @@
 
 /* What is stored under a key but is of another form is refused, or left out of a list. */
 static void
-test_bad_items (void **state)
+test_malformed_items (void **state)
 {
   static const char *const show[] = { "policy", "show", NULL };
   static const char *const list[] = { "event", "list", NULL };
   Run run = { 0 };
   standin_store_put (store, POLICY_KEY, "nonsense");
   run_command (&run, show);
-  assert_int_equal (run.status, FAILED);
+  assert_int_equal (run.status, STATUS_FAILED);
   assert_non_null (strstr (run.errors, "quinceroute: invalid: "));
   run_clear (&run);
   standin_store_put (store, "quinceroute/events/bad", "nonsense");
@@ -290,7 +290,7 @@
 
 /* A store that takes a write and never answers: the operator learns that the outcome is not known. */
 static void
-test_outcome_unknown (void **state)
+test_unknown_outcome_of_first_policy (void **state)
 {
   static const char *const accept[]
       = { "policy", "accept", "one.lua", "--comment", "x", "--expect", "0", NULL };
@@ -300,7 +300,7 @@
 
 /* The same where a policy stands already: that it cannot be read is no conflict. */
 static void
-test_outcome_unknown_over_another (void **state)
+test_unknown_outcome_of_replacement (void **state)
 {
   static const char *const first[] = { "policy", "accept", "one.lua", "--comment", "x", NULL };
   static const char *const second[]
@@ -311,7 +311,7 @@
 
 /* The write is done, its answer is lost and the key cannot be read back: neither a conflict nor a failure. */
 static void
-test_done_and_not_readable (void **state)
+test_lost_answer_and_failed_reads (void **state)
 {
   static const char *const accept[]
       = { "policy", "accept", "one.lua", "--comment", "x", "--expect", "0", NULL };
@@ -321,24 +321,24 @@
 
 /* Lists end in bounded time too. */
 static void
-test_list_unreachable (void **state)
+test_list_times_out (void **state)
 {
   static const char *const list[] = { "event", "list", NULL };
-  assert_outcome (list, STANDIN_STORE_UNRESPONSIVE, FAILED, "quinceroute: unreachable: ");
+  assert_outcome (list, STANDIN_STORE_UNRESPONSIVE, STATUS_FAILED, "quinceroute: unreachable: ");
 }
 
 /* A store that refuses all calls: nothing was done. */
 static void
-test_unreachable (void **state)
+test_unavailable_store_commands (void **state)
 {
   static const char *const accept[] = { "policy", "accept", "one.lua", "--comment", "x", NULL };
   static const char *const show[] = { "policy", "show", NULL };
   static const char *const diff[] = { "policy", "diff", "one.lua", NULL };
   static const char *const delete[] = { "event", "delete", "shift", NULL };
-  assert_outcome (accept, STANDIN_STORE_UNAVAILABLE, FAILED, "quinceroute: unreachable: ");
-  assert_outcome (show, STANDIN_STORE_UNAVAILABLE, FAILED, "quinceroute: unreachable: ");
-  assert_outcome (diff, STANDIN_STORE_UNAVAILABLE, FAILED, "quinceroute: unreachable: ");
-  assert_outcome (delete, STANDIN_STORE_UNAVAILABLE, FAILED, "quinceroute: unreachable: ");
+  assert_outcome (accept, STANDIN_STORE_UNAVAILABLE, STATUS_FAILED, "quinceroute: unreachable: ");
+  assert_outcome (show, STANDIN_STORE_UNAVAILABLE, STATUS_FAILED, "quinceroute: unreachable: ");
+  assert_outcome (diff, STANDIN_STORE_UNAVAILABLE, STATUS_FAILED, "quinceroute: unreachable: ");
+  assert_outcome (delete, STANDIN_STORE_UNAVAILABLE, STATUS_FAILED, "quinceroute: unreachable: ");
 }
 
 /* ---- Files ------------------------------------------------------------------------- */
@@ -390,14 +390,14 @@
     cmocka_set_test_filter (argv[1]);
   const struct CMUnitTest tests[] = {
     CASE (test_commands),
-    CASE (test_no_store),
-    CASE (test_bad_items),
+    CASE (test_missing_store_address),
+    CASE (test_malformed_items),
     CASE (test_two_operators),
-    CASE (test_outcome_unknown),
-    CASE (test_outcome_unknown_over_another),
-    CASE (test_done_and_not_readable),
-    CASE (test_unreachable),
-    CASE (test_list_unreachable),
+    CASE (test_unknown_outcome_of_first_policy),
+    CASE (test_unknown_outcome_of_replacement),
+    CASE (test_lost_answer_and_failed_reads),
+    CASE (test_unavailable_store_commands),
+    CASE (test_list_times_out),
   };
   return cmocka_run_group_tests_name ("operator-command", tests, NULL, NULL);
 }
--- a/tests/platform/test-operator-lists.c
+++ b/tests/platform/test-operator-lists.c
@@ -23,7 +23,7 @@
 
 /* The words of the line that begins with @name, a blank between two; NULL: there is none. (transfer full) */
 static char *
-line_of (const char *text, const char *name)
+find_line (const char *text, const char *name)
 {
   g_auto (GStrv) lines = g_strsplit (text, "\n", -1);
   for (guint i = 0; lines[i] != NULL; i++)
@@ -40,7 +40,7 @@
 static void
 assert_line (const char *text, const char *name, const char *expected)
 {
-  g_autofree char *line = line_of (text, name);
+  g_autofree char *line = find_line (text, name);
   assert_non_null (line);
   assert_string_equal (line, expected);
 }
@@ -60,13 +60,13 @@
   assert_true (g_file_set_contents (settings, "[operator]\nzones=z1=north,z3=south\n", -1, NULL));
   g_autofree char *zones = printed (world, (const char *const[]){ "zones", "--config", settings, NULL });
   assert_line (zones, "z1", "z1 north 4 0 no -");
-  g_autofree char *second = line_of (zones, "z2");
+  g_autofree char *second = find_line (zones, "z2");
   assert_true (g_str_has_prefix (second, "z2 - 1 0 yes "));
   g_autofree char *cold = printed (world, (const char *const[]){ "cold", NULL });
   assert_line (cold, "m0", "m0 llm z1 2500 12.5");
   assert_line (cold, "m1", "m1 llm z1 - 12.5");
   assert_line (cold, "p0", "p0 svc z1 700 -");
-  assert_null (line_of (cold, "m2"));
+  assert_null (find_line (cold, "m2"));
   path_world_free (world);
 }
 
