--- a/tests/platform/test-leaving.c
+++ b/tests/platform/test-leaving.c
@@ -16,14 +16,14 @@
 #include "relayed-world.h"
 
 /* From the first sign to the last new work. */
-#define PROMISE_MS 3000
+#define NO_NEW_WORK_MS 3000
 #define CALLS 260
-#define CALL_EVERY_MS 20
+#define CALL_INTERVAL_MS 20
 #define MORE_CALLS 80
-#define LOOKUP_MS 60
-#define EVENT_EVERY_MS 60
+#define LOOKUP_DURATION_MS 60
+#define EVENT_INTERVAL_MS 60
 #define ITEMS 8
-#define BURST 120 /* waits at the front that is frozen */
+#define BURST_CALLS 120 /* waits at the front that is frozen */
 /* The workers that leave. */
 #define LEAVING_PLAIN 1
 #define LEAVING_MODEL 1
@@ -44,9 +44,9 @@
   const char *name;
   const char *state;
   void (*inject_before) (Scene *scene);
-  void (*strike) (Scene *scene);
-  void (*mend) (Scene *scene);
-  gboolean is_held;
+  void (*inject_after) (Scene *scene);
+  void (*recover) (Scene *scene);
+  gboolean expects_paused;
   guint burst;
 } LeavingCase;
 
@@ -58,16 +58,16 @@
   guint leader; /* when the running case began */
   guint loads;
   guint batches;
-  guint first_batch; /* of the running case */
-  gboolean sound;    /* the last case came to its end */
+  guint first_batch;         /* of the running case */
+  gboolean last_case_passed; /* the last case came to its end */
 };
 
-static Scene scene_of_tests;
+static Scene shared_scene;
 
 /* ---- Signs -------------------------------------------------------------- */
 
 static void
-list_worker (Scene *scene, const StandinWorker *worker, const char *service, const char *state)
+set_registration (Scene *scene, const StandinWorker *worker, const char *service, const char *state)
 {
   g_autofree char *key = g_strdup_printf ("servers/%s", standin_worker_get_id (worker));
   if (state == NULL)
@@ -82,14 +82,14 @@
 static void
 set_leaving_registrations (Scene *scene, const char *state)
 {
-  list_worker (scene, scene->world->path->plain[LEAVING_PLAIN], "svc", state);
-  list_worker (scene, scene->world->path->model[LEAVING_MODEL], "llm", state);
+  set_registration (scene, scene->world->path->plain[LEAVING_PLAIN], "svc", state);
+  set_registration (scene, scene->world->path->model[LEAVING_MODEL], "llm", state);
 }
 
 /* ---- Faults ------------------------------------------------------------- */
 
 static guint
-follower (const Scene *scene)
+choose_follower (const Scene *scene)
 {
   return (scene->leader + 1) % PATH_REPLICAS;
 }
@@ -129,7 +129,7 @@
 static void
 pause_store_for_all_except_follower (Scene *scene)
 {
-  pause_store_for_all_except (scene, RELAYED_REPLICA_PROCESS (follower (scene)));
+  pause_store_for_all_except (scene, RELAYED_REPLICA_PROCESS (choose_follower (scene)));
 }
 
 static void
@@ -140,7 +140,7 @@
 }
 
 static void
-hold_front_and_leader (Scene *scene)
+pause_front_leader_link (Scene *scene)
 {
   relayed_set_paused (scene->world, 0, RELAYED_REPLICA (scene->leader), TRUE);
 }
@@ -164,13 +164,13 @@
 }
 
 static void
-freeze_leader (Scene *scene)
+suspend_leader (Scene *scene)
 {
   quince_process_suspend (scene->world->path->replicas[scene->leader]);
 }
 
 static void
-thaw_leader (Scene *scene)
+resume_leader (Scene *scene)
 {
   quince_process_resume (scene->world->path->replicas[scene->leader]);
 }
@@ -178,15 +178,15 @@
 static void
 suspend_leader_and_follower (Scene *scene)
 {
-  freeze_leader (scene);
-  quince_process_suspend (scene->world->path->replicas[follower (scene)]);
+  suspend_leader (scene);
+  quince_process_suspend (scene->world->path->replicas[choose_follower (scene)]);
 }
 
 static void
 resume_leader_and_follower (Scene *scene)
 {
-  thaw_leader (scene);
-  quince_process_resume (scene->world->path->replicas[follower (scene)]);
+  resume_leader (scene);
+  quince_process_resume (scene->world->path->replicas[choose_follower (scene)]);
 }
 
 static void
@@ -196,19 +196,19 @@
 }
 
 static void
-join_leader (Scene *scene)
+reconnect_leader (Scene *scene)
 {
   relayed_set_replica_isolated (scene->world, scene->leader, FALSE);
 }
 
 static void
-freeze_front (Scene *scene)
+suspend_front (Scene *scene)
 {
   quince_process_suspend (scene->world->path->fronts[0]);
 }
 
 static void
-thaw_front (Scene *scene)
+resume_front (Scene *scene)
 {
   quince_process_resume (scene->world->path->fronts[0]);
 }
@@ -262,7 +262,7 @@
 static void
 fail_store_after_follower_read (Scene *scene)
 {
-  AWAIT (knows_draining_workers (scene, RELAYED_REPLICA_PROCESS (follower (scene))));
+  AWAIT (knows_draining_workers (scene, RELAYED_REPLICA_PROCESS (choose_follower (scene))));
   standin_store_set_fault (scene->world->path->store, STANDIN_STORE_UNAVAILABLE);
   standin_store_close_connections (scene->world->path->store);
 }
@@ -283,67 +283,67 @@
 static const LeavingCase leaving_cases[] = {
   { .name = "draining", .state = "draining" },
   { .name = "listed no more" },
-  { .name = "draining, the store forgets its history", .state = "draining", .strike = compact_store },
+  { .name = "draining, the store forgets its history", .state = "draining", .inject_after = compact_store },
   { .name = "draining, the leader is cut from the store",
     .state = "draining",
     .inject_before = pause_store_for_leader,
-    .mend = resume_store_links,
-    .is_held = TRUE },
+    .recover = resume_store_links,
+    .expects_paused = TRUE },
   { .name = "draining, fronts are cut from the store",
     .state = "draining",
     .inject_before = pause_store_for_fronts,
-    .mend = resume_store_links,
-    .is_held = TRUE },
+    .recover = resume_store_links,
+    .expects_paused = TRUE },
   { .name = "draining, all but the leader are cut from the store",
     .state = "draining",
     .inject_before = pause_store_for_all_except_leader,
-    .mend = resume_store_links,
-    .is_held = TRUE },
+    .recover = resume_store_links,
+    .expects_paused = TRUE },
   { .name = "draining, a front is cut from the leader",
     .state = "draining",
-    .inject_before = hold_front_and_leader,
-    .mend = resume_front_leader_link,
-    .is_held = TRUE },
+    .inject_before = pause_front_leader_link,
+    .recover = resume_front_leader_link,
+    .expects_paused = TRUE },
   { .name = "draining, who read it alone told the others and is killed",
     .state = "draining",
     .inject_before = pause_store_for_all_except_leader,
-    .strike = kill_leader_after_propagation,
-    .mend = restart_leader_and_resume_links,
-    .is_held = TRUE },
+    .inject_after = kill_leader_after_propagation,
+    .recover = restart_leader_and_resume_links,
+    .expects_paused = TRUE },
   { .name = "draining, the store goes down once a follower has read it",
     .state = "draining",
     .inject_before = pause_store_for_all_except_follower,
-    .strike = fail_store_after_follower_read,
-    .mend = restore_store_and_resume_links,
-    .is_held = TRUE },
+    .inject_after = fail_store_after_follower_read,
+    .recover = restore_store_and_resume_links,
+    .expects_paused = TRUE },
   { .name = "draining, the leader is killed at the sign",
     .state = "draining",
-    .strike = kill_leader,
-    .mend = restart_leader },
+    .inject_after = kill_leader,
+    .recover = restart_leader },
   { .name = "draining, the leader is frozen at the sign",
     .state = "draining",
-    .strike = freeze_leader,
-    .mend = thaw_leader },
+    .inject_after = suspend_leader,
+    .recover = resume_leader },
   { .name = "draining, the leader hears nobody from the sign on",
     .state = "draining",
-    .strike = isolate_leader,
-    .mend = join_leader,
-    .is_held = TRUE },
+    .inject_after = isolate_leader,
+    .recover = reconnect_leader,
+    .expects_paused = TRUE },
   { .name = "draining, the leader and a follower are frozen at the sign",
     .state = "draining",
-    .strike = suspend_leader_and_follower,
-    .mend = resume_leader_and_follower },
+    .inject_after = suspend_leader_and_follower,
+    .recover = resume_leader_and_follower },
   { .name = "draining, a front is frozen across it",
     .state = "draining",
-    .inject_before = freeze_front,
-    .mend = thaw_front,
-    .burst = BURST },
+    .inject_before = suspend_front,
+    .recover = resume_front,
+    .burst = BURST_CALLS },
 };
 
 /* ---- Work --------------------------------------------------------------- */
 
 static void
-submit (Scene *scene)
+submit_batch (Scene *scene)
 {
   g_autofree char *batch = g_strdup_printf ("b%u", scene->batches++);
   g_autofree char *text = path_make_batch (batch, ITEMS);
@@ -352,7 +352,7 @@
 
 /* Those of the running case: the ledger forgets a batch 120 s after it was submitted. */
 static void
-assert_batches_whole (Scene *scene)
+assert_batches_complete (Scene *scene)
 {
   PathWorld *path = scene->world->path;
   for (guint i = scene->first_batch; i < scene->batches; i++)
@@ -366,10 +366,10 @@
 }
 
 static CallLoad *
-new_load (Scene *scene, guint calls)
+start_load (Scene *scene, guint calls)
 {
   g_autofree char *name = g_strdup_printf ("load%u", scene->loads++);
-  return call_load_new (scene->world->path, name, calls, CALL_EVERY_MS);
+  return call_load_new (scene->world->path, name, calls, CALL_INTERVAL_MS);
 }
 
 static guint
@@ -390,7 +390,7 @@
 }
 
 static guint
-runs_of (const StandinWorker *worker)
+get_n_runs (const StandinWorker *worker)
 {
   return standin_worker_get_runs (worker)->len;
 }
@@ -400,18 +400,18 @@
 have_new_runs (Scene *scene, guint plain_before, guint model_before)
 {
   const PathWorld *path = scene->world->path;
-  return runs_of (path->plain[LEAVING_PLAIN]) > plain_before
-         && runs_of (path->model[LEAVING_MODEL]) > model_before;
+  return get_n_runs (path->plain[LEAVING_PLAIN]) > plain_before
+         && get_n_runs (path->model[LEAVING_MODEL]) > model_before;
 }
 
 static void
 assert_workers_used_after_return (Scene *scene)
 {
   const PathWorld *path = scene->world->path;
-  guint plain = runs_of (path->plain[LEAVING_PLAIN]);
-  guint model = runs_of (path->model[LEAVING_MODEL]);
+  guint plain = get_n_runs (path->plain[LEAVING_PLAIN]);
+  guint model = get_n_runs (path->model[LEAVING_MODEL]);
   set_leaving_registrations (scene, "ready");
-  CallLoad *load = new_load (scene, CALLS);
+  CallLoad *load = start_load (scene, CALLS);
   AWAIT (have_new_runs (scene, plain, model));
   call_load_stop (load);
   call_load_await (load);
@@ -444,50 +444,50 @@
 assert_service_continues (Scene *scene, CallLoad *load)
 {
   const PathWorld *path = scene->world->path;
-  guint plain = runs_of (path->plain[0]);
-  guint model = runs_of (path->model[0]);
-  submit (scene);
+  guint plain = get_n_runs (path->plain[0]);
+  guint model = get_n_runs (path->model[0]);
+  submit_batch (scene);
   call_load_await (load);
-  CallLoad *more = new_load (scene, MORE_CALLS);
+  CallLoad *more = start_load (scene, MORE_CALLS);
   call_load_await (more);
   assert_served (scene, more);
   call_load_free (more);
-  assert_true (runs_of (path->plain[0]) > plain && runs_of (path->model[0]) > model);
+  assert_true (get_n_runs (path->plain[0]) > plain && get_n_runs (path->model[0]) > model);
 }
 
 static void
 test_leaving_workers (void **state)
 {
   Scene *scene = *state;
-  const LeavingCase *one = scene->running;
+  const LeavingCase *test_case = scene->running;
   const PathWorld *path = scene->world->path;
   scene->leader = (guint)path_find_leader (scene->world->path);
   scene->first_batch = scene->batches;
-  guint plain = runs_of (path->plain[LEAVING_PLAIN]);
-  guint model = runs_of (path->model[LEAVING_MODEL]);
-  submit (scene);
-  CallLoad *load = new_load (scene, CALLS);
+  guint plain = get_n_runs (path->plain[LEAVING_PLAIN]);
+  guint model = get_n_runs (path->model[LEAVING_MODEL]);
+  submit_batch (scene);
+  CallLoad *load = start_load (scene, CALLS);
   AWAIT (have_new_runs (scene, plain, model));
-  if (one->inject_before != NULL)
-    one->inject_before (scene);
-  for (guint i = 0; i < one->burst; i++)
+  if (test_case->inject_before != NULL)
+    test_case->inject_before (scene);
+  for (guint i = 0; i < test_case->burst; i++)
     call_load_start_call (load, i % CALL_KINDS, 0);
-  load->total += one->burst;
-  gint64 bound_us = g_get_monotonic_time () + PROMISE_MS * 1000;
-  set_leaving_registrations (scene, one->state);
-  if (one->strike != NULL)
-    one->strike (scene);
+  load->total += test_case->burst;
+  gint64 bound_us = g_get_monotonic_time () + NO_NEW_WORK_MS * 1000;
+  set_leaving_registrations (scene, test_case->state);
+  if (test_case->inject_after != NULL)
+    test_case->inject_after (scene);
   AWAIT (g_get_monotonic_time () > bound_us);
-  assert_true (!one->is_held || relayed_count_paused_connections (scene->world) > 0);
-  if (one->mend != NULL)
-    one->mend (scene);
+  assert_true (!test_case->expects_paused || relayed_count_paused_connections (scene->world) > 0);
+  if (test_case->recover != NULL)
+    test_case->recover (scene);
   assert_service_continues (scene, load);
   assert_served (scene, load);
-  assert_batches_whole (scene);
+  assert_batches_complete (scene);
   assert_no_new_work (scene, bound_us);
   call_load_free (load);
   assert_workers_used_after_return (scene);
-  scene->sound = TRUE;
+  scene->last_case_passed = TRUE;
 }
 
 /* ---- Running ------------------------------------------------------------ */
@@ -507,26 +507,26 @@
   scene->batches = 0;
   call_load_configure (scene->world->path, 8);
   for (guint i = 0; i < PATH_PLAIN; i++)
-    standin_worker_set_answer_delay (scene->world->path->plain[i], LOOKUP_MS);
+    standin_worker_set_answer_delay (scene->world->path->plain[i], LOOKUP_DURATION_MS);
   for (guint i = 0; i < PATH_MODEL; i++)
-    standin_worker_set_events (scene->world->path->model[i], CALL_EVENTS, EVENT_EVERY_MS);
+    standin_worker_set_events (scene->world->path->model[i], CALL_EVENTS, EVENT_INTERVAL_MS);
   relayed_world_start (scene->world);
 }
 
 /* A failed case may leave anything behind: the next one gets a deployment of its own. */
 static int
-prepare_case (void **state)
+set_up_case (void **state)
 {
-  Scene *scene = &scene_of_tests;
-  const LeavingCase *one = *state;
+  Scene *scene = &shared_scene;
+  const LeavingCase *test_case = *state;
   *state = scene;
-  if (!scene->sound)
+  if (!scene->last_case_passed)
     {
       stop_scene (scene);
       start_scene (scene);
     }
-  scene->sound = FALSE;
-  scene->running = one;
+  scene->last_case_passed = FALSE;
+  scene->running = test_case;
   relayed_await_service (scene->world);
   return 0;
 }
@@ -534,7 +534,7 @@
 static int
 stop_all (void **state)
 {
-  stop_scene (&scene_of_tests);
+  stop_scene (&shared_scene);
   return 0;
 }
 
@@ -548,7 +548,7 @@
   for (guint i = 0; i < G_N_ELEMENTS (leaving_cases); i++)
     tests[i] = (struct CMUnitTest){ .name = leaving_cases[i].name,
                                     .test_func = test_leaving_workers,
-                                    .setup_func = prepare_case,
+                                    .setup_func = set_up_case,
                                     .initial_state = (gpointer)&leaving_cases[i] };
   return cmocka_run_group_tests_name ("leaving", tests, NULL, stop_all);
 }
--- a/tests/platform/test-malformed.c
+++ b/tests/platform/test-malformed.c
@@ -10,13 +10,13 @@
 
 /* A sanitizer keeps what was freed for a while, and guards around all. */
 #ifdef __SANITIZE_ADDRESS__
-#define GROWTH_MAX_BYTES (640u << 20)
+#define MEMORY_GROWTH_MAX_BYTES (640u << 20)
 #else
-#define GROWTH_MAX_BYTES (48u << 20)
+#define MEMORY_GROWTH_MAX_BYTES (48u << 20)
 #endif
 #define N_PROCESSES (PATH_FRONTS + PATH_REPLICAS)
-#define NESTED_JSON_BYTES 90000 /* below the limit on bodies */
-#define LARGE_BYTES 2000000     /* above it */
+#define NESTED_JSON_BYTES 90000      /* below the limit on bodies */
+#define OVERSIZED_BODY_BYTES 2000000 /* above it */
 #define RANDOM_REQUESTS 200
 #define RANDOM_FRAMES 1500
 #define RANDOM_BYTES_MAX 600
@@ -68,7 +68,7 @@
       if (!quince_process_is_running (process))
         fail_msg ("%s ended after: %s", quince_process_get_name (process), after);
       guint64 memory = quince_process_get_memory (process);
-      if (memory > scene.memory[i] + GROWTH_MAX_BYTES)
+      if (memory > scene.memory[i] + MEMORY_GROWTH_MAX_BYTES)
         fail_msg ("%s grew from %u to %u MiB after: %s", quince_process_get_name (process),
                   (guint)(scene.memory[i] >> 20), (guint)(memory >> 20), after);
     }
@@ -89,7 +89,7 @@
 
 /* All serve, and end in order. */
 static void
-finish (void)
+assert_healthy_and_stop (void)
 {
   assert_healthy ("all");
   assert_batch_completes ();
@@ -160,19 +160,19 @@
 static void
 test_malformed_requests (void **state)
 {
-  static const char *const doors[] = { "callers", "ready", "directory" };
+  static const char *const listeners[] = { "callers", "ready", "directory" };
   g_autoptr (GRand) random = g_rand_new_with_seed (17);
-  for (guint i = 0; i < G_N_ELEMENTS (doors); i++)
+  for (guint i = 0; i < G_N_ELEMENTS (listeners); i++)
     {
-      const char *address = quince_process_get_ready_value (scene.world->fronts[0], doors[i]);
+      const char *address = quince_process_get_ready_value (scene.world->fronts[0], listeners[i]);
       for (guint j = 0; j < RANDOM_REQUESTS; j++)
         {
           send_random (address, random);
           send_mutated (address, random, VALID_REQUEST);
         }
-      assert_healthy (doors[i]);
+      assert_healthy (listeners[i]);
     }
-  finish ();
+  assert_healthy_and_stop ();
 }
 
 /* A body that has begun and never ends holds its connection, and no more than that. */
@@ -181,17 +181,18 @@
 {
   static const char head[] = "POST /l/endless HTTP/1.1\r\nHost: " PATH_HOST "\r\nRequest-Id: endless\r\n"
                              "Transfer-Encoding: chunked\r\n\r\nfffffff\r\n";
-  static const char *const doors[] = { "callers", "ready", "directory" };
-  g_autofree char *large = g_strnfill (LARGE_BYTES, 'x');
-  for (guint i = 0; i < G_N_ELEMENTS (doors); i++)
+  static const char *const listeners[] = { "callers", "ready", "directory" };
+  g_autofree char *large = g_strnfill (OVERSIZED_BODY_BYTES, 'x');
+  for (guint i = 0; i < G_N_ELEMENTS (listeners); i++)
     {
-      RawCaller *endless = raw_connect (quince_process_get_ready_value (scene.world->fronts[0], doors[i]));
+      RawCaller *endless
+          = raw_connect (quince_process_get_ready_value (scene.world->fronts[0], listeners[i]));
       raw_send (endless, head);
       raw_send (endless, large);
-      assert_healthy (doors[i]);
+      assert_healthy (listeners[i]);
       raw_free (endless);
     }
-  finish ();
+  assert_healthy_and_stop ();
 }
 
 /* ---- Trainers ----------------------------------------------------------- */
@@ -229,7 +230,7 @@
 {
   g_autofree char *deep = g_strnfill (NESTED_JSON_BYTES, '[');
   g_autofree char *nested = g_strconcat ("{\"items\":", deep, NULL);
-  g_autofree char *large = g_strnfill (LARGE_BYTES, '[');
+  g_autofree char *large = g_strnfill (OVERSIZED_BODY_BYTES, '[');
   for (guint i = 0; i < G_N_ELEMENTS (malformed_batches); i++)
     assert_rejected (malformed_batches[i]);
   assert_rejected (deep);
@@ -254,7 +255,7 @@
       path_status (path_front (scene.world, 0), "DELETE", target, "q", NULL);
       assert_healthy (odd[i]);
     }
-  finish ();
+  assert_healthy_and_stop ();
 }
 
 /* ---- The store ---------------------------------------------------------- */
@@ -283,7 +284,7 @@
       run_for (SETTLE_MS / 5);
       assert_healthy (keys[i % G_N_ELEMENTS (keys)]);
     }
-  finish ();
+  assert_healthy_and_stop ();
 }
 
 static void
@@ -308,7 +309,7 @@
       standin_store_set_fault (scene.world->store, STANDIN_STORE_HEALTHY);
       assert_healthy (answers[i]);
     }
-  finish ();
+  assert_healthy_and_stop ();
 }
 
 /* ---- Workers ------------------------------------------------------------ */
@@ -321,10 +322,10 @@
       = { "", "null", "[]", "{}", deep, "\xff\xfe", "{\"models\":7}", "{\"models\":[[]],\"seq\":\"x\"}" };
   for (guint i = 0; i < G_N_ELEMENTS (answers); i++)
     {
-      g_autofree char *named = g_strdup_printf ("{\"model\":\"model-a\",\"version\":%u}", i + 2);
+      g_autofree char *version_entry = g_strdup_printf ("{\"model\":\"model-a\",\"version\":%u}", i + 2);
       for (guint j = 0; j < PATH_MODEL; j++)
         standin_worker_set_malformed_answer (scene.world->model[j], answers[i]);
-      standin_store_put (scene.world->store, "op/version/model-a", named);
+      standin_store_put (scene.world->store, "op/version/model-a", version_entry);
       run_for (SETTLE_MS);
       for (guint j = 0; j < PATH_MODEL; j++)
         standin_worker_set_malformed_answer (scene.world->model[j], NULL);
@@ -332,7 +333,7 @@
     }
   for (guint i = 0; i < PATH_MODEL; i++)
     AWAIT (standin_worker_get_version (scene.world->model[i]) == G_N_ELEMENTS (answers) + 1);
-  finish ();
+  assert_healthy_and_stop ();
 }
 
 /* ---- Links -------------------------------------------------------------- */
@@ -410,7 +411,7 @@
         send_random (scene.world->links[i], random);
       assert_healthy ("bad frames");
     }
-  finish ();
+  assert_healthy_and_stop ();
 }
 
 /* Whole messages of each kind from a stranger, with bits flipped, to a replica that leads and to the others.
@@ -431,7 +432,7 @@
     }
   print_message ("  sent=%u\n", sent);
   assert_true (sent > RANDOM_FRAMES / 2);
-  finish ();
+  assert_healthy_and_stop ();
 }
 
 #define CASE(function) cmocka_unit_test_setup_teardown (function, set_up, tear_down)
--- a/tests/platform/test-member-thawed.c
+++ b/tests/platform/test-member-thawed.c
@@ -12,7 +12,7 @@
 #include "path-world.h"
 
 /* Longer than the 1 s of silence and the rank of a second backup. */
-#define STOPPED_MS 1800
+#define SUSPENDED_MS 1800
 #define ROUNDS 4
 
 static guint
@@ -40,7 +40,7 @@
   for (guint i = 0; i < ROUNDS; i++)
     {
       quince_process_suspend (world->replicas[member]);
-      run_for (STOPPED_MS);
+      run_for (SUSPENDED_MS);
       quince_process_resume (world->replicas[member]);
       run_for (1000);
     }
--- a/tests/platform/test-meta.c
+++ b/tests/platform/test-meta.c
@@ -12,9 +12,9 @@
 #include "standin-store.h"
 
 #define READ_INTERVAL_MAX_MS 700
-#define PATIENCE_MS 1300
+#define FEED_TIMEOUT_MS 1300
 /* After an outage a change is in force 2 s after the store took it; and what a busy machine may take. */
-#define KNOWN_AGAIN_US (3 * G_USEC_PER_SEC)
+#define RECOVERY_MAX_US (3 * G_USEC_PER_SEC)
 
 /* ---- What a mirror has reported --------------------------------------- */
 
@@ -54,7 +54,7 @@
 } World;
 
 static void
-begin (World *world, guint read_interval_min_ms)
+world_start (World *world, guint read_interval_min_ms)
 {
   *world = (World){ 0 };
   world->reports.values = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
@@ -69,14 +69,14 @@
       = quince_meta_store_new (standin_store_get_address (world->standin), &quince_platform_meta_codec);
   const QuinceMetaMirrorTimes times = { .read_interval_min_ms = read_interval_min_ms,
                                         .read_interval_max_ms = READ_INTERVAL_MAX_MS,
-                                        .feed_timeout_ms = PATIENCE_MS };
+                                        .feed_timeout_ms = FEED_TIMEOUT_MS };
   world->mirror = quince_meta_mirror_new (world->store, "a/", 0, &mirror_callbacks, &world->reports);
   quince_meta_mirror_set_times (world->mirror, &times);
   AWAIT (world->reports.synced > 0);
 }
 
 static void
-end (World *world)
+world_stop (World *world)
 {
   quince_meta_mirror_free (world->mirror);
   quince_meta_store_free (world->store);
@@ -85,7 +85,7 @@
 }
 
 static const char *
-value (World *world, const char *key)
+get_value (World *world, const char *key)
 {
   const char *text = g_hash_table_lookup (world->reports.values, key);
   return text != NULL ? text : "";
@@ -97,16 +97,16 @@
 test_list_and_changes (void **state)
 {
   World world;
-  begin (&world, 0);
+  world_start (&world, 0);
   assert_int_equal (g_hash_table_size (world.reports.values), 5);
   standin_store_put (world.standin, "a/1", "second");
-  AWAIT (strcmp (value (&world, "a/1"), "second") == 0);
+  AWAIT (strcmp (get_value (&world, "a/1"), "second") == 0);
   standin_store_remove (world.standin, "a/2");
   AWAIT (g_hash_table_size (world.reports.values) == 4);
   standin_store_put (world.standin, "b/1", "not ours");
   run_for (50);
   assert_int_equal (g_hash_table_size (world.reports.values), 4);
-  end (&world);
+  world_stop (&world);
 }
 
 /* The pause between two watches has grown in a burst of changes when the process begins to feed others: they
@@ -116,64 +116,64 @@
 test_read_interval_of_new_reader (void **state)
 {
   World world;
-  begin (&world, 20);
-  const QuinceMetaMirrorTimes grown = { .read_interval_min_ms = 20,
-                                        .read_interval_burst_max_ms = 5000,
-                                        .read_interval_max_ms = READ_INTERVAL_MAX_MS,
-                                        .feed_timeout_ms = PATIENCE_MS };
+  world_start (&world, 20);
+  const QuinceMetaMirrorTimes burst_times = { .read_interval_min_ms = 20,
+                                              .read_interval_burst_max_ms = 5000,
+                                              .read_interval_max_ms = READ_INTERVAL_MAX_MS,
+                                              .feed_timeout_ms = FEED_TIMEOUT_MS };
   const QuinceMetaMirrorTimes reader = { .read_interval_min_ms = 20,
                                          .read_interval_max_ms = READ_INTERVAL_MAX_MS,
-                                         .feed_timeout_ms = PATIENCE_MS,
+                                         .feed_timeout_ms = FEED_TIMEOUT_MS,
                                          .reader = TRUE };
-  quince_meta_mirror_set_times (world.mirror, &grown);
+  quince_meta_mirror_set_times (world.mirror, &burst_times);
   for (guint i = 0; i < 4; i++)
     {
       g_autofree char *text = g_strdup_printf ("burst %u", i);
       standin_store_put (world.standin, "a/1", text);
-      AWAIT (strcmp (value (&world, "a/1"), text) == 0);
+      AWAIT (strcmp (get_value (&world, "a/1"), text) == 0);
     }
   standin_store_put (world.standin, "a/1", "last");
   run_for (500);
-  assert_string_equal (value (&world, "a/1"), "burst 3");
+  assert_string_equal (get_value (&world, "a/1"), "burst 3");
   quince_meta_mirror_set_times (world.mirror, &reader);
   run_for (500);
-  assert_string_equal (value (&world, "a/1"), "last");
-  end (&world);
+  assert_string_equal (get_value (&world, "a/1"), "last");
+  world_stop (&world);
 }
 
 /* Whatever the store does, what it holds afterwards is reported. Failed first: the answer after an outage
  * ended the process, and a silent store was noticed only when a watch of 20 s was over. */
 static void
-outage (StandinStoreFault fault, guint for_ms)
+assert_recovery_from_fault (StandinStoreFault fault, guint for_ms)
 {
   World world;
-  begin (&world, 0);
+  world_start (&world, 0);
   standin_store_set_fault (world.standin, fault);
   standin_store_close_connections (world.standin);
   standin_store_put (world.standin, "a/1", "meanwhile");
   standin_store_remove (world.standin, "a/2");
   run_for (for_ms);
-  assert_string_equal (value (&world, "a/1"), "first");
+  assert_string_equal (get_value (&world, "a/1"), "first");
   standin_store_set_fault (world.standin, STANDIN_STORE_HEALTHY);
-  gint64 back = g_get_monotonic_time ();
-  AWAIT (strcmp (value (&world, "a/1"), "meanwhile") == 0);
+  gint64 recovered_us = g_get_monotonic_time ();
+  AWAIT (strcmp (get_value (&world, "a/1"), "meanwhile") == 0);
   AWAIT (g_hash_table_size (world.reports.values) == 4);
-  if (g_get_monotonic_time () - back > KNOWN_AGAIN_US)
+  if (g_get_monotonic_time () - recovered_us > RECOVERY_MAX_US)
     fail_msg ("the mirror waits for its own watch");
-  end (&world);
+  world_stop (&world);
 }
 
 /* Calls that an outage of @OUTAGE_MS costs a process. */
 #define OUTAGE_MS 6000
 
 static guint
-count_calls_in_outage (gboolean relaxed)
+count_calls_in_outage (gboolean slow_probes)
 {
   World world;
-  begin (&world, 0);
+  world_start (&world, 0);
   standin_store_set_fault (world.standin, STANDIN_STORE_UNAVAILABLE);
   standin_store_close_connections (world.standin);
-  quince_meta_store_set_slow_probes (world.store, relaxed);
+  quince_meta_store_set_slow_probes (world.store, slow_probes);
   guint calls = standin_store_get_n_calls (world.standin);
   run_for (OUTAGE_MS);
   calls = standin_store_get_n_calls (world.standin) - calls;
@@ -181,11 +181,11 @@
   quince_meta_store_set_slow_probes (world.store, FALSE);
   standin_store_set_fault (world.standin, STANDIN_STORE_HEALTHY);
   standin_store_put (world.standin, "a/1", "after");
-  gint64 back = g_get_monotonic_time ();
-  AWAIT (strcmp (value (&world, "a/1"), "after") == 0);
-  if (g_get_monotonic_time () - back > KNOWN_AGAIN_US)
+  gint64 recovered_us = g_get_monotonic_time ();
+  AWAIT (strcmp (get_value (&world, "a/1"), "after") == 0);
+  if (g_get_monotonic_time () - recovered_us > RECOVERY_MAX_US)
     fail_msg ("a process without a feeder waits for long");
-  end (&world);
+  world_stop (&world);
   return calls;
 }
 
@@ -193,41 +193,41 @@
 static void
 test_slow_probes_in_outage (void **state)
 {
-  guint default_calls = count_calls_in_outage (FALSE);
-  guint relaxed = count_calls_in_outage (TRUE);
-  assert_true (default_calls >= 7);
-  assert_true (relaxed <= 5);
+  guint default_probe_calls = count_calls_in_outage (FALSE);
+  guint slow_probe_calls = count_calls_in_outage (TRUE);
+  assert_true (default_probe_calls >= 7);
+  assert_true (slow_probe_calls <= 5);
 }
 
 static void
 test_unresponsive_store (void **state)
 {
-  outage (STANDIN_STORE_UNRESPONSIVE, 2500);
+  assert_recovery_from_fault (STANDIN_STORE_UNRESPONSIVE, 2500);
 }
 
 static void
 test_unavailable_store (void **state)
 {
-  outage (STANDIN_STORE_UNAVAILABLE, 300);
+  assert_recovery_from_fault (STANDIN_STORE_UNAVAILABLE, 300);
 }
 
 static void
 test_store_that_closes_connections (void **state)
 {
-  outage (STANDIN_STORE_CLOSES_CONNECTIONS, 300);
+  assert_recovery_from_fault (STANDIN_STORE_CLOSES_CONNECTIONS, 300);
 }
 
 static void
 test_compacted_history (void **state)
 {
   World world;
-  begin (&world, 0);
+  world_start (&world, 0);
   standin_store_put (world.standin, "a/1", "meanwhile");
   standin_store_remove (world.standin, "a/2");
   standin_store_compact (world.standin);
-  AWAIT (strcmp (value (&world, "a/1"), "meanwhile") == 0);
+  AWAIT (strcmp (get_value (&world, "a/1"), "meanwhile") == 0);
   AWAIT (g_hash_table_size (world.reports.values) == 4);
-  end (&world);
+  world_stop (&world);
 }
 
 /* Keys that change all the time cost no more calls than the pace allows. */
@@ -235,7 +235,7 @@
 test_read_interval (void **state)
 {
   World world;
-  begin (&world, 300);
+  world_start (&world, 300);
   guint before = standin_store_get_n_calls (world.standin);
   for (guint i = 0; i < 60; i++)
     {
@@ -243,9 +243,9 @@
       standin_store_put (world.standin, "a/1", text);
       run_for (10);
     }
-  AWAIT (strcmp (value (&world, "a/1"), "59") == 0);
+  AWAIT (strcmp (get_value (&world, "a/1"), "59") == 0);
   assert_in_range (standin_store_get_n_calls (world.standin) - before, 1, 8);
-  end (&world);
+  world_stop (&world);
 }
 
 /* ---- Feeds ------------------------------------------------------------ */
@@ -270,13 +270,13 @@
 test_feed (void **state)
 {
   World world;
-  begin (&world, 0);
+  world_start (&world, 0);
   g_autoptr (QuinceMetaPage) update = make_page (100, "a/1", "fed", 100);
   quince_meta_mirror_feed (world.mirror, update, FALSE);
-  assert_string_equal (value (&world, "a/1"), "fed");
+  assert_string_equal (get_value (&world, "a/1"), "fed");
   g_autoptr (QuinceMetaPage) older = make_page (50, "a/1", "older", 50);
   quince_meta_mirror_feed (world.mirror, older, TRUE);
-  assert_string_equal (value (&world, "a/1"), "fed");
+  assert_string_equal (get_value (&world, "a/1"), "fed");
   guint before = standin_store_get_n_calls (world.standin);
   g_autoptr (GPtrArray) nothing = g_ptr_array_new ();
   const QuinceMetaPage unchanged = { .items = nothing, .after = 100, .revision = 100 };
@@ -287,7 +287,7 @@
     }
   assert_int_equal (standin_store_get_n_calls (world.standin), before);
   AWAIT (standin_store_get_n_calls (world.standin) > before);
-  end (&world);
+  world_stop (&world);
 }
 
 /* A page that begins after what the mirror has is not taken: the mirror asks the store at once. */
@@ -295,18 +295,18 @@
 test_feed_with_gap (void **state)
 {
   World world;
-  begin (&world, 0);
+  world_start (&world, 0);
   g_autoptr (QuinceMetaPage) update = make_page (100, "a/1", "fed", 100);
   quince_meta_mirror_feed (world.mirror, update, FALSE);
   guint before = standin_store_get_n_calls (world.standin);
   g_autoptr (QuinceMetaPage) late = make_page (120, "a/2", "late", 120);
   late->after = 110;
   quince_meta_mirror_feed (world.mirror, late, FALSE);
-  assert_string_equal (value (&world, "a/2"), "first");
+  assert_string_equal (get_value (&world, "a/2"), "first");
   assert_int_equal (quince_meta_mirror_get_revision (world.mirror), 100);
   assert_false (quince_meta_mirror_is_fed (world.mirror));
   AWAIT (standin_store_get_n_calls (world.standin) > before);
-  end (&world);
+  world_stop (&world);
 }
 
 /* A whole feed takes away what is not in it. */
@@ -314,11 +314,11 @@
 test_full_feed (void **state)
 {
   World world;
-  begin (&world, 0);
+  world_start (&world, 0);
   g_autoptr (QuinceMetaPage) all = make_page (100, "a/1", "fed", 100);
   quince_meta_mirror_feed (world.mirror, all, TRUE);
   assert_int_equal (g_hash_table_size (world.reports.values), 1);
-  end (&world);
+  world_stop (&world);
 }
 
 static guint
@@ -334,7 +334,7 @@
 test_changes_since_revision (void **state)
 {
   World world;
-  begin (&world, 0);
+  world_start (&world, 0);
   gboolean whole = FALSE;
   assert_int_equal (count_changes_since (&world, 0, &whole), 5);
   assert_true (whole);
@@ -357,7 +357,7 @@
   AWAIT (g_hash_table_size (world.reports.values) == 4);
   assert_int_equal (count_changes_since (&world, start, &whole), 4);
   assert_true (whole);
-  end (&world);
+  world_stop (&world);
 }
 
 static guint read_pages;
@@ -394,12 +394,12 @@
           "{\"state\":\"draining\",\"leaves_ms\":1300.5,\"seq\":340,\"zone\":\"z1\"}",
           "{\"state\":\"ready\",\"seq\":341,\"zone\":\"z1\"}" };
   World world;
-  begin (&world, 0);
+  world_start (&world, 0);
   Reports reports = { .values = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free) };
   read_pages = 0;
   read_items = 0;
   const QuinceMetaMirrorTimes times
-      = { .read_interval_max_ms = READ_INTERVAL_MAX_MS, .feed_timeout_ms = PATIENCE_MS };
+      = { .read_interval_max_ms = READ_INTERVAL_MAX_MS, .feed_timeout_ms = FEED_TIMEOUT_MS };
   QuinceMetaMirror *mirror = quince_meta_mirror_new (world.store, "w/", 0, &worker_callbacks, &reports);
   quince_meta_mirror_set_times (mirror, &times);
   AWAIT (reports.synced > 0);
@@ -415,7 +415,7 @@
   assert_true (quince_meta_mirror_get_revision (mirror) >= standin_store_get_revision (world.standin, "w/1"));
   quince_meta_mirror_free (mirror);
   g_hash_table_unref (reports.values);
-  end (&world);
+  world_stop (&world);
 }
 
 /* ---- Presence --------------------------------------------------------- */
@@ -465,7 +465,7 @@
 test_conditions (void **state)
 {
   World world;
-  begin (&world, 0);
+  world_start (&world, 0);
   g_autoptr (GBytes) text = g_bytes_new_static ("new", 3);
   QuinceMetaChange change = { .key = "a/9", .expected_revision = 0, .value = text };
   Outcome outcome = { 0 };
@@ -484,7 +484,7 @@
   AWAIT (outcome.done);
   assert_int_equal (outcome.error, QUINCE_META_ERROR_UNKNOWN);
   assert_string_equal (standin_store_get (world.standin, "a/8"), "new");
-  end (&world);
+  world_stop (&world);
 }
 
 static void
@@ -495,7 +495,7 @@
 /* ---- Which calls were made -------------------------------------------------- */
 
 static double
-calls (const char *labels)
+get_n_calls (const char *labels)
 {
   g_autofree char *text = quince_metrics_format ();
   g_autofree char *sample = g_strdup_printf ("quince_store_calls_total{%s} ", labels);
@@ -508,29 +508,30 @@
 static void
 test_calls_by_purpose (void **state)
 {
-  static const char first[] = "kind=\"list\",subject=\"a/\",reason=\"start\",outcome=\"done\"";
+  static const char lists[] = "kind=\"list\",subject=\"a/\",reason=\"start\",outcome=\"done\"";
   static const char watches[] = "kind=\"watch\",subject=\"a/\",reason=\"start\",outcome=\"done\"";
-  static const char silent[] = "kind=\"watch\",subject=\"a/\",reason=\"silent\",outcome=\"done\"";
-  static const char fronts[] = "kind=\"get\",subject=\"a/fronts\",reason=\"\",outcome=\"gone\"";
+  static const char watches_after_silence[]
+      = "kind=\"watch\",subject=\"a/\",reason=\"silent\",outcome=\"done\"";
+  static const char front_gets[] = "kind=\"get\",subject=\"a/fronts\",reason=\"\",outcome=\"gone\"";
   World world;
-  double lists_before = calls (first);
-  double watches_before = calls (watches);
-  double silent_before = calls (silent);
-  begin (&world, 100);
-  AWAIT (world.reports.synced == 1 && calls (watches) > watches_before);
-  assert_true (calls (first) > lists_before);
-  assert_true (calls (silent) == silent_before);
+  double n_lists_before = get_n_calls (lists);
+  double n_watches_before = get_n_calls (watches);
+  double n_after_silence_before = get_n_calls (watches_after_silence);
+  world_start (&world, 100);
+  AWAIT (world.reports.synced == 1 && get_n_calls (watches) > n_watches_before);
+  assert_true (get_n_calls (lists) > n_lists_before);
+  assert_true (get_n_calls (watches_after_silence) == n_after_silence_before);
   g_autoptr (QuinceMetaPage) page = g_new0 (QuinceMetaPage, 1);
   page->items = g_ptr_array_new ();
   page->after = page->revision = quince_meta_mirror_get_revision (world.mirror);
   AWAIT (quince_meta_mirror_feed (world.mirror, page, FALSE)
          || (page->after = page->revision = quince_meta_mirror_get_revision (world.mirror)) == 0);
-  AWAIT (calls (silent) > silent_before); /* it hears nothing more */
-  double before = calls (fronts);
+  AWAIT (get_n_calls (watches_after_silence) > n_after_silence_before); /* it hears nothing more */
+  double before = get_n_calls (front_gets);
   quince_meta_store_get (world.store, "a/fronts/x", ignore_reply, NULL);
   quince_meta_store_get (world.store, "a/fronts/y", ignore_reply, NULL);
-  AWAIT (calls (fronts) == before + 2);
-  end (&world);
+  AWAIT (get_n_calls (front_gets) == before + 2);
+  world_stop (&world);
 }
 
 int
--- a/tests/platform/test-operator-command.c
+++ b/tests/platform/test-operator-command.c
@@ -10,11 +10,11 @@
 #include "process.h"
 #include "standin-store.h"
 
-#define OK 0
+#define STATUS_OK 0
 #define STATUS_FAILED 1
-#define USAGE 2
-#define CONFLICT 3
-#define UNKNOWN 4
+#define STATUS_USAGE 2
+#define STATUS_CONFLICT 3
+#define STATUS_UNKNOWN 4
 #define WORDS_MAX 12
 #define POLICY_KEY "quinceroute/policy"
 
@@ -101,79 +101,79 @@
 
 /* In order: the stand-in keeps its data from one to the next. */
 static const CommandCase command_cases[] = {
-  { { NULL }, USAGE, NULL, "no command given" },
-  { { "nonsense" }, USAGE, NULL, "no such command" },
-  { { "policy", "nonsense" }, USAGE, NULL, "no such command" },
-  { { "status" }, USAGE, NULL, "no such command" },
-  { { "policy", "check" }, USAGE, NULL, "takes 1 argument" },
-  { { "zones", "--nonsense" }, USAGE, NULL, "unrecognized option" },
-  { { "--kv", "127.0.0.1:1", "event", "list" }, USAGE, NULL, "unrecognized option" },
-  { { "--store", "localhost:1", "event", "list" }, USAGE, NULL, "store" },
-  { { "--config", "absent.conf", "event", "list" }, USAGE, NULL, "absent.conf" },
-  { { "--help" }, OK, "policy accept FILE", NULL },
-  { { "policy", "accept", "--help" }, OK, "--expect", NULL },
+  { { NULL }, STATUS_USAGE, NULL, "no command given" },
+  { { "nonsense" }, STATUS_USAGE, NULL, "no such command" },
+  { { "policy", "nonsense" }, STATUS_USAGE, NULL, "no such command" },
+  { { "status" }, STATUS_USAGE, NULL, "no such command" },
+  { { "policy", "check" }, STATUS_USAGE, NULL, "takes 1 argument" },
+  { { "zones", "--nonsense" }, STATUS_USAGE, NULL, "unrecognized option" },
+  { { "--kv", "127.0.0.1:1", "event", "list" }, STATUS_USAGE, NULL, "unrecognized option" },
+  { { "--store", "localhost:1", "event", "list" }, STATUS_USAGE, NULL, "store" },
+  { { "--config", "absent.conf", "event", "list" }, STATUS_USAGE, NULL, "absent.conf" },
+  { { "--help" }, STATUS_OK, "policy accept FILE", NULL },
+  { { "policy", "accept", "--help" }, STATUS_OK, "--expect", NULL },
   { { "policy", "check", "absent.lua" }, STATUS_FAILED, NULL, "quinceroute: file: " },
   { { "policy", "check", "bad.lua" }, STATUS_FAILED, NULL, "quinceroute: policy_syntax: bad.lua" },
   { { "policy", "check", "large.lua" }, STATUS_FAILED, NULL, "quinceroute: policy_too_large: " },
-  { { "policy", "check", "one.lua" }, OK, "ok, ", NULL },
-  { { "policy", "show" }, OK, "no policy was accepted yet", NULL },
-  { { "policy", "show", "--json" }, OK, "\"revision\" : 0", NULL },
-  { { "policy", "accept", "one.lua" }, USAGE, NULL, "--comment" },
+  { { "policy", "check", "one.lua" }, STATUS_OK, "ok, ", NULL },
+  { { "policy", "show" }, STATUS_OK, "no policy was accepted yet", NULL },
+  { { "policy", "show", "--json" }, STATUS_OK, "\"revision\" : 0", NULL },
+  { { "policy", "accept", "one.lua" }, STATUS_USAGE, NULL, "--comment" },
   { { "policy", "accept", "bad.lua", "--comment", "x" }, STATUS_FAILED, NULL, "policy_syntax" },
-  { { "policy", "accept", "one.lua", "--comment", "x", "--expect", "-1" }, USAGE, NULL, "--expect" },
-  { { "policy", "accept", "one.lua", "--comment", "x", "--expect", "two" }, USAGE, NULL, "--expect" },
+  { { "policy", "accept", "one.lua", "--comment", "x", "--expect", "-1" }, STATUS_USAGE, NULL, "--expect" },
+  { { "policy", "accept", "one.lua", "--comment", "x", "--expect", "two" }, STATUS_USAGE, NULL, "--expect" },
   { { "policy", "accept", "one.lua", "--comment", "first", "--author", "anna" },
-    OK,
+    STATUS_OK,
     "accepted revision 1, replaces 0",
     NULL },
   { { "policy", "accept", "two.lua", "--comment", "x", "--expect", "0" },
-    CONFLICT,
+    STATUS_CONFLICT,
     NULL,
     "quinceroute: conflict: revision 1 by anna (\"first\") was accepted meanwhile, revision 0 was expected" },
   { { "policy", "diff", "absent.lua" }, STATUS_FAILED, NULL, "quinceroute: file: " },
-  { { "policy", "diff", "one.lua" }, OK, "", NULL },
-  { { "policy", "diff", "one.lua", "--json" }, OK, "\"same\" : true", NULL },
+  { { "policy", "diff", "one.lua" }, STATUS_OK, "", NULL },
+  { { "policy", "diff", "one.lua", "--json" }, STATUS_OK, "\"same\" : true", NULL },
   { { "policy", "diff", "two.lua" },
-    OK,
+    STATUS_OK,
     "--- revision 1\n+++ two.lua\n@@ -2,7 +2,7 @@\n -- line 2\n -- line 3\n -- line 4\n--- line 5\n+-- "
     "other\n"
     " -- line 6\n -- line 7\n -- line 8\n@@ -18,3 +18,4 @@\n -- line 18\n -- line 19\n -- line 20\n+-- line "
     "21\n",
     NULL },
   { { "policy", "accept", "two.lua", "--comment", "second", "--expect", "1", "--json" },
-    OK,
+    STATUS_OK,
     "\"revision\" : 2",
     NULL },
-  { { "policy", "show" }, OK, "-- revision 2\n-- by ", NULL },
-  { { "policy", "show", "--json" }, OK, "\"comment\" : \"second\"", NULL },
-  { { "event", "create", "shift", "--start", "+60" }, USAGE, NULL, "--duration" },
+  { { "policy", "show" }, STATUS_OK, "-- revision 2\n-- by ", NULL },
+  { { "policy", "show", "--json" }, STATUS_OK, "\"comment\" : \"second\"", NULL },
+  { { "event", "create", "shift", "--start", "+60" }, STATUS_USAGE, NULL, "--duration" },
   { { "event", "create", "shift", "--start", "2030-01-02T08:00:00", "--duration", "5" },
-    USAGE,
+    STATUS_USAGE,
     NULL,
     "--start" },
-  { { "event", "create", "shift", "--start", "+60", "--duration", "-5" }, USAGE, NULL, "--duration" },
+  { { "event", "create", "shift", "--start", "+60", "--duration", "-5" }, STATUS_USAGE, NULL, "--duration" },
   { { "event", "create", "shift", "--start", "+60", "--duration", "5", "--expected", "x" },
-    USAGE,
+    STATUS_USAGE,
     NULL,
     "--expected" },
   { { "event", "create", "shift", "--start", "2030-01-02T08:00:00+08:00", "--duration", "1.5", "--expected",
       "9" },
-    OK,
+    STATUS_OK,
     "event shift starts at 2030-01-02T00:00:00.000Z and lasts 1.500 s",
     NULL },
   { { "event", "create", "release", "--start", "2030-01-03T00:00:00Z", "--duration", "5", "--service", "llm",
       "--json" },
-    OK,
+    STATUS_OK,
     "\"service\" : \"llm\"",
     NULL },
-  { { "event", "create", "window", "--start", "+60", "--duration", "5" }, OK, "event window", NULL },
-  { { "event", "list" }, OK, "shift    (every)  2030-01-02T00:00:00.000Z  1.500 s   in ", NULL },
-  { { "event", "list" }, OK, "release  llm      2030-01-03T00:00:00.000Z  5.000 s   in ", NULL },
-  { { "event", "list", "--json" }, OK, "\"duration_ms\" : 1500", NULL },
-  { { "event", "delete", "shift" }, OK, "deleted", NULL },
-  { { "event", "list" }, OK, "release", NULL },
-  { { "quarantine", "release", "nothing" }, USAGE, NULL, "32 hexadecimal digits" },
-  { { "quarantine", "list" }, OK, "DIGEST", NULL },
+  { { "event", "create", "window", "--start", "+60", "--duration", "5" }, STATUS_OK, "event window", NULL },
+  { { "event", "list" }, STATUS_OK, "shift    (every)  2030-01-02T00:00:00.000Z  1.500 s   in ", NULL },
+  { { "event", "list" }, STATUS_OK, "release  llm      2030-01-03T00:00:00.000Z  5.000 s   in ", NULL },
+  { { "event", "list", "--json" }, STATUS_OK, "\"duration_ms\" : 1500", NULL },
+  { { "event", "delete", "shift" }, STATUS_OK, "deleted", NULL },
+  { { "event", "list" }, STATUS_OK, "release", NULL },
+  { { "quarantine", "release", "nothing" }, STATUS_USAGE, NULL, "32 hexadecimal digits" },
+  { { "quarantine", "list" }, STATUS_OK, "DIGEST", NULL },
 };
 
 static void
@@ -218,7 +218,7 @@
       Run run = { 0 };
       run_start (&run, commands[i], FALSE);
       run_wait (&run);
-      assert_int_equal (run.status, USAGE);
+      assert_int_equal (run.status, STATUS_USAGE);
       assert_non_null (strstr (run.errors, "no address of the metadata store"));
       run_clear (&run);
     }
@@ -239,7 +239,7 @@
   standin_store_put (store, "quinceroute/events/bad", "nonsense");
   standin_store_put (store, "quinceroute/events/good", "4102444800000 5000 -");
   run_command (&run, list);
-  assert_int_equal (run.status, OK);
+  assert_int_equal (run.status, STATUS_OK);
   assert_non_null (strstr (run.output, "good"));
   assert_null (strstr (run.output, "bad"));
   assert_non_null (strstr (run.errors, "bad"));
@@ -250,7 +250,7 @@
 
 /* Both expect the same revision: one wins, and the other learns of it, whether or not answers are lost. */
 static void
-test_two_operators (void **state)
+test_concurrent_accepts (void **state)
 {
   static const StandinStoreFault faults[] = { STANDIN_STORE_HEALTHY, STANDIN_STORE_DROPS_WRITE_ANSWERS };
   static const char *const anna[]
@@ -267,9 +267,9 @@
       run_wait (&pair[0]);
       run_wait (&pair[1]);
       standin_store_set_fault (store, STANDIN_STORE_HEALTHY);
-      guint winner = pair[0].status == OK ? 0 : 1;
-      assert_int_equal (pair[winner].status, OK);
-      assert_int_equal (pair[1 - winner].status, CONFLICT);
+      guint winner = pair[0].status == STATUS_OK ? 0 : 1;
+      assert_int_equal (pair[winner].status, STATUS_OK);
+      assert_int_equal (pair[1 - winner].status, STATUS_CONFLICT);
       assert_non_null (strstr (pair[1 - winner].errors, winner == 0 ? "by anna" : "by bela"));
       run_clear (&pair[0]);
       run_clear (&pair[1]);
@@ -295,7 +295,7 @@
   static const char *const accept[]
       = { "policy", "accept", "one.lua", "--comment", "x", "--expect", "0", NULL };
   standin_store_remove (store, POLICY_KEY);
-  assert_outcome (accept, STANDIN_STORE_UNRESPONSIVE, UNKNOWN, "quinceroute: unknown: ");
+  assert_outcome (accept, STANDIN_STORE_UNRESPONSIVE, STATUS_UNKNOWN, "quinceroute: unknown: ");
 }
 
 /* The same where a policy stands already: that it cannot be read is no conflict. */
@@ -305,8 +305,8 @@
   static const char *const first[] = { "policy", "accept", "one.lua", "--comment", "x", NULL };
   static const char *const second[]
       = { "policy", "accept", "two.lua", "--comment", "x", "--expect", "1", NULL };
-  assert_outcome (first, STANDIN_STORE_HEALTHY, OK, "");
-  assert_outcome (second, STANDIN_STORE_UNRESPONSIVE, UNKNOWN, "quinceroute: unknown: ");
+  assert_outcome (first, STANDIN_STORE_HEALTHY, STATUS_OK, "");
+  assert_outcome (second, STANDIN_STORE_UNRESPONSIVE, STATUS_UNKNOWN, "quinceroute: unknown: ");
 }
 
 /* The write is done, its answer is lost and the key cannot be read back: neither a conflict nor a failure. */
@@ -315,7 +315,8 @@
 {
   static const char *const accept[]
       = { "policy", "accept", "one.lua", "--comment", "x", "--expect", "0", NULL };
-  assert_outcome (accept, STANDIN_STORE_DROPS_WRITE_ANSWERS_FAILS_READS, UNKNOWN, "quinceroute: unknown: ");
+  assert_outcome (accept, STANDIN_STORE_DROPS_WRITE_ANSWERS_FAILS_READS, STATUS_UNKNOWN,
+                  "quinceroute: unknown: ");
   assert_int_equal (standin_store_get_revision (store, POLICY_KEY), 1);
 }
 
@@ -392,7 +393,7 @@
     CASE (test_commands),
     CASE (test_missing_store_address),
     CASE (test_malformed_items),
-    CASE (test_two_operators),
+    CASE (test_concurrent_accepts),
     CASE (test_unknown_outcome_of_first_policy),
     CASE (test_unknown_outcome_of_replacement),
     CASE (test_lost_answer_and_failed_reads),
--- a/tests/platform/test-operator-lists.c
+++ b/tests/platform/test-operator-lists.c
@@ -11,7 +11,7 @@
 
 /* What the last command printed. (transfer full) */
 static char *
-printed (const PathWorld *world, const char *const *words)
+run_and_read_output (const PathWorld *world, const char *const *words)
 {
   static guint serial;
   assert_int_equal (path_run_operator_tool ((PathWorld *)world, words), 0);
@@ -58,11 +58,12 @@
   standin_store_put (world->store, "op/evacuate/z2", "{}");
   g_autofree char *settings = g_build_filename (world->folder, "operator.ini", NULL);
   assert_true (g_file_set_contents (settings, "[operator]\nzones=z1=north,z3=south\n", -1, NULL));
-  g_autofree char *zones = printed (world, (const char *const[]){ "zones", "--config", settings, NULL });
+  g_autofree char *zones
+      = run_and_read_output (world, (const char *const[]){ "zones", "--config", settings, NULL });
   assert_line (zones, "z1", "z1 north 4 0 no -");
   g_autofree char *second = find_line (zones, "z2");
   assert_true (g_str_has_prefix (second, "z2 - 1 0 yes "));
-  g_autofree char *cold = printed (world, (const char *const[]){ "cold", NULL });
+  g_autofree char *cold = run_and_read_output (world, (const char *const[]){ "cold", NULL });
   assert_line (cold, "m0", "m0 llm z1 2500 12.5");
   assert_line (cold, "m1", "m1 llm z1 - 12.5");
   assert_line (cold, "p0", "p0 svc z1 700 -");
