--- a/tests/platform/test-leaving.c
+++ b/tests/platform/test-leaving.c
@@ -17,12 +17,12 @@
 
 /* From the first sign to the last new work. */
 #define NO_NEW_WORK_MS 3000
-#define CALLS 260
+#define LOAD_CALLS 260
 #define CALL_INTERVAL_MS 20
-#define MORE_CALLS 80
+#define LATER_LOAD_CALLS 80
 #define LOOKUP_DURATION_MS 60
 #define EVENT_INTERVAL_MS 60
-#define ITEMS 8
+#define BATCH_ITEMS 8
 #define BURST_CALLS 120 /* waits at the front that is frozen */
 /* The workers that leave. */
 #define LEAVING_PLAIN 1
@@ -56,8 +56,8 @@
   RelayedWorld *world;
   const LeavingCase *running;
   guint leader; /* when the running case began */
-  guint loads;
-  guint batches;
+  guint n_loads;
+  guint n_batches;
   guint first_batch;         /* of the running case */
   gboolean last_case_passed; /* the last case came to its end */
 };
@@ -345,8 +345,8 @@
 static void
 submit_batch (Scene *scene)
 {
-  g_autofree char *batch = g_strdup_printf ("b%u", scene->batches++);
-  g_autofree char *text = path_make_batch (batch, ITEMS);
+  g_autofree char *batch = g_strdup_printf ("b%u", scene->n_batches++);
+  g_autofree char *text = path_make_batch (batch, BATCH_ITEMS);
   AWAIT (path_status (path_front (scene->world->path, 1), "POST", "/r/batch", batch, text) == 202);
 }
 
@@ -355,20 +355,21 @@
 assert_batches_complete (Scene *scene)
 {
   PathWorld *path = scene->world->path;
-  for (guint i = scene->first_batch; i < scene->batches; i++)
+  for (guint i = scene->first_batch; i < scene->n_batches; i++)
     {
       g_autofree char *batch = g_strdup_printf ("b%u", i);
-      AWAIT (path_count_results (path, 0, batch) == ITEMS);
+      AWAIT (path_count_results (path, 0, batch) == BATCH_ITEMS);
       g_autofree char *text = path_fetch_results (path, 1, batch);
-      assert_int_equal (path_count_occurrences (text, "\"state\":\"completed\""), ITEMS);
-      assert_int_equal (path_count_occurrences (text, "\"message\":\"e1\\ne2\\ne3\\ne4\\ne5\\ne6\""), ITEMS);
+      assert_int_equal (path_count_occurrences (text, "\"state\":\"completed\""), BATCH_ITEMS);
+      assert_int_equal (path_count_occurrences (text, "\"message\":\"e1\\ne2\\ne3\\ne4\\ne5\\ne6\""),
+                        BATCH_ITEMS);
     }
 }
 
 static CallLoad *
 start_load (Scene *scene, guint calls)
 {
-  g_autofree char *name = g_strdup_printf ("load%u", scene->loads++);
+  g_autofree char *name = g_strdup_printf ("load%u", scene->n_loads++);
   return call_load_new (scene->world->path, name, calls, CALL_INTERVAL_MS);
 }
 
@@ -411,7 +412,7 @@
   guint plain = get_n_runs (path->plain[LEAVING_PLAIN]);
   guint model = get_n_runs (path->model[LEAVING_MODEL]);
   set_leaving_registrations (scene, "ready");
-  CallLoad *load = start_load (scene, CALLS);
+  CallLoad *load = start_load (scene, LOAD_CALLS);
   AWAIT (have_new_runs (scene, plain, model));
   call_load_stop (load);
   call_load_await (load);
@@ -448,7 +449,7 @@
   guint model = get_n_runs (path->model[0]);
   submit_batch (scene);
   call_load_await (load);
-  CallLoad *more = start_load (scene, MORE_CALLS);
+  CallLoad *more = start_load (scene, LATER_LOAD_CALLS);
   call_load_await (more);
   assert_served (scene, more);
   call_load_free (more);
@@ -462,11 +463,11 @@
   const LeavingCase *test_case = scene->running;
   const PathWorld *path = scene->world->path;
   scene->leader = (guint)path_find_leader (scene->world->path);
-  scene->first_batch = scene->batches;
+  scene->first_batch = scene->n_batches;
   guint plain = get_n_runs (path->plain[LEAVING_PLAIN]);
   guint model = get_n_runs (path->model[LEAVING_MODEL]);
   submit_batch (scene);
-  CallLoad *load = start_load (scene, CALLS);
+  CallLoad *load = start_load (scene, LOAD_CALLS);
   AWAIT (have_new_runs (scene, plain, model));
   if (test_case->inject_before != NULL)
     test_case->inject_before (scene);
@@ -504,7 +505,7 @@
 start_scene (Scene *scene)
 {
   scene->world = relayed_world_new ("leaving");
-  scene->batches = 0;
+  scene->n_batches = 0;
   call_load_configure (scene->world->path, 8);
   for (guint i = 0; i < PATH_PLAIN; i++)
     standin_worker_set_answer_delay (scene->world->path->plain[i], LOOKUP_DURATION_MS);
--- a/tests/platform/test-malformed.c
+++ b/tests/platform/test-malformed.c
@@ -22,13 +22,13 @@
 #define RANDOM_BYTES_MAX 600
 #define FRAME_WORDS_MAX 64
 #define SETTLE_MS 1500
-#define ITEMS 4
+#define BATCH_ITEMS 4
 
 typedef struct
 {
   PathWorld *world;
-  guint64 memory[N_PROCESSES]; /* at the start, bytes */
-  guint batches;
+  guint64 initial_memory_bytes[N_PROCESSES]; /* at the start, bytes */
+  guint n_batches;
 } Scene;
 
 static Scene scene;
@@ -46,7 +46,7 @@
   path_reserve_links (scene.world);
   path_world_start (scene.world);
   for (guint i = 0; i < N_PROCESSES; i++)
-    scene.memory[i] = quince_process_get_memory (get_process (i));
+    scene.initial_memory_bytes[i] = quince_process_get_memory (get_process (i));
   return 0;
 }
 
@@ -68,9 +68,9 @@
       if (!quince_process_is_running (process))
         fail_msg ("%s ended after: %s", quince_process_get_name (process), after);
       guint64 memory = quince_process_get_memory (process);
-      if (memory > scene.memory[i] + MEMORY_GROWTH_MAX_BYTES)
+      if (memory > scene.initial_memory_bytes[i] + MEMORY_GROWTH_MAX_BYTES)
         fail_msg ("%s grew from %u to %u MiB after: %s", quince_process_get_name (process),
-                  (guint)(scene.memory[i] >> 20), (guint)(memory >> 20), after);
+                  (guint)(scene.initial_memory_bytes[i] >> 20), (guint)(memory >> 20), after);
     }
   for (guint i = 0; i < PATH_FRONTS; i++)
     AWAIT (path_status (path_front (scene.world, i), "POST", "/l/good", "good", "good") == 200);
@@ -79,12 +79,12 @@
 static void
 assert_batch_completes (void)
 {
-  g_autofree char *batch = g_strdup_printf ("good%u", scene.batches++);
-  g_autofree char *text = path_make_batch (batch, ITEMS);
+  g_autofree char *batch = g_strdup_printf ("good%u", scene.n_batches++);
+  g_autofree char *text = path_make_batch (batch, BATCH_ITEMS);
   AWAIT (path_status (path_front (scene.world, 0), "POST", "/r/batch", batch, text) == 202);
-  AWAIT (path_count_results (scene.world, 1, batch) == ITEMS);
+  AWAIT (path_count_results (scene.world, 1, batch) == BATCH_ITEMS);
   g_autofree char *results = path_fetch_results (scene.world, 0, batch);
-  assert_int_equal (path_count_occurrences (results, "\"state\":\"completed\""), ITEMS);
+  assert_int_equal (path_count_occurrences (results, "\"state\":\"completed\""), BATCH_ITEMS);
 }
 
 /* All serve, and end in order. */
@@ -185,12 +185,12 @@
   g_autofree char *large = g_strnfill (OVERSIZED_BODY_BYTES, 'x');
   for (guint i = 0; i < G_N_ELEMENTS (listeners); i++)
     {
-      RawCaller *endless
+      RawCaller *incomplete
           = raw_connect (quince_process_get_ready_value (scene.world->fronts[0], listeners[i]));
-      raw_send (endless, head);
-      raw_send (endless, large);
+      raw_send (incomplete, head);
+      raw_send (incomplete, large);
       assert_healthy (listeners[i]);
-      raw_free (endless);
+      raw_free (incomplete);
     }
   assert_healthy_and_stop ();
 }
@@ -238,7 +238,7 @@
   assert_rejected (large);
   assert_healthy ("bad batches");
   /* Odd, and taken or refused; nothing may end by it. */
-  static const char *const odd[] = {
+  static const char *const unusual_batches[] = {
     "{\"items\":[{\"id\":\"odd\",\"path\":\"/r/1\",\"scorer\":[]}],\"model\":{}}",
     "{\"items\":[{\"id\":\"odd\\u0000x\",\"path\":\"/r/\\u0000\",\"body\":\"%%%\"}]}",
     "{\"items\":[{\"id\":\"odd1\",\"path\":\"/r/1\\r\\nX: "
@@ -246,14 +246,14 @@
     "{\"items\":[{\"id\":\"odd2\",\"path\":\"/r/"
     "1\",\"tokens\":1e300,\"headers\":{\"A\\r\\nB\":\"\\r\\n\"}}]}",
   };
-  for (guint i = 0; i < G_N_ELEMENTS (odd); i++)
+  for (guint i = 0; i < G_N_ELEMENTS (unusual_batches); i++)
     {
       g_autofree char *batch = g_strdup_printf ("odd%u", i);
-      path_status (path_front (scene.world, 0), "POST", "/r/batch", batch, odd[i]);
+      path_status (path_front (scene.world, 0), "POST", "/r/batch", batch, unusual_batches[i]);
       run_for (SETTLE_MS / 3);
       g_autofree char *target = g_strdup_printf ("/quinceroute/lots/%s", batch);
       path_status (path_front (scene.world, 0), "DELETE", target, "q", NULL);
-      assert_healthy (odd[i]);
+      assert_healthy (unusual_batches[i]);
     }
   assert_healthy_and_stop ();
 }
--- a/tests/platform/test-member-thawed.c
+++ b/tests/platform/test-member-thawed.c
@@ -13,10 +13,10 @@
 
 /* Longer than the 1 s of silence and the rank of a second backup. */
 #define SUSPENDED_MS 1800
-#define ROUNDS 4
+#define SUSPENSIONS 4
 
 static guint
-count_elections (const PathWorld *world)
+count_leaders_elected (const PathWorld *world)
 {
   guint count = 0;
   for (guint i = 0; i < PATH_REPLICAS; i++)
@@ -37,14 +37,14 @@
   gint leader = path_find_leader (world);
   guint member = leader == 0 ? 1 : 0;
   run_for (1000);
-  for (guint i = 0; i < ROUNDS; i++)
+  for (guint i = 0; i < SUSPENSIONS; i++)
     {
       quince_process_suspend (world->replicas[member]);
       run_for (SUSPENDED_MS);
       quince_process_resume (world->replicas[member]);
       run_for (1000);
     }
-  assert_int_equal (count_elections (world), 1);
+  assert_int_equal (count_leaders_elected (world), 1);
   AWAIT (path_status (path_front (world, 0), "GET", "/quinceroute/lots/none", "q", NULL) == 404);
   path_world_free (world);
 }
--- a/tests/platform/test-meta.c
+++ b/tests/platform/test-meta.c
@@ -360,14 +360,14 @@
   world_stop (&world);
 }
 
-static guint read_pages;
-static guint read_items;
+static guint n_pages_read;
+static guint n_items_read;
 
 static void
 report_read (const QuinceMetaPage *page, gpointer data)
 {
-  read_pages++;
-  read_items += page->items->len;
+  n_pages_read++;
+  n_items_read += page->items->len;
 }
 
 static const QuinceMetaMirrorCallbacks worker_callbacks
@@ -396,8 +396,8 @@
   World world;
   world_start (&world, 0);
   Reports reports = { .values = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free) };
-  read_pages = 0;
-  read_items = 0;
+  n_pages_read = 0;
+  n_items_read = 0;
   const QuinceMetaMirrorTimes times
       = { .read_interval_max_ms = READ_INTERVAL_MAX_MS, .feed_timeout_ms = FEED_TIMEOUT_MS };
   QuinceMetaMirror *mirror = quince_meta_mirror_new (world.store, "w/", 0, &worker_callbacks, &reports);
@@ -405,12 +405,12 @@
   AWAIT (reports.synced > 0);
   for (guint i = 0; i < G_N_ELEMENTS (entries); i++)
     {
-      guint before = read_pages;
+      guint before = n_pages_read;
       standin_store_put (world.standin, "w/1", entries[i]);
-      AWAIT (read_pages > before);
+      AWAIT (n_pages_read > before);
     }
   assert_int_equal (reports.items, 6);
-  assert_int_equal (read_items, 6);
+  assert_int_equal (n_items_read, 6);
   assert_string_equal (g_hash_table_lookup (reports.values, "w/1"), entries[G_N_ELEMENTS (entries) - 1]);
   assert_true (quince_meta_mirror_get_revision (mirror) >= standin_store_get_revision (world.standin, "w/1"));
   quince_meta_mirror_free (mirror);
--- a/tests/platform/test-operator-command.c
+++ b/tests/platform/test-operator-command.c
@@ -20,7 +20,7 @@
 
 static StandinStore *store;
 static char *folder;
-static guint runs; /* so far: each has its own output files */
+static guint n_runs; /* so far: each has its own output files */
 
 /* ---- One run of the program --------------------------------------------------- */
 
@@ -49,7 +49,7 @@
     g_ptr_array_add (arguments, (gpointer)*words);
   g_ptr_array_add (arguments, NULL);
   g_autoptr (GError) error = NULL;
-  run->name = g_strdup_printf ("run-%u", runs++);
+  run->name = g_strdup_printf ("run-%u", n_runs++);
   run->process = quince_process_spawn (folder, run->name, (const char *const *)arguments->pdata, &error);
   if (run->process == NULL)
     fail_msg ("%s", error->message);
