--- a/tests/platform/test-leaving.c
+++ b/tests/platform/test-leaving.c
@@ -1,21 +1,11 @@
 /*
- * test-leaving.c: workers that leave get no new work 3 s after the first sign of it, whoever is killed,
- * frozen or cut from whom meanwhile: no lookup, stream, item or reward call.
- *
- * A worker for lookups and one for models leave in each case.  The judges are the workers' own records of
- * when each run reached them.
- *
- * In the case of a frozen front a stream failed now and then though its worker had run it: 504, or a stream
- * that broke off.  It had been sent just before the front was frozen, for 3 s, which is also the deadline of
- * the calls; when the front went on, the stream's own timer ended it before the bytes in its connection were
- * read
- * ('request_retried cause=timeout took_ms=3007 runs=0', one run at the worker).  test-ready-streams.c freezes
- * a front right then.
+ * test-leaving.c: guards against new work that reaches a worker 3 s after it starts to drain or is
+ * unregistered, under crashes, suspensions and network partitions of fronts, replicas and the store.
  */
 #include "call-load.h"
 #include "relayed-world.h"
 
-/* From the first sign to the last new work. */
+/* Time after which a leaving worker gets no new work. */
 #define NO_NEW_WORK_MS 3000
 #define LOAD_CALLS 260
 #define CALL_INTERVAL_MS 20
@@ -23,8 +13,8 @@
 #define LOOKUP_DURATION_MS 60
 #define EVENT_INTERVAL_MS 60
 #define BATCH_ITEMS 8
-#define BURST_CALLS 120 /* waits at the front that is frozen */
-/* The workers that leave. */
+#define BURST_CALLS 120 /* calls queued at the suspended front */
+/* Indexes of the workers that leave. */
 #define LEAVING_PLAIN 1
 #define LEAVING_MODEL 1
 
@@ -32,12 +22,12 @@
 
 /**
  * LeavingCase:
- * @state: as the workers are listed; %NULL: they are listed no more
- * @inject_before: (nullable): a fault before the sign
- * @strike: (nullable): a fault right after the sign
- * @mend: (nullable): ends both, later than the promised time
- * @is_held: relays are held meanwhile, and must hold some connection
- * @burst: calls that wait at front 0 when it is thawed
+ * @state: state that the leaving workers are registered with; %NULL: they are unregistered
+ * @inject_before: (nullable): injects a fault before the registrations change
+ * @inject_after: (nullable): injects a fault right after the registrations change
+ * @recover: (nullable): clears both faults after NO_NEW_WORK_MS
+ * @expects_paused: whether relays are paused and must have a paused connection
+ * @burst: number of calls queued at front 0 when it resumes
  */
 typedef struct
 {
@@ -50,21 +40,21 @@
   guint burst;
 } LeavingCase;
 
-/* One deployment, shared by the cases until one of them fails. */
+/* A deployment that the cases share until one of them fails. */
 struct _Scene
 {
   RelayedWorld *world;
   const LeavingCase *running;
-  guint leader; /* when the running case began */
+  guint leader; /* at the start of the running case */
   guint n_loads;
   guint n_batches;
-  guint first_batch;         /* of the running case */
-  gboolean last_case_passed; /* the last case came to its end */
+  guint first_batch; /* of the running case */
+  gboolean last_case_passed;
 };
 
 static Scene shared_scene;
 
-/* ---- Signs -------------------------------------------------------------- */
+/* ---- Registrations -------------------------------------------------------------- */
 
 static void
 set_registration (Scene *scene, const StandinWorker *worker, const char *service, const char *state)
@@ -213,7 +203,7 @@
   quince_process_resume (scene->world->path->fronts[0]);
 }
 
-/* Whether @process has heard of both workers that they leave, by its own log. */
+/* Returns whether the log of @process shows both leaving workers as draining. */
 static gboolean
 knows_draining_workers (Scene *scene, guint process)
 {
@@ -243,7 +233,7 @@
   return TRUE;
 }
 
-/* The others have it from the leader alone, which then dies. */
+/* Kills the leader once all processes know the draining workers.  Only the leader could read the store. */
 static void
 kill_leader_after_propagation (Scene *scene)
 {
@@ -258,7 +248,7 @@
   resume_store_links (scene);
 }
 
-/* The store is away for all as soon as one of them has read the sign. */
+/* Makes the store unavailable to all once a follower has read the draining states. */
 static void
 fail_store_after_follower_read (Scene *scene)
 {
@@ -350,7 +340,7 @@
   AWAIT (path_status (path_front (scene->world->path, 1), "POST", "/r/batch", batch, text) == 202);
 }
 
-/* Those of the running case: the ledger forgets a batch 120 s after it was submitted. */
+/* Checks only batches of the running case: the ledger removes a batch 120 s after its submission. */
 static void
 assert_batches_complete (Scene *scene)
 {
@@ -383,8 +373,8 @@
       const StandinRun *run = runs->pdata[i];
       if (run->received_us <= time_us)
         continue;
-      print_message ("  %s got %s %s %d ms after the bound\n", standin_worker_get_id (worker), run->target,
-                     run->id, (int)((run->received_us - time_us) / 1000));
+      print_message ("  %s received %s %s %d ms after the deadline\n", standin_worker_get_id (worker),
+                     run->target, run->id, (int)((run->received_us - time_us) / 1000));
       count++;
     }
   return count;
@@ -396,7 +386,7 @@
   return standin_worker_get_runs (worker)->len;
 }
 
-/* Both workers get work. */
+/* Returns whether both leaving workers have received runs beyond the given counts. */
 static gboolean
 have_new_runs (Scene *scene, guint plain_before, guint model_before)
 {
@@ -430,7 +420,7 @@
   assert_int_equal (count_runs_after (path->model[LEAVING_MODEL], bound_us), 0);
 }
 
-/* What ran at the sign ended whole, and nobody was refused: others had places. */
+/* No call was cut or failed.  Without a burst, all calls completed: other workers had free slots. */
 static void
 assert_served (Scene *scene, CallLoad *load)
 {
@@ -440,7 +430,7 @@
     assert_int_equal (verdict.complete, verdict.calls);
 }
 
-/* Work comes on after the bound, to the others. */
+/* Asserts that the other workers get new work after the deadline. */
 static void
 assert_service_continues (Scene *scene, CallLoad *load)
 {
@@ -514,7 +504,7 @@
   relayed_world_start (scene->world);
 }
 
-/* A failed case may leave anything behind: the next one gets a deployment of its own. */
+/* A failed case may leave the deployment in any state, so the next case starts a new one. */
 static int
 set_up_case (void **state)
 {
--- a/tests/platform/test-malformed.c
+++ b/tests/platform/test-malformed.c
@@ -1,22 +1,21 @@
 /*
- * test-malformed.c: bad bytes from callers, trainers, the store, workers and whoever reaches a replica's
- * link, drawn from fixed seeds.  After each kind all processes run, are no larger by much, serve a good
- * request and a good batch, and in the end stop as planned.
+ * test-malformed.c: guards against crashes, memory growth, refused service and failed shutdowns after
+ * malformed input from callers, trainers, the store, workers and peers of a replica.
  */
 #include "protocol/codec.h"
 #include <unistd.h>
 
 #include "raw.h"
 
-/* A sanitizer keeps what was freed for a while, and guards around all. */
+/* AddressSanitizer delays the reuse of freed memory and adds red zones. */
 #ifdef __SANITIZE_ADDRESS__
 #define MEMORY_GROWTH_MAX_BYTES (640u << 20)
 #else
 #define MEMORY_GROWTH_MAX_BYTES (48u << 20)
 #endif
 #define N_PROCESSES (PATH_FRONTS + PATH_REPLICAS)
-#define NESTED_JSON_BYTES 90000      /* below the limit on bodies */
-#define OVERSIZED_BODY_BYTES 2000000 /* above it */
+#define NESTED_JSON_BYTES 90000      /* below the body limit */
+#define OVERSIZED_BODY_BYTES 2000000 /* above the body limit */
 #define RANDOM_REQUESTS 200
 #define RANDOM_FRAMES 1500
 #define RANDOM_BYTES_MAX 600
@@ -27,7 +26,7 @@
 typedef struct
 {
   PathWorld *world;
-  guint64 initial_memory_bytes[N_PROCESSES]; /* at the start, bytes */
+  guint64 initial_memory_bytes[N_PROCESSES];
   guint n_batches;
 } Scene;
 
@@ -57,7 +56,7 @@
   return 0;
 }
 
-/* ---- Judging ------------------------------------------------------------ */
+/* ---- Checks ------------------------------------------------------------ */
 
 static void
 assert_healthy (const char *after)
@@ -87,7 +86,7 @@
   assert_int_equal (path_count_occurrences (results, "\"state\":\"completed\""), BATCH_ITEMS);
 }
 
-/* All serve, and end in order. */
+/* Asserts that all processes serve, complete a batch and stop with exit status 0. */
 static void
 assert_healthy_and_stop (void)
 {
@@ -102,9 +101,9 @@
     }
 }
 
-/* ---- Bytes -------------------------------------------------------------- */
+/* ---- Raw bytes -------------------------------------------------------------- */
 
-/* Sends @bytes on a connection of their own, and no more; waits until the other side closes. */
+/* Sends @bytes on a new connection, shuts down its write side and waits until the peer closes it. */
 static void
 send_bytes (const char *address, gconstpointer bytes, gsize length)
 {
@@ -128,7 +127,7 @@
   send_bytes (address, bytes, length);
 }
 
-/* @text with a few bytes changed, left out or doubled. */
+/* Sends @text with one to four bytes changed, removed or duplicated. */
 static void
 send_mutated (const char *address, GRand *random, const char *text)
 {
@@ -175,7 +174,7 @@
   assert_healthy_and_stop ();
 }
 
-/* A body that has begun and never ends holds its connection, and no more than that. */
+/* An incomplete body must not block other connections. */
 static void
 test_incomplete_bodies (void **state)
 {
@@ -237,7 +236,7 @@
   assert_rejected (nested);
   assert_rejected (large);
   assert_healthy ("bad batches");
-  /* Odd, and taken or refused; nothing may end by it. */
+  /* These batches may be accepted or rejected, but must not crash a process. */
   static const char *const unusual_batches[] = {
     "{\"items\":[{\"id\":\"odd\",\"path\":\"/r/1\",\"scorer\":[]}],\"model\":{}}",
     "{\"items\":[{\"id\":\"odd\\u0000x\",\"path\":\"/r/\\u0000\",\"body\":\"%%%\"}]}",
@@ -336,7 +335,7 @@
   assert_healthy_and_stop ();
 }
 
-/* ---- Links -------------------------------------------------------------- */
+/* ---- Replica links -------------------------------------------------------------- */
 
 typedef struct
 {
@@ -345,21 +344,22 @@
   gsize length;
 } MalformedFrame;
 
-/* A frame's bytes and how many they are. */
+/* Expands to the bytes of a frame and their number. */
 #define FRAME(text) text, sizeof (text) - 1
 
 static const MalformedFrame malformed_frames[] = {
   { "empty frame", FRAME ("\0\0\0\0") },
-  { "unknown kind", FRAME ("\0\0\0\4\0\0\0\x63") },
-  { "no whole word", FRAME ("\0\0\0\3\0\0\0") },
-  { "string above its bound", FRAME ("\0\0\0\x0c\0\0\0\x0b\xff\xff\xff\xff\xff\xff\xff\xff") },
-  { "bytes left over", FRAME ("\0\0\0\x18\0\0\0\x16\0\0\0\0\0\0\0\0\0\0\0\0\0\0\0\0\0\0\0\0") },
+  { "unknown message kind", FRAME ("\0\0\0\4\0\0\0\x63") },
+  { "incomplete word", FRAME ("\0\0\0\3\0\0\0") },
+  { "string above its length limit", FRAME ("\0\0\0\x0c\0\0\0\x0b\xff\xff\xff\xff\xff\xff\xff\xff") },
+  { "trailing bytes", FRAME ("\0\0\0\x18\0\0\0\x16\0\0\0\0\0\0\0\0\0\0\0\0\0\0\0\0\0\0\0\0") },
   { "one byte too large", FRAME ("\4\0\0\1") },
   { "huge frame", FRAME ("\xff\xff\xff\xff") },
-  { "half a frame", FRAME ("\0\0\1\0\0\0\0\x0b") },
+  { "truncated frame", FRAME ("\0\0\1\0\0\0\0\x0b") },
 };
 
-/* Bytes of the empty message of @kind: as many zeros as it needs.  Returns: %FALSE when it has none */
+/* Sets @bytes to the shortest message of @kind whose other words are zero.  Returns %FALSE if none of up to
+ * FRAME_WORDS_MAX words decodes. */
 static gboolean
 find_zero_message (guint kind, GByteArray *bytes)
 {
@@ -377,8 +377,8 @@
   return FALSE;
 }
 
-/* One to three bits flipped, in the lower half of each word: numbers that tell of epochs and revisions stay
- * small, since a greater one is believed, whoever tells it. */
+/* Flips one to three bits, each among the low four bits of a word.  Epochs and revisions stay small, because
+ * replicas accept a greater one from any peer. */
 static void
 flip_bits (GRand *random, GByteArray *bytes)
 {
@@ -414,7 +414,7 @@
   assert_healthy_and_stop ();
 }
 
-/* Whole messages of each kind from a stranger, with bits flipped, to a replica that leads and to the others.
+/* Sends messages of each kind with flipped bits from an unknown peer to the leader and to the other replicas.
  */
 static void
 test_messages_with_flipped_bits (void **state)
--- a/tests/platform/test-member-thawed.c
+++ b/tests/platform/test-member-thawed.c
@@ -1,17 +1,13 @@
 /*
- * test-member-thawed.c: a member of the ledger that was stopped for longer than a leader may be silent reads
- * what its leader sent meanwhile before it campaigns.
- *
- * In a view of two members a candidate needs nobody's promise: it took the lead from a leader that was well,
- * and whoever waited for a sample waited for its next run ('view_proposed epoch=2 members=2' right after the
- * member went on).
+ * test-member-thawed.c: guards against a resumed ledger member that campaigns before it reads what its
+ * healthy leader sent while the member was suspended.
  */
 #define PATH_REPLICAS 2
 #define PATH_FRONTS 1
 
 #include "path-world.h"
 
-/* Longer than the 1 s of silence and the rank of a second backup. */
+/* Longer than the leader timeout of 1 s plus the campaign delay of the second backup. */
 #define SUSPENDED_MS 1800
 #define SUSPENSIONS 4
 
--- a/tests/platform/test-meta.c
+++ b/tests/platform/test-meta.c
@@ -1,5 +1,6 @@
 /*
- * test-meta.c: mirrors, presence and feeds of the metadata store, in the platform's words, under its faults.
+ * test-meta.c: guards against lost, late or outdated metadata in mirrors, feeds and presence keys under
+ * faults of the store, and against excess store calls.
  */
 #include "meta/meta-mirror.h"
 #include "meta/meta-presence.h"
@@ -13,16 +14,16 @@
 
 #define READ_INTERVAL_MAX_MS 700
 #define FEED_TIMEOUT_MS 1300
-/* After an outage a change is in force 2 s after the store took it; and what a busy machine may take. */
+/* 2 s to apply a change after an outage, plus 1 s for a busy machine. */
 #define RECOVERY_MAX_US (3 * G_USEC_PER_SEC)
 
-/* ---- What a mirror has reported --------------------------------------- */
+/* ---- Items reported by a mirror --------------------------------------- */
 
 typedef struct
 {
-  GHashTable *values; /* key to text */
+  GHashTable *values; /* owned; key to text */
   guint synced;
-  guint items; /* reported */
+  guint items; /* number of reported items */
 } Reports;
 
 static void
@@ -109,9 +110,8 @@
   world_stop (&world);
 }
 
-/* The pause between two watches has grown in a burst of changes when the process begins to feed others: they
- * would wait for its end.  A leader that had just begun told a front 0.3 s late of the ledger's members, and
- * the front, cut off meanwhile, found no other of them. */
+/* A process that starts to feed others reads without the delay that its mirror reached in a burst of changes;
+ * otherwise the others get the changes late. */
 static void
 test_read_interval_of_new_reader (void **state)
 {
@@ -141,8 +141,7 @@
   world_stop (&world);
 }
 
-/* Whatever the store does, what it holds afterwards is reported. Failed first: the answer after an outage
- * ended the process, and a silent store was noticed only when a watch of 20 s was over. */
+/* After @fault ends, the mirror reports the current items of the store within RECOVERY_MAX_US. */
 static void
 assert_recovery_from_fault (StandinStoreFault fault, guint for_ms)
 {
@@ -159,11 +158,11 @@
   AWAIT (strcmp (get_value (&world, "a/1"), "meanwhile") == 0);
   AWAIT (g_hash_table_size (world.reports.values) == 4);
   if (g_get_monotonic_time () - recovered_us > RECOVERY_MAX_US)
-    fail_msg ("the mirror waits for its own watch");
+    fail_msg ("the mirror reported the changes too late after the fault");
   world_stop (&world);
 }
 
-/* Calls that an outage of @OUTAGE_MS costs a process. */
+/* Length of the outage in count_calls_in_outage(). */
 #define OUTAGE_MS 6000
 
 static guint
@@ -177,19 +176,19 @@
   guint calls = standin_store_get_n_calls (world.standin);
   run_for (OUTAGE_MS);
   calls = standin_store_get_n_calls (world.standin) - calls;
-  /* Its feeder is gone: it looks by itself, soon. */
+  /* With slow probes off again, the mirror reads the store within RECOVERY_MAX_US. */
   quince_meta_store_set_slow_probes (world.store, FALSE);
   standin_store_set_fault (world.standin, STANDIN_STORE_HEALTHY);
   standin_store_put (world.standin, "a/1", "after");
   gint64 recovered_us = g_get_monotonic_time ();
   AWAIT (strcmp (get_value (&world, "a/1"), "after") == 0);
   if (g_get_monotonic_time () - recovered_us > RECOVERY_MAX_US)
-    fail_msg ("a process without a feeder waits for long");
+    fail_msg ("the mirror read the store too late after slow probes were turned off");
   world_stop (&world);
   return calls;
 }
 
-/* Failed first: each process probed the store as often as the one that feeds the others. */
+/* A fed process must probe an unavailable store less often than its feeder does. */
 static void
 test_slow_probes_in_outage (void **state)
 {
@@ -230,7 +229,7 @@
   world_stop (&world);
 }
 
-/* Keys that change all the time cost no more calls than the pace allows. */
+/* Keys that change constantly cause no more store calls than the minimum read interval allows. */
 static void
 test_read_interval (void **state)
 {
@@ -265,7 +264,7 @@
   return page;
 }
 
-/* A fed mirror asks for nothing, goes back to asking, and never goes back in time. */
+/* A fed mirror makes no store calls, reads the store again when the feed stops, and ignores older pages. */
 static void
 test_feed (void **state)
 {
@@ -290,7 +289,7 @@
   world_stop (&world);
 }
 
-/* A page that begins after what the mirror has is not taken: the mirror asks the store at once. */
+/* The mirror rejects a page that starts after its own revision, and reads the store immediately. */
 static void
 test_feed_with_gap (void **state)
 {
@@ -309,7 +308,7 @@
   world_stop (&world);
 }
 
-/* A whole feed takes away what is not in it. */
+/* A full page removes the keys that it does not contain. */
 static void
 test_full_feed (void **state)
 {
@@ -328,8 +327,8 @@
   return page->items->len;
 }
 
-/* One who has all up to a revision is told what came and what went since then; everything where that is not
- * known any more. */
+/* A mirror returns the changes and removals since a revision, or all items if it no longer knows the
+ * removals. */
 static void
 test_changes_since_revision (void **state)
 {
@@ -346,12 +345,12 @@
   AWAIT (g_hash_table_size (world.reports.values) == 4);
   assert_int_equal (count_changes_since (&world, start, &whole), 2);
   assert_false (whole);
-  /* A key that went and came back is reported as it is. */
+  /* A key that was removed and written again is returned with its value. */
   standin_store_put (world.standin, "a/2", "again");
   AWAIT (g_hash_table_size (world.reports.values) == 5);
   assert_int_equal (count_changes_since (&world, start, &whole), 2);
   assert_false (whole);
-  /* After a new list it is unknown which keys were removed in between. */
+  /* After a new list, the mirror does not know which keys were removed since the last one. */
   standin_store_compact (world.standin);
   standin_store_remove (world.standin, "a/3");
   AWAIT (g_hash_table_size (world.reports.values) == 4);
@@ -376,8 +375,8 @@
         .read = report_read,
         .is_equivalent = quince_platform_are_worker_entries_equivalent };
 
-/* Heartbeats of workers are read, and neither told nor passed on; that a worker is cold, or is no longer, is
- * news. */
+/* Heartbeats in worker entries are neither reported nor passed on.  A change of state is, and so is a worker
+ * that becomes cold or stops being cold. */
 static void
 test_heartbeats_are_not_reported (void **state)
 {
@@ -432,7 +431,7 @@
   AWAIT (g_strcmp0 (standin_store_get (standin, "a/me"), "here") == 0);
   run_for (1000);
   assert_string_equal (standin_store_get (standin, "a/me"), "here");
-  /* The store loses its leases: the key comes back. */
+  /* The leases expire; the presence writes its key again. */
   standin_store_expire_leases (standin);
   assert_null (standin_store_get (standin, "a/me"));
   AWAIT (standin_store_get (standin, "a/me") != NULL);
@@ -445,7 +444,7 @@
   standin_store_free (standin);
 }
 
-/* ---- Conditions ------------------------------------------------------- */
+/* ---- Conditional writes ------------------------------------------------------- */
 
 typedef struct
 {
@@ -476,7 +475,7 @@
   quince_meta_store_change (world.store, &change, 1, handle_change_result, &outcome);
   AWAIT (outcome.done);
   assert_int_equal (outcome.error, QUINCE_META_ERROR_CONFLICT);
-  /* A write whose answer is lost is done all the same, and said to be unknown. */
+  /* The store applies a write whose answer is lost; the caller gets QUINCE_META_ERROR_UNKNOWN. */
   standin_store_set_fault (world.standin, STANDIN_STORE_DROPS_WRITE_ANSWERS);
   change.key = "a/8";
   outcome.done = FALSE;
@@ -492,7 +491,7 @@
 {
 }
 
-/* ---- Which calls were made -------------------------------------------------- */
+/* ---- Metrics of store calls -------------------------------------------------- */
 
 static double
 get_n_calls (const char *labels)
@@ -503,8 +502,7 @@
   return found != NULL ? g_ascii_strtod (found + strlen (sample), NULL) : 0;
 }
 
-/* Each call is counted by what it was for, so that a storm of them has a name; names of machines make no more
- * series. */
+/* Store calls are counted by kind, subject and reason.  Keys of different machines share a series. */
 static void
 test_calls_by_purpose (void **state)
 {
@@ -526,7 +524,7 @@
   page->after = page->revision = quince_meta_mirror_get_revision (world.mirror);
   AWAIT (quince_meta_mirror_feed (world.mirror, page, FALSE)
          || (page->after = page->revision = quince_meta_mirror_get_revision (world.mirror)) == 0);
-  AWAIT (get_n_calls (watches_after_silence) > n_after_silence_before); /* it hears nothing more */
+  AWAIT (get_n_calls (watches_after_silence) > n_after_silence_before); /* the feed has stopped */
   double before = get_n_calls (front_gets);
   quince_meta_store_get (world.store, "a/fronts/x", ignore_reply, NULL);
   quince_meta_store_get (world.store, "a/fronts/y", ignore_reply, NULL);
--- a/tests/platform/test-operator-command.c
+++ b/tests/platform/test-operator-command.c
@@ -1,6 +1,6 @@
 /*
- * test-operator-command.c: the program "quinceroute" as operators and scripts call it: exit statuses, output,
- * two operators at once, and answers of the store that are lost.
+ * test-operator-command.c: guards against wrong exit statuses and output of the program "quinceroute", also
+ * with concurrent operators and lost answers of the store.
  */
 #include "await.h"
 
@@ -10,17 +10,19 @@
 #include "process.h"
 #include "standin-store.h"
 
+/* Exit statuses. */
 #define STATUS_OK 0
 #define STATUS_FAILED 1
 #define STATUS_USAGE 2
 #define STATUS_CONFLICT 3
 #define STATUS_UNKNOWN 4
+
 #define WORDS_MAX 12
 #define POLICY_KEY "quinceroute/policy"
 
 static StandinStore *store;
 static char *folder;
-static guint n_runs; /* so far: each has its own output files */
+static guint n_runs; /* number of runs so far; names the output files of each */
 
 /* ---- One run of the program --------------------------------------------------- */
 
@@ -33,7 +35,7 @@
   char *errors; /* owned */
 } Run;
 
-/* @words: words of the command, NULL terminated; @with_store: names the stand-in by --store */
+/* Starts the program with @words, a NULL-terminated array.  With @with_store, --store names the stand-in. */
 static void
 run_start (Run *run, const char *const *words, gboolean with_store)
 {
@@ -89,17 +91,17 @@
   run_wait (run);
 }
 
-/* ---- Commands one after the other ------------------------------------------------ */
+/* ---- Sequence of commands ------------------------------------------------ */
 
 typedef struct
 {
   const char *words[WORDS_MAX];
   int status;
-  const char *output; /* part of standard output, NULL: none is looked for */
-  const char *errors; /* part of standard error                            */
+  const char *output; /* (nullable): expected part of standard output */
+  const char *errors; /* (nullable): expected part of standard error */
 } CommandCase;
 
-/* In order: the stand-in keeps its data from one to the next. */
+/* The order matters: the stand-in keeps its data between the commands. */
 static const CommandCase command_cases[] = {
   { { NULL }, STATUS_USAGE, NULL, "no command given" },
   { { "nonsense" }, STATUS_USAGE, NULL, "no such command" },
@@ -197,7 +199,7 @@
   assert_null (standin_store_get (store, "quinceroute/events/shift"));
 }
 
-/* Every command on the store says that it needs one. */
+/* Commands that use the store fail with a usage error if no address is given. */
 static void
 test_missing_store_address (void **state)
 {
@@ -224,7 +226,7 @@
     }
 }
 
-/* What is stored under a key but is of another form is refused, or left out of a list. */
+/* A malformed policy is an error; a malformed event is left out of the list and named on standard error. */
 static void
 test_malformed_items (void **state)
 {
@@ -246,9 +248,10 @@
   run_clear (&run);
 }
 
-/* ---- Two operators, lost answers ---------------------------------------------------- */
+/* ---- Concurrent operators, lost answers ---------------------------------------------------- */
 
-/* Both expect the same revision: one wins, and the other learns of it, whether or not answers are lost. */
+/* Two operators expect the same revision: one succeeds and the other gets a conflict, also if answers are
+ * lost. */
 static void
 test_concurrent_accepts (void **state)
 {
@@ -288,7 +291,7 @@
   run_clear (&run);
 }
 
-/* A store that takes a write and never answers: the operator learns that the outcome is not known. */
+/* The store does not answer a write: the outcome is reported as unknown. */
 static void
 test_unknown_outcome_of_first_policy (void **state)
 {
@@ -298,7 +301,7 @@
   assert_outcome (accept, STANDIN_STORE_UNRESPONSIVE, STATUS_UNKNOWN, "quinceroute: unknown: ");
 }
 
-/* The same where a policy stands already: that it cannot be read is no conflict. */
+/* The same when a policy is already in place: a failed read of it is not a conflict. */
 static void
 test_unknown_outcome_of_replacement (void **state)
 {
@@ -309,7 +312,7 @@
   assert_outcome (second, STANDIN_STORE_UNRESPONSIVE, STATUS_UNKNOWN, "quinceroute: unknown: ");
 }
 
-/* The write is done, its answer is lost and the key cannot be read back: neither a conflict nor a failure. */
+/* The store applies the write, its answer is lost and the key cannot be read back: the outcome is unknown. */
 static void
 test_lost_answer_and_failed_reads (void **state)
 {
@@ -320,7 +323,7 @@
   assert_int_equal (standin_store_get_revision (store, POLICY_KEY), 1);
 }
 
-/* Lists end in bounded time too. */
+/* A list from an unresponsive store times out. */
 static void
 test_list_times_out (void **state)
 {
@@ -328,7 +331,7 @@
   assert_outcome (list, STANDIN_STORE_UNRESPONSIVE, STATUS_FAILED, "quinceroute: unreachable: ");
 }
 
-/* A store that refuses all calls: nothing was done. */
+/* The store refuses all calls: commands fail as unreachable, not with an unknown outcome. */
 static void
 test_unavailable_store_commands (void **state)
 {
@@ -366,7 +369,7 @@
   write_file ("two.lua", one->str);
   write_file ("bad.lua", "function (");
   write_file ("large.lua", large);
-  return g_chdir (folder); /* files are named within it */
+  return g_chdir (folder); /* commands name the files by relative paths */
 }
 
 static int
--- a/tests/platform/test-operator-lists.c
+++ b/tests/platform/test-operator-lists.c
@@ -1,5 +1,5 @@
 /*
- * test-operator-lists.c: what the operator's program lists of zones and of cold workers.
+ * test-operator-lists.c: guards against wrong lists of zones and of cold workers in the operator's program.
  */
 #include "path-world.h"
 
@@ -9,7 +9,7 @@
   "\"coldPerS\":12.5,\"coldStartS\":3},{\"name\":\"svc\",\"healthPath\":\"/healthz\",\"maxConns\":50}],"     \
   "\"limits\":{}}"
 
-/* What the last command printed. (transfer full) */
+/* Runs a command of the operator's program and returns its standard output. (transfer full) */
 static char *
 run_and_read_output (const PathWorld *world, const char *const *words)
 {
@@ -21,7 +21,8 @@
   return text;
 }
 
-/* The words of the line that begins with @name, a blank between two; NULL: there is none. (transfer full) */
+/* Returns the line that begins with the word @name, its columns separated by single spaces, or %NULL if there
+ * is none. (transfer full) */
 static char *
 find_line (const char *text, const char *name)
 {
